--- a/benchmarks/accord.py
+++ b/benchmarks/accord.py
@@ -16,15 +16,15 @@
 import timeit
 from pathlib import Path
 
-from accord.contracts import FileRead, Terms
-from accord.core import Node, Stage, State
-from accord.log import Entry
-from accord.service import Service
-from resources.model import Change
-from resources.state import ResourceState
-from tier.plan import compile_plan
-from tier.report import Report, report_of
-from tier.rig import RigFailed, play
+from hollybay.cluster.plan import compile_plan
+from hollybay.cluster.report import Report, report_of
+from hollybay.cluster.rig import RigFailed, play
+from hollybay.consensus.core import Node, Stage, State
+from hollybay.consensus.interfaces import FileRead, Terms
+from hollybay.consensus.log import Entry
+from hollybay.consensus.service import Service
+from hollybay.resources.model import Change
+from hollybay.resources.state import ResourceState
 
 __all__ = ["main"]
 
--- a/benchmarks/capacity/budgets.py
+++ b/benchmarks/capacity/budgets.py
@@ -20,7 +20,7 @@
 RACK_SERVERS = 40
 RELEASE_SERVERS_AN_HOUR = 6_000
 BURST_CHANGES = 20
-# How often `hollybay policy` looks while it follows a change (accord.follow.LOOK).
+# How often `hollybay policy` looks while it follows a change (hollybay.consensus.change_tracker.LOOK).
 LOOKS_A_SECOND = 20
 ZONES = 17
 # The aim for one changed route in a node.
--- a/benchmarks/capacity/control.py
+++ b/benchmarks/capacity/control.py
@@ -13,9 +13,9 @@
 from pathlib import Path
 from typing import Any
 
-from hollow.fleet import Fleet, FleetFailed, fleet
-from hollow.messages import Report
-from hollow.meter import Spent
+from hollybay.hollow.fleet import Fleet, FleetFailed, fleet
+from hollybay.hollow.messages import Report
+from hollybay.hollow.meter import Spent
 
 from . import samples
 from .measurement import Figures, RunFailed
--- a/benchmarks/capacity/measurement.py
+++ b/benchmarks/capacity/measurement.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass, field
 
-from hollow.meter import Limits, Spent, late_reason
+from hollybay.hollow.meter import Limits, Spent, late_reason
 
 __all__ = [
     "Figures",
--- a/benchmarks/capacity/registry.py
+++ b/benchmarks/capacity/registry.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from hollow.meter import Limits
+from hollybay.hollow.meter import Limits
 
 from . import (
     control,
--- a/benchmarks/capacity/requests.py
+++ b/benchmarks/capacity/requests.py
@@ -4,10 +4,10 @@
 
 import gc
 
-from hollow.meter import metered
-from lynxrouter import Balancer
-from lynxrouter import interface as api
-from routing.plan import compile_file
+from hollybay.balancing import Balancer
+from hollybay.balancing import interface as api
+from hollybay.hollow.meter import metered
+from hollybay.routing.route_table import compile_file
 
 from .. import matcher
 from . import samples
--- a/benchmarks/capacity/resource_plans.py
+++ b/benchmarks/capacity/resource_plans.py
@@ -6,12 +6,12 @@
 import random
 from dataclasses import replace
 
-from hollow.meter import metered
-from resources.model import Key, Kind, Resource
-from resources.state import ResourceState, restored
-from resources.wire import decode_snapshot, encode_snapshot
-from routing.resource_plan import plan_after, plan_of_state
-from routing.resource_tables import encode_table
+from hollybay.hollow.meter import metered
+from hollybay.resources.model import Key, Kind, Resource
+from hollybay.resources.state import ResourceState, restored
+from hollybay.resources.wire import decode_snapshot, encode_snapshot
+from hollybay.routing.resource_route_table import plan_after, plan_of_state
+from hollybay.routing.resource_tables import encode_table
 
 from . import samples
 from .measurement import Figures
--- a/benchmarks/capacity/resource_states.py
+++ b/benchmarks/capacity/resource_states.py
@@ -8,12 +8,12 @@
 import gc
 from collections.abc import Iterator
 
-from hollow.meter import metered
-from resources.batch import assemble, follow
-from resources.model import Change, Kind, Resource, Upsert
-from resources.state import ResourceState, restored
-from resources.wire import WireError, decode_snapshot, encode_batch, encode_snapshot
-from routing.resource_tables import encode_table
+from hollybay.hollow.meter import metered
+from hollybay.resources.batch import assemble, follow
+from hollybay.resources.model import Change, Kind, Resource, Upsert
+from hollybay.resources.state import ResourceState, restored
+from hollybay.resources.wire import WireError, decode_snapshot, encode_batch, encode_snapshot
+from hollybay.routing.resource_tables import encode_table
 
 from . import samples
 from .measurement import Figures, RefusedSize
--- a/benchmarks/capacity/routes.py
+++ b/benchmarks/capacity/routes.py
@@ -4,11 +4,11 @@
 
 from collections.abc import Callable
 
-from hollow.meter import metered
-from lynxrouter.interface import Settings
-from routing.gate import Gate
-from routing.plan import Plan, compile_file
-from routing.problems import OperatorError
+from hollybay.balancing.interface import Settings
+from hollybay.hollow.meter import metered
+from hollybay.routing.admission_control import Gate
+from hollybay.routing.problems import OperatorError
+from hollybay.routing.route_table import Plan, compile_file
 
 from . import samples
 from .measurement import Figures, RefusedSize
--- a/benchmarks/capacity/samples.py
+++ b/benchmarks/capacity/samples.py
@@ -4,10 +4,10 @@
 
 from collections.abc import Iterator
 
-from lynxrouter import interface as api
-from resources.model import Kind, Resource
-from routing.resource_tables import encode_table
-from routing.schema import (
+from hollybay.balancing import interface as api
+from hollybay.resources.model import Kind, Resource
+from hollybay.routing.resource_tables import encode_table
+from hollybay.routing.schema import (
     HeaderTable,
     LimitsTable,
     PathTable,
--- a/benchmarks/capacity/servers.py
+++ b/benchmarks/capacity/servers.py
@@ -7,12 +7,12 @@
 import random
 from heapq import heappop, heappush
 
-from elderscale.config import Names
-from elderscale.discovery import MAX_LIST
-from hollow.meter import metered
-from lynxrouter import Balancer
-from lynxrouter import interface as api
-from lynxrouter.learning import REVIEW
+from hollybay.balancing import Balancer
+from hollybay.balancing import interface as api
+from hollybay.balancing.estimates import REVIEW
+from hollybay.hollow.meter import metered
+from hollybay.proxy.config import Names
+from hollybay.proxy.discovery import MAX_LIST
 
 from . import samples, target
 from .measurement import Figures
--- a/benchmarks/capacity/starts.py
+++ b/benchmarks/capacity/starts.py
@@ -9,14 +9,14 @@
 
 import msgspec
 
-from accord.drafts import founding_change
-from accord.log import PolicyLog, Snapshot
-from accord.policy import Refused, first
-from hollow.meter import Spent, metered
-from resources.state import EMPTY
-from resources.wire import encode_snapshot
-from routing.resource_tables import operations_between, resources_of
-from routing.schema import read
+from hollybay.consensus.change_builder import founding_change
+from hollybay.consensus.log import PolicyLog, Snapshot
+from hollybay.consensus.policy import Refused, first
+from hollybay.hollow.meter import Spent, metered
+from hollybay.resources.state import EMPTY
+from hollybay.resources.wire import encode_snapshot
+from hollybay.routing.resource_tables import operations_between, resources_of
+from hollybay.routing.schema import read
 
 from . import samples
 from .measurement import Figures, RefusedSize
@@ -28,11 +28,12 @@
 SCRIPT = """
 import sys, time
 from pathlib import Path
-import elderscale.__main__, elderscale.accord, elderscale.desk, elderscale.operator
-from accord.log import PolicyLog
+import hollybay.proxy.__main__, hollybay.proxy.consensus_member
+import hollybay.proxy.admin_service, hollybay.proxy.operator_file
+from hollybay.consensus.log import PolicyLog
 from benchmarks.capacity import samples
-from routing.plan import compile_file
-from routing.resource_plan import plan_of_state
+from hollybay.routing.route_table import compile_file
+from hollybay.routing.resource_route_table import plan_of_state
 kind, folder, name = sys.argv[1:]
 if kind == "file":
     plan = compile_file((Path(folder) / name).read_bytes(), samples.settings())
--- a/benchmarks/capacity/streams.py
+++ b/benchmarks/capacity/streams.py
@@ -12,11 +12,11 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from accord.words import Outcome
-from elderscale.accord import clock
-from hollow.fleet import Fleet, FleetFailed, fleet, version_of
-from hollow.messages import Report
-from resources.model import CHANGE_ID_BYTES, Change, Kind, Upsert
+from hollybay.consensus.messages import Outcome
+from hollybay.hollow.fleet import Fleet, FleetFailed, fleet, version_of
+from hollybay.hollow.messages import Report
+from hollybay.proxy.consensus_member import clock
+from hollybay.resources.model import CHANGE_ID_BYTES, Change, Kind, Upsert
 
 from . import control
 from .measurement import Figures
--- a/benchmarks/capacity/tenants.py
+++ b/benchmarks/capacity/tenants.py
@@ -2,12 +2,12 @@
 
 from __future__ import annotations
 
-from elderscale.config import settings_of
-from hollow.meter import metered
-from lynxrouter import Balancer
-from routing.gate import Gate
-from routing.limits import Effective
-from routing.plan import compile_file
+from hollybay.balancing import Balancer
+from hollybay.hollow.meter import metered
+from hollybay.proxy.config import settings_of
+from hollybay.routing.admission_control import Gate
+from hollybay.routing.limits import Effective
+from hollybay.routing.route_table import compile_file
 
 from . import samples
 from .measurement import Figures
--- a/benchmarks/change_stream.py
+++ b/benchmarks/change_stream.py
@@ -12,10 +12,10 @@
 import asyncio
 from dataclasses import dataclass
 
-from tier.change_stream import Burst, Stream, Told, check, play
-from tier.plan import compile_plan
-from tier.report import report_of
-from tier.rig import RigFailed
+from hollybay.cluster.change_stream import Burst, Stream, Told, check, play
+from hollybay.cluster.plan import compile_plan
+from hollybay.cluster.report import report_of
+from hollybay.cluster.rig import RigFailed
 
 __all__ = ["main"]
 
--- a/benchmarks/flood.py
+++ b/benchmarks/flood.py
@@ -9,11 +9,11 @@
 
 import uvloop
 
-from hollybay.demo import percentile
-from standins.callers import Callers, Mix
-from standins.ledger import Final
-from standins.process import NodeProcess
-from standins.scene import Scene
+from hollybay.cli.demo import percentile
+from hollybay.testbed.callers import Callers, Mix
+from hollybay.testbed.ledger import Final
+from hollybay.testbed.process import NodeProcess
+from hollybay.testbed.scene import Scene
 
 SERVERS, SECONDS, FLOOD, USUAL = 20, 8.0, 1500.0, 100.0
 LIMITS = """
--- a/benchmarks/matcher.py
+++ b/benchmarks/matcher.py
@@ -6,8 +6,8 @@
 import statistics
 import time
 
-from lynxrouter import interface as api
-from routing.plan import Plan, compile_file
+from hollybay.balancing import interface as api
+from hollybay.routing.route_table import Plan, compile_file
 
 from .files import many_routes
 
--- a/benchmarks/route_changes.py
+++ b/benchmarks/route_changes.py
@@ -13,13 +13,13 @@
 import sys
 import time
 
-from hollow.meter import memory_bytes
-from lynxrouter import interface as api
-from resources.model import Change, Key, Kind, Upsert
-from resources.state import EMPTY, ResourceState
-from routing.resource_plan import plan_after, plan_of_state
-from routing.resource_tables import decode_table, encode_table
-from routing.schema import (
+from hollybay.balancing import interface as api
+from hollybay.hollow.meter import memory_bytes
+from hollybay.resources.model import Change, Key, Kind, Upsert
+from hollybay.resources.state import EMPTY, ResourceState
+from hollybay.routing.resource_route_table import plan_after, plan_of_state
+from hollybay.routing.resource_tables import decode_table, encode_table
+from hollybay.routing.schema import (
     LimitsTable,
     RouteTable,
     TenantLimitsTable,
--- a/benchmarks/routed_node.py
+++ b/benchmarks/routed_node.py
@@ -15,8 +15,8 @@
 
 import uvloop
 
-from standins.process import NodeProcess
-from standins.scene import Scene, settings
+from hollybay.testbed.process import NodeProcess
+from hollybay.testbed.scene import Scene, settings
 
 from .files import many_routes
 
--- a/benchmarks/simulation.py
+++ b/benchmarks/simulation.py
@@ -7,7 +7,7 @@
 from concurrent.futures import ProcessPoolExecutor
 from multiprocessing import get_context
 
-from simulation.world import play_seed
+from hollybay.simulation.world import play_seed
 
 SEEDS = 100
 
--- a/hollybay/__init__.py
+++ b/hollybay/__init__.py
@@ -1,1 +1,1 @@
-"""The operator's command line and the demo. Nothing of it is imported by a node on the platform."""
+"""A reverse-proxy node, its control plane and its test rigs. This package itself imports nothing."""
--- a/operations/bans.py
+++ b/hollybay/admin/administrative_drains.py
@@ -11,7 +11,7 @@
 from dataclasses import replace
 from hashlib import blake2b
 
-from lynxrouter.interface import ListKind, Server, ServerId, ServerList, State
+from hollybay.balancing.interface import ListKind, Server, ServerId, ServerList, State
 
 __all__ = ["Bans", "BansError", "pack", "unpack"]
 
--- a/lynxrouter/__init__.py
+++ b/hollybay/balancing/__init__.py
@@ -1,6 +1,6 @@
 """Decisions of a reverse proxy that spreads requests over HTTP servers of several speeds."""
 
-from .brain import Balancer
+from .balancer import Balancer
 from .interface import *  # noqa: F403
 
 __version__ = "0.1.0"
--- a/lynxrouter/brain.py
+++ b/hollybay/balancing/balancer.py
@@ -9,19 +9,20 @@
 import random
 from heapq import heappop, heappush
 
-from fleet import Calls, place
+from .discovery_polling import Calls
+from .fair_shares import place
 
-from .admission import SHED_FROM, Admission
-from .choice import Choice
-from .crossing import Crossing
+from .load_shedding import SHED_FROM, Admission
+from .server_selection import Choice
+from .cross_zone import Crossing
 from .interface import (  # fmt: skip
     Action, Cancel, Effect, Elsewhere, Event, Fail, Gone, ListKind, Outcome, Refuse, Request, Send, ServerId,
     ServerList, SetTimer, Settings, Started, State, Timer, Watch, Whole,
 )  # fmt: skip
-from .learning import REVIEW, Learning
-from .records import MS, Owed, Server, Try
-from .repeats import ANYWHERE, Repeats, may_refuse
-from .roster import Roster
+from .estimates import REVIEW, Learning
+from .state import MS, Owed, Server, Try
+from .retries import ANYWHERE, Repeats, may_refuse
+from .endpoints import Roster
 
 __all__ = ["Balancer"]
 
--- a/lynxrouter/benchlink.py
+++ b/hollybay/balancing/bench_adapter.py
@@ -8,10 +8,10 @@
 from collections.abc import Callable
 from typing import BinaryIO
 
+from . import bench_wire as w
 from . import interface as api
-from . import wire as w
-from .brain import Balancer
-from .wiresettings import parse_settings
+from .balancer import Balancer
+from .bench_settings import parse_settings
 
 RESULTS = {
     200: api.Result.OK,
--- a/lynxrouter/crossing.py
+++ b/hollybay/balancing/cross_zone.py
@@ -4,9 +4,9 @@
 
 from math import exp, log
 
+from .estimates import REVIEW, Learning
 from .interface import Result, Settings, Weights
-from .learning import REVIEW, Learning
-from .records import Server, Try
+from .state import Server, Try
 
 __all__ = ["CLASS_RATIO", "Crossing", "ahead"]
 
--- a/lynxrouter/roster.py
+++ b/hollybay/balancing/endpoints.py
@@ -4,11 +4,10 @@
 
 from math import isfinite
 
-from fleet import place
-
+from .estimates import PAUSE_FIRST
+from .fair_shares import place
 from .interface import ListKind, ServerId, ServerList, Settings, State, Weights
-from .learning import PAUSE_FIRST
-from .records import SECOND, Server
+from .state import SECOND, Server
 
 __all__ = ["Roster"]
 
--- a/lynxrouter/learning.py
+++ b/hollybay/balancing/estimates.py
@@ -2,11 +2,14 @@
 
 from __future__ import annotations
 
-from fleet import Census, Failures, Reach, Room, Shares, heed
-from fleet.told import SPAN
-
+from .connection_capacity import Room
+from .fair_shares import heed
 from .interface import Outcome, Result, Settings
-from .records import SECOND, Owed, Server
+from .outlier_shares import Shares
+from .reported_failures import SPAN, Failures
+from .state import SECOND, Owed, Server
+from .traffic_share import Census
+from .zone_reachability import Reach
 
 __all__ = ["PAUSE_FIRST", "REVIEW", "Learning"]
 
--- a/lynxrouter/admission.py
+++ b/hollybay/balancing/load_shedding.py
@@ -5,12 +5,12 @@
 from math import inf
 from random import Random
 
-from fleet import Pressure, by_worth, deal
-
-from .crossing import ahead
+from .cross_zone import ahead
+from .estimates import Learning
 from .interface import Request, Settings
-from .learning import Learning
-from .records import MS, Owed, Server
+from .priority_distribution import by_worth, deal
+from .queueing_delay import Pressure
+from .state import MS, Owed, Server
 
 __all__ = ["SHED_FROM", "Admission"]
 
--- a/lynxrouter/repeats.py
+++ b/hollybay/balancing/retries.py
@@ -2,10 +2,9 @@
 
 from __future__ import annotations
 
-from fleet import Budgets
-
 from .interface import NEVER_RAN, Effect, Group, Limits, RequestClass, Settings
-from .records import Owed, Server, Try
+from .retry_budgets import Budgets
+from .state import Owed, Server, Try
 
 __all__ = ["ANYWHERE", "Repeats", "Scope", "may_refuse", "resend_scope"]
 
--- a/lynxrouter/choice.py
+++ b/hollybay/balancing/server_selection.py
@@ -11,16 +11,15 @@
 from math import log
 from random import Random
 
-from fleet import cold_gap
-from fleet.told import BAD, FADE, FAILING
-
-from .admission import Admission
-from .crossing import CLASS_RATIO, Crossing
+from .cross_zone import CLASS_RATIO, Crossing
+from .endpoints import Roster
+from .estimates import Learning
+from .fair_shares import cold_gap
 from .interface import IDLE_PART, Effect, Elsewhere, Settings, State, Weights
-from .learning import Learning
-from .records import SECOND, Owed, Server, SpeedClass
-from .repeats import ANYWHERE, Scope
-from .roster import Roster
+from .load_shedding import Admission
+from .reported_failures import BAD, FADE, FAILING
+from .retries import ANYWHERE, Scope
+from .state import SECOND, Owed, Server, SpeedClass
 
 __all__ = ["Choice"]
 
--- a/hollybay/demo.py
+++ b/hollybay/cli/demo.py
@@ -10,11 +10,11 @@
 from dataclasses import asdict, dataclass
 from pathlib import Path
 
-from standins.callers import Callers
-from standins.fleet import ModelServer
-from standins.ledger import Final, Ledger, Verdict
-from standins.process import NodeProcess
-from standins.scene import KINDS, Scene
+from hollybay.testbed.callers import Callers
+from hollybay.testbed.fleet import ModelServer
+from hollybay.testbed.ledger import Final, Ledger, Verdict
+from hollybay.testbed.process import NodeProcess
+from hollybay.testbed.scene import KINDS, Scene
 
 __all__ = ["ClassRow", "KindRow", "Progress", "Report", "percentile", "play", "rows_of"]
 
--- a/hollybay/cli.py
+++ b/hollybay/cli/main.py
@@ -14,8 +14,8 @@
 from rich.table import Table
 
 if TYPE_CHECKING:
-    from lynxrouter.interface import Settings
-    from routing.plan import Plan
+    from hollybay.balancing.interface import Settings
+    from hollybay.routing.route_table import Plan
 
     from .demo import Report
 
@@ -32,7 +32,7 @@
 @click.option("--config", type=click.Path(dir_okay=False), help="The node's configuration (BALANCER_CONFIG).")
 def run(operator: str | None, config: str | None) -> None:
     """Run a node until SIGTERM; SIGHUP reads both files again."""
-    from elderscale.__main__ import main as node
+    from hollybay.proxy.__main__ import main as node
 
     if operator is not None:
         os.environ["HOLLYBAY_OPERATOR"] = operator
@@ -43,7 +43,7 @@
 
 def _settings(config: str | None) -> Settings | None:
     """The settings of a node's configuration, where one is named."""
-    from elderscale.config import ConfigError, settings_of
+    from hollybay.proxy.config import ConfigError, settings_of
 
     path = config or os.environ.get("BALANCER_CONFIG")
     if not path:
@@ -57,8 +57,8 @@
 
 def _plan(file: str, settings: Settings | None) -> Plan:
     """The compiled file; what does not hold is printed, and ends the command with 2."""
-    from routing.plan import compile_file
-    from routing.problems import OperatorError
+    from hollybay.routing.problems import OperatorError
+    from hollybay.routing.route_table import compile_file
 
     try:
         data = Path(file).read_bytes()
@@ -109,7 +109,7 @@
 
     Exit status 1 if the request would be turned away.
     """
-    from routing.explain import explain
+    from hollybay.routing.explain import explain
 
     given = {}
     for header in headers:
@@ -214,7 +214,7 @@
     Exit status 1 if a rule was broken or an oracle found something; each such seed is printed with the
     command that plays it again.
     """
-    from . import seeds as player
+    from . import simulate as player
 
     try:
         choice = player.Choice.of(seed, seeds, plan, faults)
@@ -268,9 +268,9 @@
     or starved for the run to say anything.
     """
     try:
-        from tier.planted import DEFECTS
+        from hollybay.cluster.planted import DEFECTS
 
-        from . import tiers
+        from . import tier as tiers
     except ModuleNotFoundError as error:
         raise click.ClickException(f"needs {error.name}, see the extra `tier`") from None
     if defect and defect not in DEFECTS:
--- a/hollybay/policy.py
+++ b/hollybay/cli/policy.py
@@ -16,8 +16,8 @@
 from rich.console import Console
 from rich.table import Table
 
-from accord.calls import Unreachable
-from accord.follow import BadInput, Follow, Known, Verdict, Wish
+from hollybay.consensus.change_tracker import BadInput, Follow, Known, Verdict, Wish
+from hollybay.consensus.requests import Unreachable
 
 __all__ = ["policy"]
 
@@ -37,7 +37,7 @@
 
 
 async def _call(door: str, path: str, body: bytes | None) -> bytes:
-    from elderscale.accord import call
+    from hollybay.proxy.consensus_member import call
 
     return await call(door, path, body, CALL_LIMIT)
 
--- a/hollybay/seeds.py
+++ b/hollybay/cli/simulate.py
@@ -14,10 +14,10 @@
 
 import msgspec
 
-from simulation.kinds import FAULTS
-from simulation.plan import Plan, draw, events, to_json
-from simulation.shrink import shrink
-from simulation.world import Outcome, play
+from hollybay.simulation.kinds import FAULTS
+from hollybay.simulation.plan import Plan, draw, events, to_json
+from hollybay.simulation.shrink import shrink
+from hollybay.simulation.world import Outcome, play
 
 __all__ = ["Choice", "Result", "play_all", "play_one", "shrunk", "traced"]
 
--- a/hollybay/tiers.py
+++ b/hollybay/cli/tier.py
@@ -10,10 +10,10 @@
 from rich.console import Console
 from rich.progress import BarColumn, Progress, TextColumn
 
-from routing.problems import OperatorError
-from tier.plan import Plan, compile_plan, refuse_too_large
-from tier.report import Report, plot, report_of, tables
-from tier.rig import RigFailed, Tick, play
+from hollybay.cluster.plan import Plan, compile_plan, refuse_too_large
+from hollybay.cluster.report import Report, plot, report_of, tables
+from hollybay.cluster.rig import RigFailed, Tick, play
+from hollybay.routing.problems import OperatorError
 
 __all__ = ["run"]
 
--- a/tier/books.py
+++ b/hollybay/cluster/books.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass, field
 
-from standins.ledger import Asked, Final, Ledger, Limits, Start, Verdict
+from hollybay.testbed.ledger import Asked, Final, Ledger, Limits, Start, Verdict
 
 from . import records
 from .evenness import Life, Visit
--- a/tier/change_stream.py
+++ b/hollybay/cluster/change_stream.py
@@ -26,15 +26,15 @@
 from pathlib import Path
 from typing import Any
 
-from accord.follow import Follow, Known, Verdict
-from accord.log import PolicyLog
-from accord.policy import version_of
-from elderscale.accord import call
-from resources.model import CHANGE_ID_BYTES, Change, Delete, Kind, Operation, Upsert
-from resources.state import ResourceState
-from routing.resource_tables import encode_table
-from routing.schema import PathTable, RouteTable
-from standins.scratch import in_memory
+from hollybay.consensus.change_tracker import Follow, Known, Verdict
+from hollybay.consensus.log import PolicyLog
+from hollybay.consensus.policy import version_of
+from hollybay.proxy.consensus_member import call
+from hollybay.resources.model import CHANGE_ID_BYTES, Change, Delete, Kind, Operation, Upsert
+from hollybay.resources.state import ResourceState
+from hollybay.routing.resource_tables import encode_table
+from hollybay.routing.schema import PathTable, RouteTable
+from hollybay.testbed.scratch import in_memory
 
 from .plan import Plan
 from .planted import FULL_DISK
--- a/tier/planted.py
+++ b/hollybay/cluster/planted.py
@@ -6,10 +6,10 @@
 from collections.abc import Callable, Hashable
 from typing import Any
 
-from fleet import Census
-from lynxrouter import choice
-from lynxrouter.records import Server
-from peers import Held
+from hollybay.balancing import server_selection as choice
+from hollybay.balancing.state import Server
+from hollybay.balancing.traffic_share import Census
+from hollybay.gossip import Held
 
 __all__ = ["DEFECTS", "FULL_DISK", "plant"]
 
@@ -84,7 +84,7 @@
 
 def _lease_never_over() -> None:
     """A node does not look at the end of its lease when a request begins."""
-    from accord import core
+    from hollybay.consensus import core
 
     def serves(self: core.Node, now: int) -> tuple[str, ...]:
         return core.served(self.at) if self.at is not None else ()
@@ -94,7 +94,7 @@
 
 def _narrow_skipped() -> None:
     """Nodes go from the old policy to the new one without the narrower of both between."""
-    from accord import core
+    from hollybay.consensus import core
 
     def serves(self: core.Node, now: int) -> tuple[str, ...]:
         if self.at is None or now >= self.until:
@@ -106,9 +106,9 @@
 
 def _disk_full_by_mark() -> None:
     """Not a defect but a fault: a node's log cannot be written while there is a mark in its folder."""
-    from accord.log import Entry, PolicyLog
-    from accord.policy import Policy
-    from accord.store import StoreFailed
+    from hollybay.consensus.log import Entry, PolicyLog
+    from hollybay.consensus.policy import Policy
+    from hollybay.consensus.store import StoreFailed
 
     put = PolicyLog.put
 
@@ -122,9 +122,9 @@
 
 def _unfit_by_name() -> None:
     """Not a defect but a fault: a node cannot serve routes whose names begin with its own."""
-    from accord.log import Entry
-    from elderscale.accord import Accord
-    from resources.model import Change
+    from hollybay.consensus.log import Entry
+    from hollybay.proxy.consensus_member import Accord
+    from hollybay.resources.model import Change
 
     compiles, culprits = Accord.compile, Accord.culprits
 
@@ -148,7 +148,7 @@
 
 def _bad_change_drops_batch() -> None:
     """All changes of a batch are refused where one of them is bad."""
-    from accord.group_commit import ProposalQueue
+    from hollybay.consensus.group_commit import ProposalQueue
 
     dropped = ProposalQueue.dropped
 
--- a/tier/report.py
+++ b/hollybay/cluster/report.py
@@ -10,7 +10,7 @@
 from hdrh.histogram import HdrHistogram
 from rich.table import Table
 
-from standins.ledger import Final
+from hollybay.testbed.ledger import Final
 
 from .books import Books
 from .evenness import FIGURES, evenness, idle_series, settle_time, share_time
@@ -170,10 +170,10 @@
 
 
 def _torn(books: Books) -> tuple[str, ...]:
-    """Where a change of policy was not everywhere or nowhere (accord.oracle)."""
+    """Where a change of policy was not everywhere or nowhere (hollybay.consensus.oracle)."""
     if not books.began and not books.said:
         return ()
-    from accord.oracle import Begun, Outcome, Said, check
+    from hollybay.consensus.oracle import Begun, Outcome, Said, check
 
     outcomes = {0: Outcome.HOLDS, 1: Outcome.NOWHERE}
     events: list[Begun | Said] = [Begun(one.at, one.node, one.names) for one in books.began]
--- a/tier/rig.py
+++ b/hollybay/cluster/rig.py
@@ -20,9 +20,9 @@
 
 import msgspec
 
-from standins.fleet import Kind
-from standins.scene import MEAN_WORK, usual_kinds
-from standins.scratch import in_memory
+from hollybay.testbed.fleet import Kind
+from hollybay.testbed.scene import MEAN_WORK, usual_kinds
+from hollybay.testbed.scratch import in_memory
 
 from .books import Books, Excuse, books_of
 from .control import CallFailed, Far, Hub, happens
@@ -111,11 +111,11 @@
             self.process = await asyncio.create_subprocess_exec(
                 sys.executable,
                 "-m",
-                "tier.zygote",
+                "hollybay.cluster.zygote",
                 stdin=asyncio.subprocess.PIPE,
                 stdout=asyncio.subprocess.PIPE,
                 stderr=log,
-                cwd=Path(__file__).resolve().parent.parent,
+                cwd=Path(__file__).resolve().parents[2],
                 start_new_session=True,  # a terminal's interrupt is for the rig, which then ends all
             )
         self.reader = asyncio.get_running_loop().create_task(self._read())
--- a/tier/roles.py
+++ b/hollybay/cluster/roles.py
@@ -25,13 +25,13 @@
 import msgspec
 import uvloop
 
-from elderscale.__main__ import serve
-from elderscale.config import load
-from lynxrouter import interface as api
-from standins.callers import Call, Callers, Line, Mix, starved
-from standins.fleet import Answering, Kind, ModelServer
-from standins.ledger import Asked, Final, Ledger, Limits, Start
-from standins.scene import CLASSES, SHARES, TENANTS, WORK, settings
+from hollybay.balancing import interface as api
+from hollybay.proxy.__main__ import serve
+from hollybay.proxy.config import load
+from hollybay.testbed.callers import Call, Callers, Line, Mix, starved
+from hollybay.testbed.fleet import Answering, Kind, ModelServer
+from hollybay.testbed.ledger import Asked, Final, Ledger, Limits, Start
+from hollybay.testbed.scene import CLASSES, SHARES, TENANTS, WORK, settings
 
 from . import planted
 from .control import answer_calls
@@ -81,7 +81,7 @@
 
 def limits_of_tier(run: Any) -> Limits:
     """The rules' figures for a run."""
-    from elderscale.config import settings_of
+    from hollybay.proxy.config import settings_of
 
     return replace(Limits.of(settings_of(words_of(run))), late=LATE)
 
@@ -172,8 +172,8 @@
 def _accounted(name: str, folder: Path, words: dict[str, Any]) -> Journal:
     """Write down under which policies requests begin here; and end without a word at a step, if one is
     given."""
-    from accord.store import Store
-    from elderscale.accord import Accord
+    from hollybay.consensus.store import Store
+    from hollybay.proxy.consensus_member import Accord
 
     # Of the clock that leases are counted on, in that of all other journals.
     ahead = time.clock_gettime_ns(time.CLOCK_BOOTTIME) - time.monotonic_ns()
@@ -225,10 +225,10 @@
 
 def _hampered(full: bool) -> None:
     """No policy after the first compiles here, or its disk is full from then on."""
-    from accord.log import Entry, PolicyLog
-    from accord.policy import Policy
-    from accord.store import StoreFailed
-    from elderscale.accord import Accord
+    from hollybay.consensus.log import Entry, PolicyLog
+    from hollybay.consensus.policy import Policy
+    from hollybay.consensus.store import StoreFailed
+    from hollybay.proxy.consensus_member import Accord
 
     if not full:
         compiled = Accord.compile
@@ -777,14 +777,14 @@
     """They begin the accord and propose changes, by the same steps as `hollybay policy`."""
 
     async def call(self, door: str, path: str, body: bytes | None) -> bytes:
-        from elderscale.accord import call
+        from hollybay.proxy.consensus_member import call
 
         return await call(door, path, body, 2.0)
 
     async def do_found(self, doors: list[str], file: str) -> None:
         """Begin."""
-        from accord import words as w
-        from accord.calls import Unreachable
+        from hollybay.consensus import messages as w
+        from hollybay.consensus.requests import Unreachable
 
         body = w.encode(w.Founding(file=base64.b64encode(file.encode()).decode()))
         for left in range(9, -1, -1):
@@ -798,7 +798,7 @@
 
     async def do_change(self, doors: list[str], to: int, change: dict[str, Any]) -> Any:
         """Propose and follow a change; what came of it."""
-        from accord.follow import Follow, Known, Verdict
+        from hollybay.consensus.change_tracker import Follow, Known, Verdict
 
         began = time.monotonic_ns()
         follow = Follow(self.call, doors)
--- a/accord/batch_model.py
+++ b/hollybay/consensus/batch_model_check.py
@@ -9,7 +9,7 @@
 `walk` goes one way drawn from a seed and then lets everything come to its end without faults: every change
 that was offered must be answered, and all states be equal.
 
-    python -m accord.batch_model --walks 2000
+    python -m hollybay.consensus.batch_model_check --walks 2000
 """
 
 from __future__ import annotations
@@ -22,9 +22,9 @@
 
 from immutables import Map
 
-from resources.batch import Batch, BatchMismatch, follow
-from resources.log import BatchLog
-from resources.model import (
+from hollybay.resources.batch import Batch, BatchMismatch, follow
+from hollybay.resources.log import BatchLog
+from hollybay.resources.model import (
     CHANGE_ID_BYTES,
     Change,
     ChangeRefused,
@@ -35,7 +35,7 @@
     Problem,
     Upsert,
 )
-from resources.state import EMPTY, ResourceState
+from hollybay.resources.state import EMPTY, ResourceState
 
 from .group_commit import (
     Busy,
--- a/accord/drafts.py
+++ b/hollybay/consensus/change_builder.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from resources.model import (
+from hollybay.resources.model import (
     CHANGE_ID_BYTES,
     Change,
     ChangeRefused,
@@ -17,7 +17,7 @@
     Problem,
     Upsert,
 )
-from resources.state import ResourceState
+from hollybay.resources.state import ResourceState
 
 __all__ = [
     "MAX_SHOWN",
--- a/accord/follow.py
+++ b/hollybay/consensus/change_tracker.py
@@ -15,12 +15,12 @@
 
 import msgspec
 
-from resources.model import Change
-from resources.wire import MAX_BATCH_BYTES, encode_change
+from hollybay.resources.model import Change
+from hollybay.resources.wire import MAX_BATCH_BYTES, encode_change
 
-from . import words as w
-from .calls import Unreachable, policy_from
+from . import messages as w
 from .policy import Policy, Refused
+from .requests import Unreachable, policy_from
 from .transfer import download, pieces_up
 
 __all__ = ["BadInput", "Follow", "Known", "Verdict", "Wish", "judge"]
--- a/accord/driving.py
+++ b/hollybay/consensus/coordinator.py
@@ -1,7 +1,7 @@
 """Driving a change: the rounds by which a keeper brings it from one epoch to the next until it is settled.
 
 A keeper drives what was proposed to it, and takes over what nobody has brought further for a while. Each
-round asks the keepers for promises, then for votes (accord.core.Driver), and tells all of what was decided.
+round asks the keepers for promises, then for votes (core.Driver), and tells all of what was decided.
 """
 
 from __future__ import annotations
@@ -12,17 +12,17 @@
 from dataclasses import dataclass
 from typing import Any, Protocol
 
-from . import words as w
-from .contracts import Hands, Terms
+from . import messages as w
 from .core import Accept, Boards, Driver, Stage, State, named, served
-from .keeping import Keeping
-from .outgoing import OutgoingCalls
+from .durable_voter import Keeping
+from .interfaces import Hands, Terms
+from .messages import number_of
+from .outgoing_requests import OutgoingCalls
 from .policy import Policy, Refused
 from .proposals import Proposals
 from .status import ChangeProgress
 from .store import StoreFailed
 from .waiting import wait_at_most
-from .words import number_of
 
 __all__ = ["IDLE", "ChangeDriver", "Member", "PendingChange", "announcement"]
 
--- a/accord/keeping.py
+++ b/hollybay/consensus/durable_voter.py
@@ -27,9 +27,9 @@
     named,
 )
 from .log import PolicyLog
+from .messages import Asking, Entry, Granting, Promising, Telling, Voting, Waiting
 from .policy import Policy, Refused
 from .store import Store, StoreFailed
-from .words import Asking, Entry, Granting, Promising, Telling, Voting, Waiting
 
 __all__ = ["Keeping", "Member", "margin"]
 
--- a/accord/group_commit.py
+++ b/hollybay/consensus/group_commit.py
@@ -27,10 +27,10 @@
 from dataclasses import dataclass, replace
 from itertools import takewhile
 
-from resources.batch import MAX_BATCH_CHANGES, Assembled, Batch, assemble
-from resources.model import Change, ChangeRefused, Problem
-from resources.state import ResourceState
-from resources.wire import MAX_BATCH_BYTES, encode_change
+from hollybay.resources.batch import MAX_BATCH_CHANGES, Assembled, Batch, assemble
+from hollybay.resources.model import Change, ChangeRefused, Problem
+from hollybay.resources.state import ResourceState
+from hollybay.resources.wire import MAX_BATCH_BYTES, encode_change
 
 __all__ = [
     "AlreadyQueued",
--- a/accord/contracts.py
+++ b/hollybay/consensus/interfaces.py
@@ -1,6 +1,6 @@
 """What a member of an accord is given, and what it gives: its settings, its node, files read and answers.
 
-The service (accord.service) and those who run it or read files for it share these types.
+The service (hollybay.consensus.service) and those who run it or read files for it share these types.
 """
 
 from __future__ import annotations
@@ -12,8 +12,8 @@
 
 import msgspec
 
-from resources.model import Change, Operation
-from resources.state import ResourceState
+from hollybay.resources.model import Change, Operation
+from hollybay.resources.state import ResourceState
 
 from .log import Entry
 from .policy import Refused
--- a/accord/log.py
+++ b/hollybay/consensus/log.py
@@ -22,10 +22,10 @@
 
 import msgspec
 
-from resources.batch import BatchMismatch, follow
-from resources.model import Key, Kind
-from resources.state import EMPTY, ResourceState
-from resources.wire import MAX_SNAPSHOT_BYTES, WireError, decode_snapshot, encode_snapshot
+from hollybay.resources.batch import BatchMismatch, follow
+from hollybay.resources.model import Key, Kind
+from hollybay.resources.state import EMPTY, ResourceState
+from hollybay.resources.wire import MAX_SNAPSHOT_BYTES, WireError, decode_snapshot, encode_snapshot
 
 from .policy import MAX_ENTRY_BYTES, Policy, Refused, changed_keys, parse, version_of
 from .record import Fate, pack, unpack
--- a/accord/fetch.py
+++ b/hollybay/consensus/log_fetch.py
@@ -16,12 +16,12 @@
 
 import msgspec
 
-from resources.state import ResourceState
-from resources.wire import MAX_BATCH_BYTES, MAX_SNAPSHOT_BYTES
+from hollybay.resources.state import ResourceState
+from hollybay.resources.wire import MAX_BATCH_BYTES, MAX_SNAPSHOT_BYTES
 
-from .calls import Unreachable
 from .log import PolicyLog, Snapshot
 from .policy import Policy, Refused, parse, version_of
+from .requests import Unreachable
 from .store import StoreFailed
 from .transfer import download
 
--- a/accord/serving.py
+++ b/hollybay/consensus/log_server.py
@@ -5,7 +5,7 @@
 import asyncio
 from collections.abc import Awaitable, Callable
 
-from . import words as w
+from . import messages as w
 from .log import PolicyLog, is_name
 from .transfer import piece_of
 
--- a/accord/words.py
+++ b/hollybay/consensus/messages.py
@@ -13,8 +13,8 @@
 
 import msgspec
 
-from resources.model import CHANGE_ID_BYTES, Change, Problem
-from resources.wire import WireError, decode_change, encode_change
+from hollybay.resources.model import CHANGE_ID_BYTES, Change, Problem
+from hollybay.resources.wire import WireError, decode_change, encode_change
 
 from .core import Accept, Accepted, Ask, Grant, Prepare, Promise, State
 from .policy import Policy, Refused, parse
--- a/accord/model.py
+++ b/hollybay/consensus/model_check.py
@@ -6,7 +6,7 @@
 put to the guarantee. `explore` goes breadth first through all states up to a bound, `walk` goes one long way
 drawn from a seed; both tell a way to a broken state as a list of steps.
 
-    python -m accord.model --states 3000000
+    python -m hollybay.consensus.model_check --states 3000000
 """
 
 from __future__ import annotations
--- a/accord/outgoing.py
+++ b/hollybay/consensus/outgoing_requests.py
@@ -6,12 +6,12 @@
 from collections.abc import AsyncGenerator, Awaitable, Callable
 from typing import TypeVar
 
-from . import words as w
-from .calls import Unreachable, Way
-from .contracts import Answer
+from . import messages as w
 from .core import Boards, enough
+from .interfaces import Answer
+from .messages import number_of
 from .policy import Refused
-from .words import number_of
+from .requests import Unreachable, Way
 
 __all__ = ["CALL_LIMIT", "OutgoingCalls"]
 
--- a/accord/batch_planted.py
+++ b/hollybay/consensus/planted_batch_defects.py
@@ -5,11 +5,11 @@
 from collections.abc import Mapping
 from dataclasses import replace
 
-from resources.batch import Batch, BatchMismatch
-from resources.model import Change, ChangeRefused, Problem
-from resources.state import ResourceState
+from hollybay.resources.batch import Batch, BatchMismatch
+from hollybay.resources.model import Change, ChangeRefused, Problem
+from hollybay.resources.state import ResourceState
 
-from .batch_model import CANNOT, Delivery, Parts, Replica
+from .batch_model_check import CANNOT, Delivery, Parts, Replica
 from .group_commit import (
     InForce,
     Offered,
--- a/accord/planted.py
+++ b/hollybay/consensus/planted_defects.py
@@ -21,7 +21,7 @@
     follows,
     served,
 )
-from .model import Parts
+from .model_check import Parts
 
 __all__ = ["DEFECTS"]
 
--- a/accord/policy.py
+++ b/hollybay/consensus/policy.py
@@ -14,11 +14,11 @@
 
 import msgspec
 
-from resources.batch import MAX_BATCH_CHANGES, Batch, assemble
-from resources.digest import DIGEST_BYTES
-from resources.model import Change, ChangeRefused, Key
-from resources.state import EMPTY, ResourceState
-from resources.wire import MAX_BATCH_BYTES
+from hollybay.resources.batch import MAX_BATCH_CHANGES, Batch, assemble
+from hollybay.resources.digest import DIGEST_BYTES
+from hollybay.resources.model import Change, ChangeRefused, Key
+from hollybay.resources.state import EMPTY, ResourceState
+from hollybay.resources.wire import MAX_BATCH_BYTES
 
 __all__ = [
     "FIRST",
--- a/accord/proposals.py
+++ b/hollybay/consensus/proposals.py
@@ -10,15 +10,15 @@
 from collections.abc import Callable, Mapping, Sequence, Set
 from dataclasses import dataclass
 
-from resources.batch import Batch
-from resources.model import CHANGE_ID_BYTES, Change, Problem
-from resources.state import EMPTY, ResourceState
+from hollybay.resources.batch import Batch
+from hollybay.resources.model import CHANGE_ID_BYTES, Change, Problem
+from hollybay.resources.state import EMPTY, ResourceState
 
-from . import words as w
+from . import messages as w
 from .core import State, named
+from .durable_voter import Keeping
 from .group_commit import InForce, Offered, Pending, ProposalQueue, UnderWay
 from .group_commit import Refused as RefusedHere
-from .keeping import Keeping
 from .log import PolicyLog
 from .policy import Refused, version_of
 
--- a/accord/calls.py
+++ b/hollybay/consensus/requests.py
@@ -5,7 +5,7 @@
 from collections.abc import Awaitable, Callable, Iterable
 from typing import Protocol
 
-from . import words as w
+from . import messages as w
 from .policy import Policy, Refused
 
 __all__ = ["Unreachable", "Way", "policy_from"]
--- a/accord/service.py
+++ b/hollybay/consensus/service.py
@@ -1,8 +1,8 @@
 """One process's part in an accord: a node holds a lease, a keeper grants them, and any keeper drives.
 
 It speaks to others through a `Way` that it is given, and puts policies in force through `Hands`; so the same
-code runs a node over sockets (elderscale.accord) and a whole tier on a virtual clock
-(simulation.accord_rehearsal).
+code runs a node over sockets (hollybay.proxy.consensus_member) and a whole tier on a virtual clock
+(hollybay.simulation.accord_rehearsal).
 Times are ns of a clock that goes on while a process is stopped.
 """
 
@@ -18,15 +18,12 @@
 
 import msgspec
 
-from resources.model import CHANGE_ID_BYTES, Change, ChangeRefused, Operation, Upsert
-from resources.state import EMPTY, ResourceState
-from resources.wire import encode_change
+from hollybay.resources.model import CHANGE_ID_BYTES, Change, ChangeRefused, Operation, Upsert
+from hollybay.resources.state import EMPTY, ResourceState
+from hollybay.resources.wire import encode_change
 
-from . import words as w
-from .calls import Unreachable, Way
-from .contracts import Answer, BadFile, FileRead, Hands, Terms
-from .core import Boards, Know, Node, Stage, State, enough, named
-from .drafts import (
+from . import messages as w
+from .change_builder import (
     deletions,
     founding_change,
     operations_like,
@@ -35,20 +32,23 @@
     servers_out,
     shown_operations,
 )
-from .driving import IDLE, ChangeDriver, announcement
-from .fetch import NOT_REACHED, Brought, Fetcher
+from .coordinator import IDLE, ChangeDriver, announcement
+from .core import Boards, Know, Node, Stage, State, enough, named
+from .durable_voter import Disk, Keeping
 from .group_commit import Busy, Queued, RefusedNow
-from .keeping import Disk, Keeping
+from .interfaces import Answer, BadFile, FileRead, Hands, Terms
 from .log import Entry, NotReached, PolicyLog, is_name
-from .outgoing import CALL_LIMIT, OutgoingCalls
+from .log_fetch import NOT_REACHED, Brought, Fetcher
+from .log_server import Serving
+from .messages import number_of
+from .outgoing_requests import CALL_LIMIT, OutgoingCalls
 from .policy import Policy, Refused, first, successor
 from .proposals import Proposals
-from .serving import Serving
+from .requests import Unreachable, Way
 from .status import keeper_status, node_status
 from .store import Store, StoreFailed
 from .transfer import Uploads
 from .waiting import wait_at_most
-from .words import number_of
 
 __all__ = ["Service"]
 
--- a/accord/status.py
+++ b/hollybay/consensus/status.py
@@ -11,11 +11,11 @@
 
 import msgspec
 
-from .contracts import Terms
 from .core import Node
-from .keeping import Keeping
+from .durable_voter import Keeping
+from .interfaces import Terms
 from .log import PolicyLog
-from .words import Waiting
+from .messages import Waiting
 
 __all__ = ["ChangeProgress", "keeper_status", "members", "node_status"]
 
--- a/accord/transfer.py
+++ b/hollybay/consensus/transfer.py
@@ -10,7 +10,7 @@
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass, field
 
-from . import words as w
+from . import messages as w
 from .policy import Refused
 
 __all__ = ["MAX_UPLOADS", "MAX_UPLOAD_BYTES", "Uploads", "download", "piece_of", "pieces_up"]
--- a/peers/held.py
+++ b/hollybay/gossip/remote_load.py
@@ -10,7 +10,7 @@
 from collections import Counter
 from collections.abc import Hashable, Iterable, Mapping
 
-from .words import Saying, mark
+from .load_report import Saying, mark
 
 __all__ = ["Held", "Own"]
 
--- a/hollow/fleet.py
+++ b/hollybay/hollow/fleet.py
@@ -11,18 +11,18 @@
 
 import msgspec
 
-from accord import words as w
-from accord.calls import Unreachable
-from accord.follow import Follow
-from elderscale.accord import call, clock
-from resources.model import Change
-from resources.wire import encode_change
+from hollybay.consensus import messages as w
+from hollybay.consensus.change_tracker import Follow
+from hollybay.consensus.requests import Unreachable
+from hollybay.proxy.consensus_member import call, clock
+from hollybay.resources.model import Change
+from hollybay.resources.wire import encode_change
 
 from .messages import NO_VERSION, Command, Listening, Report, ReportNow, Reset, Silence, Start
 
 __all__ = ["Fleet", "FleetFailed", "Member", "fleet", "version_of"]
 
-ROOT = Path(__file__).resolve().parents[1]
+ROOT = Path(__file__).resolve().parents[2]
 KEEPERS = 3
 TOO_BUSY = 503
 STARTED_AT_ONCE = 6
@@ -112,7 +112,7 @@
         first = number * _NODES_OF_A_BLOCK
         host = f"127.{64 + (first >> 16)}.{first >> 8 & 255}.{first & 255 | 1}"
         command = [
-            sys.executable, "-m", "hollow", "--nodes", str(nodes), "--name", name, "--host", host,
+            sys.executable, "-m", "hollybay.hollow", "--nodes", str(nodes), "--name", name, "--host", host,
             "--folder", str(self.folder), "--lease-ms", str(self.lease_ms), "--seed", str(number),
         ]  # fmt: skip
         async with self._starting:
--- a/hollow/node.py
+++ b/hollybay/hollow/node.py
@@ -11,17 +11,17 @@
 from collections.abc import Awaitable, Callable
 from pathlib import Path
 
-from accord.contracts import FileRead, Terms
-from accord.log import Entry
-from accord.service import Service
-from accord.words import MOST_CALL
-from elderscale.accord import BACKLOG, MOST_CALLERS, call, clock
-from elderscale.door import Door, Reply
-from elderscale.policy_plans import PolicyPlans, read_file
-from lynxrouter.interface import Settings
-from operations.calls import Call, Kind
-from resources.model import Change
-from resources.state import ResourceState
+from hollybay.admin.requests import Call, Kind
+from hollybay.balancing.interface import Settings
+from hollybay.consensus.interfaces import FileRead, Terms
+from hollybay.consensus.log import Entry
+from hollybay.consensus.messages import MOST_CALL
+from hollybay.consensus.service import Service
+from hollybay.proxy.admin_server import Door, Reply
+from hollybay.proxy.compiled_policies import PolicyPlans, read_file
+from hollybay.proxy.consensus_member import BACKLOG, MOST_CALLERS, call, clock
+from hollybay.resources.model import Change
+from hollybay.resources.state import ResourceState
 
 __all__ = ["HollowNode"]
 
--- a/hollow/process.py
+++ b/hollybay/hollow/process.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from lynxrouter.interface import Effect, RequestClass, Settings
+from hollybay.balancing.interface import Effect, RequestClass, Settings
 
 from .messages import Listening, Report, ReportNow, Reset, Silence, Start, decode_command
 from .meter import LatenessProbe, Meter, Spent, memory_bytes
@@ -142,7 +142,9 @@
 
 def main(arguments: list[str] | None = None) -> int:
     """Run until the input ends."""
-    parser = argparse.ArgumentParser(prog="python -m hollow", description=(__doc__ or "").split("\n")[0])
+    parser = argparse.ArgumentParser(
+        prog="python -m hollybay.hollow", description=(__doc__ or "").split("\n")[0]
+    )
     parser.add_argument("--nodes", type=int, default=1, help="how many")
     parser.add_argument("--name", default="hollow", help="what their names begin with")
     parser.add_argument("--host", default="127.60.0.1", help="address of the first; the others follow")
--- a/mutation/tree.py
+++ b/hollybay/mutation/tree.py
@@ -24,15 +24,8 @@
     "seeds_in",
 ]
 
-ROOT = Path(__file__).resolve().parent.parent
-PACKAGES = (
-    "lynxrouter",
-    "fleet",
-    "elderscale",
-    "routing",
-    "simulation",
-    "standins",
-)
+ROOT = Path(__file__).resolve().parents[2]
+PACKAGES = ("hollybay",)
 
 
 class NoSuchPlace(ValueError):
@@ -82,7 +75,7 @@
 # Plays seeds until one finds something; a program of its own, so that it runs the changed code.
 _SEEDS = """
 import json, sys
-from simulation.world import play_seed
+from hollybay.simulation.world import play_seed
 for seed in json.loads(sys.argv[1]):
     plan, outcome = play_seed(seed)
     if outcome.wrong:
@@ -113,8 +106,8 @@
 import sys
 from pathlib import Path
 import msgspec
-from simulation.plan import Plan
-from simulation.world import play
+from hollybay.simulation.plan import Plan
+from hollybay.simulation.world import play
 print("RULES " + " ".join(sorted(play(msgspec.json.decode(Path(sys.argv[1]).read_bytes(), type=Plan)).rules)))
 """
 
--- a/elderscale/__main__.py
+++ b/hollybay/proxy/__main__.py
@@ -13,21 +13,21 @@
 import uvloop
 
 from . import system
-from .clients import ACCEPT_BATCH, Clients
 from .config import SECOND, Config, ConfigError, load
 from .discovery import Discovery
-from .node import Node
-from .servers import Servers
-from .tally import Tally
+from .downstream.connections import ACCEPT_BATCH, Clients
+from .exchange import Node
+from .request_counters import Tally
+from .upstream.pools import Servers
 
 if TYPE_CHECKING:
-    from routing.schema import AccordTable
+    from hollybay.routing.schema import AccordTable
 
-    from .accord import Accord
-    from .desk import Desk
+    from .admin_service import Desk
+    from .consensus_member import Accord
     from .handover import Place
-    from .operator import Operator
-    from .peers import Peers
+    from .load_reports import Peers
+    from .operator_file import Operator
 
 log = logging.getLogger("elderscale")
 
@@ -82,7 +82,7 @@
     if not path:
         return None
     try:
-        from .operator import Operator
+        from .operator_file import Operator
     except ModuleNotFoundError as error:
         raise ConfigError(f"{OPERATOR}: {path}: needs {error.name}, see the extra `cli`") from None
     return Operator(path, config.settings, config.seed)
@@ -154,7 +154,7 @@
     table = operator.gate.plan.peers if operator is not None else None
     if table is None:
         return None
-    from .peers import Peers, addresses
+    from .load_reports import Peers, addresses
 
     listen, known = addresses(config.peers, config.settings.nodes)
     peers = Peers(node, listen, known, table.every, table.forget)
@@ -168,7 +168,7 @@
     if table is None:
         return 0
     try:
-        from .accord import descriptors, terms_of
+        from .consensus_member import descriptors, terms_of
     except ModuleNotFoundError as error:
         raise ConfigError(f"[accord]: needs {error.name}, see the extra `accord`") from None
     terms_of(table, config)
@@ -193,14 +193,14 @@
     if config.admin is None:
         return None, None
     try:
-        from .desk import Desk
+        from .admin_service import Desk
     except ModuleNotFoundError as error:
         raise ConfigError(f"admin: needs {error.name}, see requirements.txt") from None
     from .handover import Place
 
     desk = Desk(config, clients, node)
     if operator is not None and operator.accord is not None and accords is not None:
-        from .accord import join, terms_of
+        from .consensus_member import join, terms_of
 
         accord = await join(terms_of(operator.accord, config), config, operator, clients, desk)
         accords.append(accord)
--- a/elderscale/door.py
+++ b/hollybay/proxy/admin_server.py
@@ -18,7 +18,7 @@
 
 import h11
 
-from operations.calls import Denied, Kind, is_policy, parse
+from hollybay.admin.requests import Denied, Kind, is_policy, parse
 
 from . import system
 
--- a/elderscale/desk.py
+++ b/hollybay/proxy/admin_service.py
@@ -14,17 +14,17 @@
 from contextlib import contextmanager
 from pathlib import Path
 
-from lynxrouter.interface import ListKind, ServerId, ServerList, State
-from operations.bans import Bans, BansError, pack, unpack
-from operations.calls import Call, Kind
-from operations.figures import CONTENT_TYPE, Exposition, Figures
+from hollybay.admin.administrative_drains import Bans, BansError, pack, unpack
+from hollybay.admin.metrics import CONTENT_TYPE, Exposition, Figures
+from hollybay.admin.requests import Call, Kind
+from hollybay.balancing.interface import ListKind, ServerId, ServerList, State
 
 from . import system
-from .agreement import PolicyCalls
-from .clients import Clients
+from .admin_server import Door, Reply
 from .config import Config, Listing
-from .door import Door, Reply
-from .node import Node
+from .consensus_port import PolicyCalls
+from .downstream.connections import Clients
+from .exchange import Node
 
 __all__ = ["Desk"]
 
--- a/elderscale/policy_plans.py
+++ b/hollybay/proxy/compiled_policies.py
@@ -10,19 +10,19 @@
 import sys
 from collections.abc import Callable
 
-from accord.contracts import BadFile, FileRead
-from accord.log import Entry
-from lynxrouter import interface as api
-from resources.batch import assemble
-from resources.model import Change, ChangeRefused
-from resources.state import ResourceState
-from routing.problems import OperatorError
-from routing.resource_plan import ResourcePlan, Validator, plan_after, plan_of_state
-from routing.resource_tables import operations_between, resources_of
-from routing.schema import read_all
-
-from .collection import paused
-from .operator import YIELD
+from hollybay.balancing import interface as api
+from hollybay.consensus.interfaces import BadFile, FileRead
+from hollybay.consensus.log import Entry
+from hollybay.resources.batch import assemble
+from hollybay.resources.model import Change, ChangeRefused
+from hollybay.resources.state import ResourceState
+from hollybay.routing.problems import OperatorError
+from hollybay.routing.resource_route_table import ResourcePlan, Validator, plan_after, plan_of_state
+from hollybay.routing.resource_tables import operations_between, resources_of
+from hollybay.routing.schema import read_all
+
+from .gc_pauses import paused
+from .operator_file import YIELD
 
 __all__ = ["PolicyPlans", "read_file"]
 
--- a/elderscale/config.py
+++ b/hollybay/proxy/config.py
@@ -8,8 +8,8 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from lynxrouter.interface import ListKind, Server, ServerList, Settings, State
-from lynxrouter.wiresettings import parse_settings
+from hollybay.balancing.bench_settings import parse_settings
+from hollybay.balancing.interface import ListKind, Server, ServerList, Settings, State
 
 from . import system
 
--- a/elderscale/accord.py
+++ b/hollybay/proxy/consensus_member.py
@@ -20,27 +20,27 @@
 import h11
 import structlog
 
-from accord.calls import Unreachable
-from accord.contracts import FileRead, Terms
-from accord.log import Entry
-from accord.policy import Refused
-from accord.service import Service
-from accord.store import StoreFailed
-from accord.words import MOST_CALL
-from operations.calls import Call
-from resources.model import Change
-from resources.state import ResourceState
-from routing.narrow import Narrow
-from routing.schema import AccordTable
-
-from .agreement import PolicyCalls
-from .clients import Clients
-from .collection import paused
+from hollybay.admin.requests import Call
+from hollybay.consensus.interfaces import FileRead, Terms
+from hollybay.consensus.log import Entry
+from hollybay.consensus.messages import MOST_CALL
+from hollybay.consensus.policy import Refused
+from hollybay.consensus.requests import Unreachable
+from hollybay.consensus.service import Service
+from hollybay.consensus.store import StoreFailed
+from hollybay.resources.model import Change
+from hollybay.resources.state import ResourceState
+from hollybay.routing.policy_intersection import Narrow
+from hollybay.routing.schema import AccordTable
+
+from .admin_server import Reply
+from .admin_service import Desk
+from .compiled_policies import PolicyPlans, read_file
 from .config import Config, ConfigError
-from .desk import Desk
-from .door import Reply
-from .operator import Operator
-from .policy_plans import PolicyPlans, read_file
+from .consensus_port import PolicyCalls
+from .downstream.connections import Clients
+from .gc_pauses import paused
+from .operator_file import Operator
 
 __all__ = ["Accord", "descriptors", "join", "terms_of"]
 
--- a/elderscale/agreement.py
+++ b/hollybay/proxy/consensus_port.py
@@ -8,9 +8,9 @@
 from collections.abc import Awaitable
 from typing import Protocol
 
-from operations.calls import Call
+from hollybay.admin.requests import Call
 
-from .door import Reply
+from .admin_server import Reply
 
 __all__ = ["PolicyCalls"]
 
--- a/elderscale/discovery.py
+++ b/hollybay/proxy/discovery.py
@@ -11,10 +11,10 @@
 import h11
 
 from .config import SECOND, Listing, Names
-from .messages import MAX_HEAD, READ_SIZE
+from .http_messages import MAX_HEAD, READ_SIZE
 
 if TYPE_CHECKING:
-    from .node import Node
+    from .exchange import Node
 
 log = logging.getLogger("elderscale")
 
--- a/elderscale/clients.py
+++ b/hollybay/proxy/downstream/connections.py
@@ -14,12 +14,12 @@
 
 import h11
 
-from lynxrouter.interface import Effect
+from hollybay.balancing.interface import Effect
 
-from . import system
-from .config import MS, SECOND, Config, Names
-from .flow import Source
-from .messages import (
+from .. import system
+from ..config import MS, SECOND, Config, Names
+from ..flow_control import Source
+from ..http_messages import (
     LONG_BODY,
     MAX_BODY,
     MAX_HEAD,
@@ -33,16 +33,16 @@
     not_passed_on,
     pairs,
 )
-from .ports import Agreed, Presence
-from .upload import Room, Upload
+from ..ports import Agreed, Presence
+from ..streaming_body import Room, Upload
 
 if TYPE_CHECKING:
     # The pure package of the operator file, which a node without one does not import.
-    from routing.gate import Gate
-    from routing.limits import Effective
-    from routing.plan import Denied
+    from hollybay.routing.admission_control import Gate
+    from hollybay.routing.limits import Effective
+    from hollybay.routing.route_table import Denied
 
-    from .node import Node
+    from ..exchange import Node
 
 log = logging.getLogger("elderscale")
 
--- a/elderscale/node.py
+++ b/hollybay/proxy/exchange.py
@@ -8,15 +8,15 @@
 from collections.abc import Callable, Iterable
 from typing import Protocol
 
-from lynxrouter import Balancer
-from lynxrouter import interface as api
+from hollybay.balancing import Balancer
+from hollybay.balancing import interface as api
 
 from . import system
 from .config import MS, Listing
-from .messages import Answer, Message
+from .http_messages import Answer, Message
 from .ports import Client, Presence
-from .servers import Attempt, Servers
-from .tally import Tally
+from .request_counters import Tally
+from .upstream.pools import Attempt, Servers
 
 log = logging.getLogger("elderscale")
 
--- a/elderscale/messages.py
+++ b/hollybay/proxy/http_messages.py
@@ -13,7 +13,7 @@
 import h11
 
 from . import system
-from .upload import Upload
+from .streaming_body import Upload
 
 log = logging.getLogger("elderscale")
 
--- a/elderscale/peers.py
+++ b/hollybay/proxy/load_reports.py
@@ -12,13 +12,13 @@
 import socket
 from collections.abc import Iterable, Mapping
 
-from lynxrouter import interface as api
-from peers import Held, Own, parse, word
-from peers.words import SIZE
+from hollybay.balancing import interface as api
+from hollybay.gossip import Held, Own, parse, word
+from hollybay.gossip.load_report import SIZE
 
 from . import system
 from .config import ConfigError, address
-from .node import Node
+from .exchange import Node
 
 __all__ = ["Peers", "addresses"]
 
--- a/elderscale/operator.py
+++ b/hollybay/proxy/operator_file.py
@@ -11,10 +11,10 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from lynxrouter.interface import Settings
-from routing.gate import Gate
-from routing.plan import Plan, compile_file
-from routing.problems import OperatorError, Problem
+from hollybay.balancing.interface import Settings
+from hollybay.routing.admission_control import Gate
+from hollybay.routing.problems import OperatorError, Problem
+from hollybay.routing.route_table import Plan, compile_file
 
 from . import system
 from .config import ConfigError
--- a/elderscale/ports.py
+++ b/hollybay/proxy/ports.py
@@ -5,8 +5,8 @@
 from enum import Enum
 from typing import Protocol
 
-from .flow import Source
-from .messages import Answer
+from .flow_control import Source
+from .http_messages import Answer
 
 __all__ = ["Agreed", "Client", "Presence"]
 
--- a/elderscale/upload.py
+++ b/hollybay/proxy/streaming_body.py
@@ -10,7 +10,7 @@
 from collections import deque
 from typing import Protocol
 
-from .flow import Source
+from .flow_control import Source
 
 __all__ = ["KEPT_MOST", "WINDOW", "Room", "Sink", "Upload"]
 
--- a/elderscale/servers.py
+++ b/hollybay/proxy/upstream/pools.py
@@ -14,12 +14,11 @@
 
 import h11
 
-from lynxrouter import interface as api
+from hollybay.balancing import interface as api
 
-from . import system
-from .config import MS, SECOND, Listing, Names
-from .holds import HoldAccount
-from .messages import (
+from .. import system
+from ..config import MS, SECOND, Listing, Names
+from ..http_messages import (
     LONG_BODY,
     MAX_BODY,
     MAX_HEAD,
@@ -34,8 +33,9 @@
     not_passed_on,
     pairs,
 )
-from .ports import Client
-from .upload import Upload
+from ..ports import Client
+from ..streaming_body import Upload
+from .connection_wait import HoldAccount
 
 log = logging.getLogger("elderscale")
 
--- a/routing/__init__.py
+++ b/hollybay/routing/__init__.py
@@ -16,5 +16,5 @@
 resource_plan    the plan of a state of resources, which takes a change in without being compiled anew
 
 Which server, whether to repeat and what to refuse for want of room stays with `lynxrouter`, which hears a
-request's limits through `lynxrouter.interface.Limits`.
+request's limits through `hollybay.balancing.interface.Limits`.
 """
--- a/routing/gate.py
+++ b/hollybay/routing/admission_control.py
@@ -11,8 +11,8 @@
 from dataclasses import replace
 
 from .limits import Effective, Rate
-from .narrow import Narrow
-from .plan import Plan
+from .policy_intersection import Narrow
+from .route_table import Plan
 
 __all__ = ["Gate"]
 
--- a/routing/checks.py
+++ b/hollybay/routing/checks.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-from lynxrouter import interface as api
+from hollybay.balancing import interface as api
 
 from .limits import GROUPS, Sourced
 from .problems import Problem
--- a/routing/explain.py
+++ b/hollybay/routing/explain.py
@@ -8,7 +8,7 @@
 from .checks import DURATIONS, shown
 from .limits import Rate, Sourced
 from .paths import BadPath
-from .plan import Denied, Plan
+from .route_table import Denied, Plan
 
 __all__ = ["Explained", "Line", "explain"]
 
--- a/routing/limits.py
+++ b/hollybay/routing/limits.py
@@ -5,7 +5,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, fields
 
-from lynxrouter import interface as api
+from hollybay.balancing import interface as api
 
 from .schema import LimitsTable
 
--- a/routing/narrow.py
+++ b/hollybay/routing/policy_intersection.py
@@ -11,11 +11,11 @@
 from collections.abc import Callable, Mapping
 from dataclasses import replace
 
-from lynxrouter import interface as api
+from hollybay.balancing import interface as api
 
 from .checks import REACH
 from .limits import GROUPS, Effective, Sourced, effective
-from .plan import Denied, Plan
+from .route_table import Denied, Plan
 
 __all__ = ["Narrow", "apart", "narrower"]
 
--- a/routing/resource_plan.py
+++ b/hollybay/routing/resource_route_table.py
@@ -17,16 +17,18 @@
 
 from immutables import Map
 
-from lynxrouter import interface as api
-from resources.model import Change, ChangeRefused, Key, Kind, Resource
-from resources.model import Problem as ResourceProblem
-from resources.state import ResourceState
+from hollybay.balancing import interface as api
+from hollybay.resources.model import Change, ChangeRefused, Key, Kind, Resource
+from hollybay.resources.model import Problem as ResourceProblem
+from hollybay.resources.state import ResourceState
 
 from .forms import Table
 from .limits import Effective
 from .matcher import Matcher
 from .paths import Reading
-from .plan import (
+from .problems import Problem
+from .resource_tables import DEFAULTS, PATHS, decode_table
+from .route_table import (
     Context,
     Plan,
     Route,
@@ -39,8 +41,6 @@
     route_limits,
     undeclared,
 )
-from .problems import Problem
-from .resource_tables import DEFAULTS, PATHS, decode_table
 from .schema import ClassTable, LimitsTable, PathsTable, RouteTable, TenantTable
 from .tenants import TENANT_SCOPE, tenant_limits
 
--- a/routing/resource_tables.py
+++ b/hollybay/routing/resource_tables.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from resources.model import (
+from hollybay.resources.model import (
     MAX_BODY_BYTES,
     MAX_NAME_LENGTH,
     ChangeRefused,
@@ -24,7 +24,7 @@
     Problem,
     Upsert,
 )
-from resources.state import ResourceState
+from hollybay.resources.state import ResourceState
 
 from .forms import Table, read_plain
 from .schema import ClassTable, LimitsTable, OperatorFile, PathsTable, RouteTable, TenantTable
--- a/routing/plan.py
+++ b/hollybay/routing/route_table.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from lynxrouter import interface as api
+from hollybay.balancing import interface as api
 
 from .checks import Checked, faults, shown
 from .limits import GROUPS, Effective, effective, inherit
--- a/simulation/__init__.py
+++ b/hollybay/simulation/__init__.py
@@ -3,7 +3,7 @@
 loop       an event loop with virtual time, whose choices are drawn from a seed, the hash of its trace, and
            processes of their own on it
 network    connections in memory: delay, jitter, segments, resets, half-closes, partitions, full buffers
-machine    a node's sockets, descriptors, files and clock, put in place by the seam `elderscale.system`
+machine    a node's sockets, descriptors, files and clock, put in place by the seam `hollybay.proxy.system`
 plan       what a run plays, as data drawn from a seed
 kinds      the kinds of faults, of spoilt answers and of wrong requests
 strikes    what each kind of fault does
--- a/simulation/clients.py
+++ b/hollybay/simulation/clients.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from standins.ledger import Final
+from hollybay.testbed.ledger import Final
 
 from .http import Malformed, Message, Reader, filler
 from .kinds import WRONG
--- a/simulation/machine.py
+++ b/hollybay/simulation/machine.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 from typing import Any
 
-from elderscale import system
+from hollybay.proxy import system
 
 from .loop import AnyLoop
 from .network import Address, Network, SimTransport
--- a/simulation/servers.py
+++ b/hollybay/simulation/servers.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable
 from typing import cast
 
-from standins.ledger import Start
+from hollybay.testbed.ledger import Start
 
 from .http import Malformed, Message, Reader, filler
 from .network import Address, SimTransport
--- a/simulation/watch.py
+++ b/hollybay/simulation/watch.py
@@ -10,8 +10,8 @@
 import heapq
 from collections.abc import Callable
 
-from standins import rules
-from standins.ledger import Asked, Fault, Final, Ledger, Limits, Start
+from hollybay.testbed import rules
+from hollybay.testbed.ledger import Asked, Fault, Final, Ledger, Limits, Start
 
 __all__ = [
     "ORACLES",
--- a/simulation/world.py
+++ b/hollybay/simulation/world.py
@@ -13,8 +13,8 @@
 from dataclasses import dataclass
 from typing import Any
 
-from elderscale.config import settings_of
-from standins.ledger import Fault, Final, Limits
+from hollybay.proxy.config import settings_of
+from hollybay.testbed.ledger import Fault, Final, Limits
 
 from .agent import Agent
 from .clients import Clients
--- a/standins/callers.py
+++ b/hollybay/testbed/callers.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 from typing import cast
 
-from lynxrouter import interface as api
+from hollybay.balancing import interface as api
 
 from .fleet import body_for
 from .ledger import Asked, Final, Ledger
--- a/standins/ledger.py
+++ b/hollybay/testbed/ledger.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from lynxrouter import interface as api
+from hollybay.balancing import interface as api
 
 from . import rules
 
--- a/standins/loopback.py
+++ b/hollybay/testbed/loopback.py
@@ -11,11 +11,11 @@
 from pathlib import Path
 from typing import Any
 
-from elderscale.__main__ import assemble
-from elderscale.clients import Clients
-from elderscale.config import Config, load
-from elderscale.discovery import Discovery
-from elderscale.node import Node
+from hollybay.proxy.__main__ import assemble
+from hollybay.proxy.config import Config, load
+from hollybay.proxy.discovery import Discovery
+from hollybay.proxy.downstream.connections import Clients
+from hollybay.proxy.exchange import Node
 
 from .listener import LIMIT, OK, Listener, read_message
 
--- a/standins/process.py
+++ b/hollybay/testbed/process.py
@@ -1,7 +1,7 @@
 """A real node as a process of its own, on a port of the kernel's choice.
 
-`python -m standins.process` runs the node of `elderscale` unchanged, but for the port: 0 in place of the
-configured one, told on standard output once the node listens.
+`python -m hollybay.testbed.process` runs the node of `hollybay.proxy` unchanged, but for the port: 0 in place
+of the configured one, told on standard output once the node listens.
 """
 
 from __future__ import annotations
@@ -39,7 +39,7 @@
             self._process = await asyncio.create_subprocess_exec(
                 sys.executable,
                 "-m",
-                "standins.process",
+                "hollybay.testbed.process",
                 stdout=asyncio.subprocess.PIPE,
                 stderr=log,
                 env=environ,
@@ -85,8 +85,8 @@
     """Run the node that BALANCER_CONFIG names on a free port; 2 where a configuration does not hold."""
     import uvloop
 
-    from elderscale.__main__ import serve
-    from elderscale.config import ConfigError, load
+    from hollybay.proxy.__main__ import serve
+    from hollybay.proxy.config import ConfigError, load
 
     logging.basicConfig(stream=sys.stderr, level=logging.INFO, format="%(levelname)s %(message)s")
     try:
--- a/standins/rules.py
+++ b/hollybay/testbed/rules.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass
 
-from lynxrouter import interface as api
+from hollybay.balancing import interface as api
 
 __all__ = [
     "ColdWindow",
--- a/standins/scene.py
+++ b/hollybay/testbed/scene.py
@@ -8,7 +8,7 @@
 from itertools import accumulate
 from typing import Any
 
-from elderscale.config import settings_of
+from hollybay.proxy.config import settings_of
 
 from .agent import Agent
 from .callers import Mix
--- a/standins/world.py
+++ b/hollybay/testbed/world.py
@@ -4,8 +4,8 @@
 
 from dataclasses import dataclass, field
 
-from lynxrouter import Balancer
-from lynxrouter import interface as api
+from hollybay.balancing import Balancer
+from hollybay.balancing import interface as api
 
 from . import rules
 
--- a/tests/test_accord_core.py
+++ b/tests/test_accord_core.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from accord.core import (
+from hollybay.consensus.core import (
     Accept,
     Accepted,
     Ask,
@@ -24,7 +24,7 @@
     follows,
     served,
 )
-from accord.model import (
+from hollybay.consensus.model_check import (
     DEAF,
     LATE,
     LONG,
@@ -40,7 +40,7 @@
     walk,
     way,
 )
-from accord.planted import DEFECTS
+from hollybay.consensus.planted_defects import DEFECTS
 
 NOBODY: frozenset[str] = frozenset()
 THREE = (frozenset({0, 1, 2}),)
@@ -59,7 +59,8 @@
     "moved": MOVED,
     "lost, unfit": replace(LOST, unfit=UNFIT),
 }
-# The bounds and the seed by which each planted defect is found; `python -m accord.model` searches on.
+# The bounds and the seed by which each planted defect is found; `python -m hollybay.consensus.model_check`
+# searches on.
 SEEDS = {
     "voted before stored": ("silent", 58),
     "promised before stored": ("silent", 58),
--- a/tests/test_accord_fetch.py
+++ b/tests/test_accord_fetch.py
@@ -11,14 +11,22 @@
 import msgspec
 import pytest
 
-from accord import words as w
-from accord.calls import Unreachable
-from accord.fetch import NOT_REACHED, Brought, Fetcher
-from accord.log import NotReached, PolicyLog, Snapshot
-from accord.policy import Policy, Refused, successor
-from accord.store import StoreFailed
-from accord.transfer import MAX_UPLOAD_BYTES, MAX_UPLOADS, UPLOAD_IDLE, Uploads, download, piece_of, pieces_up
-from resources.wire import encode_snapshot
+from hollybay.consensus import messages as w
+from hollybay.consensus.log import NotReached, PolicyLog, Snapshot
+from hollybay.consensus.log_fetch import NOT_REACHED, Brought, Fetcher
+from hollybay.consensus.policy import Policy, Refused, successor
+from hollybay.consensus.requests import Unreachable
+from hollybay.consensus.store import StoreFailed
+from hollybay.consensus.transfer import (
+    MAX_UPLOAD_BYTES,
+    MAX_UPLOADS,
+    UPLOAD_IDLE,
+    Uploads,
+    download,
+    piece_of,
+    pieces_up,
+)
+from hollybay.resources.wire import encode_snapshot
 
 from .test_accord_log import chain, change, filled, opened, state_of
 
--- a/tests/test_accord_rehearsal.py
+++ b/tests/test_accord_rehearsal.py
@@ -7,9 +7,9 @@
 
 import pytest
 
-from accord.follow import Known, judge
-from accord.oracle import Begun, Outcome, Said, check
-from simulation.accord_rehearsal import Played, Shape, play, shape_of, stream_shape_of
+from hollybay.consensus.change_tracker import Known, judge
+from hollybay.consensus.oracle import Begun, Outcome, Said, check
+from hollybay.simulation.accord_rehearsal import Played, Shape, play, shape_of, stream_shape_of
 
 SEEDS = range(50)
 STREAM_SEEDS = range(25)
--- a/tests/test_accord_scenes.py
+++ b/tests/test_accord_scenes.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from tier.report import Report
+from hollybay.cluster.report import Report
 
 from .test_tier_scenes import _played, fault, group
 from .test_tier_scenes import run_of as tier_run_of
--- a/tests/test_accord_store.py
+++ b/tests/test_accord_store.py
@@ -11,11 +11,11 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from accord import policy
-from accord.record import Fate, Found, pack, unpack
-from accord.store import Store, StoreFailed
-from resources.model import Change, Kind, Upsert
-from resources.state import EMPTY
+from hollybay.consensus import policy
+from hollybay.consensus.record import Fate, Found, pack, unpack
+from hollybay.consensus.store import Store, StoreFailed
+from hollybay.resources.model import Change, Kind, Upsert
+from hollybay.resources.state import EMPTY
 
 STEPS = ("write", "flush", "rename", "flush folder")
 
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from standins.loopback import LIMIT, OK, Backend, Held, Registry, read_message, request, running
+from hollybay.testbed.loopback import LIMIT, OK, Backend, Held, Registry, read_message, request, running
 
 HEAD = b"HTTP/1.1 200 OK\r\n"
 SPOILT = {
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -11,9 +11,9 @@
 
 import pytest
 
-from elderscale import servers as module
-from elderscale.servers import ServerConnection
-from standins.loopback import (
+from hollybay.proxy.upstream import pools as module
+from hollybay.proxy.upstream.pools import ServerConnection
+from hollybay.testbed.loopback import (
     CLASSES,
     LIMIT,
     OK,
--- a/tests/test_bans.py
+++ b/tests/test_bans.py
@@ -8,8 +8,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from lynxrouter.interface import ListKind, Server, ServerList, State
-from operations.bans import Bans, BansError, pack, unpack
+from hollybay.admin.administrative_drains import Bans, BansError, pack, unpack
+from hollybay.balancing.interface import ListKind, Server, ServerList, State
 
 
 def listed(*lines: Server, kind: ListKind = ListKind.FULL) -> ServerList:
--- a/tests/test_batch_culprits.py
+++ b/tests/test_batch_culprits.py
@@ -4,15 +4,15 @@
 
 import asyncio
 
-from accord.log import Entry
-from accord.policy import FIRST
-from elderscale.config import settings_of
-from elderscale.policy_plans import PolicyPlans
-from resources.model import Change, Kind, Upsert
-from resources.state import EMPTY
-from routing.resource_tables import encode_table
-from routing.schema import PathTable, RouteTable
-from standins.scene import settings
+from hollybay.consensus.log import Entry
+from hollybay.consensus.policy import FIRST
+from hollybay.proxy.compiled_policies import PolicyPlans
+from hollybay.proxy.config import settings_of
+from hollybay.resources.model import Change, Kind, Upsert
+from hollybay.resources.state import EMPTY
+from hollybay.routing.resource_tables import encode_table
+from hollybay.routing.schema import PathTable, RouteTable
+from hollybay.testbed.scene import settings
 
 
 def change_of(number: int, path: str, cls: str | None = None) -> Change:
--- a/tests/test_batch_model.py
+++ b/tests/test_batch_model.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from accord.batch_model import WEIGHTS, Bounds, Parts, walk
-from accord.batch_planted import DEFECTS
+from hollybay.consensus.batch_model_check import WEIGHTS, Bounds, Parts, walk
+from hollybay.consensus.planted_batch_defects import DEFECTS
 
 WALKS = 250
 # The seed by which each planted defect is found, and what is found.
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -7,9 +7,9 @@
 
 import pytest
 
-from lynxrouter import interface as api
-from standins.callers import Callers, Mix
-from standins.ledger import Final, Ledger, Limits
+from hollybay.balancing import interface as api
+from hollybay.testbed.callers import Callers, Mix
+from hollybay.testbed.ledger import Final, Ledger, Limits
 
 MS = 1_000_000
 
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from operations.calls import Call, Denied, Kind, parse
+from hollybay.admin.requests import Call, Denied, Kind, parse
 
 
 @pytest.mark.parametrize(
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -29,7 +29,7 @@
 )
 from benchmarks.capacity.registry import MEASUREMENTS
 from benchmarks.capacity.report import series_of
-from hollow.meter import LatenessProbe, Limits, Spent, late_reason, metered
+from hollybay.hollow.meter import LatenessProbe, Limits, Spent, late_reason, metered
 
 # Quantities that a small run may have none of.
 MAY_BE_NONE = {"unfinished", "keeper_cpu_ms"}
--- a/tests/test_change_stream.py
+++ b/tests/test_change_stream.py
@@ -8,10 +8,10 @@
 
 import asyncio
 
-from tier.change_stream import Burst, FullDisk, Sort, Stream, Told, check, play, proposals
-from tier.plan import compile_plan
-from tier.report import report_of
-from tier.rig import RigFailed
+from hollybay.cluster.change_stream import Burst, FullDisk, Sort, Stream, Told, check, play, proposals
+from hollybay.cluster.plan import compile_plan
+from hollybay.cluster.report import report_of
+from hollybay.cluster.rig import RigFailed
 
 from .test_accord_scenes import run_of
 from .test_tier_scenes import fault, group
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -5,8 +5,8 @@
 from collections import Counter
 from dataclasses import replace
 
-from lynxrouter import interface as api
-from standins.world import MS, SECOND, Node, fleet, make_settings
+from hollybay.balancing import interface as api
+from hollybay.testbed.world import MS, SECOND, Node, fleet, make_settings
 
 ONE = (api.RequestClass("w", api.Effect.SAFE, 1.0, SECOND, 3 * SECOND),)
 
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from elderscale.clients import RecentIds
-from standins.loopback import LIMIT, Backend, Held, Registry, read_message, request, running
+from hollybay.proxy.downstream.connections import RecentIds
+from hollybay.testbed.loopback import LIMIT, Backend, Held, Registry, read_message, request, running
 
 HEAD = b"POST /send HTTP/1.1\r\nHost: h\r\nX-Correlation-Id: r-1\r\n"
 HIDDEN = b"0\r\n\r\nPOST /send HTTP/1.1\r\nHost: h\r\nX-Correlation-Id: r-2\r\nContent-Length: 0\r\n\r\n"
--- a/tests/test_demo.py
+++ b/tests/test_demo.py
@@ -9,9 +9,9 @@
 import uvloop
 from click.testing import CliRunner
 
-from hollybay import demo
-from hollybay.cli import main
-from standins.ledger import Fault, Verdict
+from hollybay.cli import demo
+from hollybay.cli.main import main
+from hollybay.testbed.ledger import Fault, Verdict
 
 
 def test_a_short_run_keeps_the_rules_and_counts_every_request() -> None:
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -11,11 +11,11 @@
 
 import pytest
 
-from elderscale import servers as servers_module
-from elderscale.clients import HIDING, ClientConnection
-from elderscale.messages import SMALL_BODY
-from elderscale.node import LOOK
-from standins.loopback import (
+from hollybay.proxy.downstream.connections import HIDING, ClientConnection
+from hollybay.proxy.exchange import LOOK
+from hollybay.proxy.http_messages import SMALL_BODY
+from hollybay.proxy.upstream import pools as servers_module
+from hollybay.testbed.loopback import (
     LIMIT,
     OK,
     Backend,
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from elderscale.discovery import NOTHING_NEW_PAUSE
-from standins.loopback import Backend, Registry, read_message, request, running, settings
+from hollybay.proxy.discovery import NOTHING_NEW_PAUSE
+from hollybay.testbed.loopback import Backend, Registry, read_message, request, running, settings
 
 
 class Scripted(Registry):
--- a/tests/test_discovery_orders.py
+++ b/tests/test_discovery_orders.py
@@ -12,9 +12,9 @@
 
 import pytest
 
-from elderscale import discovery as module
-from lynxrouter import interface as api
-from standins.loopback import (
+from hollybay.balancing import interface as api
+from hollybay.proxy import discovery as module
+from hollybay.testbed.loopback import (
     LIMIT,
     Backend,
     Registry,
@@ -25,7 +25,7 @@
     settings,
     write_config,
 )
-from standins.process import NodeProcess
+from hollybay.testbed.process import NodeProcess
 
 TOLD, MOVED = 6.0, 4.0  # s until what a silent watch misses counts as told, and what a new address has
 GRACE = 250_000_000
--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from elderscale.__main__ import drain
-from standins.loopback import LIMIT, Backend, Held, Registry, call, read_message, request, running
+from hollybay.proxy.__main__ import drain
+from hollybay.testbed.loopback import LIMIT, Backend, Held, Registry, call, read_message, request, running
 
 READY = b"GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n"
 
--- a/tests/test_fleet_shares.py
+++ b/tests/test_fleet_shares.py
@@ -12,11 +12,15 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from elderscale.config import Names
-from fleet import Calls, Census, Failures, Pressure, Reach, first_call, heed, place
-from fleet.calls import CALL_MOST, EACH, PAUSE_MOST, QUEUED, TOLD
-from lynxrouter import interface as api
-from standins.world import MS, SECOND, UNSAFE, Node, make_settings
+from hollybay.balancing import interface as api
+from hollybay.balancing.discovery_polling import CALL_MOST, EACH, PAUSE_MOST, QUEUED, TOLD, Calls, first_call
+from hollybay.balancing.fair_shares import heed, place
+from hollybay.balancing.queueing_delay import Pressure
+from hollybay.balancing.reported_failures import Failures
+from hollybay.balancing.traffic_share import Census
+from hollybay.balancing.zone_reachability import Reach
+from hollybay.proxy.config import Names
+from hollybay.testbed.world import MS, SECOND, UNSAFE, Node, make_settings
 
 ONE = (api.RequestClass("w", api.Effect.SAFE, 1.0, SECOND, 3 * SECOND),)
 WORK = 50 * MS  # at a server of size 1
--- a/tests/test_found_by_seeds.py
+++ b/tests/test_found_by_seeds.py
@@ -9,12 +9,12 @@
 
 import pytest
 
-from elderscale import system
-from lynxrouter import interface as api
-from lynxrouter.admission import LAG_SPAN
-from lynxrouter.learning import REVIEW
-from standins.loopback import CLASSES, Backend, Registry, request, running, settings
-from standins.world import MS, SAFE, SECOND, Node, fleet, make_settings
+from hollybay.balancing import interface as api
+from hollybay.balancing.estimates import REVIEW
+from hollybay.balancing.load_shedding import LAG_SPAN
+from hollybay.proxy import system
+from hollybay.testbed.loopback import CLASSES, Backend, Registry, request, running, settings
+from hollybay.testbed.world import MS, SAFE, SECOND, Node, fleet, make_settings
 
 
 def test_no_socket_for_a_server_ends_the_attempt_at_once(
--- a/tests/test_group_commit.py
+++ b/tests/test_group_commit.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from accord.group_commit import (
+from hollybay.consensus.group_commit import (
     MILLISECOND,
     SECOND,
     AlreadyQueued,
@@ -26,10 +26,10 @@
     Unknown,
     combined,
 )
-from resources.batch import Assembled, assemble, follow
-from resources.model import Change, Delete, Kind, Operation, Problem, Upsert
-from resources.state import EMPTY, ResourceState
-from resources.wire import encode_change
+from hollybay.resources.batch import Assembled, assemble, follow
+from hollybay.resources.model import Change, Delete, Kind, Operation, Problem, Upsert
+from hollybay.resources.state import EMPTY, ResourceState
+from hollybay.resources.wire import encode_change
 
 NO_LINGER = QueueSettings(linger_ns=0)
 CANNOT = (Problem("route 'r'", "match", "overlaps"),)
--- a/tests/test_guard.py
+++ b/tests/test_guard.py
@@ -6,10 +6,10 @@
 
 import pytest
 
-from lynxrouter import interface as api
-from lynxrouter.records import Server, Try
-from lynxrouter.repeats import may_refuse, resend_scope
-from standins.world import MS, NEVER_RAN, SECOND
+from hollybay.balancing import interface as api
+from hollybay.balancing.retries import may_refuse, resend_scope
+from hollybay.balancing.state import Server, Try
+from hollybay.testbed.world import MS, NEVER_RAN, SECOND
 
 WINDOW = 2 * SECOND
 RESULTS = [None, *api.Result]
--- a/tests/test_holds.py
+++ b/tests/test_holds.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from elderscale.holds import FORGOTTEN, HoldAccount
+from hollybay.proxy.upstream.connection_wait import FORGOTTEN, HoldAccount
 
 PRICE = 0.024
 
--- a/tests/test_lag.py
+++ b/tests/test_lag.py
@@ -8,10 +8,10 @@
 from dataclasses import replace
 from pathlib import Path
 
-from elderscale.clients import ACCEPT_BATCH
-from lynxrouter import Balancer
-from lynxrouter import interface as api
-from standins.loopback import (
+from hollybay.balancing import Balancer
+from hollybay.balancing import interface as api
+from hollybay.proxy.downstream.connections import ACCEPT_BATCH
+from hollybay.testbed.loopback import (
     LIMIT,
     OK,
     Backend,
@@ -23,7 +23,7 @@
     running,
     settings,
 )
-from standins.world import MS, SECOND, fleet, make_settings
+from hollybay.testbed.world import MS, SECOND, fleet, make_settings
 
 CAPS = {**settings()["caps"], "retry-after": True, "max-retry-after": 2 * SECOND}
 
--- a/tests/test_learning_in_a_jam.py
+++ b/tests/test_learning_in_a_jam.py
@@ -6,10 +6,10 @@
 
 import pytest
 
-from lynxrouter import interface as api
-from lynxrouter.learning import WORK_FEW
-from lynxrouter.records import Server
-from standins.world import MS, SECOND, Node, make_settings
+from hollybay.balancing import interface as api
+from hollybay.balancing.estimates import WORK_FEW
+from hollybay.balancing.state import Server
+from hollybay.testbed.world import MS, SECOND, Node, make_settings
 
 ONE = (api.RequestClass("w", api.Effect.SAFE, 1.0, SECOND, 3 * SECOND),)
 WORK, JAM = 10 * MS, 200 * MS
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -8,11 +8,11 @@
 
 import pytest
 
-from lynxrouter import interface as api
-from standins import rules
-from standins.fleet import Answering, Kind, ModelServer
-from standins.ledger import Asked, Final, Ledger, Limits, Start
-from standins.listener import LIMIT, read_message
+from hollybay.balancing import interface as api
+from hollybay.testbed import rules
+from hollybay.testbed.fleet import Answering, Kind, ModelServer
+from hollybay.testbed.ledger import Asked, Final, Ledger, Limits, Start
+from hollybay.testbed.listener import LIMIT, read_message
 
 MS = 1_000_000
 SECOND = 1_000_000_000
@@ -237,7 +237,7 @@
 
 
 def test_the_work_of_a_scene_follows_its_seed() -> None:
-    from standins.scene import work_of
+    from hollybay.testbed.scene import work_of
 
     first = [work_of(b"/book-venue/1", random.Random(3)) for _ in range(3)]
     assert first == [work_of(b"/book-venue/1", random.Random(3)) for _ in range(3)]
--- a/tests/test_limits_module.py
+++ b/tests/test_limits_module.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from fleet import budgets
-from lynxrouter import interface as api
-from standins.world import MS, SECOND, Node, fleet, make_settings
+from hollybay.balancing import interface as api
+from hollybay.balancing import retry_budgets as budgets
+from hollybay.testbed.world import MS, SECOND, Node, fleet, make_settings
 
 READ, WRITE, CELL, ZONE, ALL = range(5)
 
--- a/tests/test_other_customers.py
+++ b/tests/test_other_customers.py
@@ -10,11 +10,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from elderscale.config import SECOND, settings_of
-from elderscale.servers import GRACE_PART
-from lynxrouter import interface as api
-from standins.loopback import Backend, Registry, request, running
-from standins.world import MS
+from hollybay.balancing import interface as api
+from hollybay.proxy.config import SECOND, settings_of
+from hollybay.proxy.upstream.pools import GRACE_PART
+from hollybay.testbed.loopback import Backend, Registry, request, running
+from hollybay.testbed.world import MS
 from tests.test_rules import walk
 
 NAME = st.text("abcdefghijklmnopqrstuvwxyz0123456789-", min_size=1, max_size=12)
--- a/tests/test_outliers.py
+++ b/tests/test_outliers.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from fleet.outliers import LEAST_SHARE, Shares
+from hollybay.balancing.outlier_shares import LEAST_SHARE, Shares
 
 WEIGHT = 0.05
 MOVES = st.lists(st.tuples(st.integers(0, 8), st.booleans()), max_size=200)
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -7,9 +7,9 @@
 import signal
 from pathlib import Path
 
-from elderscale.__main__ import serve
-from elderscale.config import load
-from standins.loopback import LIMIT, Backend, Registry, request, running, write_config
+from hollybay.proxy.__main__ import serve
+from hollybay.proxy.config import load
+from hollybay.testbed.loopback import LIMIT, Backend, Registry, request, running, write_config
 
 
 def test_the_watch_moves_to_the_new_discovery(tmp_path: Path) -> None:
--- a/tests/test_resource_plan.py
+++ b/tests/test_resource_plan.py
@@ -12,19 +12,25 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from lynxrouter import interface as api
-from resources.batch import assemble
-from resources.model import Change, ChangeRefused, Delete, Key, Kind, Operation, Problem, Upsert
-from resources.state import EMPTY, ResourceState
-from routing import tree
-from routing.gate import Gate
-from routing.limits import Effective
-from routing.narrow import Narrow
-from routing.plan import Denied, Plan, compile_plan
-from routing.problems import OperatorError
-from routing.resource_plan import MAX_PROBLEMS, ResourcePlan, Validator, plan_after, plan_of_state
-from routing.resource_tables import DEFAULTS, PATHS, encode_table, tables_of
-from routing.schema import (
+from hollybay.balancing import interface as api
+from hollybay.resources.batch import assemble
+from hollybay.resources.model import Change, ChangeRefused, Delete, Key, Kind, Operation, Problem, Upsert
+from hollybay.resources.state import EMPTY, ResourceState
+from hollybay.routing import tree
+from hollybay.routing.admission_control import Gate
+from hollybay.routing.limits import Effective
+from hollybay.routing.policy_intersection import Narrow
+from hollybay.routing.problems import OperatorError
+from hollybay.routing.resource_route_table import (
+    MAX_PROBLEMS,
+    ResourcePlan,
+    Validator,
+    plan_after,
+    plan_of_state,
+)
+from hollybay.routing.resource_tables import DEFAULTS, PATHS, encode_table, tables_of
+from hollybay.routing.route_table import Denied, Plan, compile_plan
+from hollybay.routing.schema import (
     ClassTable,
     HeaderTable,
     LimitsTable,
--- a/tests/test_resource_tables.py
+++ b/tests/test_resource_tables.py
@@ -10,10 +10,16 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from resources.model import Change, ChangeRefused, Delete, Key, Kind, Upsert
-from resources.state import EMPTY, ResourceState
-from routing.resource_tables import decode_body, encode_table, operations_between, resources_of, tables_of
-from routing.schema import OperatorFile, read
+from hollybay.resources.model import Change, ChangeRefused, Delete, Key, Kind, Upsert
+from hollybay.resources.state import EMPTY, ResourceState
+from hollybay.routing.resource_tables import (
+    decode_body,
+    encode_table,
+    operations_between,
+    resources_of,
+    tables_of,
+)
+from hollybay.routing.schema import OperatorFile, read
 from tests.test_resource_plan import class_tables, limits, route_tables, tenant_tables
 
 ROUTE = Key(Kind.ROUTE, "a")
--- a/tests/test_resource_wire.py
+++ b/tests/test_resource_wire.py
@@ -9,9 +9,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from resources.model import Change, Kind, Upsert
-from resources.state import EMPTY, ResourceState
-from resources.wire import WireError, decode_snapshot, encode_snapshot
+from hollybay.resources.model import Change, Kind, Upsert
+from hollybay.resources.state import EMPTY, ResourceState
+from hollybay.resources.wire import WireError, decode_snapshot, encode_snapshot
 
 NAMES = st.dictionaries(
     st.tuples(
--- a/tests/test_resources.py
+++ b/tests/test_resources.py
@@ -10,11 +10,21 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from resources.batch import Batch, BatchMismatch, assemble, follow
-from resources.log import BatchLog
-from resources.model import Change, ChangeRefused, Delete, Key, Kind, Operation, Problem, Resource, Upsert
-from resources.state import EMPTY, REMEMBERED_REVISIONS, ResourceState, restored
-from resources.wire import (
+from hollybay.resources.batch import Batch, BatchMismatch, assemble, follow
+from hollybay.resources.log import BatchLog
+from hollybay.resources.model import (
+    Change,
+    ChangeRefused,
+    Delete,
+    Key,
+    Kind,
+    Operation,
+    Problem,
+    Resource,
+    Upsert,
+)
+from hollybay.resources.state import EMPTY, REMEMBERED_REVISIONS, ResourceState, restored
+from hollybay.resources.wire import (
     CHECKSUM_BYTES,
     WireError,
     decode_batch,
--- a/tests/test_room.py
+++ b/tests/test_room.py
@@ -5,8 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from fleet import Room
-from fleet.room import DOUBLES, LEAVES
+from hollybay.balancing.connection_capacity import DOUBLES, LEAVES, Room
 
 SECOND = 1_000_000_000
 
--- a/tests/test_routing_file.py
+++ b/tests/test_routing_file.py
@@ -12,12 +12,12 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from hollybay.cli import main
-from lynxrouter import interface as api
-from routing.plan import Denied, Plan, compile_file
-from routing.problems import OperatorError
-from routing.schema import duration, size
-from standins.scene import settings as scene_settings
+from hollybay.balancing import interface as api
+from hollybay.cli.main import main
+from hollybay.routing.problems import OperatorError
+from hollybay.routing.route_table import Denied, Plan, compile_file
+from hollybay.routing.schema import duration, size
+from hollybay.testbed.scene import settings as scene_settings
 
 ROOT = Path(__file__).resolve().parent.parent
 MS = 1_000_000
@@ -384,9 +384,9 @@
     max_leaves=12,
 ))  # fmt: skip
 def test_any_tables_are_read_or_refused(value: Any) -> None:
-    from routing.forms import _struct
-    from routing.plan import compile_plan
-    from routing.schema import OperatorFile
+    from hollybay.routing.forms import _struct
+    from hollybay.routing.route_table import compile_plan
+    from hollybay.routing.schema import OperatorFile
 
     found: list[Any] = []
     tables = _struct(OperatorFile, value, "", found)
--- a/tests/test_routing_gate.py
+++ b/tests/test_routing_gate.py
@@ -6,10 +6,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from lynxrouter import interface as api
-from routing.gate import Gate
-from routing.limits import Effective
-from routing.plan import Denied, compile_file
+from hollybay.balancing import interface as api
+from hollybay.routing.admission_control import Gate
+from hollybay.routing.limits import Effective
+from hollybay.routing.route_table import Denied, compile_file
 
 MS = 1_000_000
 SECOND = 1_000_000_000
--- a/tests/test_routing_matcher.py
+++ b/tests/test_routing_matcher.py
@@ -9,9 +9,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from routing import tree
-from routing.matcher import HeaderRule, Matcher, best, overlaps, takes
-from routing.paths import Pattern, parse_pattern
+from hollybay.routing import tree
+from hollybay.routing.matcher import HeaderRule, Matcher, best, overlaps, takes
+from hollybay.routing.paths import Pattern, parse_pattern
 
 
 @dataclass(frozen=True, eq=False)
@@ -166,7 +166,7 @@
 
 
 def _rank_of(rule: Rule, ask: Ask) -> object:
-    from routing.matcher import _rank
+    from hollybay.routing.matcher import _rank
 
     return _rank(rule, ask.host)
 
--- a/tests/test_routing_narrow.py
+++ b/tests/test_routing_narrow.py
@@ -9,13 +9,13 @@
 from hypothesis import assume, given
 from hypothesis import strategies as st
 
-from lynxrouter import interface as api
-from routing.checks import REACH, Checked, faults
-from routing.gate import Gate
-from routing.limits import GROUPS, Effective, Rate, Sourced, effective
-from routing.narrow import Narrow, apart, narrower
-from routing.plan import Denied, Plan, compile_file
-from standins.world import CELL, MS, SAFE, SECOND, UNSAFE, make_settings
+from hollybay.balancing import interface as api
+from hollybay.routing.admission_control import Gate
+from hollybay.routing.checks import REACH, Checked, faults
+from hollybay.routing.limits import GROUPS, Effective, Rate, Sourced, effective
+from hollybay.routing.policy_intersection import Narrow, apart, narrower
+from hollybay.routing.route_table import Denied, Plan, compile_file
+from hollybay.testbed.world import CELL, MS, SAFE, SECOND, UNSAFE, make_settings
 
 SETTINGS = replace(make_settings(), max_retry_after=5 * SECOND, max_attempts=4)
 CLASSES = [SAFE, UNSAFE, CELL]
--- a/tests/test_routing_paths.py
+++ b/tests/test_routing_paths.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from routing.paths import BadPath, Kind, Reading, parse_pattern, segments_of
+from hollybay.routing.paths import BadPath, Kind, Reading, parse_pattern, segments_of
 
 KEEP = Reading(encoded_slash=True, empty_segments=True)
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -8,8 +8,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from lynxrouter import interface as api
-from standins.world import MS, SECOND, Node, fleet, make_settings
+from hollybay.balancing import interface as api
+from hollybay.testbed.world import MS, SECOND, Node, fleet, make_settings
 
 
 def walk(seed: int, settings: api.Settings, steps: int = 600, limits: api.Limits | None = None) -> Node:
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -12,10 +12,10 @@
 
 import pytest
 
-from elderscale.__main__ import drain
-from elderscale.clients import ACCEPT_BATCH, SUSPECT, ClientConnection
-from elderscale.servers import Attempt
-from standins.loopback import (
+from hollybay.proxy.__main__ import drain
+from hollybay.proxy.downstream.connections import ACCEPT_BATCH, SUSPECT, ClientConnection
+from hollybay.proxy.upstream.pools import Attempt
+from hollybay.testbed.loopback import (
     CLASSES,
     LIMIT,
     Backend,
@@ -28,7 +28,7 @@
     settings,
     write_config,
 )
-from standins.process import NodeProcess
+from hollybay.testbed.process import NodeProcess
 
 FEW = 192  # descriptors
 
--- a/tests/test_simulation_loop.py
+++ b/tests/test_simulation_loop.py
@@ -12,8 +12,8 @@
 
 import pytest
 
-from simulation.loop import Deadlock, SimLoop, StepLimit
-from simulation.network import Link, Network, SimTransport
+from hollybay.simulation.loop import Deadlock, SimLoop, StepLimit
+from hollybay.simulation.network import Link, Network, SimTransport
 
 ROOT = Path(__file__).resolve().parent.parent
 
@@ -269,7 +269,7 @@
 import asyncio, random, sys
 sys.path.insert(0, {root!r})
 from tests.test_simulation_loop import crowd
-from simulation.loop import SimLoop
+from hollybay.simulation.loop import SimLoop
 loop = SimLoop(int(sys.argv[1]))
 print(loop.run_until_complete(crowd(loop)), loop.steps, loop.trace)
 """
--- a/tests/test_simulation_oracles.py
+++ b/tests/test_simulation_oracles.py
@@ -4,11 +4,11 @@
 
 import pytest
 
-from lynxrouter import interface as api
-from simulation import watch
-from simulation.http import Malformed, Reader, filler
-from simulation.watch import Watch
-from standins.ledger import Final, Limits
+from hollybay.balancing import interface as api
+from hollybay.simulation import watch
+from hollybay.simulation.http import Malformed, Reader, filler
+from hollybay.simulation.watch import Watch
+from hollybay.testbed.ledger import Final, Limits
 
 MS = 1_000_000
 SECOND = 1_000_000_000
--- a/tests/test_tenant_limits.py
+++ b/tests/test_tenant_limits.py
@@ -4,16 +4,16 @@
 
 import pytest
 
-from resources.model import Change, Delete, Key, Kind, Upsert
-from resources.state import EMPTY, ResourceState
-from routing.gate import Gate
-from routing.limits import Effective
-from routing.narrow import Narrow
-from routing.plan import Plan, compile_file
-from routing.problems import OperatorError
-from routing.resource_plan import MAX_READY_TENANTS, plan_after, plan_of_state
-from routing.resource_tables import encode_table
-from routing.schema import TenantLimitsTable, TenantRateTable, TenantTable
+from hollybay.resources.model import Change, Delete, Key, Kind, Upsert
+from hollybay.resources.state import EMPTY, ResourceState
+from hollybay.routing.admission_control import Gate
+from hollybay.routing.limits import Effective
+from hollybay.routing.policy_intersection import Narrow
+from hollybay.routing.problems import OperatorError
+from hollybay.routing.resource_route_table import MAX_READY_TENANTS, plan_after, plan_of_state
+from hollybay.routing.resource_tables import encode_table
+from hollybay.routing.route_table import Plan, compile_file
+from hollybay.routing.schema import TenantLimitsTable, TenantRateTable, TenantTable
 from tests.test_resource_plan import SETTINGS
 
 MS = 1_000_000
--- a/tests/test_tenants.py
+++ b/tests/test_tenants.py
@@ -5,10 +5,10 @@
 import asyncio
 from pathlib import Path
 
-from lynxrouter import Balancer
-from lynxrouter import interface as api
-from standins.loopback import OK, Backend, Registry, request, running, settings
-from standins.world import MS, SECOND, fleet, make_settings
+from hollybay.balancing import Balancer
+from hollybay.balancing import interface as api
+from hollybay.testbed.loopback import OK, Backend, Registry, request, running, settings
+from hollybay.testbed.world import MS, SECOND, fleet, make_settings
 
 AWAY = b"HTTP/1.1 503 Service Unavailable\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n"
 
--- a/tests/test_tier_evenness.py
+++ b/tests/test_tier_evenness.py
@@ -9,8 +9,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from standins.world import MS, SECOND
-from tier.evenness import (
+from hollybay.cluster.evenness import (
     Life,
     Visit,
     chance_most,
@@ -22,9 +21,10 @@
     spread,
     unused,
 )
-from tier.models import Arrival, drawn, one
-from tier.records import Beat
-from tier.trust import judge
+from hollybay.cluster.models import Arrival, drawn, one
+from hollybay.cluster.records import Beat
+from hollybay.cluster.trust import judge
+from hollybay.testbed.world import MS, SECOND
 
 SPAN = 30 * SECOND
 LIVES = [Life(f"s{n}", 1.0 + 0.3 * (n % 2), 1, ((0, SPAN),)) for n in range(8)]
--- a/tests/test_tier_links.py
+++ b/tests/test_tier_links.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from tier.links import Door, Link, Linked, State
+from hollybay.cluster.links import Door, Link, Linked, State
 
 LIMIT = 10.0
 
--- a/tests/test_tier_plan.py
+++ b/tests/test_tier_plan.py
@@ -10,9 +10,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from routing.problems import OperatorError
-from tier.links import State
-from tier.plan import compile_plan, pairs, refuse_too_large
+from hollybay.cluster.links import State
+from hollybay.cluster.plan import compile_plan, pairs, refuse_too_large
+from hollybay.routing.problems import OperatorError
 
 ROOT = Path(__file__).resolve().parent.parent
 GALLERY = sorted((ROOT / "experiments").glob("*.toml"))
--- a/tests/test_tier_records.py
+++ b/tests/test_tier_records.py
@@ -8,10 +8,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from standins.ledger import Limits
-from standins.world import CLASSES, MS, SECOND
-from tier.books import Excuse, books_of
-from tier.records import (
+from hollybay.cluster.books import Excuse, books_of
+from hollybay.cluster.records import (
     Answered,
     Arrived,
     Asked,
@@ -26,6 +24,8 @@
     Told,
     read,
 )
+from hollybay.testbed.ledger import Limits
+from hollybay.testbed.world import CLASSES, MS, SECOND
 
 LIMITS = Limits(CLASSES, SECOND, 0.3, 8 * SECOND)
 SAFE, UNSAFE = 0, 1
--- a/tests/test_tier_scenes.py
+++ b/tests/test_tier_scenes.py
@@ -17,9 +17,9 @@
 
 import pytest
 
-from tier.plan import compile_plan
-from tier.report import Report, report_of
-from tier.rig import RigFailed, play
+from hollybay.cluster.plan import compile_plan
+from hollybay.cluster.report import Report, report_of
+from hollybay.cluster.rig import RigFailed, play
 
 ROOT = Path(__file__).resolve().parent.parent
 
--- a/tests/test_upload.py
+++ b/tests/test_upload.py
@@ -9,10 +9,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from elderscale import servers as servers_module
-from elderscale.messages import MAX_BODY
-from elderscale.upload import KEPT_MOST, WINDOW, Room, Upload
-from standins.loopback import LIMIT, OK, Backend, Listener, Registry, read_message, request, running
+from hollybay.proxy.http_messages import MAX_BODY
+from hollybay.proxy.streaming_body import KEPT_MOST, WINDOW, Room, Upload
+from hollybay.proxy.upstream import pools as servers_module
+from hollybay.testbed.loopback import LIMIT, OK, Backend, Listener, Registry, read_message, request, running
 
 
 class Ends:
