--- a/benchmarks/capacity/control.py
+++ b/benchmarks/capacity/control.py
@@ -21,8 +21,14 @@
 from .measurement import Figures, RunFailed
 
 __all__ = [
-    "change_by_file", "change_costs", "changes", "changes_with_silent_nodes", "renewals", "run", "status",
-]  # fmt: skip
+    "change_by_file",
+    "change_costs",
+    "changes",
+    "changes_with_silent_nodes",
+    "renewals",
+    "run",
+    "status",
+]
 
 LEASE_MS = 5_000
 NODES_OF_A_PROCESS = 100
--- a/benchmarks/capacity/requests.py
+++ b/benchmarks/capacity/requests.py
@@ -73,5 +73,5 @@
     """One request from its head to the outcome of its first attempt; what else it would do is left out."""
     for action in balancer.handle(now, api.Request(number, 0, 500 * MS, tenant)):
         if isinstance(action, api.Send):
-            outcome = api.Outcome(number, 0, action.server, result, 5 * MS, final=True)
+            outcome = api.AttemptFinished(number, 0, action.server, result, 5 * MS, final=True)
             balancer.handle(now + 5 * MS, outcome)
--- a/benchmarks/capacity/samples.py
+++ b/benchmarks/capacity/samples.py
@@ -22,9 +22,17 @@
 from . import target
 
 __all__ = [
-    "CLASS", "route_resources", "route_table", "routes_file", "server", "server_list", "settings",
-    "short_routes_file", "tenant_resources", "tenants",
-]  # fmt: skip
+    "CLASS",
+    "route_resources",
+    "route_table",
+    "routes_file",
+    "server",
+    "server_list",
+    "settings",
+    "short_routes_file",
+    "tenant_resources",
+    "tenants",
+]
 
 MS = 1_000_000
 CLASS = "view-schedule"
@@ -40,7 +48,7 @@
         kinds=KINDS,
         node=nodes // 2,
         nodes=nodes,
-        copies_allowed=True,
+        hedging_allowed=True,
         cold_share=0.3,
         warm_up=8_000 * MS,
     )
--- a/benchmarks/capacity/servers.py
+++ b/benchmarks/capacity/servers.py
@@ -18,8 +18,14 @@
 from .measurement import Figures
 
 __all__ = [
-    "FEW_NODES", "changed_server", "connections", "list_read", "review", "whole_list", "whole_list_few_nodes",
-]  # fmt: skip
+    "FEW_NODES",
+    "changed_server",
+    "connections",
+    "list_read",
+    "review",
+    "whole_list",
+    "whole_list_few_nodes",
+]
 
 MS, SECOND, MIB = 1_000_000, 1_000_000_000, 1 << 20
 CHANGES = 20
@@ -51,10 +57,12 @@
         for action in self.balancer.handle(self.now, event):
             if isinstance(action, api.Send):
                 self.reached.add(action.server)
-                outcome = api.Outcome(action.id, 0, action.server, api.Result.OK, SERVER_TIME, final=True)
+                outcome = api.AttemptFinished(
+                    action.id, 0, action.server, api.Result.OK, SERVER_TIME, final=True
+                )
                 self._later(SERVER_TIME, outcome)
             elif isinstance(action, api.SetTimer):
-                self._later(action.delay, api.Timer(action.token))
+                self._later(action.delay, api.TimerFired(action.token))
 
     def _later(self, delay: int, event: api.Event) -> None:
         self._count += 1
@@ -100,7 +108,7 @@
     now = 3 * SECOND
     with metered() as spent:
         for _ in range(REVIEWS):
-            balancer.handle(now, api.Timer(1))
+            balancer.handle(now, api.TimerFired(1))
             now += REVIEW
     values = {"cpu_ms": 1000 * spent.cpu_s / REVIEWS}
     values["core_percent"] = values["cpu_ms"] / 1000 / (REVIEW / SECOND) * 100
@@ -110,11 +118,18 @@
 def list_read(size: int) -> Figures:
     """A whole list as discovery sends it, read and checked; nothing is decided yet."""
     lines = [
-        {"id": f"s-{n:06d}", "addr": f"10.{n >> 16}.{n >> 8 & 255}.{n & 255}:8080", "zone": f"z{n % 17}",
-         "kind": "m", "cell": n // samples.SERVERS_IN_A_CELL, "state": "SERVING", "weight": 1.5,
-         "started_ms": 1_700_000_000_000 + n}
+        {
+            "id": f"s-{n:06d}",
+            "addr": f"10.{n >> 16}.{n >> 8 & 255}.{n & 255}:8080",
+            "zone": f"z{n % 17}",
+            "kind": "m",
+            "cell": n // samples.SERVERS_IN_A_CELL,
+            "state": "SERVING",
+            "weight": 1.5,
+            "started_ms": 1_700_000_000_000 + n,
+        }
         for n in range(size)
-    ]  # fmt: skip
+    ]
     body = json.dumps({"version": 1, "full": True, "servers": lines}).encode()
     names = Names({}, {}, {f"z{n}": n for n in range(17)}, {"m": 0}, ())
     with metered() as spent:
--- a/benchmarks/capacity/streams.py
+++ b/benchmarks/capacity/streams.py
@@ -22,8 +22,14 @@
 from .measurement import Figures
 
 __all__ = [
-    "Latencies", "burst", "due_in_a_burst", "due_in_a_stream", "latencies", "stream", "stream_with_silent",
-]  # fmt: skip
+    "Latencies",
+    "burst",
+    "due_in_a_burst",
+    "due_in_a_stream",
+    "latencies",
+    "stream",
+    "stream_with_silent",
+]
 
 SECOND = 1_000_000_000
 # The mean of the expected changes, for so long; and how many come within one second.
@@ -94,14 +100,16 @@
     found = latencies(taken)
     end = due[-1] + PATIENCE_S
     values = {
-        "p50_s": min(found.p50, end), "p99_s": min(found.p99, end), "worst_s": min(found.worst, end),
+        "p50_s": min(found.p50, end),
+        "p99_s": min(found.p99, end),
+        "worst_s": min(found.worst, end),
         "unfinished": float(found.unfinished),
         "keeper_core_percent": 100 * max(one.cpu_s / one.wall_s for one in reports[: control.KEEPERS]),
         "node_core_percent": 100 * _of_each(reports, size - gone, lambda one: one.cpu_s / one.wall_s),
         "node_bytes_a_second": _of_each(
             reports, size - gone, lambda one: control.wire_bytes(one) / one.wall_s
         ),
-    }  # fmt: skip
+    }
     return Figures(values, control.spent_of(reports), {"changes": float(len(due)), "silent": float(gone)})
 
 
--- a/benchmarks/flood.py
+++ b/benchmarks/flood.py
@@ -68,7 +68,9 @@
 
 def main() -> None:
     """Print the table."""
-    print(f"{'':>10} {'asked':>6} {'served':>7} {'in time':>8} {'p50 ms':>7} {'p99 ms':>7} {'flood 200':>9} "
-          f"{'429':>6} {'503':>6} {'CPU %':>6}")  # fmt: skip
+    print(
+        f"{'':>10} {'asked':>6} {'served':>7} {'in time':>8} {'p50 ms':>7} {'p99 ms':>7} {'flood 200':>9} "
+        f"{'429':>6} {'503':>6} {'CPU %':>6}"
+    )
     for name, text in (("no limits", ""), ("limits", LIMITS)):
         print(f"{name:>10} {uvloop.run(play(text))}", flush=True)
--- a/benchmarks/matcher.py
+++ b/benchmarks/matcher.py
@@ -13,7 +13,7 @@
 
 MS = 1_000_000
 SETTINGS = api.Settings(
-    (api.RequestClass("view-schedule", api.Effect.SAFE, 3.0, 200 * MS, 500 * MS),), copies_allowed=True
+    (api.RequestClass("view-schedule", api.Effect.SAFE, 3.0, 200 * MS, 500 * MS),), hedging_allowed=True
 )
 COUNTS = (10, 1_000, 10_000)
 LOOKUPS, ROUNDS = 20_000, 9
--- a/benchmarks/route_changes.py
+++ b/benchmarks/route_changes.py
@@ -31,7 +31,7 @@
 
 MS = 1_000_000
 SETTINGS = api.Settings(
-    (api.RequestClass("view-schedule", api.Effect.SAFE, 3.0, 200 * MS, 500 * MS),), copies_allowed=True
+    (api.RequestClass("view-schedule", api.Effect.SAFE, 3.0, 200 * MS, 500 * MS),), hedging_allowed=True
 )
 SIZES = ((1_000, 0), (10_000, 0), (110_000, 0), (0, 300_000), (110_000, 300_000))
 CHANGES = 200
--- a/hollybay/admin/administrative_drains.py
+++ b/hollybay/admin/administrative_drains.py
@@ -11,7 +11,7 @@
 from dataclasses import replace
 from hashlib import blake2b
 
-from hollybay.balancing.interface import ListKind, Server, ServerId, ServerList, State
+from hollybay.balancing.interface import ListKind, Server, ServerId, ServerList, ServerState
 
 __all__ = ["Bans", "BansError", "pack", "unpack"]
 
@@ -40,7 +40,7 @@
         if servers.kind != ListKind.CHANGES:
             self.lines.clear()
         for line in servers.servers:
-            if line.state == State.GONE:
+            if line.state == ServerState.GONE:
                 self.lines.pop(line.id, None)
             else:
                 self.lines[line.id] = line
@@ -49,8 +49,8 @@
         return replace(servers, servers=tuple(self._overlaid(line) for line in servers.servers))
 
     def _overlaid(self, line: Server) -> Server:
-        if line.id in self.out and line.state == State.READY:
-            return replace(line, state=State.DRAINING)
+        if line.id in self.out and line.state == ServerState.READY:
+            return replace(line, state=ServerState.DRAINING)
         return line
 
     def known(self, server: ServerId) -> bool:
@@ -73,7 +73,7 @@
             line = self.lines.get(server)
             if line is None:
                 continue
-            if server in back and line.state == State.READY:
+            if server in back and line.state == ServerState.READY:
                 line = replace(line, up_since=max(line.up_since, now))
             lines.append(self._overlaid(line))
         return tuple(lines)
@@ -83,7 +83,7 @@
         return sum(
             1
             for line in self.lines.values()
-            if line.id in self.out or (line.state == State.READY and avoids(line.id))
+            if line.id in self.out or (line.state == ServerState.READY and avoids(line.id))
         )
 
 
--- a/hollybay/admin/metrics.py
+++ b/hollybay/admin/metrics.py
@@ -68,7 +68,10 @@
         for name, words, value in (
             ("in_flight", "Requests taken and not yet ended", figures.in_flight),
             ("servers_known", "Servers on the list", figures.servers_known),
-            ("servers_excluded", "Servers on the list that are not used, by hand or by choice",
-             figures.servers_excluded),
-        ):  # fmt: skip
+            (
+                "servers_excluded",
+                "Servers on the list that are not used, by hand or by choice",
+                figures.servers_excluded,
+            ),
+        ):
             yield GaugeMetricFamily(PREFIX + name, f"{words}.", value=value)
--- a/hollybay/balancing/balancer.py
+++ b/hollybay/balancing/balancer.py
@@ -15,10 +15,29 @@
 from .load_shedding import SHED_FROM, Admission
 from .server_selection import Choice
 from .cross_zone import Crossing
-from .interface import (  # fmt: skip
-    Action, Cancel, Effect, Elsewhere, Event, Fail, Gone, ListKind, Outcome, Refuse, Request, Send, ServerId,
-    ServerList, SetTimer, Settings, Started, State, Timer, Watch, Whole,
-)  # fmt: skip
+from .interface import (
+    Action,
+    Cancel,
+    Effect,
+    PeerLoad,
+    Event,
+    Fail,
+    ClientDisconnected,
+    ListKind,
+    AttemptFinished,
+    Reject,
+    Request,
+    Send,
+    ServerId,
+    ServerList,
+    SetTimer,
+    Settings,
+    ResponseStarted,
+    ServerState,
+    TimerFired,
+    WatchServers,
+    RequestCompleted,
+)
 from .estimates import REVIEW, Learning
 from .state import MS, Owed, Server, Try
 from .retries import ANYWHERE, Repeats, may_refuse
@@ -45,7 +64,7 @@
         self.requests: dict[int, Owed] = {}
         self.started = False
         turn = place("calls", settings.node, settings.nodes)
-        self.calls = Calls(turn, settings.nodes, settings.must_ask_within)
+        self.calls = Calls(turn, settings.nodes, settings.poll_within)
         self.wakes: list[tuple[int, int, int, int]] = []  # (due, tie-break, what, request id)
         self.ties = 0
         self.armed = 0  # the earliest time a timer is set for, 0: none
@@ -67,21 +86,21 @@
         """Take one event; the actions that answer it."""
         self.now = now
         self.actions = []
-        if type(event) is Outcome:
+        if type(event) is AttemptFinished:
             self._outcome(event)
         elif type(event) is Request:
             self._request(event)
-        elif type(event) is Timer:
+        elif type(event) is TimerFired:
             self._timer()
         elif type(event) is ServerList:
             self._server_list(event)
-        elif type(event) is Gone:
+        elif type(event) is ClientDisconnected:
             self._gone(event)
-        elif type(event) is Started:
+        elif type(event) is ResponseStarted:
             self._started(event)
-        elif type(event) is Whole:
+        elif type(event) is RequestCompleted:
             self._whole(event)
-        elif type(event) is Elsewhere:
+        elif type(event) is PeerLoad:
             self.choice.hear(event)
         if self.wakes and (not self.armed or self.wakes[0][0] < self.armed):
             self.armed = max(self.wakes[0][0], now + 1)
@@ -108,7 +127,7 @@
                 self._wake(self.now + REVIEW, WAKE_REVIEW, 0)
             elif what == WAKE_CALL:
                 self.calls.began(self.now)
-                self.actions.append(Watch(True))
+                self.actions.append(WatchServers(True))
             elif request is None or request.done:
                 continue
             elif what == WAKE_COPY:
@@ -122,7 +141,7 @@
         if not self.started:
             self.started = True
             self._wake(now + REVIEW, WAKE_REVIEW, 0)
-            if self.settings.must_ask and event.kind == ListKind.CACHED:
+            if self.settings.must_poll and event.kind == ListKind.CACHED:
                 self._wake(now + self.calls.first(), WAKE_CALL, 0)
         if event.kind == ListKind.FAILED:
             self._wake(now + self.calls.failed(now, self.random.random()), WAKE_CALL, 0)
@@ -148,10 +167,10 @@
         self.learned.arrived += 1
         self.repeats.arrived()
         request = self.requests[event.id] = Owed(event, self.now)
-        if event.cls >= len(self.settings.classes):
+        if event.class_index >= len(self.settings.classes):
             self._end(request, Fail(event.id))
             return
-        self.learned.count[event.cls] += 1.0
+        self.learned.count[event.class_index] += 1.0
         if self.admission.turns_away(event, self.choice.fastest, self.now):
             self._refuse(request)
             return
@@ -159,7 +178,7 @@
         self.repeats.save(limits)
         s = self.choice.pick(request, self.now)
         # What a cold server is to be given at its age was set apart for it, and keeps nobody waiting.
-        if (s is None or s.warmth >= 1.0) and self.admission.sheds(event.cls, s, self.now):
+        if (s is None or s.warmth >= 1.0) and self.admission.sheds(event.class_index, s, self.now):
             self._refuse(request)
             return
         if s is None:
@@ -167,10 +186,10 @@
             return
         self._send(request, s)
         # A delay alone asks for a copy, too.
-        if limits is not None and (limits.copies if limits.copies >= 0 else limits.copy_delay):
-            cls = self.settings.classes[event.cls]
-            if self.settings.copies_allowed and cls.effect != Effect.UNSAFE:
-                self._wake(self.now + (limits.copy_delay or cls.aim // 2), WAKE_COPY, event.id)
+        if limits is not None and (limits.hedges if limits.hedges >= 0 else limits.hedge_delay):
+            cls = self.settings.classes[event.class_index]
+            if self.settings.hedging_allowed and cls.effect != Effect.UNSAFE:
+                self._wake(self.now + (limits.hedge_delay or cls.latency_objective // 2), WAKE_COPY, event.id)
 
     def _send(self, request: Owed, s: Server) -> None:
         tried, until = Try(s, self.now), self.repeats.until(request)
@@ -198,7 +217,7 @@
 
     def _again(self, request: Owed) -> None:
         """A request with nothing out: another attempt where the guard allows it, else the final answer."""
-        scope = self.repeats.scope(request, self.now, self.settings.copies_allowed)
+        scope = self.repeats.scope(request, self.now, self.settings.hedging_allowed)
         if scope is None or request.deadline - self.now <= 2 * self.settings.tick:
             self._give_up(request)
             return
@@ -251,7 +270,7 @@
         self._send(request, s)
 
     def _refuse(self, request: Owed) -> None:
-        self._end(request, Refuse(request.id, self.admission.retry_after(request)))
+        self._end(request, Reject(request.id, self.admission.retry_after(request)))
 
     def _give_up(self, request: Owed) -> None:
         if not may_refuse(self.settings.classes[request.cls], request.tries):
@@ -259,7 +278,7 @@
         elif self.admission.short:
             self._refuse(request)
         else:
-            self._end(request, Refuse(request.id, 0))
+            self._end(request, Reject(request.id, 0))
 
     def _end(self, request: Owed, action: Action | None) -> None:
         request.done = True
@@ -272,14 +291,14 @@
         if not request.out:
             self.requests.pop(request.id, None)
 
-    def _gone(self, event: Gone) -> None:
+    def _gone(self, event: ClientDisconnected) -> None:
         request = self.requests.get(event.id)
         if request is not None and not request.done:
             self._end(request, None)
 
     # Attempts
 
-    def _started(self, event: Started) -> None:
+    def _started(self, event: ResponseStarted) -> None:
         """A long answer has begun: its server has done the work, the rest comes at its client's pace."""
         request = self.requests.get(event.id)
         if request is None or event.attempt >= len(request.tries):
@@ -289,7 +308,7 @@
         self._uncount(tried)
         self.choice.rest(tried.server)
 
-    def _whole(self, event: Whole) -> None:
+    def _whole(self, event: RequestCompleted) -> None:
         """A long body has come to its end, and its server begins."""
         request = self.requests.get(event.id)
         if request is None or not request.sending:
@@ -311,7 +330,7 @@
             self.admission.pressure.end(self.now)
             tried.server.held = max(0, tried.server.held - 1)
 
-    def _outcome(self, event: Outcome) -> None:
+    def _outcome(self, event: AttemptFinished) -> None:
         request = self.requests.get(event.id)
         if request is None or event.attempt >= len(request.tries):
             return
@@ -325,7 +344,7 @@
             self._uncount(tried)
             if self.learned.learn(s, request, event, self.now, self.roster.stale):
                 self.choice.leave_out(s)
-            if s.state == State.GONE and not s.held:
+            if s.state == ServerState.GONE and not s.held:
                 del self.servers[s.id]
             else:
                 self.choice.rest(s)
--- a/hollybay/balancing/bench_adapter.py
+++ b/hollybay/balancing/bench_adapter.py
@@ -23,7 +23,7 @@
     499: api.Result.CANCELLED,
     410: api.Result.NOT_SENT,
 }
-STATES = {0: api.State.GONE, 1: api.State.READY, 2: api.State.DRAINING}
+STATES = {0: api.ServerState.GONE, 1: api.ServerState.READY, 2: api.ServerState.DRAINING}
 LIST_KINDS = {0: api.ListKind.CHANGES, 1: api.ListKind.FULL, 2: api.ListKind.CACHED, 3: api.ListKind.FAILED}
 
 
@@ -76,7 +76,9 @@
             return (
                 code,
                 i,
-                api.Outcome(rid, attempt, server, RESULTS[verdict], rtt, final != 0, tuple(values[:n])),
+                api.AttemptFinished(
+                    rid, attempt, server, RESULTS[verdict], rtt, final != 0, tuple(values[:n])
+                ),
             )
         if code == w.ORDER:
             i, rid, cls, tenant, key, left, cost, options = w.E_ORDER.unpack_from(data, at)
@@ -87,7 +89,7 @@
             )
         if code == w.FIRED:
             i, token = w.E_FIRED.unpack_from(data, at)
-            return code, i, api.Timer(token)
+            return code, i, api.TimerFired(token)
         if code == w.HEALTH:
             i, server, verdict, rtt, n, *values = w.E_HEALTH.unpack_from(data, at)
             return code, i, api.ProbeResult(server, RESULTS[verdict], rtt, tuple(values[:n]))
@@ -105,10 +107,10 @@
             return code, 0, None
         if code == w.CANCELLED_BY_CLIENT:
             i, rid = w.E_CANCELLED.unpack_from(data, at)
-            return code, i, api.Gone(rid)
+            return code, i, api.ClientDisconnected(rid)
         if code == w.ACK_FIRST:
             i, rid, attempt, server, rtt = w.E_ACK_FIRST.unpack_from(data, at)
-            return code, i, api.Started(rid, attempt, server, rtt)
+            return code, i, api.ResponseStarted(rid, attempt, server, rtt)
         if code == w.WHISPER:
             i, sender, offset, length = w.E_WHISPER.unpack_from(data, at)
             return code, i, api.PeerMessage(sender, w.tail_bytes(batch.tail, offset, length))
@@ -127,7 +129,7 @@
             return w.A_WAKE_AT.pack(w.WAKE_AT, i, a.delay, a.token)
         if isinstance(a, api.Cancel):
             return w.A_RETRACT.pack(w.RETRACT, i, a.id, a.attempt)
-        if isinstance(a, api.Refuse):
+        if isinstance(a, api.Reject):
             return w.A_TURN_AWAY.pack(w.TURN_AWAY, i, a.id, a.retry_after)
         if isinstance(a, api.Fail):
             return w.A_DROP_REQUEST.pack(w.DROP_REQUEST, i, a.id)
@@ -135,9 +137,9 @@
             return w.A_PROBE.pack(w.PROBE, i, a.server)
         if isinstance(a, api.CloseIdle):
             return w.A_CLOSE.pack(w.CLOSE, i, a.server)
-        if isinstance(a, api.Watch):
+        if isinstance(a, api.WatchServers):
             return w.A_KEEP_INFORMED.pack(w.KEEP_INFORMED, i, a.active)
-        if isinstance(a, api.FetchList):
+        if isinstance(a, api.FetchServers):
             return w.A_GET_LIST.pack(w.GET_LIST, i)
         if isinstance(a, api.Log):
             return _text(w.JOURNAL_LINE, i, a.text, tail)
--- a/hollybay/balancing/bench_settings.py
+++ b/hollybay/balancing/bench_settings.py
@@ -5,13 +5,27 @@
 import math
 from typing import TypeVar
 
-from .interface import Effect, Group, Prices, ReportMode, RequestClass, Settings, Tenant, Weights
+from .interface import (
+    DeduplicationScope,
+    Effect,
+    Prices,
+    ReportMode,
+    RequestClass,
+    Settings,
+    Tenant,
+    WeightMode,
+)
 
 T = TypeVar("T")
 
 EFFECTS = {"retryable": Effect.SAFE, "dedup": Effect.KEYED, "fragile": Effect.UNSAFE}
-GROUPS = {"all": Group.ALL, "zone": Group.ZONE, "cell": Group.CELL}
-WEIGHTS = {"silent": Weights.NONE, "nominal": Weights.NOMINAL, "rough": Weights.ROUGH, "live": Weights.LIVE}
+GROUPS = {"all": DeduplicationScope.ALL, "zone": DeduplicationScope.ZONE, "cell": DeduplicationScope.CELL}
+WEIGHTS = {
+    "silent": WeightMode.NONE,
+    "nominal": WeightMode.NOMINAL,
+    "rough": WeightMode.ROUGH,
+    "live": WeightMode.LIVE,
+}
 MODES = {"silent": ReportMode.NONE, "piggyback": ReportMode.ANSWERS, "pull": ReportMode.PROBES}
 FIELDS = {
     "rif": "held",
@@ -84,12 +98,12 @@
             RequestClass(
                 name=r.text(at + "name", f"class-{n}"),
                 effect=effect,
-                worth=r.number(at + "worth", 1.0),
-                aim=r.whole(at + "slo", least=1),
+                priority_weight=r.number(at + "worth", 1.0),
+                latency_objective=r.whole(at + "slo", least=1),
                 deadline=r.whole(at + "give-up", least=1),
-                late_worth=r.number(at + "late-worth", 0.0),
-                group=r.choice(at + "group", GROUPS, "all" if effect != Effect.KEYED else None),
-                window=r.whole(at + "window", 0 if effect != Effect.KEYED else None),
+                late_weight=r.number(at + "late-worth", 0.0),
+                deduplication_scope=r.choice(at + "group", GROUPS, "all" if effect != Effect.KEYED else None),
+                deduplication_window=r.whole(at + "window", 0 if effect != Effect.KEYED else None),
                 streamed=r.flag(at + "streamed", False),
             )
         )
@@ -116,16 +130,16 @@
         node=r.whole("me", 0),
         nodes=r.whole("balancers", least=1),
         tick=r.whole("quantum", 1_000_000, least=1),
-        weights=r.choice("weights", WEIGHTS, "silent"),
+        weight_mode=r.choice("weights", WEIGHTS, "silent"),
         report_mode=r.choice("report.via", MODES, "silent"),
         report_fields=tuple(FIELDS.get(name, "unknown") for name in r.names("report.fields")),
-        must_ask=r.choice("membership-mode", {"automatic": False, "subscribe": True}, "automatic"),
+        must_poll=r.choice("membership-mode", {"automatic": False, "subscribe": True}, "automatic"),
         max_attempts=r.whole("caps.most-tries", 3, least=1),
-        copies_allowed=r.flag("caps.may-duplicate", False),
+        hedging_allowed=r.flag("caps.may-duplicate", False),
         cancel_allowed=r.flag("caps.cancel", False),
         probes_allowed=r.flag("caps.probes", False),
-        over_share_worth=r.number("over-share-worth", 1.0),
-        worth_by_work=r.choice("counted-by", {"request": False, "work": True}, "request"),
+        over_share_weight=r.number("over-share-worth", 1.0),
+        weight_by_work=r.choice("counted-by", {"request": False, "work": True}, "request"),
         connect_timeout=r.whole("caps.connect-timeout", 250_000_000, least=1),
         idle_timeout=r.whole("caps.conn-idle", 15_000_000_000, least=1),
         streams=r.whole("caps.max-streams", 1, least=1),
@@ -134,9 +148,9 @@
         drain_grace=r.whole("rules.drain-grace", 0),
         cold_share=r.number("rules.cold-share", 1.0),
         warm_up=r.whole("rules.warm-up", 0),
-        fall_multiple=r.number("rules.fall-multiple", 4.0),
-        fall_span=r.whole("rules.overload-for", 2_000_000_000, least=1),
-        must_ask_within=r.whole("rules.must-ask-in", 0),
+        overload_multiple=r.number("rules.fall-multiple", 4.0),
+        overload_window=r.whole("rules.overload-for", 2_000_000_000, least=1),
+        poll_within=r.whole("rules.must-ask-in", 0),
         prices=Prices(
             crossing=r.number("deductions.cross-zone", 0.0),
             handshake=r.number("deductions.handshake", 0.0),
--- a/hollybay/balancing/cross_zone.py
+++ b/hollybay/balancing/cross_zone.py
@@ -5,7 +5,7 @@
 from math import exp, log
 
 from .estimates import REVIEW, Learning
-from .interface import Result, Settings, Weights
+from .interface import Result, Settings, WeightMode
 from .state import Server, Try
 
 __all__ = ["CLASS_RATIO", "Crossing", "ahead"]
@@ -50,7 +50,7 @@
         learned = self.learned
         price = self.settings.prices.crossing
         error = 0.0
-        if self.settings.weights == Weights.LIVE and not stale:
+        if self.settings.weight_mode == WeightMode.LIVE and not stale:
             error = log((1.0 + self.near_load) / max((1.0 + self.far_load) * CLASS_RATIO, 2.0 + 10.0 * price))
         late = log(max(learned.near_late, 0.01) / max(learned.far_late + SPILL_MARGIN + price, SPILL_FROM))
         # Proportional and integral: the first answers a queue that grows, the second holds what has to
@@ -77,11 +77,11 @@
         if far is None:
             return near
         c = self.settings.classes[cls]
-        saved = c.worth * (1.0 - c.late_worth) * (self._late(cls, near) - self._late(cls, far))
+        saved = c.priority_weight * (1.0 - c.late_weight) * (self._late(cls, near) - self._late(cls, far))
         return far if saved > CROSS_PART * self.settings.prices.crossing * self.learned.worth_asked else near
 
     def _late(self, cls: int, s: Server) -> float:
         """How likely one more request there is late, were response times exponential."""
         work = self.learned.work[cls]
         mean = work * (1.0 + ahead(s)) / (s.size * s.warmth)
-        return exp(-self.settings.classes[cls].aim / mean) if mean > 0.0 else 0.0
+        return exp(-self.settings.classes[cls].latency_objective / mean) if mean > 0.0 else 0.0
--- a/hollybay/balancing/endpoints.py
+++ b/hollybay/balancing/endpoints.py
@@ -6,7 +6,7 @@
 
 from .estimates import PAUSE_FIRST
 from .fair_shares import place
-from .interface import ListKind, ServerId, ServerList, Settings, State, Weights
+from .interface import ListKind, ServerId, ServerList, ServerState, Settings, WeightMode
 from .state import SECOND, Server
 
 __all__ = ["Roster"]
@@ -30,11 +30,11 @@
         seen = set()
         self.list_every += 0.2 * (min(now - self.listed, 2 * SECOND) - self.list_every)
         self.listed = now
-        live = settings.weights == Weights.LIVE
+        live = settings.weight_mode == WeightMode.LIVE
         for line in event.servers:
             s = self.servers.get(line.id)
             if s is None:
-                if line.state == State.GONE:
+                if line.state == ServerState.GONE:
                     continue
                 s = self.servers[line.id] = Server(line.id, PAUSE_FIRST)
                 s.lot = place(line.id, settings.node, settings.nodes)
@@ -48,11 +48,11 @@
                     s.cold_at = -1
             s.zone = line.zone
             s.cell = line.cell
-            if s.state == State.DRAINING and line.state == State.READY:
+            if s.state == ServerState.DRAINING and line.state == ServerState.READY:
                 self.back.append(s.id)
             s.kind = line.kind if line.kind < settings.kinds else 0
             s.state = line.state
-            if line.weight > 0.0 and isfinite(line.weight) and settings.weights != Weights.NONE:
+            if line.weight > 0.0 and isfinite(line.weight) and settings.weight_mode != WeightMode.NONE:
                 s.weight = line.weight
                 if live:
                     self.size_of_kind[s.kind] = max(self.size_of_kind[s.kind], line.weight)
@@ -61,8 +61,8 @@
         if event.kind in (ListKind.FULL, ListKind.CACHED):
             for s in self.servers.values():
                 if s.id not in seen:
-                    s.state = State.GONE
-        gone = [s.id for s in self.servers.values() if s.state == State.GONE and not s.held]
+                    s.state = ServerState.GONE
+        gone = [s.id for s in self.servers.values() if s.state == ServerState.GONE and not s.held]
         for sid in gone:
             del self.servers[sid]
 
--- a/hollybay/balancing/estimates.py
+++ b/hollybay/balancing/estimates.py
@@ -4,7 +4,7 @@
 
 from .connection_capacity import Room
 from .fair_shares import heed
-from .interface import Outcome, Result, Settings
+from .interface import AttemptFinished, Result, Settings
 from .outlier_shares import Shares
 from .reported_failures import SPAN, Failures
 from .state import SECOND, Owed, Server
@@ -53,7 +53,7 @@
     def __init__(self, settings: Settings, now: int) -> None:
         classes = len(settings.classes)
         self.settings = settings
-        self.longest_aim = max(c.aim for c in settings.classes)
+        self.longest_aim = max(c.latency_objective for c in settings.classes)
         self.failures = Failures(settings.report_fields)
         self.reach = Reach()
         self.room = Room(settings.nodes)
@@ -138,7 +138,7 @@
             return False
         return share > TURNED_EXCESS * self.turned.median_of_others(tenant)
 
-    def learn(self, s: Server, request: Owed, event: Outcome, now: int, stale: bool) -> bool:
+    def learn(self, s: Server, request: Owed, event: AttemptFinished, now: int, stale: bool) -> bool:
         """Take in how an attempt ended; whether its server is to be left out for a pause."""
         result = event.result
         if result == Result.CANCELLED or result == Result.NOT_SENT:
@@ -174,17 +174,17 @@
                 s.cold_at = -1
             s.refused = 0
 
-    def _learn_load(self, number: int, event: Outcome, near: bool) -> None:
+    def _learn_load(self, number: int, event: AttemptFinished, near: bool) -> None:
         """How much worth is lost to load, and how late answers are, near and far."""
         result = event.result
         cls = self.settings.classes[number]
-        late = event.rtt / cls.aim
+        late = event.rtt / cls.latency_objective
         late = LATE_MOST if result == Result.REJECTED or late > LATE_MOST else late
         # A connection that broke says nothing of load, and shedding would not mend it.
         if result != Result.RESET and result != Result.CONNECT_FAILED:
-            lost = 1.0 if result != Result.OK else 1.0 - cls.late_worth if late > 1.0 else 0.0
-            self.worth_lost += self.heed * (cls.worth * lost - self.worth_lost)
-            self.worth_asked += self.heed * (cls.worth - self.worth_asked)
+            lost = 1.0 if result != Result.OK else 1.0 - cls.late_weight if late > 1.0 else 0.0
+            self.worth_lost += self.heed * (cls.priority_weight * lost - self.worth_lost)
+            self.worth_asked += self.heed * (cls.priority_weight - self.worth_asked)
             self.heard += 1
         self.missing = self.worth_lost / self.worth_asked if self.worth_asked > 0.0 else 0.0
         if near and result != Result.CONNECT_FAILED:  # which says nothing of load
@@ -192,7 +192,7 @@
         elif result != Result.CONNECT_FAILED:
             self.far_late += 2.5 * self.heed * (late - self.far_late)
 
-    def _learn_speed(self, s: Server, request: Owed, event: Outcome, now: int, stale: bool) -> None:
+    def _learn_speed(self, s: Server, request: Owed, event: AttemptFinished, now: int, stale: bool) -> None:
         """From an answer in full: the server is well, and so fast."""
         self.failing *= 0.99
         self.done[request.cls] += 1.0
@@ -220,7 +220,7 @@
             self.slow_of_kind[s.kind] = kind * (1.0 + KIND_WEIGHT * (ratio / self.ratio - 1.0))
             self.ratio += KIND_WEIGHT * (ratio - self.ratio)
 
-    def _learn_failure(self, s: Server, request: Owed, event: Outcome, now: int) -> bool:
+    def _learn_failure(self, s: Server, request: Owed, event: AttemptFinished, now: int) -> bool:
         """From an attempt that failed; whether its server is to be left out for a pause."""
         result = event.result
         if result != Result.TIMEOUT and result != Result.CONNECT_FAILED:
--- a/hollybay/balancing/interface.py
+++ b/hollybay/balancing/interface.py
@@ -26,7 +26,7 @@
     UNSAFE = 2
 
 
-class Group(IntEnum):
+class DeduplicationScope(IntEnum):
     """Which servers drop the repeat of a keyed request: any, those of one zone, those of one cell."""
 
     ALL = 0
@@ -34,7 +34,7 @@
     CELL = 2
 
 
-class Weights(IntEnum):
+class WeightMode(IntEnum):
     """What a weight says: nothing, the size, the size roughly, or size / (1 + requests held per core)."""
 
     NONE = 0
@@ -51,7 +51,7 @@
     PROBES = 2
 
 
-class State(IntEnum):
+class ServerState(IntEnum):
     """State of a server in the list."""
 
     GONE = 0
@@ -91,12 +91,12 @@
 
     name: str
     effect: Effect
-    worth: float
-    aim: int
+    priority_weight: float
+    latency_objective: int
     deadline: int
-    late_worth: float = 0.0
-    group: Group = Group.ALL
-    window: int = 0
+    late_weight: float = 0.0
+    deduplication_scope: DeduplicationScope = DeduplicationScope.ALL
+    deduplication_window: int = 0
     streamed: bool = False
 
 
@@ -133,16 +133,16 @@
     node: int = 0
     nodes: int = 1
     tick: int = 1_000_000
-    weights: Weights = Weights.NONE
+    weight_mode: WeightMode = WeightMode.NONE
     report_mode: ReportMode = ReportMode.NONE
     report_fields: tuple[str, ...] = ()
-    must_ask: bool = False
+    must_poll: bool = False
     max_attempts: int = 3
-    copies_allowed: bool = False
+    hedging_allowed: bool = False
     cancel_allowed: bool = True
     probes_allowed: bool = False
-    over_share_worth: float = 1.0
-    worth_by_work: bool = False
+    over_share_weight: float = 1.0
+    weight_by_work: bool = False
     connect_timeout: int = 250_000_000
     idle_timeout: int = 15_000_000_000
     streams: int = 1
@@ -151,9 +151,9 @@
     drain_grace: int = 0
     cold_share: float = 1.0
     warm_up: int = 0
-    fall_multiple: float = 4.0
-    fall_span: int = 2_000_000_000
-    must_ask_within: int = 0
+    overload_multiple: float = 4.0
+    overload_window: int = 2_000_000_000
+    poll_within: int = 0
     prices: Prices = field(default_factory=Prices)
 
     def __post_init__(self) -> None:
@@ -167,7 +167,7 @@
             "max_attempts",
             "streams",
             "connect_timeout",
-            "fall_span",
+            "overload_window",
         ):
             if getattr(self, name) < 1:
                 raise ValueError(f"{name}: must be at least 1, is {getattr(self, name)}")
@@ -177,12 +177,12 @@
             raise ValueError(f"zone: {self.zone} is not among {self.zones} zones")
         if not 0.0 < self.cold_share <= 1.0:
             raise ValueError(f"cold_share: must be above 0 and at most 1, is {self.cold_share}")
-        if not self.fall_multiple > 0.0:
-            raise ValueError(f"fall_multiple: must be above 0, is {self.fall_multiple}")
+        if not self.overload_multiple > 0.0:
+            raise ValueError(f"overload_multiple: must be above 0, is {self.overload_multiple}")
         for c in self.classes:
-            if c.aim < 1 or c.deadline < 1:
+            if c.latency_objective < 1 or c.deadline < 1:
                 raise ValueError(f"classes.{c.name}: aim and deadline must be at least 1 ns")
-            if not c.worth >= 0.0:
+            if not c.priority_weight >= 0.0:
                 raise ValueError(f"classes.{c.name}: worth must not be negative")
 
 
@@ -194,7 +194,7 @@
     zone: int = 0
     kind: int = 0
     cell: int = 0
-    state: State = State.READY
+    state: ServerState = ServerState.READY
     weight: float = 1.0
     up_since: int = 0
 
@@ -224,10 +224,10 @@
 
     attempts: int = 0
     attempt_timeout: int = 0
-    copies: int = -1
-    copy_delay: int = 0
-    repeat_window: int = 0
-    repeat_group: Group | None = None
+    hedges: int = -1
+    hedge_delay: int = 0
+    retry_window: int = 0
+    retry_scope: DeduplicationScope | None = None
     retry_share: float = -1.0
     budget: str = ""
     retry_after: tuple[int, int] = (0, 0)
@@ -239,32 +239,32 @@
 
     waited: how long it was here before the node came to read it. It shows that the node itself is late.
     room: the free share, 0 to 1, of the places that the node has for requests that wait for their answer.
-    sending: its body is on its way; a server begins with its last byte, of which Whole tells.
+    sending: its body is on its way; a server begins with its last byte, of which RequestCompleted tells.
     limits: what its route allows; None: what its class and the settings allow.
     """
 
     id: int
-    cls: int
+    class_index: int
     time_left: int
     tenant: int = 0
     key: int = 0
     cost: int = 0
-    repeat: bool = False
-    waited: int = 0
+    is_retry: bool = False
+    queued_time: int = 0
     limits: Limits | None = None
-    room: float = 1.0
-    sending: bool = False
+    free_slot_share: float = 1.0
+    body_pending: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class Whole:
+class RequestCompleted:
     """The last byte of a request has come that was handed over while its body was on its way."""
 
     id: int
 
 
 @dataclass(frozen=True, slots=True)
-class Started:
+class ResponseStarted:
     """A streamed answer has begun on this attempt; its deadline no longer runs."""
 
     id: int
@@ -274,7 +274,7 @@
 
 
 @dataclass(slots=True)
-class Outcome:
+class AttemptFinished:
     """How an attempt ended; final: the request is over and nothing is owed for it."""
 
     id: int
@@ -287,14 +287,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Gone:
+class ClientDisconnected:
     """The client has left: the request is over."""
 
     id: int
 
 
 @dataclass(slots=True)
-class Timer:
+class TimerFired:
     """A timer set earlier is due."""
 
     token: int
@@ -319,18 +319,27 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Elsewhere:
+class PeerLoad:
     """What all other nodes have at servers, where nodes may tell; those not named are as they were.
 
     nodes: how many others are heard now; 0: none, and the module is to go on without.
     """
 
-    held: Mapping[ServerId, int]
+    in_flight: Mapping[ServerId, int]
     nodes: int
 
 
 Event = (
-    ServerList | Request | Whole | Started | Outcome | Gone | Timer | ProbeResult | PeerMessage | Elsewhere
+    ServerList
+    | Request
+    | RequestCompleted
+    | ResponseStarted
+    | AttemptFinished
+    | ClientDisconnected
+    | TimerFired
+    | ProbeResult
+    | PeerMessage
+    | PeerLoad
 )
 
 
@@ -352,7 +361,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Refuse:
+class Reject:
     """Final answer: not done, trying again is harmless."""
 
     id: int
@@ -390,21 +399,21 @@
 
 @dataclass(slots=True)
 class SetTimer:
-    """Ask for a Timer event after a delay."""
+    """Ask for a TimerFired event after a delay."""
 
     delay: int
     token: int
 
 
 @dataclass(frozen=True, slots=True)
-class Watch:
+class WatchServers:
     """Subscribe to changes of the server list, or no longer."""
 
     active: bool = True
 
 
 @dataclass(frozen=True, slots=True)
-class FetchList:
+class FetchServers:
     """Ask for the whole server list once."""
 
 
@@ -415,4 +424,4 @@
     text: str
 
 
-Action = Send | Refuse | Fail | Cancel | Probe | CloseIdle | SetTimer | Watch | FetchList | Log
+Action = Send | Reject | Fail | Cancel | Probe | CloseIdle | SetTimer | WatchServers | FetchServers | Log
--- a/hollybay/balancing/load_shedding.py
+++ b/hollybay/balancing/load_shedding.py
@@ -59,8 +59,8 @@
         self.random = random
         self.pressure = Pressure(now)
         classes = settings.classes
-        self.shortest_aim = min(c.aim for c in classes)
-        self.worths = [c.worth for c in classes]
+        self.shortest_aim = min(c.latency_objective for c in classes)
+        self.worths = [c.priority_weight for c in classes]
         self.shed = 0.0  # share of the work that is refused
         self.shed_class = [0.0] * len(classes)
         self.crowd = [inf] * len(classes)  # how much (ns) may wait ahead of each class
@@ -71,7 +71,8 @@
         self.lag_sum = self.lag_count = 0
         # The free share of places under which a class is refused.
         self.room_class = [
-            ROOM_FROM * (1.0 - sum(o.worth < c.worth for o in classes) / len(classes)) for c in classes
+            ROOM_FROM * (1.0 - sum(o.priority_weight < c.priority_weight for o in classes) / len(classes))
+            for c in classes
         ]
 
     @property
@@ -107,7 +108,7 @@
             return
         least_first = by_worth(self.worths, self.learned.work)
         for n, c in enumerate(least_first[:-1]):
-            aim = min(classes[better].aim for better in least_first[n + 1 :])
+            aim = min(classes[better].latency_objective for better in least_first[n + 1 :])
             self.crowd[c] = CROWD_PART * CROWD_STEP**n * aim
 
     def _note_lag(self, waited: int, now: int) -> None:
@@ -135,15 +136,15 @@
 
         fastest: size of the largest server.
         """
-        self._note_lag(event.waited, now)
-        late = self.lag_class[event.cls]
+        self._note_lag(event.queued_time, now)
+        late = self.lag_class[event.class_index]
         if late > 0.0 and self.random.random() < late:
             return True
-        if event.waited:  # read late: there may be too little time left for any server to answer it
-            takes = self.learned.base[event.cls] * (event.cost or 1) / fastest
+        if event.queued_time:  # read late: there may be too little time left for any server to answer it
+            takes = self.learned.base[event.class_index] * (event.cost or 1) / fastest
             if event.time_left < HOPELESS_PART * takes:
                 return True
-        return event.room < self.room_class[event.cls]
+        return event.free_slot_share < self.room_class[event.class_index]
 
     def sheds(self, cls: int, s: Server | None, now: int) -> bool:
         """Whether a request is refused for the load: by its class's share, or by what waits already."""
--- a/hollybay/balancing/retries.py
+++ b/hollybay/balancing/retries.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from .interface import NEVER_RAN, Effect, Group, Limits, RequestClass, Settings
+from .interface import NEVER_RAN, DeduplicationScope, Effect, Limits, RequestClass, Settings
 from .retry_budgets import Budgets
 from .state import Owed, Server, Try
 
@@ -32,18 +32,18 @@
 
 def closes(first: Try, cls: RequestClass, own: int, slack: int) -> int:
     """When the window of a keyed class is over; own: its route's (ns), 0 for none."""
-    return first.sent + (min(own, cls.window) if own else cls.window) - slack
+    return first.sent + (min(own, cls.deduplication_window) if own else cls.deduplication_window) - slack
 
 
 def resend_scope(
-    cls: RequestClass, tries: list[Try], now: int, copies_allowed: bool, most: int, slack: int = 0
+    cls: RequestClass, tries: list[Try], now: int, hedging_allowed: bool, most: int, slack: int = 0
 ) -> Scope | None:
     """The guard of every further attempt: where it may go, or None. Against effects that happen twice."""
     if len(tries) >= most:
         return None
     first: Try | None = None
     for t in tries:
-        if t.result is None and not copies_allowed:
+        if t.result is None and not hedging_allowed:
             return None
         if first is None and t.result not in NEVER_RAN:
             first = t
@@ -51,9 +51,9 @@
         return ANYWHERE
     if cls.effect == Effect.UNSAFE or now >= closes(first, cls, 0, slack):
         return None
-    if cls.group == Group.CELL:
+    if cls.deduplication_scope == DeduplicationScope.CELL:
         return Scope(cell=first.cell)
-    if cls.group == Group.ZONE:
+    if cls.deduplication_scope == DeduplicationScope.ZONE:
         return Scope(zone=first.zone)
     return ANYWHERE
 
@@ -67,11 +67,11 @@
     first = next((t for t in tries if t.result not in NEVER_RAN), None)
     if first is None or cls.effect != Effect.KEYED:
         return scope
-    if now >= closes(first, cls, limits.repeat_window, slack):
+    if now >= closes(first, cls, limits.retry_window, slack):
         return None
-    if limits.repeat_group == Group.CELL:
+    if limits.retry_scope == DeduplicationScope.CELL:
         return Scope(scope.zone, first.cell)
-    if limits.repeat_group == Group.ZONE and scope.cell < 0:
+    if limits.retry_scope == DeduplicationScope.ZONE and scope.cell < 0:
         return Scope(zone=first.zone)
     return scope
 
@@ -80,7 +80,7 @@
     """The guard of every refusal, which tells the client that trying again is harmless."""
     if cls.effect == Effect.SAFE:
         return True
-    if cls.effect == Effect.KEYED and cls.group == Group.ALL:
+    if cls.effect == Effect.KEYED and cls.deduplication_scope == DeduplicationScope.ALL:
         return True
     return all(t.result in NEVER_RAN for t in tries)
 
@@ -99,11 +99,11 @@
         self.copies = min(self.copies + COPY_BUDGET, COPY_SAVED)
         self.resends = min(self.resends + RESEND_BUDGET, RESEND_SAVED)
 
-    def scope(self, request: Owed, now: int, copies_allowed: bool) -> Scope | None:
+    def scope(self, request: Owed, now: int, hedging_allowed: bool) -> Scope | None:
         """Where a further attempt of a request may go by its class, the settings and its route."""
         settings = self.settings
         cls, tries, slack = settings.classes[request.cls], request.tries, settings.tick
-        scope = resend_scope(cls, tries, now, copies_allowed, settings.max_attempts, slack)
+        scope = resend_scope(cls, tries, now, hedging_allowed, settings.max_attempts, slack)
         if request.limits is not None:
             scope = limited_scope(cls, tries, now, scope, request.limits, slack)
         return scope
@@ -115,7 +115,7 @@
         first = next(ran, None) if cls.effect == Effect.KEYED else None
         if first is None:
             return 0
-        return closes(first, cls, limits.repeat_window if limits is not None else 0, self.settings.tick)
+        return closes(first, cls, limits.retry_window if limits is not None else 0, self.settings.tick)
 
     def save(self, limits: Limits | None) -> None:
         """A request adds to its route's retry budget, where there is one."""
--- a/hollybay/balancing/server_selection.py
+++ b/hollybay/balancing/server_selection.py
@@ -15,7 +15,7 @@
 from .endpoints import Roster
 from .estimates import Learning
 from .fair_shares import cold_gap
-from .interface import IDLE_PART, Effect, Elsewhere, Settings, State, Weights
+from .interface import IDLE_PART, Effect, PeerLoad, ServerState, Settings, WeightMode
 from .load_shedding import Admission
 from .reported_failures import BAD, FADE, FAILING
 from .retries import ANYWHERE, Scope
@@ -64,14 +64,14 @@
         """Renew capacities, offers, classes and draw tables. Once per review or list."""
         roster, learned, crossing = self.roster, self.learned, self.crossing
         fresh = roster.freshness(now)
-        here, live = self.settings.zone, self.settings.weights == Weights.LIVE
+        here, live = self.settings.zone, self.settings.weight_mode == WeightMode.LIVE
         ready: list[Server] = []
         total = paused = 0.0
         held = {True: 0.0, False: 0.0}
         for s in roster.servers.values():
             s.pos = -1
             s.group = None
-            if s.state != State.READY:
+            if s.state != ServerState.READY:
                 continue
             if live:
                 s.nominal = roster.size_of_kind[s.kind] or 1.0
@@ -109,7 +109,7 @@
         size = sum(s.size for s in servers)
         load = sum(s.load * s.size for s in servers) / size
         slow = sum(s.slow * s.size for s in servers) / size
-        by_speed = roster.stale or settings.weights != Weights.LIVE
+        by_speed = roster.stale or settings.weight_mode != WeightMode.LIVE
         # Requests that a server takes while a list is on its way, were all nodes like this one.
         each = self.learned.nodes * self.learned.rate / len(roster.servers)
         turn = max(1.0, each * (SECOND + roster.list_every) / SECOND)
@@ -144,7 +144,7 @@
             s.listed = s.trial or (s.told < BAD and (s.lot < listed or s.warmth < 1.0))
             if s.warmth < 1.0:
                 # This node's part of what a starting server stands, whatever the traffic.
-                s.cold_gap = cold_gap(mean, s.size, s.warmth, settings.fall_multiple, dealt)
+                s.cold_gap = cold_gap(mean, s.size, s.warmth, settings.overload_multiple, dealt)
                 if s.cold_at < 0 or s.cold_at > now + s.cold_gap:
                     # New, or the gap has shrunk since: what a request adds is known better by now.
                     s.cold_at = now + int(self.random.random() * s.cold_gap)
@@ -182,11 +182,11 @@
             self.ties += 1
             heappush(s.group.waking, (s.free_at, self.ties, s))
 
-    def hear(self, event: Elsewhere) -> None:
+    def hear(self, event: PeerLoad) -> None:
         """Others tell what they have at servers: then each knows which are idle, and needs no lot for it."""
         self.heard = event.nodes
-        for s in filter(None, map(self.roster.servers.get, event.held)):
-            s.held, s.others = max(0, s.held - s.others + event.held[s.id]), event.held[s.id]
+        for s in filter(None, map(self.roster.servers.get, event.in_flight)):
+            s.held, s.others = max(0, s.held - s.others + event.in_flight[s.id]), event.in_flight[s.id]
             self.unidle(s) if s.held else self.rest(s)
 
     def leave_out(self, s: Server) -> None:
@@ -242,7 +242,7 @@
         back = self.roster.back
         while back:
             s = self.roster.servers.get(back[-1])
-            if s is None or s.state != State.READY:
+            if s is None or s.state != ServerState.READY:
                 back.pop()
                 continue
             if s.group is None or s.held or max(s.free_at, s.cold_at) > now or self._denies(s, request, now):
--- a/hollybay/balancing/state.py
+++ b/hollybay/balancing/state.py
@@ -5,7 +5,7 @@
 
 from __future__ import annotations
 
-from .interface import Limits, Request, Result, ServerId, State
+from .interface import Limits, Request, Result, ServerId, ServerState
 
 __all__ = ["MS", "SECOND", "Owed", "Server", "SpeedClass", "Try"]
 
@@ -17,15 +17,44 @@
     """What this node knows of a server."""
 
     __slots__ = (
-        "answered", "cap", "cell", "cold_at", "cold_gap", "denied", "fails", "free_at", "group", "held", "id",
-        "kind", "listed", "load", "lot", "nominal", "others", "pause", "paused_until", "pos", "refused",
-        "silent", "since", "size", "slow", "state", "told", "told_until", "trial", "warmth", "weight", "zone",
-    )  # fmt: skip
+        "answered",
+        "cap",
+        "cell",
+        "cold_at",
+        "cold_gap",
+        "denied",
+        "fails",
+        "free_at",
+        "group",
+        "held",
+        "id",
+        "kind",
+        "listed",
+        "load",
+        "lot",
+        "nominal",
+        "others",
+        "pause",
+        "paused_until",
+        "pos",
+        "refused",
+        "silent",
+        "since",
+        "size",
+        "slow",
+        "state",
+        "told",
+        "told_until",
+        "trial",
+        "warmth",
+        "weight",
+        "zone",
+    )
 
     def __init__(self, sid: ServerId, pause: int) -> None:
         self.id = sid
         self.zone = self.kind = self.cell = 0
-        self.state = State.READY
+        self.state = ServerState.READY
         self.weight = 1.0
         self.since = 0  # start of its process, 0: long ago
         self.nominal = 1.0  # size as the list has it
@@ -69,17 +98,27 @@
     """A request this node owes an answer, or whose attempts are still out."""
 
     __slots__ = (
-        "cls", "cost", "deadline", "done", "id", "limits", "out", "sending", "streaming", "tenant", "tries",
+        "cls",
+        "cost",
+        "deadline",
+        "done",
+        "id",
+        "limits",
+        "out",
+        "sending",
+        "streaming",
+        "tenant",
+        "tries",
         "waiting",
-    )  # fmt: skip
+    )
 
     def __init__(self, event: Request, now: int) -> None:
         self.id = event.id
-        self.cls = event.cls
+        self.cls = event.class_index
         self.tenant = event.tenant
         self.cost = event.cost
         self.limits: Limits | None = event.limits
-        self.sending = event.sending
+        self.sending = event.body_pending
         self.deadline = now + event.time_left
         self.tries: list[Try] = []
         self.out = 0
--- a/hollybay/cli/demo.py
+++ b/hollybay/cli/demo.py
@@ -104,9 +104,9 @@
         mine = [entry for entry in ledger.requests.values() if entry.cls == number]
         ends = Counter(entry.final for entry in mine)
         took = [(entry.ended - entry.at) / MS for entry in mine if entry.final is Final.SERVED]
-        in_time = sum(ms * MS <= cls.aim for ms in took)
-        earned += cls.worth * in_time
-        asked_worth += cls.worth * len(mine)
+        in_time = sum(ms * MS <= cls.latency_objective for ms in took)
+        earned += cls.priority_weight * in_time
+        asked_worth += cls.priority_weight * len(mine)
         rows.append(
             ClassRow(
                 cls.name,
--- a/hollybay/cli/policy.py
+++ b/hollybay/cli/policy.py
@@ -280,9 +280,13 @@
     for name, one in sorted(members.items()):
         twice = " (twice)" if one["twice"] else ""
         table.add_row(
-            name + twice, str(one["epoch"]), f"{one['left_s']:.1f}", f"{one['heard_s']:.1f}",
-            "yes" if one["able"] else "no", "yes" if one["door"] in latest["board"] else "",
-        )  # fmt: skip
+            name + twice,
+            str(one["epoch"]),
+            f"{one['left_s']:.1f}",
+            f"{one['heard_s']:.1f}",
+            "yes" if one["able"] else "no",
+            "yes" if one["door"] in latest["board"] else "",
+        )
     Console().print(table)
     for door in latest["board"]:
         if door not in known.keepers:
@@ -314,9 +318,13 @@
     table = Table("epoch", "stage", "policy", "new", "reason", "author")
     for one in entries:
         table.add_row(
-            str(one["epoch"]), one["stage"].lower(), one["policy"], one["new"], one.get("reason", ""),
+            str(one["epoch"]),
+            one["stage"].lower(),
+            one["policy"],
+            one["new"],
+            one.get("reason", ""),
             one.get("author", ""),
-        )  # fmt: skip
+        )
     Console().print(table)
 
 
--- a/hollybay/cluster/plan.py
+++ b/hollybay/cluster/plan.py
@@ -284,9 +284,17 @@
     if problems:
         raise OperatorError(file, problems)
     return Plan(
-        Path(file).stem, seed, run, tables.rig, names["nodes"], names["servers"], tuple(faults), tables.most,
-        tuple(tables.changes), tuple(tables.deaths),
-    )  # fmt: skip
+        Path(file).stem,
+        seed,
+        run,
+        tables.rig,
+        names["nodes"],
+        names["servers"],
+        tuple(faults),
+        tables.most,
+        tuple(tables.changes),
+        tuple(tables.deaths),
+    )
 
 
 def _fault(
--- a/hollybay/cluster/records.py
+++ b/hollybay/cluster/records.py
@@ -15,9 +15,24 @@
 import msgspec
 
 __all__ = [
-    "Answered", "Arrived", "Asked", "Beat", "Began", "Called", "Event", "Journal", "Left", "NodeEnded",
-    "Posted", "Said", "ServerDown", "ServerUp", "Told", "Under", "read",
-]  # fmt: skip
+    "Answered",
+    "Arrived",
+    "Asked",
+    "Beat",
+    "Began",
+    "Called",
+    "Event",
+    "Journal",
+    "Left",
+    "NodeEnded",
+    "Posted",
+    "Said",
+    "ServerDown",
+    "ServerUp",
+    "Told",
+    "Under",
+    "read",
+]
 
 _LENGTH = struct.Struct(">I")
 # A longer event is none: the file was torn or is another's.
--- a/hollybay/cluster/report.py
+++ b/hollybay/cluster/report.py
@@ -115,7 +115,7 @@
     rows, lost_worth = _classes(outcome, counted)
     even = evenness(books.visits, books.lives, since, until)
     classes = books.ledger.limits.classes
-    quick = min(range(len(classes)), key=lambda n: classes[n].aim)
+    quick = min(range(len(classes)), key=lambda n: classes[n].latency_objective)
     aimed = {rid for rid, entry in counted.items() if entry.cls == quick}
     beside = {
         name: _model_figures(model(books.arrivals, books.lives, plan.seed), aimed, outcome, since)
@@ -204,9 +204,9 @@
             ends[entry.final] += 1
             if entry.final is Final.SERVED:
                 times.add(entry.ended - entry.at)
-                in_time += entry.ended - entry.at <= cls.aim
-        earned += cls.worth * in_time
-        asked += cls.worth * len(mine)
+                in_time += entry.ended - entry.at <= cls.latency_objective
+        earned += cls.priority_weight * in_time
+        asked += cls.priority_weight * len(mine)
         rows.append(
             ClassFigures(
                 cls.name,
--- a/hollybay/cluster/rig.py
+++ b/hollybay/cluster/rig.py
@@ -351,10 +351,14 @@
                 zone = n % run.zones
                 mine.append(
                     {
-                        "name": name, "kind": words, "zone": zone, "cell": n // 4,
-                        "zone_name": f"z{zone}", "seed": plan.seed,
+                        "name": name,
+                        "kind": words,
+                        "zone": zone,
+                        "cell": n // 4,
+                        "zone_name": f"z{zone}",
+                        "seed": plan.seed,
                     }
-                )  # fmt: skip
+                )
             sides = len(set(plan.sides.values()))
             self.rows |= await self.far(f"servers{number}").call(
                 "open", servers=mine, sides=sides, away=sorted(absent)
--- a/hollybay/consensus/core.py
+++ b/hollybay/consensus/core.py
@@ -38,9 +38,27 @@
 from typing import NamedTuple
 
 __all__ = [
-    "Accept", "Accepted", "Ask", "Ballot", "Boards", "Driver", "Grant", "Keeper", "Know", "Lease", "Node",
-    "Prepare", "Promise", "Stage", "State", "enough", "follows", "highest", "named", "served",
-]  # fmt: skip
+    "Accept",
+    "Accepted",
+    "Ask",
+    "Ballot",
+    "Boards",
+    "Driver",
+    "Grant",
+    "Keeper",
+    "Know",
+    "Lease",
+    "Node",
+    "Prepare",
+    "Promise",
+    "Stage",
+    "State",
+    "enough",
+    "follows",
+    "highest",
+    "named",
+    "served",
+]
 
 Ballot = tuple[int, int]  # a count, and who drives: no two have the same
 Boards = tuple[frozenset[int], ...]  # the keepers of each policy that an epoch names
--- a/hollybay/consensus/messages.py
+++ b/hollybay/consensus/messages.py
@@ -20,12 +20,41 @@
 from .policy import Policy, Refused, parse
 
 __all__ = [
-    "FORM", "MAX_CULPRITS", "MAX_CULPRIT_REASONS", "MOST_CALL", "PIECE_BYTES", "Accepting", "Asking",
-    "BecameOf", "Changed", "Changing", "Drafted", "Drafting", "Dropping", "Entry", "Founding", "Granting",
-    "Knowing", "Outcome", "Piece", "Preparing", "Promising", "Proposing", "Telling", "Uploading", "Voting",
-    "Waiting", "change_from", "change_from_bytes", "change_text", "decode", "encode", "number_of", "packed",
+    "FORM",
+    "MAX_CULPRITS",
+    "MAX_CULPRIT_REASONS",
+    "MOST_CALL",
+    "PIECE_BYTES",
+    "Accepting",
+    "Asking",
+    "BecameOf",
+    "Changed",
+    "Changing",
+    "Drafted",
+    "Drafting",
+    "Dropping",
+    "Entry",
+    "Founding",
+    "Granting",
+    "Knowing",
+    "Outcome",
+    "Piece",
+    "Preparing",
+    "Promising",
+    "Proposing",
+    "Telling",
+    "Uploading",
+    "Voting",
+    "Waiting",
+    "change_from",
+    "change_from_bytes",
+    "change_text",
+    "decode",
+    "encode",
+    "number_of",
+    "packed",
     "unpacked",
-]  # fmt: skip
+]
 
 FORM = 2  # of these words; who speaks another one is told so
 # What is larger than one call (deltas, snapshots, operator files, large changes) goes in pieces of so many
--- a/hollybay/consensus/service.py
+++ b/hollybay/consensus/service.py
@@ -636,9 +636,12 @@
 
     def _entry(self, one: w.Entry) -> dict[str, object]:
         found: dict[str, object] = {
-            "epoch": one.state.epoch, "stage": one.state.stage.name, "policy": one.state.policy,
-            "new": one.state.new, "at": one.at,
-        }  # fmt: skip
+            "epoch": one.state.epoch,
+            "stage": one.state.stage.name,
+            "policy": one.state.policy,
+            "new": one.state.new,
+            "at": one.at,
+        }
         policy = self.log.get(one.state.new or one.state.policy)
         if policy is not None:
             found |= {"reason": policy.reason, "author": policy.author}
--- a/hollybay/hollow/fleet.py
+++ b/hollybay/hollow/fleet.py
@@ -47,9 +47,12 @@
     async def begin(self, command: list[str]) -> None:
         """Start it, and wait until it says where its nodes are called."""
         self._process = await asyncio.create_subprocess_exec(
-            *command, stdin=asyncio.subprocess.PIPE, stdout=asyncio.subprocess.PIPE, cwd=ROOT,
+            *command,
+            stdin=asyncio.subprocess.PIPE,
+            stdout=asyncio.subprocess.PIPE,
+            cwd=ROOT,
             limit=LONGEST_LINE,
-        )  # fmt: skip
+        )
         told: Listening = msgspec.json.decode(await self._line(), type=Listening)
         self.addresses = told.addresses
 
@@ -112,9 +115,22 @@
         first = number * _NODES_OF_A_BLOCK
         host = f"127.{64 + (first >> 16)}.{first >> 8 & 255}.{first & 255 | 1}"
         command = [
-            sys.executable, "-m", "hollybay.hollow", "--nodes", str(nodes), "--name", name, "--host", host,
-            "--folder", str(self.folder), "--lease-ms", str(self.lease_ms), "--seed", str(number),
-        ]  # fmt: skip
+            sys.executable,
+            "-m",
+            "hollybay.hollow",
+            "--nodes",
+            str(nodes),
+            "--name",
+            name,
+            "--host",
+            host,
+            "--folder",
+            str(self.folder),
+            "--lease-ms",
+            str(self.lease_ms),
+            "--seed",
+            str(number),
+        ]
         async with self._starting:
             await member.begin([*command, *(["--compile"] if compiles else [])])
         return member
--- a/hollybay/hollow/process.py
+++ b/hollybay/hollow/process.py
@@ -26,7 +26,7 @@
 MOST_PROBLEMS = 5
 # What a policy is compiled for, where the nodes of the process compile.
 COMPILED_FOR = Settings(
-    (RequestClass("view-schedule", Effect.SAFE, 3.0, 200 * MS, 500 * MS),), copies_allowed=True
+    (RequestClass("view-schedule", Effect.SAFE, 3.0, 200 * MS, 500 * MS),), hedging_allowed=True
 )
 
 
--- a/hollybay/mutation/planted.py
+++ b/hollybay/mutation/planted.py
@@ -56,15 +56,16 @@
     Defect(
         "window-ignored",
         REPEATS,
-        "return first.sent + (min(own, cls.window) if own else cls.window) - slack",
+        "return first.sent + (min(own, cls.deduplication_window) "
+        "if own else cls.deduplication_window) - slack",
         "return first.sent + (1 << 62)",
     ),
     Defect("cell-ignored", REPEATS, "return Scope(cell=first.cell)", "return ANYWHERE"),
     Defect(
         "zone-ignored",
         REPEATS,
-        "    if cls.group == Group.ZONE:\n        return Scope(zone=first.zone)",
-        "    if cls.group == Group.ZONE:\n        return ANYWHERE",
+        "    if cls.deduplication_scope == DeduplicationScope.ZONE:\n        return Scope(zone=first.zone)",
+        "    if cls.deduplication_scope == DeduplicationScope.ZONE:\n        return ANYWHERE",
     ),
     Defect("refuses-what-ran", REPEATS, "return all(t.result in NEVER_RAN for t in tries)", "return True"),
     Defect("one-attempt-more", REPEATS, "if len(tries) >= most:", "if len(tries) > most:"),
@@ -80,13 +81,13 @@
     Defect(
         "draining-used",
         CHOICE,
-        "            if s.state != State.READY:\n                continue",
-        "            if s.state == State.GONE:\n                continue",
+        "            if s.state != ServerState.READY:\n                continue",
+        "            if s.state == ServerState.GONE:\n                continue",
     ),
     Defect(
         "missing-is-not-gone",
         ROSTER,
-        "                if s.id not in seen:\n                    s.state = State.GONE",
+        "                if s.id not in seen:\n                    s.state = ServerState.GONE",
         "                if s.id not in seen:\n                    pass",
     ),
     Defect("loss-never-fades", LEARNING, "SHED_FADE = 8, 0.8", "SHED_FADE = 8, 1.0"),
@@ -121,7 +122,7 @@
         "        if request.done and not request.out:\n            self._stop_timer(request)",
         "        if request.done and request.out:\n            self._stop_timer(request)",
     ),
-    Defect("client-left-not-told", NODE, "        self.feed(api.Gone(rid))", "        pass"),
+    Defect("client-left-not-told", NODE, "        self.feed(api.ClientDisconnected(rid))", "        pass"),
     Defect(
         "broken-stream-seems-whole",
         NODE,
--- a/hollybay/proxy/__main__.py
+++ b/hollybay/proxy/__main__.py
@@ -66,7 +66,7 @@
         config.discovery,
         config.names,
         node,
-        asked=config.settings.must_ask,
+        asked=config.settings.must_poll,
         version=known.servers.version if known is not None else -1,
     )
     node.lists = discovery
@@ -121,7 +121,7 @@
         # The old process serves meanwhile; this one begins once it knows what it would be asked for.
         log.info("%d other processes of this node listen; taking over", beside)
         await fresh(discovery, stop, FRESH_LIMIT)
-    elif not config.settings.must_ask:
+    elif not config.settings.must_poll:
         await fresh(discovery, stop, FIRST_LIST_LIMIT)
     port = await clients.listen(port)
     if place is not None:
--- a/hollybay/proxy/admin_service.py
+++ b/hollybay/proxy/admin_service.py
@@ -17,7 +17,7 @@
 from hollybay.admin.administrative_drains import Bans, BansError, pack, unpack
 from hollybay.admin.metrics import CONTENT_TYPE, Exposition, Figures
 from hollybay.admin.requests import Call, Kind
-from hollybay.balancing.interface import ListKind, ServerId, ServerList, State
+from hollybay.balancing.interface import ListKind, ServerId, ServerList, ServerState
 
 from . import system
 from .admin_server import Door, Reply
@@ -144,7 +144,7 @@
             self.addresses.clear()
         self.addresses.update(listing.addresses)
         for line in listing.servers.servers:
-            if line.state == State.GONE:
+            if line.state == ServerState.GONE:
                 self.addresses.pop(str(line.id), None)
         return Listing(self.bans.told(listing.servers), listing.addresses)
 
--- a/hollybay/proxy/config.py
+++ b/hollybay/proxy/config.py
@@ -9,13 +9,13 @@
 from typing import Any
 
 from hollybay.balancing.bench_settings import parse_settings
-from hollybay.balancing.interface import ListKind, Server, ServerList, Settings, State
+from hollybay.balancing.interface import ListKind, Server, ServerList, ServerState, Settings
 
 from . import system
 
 MS = 1_000_000
 SECOND = 1_000_000_000
-STATES = {"SERVING": State.READY, "DRAINING": State.DRAINING, "DELETED": State.GONE}
+STATES = {"SERVING": ServerState.READY, "DRAINING": ServerState.DRAINING, "DELETED": ServerState.GONE}
 # The words of load reports on sockets, by the words that the settings use.
 REPORT_WORDS = {
     "rif": "inflight",
--- a/hollybay/proxy/exchange.py
+++ b/hollybay/proxy/exchange.py
@@ -47,9 +47,19 @@
     """A request that is owed an answer, or whose attempts are still out."""
 
     __slots__ = (
-        "attempts", "client", "cls", "deadline", "done", "expired", "id", "message", "out", "seen", "stream",
+        "attempts",
+        "client",
+        "cls",
+        "deadline",
+        "done",
+        "expired",
+        "id",
+        "message",
+        "out",
+        "seen",
+        "stream",
         "timer",
-    )  # fmt: skip
+    )
 
     def __init__(self, rid: int, client: Client, message: Message, cls: int) -> None:
         self.id = rid
@@ -174,7 +184,7 @@
             return
         self._stop_timer(request)
         self._expires_in(request, max(1, time_left - ANSWER_EARLY))
-        self.feed(api.Whole(rid))
+        self.feed(api.RequestCompleted(rid))
 
     def gone(self, rid: int) -> None:
         """The client has left."""
@@ -188,7 +198,7 @@
         for attempt in list(request.attempts):
             if attempt is not None and not attempt.written:
                 attempt.cancel()
-        self.feed(api.Gone(rid))
+        self.feed(api.ClientDisconnected(rid))
 
     def wanted(self, attempt: Attempt) -> bool:
         """Whether the client of an attempt is there: nothing is sent on for one that has gone."""
@@ -223,7 +233,7 @@
             self._send(action)
         elif isinstance(action, api.SetTimer):
             self._set_timer(action.delay, action.token)
-        elif isinstance(action, api.Refuse):
+        elif isinstance(action, api.Reject):
             self._answer(action.id, lambda client: client.refuse(action.retry_after), self.tally.refused)
         elif isinstance(action, api.Fail):
             self._answer(action.id, lambda client: client.fail(502), self.tally.failed)
@@ -233,10 +243,10 @@
             self.servers.close_idle(action.server)
         elif isinstance(action, api.Probe):
             self.servers.probe(action.server, self.feed)
-        elif isinstance(action, api.Watch):
+        elif isinstance(action, api.WatchServers):
             if self.lists is not None:
                 self.lists.watch(action.active)
-        elif isinstance(action, api.FetchList):
+        elif isinstance(action, api.FetchServers):
             if self.lists is not None:
                 self.lists.fetch()
         elif isinstance(action, api.Log):
@@ -261,7 +271,9 @@
         ):
             request.attempts.append(None)
             self.feed(
-                api.Outcome(action.id, number, action.server, api.Result.NOT_SENT, 0, final=request.done)
+                api.AttemptFinished(
+                    action.id, number, action.server, api.Result.NOT_SENT, 0, final=request.done
+                )
             )
             return
         cls = self.settings.classes[request.cls]
@@ -303,7 +315,7 @@
         def fire() -> None:
             self.timers.discard(handle)
             # The loop may call a hair early; the module would take a timer that is not yet due for none.
-            self.feed(api.Timer(token), due)
+            self.feed(api.TimerFired(token), due)
 
         handle = self.loop.call_later(max(0, due - system.monotonic_ns()) / 1e9, fire)
         self.timers.add(handle)
@@ -333,7 +345,7 @@
         if request.done:
             return
         self._answer(request.id, lambda client: client.fail(504), self.tally.failed)
-        self.feed(api.Gone(request.id))
+        self.feed(api.ClientDisconnected(request.id))
 
     def _expire(self, request: Open) -> None:
         """The time is up: the attempts end, and what the module answers to that is still in time."""
@@ -376,7 +388,9 @@
         if attempt.timer is not None:
             attempt.timer.cancel()
         self.feed(
-            api.Started(request.id, attempt.number, attempt.server, system.monotonic_ns() - attempt.sent)
+            api.ResponseStarted(
+                request.id, attempt.number, attempt.server, system.monotonic_ns() - attempt.sent
+            )
         )
         # The request is tied to this answer now: what another attempt brings could not be used.
         for other in request.attempts:
@@ -405,7 +419,7 @@
                 self._give(client, lambda: client.answer(answer))
         self._forget(request)
         self.feed(
-            api.Outcome(
+            api.AttemptFinished(
                 request.id,
                 attempt.number,
                 attempt.server,
--- a/hollybay/proxy/load_reports.py
+++ b/hollybay/proxy/load_reports.py
@@ -152,7 +152,7 @@
     def _tell(self, changed: Mapping[api.ServerId, int]) -> None:
         if changed or self.held.heard != self.told:
             self.told = self.held.heard
-            self.node.feed(api.Elsewhere(changed, self.told))
+            self.node.feed(api.PeerLoad(changed, self.told))
 
     def close(self) -> None:
         """Say and hear nothing any more."""
--- a/hollybay/proxy/streaming_body.py
+++ b/hollybay/proxy/streaming_body.py
@@ -49,9 +49,19 @@
     would go, were it whole already."""
 
     __slots__ = (
-        "_at", "_booked", "_kept", "_pieces", "_room", "_source", "_waiting", "length", "sink", "spent",
-        "until", "whole",
-    )  # fmt: skip
+        "_at",
+        "_booked",
+        "_kept",
+        "_pieces",
+        "_room",
+        "_source",
+        "_waiting",
+        "length",
+        "sink",
+        "spent",
+        "until",
+        "whole",
+    )
 
     def __init__(self, length: int | None, source: Source, room: Room) -> None:
         self.length = length
--- a/hollybay/proxy/upstream/pools.py
+++ b/hollybay/proxy/upstream/pools.py
@@ -95,9 +95,26 @@
     """One attempt at a request. Ends exactly once, with a result."""
 
     __slots__ = (
-        "backend", "began", "conn", "connecting", "deadline", "lag", "listener", "message", "number", "owner",
-        "repeatable", "report", "result", "sent", "server", "streamed", "timer", "until", "written",
-    )  # fmt: skip
+        "backend",
+        "began",
+        "conn",
+        "connecting",
+        "deadline",
+        "lag",
+        "listener",
+        "message",
+        "number",
+        "owner",
+        "repeatable",
+        "report",
+        "result",
+        "sent",
+        "server",
+        "streamed",
+        "timer",
+        "until",
+        "written",
+    )
 
     def __init__(
         self,
@@ -594,13 +611,13 @@
             if backend is not None and backend.address != address:
                 self._drain(self.backends.pop(line.id))
                 backend = None
-            if line.state == api.State.GONE:
+            if line.state == api.ServerState.GONE:
                 if backend is not None:
                     self._drain(self.backends.pop(line.id))
                 continue
             if backend is None:
                 backend = self.backends[line.id] = _Backend(line.id, address)
-            if line.state == api.State.DRAINING:
+            if line.state == api.ServerState.DRAINING:
                 self._drain(backend)
             elif backend.draining is not None:
                 backend.draining.cancel()
--- a/hollybay/routing/checks.py
+++ b/hollybay/routing/checks.py
@@ -23,7 +23,7 @@
 # The limits that are durations, in ns.
 DURATIONS = frozenset(("attempt_timeout", "request_timeout", "copy_delay", "repeat_window"))
 # How far a repeat may go: a larger number reaches more servers.
-REACH = {api.Group.CELL: 0, api.Group.ZONE: 1, api.Group.ALL: 2}
+REACH = {api.DeduplicationScope.CELL: 0, api.DeduplicationScope.ZONE: 1, api.DeduplicationScope.ALL: 2}
 
 
 def shown(ns: int) -> str:
@@ -85,19 +85,21 @@
             if getattr(words, key) is not None and _own(pair, key):
                 yield _problem(pair, key, f"class {cls.name!r} is safe to repeat anywhere: nothing to narrow")
         return
-    if words.repeat_window is not None and words.repeat_window > cls.window:
+    if words.repeat_window is not None and words.repeat_window > cls.deduplication_window:
         yield _problem(
             pair,
             "repeat_window",
-            f"repeats of {cls.name!r} past its window of {shown(cls.window)} run a second time (rule 2)",
+            f"repeats of {cls.name!r} past its window of {shown(cls.deduplication_window)} "
+            "run a second time (rule 2)",
         )
-    if words.repeat_group is not None and REACH[GROUPS[words.repeat_group]] > REACH[cls.group]:
+    if words.repeat_group is not None and REACH[GROUPS[words.repeat_group]] > REACH[cls.deduplication_scope]:
         yield _problem(
             pair,
             "repeat_group",
-            f"repeats of {cls.name!r} outside its {cls.group.name.lower()} run a second time (rule 2)",
+            f"repeats of {cls.name!r} outside its {cls.deduplication_scope.name.lower()} "
+            "run a second time (rule 2)",
         )
-    window = min(cls.window, words.repeat_window or cls.window)
+    window = min(cls.deduplication_window, words.repeat_window or cls.deduplication_window)
     if words.attempts is not None and words.attempts > 1 and words.attempt_timeout is not None:
         last = (words.attempts - 1) * words.attempt_timeout
         if last >= window:
@@ -117,11 +119,12 @@
 
 def _rule_one(pair: Checked) -> Iterator[Problem]:
     words, cls = pair.words, pair.cls
-    if words.attempt_timeout is not None and words.attempt_timeout > cls.aim:
+    if words.attempt_timeout is not None and words.attempt_timeout > cls.latency_objective:
         yield _problem(
             pair,
             "attempt_timeout",
-            f"longer than the {shown(cls.aim)} within which an answer of {cls.name!r} is promised (rule 1)",
+            f"longer than the {shown(cls.latency_objective)} within which an answer of {cls.name!r} "
+            "is promised (rule 1)",
         )
     if words.request_timeout is not None and words.request_timeout > cls.deadline:
         yield _problem(
@@ -136,7 +139,7 @@
     words = pair.words
     if words.attempts is not None and words.attempts > settings.max_attempts:
         yield _problem(pair, "attempts", f"the platform allows {settings.max_attempts}")
-    if words.copies and not settings.copies_allowed:
+    if words.copies and not settings.hedging_allowed:
         yield _problem(pair, "copies", "the platform allows no second copies")
     if words.body is not None and words.body > MAX_BODY:
         yield _problem(pair, "body", f"the node takes bodies of {MAX_BODY} bytes at most")
@@ -167,7 +170,7 @@
     if words.copy_delay is not None:
         if words.copies == 0 and _same(words, "copies", "copy_delay"):
             yield _problem(pair, "copy_delay", "there is no copy to delay: copies is 0")
-        if not settings.copies_allowed and _own(pair, "copy_delay"):
+        if not settings.hedging_allowed and _own(pair, "copy_delay"):
             yield _problem(pair, "copy_delay", "there is no copy to delay: the platform allows none")
         if cls.effect == api.Effect.UNSAFE and _own(pair, "copy_delay"):
             yield _problem(pair, "copy_delay", f"there is no copy to delay: {cls.name!r} is unsafe")
--- a/hollybay/routing/limits.py
+++ b/hollybay/routing/limits.py
@@ -11,7 +11,11 @@
 
 __all__ = ["GROUPS", "Effective", "Rate", "Sourced", "effective", "inherit"]
 
-GROUPS = {"all": api.Group.ALL, "zone": api.Group.ZONE, "cell": api.Group.CELL}
+GROUPS = {
+    "all": api.DeduplicationScope.ALL,
+    "zone": api.DeduplicationScope.ZONE,
+    "cell": api.DeduplicationScope.CELL,
+}
 
 
 @dataclass(frozen=True, slots=True)
@@ -106,10 +110,10 @@
     module = api.Limits(
         attempts=words.attempts or 0,
         attempt_timeout=words.attempt_timeout or 0,
-        copies=-1 if words.copies is None else words.copies,
-        copy_delay=words.copy_delay or 0,
-        repeat_window=words.repeat_window or 0,
-        repeat_group=None if words.repeat_group is None else GROUPS[words.repeat_group],
+        hedges=-1 if words.copies is None else words.copies,
+        hedge_delay=words.copy_delay or 0,
+        retry_window=words.repeat_window or 0,
+        retry_scope=None if words.repeat_group is None else GROUPS[words.repeat_group],
         retry_share=-1.0 if words.retry_budget is None else words.retry_budget,
         budget=scope,
         retry_after=words.retry_after or (0, 0),
--- a/hollybay/routing/policy_intersection.py
+++ b/hollybay/routing/policy_intersection.py
@@ -57,13 +57,17 @@
     if cls.effect == api.Effect.KEYED and attempts is not None and attempts > 1 and attempt:
         # The last must begin within the window in which a repeat is dropped; both together may ask for more
         # attempts, in shorter time, than either alone.
-        within = min(cls.window, window or cls.window)
+        within = min(cls.deduplication_window, window or cls.deduplication_window)
         attempts = max(1, min(attempts, 1 + (within - 1) // attempt))
     copies = min(_copies(one), _copies(other))
     delay = _lesser(one.copy_delay, other.copy_delay, max)  # the later, the less
     if copies:
         first = min(attempt or cls.deadline, whole or cls.deadline)
-        within = min(cls.window, window or cls.window) if cls.effect == api.Effect.KEYED else cls.deadline
+        within = (
+            min(cls.deduplication_window, window or cls.deduplication_window)
+            if cls.effect == api.Effect.KEYED
+            else cls.deadline
+        )
         late = delay is not None and (delay >= first or delay >= within)
         if late or share == 0 or (attempts is not None and attempts < 2):
             copies = 0
--- a/hollybay/routing/route_table.py
+++ b/hollybay/routing/route_table.py
@@ -311,12 +311,12 @@
                 1.0,
                 table.promised or deadline,
                 deadline,
-                group=GROUPS[table.group or "cell"],
-                window=table.window or 1,
+                deduplication_scope=GROUPS[table.group or "cell"],
+                deduplication_window=table.window or 1,
             )
         )
     return api.Settings(
-        tuple(classes), max_attempts=3, copies_allowed=True, max_retry_after=86_400 * 1_000_000_000
+        tuple(classes), max_attempts=3, hedging_allowed=True, max_retry_after=86_400 * 1_000_000_000
     )
 
 
@@ -332,10 +332,10 @@
             continue
         facts: list[tuple[str, object, object, str]] = [
             ("effect", table.effect, cls.effect, cls.effect.name.lower()),
-            ("promised", table.promised, cls.aim, shown(cls.aim)),
+            ("promised", table.promised, cls.latency_objective, shown(cls.latency_objective)),
             ("deadline", table.deadline, cls.deadline, shown(cls.deadline)),
-            ("group", table.group, cls.group, cls.group.name.lower()),
-            ("window", table.window, cls.window, shown(cls.window)),
+            ("group", table.group, cls.deduplication_scope, cls.deduplication_scope.name.lower()),
+            ("window", table.window, cls.deduplication_window, shown(cls.deduplication_window)),
         ]
         for key, said, known, words in facts:
             meant = EFFECTS[str(said)] if key == "effect" and said else said
--- a/hollybay/testbed/ledger.py
+++ b/hollybay/testbed/ledger.py
@@ -58,8 +58,8 @@
             settings.drain_grace,
             settings.cold_share,
             settings.warm_up,
-            settings.fall_multiple,
-            settings.fall_span,
+            settings.overload_multiple,
+            settings.overload_window,
             settings.max_attempts,
         )
 
--- a/hollybay/testbed/loopback.py
+++ b/hollybay/testbed/loopback.py
@@ -206,8 +206,12 @@
     return (
         b"%s /%s HTTP/1.1\r\nHost: service.internal\r\n" % (method, cls.encode())
         + b"X-Correlation-Id: %s\r\n" % rid.encode()
-        + key + length + extra + b"\r\n" + body
-    )  # fmt: skip
+        + key
+        + length
+        + extra
+        + b"\r\n"
+        + body
+    )
 
 
 def write_config(path: Path, registry: Registry, **changes: Any) -> None:
--- a/hollybay/testbed/rules.py
+++ b/hollybay/testbed/rules.py
@@ -45,10 +45,10 @@
     if cls.effect == api.Effect.UNSAFE:
         return "an unsafe request ran again"
     first = ran[0]
-    if again.at - first.at >= cls.window + slack:
+    if again.at - first.at >= cls.deduplication_window + slack:
         return "a keyed request ran again past its window"
-    if (cls.group == api.Group.CELL and again.cell != first.cell) or (
-        cls.group == api.Group.ZONE and again.zone != first.zone
+    if (cls.deduplication_scope == api.DeduplicationScope.CELL and again.cell != first.cell) or (
+        cls.deduplication_scope == api.DeduplicationScope.ZONE and again.zone != first.zone
     ):
         return "a keyed request ran again outside its group"
     return None
@@ -58,7 +58,7 @@
     """Why a request must not be refused (a retry said to be harmless), or None; ran: it may have run."""
     if not ran or cls.effect == api.Effect.SAFE:
         return None
-    if cls.effect == api.Effect.KEYED and cls.group == api.Group.ALL:
+    if cls.effect == api.Effect.KEYED and cls.deduplication_scope == api.DeduplicationScope.ALL:
         return None
     return "refused what may have run"
 
--- a/hollybay/testbed/world.py
+++ b/hollybay/testbed/world.py
@@ -14,9 +14,15 @@
 
 SAFE = api.RequestClass("read", api.Effect.SAFE, 3.0, 200 * MS, 500 * MS, 0.25)
 UNSAFE = api.RequestClass("write", api.Effect.UNSAFE, 2.0, 1200 * MS, 5 * SECOND, 0.2)
-CELL = api.RequestClass("book", api.Effect.KEYED, 9.0, 1500 * MS, 6 * SECOND, 0.2, api.Group.CELL, 4 * SECOND)
-ZONE = api.RequestClass("join", api.Effect.KEYED, 4.0, 800 * MS, 3 * SECOND, 0.0, api.Group.ZONE, 2 * SECOND)
-ALL = api.RequestClass("tag", api.Effect.KEYED, 1.0, 800 * MS, 3 * SECOND, 0.0, api.Group.ALL, 2 * SECOND)
+CELL = api.RequestClass(
+    "book", api.Effect.KEYED, 9.0, 1500 * MS, 6 * SECOND, 0.2, api.DeduplicationScope.CELL, 4 * SECOND
+)
+ZONE = api.RequestClass(
+    "join", api.Effect.KEYED, 4.0, 800 * MS, 3 * SECOND, 0.0, api.DeduplicationScope.ZONE, 2 * SECOND
+)
+ALL = api.RequestClass(
+    "tag", api.Effect.KEYED, 1.0, 800 * MS, 3 * SECOND, 0.0, api.DeduplicationScope.ALL, 2 * SECOND
+)
 CLASSES = (SAFE, UNSAFE, CELL, ZONE, ALL)
 NEVER_RAN = (api.Result.REJECTED, api.Result.CONNECT_FAILED, api.Result.NOT_SENT)
 
@@ -28,13 +34,13 @@
         "kinds": 3,
         "nodes": 4,
         "tick": 4 * MS,
-        "copies_allowed": True,
+        "hedging_allowed": True,
         "answer_grace": 16 * MS,
         "drain_grace": SECOND,
         "cold_share": 0.3,
         "warm_up": 8 * SECOND,
-        "fall_multiple": 4.0,
-        "fall_span": 2 * SECOND,
+        "overload_multiple": 4.0,
+        "overload_window": 2 * SECOND,
     }
     values.update(changes)
     return api.Settings(**values)  # type: ignore[arg-type]
@@ -103,11 +109,11 @@
             assert reason is None, reason
             book.attempts.append(Attempt(action.server, self.now))
             self.sent.append((self.now, action.id, action.server))
-        elif isinstance(action, api.Refuse | api.Fail):
+        elif isinstance(action, api.Reject | api.Fail):
             book = self.books[action.id]
             assert not book.over, "two final answers"
             assert self.now <= book.deadline + self.settings.answer_grace, "answered too late"
-            if isinstance(action, api.Refuse):
+            if isinstance(action, api.Reject):
                 self._check_refusal(book)
             book.over = True
             self.finals.append((action.id, type(action).__name__))
@@ -119,7 +125,7 @@
 
     def _check_effect(self, book: Book, server: api.ServerId) -> None:
         cls = self.settings.classes[book.cls]
-        if not self.settings.copies_allowed:
+        if not self.settings.hedging_allowed:
             assert all(a.result is not None for a in book.attempts), "two at once"
         ran = [self._place(a.server, a.sent) for a in book.attempts if a.result not in NEVER_RAN]
         reason = rules.repeat_fault(cls, ran, self._place(server, self.now))
@@ -140,7 +146,7 @@
         named = {s.id for s in servers}
         for s in servers:
             self.lines[s.id] = s
-            if s.state == api.State.READY:
+            if s.state == api.ServerState.READY:
                 self.barred.pop(s.id, None)
             else:
                 self.barred.setdefault(s.id, self.now)
@@ -168,13 +174,13 @@
             book.over = True
             self.finals.append((rid, "Served"))
         return self.give(
-            api.Outcome(rid, attempt, tried.server, result, self.now - tried.sent, book.over, report)
+            api.AttemptFinished(rid, attempt, tried.server, result, self.now - tried.sent, book.over, report)
         )
 
     def leave(self, rid: int) -> list[api.Action]:
         self.books[rid].over = True
         self.books[rid].gone = True
-        return self.give(api.Gone(rid))
+        return self.give(api.ClientDisconnected(rid))
 
     def run_to(self, when: int) -> None:
         """Fire the timers and the time-outs at deadlines that fall due, each no earlier than its time."""
@@ -192,7 +198,7 @@
             self.now = max(self.now, min(due[0], end[0]))
             if due[0] <= end[0]:
                 self.timers.remove(due)
-                self.give(api.Timer(due[1]))
+                self.give(api.TimerFired(due[1]))
             else:
                 self.answer(end[1], end[2], api.Result.TIMEOUT)
         self.now = max(self.now, when)
--- a/tests/test_bans.py
+++ b/tests/test_bans.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from hollybay.admin.administrative_drains import Bans, BansError, pack, unpack
-from hollybay.balancing.interface import ListKind, Server, ServerList, State
+from hollybay.balancing.interface import ListKind, Server, ServerList, ServerState
 
 
 def listed(*lines: Server, kind: ListKind = ListKind.FULL) -> ServerList:
@@ -19,10 +19,10 @@
 def test_while_it_is_out_discovery_cannot_bring_it_back() -> None:
     bans = Bans()
     bans.told(listed(Server("a"), Server("b")))
-    assert bans.set({"a"}, now=5) == (Server("a", state=State.DRAINING),)
+    assert bans.set({"a"}, now=5) == (Server("a", state=ServerState.DRAINING),)
     for kind in (ListKind.FULL, ListKind.CACHED, ListKind.CHANGES):
         told = bans.told(listed(Server("a", up_since=9), Server("b"), kind=kind))
-        assert [line.state for line in told.servers] == [State.DRAINING, State.READY]
+        assert [line.state for line in told.servers] == [ServerState.DRAINING, ServerState.READY]
     assert bans.set((), now=7) == (Server("a", up_since=9),)
 
 
@@ -37,8 +37,14 @@
     bans = Bans()
     bans.told(listed(Server("a"), Server("b")))
     bans.set({"a", "b"}, now=1)
-    bans.told(listed(Server("a", state=State.DRAINING), Server("b", state=State.GONE), kind=ListKind.CHANGES))
-    assert bans.set((), now=2) == (Server("a", state=State.DRAINING),)
+    bans.told(
+        listed(
+            Server("a", state=ServerState.DRAINING),
+            Server("b", state=ServerState.GONE),
+            kind=ListKind.CHANGES,
+        )
+    )
+    assert bans.set((), now=2) == (Server("a", state=ServerState.DRAINING),)
     assert bans.known("a") and not bans.known("b")
 
 
@@ -48,7 +54,7 @@
     bans.set({"a"}, now=1)
     bans.told(listed())
     assert bans.known("a")
-    assert bans.told(listed(Server("a"))).servers[0].state == State.DRAINING
+    assert bans.told(listed(Server("a"))).servers[0].state == ServerState.DRAINING
 
 
 def test_a_failed_call_says_nothing() -> None:
@@ -60,7 +66,7 @@
 
 def test_what_is_avoided_counts_each_server_once() -> None:
     bans = Bans()
-    bans.told(listed(Server("a"), Server("b"), Server("c", state=State.DRAINING), Server("d")))
+    bans.told(listed(Server("a"), Server("b"), Server("c", state=ServerState.DRAINING), Server("d")))
     bans.set({"a"}, now=1)
     assert bans.avoided(lambda server: server in ("a", "b", "c")) == 2
 
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -28,7 +28,7 @@
 
 
 def test_the_fastest_idle_class_comes_first() -> None:
-    node = Node(make_settings(classes=ONE, zones=1, kinds=1, nodes=1, weights=api.Weights.NOMINAL))
+    node = Node(make_settings(classes=ONE, zones=1, kinds=1, nodes=1, weight_mode=api.WeightMode.NOMINAL))
     node.tell(servers([1.0] * 4 + [4.0] * 4))
     steady(node, 100, 20 * MS, 5 * MS)
     sent = steady(node, 400, 20 * MS, 5 * MS, first=1000)
@@ -37,7 +37,7 @@
 
 
 def test_all_busy_draws_by_capacity_not_by_depth() -> None:
-    node = Node(make_settings(classes=ONE, zones=1, kinds=1, weights=api.Weights.NOMINAL))
+    node = Node(make_settings(classes=ONE, zones=1, kinds=1, weight_mode=api.WeightMode.NOMINAL))
     node.tell(servers([1.0, 3.0]))
     for rid in range(2000):
         node.ask(rid)  # nothing is ever answered
@@ -50,7 +50,12 @@
     # Its lot for each of these servers is far down: it is on none of their idle lists.
     node = Node(
         make_settings(
-            classes=ONE, zones=1, kinds=1, nodes=10_000, weights=api.Weights.NOMINAL, idle_timeout=5 * SECOND
+            classes=ONE,
+            zones=1,
+            kinds=1,
+            nodes=10_000,
+            weight_mode=api.WeightMode.NOMINAL,
+            idle_timeout=5 * SECOND,
         )
     )
     node.tell(servers([1.0] * 40))
@@ -73,7 +78,7 @@
         zones=2,
         kinds=1,
         nodes=2,
-        weights=api.Weights.NOMINAL,
+        weight_mode=api.WeightMode.NOMINAL,
         prices=api.Prices(crossing=price),
     )
     node = Node(settings, seed=3)
@@ -100,7 +105,7 @@
 
 
 def test_a_few_failures_of_any_server_pause_none_and_steady_ones_do() -> None:
-    node = Node(make_settings(classes=ONE, zones=1, kinds=1, nodes=1, weights=api.Weights.NOMINAL))
+    node = Node(make_settings(classes=ONE, zones=1, kinds=1, nodes=1, weight_mode=api.WeightMode.NOMINAL))
     node.tell(servers([1.0] * 4))
     for rid in range(80):
         node.ask(rid)
@@ -124,7 +129,9 @@
 
 
 def test_within_a_class_the_choice_is_uniform() -> None:
-    node = Node(make_settings(classes=ONE, zones=1, kinds=1, nodes=1, weights=api.Weights.NOMINAL), seed=5)
+    node = Node(
+        make_settings(classes=ONE, zones=1, kinds=1, nodes=1, weight_mode=api.WeightMode.NOMINAL), seed=5
+    )
     node.tell(servers([1.0] * 5))
     sent = steady(node, 1000, 10 * MS, 4 * MS)
     assert all(150 < sent[b"s%d" % n] < 250 for n in range(5))
@@ -132,7 +139,7 @@
 
 def test_a_server_that_errs_quickly_does_not_look_idle() -> None:
     """DESIGN: quick errors clear a server's count; it must not draw more work for it."""
-    node = Node(make_settings(classes=ONE, zones=1, kinds=1, weights=api.Weights.NOMINAL))
+    node = Node(make_settings(classes=ONE, zones=1, kinds=1, weight_mode=api.WeightMode.NOMINAL))
     node.tell(servers([1.0] * 4))
     for rid in range(400):
         node.ask(rid)
@@ -149,7 +156,7 @@
 
 
 def test_a_shared_fault_does_not_eject_the_fleet() -> None:
-    node = Node(make_settings(classes=ONE, zones=1, kinds=1, weights=api.Weights.NOMINAL))
+    node = Node(make_settings(classes=ONE, zones=1, kinds=1, weight_mode=api.WeightMode.NOMINAL))
     node.tell(servers([1.0] * 4))
     for rid in range(200):
         node.ask(rid)
@@ -169,7 +176,7 @@
 
 def test_an_overloaded_server_that_answers_some_is_not_paused() -> None:
     """Met on bc-rehearsal-web: time-outs of an overloaded zone paused two thirds of it."""
-    node = Node(make_settings(classes=ONE, zones=1, kinds=1, weights=api.Weights.NOMINAL))
+    node = Node(make_settings(classes=ONE, zones=1, kinds=1, weight_mode=api.WeightMode.NOMINAL))
     node.tell(servers([1.0, 1.0]))
     last: dict[object, int] = {}
     for rid in range(40):
@@ -186,7 +193,9 @@
 
 def test_a_silent_server_is_paused_and_tried_again() -> None:
     node = Node(
-        make_settings(classes=ONE, zones=1, kinds=1, weights=api.Weights.NOMINAL, copies_allowed=False)
+        make_settings(
+            classes=ONE, zones=1, kinds=1, weight_mode=api.WeightMode.NOMINAL, hedging_allowed=False
+        )
     )
     node.tell(servers([1.0] * 3))
     rid = 0
@@ -214,7 +223,7 @@
 
 def test_frozen_weights_fade_when_the_list_is_out_of_reach() -> None:
     """Met on cascadia-seats: with the list down, live weights froze and steered for 20 s."""
-    node = Node(make_settings(classes=ONE, zones=1, kinds=1, weights=api.Weights.LIVE))
+    node = Node(make_settings(classes=ONE, zones=1, kinds=1, weight_mode=api.WeightMode.LIVE))
     node.tell(servers([1.0] * 6), api.ListKind.CACHED)
     steady(node, 50, 20 * MS, 5 * MS)
     node.tell(servers([1.0] * 3 + [0.1] * 3))
@@ -226,7 +235,7 @@
 
 def test_an_overloaded_zone_spills_and_near_servers_come_first_otherwise() -> None:
     """Met on all three sites: home zones overloaded while far zones idled."""
-    node = Node(make_settings(classes=ONE, zones=2, kinds=1, weights=api.Weights.NOMINAL))
+    node = Node(make_settings(classes=ONE, zones=2, kinds=1, weight_mode=api.WeightMode.NOMINAL))
     fleet2 = tuple(api.Server(b"s%d" % n, zone=0 if n < 4 else 1) for n in range(8))
     node.tell(fleet2)
     steady(node, 300, 20 * MS, 5 * MS)
@@ -252,7 +261,7 @@
 def test_overload_sheds_the_least_worth_for_its_work_first() -> None:
     low = api.RequestClass("low", api.Effect.SAFE, 1.0, 100 * MS, 400 * MS)
     high = api.RequestClass("high", api.Effect.SAFE, 10.0, 100 * MS, 400 * MS)
-    node = Node(make_settings(classes=(low, high), zones=1, kinds=1, weights=api.Weights.NOMINAL))
+    node = Node(make_settings(classes=(low, high), zones=1, kinds=1, weight_mode=api.WeightMode.NOMINAL))
     node.tell(servers([1.0] * 2))
     for rid in range(3000):
         node.ask(rid, rid % 2)
@@ -261,7 +270,7 @@
         for r, n in out[:1] if rid % 2 else []:
             node.answer(r, n)
     refused = Counter(
-        node.books[rid].cls for rid, kind in node.finals if kind == "Refuse" and not node.books[rid].attempts
+        node.books[rid].cls for rid, kind in node.finals if kind == "Reject" and not node.books[rid].attempts
     )
     assert refused[0] > 200
     assert refused[0] > 3 * refused[1]
@@ -269,10 +278,10 @@
 
 def test_copies_only_from_silent_servers_while_answers_are_on_time() -> None:
     """Met on bc-rehearsal-web: copies at a tenth of requests fed the queues they fled from."""
-    node = Node(make_settings(classes=ONE, zones=1, kinds=1, nodes=1, weights=api.Weights.NOMINAL))
+    node = Node(make_settings(classes=ONE, zones=1, kinds=1, nodes=1, weight_mode=api.WeightMode.NOMINAL))
     node.tell(servers([1.0] * 4))
     steady(node, 100, 20 * MS, 5 * MS)
-    node.ask(1000, limits=api.Limits(copies=1))
+    node.ask(1000, limits=api.Limits(hedges=1))
     node.ask(1001)
     node.run_to(node.now + 700 * MS)
     assert len(node.books[1000].attempts) == 2
@@ -290,11 +299,11 @@
     node.answer(1, 0, report=(nan, -5.0, 1e300))
     b = node.balancer
     for event in (
-        api.Outcome(99, 0, b"s000", api.Result.OK, 5),
-        api.Outcome(1, 7, b"nobody", api.Result.OK, 5),
-        api.Gone(1234),
-        api.Timer(4711),
-        api.Started(55, 0, b"s000"),
+        api.AttemptFinished(99, 0, b"s000", api.Result.OK, 5),
+        api.AttemptFinished(1, 7, b"nobody", api.Result.OK, 5),
+        api.ClientDisconnected(1234),
+        api.TimerFired(4711),
+        api.ResponseStarted(55, 0, b"s000"),
         api.ProbeResult(b"nobody", api.Result.OK, 5, (nan,)),
         api.PeerMessage(3, b"hi"),
         api.ServerList(api.ListKind.FULL, ()),
@@ -316,13 +325,13 @@
 
 
 def test_a_list_that_must_be_asked_is_watched_and_asked_again() -> None:
-    node = Node(make_settings(must_ask=True, must_ask_within=10 * SECOND))
+    node = Node(make_settings(must_poll=True, poll_within=10 * SECOND))
     node.tell(fleet(4), api.ListKind.CACHED)
     node.run_to(node.now + SECOND)  # its turn among four nodes
-    assert node.actions.count(api.Watch(True)) == 1
+    assert node.actions.count(api.WatchServers(True)) == 1
     node.give(api.ServerList(api.ListKind.FAILED))
     node.run_to(node.now + 10 * SECOND)
-    assert node.actions.count(api.Watch(True)) >= 2
+    assert node.actions.count(api.WatchServers(True)) >= 2
 
 
 def test_a_stream_that_began_is_not_copied() -> None:
@@ -330,7 +339,7 @@
     node = Node(make_settings(classes=(cls,)))
     node.tell(fleet(4))
     node.ask(1)
-    node.give(api.Started(1, 0, node.books[1].attempts[0].server))
+    node.give(api.ResponseStarted(1, 0, node.books[1].attempts[0].server))
     node.books[1].deadline = node.now + 100 * SECOND
     node.run_to(node.now + 2 * SECOND)
     assert len(node.books[1].attempts) == 1 and not node.finals
@@ -348,7 +357,7 @@
 
 
 def test_a_failure_keeps_a_server_off_the_idle_list_until_the_next_review() -> None:
-    node = Node(make_settings(classes=ONE, zones=1, kinds=1, nodes=1, weights=api.Weights.NOMINAL))
+    node = Node(make_settings(classes=ONE, zones=1, kinds=1, nodes=1, weight_mode=api.WeightMode.NOMINAL))
     node.tell(servers([1.0] * 3))
     node.ask(1)
     failed = node.books[1].attempts[0].server
@@ -364,17 +373,22 @@
     classes = (
         api.RequestClass("quick", api.Effect.SAFE, 3.0, 200 * MS, SECOND),
         api.RequestClass("heavy", api.Effect.UNSAFE, 2.0, SECOND, 5 * SECOND),
-        api.RequestClass("dear", api.Effect.KEYED, 10.0, SECOND, 5 * SECOND, window=4 * SECOND),
+        api.RequestClass("dear", api.Effect.KEYED, 10.0, SECOND, 5 * SECOND, deduplication_window=4 * SECOND),
     )
     node = Node(
         make_settings(
-            classes=classes, zones=1, kinds=1, nodes=1, copies_allowed=False, weights=api.Weights.NOMINAL
+            classes=classes,
+            zones=1,
+            kinds=1,
+            nodes=1,
+            hedging_allowed=False,
+            weight_mode=api.WeightMode.NOMINAL,
         )
     )
     node.tell(servers([1.0]))
 
     def refused(cls: int, rid: int) -> bool:
-        return any(isinstance(action, api.Refuse) for action in node.ask(rid, cls))
+        return any(isinstance(action, api.Reject) for action in node.ask(rid, cls))
 
     # Nothing is known of their work yet: nobody is refused for it.
     assert not any(refused(1, rid) for rid in range(20))
@@ -395,11 +409,11 @@
 
 
 def test_a_server_that_is_back_from_a_drain_is_used_once_however_slow_it_is() -> None:
-    node = Node(make_settings(classes=ONE, zones=1, kinds=1, nodes=1, weights=api.Weights.NOMINAL))
+    node = Node(make_settings(classes=ONE, zones=1, kinds=1, nodes=1, weight_mode=api.WeightMode.NOMINAL))
     node.tell(servers([4.0] * 4 + [1.0]))
     steady(node, 50, 20 * MS, 5 * MS)
     slow = api.Server(b"s4", weight=1.0)
-    node.tell((replace(slow, state=api.State.DRAINING),), kind=api.ListKind.CHANGES)
+    node.tell((replace(slow, state=api.ServerState.DRAINING),), kind=api.ListKind.CHANGES)
     node.run_to(node.now + SECOND)
     node.tell((slow,), kind=api.ListKind.CHANGES)
     sent = steady(node, 20, 20 * MS, 5 * MS, first=1000)
@@ -410,12 +424,12 @@
     node = Node(make_settings(classes=ONE, zones=1, kinds=1, nodes=1))
     node.tell(servers([1.0]))
     (s,) = node.balancer.servers.values()
-    node.balancer.handle(node.now, api.Request(1, 0, 2 * SECOND, sending=True))
+    node.balancer.handle(node.now, api.Request(1, 0, 2 * SECOND, body_pending=True))
     assert s.held == 0
-    node.balancer.handle(node.now, api.Whole(1))
-    node.balancer.handle(node.now, api.Whole(1))  # told twice it counts once
+    node.balancer.handle(node.now, api.RequestCompleted(1))
+    node.balancer.handle(node.now, api.RequestCompleted(1))  # told twice it counts once
     assert s.held == 1
-    node.balancer.handle(node.now, api.Started(1, 0, b"s0", MS))
+    node.balancer.handle(node.now, api.ResponseStarted(1, 0, b"s0", MS))
     assert s.held == 0
-    node.balancer.handle(node.now, api.Outcome(1, 0, b"s0", api.Result.OK, MS, final=True))
+    node.balancer.handle(node.now, api.AttemptFinished(1, 0, b"s0", api.Result.OK, MS, final=True))
     assert s.held == 0 and not node.balancer.requests
--- a/tests/test_cold_sum.py
+++ b/tests/test_cold_sum.py
@@ -64,7 +64,7 @@
     sent: list[tuple[int, object]] = []
     up = 0
     for n in range(nodes):
-        changes = {"classes": ONE, "kinds": 1, "nodes": told or nodes, "node": n, "copies_allowed": True}
+        changes = {"classes": ONE, "kinds": 1, "nodes": told or nodes, "node": n, "hedging_allowed": True}
         settings = make_settings(**changes)
         node = Node(settings, seed=1000 * seed + n)
         rate = max(0.2, total * weights[n] / sum(weights))
@@ -92,14 +92,14 @@
     for sid in {sid for _, sid in sent}:
         at = [when for when, s in sent if s == sid]
         for k, end in enumerate(at):
-            span = sum(end - settings.fall_span < when <= end for when in at[: k + 1])
+            span = sum(end - settings.overload_window < when <= end for when in at[: k + 1])
             allowed = cold_allowance(
                 1.0,
                 end - up,
                 settings.cold_share,
                 settings.warm_up,
-                settings.fall_multiple,
-                settings.fall_span,
+                settings.overload_multiple,
+                settings.overload_window,
             )
             budget = allowed / WORK
             most = max(most, (span - budget) / (2 * sqrt(budget) + 2))
--- a/tests/test_discovery_orders.py
+++ b/tests/test_discovery_orders.py
@@ -90,7 +90,7 @@
             agent.silent = False
             agent.tell(server, state="DRAINING")
             calls = agent.calls
-            await known(node, lambda servers: servers["s-1"].state == api.State.DRAINING)
+            await known(node, lambda servers: servers["s-1"].state == api.ServerState.DRAINING)
             # One of the quick calls: between two of them is less than half of the grace.
             assert agent.calls - calls <= 2
 
@@ -129,7 +129,7 @@
             calls = agent.calls
             agent.lines[0]["state"] = "DRAINING"
             agent.silent = False
-            await known(node, lambda servers: servers["s-1"].state == api.State.DRAINING)
+            await known(node, lambda servers: servers["s-1"].state == api.ServerState.DRAINING)
             assert not told and agent.calls <= calls + 2
 
     asyncio.run(play())
@@ -204,7 +204,7 @@
             old = node.discovery.names.listing({"version": held + 1, "full": True, "servers": agent.lines})
             node.discovery._take(new, held)
             node.discovery._take(old, held)
-            assert node.node.balancer.servers["s-1"].state == api.State.DRAINING
+            assert node.node.balancer.servers["s-1"].state == api.ServerState.DRAINING
             assert node.discovery.version == held + 2
 
     asyncio.run(play())
@@ -228,7 +228,7 @@
             calls = agent.calls
             await agent.until(lambda: agent.calls >= calls + 3)
             agent.tell(server, state="DRAINING")
-            await known(node, lambda servers: servers["s-1"].state == api.State.DRAINING)
+            await known(node, lambda servers: servers["s-1"].state == api.ServerState.DRAINING)
 
     asyncio.run(play())
 
--- a/tests/test_fleet_shares.py
+++ b/tests/test_fleet_shares.py
@@ -75,7 +75,7 @@
 
 def test_a_cold_server_is_used_by_all_nodes_together_within_its_budget() -> None:
     """Known to a few nodes only, a cold server gets a part of what it stands while the warm ones are full."""
-    nodes = tier(40, weights=api.Weights.LIVE, zones=1)
+    nodes = tier(40, weight_mode=api.WeightMode.LIVE, zones=1)
     began = nodes[0].now
     cold = [b"s%02d" % n for n in range(12)]
     for node in nodes:
@@ -90,8 +90,8 @@
     for sid in cold:
         at = [when for when, s in sent if s == sid and when >= began + 2 * SECOND]
         for start in at:
-            span = sum(start <= when < start + settings.fall_span for when in at) * WORK
-            assert span <= settings.fall_multiple * settings.cold_share * settings.fall_span
+            span = sum(start <= when < start + settings.overload_window for when in at) * WORK
+            assert span <= settings.overload_multiple * settings.cold_share * settings.overload_window
     # At its age a server can do 0.3 of 4 s, or 24 requests, at the least: most of that is asked of them.
     assert sum(got.values()) / len(cold) > 0.7 * 24
 
@@ -105,7 +105,7 @@
     play(node, began + 4 * SECOND, 50 * MS, down=near, first=1000)
     late = [sid for at, _, sid in node.sent if at >= began + 3 * SECOND]
     assert sum(sid in near for sid in late) < 0.3 * len(late)
-    assert not any(kind == "Refuse" for rid, kind in node.finals if rid >= 1000)
+    assert not any(kind == "Reject" for rid, kind in node.finals if rid >= 1000)
     play(node, began + 7 * SECOND, 50 * MS, first=2000)
     late = [sid for at, _, sid in node.sent if at >= began + 6 * SECOND]
     assert sum(sid in near for sid in late) > 0.5 * len(late)
@@ -152,7 +152,9 @@
     others = sum(sid != b"s00" for at, _, sid in node.sent if at >= back) / 3
     settings = node.settings
     assert 0 < again < others
-    assert again * WORK <= settings.fall_multiple * settings.cold_share * 2 * SECOND / settings.nodes + WORK
+    assert (
+        again * WORK <= settings.overload_multiple * settings.cold_share * 2 * SECOND / settings.nodes + WORK
+    )
 
 
 def test_nothing_unsafe_goes_to_a_server_that_tells_of_its_failures() -> None:
@@ -199,7 +201,7 @@
 
 def test_shedding_ends_when_lists_tell_that_nothing_waits() -> None:
     """A node with few requests hears from its own answers seconds late that a jam is over."""
-    node = Node(make_settings(classes=ONE, zones=1, kinds=1, nodes=40, weights=api.Weights.LIVE))
+    node = Node(make_settings(classes=ONE, zones=1, kinds=1, nodes=40, weight_mode=api.WeightMode.LIVE))
     node.tell(lines(8, zones=1))  # the most that is told of a kind is its size
     node.tell(lines(8, load=9.0, zones=1))
     for rid in range(200):
@@ -215,7 +217,7 @@
     play(node, node.now + 1500 * MS, 40 * MS, first=1000)
     before = len(node.finals)
     play(node, node.now + 1000 * MS, 40 * MS, first=2000)
-    assert sum(kind == "Refuse" for _, kind in node.finals[before:]) < 0.2 * 25
+    assert sum(kind == "Reject" for _, kind in node.finals[before:]) < 0.2 * 25
 
 
 def test_the_weight_of_an_answer_follows_the_rate() -> None:
@@ -226,7 +228,7 @@
 
 def test_the_work_of_a_request_is_not_what_others_make_it_wait() -> None:
     """Of 40 nodes each finds others' requests at servers that it holds nothing at."""
-    node = Node(make_settings(classes=ONE, zones=1, kinds=1, nodes=40, weights=api.Weights.LIVE))
+    node = Node(make_settings(classes=ONE, zones=1, kinds=1, nodes=40, weight_mode=api.WeightMode.LIVE))
     node.tell(lines(10, zones=1))
     node.tell(lines(10, load=1.0, zones=1))
     for rid in range(60):
@@ -340,7 +342,12 @@
 def two_classes() -> Node:
     """A node of 40 that has learned that a view takes 20 ms and a call 80 ms."""
     settings = make_settings(
-        classes=(VIEW, CALL), zones=1, kinds=1, nodes=40, weights=api.Weights.LIVE, copies_allowed=False
+        classes=(VIEW, CALL),
+        zones=1,
+        kinds=1,
+        nodes=40,
+        weight_mode=api.WeightMode.LIVE,
+        hedging_allowed=False,
     )
     node = Node(settings)
     node.tell(lines(20, zones=1))
@@ -357,7 +364,7 @@
     for rid in range(1000, 1018):  # 50 a second, and nothing comes back
         node.ask(rid, rid % 2)
         node.run_to(node.now + 20 * MS)
-    refused = [rid for rid, kind in node.finals[mark:] if kind == "Refuse" and rid >= 1000]
+    refused = [rid for rid, kind in node.finals[mark:] if kind == "Reject" and rid >= 1000]
     assert len(refused) >= 3
     assert all(rid % 2 == 1 for rid in refused)
 
@@ -373,7 +380,7 @@
             if tried.server in {s.id for s in cold} and tried.result is None:
                 node.answer(rid, n)
     late = range(1025, 1050)
-    assert any(kind == "Refuse" and rid in late for rid, kind in node.finals)
+    assert any(kind == "Reject" and rid in late for rid, kind in node.finals)
     kept = [sid for _, rid, sid in node.sent if rid in late]
     # The warm ones are spared; the cold ones' parts go on being used.
     assert sum(sid in {s.id for s in cold} for sid in kept) > 0.6 * len(kept) > 0
@@ -426,8 +433,8 @@
 
 def asking(node: int) -> Node:
     """A node of 40 that is told that discovery must be asked."""
-    settings = make_settings(classes=ONE, kinds=1, nodes=40, node=node, must_ask=True)
-    return Node(replace(settings, must_ask_within=10 * SECOND), seed=node + 1)
+    settings = make_settings(classes=ONE, kinds=1, nodes=40, node=node, must_poll=True)
+    return Node(replace(settings, poll_within=10 * SECOND), seed=node + 1)
 
 
 def queue(per_second: float, limit: int, seconds: int) -> tuple[int, int]:
@@ -443,7 +450,7 @@
     for now in range(began, began + seconds * SECOND, step):
         for n, node in enumerate(tier40):
             node.run_to(now)
-            asked = sum(isinstance(a, api.Watch) for a in node.actions)
+            asked = sum(isinstance(a, api.WatchServers) for a in node.actions)
             if asked > watched[n]:
                 watched[n] = asked
                 free = max(free, now) + int(SECOND / per_second)
--- a/tests/test_found_by_seeds.py
+++ b/tests/test_found_by_seeds.py
@@ -106,7 +106,7 @@
 def test_a_class_without_an_answer_does_not_free_the_cold_budget() -> None:
     node = Node(make_settings())
     balancer = node.balancer
-    longest = max(c.aim for c in balancer.settings.classes)
+    longest = max(c.latency_objective for c in balancer.settings.classes)
     balancer.learned.count = [5.0, 9.0, 0.0, 0.0, 0.0]
     balancer.learned.renew_work()
     assert balancer.learned.mean_work == longest
--- a/tests/test_guard.py
+++ b/tests/test_guard.py
@@ -27,10 +27,10 @@
 
 
 @pytest.mark.parametrize("effect", api.Effect)
-@pytest.mark.parametrize("group", api.Group)
+@pytest.mark.parametrize("group", api.DeduplicationScope)
 @pytest.mark.parametrize("age", [MS, WINDOW - 10 * MS, WINDOW, 2 * WINDOW])
 @pytest.mark.parametrize("copies", [True, False])
-def test_every_case(effect: api.Effect, group: api.Group, age: int, copies: bool) -> None:
+def test_every_case(effect: api.Effect, group: api.DeduplicationScope, age: int, copies: bool) -> None:
     cls = api.RequestClass("c", effect, 1.0, SECOND, 3 * SECOND, 0.0, group, WINDOW)
     for count in range(3):
         for results in itertools.product(RESULTS, repeat=count):
@@ -45,9 +45,11 @@
             assert (scope is not None) == allowed, (results, scope)
             if scope is not None:
                 bound = bool(ran) and effect == api.Effect.KEYED
-                assert scope.cell == (7 if bound and group == api.Group.CELL else -1)
-                assert scope.zone == (1 if bound and group == api.Group.ZONE else -1)
-            harmless = effect == api.Effect.SAFE or (effect == api.Effect.KEYED and group == api.Group.ALL)
+                assert scope.cell == (7 if bound and group == api.DeduplicationScope.CELL else -1)
+                assert scope.zone == (1 if bound and group == api.DeduplicationScope.ZONE else -1)
+            harmless = effect == api.Effect.SAFE or (
+                effect == api.Effect.KEYED and group == api.DeduplicationScope.ALL
+            )
             assert may_refuse(cls, tries) == (harmless or not ran)
 
 
--- a/tests/test_lag.py
+++ b/tests/test_lag.py
@@ -134,10 +134,10 @@
     for now in range(start, start + span, MS):
         rid = now // MS
         cls = rid % 3
-        for action in balancer.handle(now, api.Request(rid, cls, 400 * MS, waited=waited)):
+        for action in balancer.handle(now, api.Request(rid, cls, 400 * MS, queued_time=waited)):
             if isinstance(action, api.Send):
-                balancer.handle(now, api.Outcome(rid, 0, action.server, api.Result.OK, 5 * MS, True))
-            if isinstance(action, api.Send | api.Refuse):
+                balancer.handle(now, api.AttemptFinished(rid, 0, action.server, api.Result.OK, 5 * MS, True))
+            if isinstance(action, api.Send | api.Reject):
                 came.append((cls, action))
     return came
 
@@ -146,8 +146,8 @@
     balancer = Balancer(make_settings(max_retry_after=SECOND), 1, 0)
     balancer.handle(0, api.ServerList(api.ListKind.FULL, fleet(12), 1))
 
-    def refused(came: list[tuple[int, api.Action]], cls: int) -> list[api.Refuse]:
-        return [a for c, a in came if c == cls and isinstance(a, api.Refuse)]
+    def refused(came: list[tuple[int, api.Action]], cls: int) -> list[api.Reject]:
+        return [a for c, a in came if c == cls and isinstance(a, api.Reject)]
 
     calm = ask_for(balancer, SECOND, 2 * SECOND, 0)
     assert len(calm) == 2000 and not any(refused(calm, cls) for cls in range(3))
@@ -170,8 +170,8 @@
     balancer.handle(5 * SECOND, api.ServerList(api.ListKind.FULL, fleet(4), 1))
 
     def refused(cls: int, room: float, rid: int) -> bool:
-        actions = balancer.handle(6 * SECOND, api.Request(rid, cls, SECOND, room=room))
-        return any(isinstance(action, api.Refuse) for action in actions)
+        actions = balancer.handle(6 * SECOND, api.Request(rid, cls, SECOND, free_slot_share=room))
+        return any(isinstance(action, api.Reject) for action in actions)
 
     told = [
         [refused(cls, room, 10 * n + cls) for cls in range(3)] for n, room in enumerate((0.3, 0.2, 0.1, 0.0))
--- a/tests/test_learning_in_a_jam.py
+++ b/tests/test_learning_in_a_jam.py
@@ -17,9 +17,11 @@
 WARM = tuple(api.Server(b"s%02d" % n, kind=n % 2) for n in range(12))
 
 
-def node_of(weights: api.Weights = api.Weights.NOMINAL) -> Node:
+def node_of(weights: api.WeightMode = api.WeightMode.NOMINAL) -> Node:
     """One of 32 nodes before a dozen servers of two kinds: it has at most one request at most of them."""
-    node = Node(make_settings(classes=ONE, zones=1, kinds=2, nodes=32, weights=weights, copies_allowed=False))
+    node = Node(
+        make_settings(classes=ONE, zones=1, kinds=2, nodes=32, weight_mode=weights, hedging_allowed=False)
+    )
     node.tell(WARM)
     return node
 
@@ -82,6 +84,6 @@
 
 
 def test_where_lists_tell_loads_they_alone_are_asked() -> None:
-    node = node_of(api.Weights.LIVE)
+    node = node_of(api.WeightMode.LIVE)
     play(node, range(100), JAM, JAM)
     assert node.balancer.learned.queue == 0.0
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -21,8 +21,12 @@
     (
         api.RequestClass("view", api.Effect.SAFE, 1.0, 200 * MS, 500 * MS),
         api.RequestClass("send", api.Effect.UNSAFE, 1.0, SECOND, 5 * SECOND),
-        api.RequestClass("book", api.Effect.KEYED, 1.0, SECOND, 6 * SECOND, 0.0, api.Group.CELL, 4 * SECOND),
-        api.RequestClass("tag", api.Effect.KEYED, 1.0, SECOND, 6 * SECOND, 0.0, api.Group.ALL, 4 * SECOND),
+        api.RequestClass(
+            "book", api.Effect.KEYED, 1.0, SECOND, 6 * SECOND, 0.0, api.DeduplicationScope.CELL, 4 * SECOND
+        ),
+        api.RequestClass(
+            "tag", api.Effect.KEYED, 1.0, SECOND, 6 * SECOND, 0.0, api.DeduplicationScope.ALL, 4 * SECOND
+        ),
     ),
     drain_grace=SECOND,
     cold_share=0.5,
--- a/tests/test_limits_module.py
+++ b/tests/test_limits_module.py
@@ -35,7 +35,7 @@
 
 @pytest.mark.parametrize(("attempts", "sent"), [(0, 3), (1, 1), (2, 2), (9, 3)])
 def test_attempts_are_no_more_than_both_allow(attempts: int, sent: int) -> None:
-    node = node_of(copies_allowed=False)
+    node = node_of(hedging_allowed=False)
     node.ask(1, READ, limits=api.Limits(attempts=attempts))
     for n in range(sent):
         node.answer(1, n, api.Result.RESET)
@@ -46,7 +46,7 @@
     node = node_of()
     node.ask(1, WRITE, limits=api.Limits(attempts=1))
     node.answer(1, 0, api.Result.CONNECT_FAILED)
-    assert node.finals == [(1, "Refuse")]
+    assert node.finals == [(1, "Reject")]
 
 
 def copies(limits: api.Limits | None, cls: int = READ) -> list[int]:
@@ -61,18 +61,18 @@
 
 
 def test_second_copies_and_their_delay() -> None:
-    assert copies(None) == copies(api.Limits()) == copies(api.Limits(copies=0)) == []
-    assert copies(api.Limits(copies=1)) == [100]  # half the aim
-    assert copies(api.Limits(copies=0, copy_delay=30 * MS)) == []
-    assert copies(api.Limits(copies=1, copy_delay=30 * MS)) == [30]
-    assert copies(api.Limits(copy_delay=30 * MS)) == [30]
-    assert copies(api.Limits(copies=1, copy_delay=30 * MS, attempts=1)) == []
-    assert copies(api.Limits(copies=1, copy_delay=30 * MS), WRITE) == []
+    assert copies(None) == copies(api.Limits()) == copies(api.Limits(hedges=0)) == []
+    assert copies(api.Limits(hedges=1)) == [100]  # half the aim
+    assert copies(api.Limits(hedges=0, hedge_delay=30 * MS)) == []
+    assert copies(api.Limits(hedges=1, hedge_delay=30 * MS)) == [30]
+    assert copies(api.Limits(hedge_delay=30 * MS)) == [30]
+    assert copies(api.Limits(hedges=1, hedge_delay=30 * MS, attempts=1)) == []
+    assert copies(api.Limits(hedges=1, hedge_delay=30 * MS), WRITE) == []
 
 
 def again(cls: int, limits: api.Limits, after: int = 0) -> api.Server | None:
     """The server of the repeat of a keyed request whose first attempt was reset after a time, if any."""
-    node = node_of(copies_allowed=False)
+    node = node_of(hedging_allowed=False)
     node.ask(1, cls, limits=limits)
     node.run_to(node.now + after)
     repeat = sends(node.answer(1, 0, api.Result.RESET))
@@ -81,18 +81,18 @@
 
 def test_a_keyed_repeat_keeps_the_narrower_group() -> None:
     for seed in range(20):
-        node = Node(make_settings(copies_allowed=False), seed=seed)
+        node = Node(make_settings(hedging_allowed=False), seed=seed)
         node.tell(fleet(12))
-        node.ask(1, ALL, limits=api.Limits(repeat_group=api.Group.CELL))
+        node.ask(1, ALL, limits=api.Limits(retry_scope=api.DeduplicationScope.CELL))
         first = node.lines[node.books[1].attempts[0].server]
         (repeat,) = sends(node.answer(1, 0, api.Result.RESET))
         assert node.lines[repeat.server].cell == first.cell
-        node.ask(2, ALL, limits=api.Limits(repeat_group=api.Group.ZONE))
+        node.ask(2, ALL, limits=api.Limits(retry_scope=api.DeduplicationScope.ZONE))
         first = node.lines[node.books[2].attempts[0].server]
         (repeat,) = sends(node.answer(2, 0, api.Result.RESET))
         assert node.lines[repeat.server].zone == first.zone
         # Wider than the class says is not wider.
-        node.ask(3, CELL, limits=api.Limits(repeat_group=api.Group.ZONE))
+        node.ask(3, CELL, limits=api.Limits(retry_scope=api.DeduplicationScope.ZONE))
         first = node.lines[node.books[3].attempts[0].server]
         (repeat,) = sends(node.answer(3, 0, api.Result.RESET))
         assert node.lines[repeat.server].cell == first.cell
@@ -100,13 +100,13 @@
 
 def test_a_keyed_repeat_keeps_the_narrower_window() -> None:
     assert again(CELL, api.Limits(), SECOND) is not None
-    assert again(CELL, api.Limits(repeat_window=500 * MS), 400 * MS) is not None
-    assert again(CELL, api.Limits(repeat_window=500 * MS), 500 * MS) is None
-    assert again(CELL, api.Limits(repeat_window=60 * SECOND), 4 * SECOND) is None  # the class's own holds
+    assert again(CELL, api.Limits(retry_window=500 * MS), 400 * MS) is not None
+    assert again(CELL, api.Limits(retry_window=500 * MS), 500 * MS) is None
+    assert again(CELL, api.Limits(retry_window=60 * SECOND), 4 * SECOND) is None  # the class's own holds
 
 
 def test_a_retry_budget_holds_repeats_to_its_share_route_by_route() -> None:
-    node = node_of(copies_allowed=False)
+    node = node_of(hedging_allowed=False)
     tight = api.Limits(retry_share=0.1, budget="tight")
     loose = api.Limits(retry_share=1.0, budget="loose")
     for limits, rid in ((tight, 0), (loose, 10_000)):
@@ -138,26 +138,26 @@
     told = set()
     for n in range(100):
         (refusal,) = node.ask(n, READ, limits=api.Limits(retry_after=(SECOND, 3 * SECOND)))
-        assert isinstance(refusal, api.Refuse) and SECOND <= refusal.retry_after <= 3 * SECOND
+        assert isinstance(refusal, api.Reject) and SECOND <= refusal.retry_after <= 3 * SECOND
         told.add(refusal.retry_after)
     assert len(told) > 50
     (plain,) = node.ask(1000, READ)
-    assert isinstance(plain, api.Refuse) and plain.retry_after == 9 * SECOND
+    assert isinstance(plain, api.Reject) and plain.retry_after == 9 * SECOND
 
 
 @pytest.mark.parametrize("seed", range(6))
 def test_random_limits_break_no_rule(seed: int) -> None:
     """The books assert the four rules at each step, whatever limits requests come with."""
     chance = random.Random(seed)
-    node = node_of(copies_allowed=seed % 2 == 0)
+    node = node_of(hedging_allowed=seed % 2 == 0)
     for rid in range(400):
         limits = api.Limits(
             attempts=chance.choice([0, 1, 2, 50]),
             attempt_timeout=chance.choice([0, 50 * MS, SECOND]),
-            copies=chance.choice([-1, 0, 1]),
-            copy_delay=chance.choice([0, 10 * MS, 5 * SECOND]),
-            repeat_window=chance.choice([0, 100 * MS, 100 * SECOND]),
-            repeat_group=chance.choice([None, *api.Group]),
+            hedges=chance.choice([-1, 0, 1]),
+            hedge_delay=chance.choice([0, 10 * MS, 5 * SECOND]),
+            retry_window=chance.choice([0, 100 * MS, 100 * SECOND]),
+            retry_scope=chance.choice([None, *api.DeduplicationScope]),
             retry_share=chance.choice([-1.0, 0.0, 0.5, 5.0]),
             budget=chance.choice("ab"),
         )
--- a/tests/test_other_customers.py
+++ b/tests/test_other_customers.py
@@ -19,7 +19,11 @@
 
 NAME = st.text("abcdefghijklmnopqrstuvwxyz0123456789-", min_size=1, max_size=12)
 EFFECTS = {"retryable": api.Effect.SAFE, "dedup": api.Effect.KEYED, "fragile": api.Effect.UNSAFE}
-GROUPS = {"all": api.Group.ALL, "zone": api.Group.ZONE, "cell": api.Group.CELL}
+GROUPS = {
+    "all": api.DeduplicationScope.ALL,
+    "zone": api.DeduplicationScope.ZONE,
+    "cell": api.DeduplicationScope.CELL,
+}
 
 
 def span(least: int, most: int) -> st.SearchStrategy[int]:
@@ -90,22 +94,26 @@
     caps, rules = given_["caps"], given_["rules"]
     assert [c.name for c in taken.classes] == [c["name"] for c in given_["categories"]]
     for cls, line in zip(taken.classes, given_["categories"], strict=True):
-        assert (cls.aim, cls.deadline, cls.worth) == (line["slo"], line["give-up"], line["worth"])
-        assert (cls.effect, cls.group, cls.window) == (
+        assert (cls.latency_objective, cls.deadline, cls.priority_weight) == (
+            line["slo"],
+            line["give-up"],
+            line["worth"],
+        )
+        assert (cls.effect, cls.deduplication_scope, cls.deduplication_window) == (
             EFFECTS[line["effect"]], GROUPS[line["group"]], line["window"],
         )  # fmt: skip
     assert [t.name for t in taken.tenants] == [t["name"] for t in given_["tenants"]]
     assert [t.allowance for t in taken.tenants] == [t["allowance-per-s"] for t in given_["tenants"]]
     assert (taken.nodes, taken.node, taken.tick) == (given_["balancers"], given_["me"], given_["quantum"])
     assert (taken.zones, taken.kinds) == (len(given_["zones"]), len(given_["kinds"]))
-    assert (taken.max_attempts, taken.cancel_allowed, taken.copies_allowed) == (
+    assert (taken.max_attempts, taken.cancel_allowed, taken.hedging_allowed) == (
         caps["most-tries"], caps["cancel"], caps["may-duplicate"],
     )  # fmt: skip
     assert (taken.connect_timeout, taken.idle_timeout) == (caps["connect-timeout"], caps["conn-idle"])
     assert taken.max_retry_after == caps["max-retry-after"]
-    assert (taken.drain_grace, taken.fall_multiple) == (rules["drain-grace"], rules["fall-multiple"])
-    assert (taken.fall_span, taken.cold_share) == (rules["overload-for"], rules["cold-share"])
-    assert (taken.warm_up, taken.must_ask_within) == (rules["warm-up"], rules["must-ask-in"])
+    assert (taken.drain_grace, taken.overload_multiple) == (rules["drain-grace"], rules["fall-multiple"])
+    assert (taken.overload_window, taken.cold_share) == (rules["overload-for"], rules["cold-share"])
+    assert (taken.warm_up, taken.poll_within) == (rules["warm-up"], rules["must-ask-in"])
 
 
 @given(deployments(), st.integers(0, 2**32))
@@ -137,7 +145,11 @@
             assert send.until == 0
         elif send.until:
             last = node.books[send.id].attempts[-1].sent
-            assert first + cls.window - taken.tick <= send.until <= last + cls.window - taken.tick
+            assert (
+                first + cls.deduplication_window - taken.tick
+                <= send.until
+                <= last + cls.deduplication_window - taken.tick
+            )
 
 
 @given(deployments())
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -250,14 +250,14 @@
 
 def test_a_node_that_hears_the_others_takes_only_servers_that_are_idle_for_all() -> None:
     node = talking()
-    node.give(api.Elsewhere({b"s0": 1, b"s1": 2, b"s3": 1}, 39))
+    node.give(api.PeerLoad({b"s0": 1, b"s1": 2, b"s3": 1}, 39))
     node.run_to(node.now + SECOND)  # a review: every node takes any idle server now
     for rid in range(5):
         node.ask(rid)
         assert node.books[rid].attempts[0].server == b"s2"
         node.run_to(node.now + 20 * MS)
         node.answer(rid, 0)
-    node.give(api.Elsewhere({b"s1": 0}, 39))
+    node.give(api.PeerLoad({b"s1": 0}, 39))
     node.ask(10)
     node.ask(11)
     assert {node.books[rid].attempts[0].server for rid in (10, 11)} == {b"s1", b"s2"}
@@ -266,8 +266,8 @@
 
 def test_without_others_it_goes_on_as_before() -> None:
     node = talking()
-    node.give(api.Elsewhere({b"s0": 3}, 39))
-    node.give(api.Elsewhere({b"s0": 0, b"gone": 2}, 0))
+    node.give(api.PeerLoad({b"s0": 3}, 39))
+    node.give(api.PeerLoad({b"s0": 0, b"gone": 2}, 0))
     node.run_to(node.now + SECOND)
     assert sum(s.listed for s in node.balancer.servers.values()) < 4
     assert all(not s.held and not s.others for s in node.balancer.servers.values())
@@ -283,7 +283,7 @@
         if chance.random() < 0.5:
             server = chance.choice(list(others))
             others[server] = chance.randrange(4)
-            node.give(api.Elsewhere({server: others[server]}, 39))
+            node.give(api.PeerLoad({server: others[server]}, 39))
         node.ask(rid)
         if node.books[rid].attempts:
             own[node.books[rid].attempts[0].server] += 1
@@ -331,7 +331,7 @@
             async with asyncio.timeout(10):
                 while not heard.fed:
                     await asyncio.sleep(0.005)
-            assert heard.fed == [api.Elsewhere({"s-1": 2}, 1)]
+            assert heard.fed == [api.PeerLoad({"s-1": 2}, 1)]
             assert peers.foreign == 6
             peers.began("s-1")
             other.settimeout(10)
--- a/tests/test_resource_plan.py
+++ b/tests/test_resource_plan.py
@@ -50,11 +50,17 @@
         api.RequestClass("view", api.Effect.SAFE, 3.0, 200 * MS, 500 * MS),
         api.RequestClass("send", api.Effect.UNSAFE, 2.0, 1200 * MS, 5 * SECOND),
         api.RequestClass(
-            "book", api.Effect.KEYED, 2.0, 1200 * MS, 5 * SECOND, group=api.Group.ZONE, window=2 * SECOND
+            "book",
+            api.Effect.KEYED,
+            2.0,
+            1200 * MS,
+            5 * SECOND,
+            deduplication_scope=api.DeduplicationScope.ZONE,
+            deduplication_window=2 * SECOND,
         ),
     ),
     max_attempts=3,
-    copies_allowed=True,
+    hedging_allowed=True,
     max_retry_after=5 * SECOND,
 )
 CLASSES = ("view", "send", "book")
--- a/tests/test_routing_file.py
+++ b/tests/test_routing_file.py
@@ -27,13 +27,25 @@
         api.RequestClass("view", api.Effect.SAFE, 3.0, 200 * MS, 500 * MS),
         api.RequestClass("send", api.Effect.UNSAFE, 2.0, 1200 * MS, 5 * SECOND),
         api.RequestClass(
-            "book", api.Effect.KEYED, 10.0, 1500 * MS, 6 * SECOND, group=api.Group.CELL, window=4 * SECOND
+            "book",
+            api.Effect.KEYED,
+            10.0,
+            1500 * MS,
+            6 * SECOND,
+            deduplication_scope=api.DeduplicationScope.CELL,
+            deduplication_window=4 * SECOND,
         ),
         api.RequestClass(
-            "tag", api.Effect.KEYED, 1.0, 1500 * MS, 6 * SECOND, group=api.Group.ZONE, window=SECOND
+            "tag",
+            api.Effect.KEYED,
+            1.0,
+            1500 * MS,
+            6 * SECOND,
+            deduplication_scope=api.DeduplicationScope.ZONE,
+            deduplication_window=SECOND,
         ),
     ),
-    copies_allowed=True,
+    hedging_allowed=True,
     max_retry_after=5 * SECOND,
 )
 
@@ -366,12 +378,12 @@
         module = limits.module
         assert limits.request_timeout <= cls.deadline and limits.body <= 32 << 20
         if module is not None:
-            assert module.attempt_timeout <= cls.aim and module.attempts <= 3
+            assert module.attempt_timeout <= cls.latency_objective and module.attempts <= 3
             if cls.effect == api.Effect.UNSAFE:
-                assert module.attempts <= 1 and module.copies <= 0
+                assert module.attempts <= 1 and module.hedges <= 0
             if cls.effect == api.Effect.KEYED:
-                assert module.repeat_window <= cls.window
-                assert module.repeat_group is None or module.repeat_group >= cls.group
+                assert module.retry_window <= cls.deduplication_window
+                assert module.retry_scope is None or module.retry_scope >= cls.deduplication_scope
 
 
 @settings(max_examples=500)
--- a/tests/test_routing_narrow.py
+++ b/tests/test_routing_narrow.py
@@ -49,7 +49,7 @@
 def copies(limits: api.Limits | None) -> int:
     if limits is None:
         return 0
-    return limits.copies if limits.copies >= 0 else int(limits.copy_delay > 0)
+    return limits.hedges if limits.hedges >= 0 else int(limits.hedge_delay > 0)
 
 
 @pytest.mark.parametrize("cls", CLASSES, ids=lambda cls: cls.name)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -27,12 +27,12 @@
         elif roll < 0.60:
             sid = chance.choice(list(servers))
             old = servers[sid]
-            state = chance.choice([api.State.DRAINING, api.State.GONE, api.State.READY])
-            since = node.now - chance.randrange(SECOND) if state == api.State.READY else old.up_since
+            state = chance.choice([api.ServerState.DRAINING, api.ServerState.GONE, api.ServerState.READY])
+            since = node.now - chance.randrange(SECOND) if state == api.ServerState.READY else old.up_since
             line = api.Server(sid, old.zone, old.kind, old.cell, state, old.weight, since)
             servers[sid] = line
             node.tell((line,), api.ListKind.CHANGES)
-            if state == api.State.GONE:
+            if state == api.ServerState.GONE:
                 del servers[sid]
         elif roll < 0.63:
             fresh += 1
@@ -66,10 +66,10 @@
 @pytest.mark.parametrize("seed", range(12))
 @pytest.mark.parametrize("copies", [True, False])
 def test_random_walk_keeps_the_rules(seed: int, copies: bool) -> None:
-    weights = list(api.Weights)[seed % 4]
-    settings = make_settings(copies_allowed=copies, weights=weights)
-    node = walk(seed, settings, limits=api.Limits(copies=1) if copies else None)
-    assert {kind for _, kind in node.finals} >= {"Served", "Fail", "Refuse"}
+    weights = list(api.WeightMode)[seed % 4]
+    settings = make_settings(hedging_allowed=copies, weight_mode=weights)
+    node = walk(seed, settings, limits=api.Limits(hedges=1) if copies else None)
+    assert {kind for _, kind in node.finals} >= {"Served", "Fail", "Reject"}
 
 
 @given(seed=st.integers(0, 2**32), attempts=st.integers(1, 6))
@@ -118,8 +118,8 @@
     for at in sent:
         age = at - start
         share = 0.3 + 0.7 * min(1.0, age / settings.warm_up)
-        count = sum(1 for other in sent if at - settings.fall_span < other <= at)
-        allowed = settings.fall_multiple * share * settings.fall_span / nodes
+        count = sum(1 for other in sent if at - settings.overload_window < other <= at)
+        allowed = settings.overload_multiple * share * settings.overload_window / nodes
         assert count * work <= allowed + work, (age, count)
 
 
@@ -128,7 +128,7 @@
     servers = fleet(6)
     node.tell(servers)
     gone = servers[0].id
-    node.tell((api.Server(gone, 0, 0, 0, api.State.DRAINING),), api.ListKind.CHANGES)
+    node.tell((api.Server(gone, 0, 0, 0, api.ServerState.DRAINING),), api.ListKind.CHANGES)
     for rid in range(300):
         node.ask(rid, rid % 5)
     assert gone not in {sid for _, _, sid in node.sent}
@@ -140,7 +140,7 @@
     for rid in range(5):
         node.ask(rid, rid)
     node.run_to(node.now + 10 * SECOND)
-    assert sorted(node.finals) == [(rid, "Refuse") for rid in range(5)]
+    assert sorted(node.finals) == [(rid, "Reject") for rid in range(5)]
 
 
 def test_held_requests_go_out_once_a_server_appears() -> None:
--- a/tests/test_tenants.py
+++ b/tests/test_tenants.py
@@ -54,15 +54,15 @@
         tenant = rid // 5 % 3
         result = api.Result.REJECTED if tenant == 1 else api.Result.OK
         actions = balancer.handle(now, api.Request(rid, 1, 4 * SECOND, tenant))
-        balancer.handle(now, api.Timer(0))  # whatever is due by now
+        balancer.handle(now, api.TimerFired(0))  # whatever is due by now
         tries = 0
         while actions:
             action = actions.pop(0)
             if isinstance(action, api.Send):
-                outcome = api.Outcome(rid, tries, action.server, result, 5 * MS, tenant != 1)
+                outcome = api.AttemptFinished(rid, tries, action.server, result, 5 * MS, tenant != 1)
                 actions += balancer.handle(now, outcome)
                 tries += 1
-            refused[tenant] += isinstance(action, api.Refuse)
+            refused[tenant] += isinstance(action, api.Reject)
         shed = max(shed, balancer.admission.shed)
     assert refused[1] > 600  # nobody takes them
     assert refused[0] == refused[2] == 0 and shed == 0.0
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -144,7 +144,7 @@
     _, i, got = link._event(result.ljust(56, b"\0"), 0, none)
     rtt = 0x011A49A0
     sid = bytes.fromhex("0a124a072b23")
-    assert got == api.Outcome(0x0EDA755D3A91C4, 0, sid, api.Result.OK, rtt, True, (0.5, 140.0, 3.0))
+    assert got == api.AttemptFinished(0x0EDA755D3A91C4, 0, sid, api.Result.OK, rtt, True, (0.5, 140.0, 3.0))
 
 
 def test_a_session_end_to_end() -> None:
@@ -235,8 +235,11 @@
 
 def test_settings_are_read() -> None:
     s = parse_settings(SETUP)
-    assert (s.nodes, s.zones, s.kinds, s.tick, s.weights) == (3, 2, 2, 4_000_000, api.Weights.LIVE)
-    assert s.classes[1].group == api.Group.CELL and s.classes[1].window == 4 * 10**9
+    assert (s.nodes, s.zones, s.kinds, s.tick, s.weight_mode) == (3, 2, 2, 4_000_000, api.WeightMode.LIVE)
+    assert (
+        s.classes[1].deduplication_scope == api.DeduplicationScope.CELL
+        and s.classes[1].deduplication_window == 4 * 10**9
+    )
     assert s.report_fields == ("errors", "rate", "queued") and s.tenants == ()
 
 
