--- a/benchmarks/accord.py
+++ b/benchmarks/accord.py
@@ -19,8 +19,8 @@
 from hollybay.cluster.plan import compile_plan
 from hollybay.cluster.report import Report, report_of
 from hollybay.cluster.rig import RigFailed, play
-from hollybay.consensus.core import Node, Stage, State
-from hollybay.consensus.interfaces import FileRead, Terms
+from hollybay.consensus.core import EpochState, Leaseholder, Stage
+from hollybay.consensus.interfaces import FileRead, MemberSettings
 from hollybay.consensus.log import Entry
 from hollybay.consensus.service import Service
 from hollybay.resources.model import Change
@@ -87,14 +87,14 @@
         raise AssertionError("nothing is kept")
 
     with tempfile.TemporaryDirectory() as folder:
-        terms = Terms("n0", "127.0.0.1:1", (), 10**12, 0, Path(folder))
+        terms = MemberSettings("n0", "127.0.0.1:1", (), 10**12, 0, Path(folder))
 
         def clock() -> int:
             return time.clock_gettime_ns(time.CLOCK_BOOTTIME)
 
         service = Service(terms, way, _Hands(), clock, clock, disk, random.Random(1), "boot")
-        state = State(0, Stage.SETTLED, "0-000000000000")
-        service.node = Node(1, at=state, until=clock() + 10**12, want=state)
+        state = EpochState(0, Stage.SETTLED, "0-000000000000")
+        service.node = Leaseholder(1, at=state, until=clock() + 10**12, want=state)
         service.until = service.node.until
         rounds = 200_000
         return min(timeit.repeat(service.look, number=rounds, repeat=5)) / rounds * 1e9
--- a/benchmarks/capacity/starts.py
+++ b/benchmarks/capacity/starts.py
@@ -11,7 +11,7 @@
 
 from hollybay.consensus.change_builder import founding_change
 from hollybay.consensus.log import PolicyLog, Snapshot
-from hollybay.consensus.policy import Refused, first
+from hollybay.consensus.policy import RejectedError, first
 from hollybay.hollow.meter import Spent, metered
 from hollybay.resources.state import EMPTY
 from hollybay.resources.wire import encode_snapshot
@@ -57,7 +57,7 @@
     tables = read(samples.short_routes_file(size))
     try:
         policy = first([founding_change(operations_between(EMPTY, resources_of(tables)))], KEEPERS)
-    except Refused as error:
+    except RejectedError as error:
         raise RefusedSize(str(error)) from None
     state = EMPTY.applied(policy.changes or (), policy.version)
     data = msgspec.msgpack.encode(Snapshot(policy.without_changes(), encode_snapshot(state)))
--- a/benchmarks/capacity/streams.py
+++ b/benchmarks/capacity/streams.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from hollybay.consensus.messages import Outcome
+from hollybay.consensus.messages import ChangeOutcome
 from hollybay.hollow.fleet import Fleet, FleetFailed, fleet, version_of
 from hollybay.hollow.messages import Report
 from hollybay.proxy.consensus_member import clock
@@ -140,9 +140,9 @@
         await asyncio.sleep(TRY_AGAIN_S)
     while clock() < end:
         found = await running.became_of(change)
-        if found.outcome is Outcome.IN_FORCE:
+        if found.outcome is ChangeOutcome.IN_FORCE:
             return version_of(found.policy)
-        if found.outcome is Outcome.REFUSED:
+        if found.outcome is ChangeOutcome.REFUSED:
             raise FleetFailed(f"change {number} was refused: {found.problems}")
         await asyncio.sleep(LOOK_S)
     return None
--- a/hollybay/cli/policy.py
+++ b/hollybay/cli/policy.py
@@ -16,8 +16,14 @@
 from rich.console import Console
 from rich.table import Table
 
-from hollybay.consensus.change_tracker import BadInput, Follow, Known, Verdict, Wish
-from hollybay.consensus.requests import Unreachable
+from hollybay.consensus.change_tracker import (
+    ChangeRequest,
+    ChangeTracker,
+    ClusterView,
+    InvalidInputError,
+    Verdict,
+)
+from hollybay.consensus.requests import UnreachableError
 
 __all__ = ["policy"]
 
@@ -42,8 +48,8 @@
     return await call(door, path, body, CALL_LIMIT)
 
 
-def _follow(doors: Iterable[str], show: Callable[[Known], None] = lambda known: None) -> Follow:
-    return Follow(_call, _doors(doors), show)
+def _follow(doors: Iterable[str], show: Callable[[ClusterView], None] = lambda known: None) -> ChangeTracker:
+    return ChangeTracker(_call, _doors(doors), show)
 
 
 _DOOR = click.option(
@@ -78,7 +84,7 @@
         self.quiet = quiet
         self.last = ""
 
-    def __call__(self, known: Known) -> None:
+    def __call__(self, known: ClusterView) -> None:
         latest = known.latest
         if self.quiet or latest is None:
             return
@@ -137,7 +143,7 @@
             try:
                 told = json.loads(await follow.found(door, data))
                 return f"founded: {told['policy']}, keepers {', '.join(told['keepers'])}"
-            except Unreachable as error:
+            except UnreachableError as error:
                 why = str(error)
         raise click.ClickException(why)
 
@@ -188,7 +194,7 @@
     async def work() -> Verdict:
         follow = _follow(doors, _Shown(as_json))
         if not parent and not keepers:
-            return await _applied(follow, limit, reason, name, Wish(data, out=out, back_in=back_in))
+            return await _applied(follow, limit, reason, name, ChangeRequest(data, out=out, back_in=back_in))
         servers = None
         if out or back_in:
             await follow.look()
@@ -201,13 +207,15 @@
     _end(asyncio.run(work()), as_json)
 
 
-async def _applied(follow: Follow, limit: float, reason: str, author: str, wish: Wish) -> Verdict:
+async def _applied(
+    follow: ChangeTracker, limit: float, reason: str, author: str, wish: ChangeRequest
+) -> Verdict:
     """Have the change made that makes the resources so, propose it and follow it."""
     try:
         drafted, change = await follow.draft(reason, author, wish)
-    except BadInput as error:
+    except InvalidInputError as error:
         return error.verdict()
-    except Unreachable as error:
+    except UnreachableError as error:
         return Verdict(3, text=str(error))
     if change is None:
         return Verdict(1, text=f"says the same as {drafted.policy}, which is in force")
@@ -243,7 +251,7 @@
     """Write or replace the routes, classes, tenants and defaults that FILE holds; the others stay."""
     if file is None and not delete:
         raise click.UsageError("nothing to change: no FILE and no --delete")
-    wish = Wish(_read(file) if file is not None else None, partial=True, delete=delete)
+    wish = ChangeRequest(_read(file) if file is not None else None, partial=True, delete=delete)
 
     async def work() -> Verdict:
         follow = _follow(doors, _Shown(as_json))
@@ -307,7 +315,7 @@
             try:
                 for one in json.loads(await _call(door, "history", None)):
                     found.setdefault(one["epoch"], one)
-            except (Unreachable, ValueError):
+            except (UnreachableError, ValueError):
                 continue
         return [found[epoch] for epoch in sorted(found)]
 
@@ -340,15 +348,15 @@
         await follow.look()
         if other is not None:
             return await follow.difference(one, other)
-        drafted, _ = await follow.draft("a difference", "", Wish(_read(one)))
+        drafted, _ = await follow.draft("a difference", "", ChangeRequest(_read(one)))
         return drafted.lines
 
     try:
         lines = asyncio.run(work())
-    except BadInput as error:
+    except InvalidInputError as error:
         click.echo("\n".join(error.problems or [str(error)]), err=True)
         sys.exit(2)
-    except Unreachable as error:
+    except UnreachableError as error:
         click.echo(str(error), err=True)
         sys.exit(2)
     for line in lines:
@@ -406,7 +414,7 @@
         if before is None:
             return Verdict(3, text="no keeper has what was in force before")
         if before.keepers == now.keepers:
-            return await _applied(follow, limit, reason, _user(), Wish(like=before.name))
+            return await _applied(follow, limit, reason, _user(), ChangeRequest(like=before.name))
         return await follow.propose(
             None, None, list(before.keepers), reason, _user(), limit, like=before.name
         )
--- a/hollybay/cluster/change_stream.py
+++ b/hollybay/cluster/change_stream.py
@@ -26,7 +26,7 @@
 from pathlib import Path
 from typing import Any
 
-from hollybay.consensus.change_tracker import Follow, Known, Verdict
+from hollybay.consensus.change_tracker import ChangeTracker, ClusterView, Verdict
 from hollybay.consensus.log import PolicyLog
 from hollybay.consensus.policy import version_of
 from hollybay.proxy.consensus_member import call
@@ -229,7 +229,7 @@
 # A run with a stream
 
 
-class _Proposer(Follow):
+class _Proposer(ChangeTracker):
     """An operator who calls one keeper before the others."""
 
     def __init__(self, doors: list[str], first: int) -> None:
@@ -239,7 +239,7 @@
     async def _called(self, door: str, path: str, body: bytes | None) -> bytes:
         return await call(door, path, body, CALL_LIMIT)
 
-    def _in_order(self, known: Known) -> list[str]:
+    def _in_order(self, known: ClusterView) -> list[str]:
         return sorted(super()._in_order(known), key=lambda door: door != self.first)
 
 
--- a/hollybay/cluster/planted.py
+++ b/hollybay/cluster/planted.py
@@ -86,35 +86,35 @@
     """A node does not look at the end of its lease when a request begins."""
     from hollybay.consensus import core
 
-    def serves(self: core.Node, now: int) -> tuple[str, ...]:
-        return core.served(self.at) if self.at is not None else ()
+    def serves(self: core.Leaseholder, now: int) -> tuple[str, ...]:
+        return core.effective_policies(self.at) if self.at is not None else ()
 
-    core.Node.serves = serves  # type: ignore[method-assign]
+    core.Leaseholder.serves = serves  # type: ignore[method-assign]
 
 
 def _narrow_skipped() -> None:
     """Nodes go from the old policy to the new one without the narrower of both between."""
     from hollybay.consensus import core
 
-    def serves(self: core.Node, now: int) -> tuple[str, ...]:
+    def serves(self: core.Leaseholder, now: int) -> tuple[str, ...]:
         if self.at is None or now >= self.until:
             return ()
         return (self.at.new,) if self.at.stage is core.Stage.NARROW else (self.at.policy,)
 
-    core.Node.serves = serves  # type: ignore[method-assign]
+    core.Leaseholder.serves = serves  # type: ignore[method-assign]
 
 
 def _disk_full_by_mark() -> None:
     """Not a defect but a fault: a node's log cannot be written while there is a mark in its folder."""
     from hollybay.consensus.log import Entry, PolicyLog
     from hollybay.consensus.policy import Policy
-    from hollybay.consensus.store import StoreFailed
+    from hollybay.consensus.store import StoreError
 
     put = PolicyLog.put
 
     def putting(self: PolicyLog, policy: Policy) -> Entry:
         if self.get(policy.name) is None and (self.folder.parent / FULL_DISK).exists():
-            raise StoreFailed("[Errno 28] No space left on device")
+            raise StoreError("[Errno 28] No space left on device")
         return put(self, policy)
 
     PolicyLog.put = putting  # type: ignore[method-assign]
--- a/hollybay/cluster/roles.py
+++ b/hollybay/cluster/roles.py
@@ -227,7 +227,7 @@
     """No policy after the first compiles here, or its disk is full from then on."""
     from hollybay.consensus.log import Entry, PolicyLog
     from hollybay.consensus.policy import Policy
-    from hollybay.consensus.store import StoreFailed
+    from hollybay.consensus.store import StoreError
     from hollybay.proxy.consensus_member import Accord
 
     if not full:
@@ -243,7 +243,7 @@
 
     def put(self: PolicyLog, policy: Policy) -> Entry:
         if policy.version > 1 and self.get(policy.name) is None:
-            raise StoreFailed("[Errno 28] No space left on device")
+            raise StoreError("[Errno 28] No space left on device")
         return kept(self, policy)
 
     PolicyLog.put = put  # type: ignore[method-assign]
@@ -783,30 +783,30 @@
 
     async def do_found(self, doors: list[str], file: str) -> None:
         """Begin."""
-        from hollybay.consensus import messages as w
-        from hollybay.consensus.requests import Unreachable
+        from hollybay.consensus import messages
+        from hollybay.consensus.requests import UnreachableError
 
-        body = w.encode(w.Founding(file=base64.b64encode(file.encode()).decode()))
+        body = messages.encode(messages.BootstrapCall(file=base64.b64encode(file.encode()).decode()))
         for left in range(9, -1, -1):
             try:
                 await self.call(doors[0], "found", body)
                 return
-            except Unreachable:  # hundreds of nodes that start at once are all at the keepers' doors
+            except UnreachableError:  # hundreds of nodes that start at once are all at the keepers' doors
                 if not left:
                     raise
                 await asyncio.sleep(0.5)
 
     async def do_change(self, doors: list[str], to: int, change: dict[str, Any]) -> Any:
         """Propose and follow a change; what came of it."""
-        from hollybay.consensus.change_tracker import Follow, Known, Verdict
+        from hollybay.consensus.change_tracker import ChangeTracker, ClusterView, Verdict
 
         began = time.monotonic_ns()
-        follow = Follow(self.call, doors)
+        follow = ChangeTracker(self.call, doors)
         if to:
             # Of several keepers that answer this one takes the proposal.
             look = follow.look
 
-            async def looked() -> Known:
+            async def looked() -> ClusterView:
                 known = await look()
                 known.statuses = dict(sorted(known.statuses.items(), key=lambda item: item[0] != doors[to]))
                 return known
--- a/hollybay/consensus/batch_model_check.py
+++ b/hollybay/consensus/batch_model_check.py
@@ -44,8 +44,8 @@
     ProposalQueue,
     Queued,
     QueueSettings,
-    Refused,
-    RefusedNow,
+    Rejected,
+    RejectedNow,
     UnderWay,
     Unknown,
     combined,
@@ -172,7 +172,7 @@
     @property
     def is_answered(self) -> bool:
         """Whether it was told what became of the change, for good."""
-        return isinstance(self.verdict, InForce | Refused)
+        return isinstance(self.verdict, InForce | Rejected)
 
 
 @dataclass(slots=True)
@@ -306,8 +306,8 @@
         if not heard or isinstance(answer, Busy):
             return
         outcome = self._outcome(keeper, proposer.change.id)
-        if isinstance(answer, RefusedNow) and not isinstance(outcome, InForce):
-            outcome = Refused(answer.problems)
+        if isinstance(answer, RejectedNow) and not isinstance(outcome, InForce):
+            outcome = Rejected(answer.problems)
         self._tell(proposer, keeper, outcome)
 
     def _ask(self, proposer: Proposer, keeper: Keeper) -> None:
@@ -346,7 +346,7 @@
     def _refused_at(self, keeper: Keeper) -> set[bytes]:
         """The changes that a keeper accepted and refused."""
         outcomes = {change_id: keeper.queue.outcome(change_id, self.now) for change_id in keeper.accepted}
-        return {change_id for change_id, outcome in outcomes.items() if isinstance(outcome, Refused)}
+        return {change_id for change_id, outcome in outcomes.items() if isinstance(outcome, Rejected)}
 
     def _check_refusal(self, keeper: Keeper, change: Change) -> None:
         """A change that was refused when a batch was made does not fit what is decided."""
@@ -506,7 +506,7 @@
             require(change_id in self.decided_ids, f"{name} is told to be in force and was not decided")
             there = self._ids_at(verdict.revision)
             require(change_id in there, f"{name} is told to be of revision {verdict.revision}")
-        elif isinstance(verdict, Refused):
+        elif isinstance(verdict, Rejected):
             require(change_id not in self.decided_ids, f"{name} is told to be refused and is in force")
             if verdict.problems == CANNOT:
                 require(proposer.bad, f"{name} is refused, and nodes can serve it")
@@ -523,7 +523,7 @@
                 require(known, f"keeper {keeper.number} forgot change {int.from_bytes(change_id, 'big')}")
         for proposer in self.proposers:
             outcome = keeper.queue.outcome(proposer.change.id, self.now)
-            if isinstance(outcome, Refused) and outcome.problems == CANNOT:
+            if isinstance(outcome, Rejected) and outcome.problems == CANNOT:
                 number = int.from_bytes(proposer.change.id, "big")
                 require(proposer.bad, f"change {number} is refused with a bad one")
 
--- a/hollybay/consensus/change_tracker.py
+++ b/hollybay/consensus/change_tracker.py
@@ -18,12 +18,12 @@
 from hollybay.resources.model import Change
 from hollybay.resources.wire import MAX_BATCH_BYTES, encode_change
 
-from . import messages as w
-from .policy import Policy, Refused
-from .requests import Unreachable, policy_from
+from . import messages
+from .policy import Policy, RejectedError
+from .requests import UnreachableError, policy_from
 from .transfer import download, pieces_up
 
-__all__ = ["BadInput", "Follow", "Known", "Verdict", "Wish", "judge"]
+__all__ = ["ChangeRequest", "ChangeTracker", "ClusterView", "InvalidInputError", "Verdict", "judge"]
 
 # Seconds between two looks, and after which a proposal is made again that no keeper knows of.
 LOOK, AGAIN = 0.05, 2.0
@@ -35,7 +35,7 @@
 # Times that such a call may have no answer, one after another.
 SILENT_TRIES = 5
 # A file or a change of so many bytes goes in pieces.
-MAX_IN_ONE_CALL = w.PIECE_BYTES // 2
+MAX_IN_ONE_CALL = messages.PIECE_BYTES // 2
 
 
 Call = Callable[[str, str, bytes | None], Awaitable[bytes]]
@@ -55,7 +55,7 @@
     reasons: dict[str, list[str]] = field(default_factory=dict)
 
 
-class BadInput(Exception):
+class InvalidInputError(Exception):
     """A keeper refused what an operator gave. code: the exit status; problems: what does not hold."""
 
     def __init__(self, code: int, reason: str, problems: Iterable[str] = ()) -> None:
@@ -71,7 +71,7 @@
 
 
 @dataclass
-class Known:
+class ClusterView:
     """What keepers said: their status by door, and the epochs that they know of."""
 
     statuses: dict[str, dict[str, Any]] = field(default_factory=dict)
@@ -97,7 +97,7 @@
         return found
 
 
-def judge(known: Known, change: str, epoch: int) -> Verdict:
+def judge(known: ClusterView, change: str, epoch: int) -> Verdict:
     """What became of a change that was to begin with an epoch, as far as it is decided."""
     latest = known.latest
     if latest is None:
@@ -123,7 +123,7 @@
     return everywhere(known, change, epoch, epoch + 2)
 
 
-def everywhere(known: Known, change: str, epoch: int, settled: int) -> Verdict:
+def everywhere(known: ClusterView, change: str, epoch: int, settled: int) -> Verdict:
     """Whether a change that began with an epoch, and that was settled with another, is in force at every
     node.
     """
@@ -147,7 +147,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Wish:
+class ChangeRequest:
     """What an operator wants of the resources; as in words.Drafting."""
 
     file: bytes | None = None
@@ -158,18 +158,18 @@
     delete: tuple[str, ...] = ()
 
 
-class Follow:
-    """Calls keepers for an operator. call: door, path, body; Unreachable as in service.Way."""
+class ChangeTracker:
+    """Calls keepers for an operator. call: door, path, body; UnreachableError as in service.Way."""
 
     def __init__(
-        self, call: Call, doors: Iterable[str], show: Callable[[Known], None] = lambda known: None
+        self, call: Call, doors: Iterable[str], show: Callable[[ClusterView], None] = lambda known: None
     ) -> None:
         self.call = call
         self.doors = list(dict.fromkeys(doors))
         self.show = show
-        self.known = Known()
+        self.known = ClusterView()
 
-    async def look(self) -> Known:
+    async def look(self) -> ClusterView:
         """Ask all keepers that are known of, and those that they name."""
         known = self.known
         known.statuses = {}
@@ -192,7 +192,7 @@
         async def one(door: str) -> tuple[str, Any] | None:
             try:
                 return door, msgspec.json.decode(await self.call(door, path, None))
-            except (Unreachable, msgspec.DecodeError):
+            except (UnreachableError, msgspec.DecodeError):
                 return None
 
         return [found for found in await asyncio.gather(*map(one, doors)) if found is not None]
@@ -227,8 +227,8 @@
         digest = old.digest.hex()
         if parent and parent != old.name and parent != digest:
             return Verdict(1, text=f"parent: made on {parent}, in force is {old.name}")
-        body = w.encode(
-            w.Proposing(
+        body = messages.encode(
+            messages.ProposeCall(
                 None if file is None else base64.b64encode(file).decode(),
                 digest,
                 reason,
@@ -241,10 +241,10 @@
         verdict = Verdict(3, text="no keeper took it")
         for door in known.keepers:
             try:
-                changed = w.decode(await self.call(door, "propose", body), w.Changed)
-            except Refused as error:
+                changed = messages.decode(await self.call(door, "propose", body), messages.ProposeReply)
+            except RejectedError as error:
                 return Verdict(3, text=str(error))
-            except Unreachable as error:
+            except UnreachableError as error:
                 if error.status in (0, 503, 507):
                     verdict = Verdict(3, text=f"{door}: {error}")
                     continue
@@ -276,55 +276,61 @@
                 await self._again(known, body)
             await asyncio.sleep(LOOK)
 
-    async def _again(self, known: Known, body: bytes) -> None:
+    async def _again(self, known: ClusterView, body: bytes) -> None:
         for door in known.keepers:
             try:
                 await self.call(door, "propose", body)
                 return
-            except Unreachable:
+            except UnreachableError:
                 continue
 
     async def found(self, door: str, file: bytes) -> bytes:
-        """Begin an accord at one of its keepers; its answer. Unreachable: it does not."""
+        """Begin an accord at one of its keepers; its answer. UnreachableError: it does not."""
         text, upload = await self._given(door, file)
-        return await self.patiently(door, "found", w.encode(w.Founding(text or "", upload)))
+        return await self.patiently(
+            door, "found", messages.encode(messages.BootstrapCall(text or "", upload))
+        )
 
     async def difference(self, one: str, other: str) -> list[str]:
-        """What differs between two policies, for people. Unreachable: no keeper has both."""
-        error = Unreachable("no keeper answers")
+        """What differs between two policies, for people. UnreachableError: no keeper has both."""
+        error = UnreachableError("no keeper answers")
         for door in self._in_order(self.known):
             try:
-                return w.decode(await self.call(door, f"diff/{one}/{other}", None), list[str])
-            except Refused as refused:
-                error = Unreachable(f"{door}: {refused}")
-            except Unreachable as why:
-                error = Unreachable(str(_told(why).get("refused", why)), why.status)
+                return messages.decode(await self.call(door, f"diff/{one}/{other}", None), list[str])
+            except RejectedError as refused:
+                error = UnreachableError(f"{door}: {refused}")
+            except UnreachableError as why:
+                error = UnreachableError(str(_told(why).get("refused", why)), why.status)
         raise error
 
     # Changes of resources, by group commit
 
-    async def draft(self, reason: str, author: str, wish: Wish) -> tuple[w.Drafted, Change | None]:
+    async def draft(
+        self, reason: str, author: str, wish: ChangeRequest
+    ) -> tuple[messages.DraftReply, Change | None]:
         """The change that makes the resources what a file says, or what they were after a policy, and takes
-        servers out or puts them back; None: nothing differs. BadInput: a keeper refuses it; Unreachable: none
-        answers.
+        servers out or puts them back; None: nothing differs. InvalidInputError: a keeper refuses it;
+        UnreachableError: none answers.
         """
         known = await self.look()
-        error = Unreachable("no keeper answers")
+        error = UnreachableError("no keeper answers")
         for door in self._in_order(known):
             try:
                 drafted = await self._draft_at(door, reason, author, wish)
                 return drafted, await self._drafted(door, drafted)
-            except Refused as refused:
-                error = Unreachable(f"{door}: {refused}")
-            except Unreachable as why:
+            except RejectedError as refused:
+                error = UnreachableError(f"{door}: {refused}")
+            except UnreachableError as why:
                 if why.status not in (0, 404, 503, 507):
                     raise _bad_input(why) from None
                 error = why
         raise error
 
-    async def _draft_at(self, door: str, reason: str, author: str, wish: Wish) -> w.Drafted:
+    async def _draft_at(
+        self, door: str, reason: str, author: str, wish: ChangeRequest
+    ) -> messages.DraftReply:
         text, upload = await self._given(door, wish.file)
-        words = w.Drafting(
+        words = messages.DraftCall(
             reason,
             author,
             text,
@@ -335,7 +341,9 @@
             wish.partial,
             list(wish.delete),
         )
-        return w.decode(await self.patiently(door, "draft", w.encode(words)), w.Drafted)
+        return messages.decode(
+            await self.patiently(door, "draft", messages.encode(words)), messages.DraftReply
+        )
 
     async def _given(self, door: str, file: bytes | None) -> tuple[str | None, str]:
         """A file as it goes into a call: its text, or the id under which it was uploaded."""
@@ -346,12 +354,12 @@
         return None, await self.upload(door, file)
 
     async def upload(self, door: str, data: bytes) -> str:
-        """Bring to a keeper what is too long for a call; its id there. Unreachable: the keeper does not take
-        it.
+        """Bring to a keeper what is too long for a call; its id there. UnreachableError: the keeper does not
+        take it.
         """
         upload = blake2b(data, digest_size=16).hexdigest()
         for piece in pieces_up(upload, data):
-            await self.call(door, "upload", w.encode(piece))
+            await self.call(door, "upload", messages.encode(piece))
         return upload
 
     async def patiently(self, door: str, path: str, body: bytes) -> bytes:
@@ -362,25 +370,25 @@
         while True:
             try:
                 return await self.call(door, path, body)
-            except Unreachable as error:
+            except UnreachableError as error:
                 wait = _retry_after(error)
                 silent = silent + 1 if not error.status else 0
                 if (wait is None and not 0 < silent < SILENT_TRIES) or loop.time() > end:
                     raise
             await asyncio.sleep(wait or LOOK)
 
-    async def _drafted(self, door: str, drafted: w.Drafted) -> Change | None:
+    async def _drafted(self, door: str, drafted: messages.DraftReply) -> Change | None:
         if drafted.change:
-            return w.change_from(drafted.change)
+            return messages.change_from(drafted.change)
         if not drafted.draft:
             return None
         path = f"draft/{drafted.draft}"
         _, data = await download(
             lambda part: self.call(door, part, None), path, lambda _: path, MAX_BATCH_BYTES
         )
-        return w.change_from_bytes(data)
+        return messages.change_from_bytes(data)
 
-    def _in_order(self, known: Known) -> list[str]:
+    def _in_order(self, known: ClusterView) -> list[str]:
         """The keepers that answer, those of the board first and in its order: so most proposers call the same
         one.
         """
@@ -420,37 +428,41 @@
         """
         for door in sorted(proposed.doors - proposed.refused.keys()):
             try:
-                one = w.decode(await self.call(door, f"change/{proposed.id}", None), w.BecameOf)
-            except (Unreachable, Refused):
+                one = messages.decode(
+                    await self.call(door, f"change/{proposed.id}", None), messages.ChangeReply
+                )
+            except (UnreachableError, RejectedError):
                 continue
-            if one.outcome in (w.Outcome.QUEUED, w.Outcome.UNDER_WAY):
+            if one.outcome in (messages.ChangeOutcome.QUEUED, messages.ChangeOutcome.UNDER_WAY):
                 return True
         return False
 
-    async def _became(self, known: Known, proposed: _Proposed) -> Verdict | None:
+    async def _became(self, known: ClusterView, proposed: _Proposed) -> Verdict | None:
         """What became of a change by what keepers say; None: it is to be proposed, again or for the first
         time.
         """
         if not proposed.doors:
             return None
-        told: dict[str, w.BecameOf] = {}
+        told: dict[str, messages.ChangeReply] = {}
         for door in known.keepers:
             try:
-                told[door] = w.decode(await self.call(door, f"change/{proposed.id}", None), w.BecameOf)
-            except (Unreachable, Refused):
+                told[door] = messages.decode(
+                    await self.call(door, f"change/{proposed.id}", None), messages.ChangeReply
+                )
+            except (UnreachableError, RejectedError):
                 continue
         for one in told.values():
-            if one.outcome is w.Outcome.IN_FORCE:
+            if one.outcome is messages.ChangeOutcome.IN_FORCE:
                 return await self._in_force(known, one, proposed)
         for one in told.values():
-            if one.outcome in (w.Outcome.UNDER_WAY, w.Outcome.QUEUED):
+            if one.outcome in (messages.ChangeOutcome.UNDER_WAY, messages.ChangeOutcome.QUEUED):
                 return Verdict(3, one.policy or proposed.id, one.epoch, one.outcome.value)
         for door, one in told.items():
-            if one.outcome is w.Outcome.REFUSED:
+            if one.outcome is messages.ChangeOutcome.REFUSED:
                 proposed.refused[door] = [str(problem) for problem in one.problems]
         return proposed.verdict()
 
-    async def _in_force(self, known: Known, one: w.BecameOf, proposed: _Proposed) -> Verdict:
+    async def _in_force(self, known: ClusterView, one: messages.ChangeReply, proposed: _Proposed) -> Verdict:
         """A change that is decided: whether it is in force everywhere."""
         # Where the log does not reach back to it, the keepers of a later policy know as much.
         name = one.policy or (known.latest["policy"] if known.latest is not None else "")
@@ -461,7 +473,7 @@
         proposed.settled = min(proposed.settled or one.epoch, one.epoch)
         return everywhere(known, name, proposed.settled, proposed.settled)
 
-    async def _offer(self, known: Known, proposed: _Proposed, new: bool) -> Verdict:
+    async def _offer(self, known: ClusterView, proposed: _Proposed, new: bool) -> Verdict:
         """Propose a change at the first keeper that takes it; new: at one where it has not been proposed."""
         verdict = Verdict(3, proposed.id, text="no keeper answers")
         doors = [door for door in self._in_order(known) if door not in proposed.refused]
@@ -472,9 +484,9 @@
             try:
                 await self._offered(door, proposed)
                 return Verdict(3, proposed.id, text="proposed")
-            except Refused as error:
+            except RejectedError as error:
                 verdict = Verdict(3, proposed.id, text=f"{door}: {error}")
-            except Unreachable as error:
+            except UnreachableError as error:
                 wait = _retry_after(error)
                 if error.status:
                     proposed.doors.discard(door)  # it has said that it did not take it
@@ -493,19 +505,19 @@
     async def _offered(self, door: str, proposed: _Proposed) -> None:
         data = encode_change(proposed.change)
         if len(data) <= MAX_IN_ONE_CALL:
-            words = w.Changing(base64.b64encode(data).decode())
+            words = messages.ChangeCall(base64.b64encode(data).decode())
         else:
-            words = w.Changing(upload=await self.upload(door, data))
-        w.decode(await self.call(door, "change", w.encode(words)), w.BecameOf)
+            words = messages.ChangeCall(upload=await self.upload(door, data))
+        messages.decode(await self.call(door, "change", messages.encode(words)), messages.ChangeReply)
 
     async def drop(self, change: str) -> str:
         """Give a change up; "" if a keeper will, else why not."""
         why = "no keeper answers"
         for door in list(dict.fromkeys([*self.known.keepers, *self.doors])):
             try:
-                await self.call(door, "drop", w.encode(w.Dropping(change)))
+                await self.call(door, "drop", messages.encode(messages.DropCall(change)))
                 return ""
-            except Unreachable as error:
+            except UnreachableError as error:
                 why = str(error)
         return why
 
@@ -535,7 +547,7 @@
         return Verdict(1, self.id, text="refused", reasons={"the keepers": list(dict.fromkeys(problems))})
 
 
-def _told(error: Unreachable) -> dict[str, Any]:
+def _told(error: UnreachableError) -> dict[str, Any]:
     """What a keeper said with its no."""
     try:
         told = msgspec.json.decode(str(error).encode("utf-8", "replace"))
@@ -544,13 +556,13 @@
     return told if isinstance(told, dict) else {}
 
 
-def _retry_after(error: Unreachable) -> float | None:
+def _retry_after(error: UnreachableError) -> float | None:
     """In how many seconds a keeper says that it may be asked again; None: it does not say so."""
     wait = _told(error).get("retry_after_ms")
     return min(60.0, max(0.0, wait / 1000)) if isinstance(wait, int) and error.status == 503 else None
 
 
-def _problems_of(error: Unreachable) -> list[str]:
+def _problems_of(error: UnreachableError) -> list[str]:
     found = _told(error).get("problems")
     if not isinstance(found, list):
         return [str(error)]
@@ -559,7 +571,9 @@
     ]
 
 
-def _bad_input(error: Unreachable) -> BadInput:
+def _bad_input(error: UnreachableError) -> InvalidInputError:
     told = _told(error)
     code = 1 if error.status in (409, 422) else 2
-    return BadInput(code, str(told.get("refused", error)), _problems_of(error) if "problems" in told else ())
+    return InvalidInputError(
+        code, str(told.get("refused", error)), _problems_of(error) if "problems" in told else ()
+    )
--- a/hollybay/consensus/coordinator.py
+++ b/hollybay/consensus/coordinator.py
@@ -12,19 +12,19 @@
 from dataclasses import dataclass
 from typing import Any, Protocol
 
-from . import messages as w
-from .core import Accept, Boards, Driver, Stage, State, named, served
-from .durable_voter import Keeping
-from .interfaces import Hands, Terms
+from . import messages
+from .core import Accept, EpochState, Proposer, Stage, VoterSets, effective_policies, policies_named
+from .durable_acceptor import DurableAcceptor
+from .interfaces import DataPlane, MemberSettings
 from .messages import number_of
-from .outgoing_requests import OutgoingCalls
-from .policy import Policy, Refused
+from .outgoing_requests import PeerClient
+from .policy import Policy, RejectedError
 from .proposals import Proposals
 from .status import ChangeProgress
-from .store import StoreFailed
+from .store import StoreError
 from .waiting import wait_at_most
 
-__all__ = ["IDLE", "ChangeDriver", "Member", "PendingChange", "announcement"]
+__all__ = ["IDLE", "ChangeCoordinator", "CoordinatorHost", "PendingChange", "announcement"]
 
 SECOND = 1_000_000_000  # ns
 # Seconds for which whoever drives waits for more promises once it has enough.
@@ -42,32 +42,32 @@
 GIVE_WAY = (0.01, 0.05)
 
 
-class Member(Protocol):
+class CoordinatorHost(Protocol):
     """The process that a driver works for: its keeper, and what it learns."""
 
-    keeping: Keeping | None
+    keeping: DurableAcceptor | None
 
     def become_keeper(self) -> None:
         """Be a keeper, if this process is named as one and is none yet."""
         ...
 
-    def doors_of(self, state: State | None) -> list[str]:
+    def doors_of(self, state: EpochState | None) -> list[str]:
         """The addresses of the keepers of an epoch."""
         ...
 
-    def boards(self, state: State) -> Boards:
+    def boards(self, state: EpochState) -> VoterSets:
         """The keepers, by their numbers, of each policy of an epoch that is here."""
         ...
 
-    async def learn(self, state: State, by: str) -> None:
+    async def learn(self, state: EpochState, by: str) -> None:
         """The node hears of an epoch from an address."""
         ...
 
-    async def learn_keeper(self, state: State, by: str) -> bool:
-        """The keeper hears of a decided epoch from an address; whether that was news. StoreFailed."""
+    async def learn_keeper(self, state: EpochState, by: str) -> bool:
+        """The keeper hears of a decided epoch from an address; whether that was news. StoreError."""
         ...
 
-    async def heard(self, state: State, by: str) -> None:
+    async def heard(self, state: EpochState, by: str) -> None:
         """Both hear of it; a disk that fails is written down."""
         ...
 
@@ -76,7 +76,7 @@
         ...
 
     async def propose_next(self) -> bool:
-        """Make the next policy of the changes that wait; whether there was anything. StoreFailed."""
+        """Make the next policy of the changes that wait; whether there was anything. StoreError."""
         ...
 
 
@@ -88,12 +88,12 @@
     epoch: int
 
 
-def announcement(state: State, own_address: str) -> bytes:
+def announcement(state: EpochState, own_address: str) -> bytes:
     """The body of the call by which others hear of an epoch from a process at an address."""
-    return w.encode(w.Knowing(w.FORM, state, own_address))
+    return messages.encode(messages.DecidedNotice(messages.FORM, state, own_address))
 
 
-class ChangeDriver:
+class ChangeCoordinator:
     """Drives changes for a member, one at a time.
 
     process: the number of this process, which its ballots carry; clock: ns; spawn: starts a task of the
@@ -102,12 +102,12 @@
 
     def __init__(
         self,
-        member: Member,
-        terms: Terms,
+        member: CoordinatorHost,
+        terms: MemberSettings,
         process: int,
-        hands: Hands,
+        hands: DataPlane,
         proposals: Proposals,
-        outgoing: OutgoingCalls,
+        outgoing: PeerClient,
         clock: Callable[[], int],
         chance: random.Random,
         spawn: Callable[[Coroutine[Any, Any, Any]], object],
@@ -124,7 +124,7 @@
         self.pending: PendingChange | None = None
         self.dropping: set[str] = set()  # policies to be given up, by name
         self.driving = ""  # the policy that is brought further here
-        self.waits: list[w.Waiting] = []
+        self.waits: list[messages.BlockingLease] = []
         self.refused: dict[str, str] = {}  # policies that never began: why
         self.work = asyncio.Event()
         self._ballot = 0  # the highest count of a ballot that it has seen
@@ -188,7 +188,7 @@
                     continue
                 elif await self.member.propose_next():
                     continue
-            except StoreFailed as error:
+            except StoreError as error:
                 self.hands.say("keeper", error=str(error))
                 await asyncio.sleep(IDLE)
             self.driving = ""
@@ -236,19 +236,19 @@
         patience = TAKE_OVER + TAKE_OVER_EACH * place
         return self.clock() - keeping.heard > patience * SECOND
 
-    def _wish(self, state: State) -> State:
+    def _wish(self, state: EpochState) -> EpochState:
         """What should come after an epoch."""
         epoch = state.epoch + 1
         if state.stage is Stage.SETTLED:
             assert self.pending is not None
-            return State(epoch, Stage.PREPARE, state.policy, self.pending.policy.name)
+            return EpochState(epoch, Stage.PREPARE, state.policy, self.pending.policy.name)
         keeping = self._keeping()
         no = any(one.no for one in self.waits) or bool(keeping.refusals.get(state.new))
         if state.new in self.dropping or (state.stage is Stage.PREPARE and no):
-            return State(epoch, Stage.SETTLED, state.policy)
+            return EpochState(epoch, Stage.SETTLED, state.policy)
         if state.stage is Stage.PREPARE:
-            return State(epoch, Stage.NARROW, state.policy, state.new)
-        return State(epoch, Stage.SETTLED, state.new)
+            return EpochState(epoch, Stage.NARROW, state.policy, state.new)
+        return EpochState(epoch, Stage.SETTLED, state.new)
 
     async def _advance(self) -> None:
         """One epoch further, if the keepers will."""
@@ -260,13 +260,13 @@
         self.driving = wish.new or state.new
         doors = self.member.doors_of(state)
         boards = self.member.boards(state)
-        if len(boards) < len(named(state)):
+        if len(boards) < len(policies_named(state)):
             await asyncio.sleep(IDLE)
             return
         if state.stage is not Stage.SETTLED:
             self._tell_all(state)  # whoever has not heard of it holds it up
         self.hands.say("drives", epoch=wish.epoch, stage=wish.stage.name, change=wish.new or wish.policy)
-        driver = Driver(self.process, boards, wish)
+        driver = Proposer(self.process, boards, wish)
         driver, asked = await self._promised(driver, state, doors)
         if asked is not None and await self._votes(driver, asked, state, doors):
             self._lost = 0
@@ -280,16 +280,18 @@
             self._lost = min(self._lost + 1, 5)
             await asyncio.sleep(self.chance.uniform(0.02, 0.05) * 2**self._lost)
 
-    async def _promised(self, driver: Driver, state: State, doors: list[str]) -> tuple[Driver, Accept | None]:
+    async def _promised(
+        self, driver: Proposer, state: EpochState, doors: list[str]
+    ) -> tuple[Proposer, Accept | None]:
         """Ask for promises; those of keepers that voted for nothing count first, so that the wish is free
         where it may be."""
         keeping = self._keeping()
         driver, call = driver.begin(max(keeping.above(), self._ballot))
         self._ballot = call.ballot[0]
-        found: list[tuple[str, w.Promising]] = []
-        body = w.encode(w.Preparing(w.FORM, call))
+        found: list[tuple[str, messages.PrepareReply]] = []
+        body = messages.encode(messages.PrepareCall(messages.FORM, call))
         async for door, answer in self.outgoing.answers(
-            doors, "prepare", body, w.Promising, MORE_PROMISES, boards=driver.boards
+            doors, "prepare", body, messages.PrepareReply, MORE_PROMISES, boards=driver.boards
         ):
             self._ballot = max(self._ballot, answer.above)
             if answer.know is not None:
@@ -307,10 +309,10 @@
                 asked = asked or accept
         return driver, asked
 
-    async def _votes(self, driver: Driver, asked: Accept, state: State, doors: list[str]) -> bool:
+    async def _votes(self, driver: Proposer, asked: Accept, state: EpochState, doors: list[str]) -> bool:
         """Ask for votes until a majority has voted; False: it must begin anew."""
         keeping = self._keeping()
-        body = w.encode(w.Accepting(w.FORM, asked, self.terms.door))
+        body = messages.encode(messages.AcceptCall(messages.FORM, asked, self.terms.door))
         voted: set[str] = set()
         again = VOTE_AGAIN
         silent = 0
@@ -321,11 +323,11 @@
             if loop.time() - told > TELL_AGAIN and state.stage is not Stage.SETTLED:
                 told = loop.time()
                 self._tell_all(state)  # whoever has not heard of it holds it up
-            waits: dict[int, w.Waiting] = {}
+            waits: dict[int, messages.BlockingLease] = {}
             heard = False
             left = [door for door in doors if door not in voted]
             async for door, answer in self.outgoing.answers(
-                left, "accept", body, w.Voting, MORE_PROMISES, driver.boards
+                left, "accept", body, messages.AcceptReply, MORE_PROMISES, driver.boards
             ):
                 heard = True
                 if answer.vote is not None:
@@ -354,26 +356,26 @@
             await asyncio.sleep(again)
             again = min(VOTE_SELDOM, again * 1.3)
 
-    def _current_wish(self, state: State) -> State | None:
+    def _current_wish(self, state: EpochState) -> EpochState | None:
         """What should come after an epoch now; None: nothing, as what was pending is not any more."""
         if state.stage is Stage.SETTLED and self.pending is None:
             return None
         return self._wish(state)
 
-    async def _decided(self, state: State, doors: list[str]) -> None:
+    async def _decided(self, state: EpochState, doors: list[str]) -> None:
         """An epoch is decided: all may know."""
         self.waits = []
         self.hands.say(
             "decided",
             epoch=state.epoch,
             stage=state.stage.name,
-            policies=list(served(state)),
+            policies=list(effective_policies(state)),
             change=state.new,
         )
         await self.member.learn_keeper(state, self.terms.door)
         self._tell_all(state, doors)
 
-    def _tell_all(self, state: State, doors: list[str] | None = None) -> None:
+    def _tell_all(self, state: EpochState, doors: list[str] | None = None) -> None:
         """Tell keepers and nodes of an epoch, those first that this keeper heard last."""
         keeping = self._keeping()
         members = sorted(keeping.members.values(), key=lambda one: -one.heard)
@@ -392,8 +394,8 @@
         for _ in range(min(TOLD_AT_ONCE, len(found))):
             self.spawn(tell())
 
-    def _keeping(self) -> Keeping:
-        """The keeper that it drives for. Refused: this process is none."""
+    def _keeping(self) -> DurableAcceptor:
+        """The keeper that it drives for. RejectedError: this process is none."""
         if self.member.keeping is None:
-            raise Refused("no keeper here")
+            raise RejectedError("no keeper here")
         return self.member.keeping
--- a/hollybay/consensus/core.py
+++ b/hollybay/consensus/core.py
@@ -40,28 +40,28 @@
 __all__ = [
     "Accept",
     "Accepted",
-    "Ask",
+    "Acceptor",
     "Ballot",
-    "Boards",
-    "Driver",
-    "Grant",
-    "Keeper",
-    "Know",
+    "Decided",
+    "EpochState",
     "Lease",
-    "Node",
+    "LeaseGrant",
+    "LeaseRequest",
+    "Leaseholder",
     "Prepare",
     "Promise",
+    "Proposer",
     "Stage",
-    "State",
-    "enough",
-    "follows",
-    "highest",
-    "named",
-    "served",
+    "VoterSets",
+    "effective_policies",
+    "has_quorum",
+    "highest_ballot_number",
+    "is_valid_successor",
+    "policies_named",
 ]
 
 Ballot = tuple[int, int]  # a count, and who drives: no two have the same
-Boards = tuple[frozenset[int], ...]  # the keepers of each policy that an epoch names
+VoterSets = tuple[frozenset[int], ...]  # the keepers of each policy that an epoch names
 NO_BALLOT: Ballot = (0, 0)
 
 
@@ -73,7 +73,7 @@
     NARROW = 2
 
 
-class State(NamedTuple):
+class EpochState(NamedTuple):
     """One epoch. policy, new: names of policies (policy.Policy.name); new is empty where it is settled."""
 
     epoch: int
@@ -82,23 +82,23 @@
     new: str = ""
 
 
-def served(state: State) -> tuple[str, ...]:
+def effective_policies(state: EpochState) -> tuple[str, ...]:
     """The policies whose narrower holds for requests that begin in this epoch."""
     return (state.policy, state.new) if state.stage is Stage.NARROW else (state.policy,)
 
 
-def named(state: State) -> tuple[str, ...]:
+def policies_named(state: EpochState) -> tuple[str, ...]:
     """The policies that it names, in force or not."""
     return (state.policy, state.new) if state.new else (state.policy,)
 
 
-def enough(boards: Boards, keepers: Iterable[int]) -> bool:
+def has_quorum(boards: VoterSets, keepers: Iterable[int]) -> bool:
     """Whether these keepers are a majority of each board."""
     those = frozenset(keepers)
     return bool(boards) and all(2 * len(those & board) > len(board) for board in boards)
 
 
-def follows(old: State, new: State) -> bool:
+def is_valid_successor(old: EpochState, new: EpochState) -> bool:
     """Whether one epoch may follow another: the table above."""
     if new.epoch != old.epoch + 1 or bool(new.new) != (new.stage is not Stage.SETTLED):
         return False
@@ -112,7 +112,7 @@
 # What is said
 
 
-class Ask(NamedTuple):
+class LeaseRequest(NamedTuple):
     """A node asks for a lease on the last epoch that it heard of; state None: it has heard of none.
 
     serving: the epoch that it serves under, and none before; -1: none. able: whether it could serve the new
@@ -121,12 +121,12 @@
 
     node: int
     turn: int
-    state: State | None
+    state: EpochState | None
     serving: int
     able: bool
 
 
-class Grant(NamedTuple):
+class LeaseGrant(NamedTuple):
     """A keeper grants it."""
 
     keeper: int
@@ -134,10 +134,10 @@
     epoch: int
 
 
-class Know(NamedTuple):
+class Decided(NamedTuple):
     """What is decided, from whoever knows more than the other."""
 
-    state: State
+    state: EpochState
 
 
 class Prepare(NamedTuple):
@@ -153,14 +153,14 @@
     keeper: int
     ballot: Ballot
     epoch: int
-    accepted: tuple[Ballot, State] | None
+    accepted: tuple[Ballot, EpochState] | None
 
 
 class Accept(NamedTuple):
     """Whoever drives asks for votes."""
 
     ballot: Ballot
-    state: State
+    state: EpochState
 
 
 class Accepted(NamedTuple):
@@ -168,7 +168,7 @@
 
     keeper: int
     ballot: Ballot
-    state: State
+    state: EpochState
 
 
 # Keepers
@@ -188,7 +188,7 @@
     names: tuple[str, ...] = ()
 
 
-class Keeper(NamedTuple):
+class Acceptor(NamedTuple):
     """A keeper. What must be on disk before it is said: decided, promised, accepted.
 
     quiet: until when it must not vote, as it may have granted leases in a life before. mute: the last epoch
@@ -196,22 +196,24 @@
     """
 
     me: int
-    decided: State
+    decided: EpochState
     promised: Ballot = NO_BALLOT
-    accepted: tuple[Ballot, State] | None = None
+    accepted: tuple[Ballot, EpochState] | None = None
     leases: tuple[Lease, ...] = ()
     quiet: int = 0
     mute: int = 0
 
-    def hear_ask(self, now: int, ask: Ask, lease: int, late: int = 0) -> tuple[Keeper, Grant | Know | None]:
+    def hear_ask(
+        self, now: int, ask: LeaseRequest, lease: int, late: int = 0
+    ) -> tuple[Acceptor, LeaseGrant | Decided | None]:
         """Grant a lease on the epoch that is decided, or tell which that is; None: to one that cannot serve
         what this keeper has voted for, or may have.
 
         lease: how long, with the margin for clocks that run apart; late: how long after it.
         """
-        knows = self.hear_know(Know(ask.state)) if ask.state is not None else self
+        knows = self.hear_know(Decided(ask.state)) if ask.state is not None else self
         if ask.state is None or ask.state.epoch < knows.decided.epoch:
-            return knows, Know(knows.decided)
+            return knows, Decided(knows.decided)
         epoch = ask.state.epoch
         if not ask.able and (knows.voted_narrow or epoch < knows.mute):
             return knows, None
@@ -223,37 +225,37 @@
             and not (one.node == ask.node and (one.epoch < ask.serving or one.epoch == epoch))
         ]
         until = now + lease
-        kept.append(Lease(ask.node, epoch, until, ask.able, until + late, named(ask.state)))
-        return knows._replace(leases=tuple(sorted(kept))), Grant(knows.me, ask.turn, epoch)
+        kept.append(Lease(ask.node, epoch, until, ask.able, until + late, policies_named(ask.state)))
+        return knows._replace(leases=tuple(sorted(kept))), LeaseGrant(knows.me, ask.turn, epoch)
 
     @property
     def voted_narrow(self) -> bool:
         """Whether it has voted for NARROW after the epoch that it knows to be decided."""
         return self.accepted is not None and self.accepted[1].stage is Stage.NARROW
 
-    def hear_prepare(self, call: Prepare) -> tuple[Keeper, Promise | Know | None]:
+    def hear_prepare(self, call: Prepare) -> tuple[Acceptor, Promise | Decided | None]:
         """Promise to heed no lower ballot; None: a higher one was promised, or the caller knows more."""
         if call.epoch < self.decided.epoch:
-            return self, Know(self.decided)
+            return self, Decided(self.decided)
         if call.epoch > self.decided.epoch or call.ballot <= self.promised or call.epoch < self.mute:
             return self, None
         kept = self._replace(promised=call.ballot)
         return kept, Promise(self.me, call.ballot, call.epoch, self.accepted)
 
-    def may_vote(self, now: int, state: State) -> bool:
-        """Whether it may vote for an epoch now: it follows, nobody serves under one before the last, nobody
-        is late under other policies, and no node that serves could not serve the new policy."""
+    def may_vote(self, now: int, state: EpochState) -> bool:
+        """Whether it may vote for an epoch now: it is a valid successor, nobody serves under one before the
+        last, nobody is late under other policies, and no node that serves could not serve the new policy."""
         return (
-            follows(self.decided, state)
+            is_valid_successor(self.decided, state)
             and now >= self.quiet
             and state.epoch > self.mute
             and not self.waits_for(now, state)
             and not (state.stage is Stage.NARROW and self.refused(now))
         )
 
-    def waits_for(self, now: int, state: State) -> tuple[Lease, ...]:
+    def waits_for(self, now: int, state: EpochState) -> tuple[Lease, ...]:
         """The leases that must be over before it may vote for an epoch."""
-        serves = set(served(state))
+        serves = set(effective_policies(state))
         return tuple(
             one
             for one in self.leases
@@ -269,27 +271,27 @@
             if one.epoch == self.decided.epoch and one.until > now and not one.able
         )
 
-    def hear_accept(self, now: int, call: Accept) -> tuple[Keeper, Accepted | Know | None]:
+    def hear_accept(self, now: int, call: Accept) -> tuple[Acceptor, Accepted | Decided | None]:
         """Vote; None: not now, or a higher ballot was promised."""
         if call.state.epoch <= self.decided.epoch:
-            return self, Know(self.decided)
+            return self, Decided(self.decided)
         if call.ballot < self.promised or not self.may_vote(now, call.state):
             return self, None
         voted = self._replace(promised=call.ballot, accepted=(call.ballot, call.state))
         return voted, Accepted(self.me, call.ballot, call.state)
 
-    def hear_know(self, know: Know) -> Keeper:
+    def hear_know(self, know: Decided) -> Acceptor:
         """Learn what is decided."""
         if know.state.epoch <= self.decided.epoch:
             return self
         return self._replace(decided=know.state, promised=NO_BALLOT, accepted=None)
 
-    def reborn(self, now: int, lease: int) -> Keeper:
+    def reborn(self, now: int, lease: int) -> Acceptor:
         """After a crash, with what is on disk. lease: the longest it may have granted, with late time."""
         return self._replace(leases=(), quiet=now + lease)
 
     @staticmethod
-    def anew(me: int, now: int, lease: int, told: Iterable[tuple[State, State | None]]) -> Keeper:
+    def anew(me: int, now: int, lease: int, told: Iterable[tuple[EpochState, EpochState | None]]) -> Acceptor:
         """A keeper that does not know what it said, from what a majority of the others know.
 
         told: what each knows to be decided, and what it voted for. What this one may have said before is of
@@ -298,13 +300,13 @@
         heard = list(told)
         decided = max(state for state, _ in heard)
         last = max(state.epoch for pair in heard for state in pair if state is not None)
-        return Keeper(me, decided, quiet=now + lease, mute=last + 1)
+        return Acceptor(me, decided, quiet=now + lease, mute=last + 1)
 
 
 # Nodes
 
 
-class Node(NamedTuple):
+class Leaseholder(NamedTuple):
     """A node. at, until: the epoch it serves under, and the end of its lease; want: the last it heard of.
 
     boards: those whose leases it needs for want. late: until when it serves under the narrower of what its
@@ -312,11 +314,11 @@
     """
 
     me: int
-    boards: Boards = ()
-    at: State | None = None
+    boards: VoterSets = ()
+    at: EpochState | None = None
     until: int = 0
     late: int = 0
-    want: State | None = None
+    want: EpochState | None = None
     turn: int = 0
     asked: int = 0
     grants: frozenset[int] = frozenset()
@@ -327,28 +329,30 @@
         if self.at is None or now >= max(self.until, self.late):
             return ()
         if now < self.until:
-            return served(self.at)
-        names = named(self.at)
+            return effective_policies(self.at)
+        names = policies_named(self.at)
         return () if any(one in self.unfit for one in names) else names
 
-    def begin(self, now: int) -> tuple[Node, Ask]:
+    def begin(self, now: int) -> tuple[Leaseholder, LeaseRequest]:
         """Ask all keepers for a lease; counted from now, before anybody hears of it."""
         began = self._replace(turn=self.turn + 1, asked=now, grants=frozenset())
         serving = self.at.epoch if self.at is not None and now < max(self.until, self.late) else -1
         able = self.want is None or not self.want.new or self.want.new not in self.unfit
-        return began, Ask(self.me, began.turn, self.want, serving, able)
+        return began, LeaseRequest(self.me, began.turn, self.want, serving, able)
 
-    def hear_grant(self, grant: Grant, lease: int, late: int = 0) -> Node:
+    def hear_grant(self, grant: LeaseGrant, lease: int, late: int = 0) -> Leaseholder:
         """Count a grant; with those of a majority it serves under that epoch."""
         if self.want is None or (grant.turn, grant.epoch) != (self.turn, self.want.epoch):
             return self
         heard = self._replace(grants=self.grants | {grant.keeper})
-        if not enough(self.boards, heard.grants) or any(one in self.unfit for one in served(self.want)):
+        if not has_quorum(self.boards, heard.grants) or any(
+            one in self.unfit for one in effective_policies(self.want)
+        ):
             return heard
         until = self.asked + lease
         return heard._replace(at=self.want, until=until, late=until + late)
 
-    def hear_know(self, know: Know, boards: Boards) -> Node:
+    def hear_know(self, know: Decided, boards: VoterSets) -> Leaseholder:
         """Hear of a later epoch; it serves on as it does until that is granted, or its own lease ends."""
         if self.want is not None and know.state.epoch <= self.want.epoch:
             return self
@@ -358,50 +362,50 @@
 # Whoever drives a change
 
 
-class Driver(NamedTuple):
+class Proposer(NamedTuple):
     """Brings the tier one epoch further; it holds nothing that must outlive it, and any keeper may be one.
 
     boards: those of the epoch before; wish: the one that it wants; what a keeper has voted for comes first.
     """
 
     me: int
-    boards: Boards
-    wish: State
+    boards: VoterSets
+    wish: EpochState
     ballot: Ballot = NO_BALLOT
     promises: tuple[Promise, ...] = ()
-    value: State | None = None
+    value: EpochState | None = None
     votes: frozenset[int] = frozenset()
-    decided: State | None = None
+    decided: EpochState | None = None
 
-    def begin(self, above: int) -> tuple[Driver, Prepare]:
+    def begin(self, above: int) -> tuple[Proposer, Prepare]:
         """Begin with a ballot above a count that was seen."""
         ballot = (above + 1, self.me)
         begun = self._replace(ballot=ballot, promises=(), value=None, votes=frozenset())
         return begun, Prepare(ballot, self.wish.epoch - 1)
 
-    def hear_promise(self, promise: Promise) -> tuple[Driver, Accept | None]:
+    def hear_promise(self, promise: Promise) -> tuple[Proposer, Accept | None]:
         """Count a promise; with those of a majority it asks for votes."""
         if promise.ballot != self.ballot or self.value is not None:
             return self, None
         if any(one.keeper == promise.keeper for one in self.promises):
             return self, None
         heard = self._replace(promises=(*self.promises, promise))
-        if not enough(self.boards, (one.keeper for one in heard.promises)):
+        if not has_quorum(self.boards, (one.keeper for one in heard.promises)):
             return heard, None
         voted = [one.accepted for one in heard.promises if one.accepted is not None]
         value = max(voted)[1] if voted else self.wish
         return heard._replace(value=value), Accept(self.ballot, value)
 
-    def hear_accepted(self, vote: Accepted) -> tuple[Driver, Know | None]:
+    def hear_accepted(self, vote: Accepted) -> tuple[Proposer, Decided | None]:
         """Count a vote; with those of a majority the epoch is decided, and all may know."""
         if vote.ballot != self.ballot or self.decided is not None:
             return self, None
         heard = self._replace(votes=self.votes | {vote.keeper})
-        if not enough(self.boards, heard.votes):
+        if not has_quorum(self.boards, heard.votes):
             return heard, None
-        return heard._replace(decided=vote.state), Know(vote.state)
+        return heard._replace(decided=vote.state), Decided(vote.state)
 
 
-def highest(ballots: Iterable[Ballot]) -> int:
+def highest_ballot_number(ballots: Iterable[Ballot]) -> int:
     """The largest count among ballots."""
     return max((count for count, _ in ballots), default=0)
--- a/hollybay/consensus/durable_voter.py
+++ b/hollybay/consensus/durable_acceptor.py
@@ -16,22 +16,30 @@
     NO_BALLOT,
     Accept,
     Accepted,
+    Acceptor,
     Ballot,
-    Grant,
-    Keeper,
-    Know,
+    Decided,
+    EpochState,
+    LeaseGrant,
     Prepare,
     Promise,
     Stage,
-    State,
-    named,
+    policies_named,
 )
 from .log import PolicyLog
-from .messages import Asking, Entry, Granting, Promising, Telling, Voting, Waiting
-from .policy import Policy, Refused
-from .store import Store, StoreFailed
+from .messages import (
+    AcceptReply,
+    BlockingLease,
+    HistoryEntry,
+    KnowledgeReply,
+    LeaseCall,
+    LeaseReply,
+    PrepareReply,
+)
+from .policy import Policy, RejectedError
+from .store import Store, StoreError
 
-__all__ = ["Keeping", "Member", "margin"]
+__all__ = ["DurableAcceptor", "KnownMember", "margin"]
 
 HISTORY = 200  # epochs that are kept
 SECOND = 1_000_000_000
@@ -46,16 +54,16 @@
 class _Said(msgspec.Struct, frozen=True, array_like=True):
     """What is on disk. longest: the longest lease (ns, with late time) that may have been granted."""
 
-    decided: State
+    decided: EpochState
     promised: Ballot
-    accepted: tuple[Ballot, State] | None
+    accepted: tuple[Ballot, EpochState] | None
     mute: int
     longest: int
-    history: list[Entry]
+    history: list[HistoryEntry]
 
 
 @dataclass(slots=True)
-class Member:
+class KnownMember:
     """A process that asks for leases, as this keeper heard it last. heard: ns."""
 
     name: str
@@ -70,7 +78,7 @@
 Disk = Callable[[Callable[[], None]], Awaitable[None]]
 
 
-class Keeping:
+class DurableAcceptor:
     """One keeper. me: its number; longest: the longest lease that it may grant, ns, with late time.
 
     disk: runs what touches the disk, and comes back when it is done; clock, wall: ns, ms.
@@ -93,9 +101,9 @@
         self.wall = wall
         self.longest = longest
         self.disk = disk
-        self.keeper: Keeper | None = None  # None: it knows nothing, and must learn or be founded
-        self.history: list[Entry] = []
-        self.members: dict[int, Member] = {}
+        self.keeper: Acceptor | None = None  # None: it knows nothing, and must learn or be founded
+        self.history: list[HistoryEntry] = []
+        self.members: dict[int, KnownMember] = {}
         self.refusals: dict[str, dict[str, list[str]]] = {}  # policy, node: why it cannot serve it
         self.culprits: dict[str, dict[str, list[str]]] = {}  # policy, change: why a node cannot serve it
         self.whole: dict[str, list[str]] = {}  # policy: why a node could serve none at all
@@ -104,29 +112,29 @@
         self.heard = 0  # when somebody last drove here, ns
 
     def open(self) -> None:
-        """Take up what this keeper said in a life before. StoreFailed: that is not known; it must learn."""
+        """Take up what this keeper said in a life before. StoreError: that is not known; it must learn."""
         data = self.store.open()
         if data is None or self.store.doubtful:
             return
         try:
             said: _Said = msgspec.msgpack.decode(data, type=_Said)
         except msgspec.DecodeError as error:
-            raise StoreFailed(f"{self.store.folder}: {error}") from None
-        if any(self.log.get(name) is None for name in named(said.decided)):
+            raise StoreError(f"{self.store.folder}: {error}") from None
+        if any(self.log.get(name) is None for name in policies_named(said.decided)):
             return  # a disk that lost some of it: what else it lost is not known
-        kept = Keeper(self.me, said.decided, said.promised, said.accepted, mute=said.mute)
+        kept = Acceptor(self.me, said.decided, said.promised, said.accepted, mute=said.mute)
         longest = max(self.longest, said.longest)
         self.keeper = kept.reborn(self.clock(), longest + margin(longest))
         self.history = said.history
 
     # What must outlive the process
 
-    async def _take(self, after: Keeper, longest: int = 0) -> None:
-        """Take on a new state, on disk first. StoreFailed: it stays as it was."""
+    async def _take(self, after: Acceptor, longest: int = 0) -> None:
+        """Take on a new state, on disk first. StoreError: it stays as it was."""
         before = self.keeper
         history = self.history
         if before is None or after.decided != before.decided:
-            entry = Entry(after.decided, self.wall())
+            entry = HistoryEntry(after.decided, self.wall())
             history = [*(one for one in history if one.state.epoch < after.decided.epoch), entry][-HISTORY:]
         said = _Said(
             after.decided, after.promised, after.accepted, after.mute, max(longest, self.longest), history
@@ -135,75 +143,79 @@
             data = msgspec.msgpack.encode(said)
             try:
                 await self.disk(lambda: self.store.put(data))
-            except StoreFailed as error:
+            except StoreError as error:
                 self.failed = str(error)
                 raise
             self.failed = ""
         self.keeper = after
         self.history = history
 
-    def holds(self, state: State) -> bool:
+    def holds(self, state: EpochState) -> bool:
         """Whether all policies that an epoch names are on disk."""
-        return all(self.log.get(name) is not None for name in named(state))
+        return all(self.log.get(name) is not None for name in policies_named(state))
 
     # Beginnings
 
     async def found(self, policy: Policy) -> None:
-        """Begin the accord, under this policy, which is on disk already. Refused: it has begun."""
-        state = State(0, Stage.SETTLED, policy.name)
+        """Begin the accord, under this policy, which is on disk already. RejectedError: it has begun."""
+        state = EpochState(0, Stage.SETTLED, policy.name)
         if self.keeper is not None:
             if self.keeper.decided == state:
                 return
-            raise Refused(f"founded already: epoch {self.keeper.decided.epoch}, {self.keeper.decided.policy}")
-        await self._take(Keeper(self.me, state))
+            raise RejectedError(
+                f"founded already: epoch {self.keeper.decided.epoch}, {self.keeper.decided.policy}"
+            )
+        await self._take(Acceptor(self.me, state))
 
-    async def learn_all(self, told: Iterable[tuple[State, State | None]]) -> None:
+    async def learn_all(self, told: Iterable[tuple[EpochState, EpochState | None]]) -> None:
         """A keeper that knows nothing takes up what a majority of the others told."""
         if self.keeper is None:
             # What it granted in a life before is over in so long, if it had one.
             longest = self.longest + margin(self.longest)
-            await self._take(Keeper.anew(self.me, self.clock(), longest, told))
+            await self._take(Acceptor.anew(self.me, self.clock(), longest, told))
 
-    def tell(self) -> Telling:
+    def tell(self) -> KnowledgeReply:
         """What it knows."""
         if self.keeper is None:
-            return Telling(False)
+            return KnowledgeReply(False)
         accepted = self.keeper.accepted
         promised = self.keeper.promised != NO_BALLOT
-        return Telling(True, promised, self.keeper.decided, accepted[1] if accepted is not None else None)
+        return KnowledgeReply(
+            True, promised, self.keeper.decided, accepted[1] if accepted is not None else None
+        )
 
     # Calls
 
-    async def know(self, state: State) -> bool:
+    async def know(self, state: EpochState) -> bool:
         """Learn what is decided; whether that was news. Its policies are on disk already."""
         if self.keeper is None or state.epoch <= self.keeper.decided.epoch or not self.holds(state):
             return False
-        await self._take(self.keeper.hear_know(Know(state)))
+        await self._take(self.keeper.hear_know(Decided(state)))
         return True
 
-    def ask(self, words: Asking) -> Granting:
+    def ask(self, words: LeaseCall) -> LeaseReply:
         """A node asks for a lease."""
         if self.keeper is None:
-            return Granting()
+            return LeaseReply()
         if words.lease + words.late > self.longest:
-            raise Refused(
+            raise RejectedError(
                 f"lease: {words.lease + words.late} ns, and {self.longest} at most are granted here"
             )
         now = self.clock()
         ask = words.ask
         self._note(now, words)
         if ask.state is not None and ask.state.epoch > self.keeper.decided.epoch:
-            return Granting()  # it knows more, and will tell; no grant on what is not on this disk
+            return LeaseReply()  # it knows more, and will tell; no grant on what is not on this disk
         after, answer = self.keeper.hear_ask(now, ask, words.lease + margin(words.lease), words.late)
         self.keeper = after  # leases are not on disk, see core
-        if isinstance(answer, Grant):
-            return Granting(grant=answer)
-        return Granting(know=answer.state if answer is not None else None)
+        if isinstance(answer, LeaseGrant):
+            return LeaseReply(grant=answer)
+        return LeaseReply(know=answer.state if answer is not None else None)
 
-    def _note(self, now: int, words: Asking) -> None:
+    def _note(self, now: int, words: LeaseCall) -> None:
         ask = words.ask
         epoch = ask.state.epoch if ask.state is not None else -1
-        self.members[ask.node] = Member(
+        self.members[ask.node] = KnownMember(
             words.name, words.door, now, epoch, ask.serving, ask.able, list(words.reasons)
         )
         if ask.state is not None and ask.state.new and not ask.able:
@@ -216,7 +228,7 @@
             for process in [p for p, one in self.members.items() if now - one.heard > FORGOTTEN]:
                 del self.members[process]
 
-    def _blame(self, policy: str, words: Asking) -> None:
+    def _blame(self, policy: str, words: LeaseCall) -> None:
         """Note which changes of a batch a node names."""
         reasons = [f"{words.name}: {reason}" for reason in words.reasons]
         for change, texts in words.culprits.items():
@@ -234,37 +246,38 @@
         self.culprits.pop(policy, None)
         self.whole.pop(policy, None)
 
-    async def prepare(self, call: Prepare) -> Promising:
+    async def prepare(self, call: Prepare) -> PrepareReply:
         """Somebody who drives asks for a promise."""
         if self.keeper is None:
-            return Promising()
+            return PrepareReply()
         self.heard = self.clock()
         after, answer = self.keeper.hear_prepare(call)
         if isinstance(answer, Promise):
             await self._take(after)
-            return Promising(promise=answer, epoch=after.decided.epoch)
-        return Promising(
+            return PrepareReply(promise=answer, epoch=after.decided.epoch)
+        return PrepareReply(
             know=answer.state if answer is not None else None,
             epoch=after.decided.epoch,
             above=after.promised[0],
         )
 
-    async def accept(self, call: Accept) -> Voting:
+    async def accept(self, call: Accept) -> AcceptReply:
         """Somebody who drives asks for a vote; the policies of the epoch are on disk already."""
         keeper = self.keeper
         if keeper is None:
-            return Voting(why="it knows nothing yet")
+            return AcceptReply(why="it knows nothing yet")
         if not self.holds(call.state):
-            return Voting(
-                epoch=keeper.decided.epoch, why=f"it has not all of {' and '.join(named(call.state))}"
+            return AcceptReply(
+                epoch=keeper.decided.epoch,
+                why=f"it has not all of {' and '.join(policies_named(call.state))}",
             )
         now = self.clock()
         self.heard = now
         after, answer = keeper.hear_accept(now, call)
         if isinstance(answer, Accepted):
             await self._take(after)
-            return Voting(vote=answer, epoch=after.decided.epoch)
-        return Voting(
+            return AcceptReply(vote=answer, epoch=after.decided.epoch)
+        return AcceptReply(
             know=answer.state if answer is not None else None,
             epoch=keeper.decided.epoch,
             above=keeper.promised[0],
@@ -273,7 +286,7 @@
             why=f"mute up to epoch {keeper.mute}" if call.state.epoch <= keeper.mute else "",
         )
 
-    def waits(self, now: int, state: State) -> list[Waiting]:
+    def waits(self, now: int, state: EpochState) -> list[BlockingLease]:
         """Whom it waits for before it may vote for an epoch."""
         keeper = self.keeper
         if keeper is None:
@@ -291,11 +304,13 @@
             ]
         return found
 
-    def _waiting(self, now: int, node: int, epoch: int, until: int, late: int, no: bool) -> Waiting:
+    def _waiting(self, now: int, node: int, epoch: int, until: int, late: int, no: bool) -> BlockingLease:
         member = self.members.get(node)
-        return Waiting(member.name if member is not None else "?", node, epoch, max(until, late) - now, no)
+        return BlockingLease(
+            member.name if member is not None else "?", node, epoch, max(until, late) - now, no
+        )
 
-    def older(self, now: int) -> list[Waiting]:
+    def older(self, now: int) -> list[BlockingLease]:
         """The nodes that may still serve under an epoch before the one that it knows to be decided."""
         keeper = self.keeper
         if keeper is None:
--- a/hollybay/consensus/group_commit.py
+++ b/hollybay/consensus/group_commit.py
@@ -2,7 +2,7 @@
 
 The queue is pure: what happened goes in, what to do comes out; all times are ns that the caller gives, from
 one clock that does not go backwards. A change that was accepted (`Queued`) ends exactly once: `InForce` or
-`Refused`.
+`Rejected`.
 
 Whoever drives calls `take` when the tier is settled, has the batch decided, and reports what became of it:
 
@@ -33,9 +33,9 @@
 from hollybay.resources.wire import MAX_BATCH_BYTES, encode_change
 
 __all__ = [
+    "AlreadyDecided",
     "AlreadyQueued",
     "Busy",
-    "Decided",
     "InForce",
     "Offered",
     "Outcome",
@@ -43,8 +43,8 @@
     "ProposalQueue",
     "QueueSettings",
     "Queued",
-    "Refused",
-    "RefusedNow",
+    "Rejected",
+    "RejectedNow",
     "UnderWay",
     "Unknown",
     "combined",
@@ -117,14 +117,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Decided:
+class AlreadyDecided:
     """It was proposed before and is in force since this revision."""
 
     revision: int
 
 
 @dataclass(frozen=True, slots=True)
-class RefusedNow:
+class RejectedNow:
     """It may not be applied, or was refused before; nothing was queued."""
 
     problems: tuple[Problem, ...]
@@ -140,7 +140,7 @@
     retry_after_ns: int
 
 
-Offered = Queued | AlreadyQueued | Decided | RefusedNow | Busy
+Offered = Queued | AlreadyQueued | AlreadyDecided | RejectedNow | Busy
 
 
 # What becomes of a change that was queued
@@ -169,7 +169,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Refused:
+class Rejected:
     """It was not applied, and this keeper will not propose it. Final for the queue of this keeper."""
 
     problems: tuple[Problem, ...]
@@ -180,7 +180,7 @@
     """It was not accepted here, or that is forgotten."""
 
 
-Outcome = Pending | UnderWay | InForce | Refused | Unknown
+Outcome = Pending | UnderWay | InForce | Rejected | Unknown
 
 
 def combined(outcomes: Iterable[Outcome]) -> Outcome:
@@ -188,7 +188,7 @@
 
     Of each keeper what it said since the change was last offered to it: a change that was refused may fit
     again (a resource that was in its way is deleted), and an offer whose answer was lost may have been
-    accepted. InForce from one of them is final. Refused is final only where each of them refused it: a
+    accepted. InForce from one of them is final. Rejected is final only where each of them refused it: a
     keeper that accepted it may still propose it, and one that started anew has forgotten what it accepted
     (Unknown), while its last batch may still be decided. Whoever is told Unknown offers the change again,
     under the same id.
@@ -200,9 +200,9 @@
                 return one
     problems: list[Problem] = []
     for one in found:
-        if isinstance(one, Refused):
+        if isinstance(one, Rejected):
             problems += [problem for problem in one.problems if problem not in problems]
-    return Refused(tuple(problems)) if found else Unknown()
+    return Rejected(tuple(problems)) if found else Unknown()
 
 
 # The queue
@@ -238,7 +238,7 @@
         self._under_way: dict[bytes, _Waiting] = {}
         self._under_way_bytes = 0
         self._taken: _Taken | None = None
-        self._ended: OrderedDict[bytes, tuple[int, InForce | Refused]] = OrderedDict()
+        self._ended: OrderedDict[bytes, tuple[int, InForce | Rejected]] = OrderedDict()
         self._sequence = 0
         self._groups = 0  # the number of the last group
 
@@ -262,11 +262,11 @@
         try:
             state.check(change)
         except ChangeRefused as error:
-            return RefusedNow(error.problems)
+            return RejectedNow(error.problems)
         size = len(encode_change(change))
         if size > self.settings.max_change_bytes:
             text = f"{size} bytes, {self.settings.max_change_bytes} at most"
-            return RefusedNow((Problem("change", "", text),))
+            return RejectedNow((Problem("change", "", text),))
         wait = self._estimate(len(self._waiting) + 1, self.bytes - self._under_way_bytes + size, now)
         if self._is_full(size) or wait > self.settings.max_wait_ns:
             return Busy(self._retry_after(wait, now))
@@ -281,14 +281,18 @@
         revision = state.revision_of(change_id)
         if revision is not None:
             self._end(change_id, InForce(revision), now)
-            return Decided(revision)
+            return AlreadyDecided(revision)
         if change_id in self._under_way or change_id in self._waiting:
             return AlreadyQueued()
         ended = self._ended.get(change_id)
         if ended is None:
             return None
         outcome = ended[1]
-        return Decided(outcome.revision) if isinstance(outcome, InForce) else RefusedNow(outcome.problems)
+        return (
+            AlreadyDecided(outcome.revision)
+            if isinstance(outcome, InForce)
+            else RejectedNow(outcome.problems)
+        )
 
     def outcome(self, change_id: bytes, now: int) -> Outcome:
         """What became of one change that was accepted here."""
@@ -336,7 +340,7 @@
             lasting = self._lasting_refusal(change, error, state)
             if lasting is not None:
                 refused.append((change, lasting))
-                self._end(change.id, Refused(lasting.problems), now)
+                self._end(change.id, Rejected(lasting.problems), now)
         if not assembled.batch.changes:
             return None
         for change in assembled.batch.changes:
@@ -407,7 +411,7 @@
         if not named and len(batch.changes) == 1:
             named = {batch.changes[0].id: problems}
         for change_id, its_problems in named.items():
-            self._end(change_id, Refused(its_problems or (CANNOT_BE_SERVED,)), now)
+            self._end(change_id, Rejected(its_problems or (CANNOT_BE_SERVED,)), now)
         if own:
             # What was suspected before is explained by this batch: of the rest nothing is known.
             for waiting in self._waiting.values():
@@ -456,7 +460,7 @@
 
     # Outcomes
 
-    def _end(self, change_id: bytes, outcome: InForce | Refused, now: int) -> None:
+    def _end(self, change_id: bytes, outcome: InForce | Rejected, now: int) -> None:
         """A change has ended; nothing happens where it was not accepted here."""
         waiting = self._waiting.pop(change_id, None)
         if waiting is None:
--- a/hollybay/consensus/interfaces.py
+++ b/hollybay/consensus/interfaces.py
@@ -16,9 +16,9 @@
 from hollybay.resources.state import ResourceState
 
 from .log import Entry
-from .policy import Refused
+from .policy import RejectedError
 
-__all__ = ["Answer", "BadFile", "FileRead", "Hands", "Terms"]
+__all__ = ["DataPlane", "FileRead", "InvalidFileError", "MemberSettings", "Response"]
 
 
 @dataclass(frozen=True, slots=True)
@@ -29,7 +29,7 @@
     keepers: list[str] | None
 
 
-class BadFile(Refused):
+class InvalidFileError(RejectedError):
     """An operator file does not hold; problems: all that was found."""
 
     def __init__(self, problems: Sequence[str]) -> None:
@@ -37,7 +37,7 @@
         self.problems = list(problems)
 
 
-class Hands(Protocol):
+class DataPlane(Protocol):
     """What an accord does to its node."""
 
     def compile(self, entry: Entry) -> Awaitable[list[str]]:
@@ -49,7 +49,7 @@
         ...
 
     def read(self, file: bytes, state: ResourceState) -> Awaitable[FileRead]:
-        """What an operator file says. BadFile: it does not hold."""
+        """What an operator file says. InvalidFileError: it does not hold."""
         ...
 
     def put(self, entries: tuple[Entry, ...]) -> None:
@@ -62,7 +62,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Terms:
+class MemberSettings:
     """What an operator sets up. door: where this process is called; keepers: whom it asks first; ns."""
 
     name: str
@@ -73,7 +73,7 @@
     folder: Path
 
 
-class Answer(msgspec.Struct, frozen=True):
+class Response(msgspec.Struct, frozen=True):
     """The answer to a call: a status of HTTP, and JSON, or bytes as they are."""
 
     status: int
--- a/hollybay/consensus/log.py
+++ b/hollybay/consensus/log.py
@@ -27,9 +27,9 @@
 from hollybay.resources.state import EMPTY, ResourceState
 from hollybay.resources.wire import MAX_SNAPSHOT_BYTES, WireError, decode_snapshot, encode_snapshot
 
-from .policy import MAX_ENTRY_BYTES, Policy, Refused, changed_keys, parse, version_of
+from .policy import MAX_ENTRY_BYTES, Policy, RejectedError, changed_keys, parse, version_of
 from .record import Fate, pack, unpack
-from .store import StoreFailed, flush_folder
+from .store import StoreError, flush_folder
 
 __all__ = [
     "KEPT_STATES",
@@ -90,15 +90,17 @@
 
     @classmethod
     def parse(cls, data: bytes) -> tuple[Policy, ResourceState]:
-        """The policy and the resources. Refused: it is none, or the resources are not those of the policy."""
+        """The policy and the resources. RejectedError: it is none, or the resources are not those of the
+        policy.
+        """
         try:
             found: Snapshot = msgspec.msgpack.decode(data, type=cls)
             parse(msgspec.msgpack.encode(found.policy))  # within its bounds
             state = decode_snapshot(found.resources, found.policy.after)
         except (msgspec.DecodeError, RecursionError, WireError) as error:
-            raise Refused(f"no snapshot: {error}") from None
+            raise RejectedError(f"no snapshot: {error}") from None
         if state.revision != found.policy.version:
-            raise Refused(f"no snapshot: revision {state.revision} of version {found.policy.version}")
+            raise RejectedError(f"no snapshot: revision {state.revision} of version {found.policy.version}")
         return found.policy.without_changes(), state
 
 
@@ -125,7 +127,7 @@
     # A start
 
     def open(self) -> None:
-        """Take up what is on disk: snapshots, then the entries that follow them. StoreFailed: it cannot be
+        """Take up what is on disk: snapshots, then the entries that follow them. StoreError: it cannot be
         read.
         """
         with self._lock:
@@ -137,7 +139,7 @@
                 for name in sorted((name for name in found if is_name(name)), key=_by_age):
                     self._open_entry(name)
             except OSError as error:
-                raise StoreFailed(f"{self.folder}: {error}") from None
+                raise StoreError(f"{self.folder}: {error}") from None
 
     def _open_snapshot(self, name: str) -> None:
         data = self._record(f"{name}{_SNAPSHOT}", MAX_SNAPSHOT_BYTES)
@@ -145,7 +147,7 @@
             return
         try:
             policy, state = Snapshot.parse(data)
-        except Refused as error:
+        except RejectedError as error:
             self._set_aside(f"{name}{_SNAPSHOT}", Fate.TORN.value, str(error))
             return
         if policy.name != name:
@@ -161,8 +163,8 @@
         try:
             policy = parse(data)
             if policy.name != name:
-                raise Refused(f"it is {policy.name}")
-        except Refused as error:
+                raise RejectedError(f"it is {policy.name}")
+        except RejectedError as error:
             self._set_aside(name, Fate.TORN.value, str(error))
             return
         known = self._entries.get(name)
@@ -171,7 +173,7 @@
             return
         try:
             state = self._follow(policy)
-        except Refused as error:
+        except RejectedError as error:
             # What it follows is not here: it is of no use, and fetched anew if it is wanted.
             self._set_aside(name, "orphan", str(error))
             return
@@ -217,7 +219,7 @@
         try:
             data = self._record(name, MAX_ENTRY_BYTES)
             policy = parse(data) if data is not None else None
-        except (OSError, Refused):
+        except (OSError, RejectedError):
             return None
         return policy if policy is not None and policy.name == name else None
 
@@ -226,8 +228,8 @@
     def put(self, policy: Policy) -> Entry:
         """Take an entry in, on disk first; once this returns it may be relied on.
 
-        StoreFailed: it may not. Refused: what it follows is not here (a gap), or it does not make what it
-        states; nothing was changed.
+        StoreError: it may not. RejectedError: what it follows is not here (a gap), or it does not make what
+        it states; nothing was changed.
         """
         with self._lock:
             known = self._entries.get(policy.name)
@@ -241,8 +243,8 @@
             return entry
 
     def install(self, data: bytes, parsed: tuple[Policy, ResourceState] | None = None) -> Entry:
-        """Take a snapshot in, on disk first; parsed: what Snapshot.parse made of it. StoreFailed, Refused: as
-        for put."""
+        """Take a snapshot in, on disk first; parsed: what Snapshot.parse made of it. StoreError,
+        RejectedError: as for put."""
         policy, state = parsed if parsed is not None else Snapshot.parse(data)
         with self._lock:
             known = self._entries.get(policy.name)
@@ -265,20 +267,22 @@
         return Entry(policy.without_changes(), state, _keys(policy), size, out)
 
     def _follow(self, policy: Policy) -> ResourceState:
-        """The resources after an entry. Refused: it does not follow what is here, or makes something else."""
+        """The resources after an entry. RejectedError: it does not follow what is here, or makes something
+        else.
+        """
         if policy.version == 1:
             before: ResourceState | None = EMPTY
         else:
             parent = self._entries.get(policy.parent_name)
             if parent is None or parent.policy.digest != policy.parent:
-                raise Refused(f"a gap: {policy.parent_name}, which {policy.name} follows, is not here")
+                raise RejectedError(f"a gap: {policy.parent_name}, which {policy.name} follows, is not here")
             before = parent.state
         if before is None:
-            raise Refused(f"a gap: the resources of {policy.parent_name} are not kept any more")
+            raise RejectedError(f"a gap: the resources of {policy.parent_name} are not kept any more")
         try:
             return follow(before, policy.batch)
         except BatchMismatch as error:
-            raise Refused(f"{policy.name}: {error}") from None
+            raise RejectedError(f"{policy.name}: {error}") from None
 
     def _write(self, file: str, data: bytes, most: int) -> None:
         fresh = self.folder / f"{file}.new"
@@ -293,7 +297,7 @@
             os.replace(fresh, self.folder / file)
             flush_folder(self.folder)
         except (OSError, ValueError) as error:
-            raise StoreFailed(f"{fresh}: {error}") from None
+            raise StoreError(f"{fresh}: {error}") from None
 
     # What others lack
 
@@ -348,7 +352,7 @@
         """Let go of what is neither needed nor among the newest. Writes and removes files.
 
         The resources after older entries leave the memory; where entries are worth more bytes than a
-        snapshot, one is written and they leave the disk. StoreFailed: it could not be written; nothing is
+        snapshot, one is written and they leave the disk. StoreError: it could not be written; nothing is
         lost.
         """
         with self._lock:
--- a/hollybay/consensus/log_fetch.py
+++ b/hollybay/consensus/log_fetch.py
@@ -20,12 +20,12 @@
 from hollybay.resources.wire import MAX_BATCH_BYTES, MAX_SNAPSHOT_BYTES
 
 from .log import PolicyLog, Snapshot
-from .policy import Policy, Refused, parse, version_of
-from .requests import Unreachable
-from .store import StoreFailed
+from .policy import Policy, RejectedError, parse, version_of
+from .requests import UnreachableError
+from .store import StoreError
 from .transfer import download
 
-__all__ = ["MAX_DELTA_BYTES", "NOT_REACHED", "Brought", "Fetcher", "parse_delta"]
+__all__ = ["MAX_DELTA_BYTES", "NOT_REACHED", "FetchResult", "Fetcher", "parse_delta"]
 
 MAX_DELTA_BYTES = 2 * MAX_BATCH_BYTES
 NOT_REACHED = 410  # the status that says: the log does not reach back so far
@@ -38,7 +38,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Brought:
+class FetchResult:
     """An entry that was asked for. policy: None: nobody gave it; problem: why it is not on this disk."""
 
     policy: Policy | None
@@ -63,7 +63,9 @@
         return self.parsed[0]
 
     def take(self, log: PolicyLog) -> None:
-        """Bring it to the disk. StoreFailed: that failed; Refused: an entry does not make what it states."""
+        """Bring it to the disk. StoreError: that failed; RejectedError: an entry does not make what it
+        states.
+        """
         if self.parsed is not None:
             log.install(self.snapshot, self.parsed)
         for policy in self.entries:
@@ -71,21 +73,23 @@
 
 
 def parse_delta(data: bytes) -> list[Policy]:
-    """Entries from their bytes. Refused: they hold none."""
+    """Entries from their bytes. RejectedError: they hold none."""
     try:
         pieces: list[msgspec.Raw] = msgspec.msgpack.decode(data, type=list[msgspec.Raw])
     except (msgspec.DecodeError, RecursionError) as error:
-        raise Refused(f"no entries: {error}") from None
+        raise RejectedError(f"no entries: {error}") from None
     return [parse(bytes(piece)) for piece in pieces]
 
 
 def check_links(entries: list[Policy], name: str) -> None:
-    """Whether entries follow each other up to one of this name. Refused: they do not."""
+    """Whether entries follow each other up to one of this name. RejectedError: they do not."""
     if not entries or entries[-1].name != name:
-        raise Refused(f"a delta that ends with {entries[-1].name if entries else 'nothing'}, and not {name}")
+        raise RejectedError(
+            f"a delta that ends with {entries[-1].name if entries else 'nothing'}, and not {name}"
+        )
     for before, after in pairwise(entries):
         if after.version != before.version + 1 or after.parent != before.digest:
-            raise Refused(f"a gap: {after.name} does not follow {before.name}")
+            raise RejectedError(f"a gap: {after.name} does not follow {before.name}")
 
 
 @dataclass
@@ -102,19 +106,19 @@
     disk: Callable[[Callable[[], None]], Awaitable[None]]
     spawn: Callable[[Coroutine[Any, Any, Any]], asyncio.Task[Any]]
     reasons: dict[str, str] = field(default_factory=dict)
-    _going: dict[str, asyncio.Task[Brought]] = field(default_factory=dict)
+    _going: dict[str, asyncio.Task[FetchResult]] = field(default_factory=dict)
 
-    async def bring(self, name: str, doors: Iterable[str]) -> Brought:
+    async def bring(self, name: str, doors: Iterable[str]) -> FetchResult:
         """An entry, on this disk if possible, from whichever of these doors gives it first."""
         known = self.log.get(name)
         if known is not None:
-            return Brought(known)
+            return FetchResult(known)
         going = self._going.get(name)
         if going is not None:
             found = await asyncio.shield(going)
             if found.policy is not None:
                 return found
-        task: asyncio.Task[Brought] = self.spawn(self._bring(name, list(doors)))
+        task: asyncio.Task[FetchResult] = self.spawn(self._bring(name, list(doors)))
         self._going[name] = task
         try:
             return await asyncio.shield(task)
@@ -122,18 +126,18 @@
             if self._going.get(name) is task:
                 del self._going[name]
 
-    async def _bring(self, name: str, doors: list[str]) -> Brought:
+    async def _bring(self, name: str, doors: list[str]) -> FetchResult:
         for door in doors:
             try:
                 chain = await self._chain(door, name)
                 await self.disk(lambda chain=chain: chain.take(self.log))  # type: ignore[misc]
-            except StoreFailed as error:
-                return Brought(chain.last.without_changes(), f"cannot be kept: {error}")
-            except (Unreachable, Refused) as error:
+            except StoreError as error:
+                return FetchResult(chain.last.without_changes(), f"cannot be kept: {error}")
+            except (UnreachableError, RejectedError) as error:
                 self._note(door, f"{name}: {error}")
                 continue
-            return Brought(self.log.get(name))
-        return Brought(None)
+            return FetchResult(self.log.get(name))
+        return FetchResult(None)
 
     def _note(self, door: str, reason: str) -> None:
         self.reasons.pop(door, None)
@@ -142,11 +146,13 @@
             del self.reasons[next(iter(self.reasons))]
 
     async def _chain(self, door: str, name: str) -> _Chain:
-        """What is lacking for an entry, from one door. Unreachable, Refused: it does not give that."""
+        """What is lacking for an entry, from one door. UnreachableError, RejectedError: it does not give
+        that.
+        """
         for version in self._versions_before(name):
             try:
                 entries = await self._delta(door, version, name)
-            except Unreachable as error:
+            except UnreachableError as error:
                 if error.status != NOT_REACHED:
                     raise
                 break
@@ -196,7 +202,7 @@
             return _Chain([], data, parsed)
         entries = await self._delta(door, policy.version, name)
         if entries[0].parent != policy.digest:
-            raise Refused(f"a gap: {entries[0].name} does not follow the snapshot {policy.name}")
+            raise RejectedError(f"a gap: {entries[0].name} does not follow the snapshot {policy.name}")
         return _Chain(entries, data, parsed)
 
     async def _worked_out(self, work: Callable[[], T]) -> T:
--- a/hollybay/consensus/log_server.py
+++ b/hollybay/consensus/log_server.py
@@ -5,11 +5,11 @@
 import asyncio
 from collections.abc import Awaitable, Callable
 
-from . import messages as w
+from . import messages
 from .log import PolicyLog, is_name
 from .transfer import piece_of
 
-__all__ = ["Serving", "is_number"]
+__all__ = ["LogServer", "is_number"]
 
 # Seconds for which an answer that is longer than a call is kept for its further pieces, and how many are.
 TRANSFER_KEPT, MAX_TRANSFERS = 10.0, 2
@@ -20,7 +20,7 @@
     return text.isascii() and text.isdecimal() and len(text) <= 12
 
 
-class Serving:
+class LogServer:
     """See above. disk: runs in a thread what touches the disk, or takes long."""
 
     def __init__(self, log: PolicyLog, disk: Callable[[Callable[[], None]], Awaitable[None]]) -> None:
@@ -28,7 +28,7 @@
         self.disk = disk
         self._kept: dict[str, tuple[str, bytes]] = {}
 
-    async def piece(self, path: str) -> w.Piece | None:
+    async def piece(self, path: str) -> messages.Chunk | None:
         """The piece of since/VERSION/NAME[/OFFSET], snapshot/NAME[/OFFSET] or draft/ID[/OFFSET].
 
         None: there is no such call, or no such draft any more. NotReached: the log does not reach so far
@@ -57,7 +57,7 @@
                 found.append((name, self.log.since(int(kind.partition("/")[2]), name)))
 
         await self.disk(work)
-        if len(found[0][1]) > w.PIECE_BYTES:
+        if len(found[0][1]) > messages.PIECE_BYTES:
             # The further pieces of a snapshot are asked for by its own name.
             self.keep(f"{kind}/{found[0][0]}", *found[0])
         return found[0]
--- a/hollybay/consensus/messages.py
+++ b/hollybay/consensus/messages.py
@@ -16,8 +16,8 @@
 from hollybay.resources.model import CHANGE_ID_BYTES, Change, Problem
 from hollybay.resources.wire import WireError, decode_change, encode_change
 
-from .core import Accept, Accepted, Ask, Grant, Prepare, Promise, State
-from .policy import Policy, Refused, parse
+from .core import Accept, Accepted, EpochState, LeaseGrant, LeaseRequest, Prepare, Promise
+from .policy import Policy, RejectedError, parse
 
 __all__ = [
     "FORM",
@@ -25,27 +25,27 @@
     "MAX_CULPRIT_REASONS",
     "MOST_CALL",
     "PIECE_BYTES",
-    "Accepting",
-    "Asking",
-    "BecameOf",
-    "Changed",
-    "Changing",
-    "Drafted",
-    "Drafting",
-    "Dropping",
-    "Entry",
-    "Founding",
-    "Granting",
-    "Knowing",
-    "Outcome",
-    "Piece",
-    "Preparing",
-    "Promising",
-    "Proposing",
-    "Telling",
-    "Uploading",
-    "Voting",
-    "Waiting",
+    "AcceptCall",
+    "AcceptReply",
+    "BlockingLease",
+    "BootstrapCall",
+    "ChangeCall",
+    "ChangeOutcome",
+    "ChangeReply",
+    "Chunk",
+    "DecidedNotice",
+    "DraftCall",
+    "DraftReply",
+    "DropCall",
+    "HistoryEntry",
+    "KnowledgeReply",
+    "LeaseCall",
+    "LeaseReply",
+    "PrepareCall",
+    "PrepareReply",
+    "ProposeCall",
+    "ProposeReply",
+    "UploadCall",
     "change_from",
     "change_from_bytes",
     "change_text",
@@ -82,7 +82,7 @@
     """One call or answer."""
 
 
-class Asking(_Words, frozen=True):
+class LeaseCall(_Words, frozen=True):
     """A node asks a keeper. lease, late: ns that it counts with; reasons: why it is not able.
 
     culprits: the changes of the batch that it cannot serve, as far as it knows; whole: it could serve none
@@ -90,7 +90,7 @@
     """
 
     form: int
-    ask: Ask
+    ask: LeaseRequest
     name: Text
     door: Door
     lease: Nanoseconds
@@ -100,30 +100,30 @@
     whole: bool = False
 
 
-class Granting(_Words, frozen=True):
+class LeaseReply(_Words, frozen=True):
     """The answer: one of the two, or neither."""
 
-    grant: Grant | None = None
-    know: State | None = None
+    grant: LeaseGrant | None = None
+    know: EpochState | None = None
 
 
-class Preparing(_Words, frozen=True):
+class PrepareCall(_Words, frozen=True):
     """Whoever drives asks for a promise."""
 
     form: int
     call: Prepare
 
 
-class Promising(_Words, frozen=True):
+class PrepareReply(_Words, frozen=True):
     """The answer. epoch: the last that the keeper knows to be decided; above: the ballot that it heeds."""
 
     promise: Promise | None = None
-    know: State | None = None
+    know: EpochState | None = None
     epoch: int = -1
     above: int = 0
 
 
-class Accepting(_Words, frozen=True):
+class AcceptCall(_Words, frozen=True):
     """Whoever drives asks for a vote; by: where the policies are to be had."""
 
     form: int
@@ -131,7 +131,7 @@
     by: Door
 
 
-class Waiting(_Words, frozen=True):
+class BlockingLease(_Words, frozen=True):
     """A node whose lease must be over first. left: ns; no: it cannot serve the new policy."""
 
     name: str
@@ -141,37 +141,37 @@
     no: bool
 
 
-class Voting(_Words, frozen=True):
+class AcceptReply(_Words, frozen=True):
     """The answer. waits: what it waits for; quiet: ns until it may vote at all; why: it cannot, in words."""
 
     vote: Accepted | None = None
-    know: State | None = None
+    know: EpochState | None = None
     epoch: int = -1
     above: int = 0
-    waits: list[Waiting] = []
+    waits: list[BlockingLease] = []
     quiet: int = 0
     why: str = ""
 
 
-class Knowing(_Words, frozen=True):
+class DecidedNotice(_Words, frozen=True):
     """Somebody tells what is decided; by: where the policies are to be had."""
 
     form: int
-    state: State
+    state: EpochState
     by: Door
 
 
-class Telling(_Words, frozen=True):
+class KnowledgeReply(_Words, frozen=True):
     """What a keeper knows, for one that knows nothing. founded: whether it is a keeper of anything yet;
     promised: whether it has promised anything since the last epoch."""
 
     founded: bool
     promised: bool = False
-    state: State | None = None
-    accepted: State | None = None
+    state: EpochState | None = None
+    accepted: EpochState | None = None
 
 
-class Founding(_Words, frozen=True):
+class BootstrapCall(_Words, frozen=True):
     """An operator begins the tier's accord, with a file or one that was uploaded; or a keeper passes it on.
 
     policy: the name of the first policy; entry: it itself, where it is short; by: where it is to be had.
@@ -184,7 +184,7 @@
     by: Door | None = None
 
 
-class Proposing(_Words, frozen=True):
+class ProposeCall(_Words, frozen=True):
     """An operator proposes a change of the policy with this digest, alone in its batch.
 
     file: base64; upload: it was uploaded; out: all servers out; like: as they were after this policy;
@@ -201,10 +201,10 @@
     like: Name = ""
 
 
-class Drafting(_Words, frozen=True):
+class DraftCall(_Words, frozen=True):
     """An operator asks for the change that makes the resources what a file says, or servers be out or in.
 
-    file, upload, like: as in Proposing; partial: what the file does not hold stays as it is; out, back_in:
+    file, upload, like: as in ProposeCall; partial: what the file does not hold stays as it is; out, back_in:
     servers to take out, and to put back; delete: resources to delete, as KIND/NAME.
     """
 
@@ -219,7 +219,7 @@
     delete: Annotated[list[Text], msgspec.Meta(max_length=MOST_OUT)] = []
 
 
-class Drafted(_Words, frozen=True):
+class DraftReply(_Words, frozen=True):
     """The answer: the change, made on this policy, and the number of its operations.
 
     change: base64; empty where nothing differs, or it is too long and to be fetched as draft/DRAFT. lines:
@@ -233,14 +233,14 @@
     draft: str = ""
 
 
-class Changing(_Words, frozen=True):
+class ChangeCall(_Words, frozen=True):
     """Somebody proposes a change of resources. change: base64 of its MessagePack; upload: it was uploaded."""
 
     change: str = ""
     upload: UploadId = ""
 
 
-class Outcome(str, Enum):
+class ChangeOutcome(str, Enum):
     """What became of a change, as one keeper knows it."""
 
     QUEUED = "queued"
@@ -250,7 +250,7 @@
     UNKNOWN = "unknown"  # it was not proposed here, or that is forgotten: it may be proposed again
 
 
-class BecameOf(_Words, frozen=True):
+class ChangeReply(_Words, frozen=True):
     """The answer to a proposal of a change, and to a question for it.
 
     policy: the entry that holds it; epoch: in force: since which it is so, or a later one; under way: the one
@@ -258,14 +258,14 @@
     """
 
     id: str
-    outcome: Outcome
+    outcome: ChangeOutcome
     policy: str = ""
     epoch: int = 0
     wait_ms: int = 0
     problems: list[Problem] = []
 
 
-class Uploading(_Words, frozen=True):
+class UploadCall(_Words, frozen=True):
     """One piece of what is too long for one call. id: chosen by who sends it; data: base64; total: bytes."""
 
     id: UploadId
@@ -274,7 +274,7 @@
     data: str
 
 
-class Piece(_Words, frozen=True):
+class Chunk(_Words, frozen=True):
     """One piece of an answer that is too long for one call; name: what it is a piece of; data: base64."""
 
     name: str
@@ -283,24 +283,24 @@
     data: str
 
 
-class Changed(_Words, frozen=True):
+class ProposeReply(_Words, frozen=True):
     """The answer to a proposal that goes on: its name, and the epoch that it begins with."""
 
     change: str
     epoch: int
 
 
-class Dropping(_Words, frozen=True):
+class DropCall(_Words, frozen=True):
     """An operator drops a change, or a keeper passes it on."""
 
     change: str
     passed: bool = False
 
 
-class Entry(_Words, frozen=True):
+class HistoryEntry(_Words, frozen=True):
     """One epoch in a keeper's history; at: the keeper's wall clock in ms when it learned of it."""
 
-    state: State
+    state: EpochState
     at: int
 
 
@@ -313,22 +313,22 @@
 
 
 def decode(data: bytes, kind: type[_T]) -> _T:
-    """What came in; Refused: it is none of these words."""
+    """What came in; RejectedError: it is none of these words."""
     try:
         found: _T = msgspec.json.decode(data, type=kind)
     except (msgspec.DecodeError, RecursionError) as error:
-        raise Refused(f"no such words: {error}") from None
+        raise RejectedError(f"no such words: {error}") from None
     form = getattr(found, "form", FORM)
     if form != FORM:
-        raise Refused(f"form: {form}, and this build speaks {FORM}")
+        raise RejectedError(f"form: {form}, and this build speaks {FORM}")
     for part in (found, getattr(found, "ask", None), getattr(found, "call", None)):
         for state in (getattr(part, "state", None), getattr(part, "know", None)):
-            if isinstance(state, State) and not _sane(state):
-                raise Refused(f"state: {state} is none")
+            if isinstance(state, EpochState) and not _sane(state):
+                raise RejectedError(f"state: {state} is none")
     return found
 
 
-def _sane(state: State) -> bool:
+def _sane(state: EpochState) -> bool:
     """Whether an epoch can be one at all."""
     return state.epoch >= 0 and bool(state.new) == (state.stage != 0) and state.policy != ""
 
@@ -339,14 +339,14 @@
 
 
 def unpacked(text: str, name: str = "") -> Policy:
-    """A policy from its text. Refused: it is none, or another than the one of this name."""
+    """A policy from its text. RejectedError: it is none, or another than the one of this name."""
     try:
         data = base64.b64decode(text, validate=True)
     except ValueError as error:
-        raise Refused(f"policy: {error}") from None
+        raise RejectedError(f"policy: {error}") from None
     policy = parse(data)
     if name and policy.name != name:
-        raise Refused(f"policy: its digest says {policy.name}, not {name}")
+        raise RejectedError(f"policy: its digest says {policy.name}, not {name}")
     return policy
 
 
@@ -356,20 +356,20 @@
 
 
 def change_from(text: str) -> Change:
-    """A change from its text. Refused: it is none."""
+    """A change from its text. RejectedError: it is none."""
     try:
         data = base64.b64decode(text, validate=True)
     except ValueError as error:
-        raise Refused(f"change: {error}") from None
+        raise RejectedError(f"change: {error}") from None
     return change_from_bytes(data)
 
 
 def change_from_bytes(data: bytes) -> Change:
-    """A change from its bytes. Refused: it is none."""
+    """A change from its bytes. RejectedError: it is none."""
     try:
         return decode_change(data)
     except WireError as error:
-        raise Refused(f"change: {error}") from None
+        raise RejectedError(f"change: {error}") from None
 
 
 def number_of(address: str) -> int:
--- a/hollybay/consensus/model_check.py
+++ b/hollybay/consensus/model_check.py
@@ -24,21 +24,21 @@
 from .core import (
     Accept,
     Accepted,
-    Ask,
-    Boards,
-    Driver,
-    Grant,
-    Keeper,
-    Know,
-    Node,
+    Acceptor,
+    Decided,
+    EpochState,
+    LeaseGrant,
+    Leaseholder,
+    LeaseRequest,
     Prepare,
     Promise,
+    Proposer,
     Stage,
-    State,
-    enough,
-    highest,
-    named,
-    served,
+    VoterSets,
+    effective_policies,
+    has_quorum,
+    highest_ballot_number,
+    policies_named,
 )
 
 __all__ = [
@@ -83,11 +83,11 @@
     losses: int = 0  # keepers that lose their disk
     boards: tuple[tuple[int, ...], ...] = ()  # of each policy; (): all keepers are of all boards
 
-    def boards_of(self, state: State) -> Boards:
+    def boards_of(self, state: EpochState) -> VoterSets:
         """The boards of the policies that an epoch names."""
         if not self.boards:
-            return (frozenset(range(self.keepers)),) * len(named(state))
-        return tuple(frozenset(self.boards[POLICIES.index(one)]) for one in named(state))
+            return (frozenset(range(self.keepers)),) * len(policies_named(state))
+        return tuple(frozenset(self.boards[POLICIES.index(one)]) for one in policies_named(state))
 
 
 # For long ways.
@@ -110,9 +110,9 @@
 class Parts:
     """What is searched: the core's own, or one with a defect."""
 
-    keeper: type[Keeper] = Keeper
-    node: type[Node] = Node
-    driver: type[Driver] = Driver
+    keeper: type[Acceptor] = Acceptor
+    node: type[Leaseholder] = Leaseholder
+    driver: type[Proposer] = Proposer
     skips: bool = False  # one who drives also wants the new policy right after PREPARE
 
 
@@ -124,25 +124,25 @@
     """
 
     now: int
-    keepers: tuple[Keeper | None, ...]
-    nodes: tuple[Node, ...]
-    drivers: tuple[Driver, ...]
-    asks: tuple[Ask | None, ...]
-    heard: tuple[frozenset[Grant | Know], ...]
-    decided: tuple[State, ...]
+    keepers: tuple[Acceptor | None, ...]
+    nodes: tuple[Leaseholder, ...]
+    drivers: tuple[Proposer, ...]
+    asks: tuple[LeaseRequest | None, ...]
+    heard: tuple[frozenset[LeaseGrant | Decided], ...]
+    decided: tuple[EpochState, ...]
     crashes: int
     alone: int
     wrong: str = ""
     losses: int = 0
 
-    def known(self) -> list[Keeper]:
+    def known(self) -> list[Acceptor]:
         """The keepers that know anything."""
         return [keeper for keeper in self.keepers if keeper is not None]
 
 
 def begin(bounds: Bounds, parts: Parts) -> World:
     """All at rest under the first policy, no lease granted."""
-    first = State(0, Stage.SETTLED, POLICIES[0])
+    first = EpochState(0, Stage.SETTLED, POLICIES[0])
     nodes = tuple(
         parts.node(n, bounds.boards_of(first), want=first, unfit=bounds.unfit[n % len(bounds.unfit)])
         for n in range(bounds.nodes)
@@ -194,7 +194,7 @@
     return (*items[:n], item, *items[n + 1 :])
 
 
-def _decide(world: World, state: State) -> World:
+def _decide(world: World, state: EpochState) -> World:
     """A majority has voted for an epoch."""
     known = next((one for one in world.decided if one.epoch == state.epoch), None)
     if known is not None:
@@ -212,16 +212,16 @@
     return world._replace(decided=tuple(sorted((*world.decided, state))))
 
 
-def _wishes(decided: State) -> list[State]:
+def _wishes(decided: EpochState) -> list[EpochState]:
     """What one who drives may want next."""
     epoch = decided.epoch + 1
     if decided.stage is Stage.SETTLED:
         newer = POLICIES[POLICIES.index(decided.policy) + 1 :]
-        return [State(epoch, Stage.PREPARE, decided.policy, new) for new in newer[:1]]
-    back = State(epoch, Stage.SETTLED, decided.policy)
+        return [EpochState(epoch, Stage.PREPARE, decided.policy, new) for new in newer[:1]]
+    back = EpochState(epoch, Stage.SETTLED, decided.policy)
     if decided.stage is Stage.PREPARE:
-        return [State(epoch, Stage.NARROW, decided.policy, decided.new), back]
-    return [State(epoch, Stage.SETTLED, decided.new), back]
+        return [EpochState(epoch, Stage.NARROW, decided.policy, decided.new), back]
+    return [EpochState(epoch, Stage.SETTLED, decided.new), back]
 
 
 def _parts_of(count: int) -> list[tuple[int, ...]]:
@@ -252,7 +252,7 @@
             yield f"keeper {n} loses its disk", lost
         latest = max(world.decided)
         if keeper.decided.epoch < latest.epoch:
-            after = keeper.hear_know(Know(latest))
+            after = keeper.hear_know(Decided(latest))
             yield (
                 f"keeper {n} learns epoch {latest.epoch}",
                 world._replace(keepers=_put(world.keepers, n, after)),
@@ -273,7 +273,7 @@
         told = [keeper for k in reached if k != n and (keeper := world.keepers[k]) is not None]
         if n in reached or len(told) < len(reached):
             continue
-        if not enough(bounds.boards_of(max(one.decided for one in told)), reached):
+        if not has_quorum(bounds.boards_of(max(one.decided for one in told)), reached):
             continue
         heard = [(one.decided, one.accepted[1] if one.accepted is not None else None) for one in told]
         kind = type(told[0])
@@ -282,7 +282,7 @@
 
 
 def _node_moves(
-    world: World, bounds: Bounds, n: int, node: Node, some: list[tuple[int, ...]]
+    world: World, bounds: Bounds, n: int, node: Leaseholder, some: list[tuple[int, ...]]
 ) -> Iterator[tuple[str, World]]:
     ask = world.asks[n]
     if node.turn < bounds.turns:
@@ -307,8 +307,8 @@
             yield f"keepers {reached} hear node {n}", after
     if world.heard[n]:
         after_node = node
-        for answer in sorted(world.heard[n], key=repr):
-            if isinstance(answer, Grant):
+        for answer in sorted(world.heard[n], key=_grants_first):
+            if isinstance(answer, LeaseGrant):
                 after_node = after_node.hear_grant(answer, bounds.lease, bounds.late)
             else:
                 after_node = after_node.hear_know(answer, bounds.boards_of(answer.state))
@@ -325,18 +325,23 @@
         yield f"node {n} crashes and is back", gone
 
 
+def _grants_first(answer: LeaseGrant | Decided) -> tuple[bool, str]:
+    """The order in which a node takes answers of one moment: grants before decisions, each by its content."""
+    return isinstance(answer, Decided), repr(answer)
+
+
 def _driver_moves(
-    world: World, bounds: Bounds, n: int, driver: Driver, some: list[tuple[int, ...]], skips: bool
+    world: World, bounds: Bounds, n: int, driver: Proposer, some: list[tuple[int, ...]], skips: bool
 ) -> Iterator[tuple[str, World]]:
     latest = max(world.decided)
     boards = bounds.boards_of(latest)
-    majority = [reached for reached in some if enough(boards, reached)]
+    majority = [reached for reached in some if has_quorum(boards, reached)]
     if latest.epoch < bounds.epochs and driver.ballot[0] < bounds.ballots * (latest.epoch + 1):
         wishes = _wishes(latest)
         if skips and latest.stage is Stage.PREPARE:
-            wishes.append(State(latest.epoch + 1, Stage.SETTLED, latest.new))
+            wishes.append(EpochState(latest.epoch + 1, Stage.SETTLED, latest.new))
         for wish in wishes:
-            above = max(highest(k.promised for k in world.known()), driver.ballot[0])
+            above = max(highest_ballot_number(k.promised for k in world.known()), driver.ballot[0])
             begun, call = driver._replace(wish=wish, boards=boards, decided=None).begin(above)
             for reached in majority:
                 yield from _prepared(world, n, begun, call, reached)
@@ -347,7 +352,7 @@
 
 
 def _prepared(
-    world: World, n: int, driver: Driver, call: Prepare, reached: tuple[int, ...]
+    world: World, n: int, driver: Proposer, call: Prepare, reached: tuple[int, ...]
 ) -> Iterator[tuple[str, World]]:
     keepers = world.keepers
     for k in reached:
@@ -364,11 +369,11 @@
 
 
 def _voted(
-    world: World, n: int, driver: Driver, call: Accept, reached: tuple[int, ...]
+    world: World, n: int, driver: Proposer, call: Accept, reached: tuple[int, ...]
 ) -> Iterator[tuple[str, World]]:
     keepers = world.keepers
     voted = False
-    decided: State | None = None
+    decided: EpochState | None = None
     for k in reached:
         at = keepers[k]
         if at is None:
@@ -386,8 +391,8 @@
         yield f"keepers {reached} vote for {_named(call.state)}", after
 
 
-def _named(state: State) -> str:
-    return f"epoch {state.epoch} {state.stage.name}{served(state)}"
+def _named(state: EpochState) -> str:
+    return f"epoch {state.epoch} {state.stage.name}{effective_policies(state)}"
 
 
 # Searches
@@ -489,17 +494,17 @@
     nodes = world.nodes
     now = world.now
     keepers = world.known()
-    count = highest([*(k.promised for k in keepers), *(d.ballot for d in world.drivers)])
+    count = highest_ballot_number([*(k.promised for k in keepers), *(d.ballot for d in world.drivers)])
     waits = bounds.lease + bounds.late
     for _ in range(12 + 4 * waits):
         latest = max([k.decided for k in keepers])
-        keepers = [keeper.hear_know(Know(latest)) for keeper in keepers]
+        keepers = [keeper.hear_know(Decided(latest)) for keeper in keepers]
         for n in range(len(nodes)):
             for _ in range(2):  # the first call may only tell it of a later epoch
                 node, ask = nodes[n].begin(now)
                 for k in range(len(keepers)):
                     keepers[k], answer = keepers[k].hear_ask(now, ask, bounds.lease + 1, bounds.late)
-                    if isinstance(answer, Grant):
+                    if isinstance(answer, LeaseGrant):
                         node = node.hear_grant(answer, bounds.lease, bounds.late)
                     elif answer is not None:
                         node = node.hear_know(answer, bounds.boards_of(answer.state))
@@ -510,7 +515,7 @@
         able = not any(latest.new in node.unfit for node in nodes)
         wish = _wishes(latest)[0 if able else -1]
         count += 1
-        driver, call = Driver(1, bounds.boards_of(latest), wish).begin(count)
+        driver, call = Proposer(1, bounds.boards_of(latest), wish).begin(count)
         count = driver.ballot[0]
         ask_votes: Accept | None = None
         for k in range(len(keepers)):
--- a/hollybay/consensus/outgoing_requests.py
+++ b/hollybay/consensus/outgoing_requests.py
@@ -6,14 +6,14 @@
 from collections.abc import AsyncGenerator, Awaitable, Callable
 from typing import TypeVar
 
-from . import messages as w
-from .core import Boards, enough
-from .interfaces import Answer
+from . import messages
+from .core import VoterSets, has_quorum
+from .interfaces import Response
 from .messages import number_of
-from .policy import Refused
-from .requests import Unreachable, Way
+from .policy import RejectedError
+from .requests import Transport, UnreachableError
 
-__all__ = ["CALL_LIMIT", "OutgoingCalls"]
+__all__ = ["CALL_LIMIT", "PeerClient"]
 
 CALL_LIMIT = 1.0  # seconds that a call may take
 FIRST_ERROR_STATUS = 400  # from this HTTP status on an answer is a refusal or a failure
@@ -21,7 +21,7 @@
 _T = TypeVar("_T")
 
 
-class OutgoingCalls:
+class PeerClient:
     """Calls to processes by their addresses (host:port); those to this process itself never leave it.
 
     own_address: where this process is called; transport: carries a call to another process; local: answers
@@ -31,8 +31,8 @@
     def __init__(
         self,
         own_address: str,
-        transport: Way,
-        local: Callable[[str, bytes | None], Awaitable[Answer]],
+        transport: Transport,
+        local: Callable[[str, bytes | None], Awaitable[Response]],
     ) -> None:
         self.own_address = own_address
         self.transport = transport
@@ -42,12 +42,12 @@
     async def call(self, address: str, path: str, body: bytes | None, limit: float = CALL_LIMIT) -> bytes:
         """The body of the answer; body: None for GET; limit: seconds.
 
-        Unreachable: no answer, or one whose status is an error.
+        UnreachableError: no answer, or one whose status is an error.
         """
         if address == self.own_address:
             answer = await self.local(path, body)
             if answer.status >= FIRST_ERROR_STATUS:
-                raise Unreachable(answer.body.decode("utf-8", "replace"), answer.status)
+                raise UnreachableError(answer.body.decode("utf-8", "replace"), answer.status)
             return answer.body
         self.calls += 1
         return await self.transport(address, path, body, limit)
@@ -56,7 +56,7 @@
         """Whether a call was answered, and without an error; limit: seconds."""
         try:
             await self.call(address, path, body, limit)
-        except Unreachable:
+        except UnreachableError:
             return False
         return True
 
@@ -73,7 +73,7 @@
         body: bytes | None,
         kind: type[_T],
         more: float,
-        boards: Boards = (),
+        boards: VoterSets = (),
     ) -> AsyncGenerator[tuple[str, _T]]:
         """Answers of a kind as they come, with the addresses they came from; calls that fail are left out.
 
@@ -93,15 +93,15 @@
                 for task in done:
                     try:
                         address, answer = task.result()
-                    except (Unreachable, Refused):
+                    except (UnreachableError, RejectedError):
                         continue
                     heard.add(number_of(address))
                     yield address, answer
-                if end is None and enough(boards, heard):
+                if end is None and has_quorum(boards, heard):
                     end = loop.time() + more
         finally:
             for task in waiting:
                 task.cancel()
 
     async def _decoded(self, address: str, path: str, body: bytes | None, kind: type[_T]) -> tuple[str, _T]:
-        return address, w.decode(await self.call(address, path, body), kind)
+        return address, messages.decode(await self.call(address, path, body), kind)
--- a/hollybay/consensus/planted_batch_defects.py
+++ b/hollybay/consensus/planted_batch_defects.py
@@ -16,7 +16,7 @@
     Outcome,
     Pending,
     ProposalQueue,
-    Refused,
+    Rejected,
     UnderWay,
     Unknown,
     combined,
@@ -89,7 +89,7 @@
     def offer(self, change: Change, state: ResourceState, now: int) -> Offered:
         for change_id, waiting in list(self._waiting.items()):
             if now - waiting.offered_at > PATIENCE:
-                self._end(change_id, Refused((Problem("change", "", "waited too long"),)), now)
+                self._end(change_id, Rejected((Problem("change", "", "waited too long"),)), now)
         return super().offer(change, state, now)
 
 
@@ -143,13 +143,13 @@
 
 def _first_refusal(outcomes: list[Outcome]) -> Outcome:
     """It takes one keeper's refusal for that of all."""
-    refused = next((one for one in outcomes if isinstance(one, Refused)), None)
+    refused = next((one for one in outcomes if isinstance(one, Rejected)), None)
     return refused if refused is not None else combined(outcomes)
 
 
 def _unknown_is_refused(outcomes: list[Outcome]) -> Outcome:
     """It takes a keeper that has forgotten its change for one that refused it."""
-    return combined(Refused(()) if isinstance(one, Unknown) else one for one in outcomes)
+    return combined(Rejected(()) if isinstance(one, Unknown) else one for one in outcomes)
 
 
 DEFECTS: dict[str, Parts] = {
--- a/hollybay/consensus/policy.py
+++ b/hollybay/consensus/policy.py
@@ -25,7 +25,7 @@
     "MAX_ENTRY_BYTES",
     "MAX_TEXT_LENGTH",
     "Policy",
-    "Refused",
+    "RejectedError",
     "changed_keys",
     "first",
     "parse",
@@ -40,7 +40,7 @@
 BOARDS = (1, 3, 5)  # keepers that there may be: with an even number one more may fail no more
 
 
-class Refused(ValueError):
+class RejectedError(ValueError):
     """It is no policy, or none that may follow; the text says why, and names the field."""
 
 
@@ -94,9 +94,9 @@
 
     @property
     def batch(self) -> Batch:
-        """Its changes as a batch. Refused: they are not at hand."""
+        """Its changes as a batch. RejectedError: they are not at hand."""
         if self.changes is None:
-            raise Refused(f"changes: those of {self.name} are not at hand")
+            raise RejectedError(f"changes: those of {self.name} are not at hand")
         return Batch(self.version, self.before, self.changes, self.after)
 
     def without_changes(self) -> Policy:
@@ -121,40 +121,42 @@
 
 
 def _checked(policy: Policy) -> Policy:
-    """The policy, where each field is within its bounds; Refused names the one that is not."""
+    """The policy, where each field is within its bounds; RejectedError names the one that is not."""
     if policy.version < 1:
-        raise Refused(f"version: {policy.version} is under 1")
+        raise RejectedError(f"version: {policy.version} is under 1")
     if len(policy.parent) != (DIGEST_BYTES if policy.version > 1 else 0):
-        raise Refused(f"parent: {len(policy.parent)} bytes are no digest")
+        raise RejectedError(f"parent: {len(policy.parent)} bytes are no digest")
     for field in ("before", "after", "content"):
         if len(getattr(policy, field)) != DIGEST_BYTES:
-            raise Refused(f"{field}: {len(getattr(policy, field))} bytes are no digest")
+            raise RejectedError(f"{field}: {len(getattr(policy, field))} bytes are no digest")
     if policy.version == 1 and policy.before != EMPTY.digest:
-        raise Refused("before: the first entry begins with no resources")
+        raise RejectedError("before: the first entry begins with no resources")
     if policy.keepers and len(policy.keepers) not in BOARDS:
-        raise Refused(f"keepers: {len(policy.keepers)}, and there may be {', '.join(map(str, BOARDS))}")
+        raise RejectedError(f"keepers: {len(policy.keepers)}, and there may be {', '.join(map(str, BOARDS))}")
     if list(policy.keepers) != sorted(set(policy.keepers)):
-        raise Refused("keepers: not in order, or one stands twice")
+        raise RejectedError("keepers: not in order, or one stands twice")
     for field, text in (
         ("reason", policy.reason),
         ("author", policy.author),
         *(("keepers", k) for k in policy.keepers),
     ):
         if len(text) > MAX_TEXT_LENGTH or not text.isprintable():
-            raise Refused(f"{field}: {text[:40]!r} is too long, or no plain text")
+            raise RejectedError(f"{field}: {text[:40]!r} is too long, or no plain text")
         try:
             text.encode()
         except UnicodeEncodeError:
-            raise Refused(f"{field}: {text[:40]!r} is no plain text") from None
+            raise RejectedError(f"{field}: {text[:40]!r} is no plain text") from None
     if policy.changes is not None and len(policy.changes) > MAX_BATCH_CHANGES:
-        raise Refused(f"changes: {len(policy.changes)}, {MAX_BATCH_CHANGES} at most")
+        raise RejectedError(f"changes: {len(policy.changes)}, {MAX_BATCH_CHANGES} at most")
     if policy.changes is not None and _content(policy.changes) != policy.content:
-        raise Refused("content: it is not the digest of the changes")
+        raise RejectedError("content: it is not the digest of the changes")
     return policy
 
 
 def first(changes: Iterable[Change] = (), keepers: Iterable[str] = ()) -> Policy:
-    """The policy that a tier begins with. Refused: a change does not fit, or something is out of bounds."""
+    """The policy that a tier begins with. RejectedError: a change does not fit, or something is out of
+    bounds.
+    """
     return _entry(None, EMPTY, changes, "first", "", tuple(sorted(keepers)))[0]
 
 
@@ -168,26 +170,26 @@
 ) -> tuple[Policy, ResourceState]:
     """The policy that follows another, and the resources after it. state: those of the old one.
 
-    keepers None: the same. reason None: the one of the change, where it is a single one. Refused: a change
-    does not fit, nothing changes, or more keepers change than one at a time.
+    keepers None: the same. reason None: the one of the change, where it is a single one. RejectedError: a
+    change does not fit, nothing changes, or more keepers change than one at a time.
     """
     taken = tuple(changes)
     board = old.keepers if keepers is None else tuple(sorted(keepers))
     if not taken and board == old.keepers:
-        raise Refused(f"changes: says the same as {old.name}")
+        raise RejectedError(f"changes: says the same as {old.name}")
     come, gone = set(board) - set(old.keepers), set(old.keepers) - set(board)
     # One for another, or one more and one for the number to be odd; else the new ones could outvote the old
     # before they know anything.
     if old.keepers and len(come) + len(gone) > 2:
-        raise Refused(
+        raise RejectedError(
             f"keepers: {len(come)} come and {len(gone)} go; one at a time may be replaced, or two added"
         )
     if old.keepers and not board:
-        raise Refused("keepers: none")
+        raise RejectedError("keepers: none")
     if reason is None:
         reason, author = _shown(taken)
     if not reason.strip():
-        raise Refused("reason: missing")
+        raise RejectedError("reason: missing")
     return _entry(old, state, taken, reason, author, board)
 
 
@@ -209,9 +211,9 @@
     try:
         assembled = assemble(state, changes)
     except ChangeRefused as error:
-        raise Refused(str(error)) from None
+        raise RejectedError(str(error)) from None
     if assembled.refused:
-        raise Refused("; ".join(str(error) for _, error in assembled.refused))
+        raise RejectedError("; ".join(str(error) for _, error in assembled.refused))
     batch = assembled.batch
     policy = Policy(
         batch.revision,
@@ -231,10 +233,10 @@
 
 
 def parse(data: bytes) -> Policy:
-    """A policy from its MessagePack form; Refused: it is none."""
+    """A policy from its MessagePack form; RejectedError: it is none."""
     if len(data) > MAX_ENTRY_BYTES:
-        raise Refused(f"no policy: {len(data)} bytes, {MAX_ENTRY_BYTES} at most")
+        raise RejectedError(f"no policy: {len(data)} bytes, {MAX_ENTRY_BYTES} at most")
     try:
         return _checked(msgspec.msgpack.decode(data, type=Policy))
     except (msgspec.DecodeError, RecursionError) as error:
-        raise Refused(f"no policy: {error}") from None
+        raise RejectedError(f"no policy: {error}") from None
--- a/hollybay/consensus/proposals.py
+++ b/hollybay/consensus/proposals.py
@@ -14,13 +14,13 @@
 from hollybay.resources.model import CHANGE_ID_BYTES, Change, Problem
 from hollybay.resources.state import EMPTY, ResourceState
 
-from . import messages as w
-from .core import State, named
-from .durable_voter import Keeping
+from . import messages
+from .core import EpochState, policies_named
+from .durable_acceptor import DurableAcceptor
 from .group_commit import InForce, Offered, Pending, ProposalQueue, UnderWay
-from .group_commit import Refused as RefusedHere
+from .group_commit import Rejected as RejectedHere
 from .log import PolicyLog
-from .policy import Refused, version_of
+from .policy import RejectedError, version_of
 
 __all__ = ["Proposals", "problems_of"]
 
@@ -32,7 +32,7 @@
 
 def problems_of(reasons: Sequence[str]) -> tuple[Problem, ...]:
     """Reasons of nodes as problems of a change."""
-    return tuple(Problem("change", "", reason) for reason in reasons[: w.MOST_REASONS])
+    return tuple(Problem("change", "", reason) for reason in reasons[: messages.MOST_REASONS])
 
 
 @dataclass(slots=True)
@@ -108,7 +108,7 @@
         after = self.log.state(policy)
         self.queue.lost(batch, after if after is not None else EMPTY, self.clock())
 
-    def begun(self, state: State) -> None:
+    def begun(self, state: EpochState) -> None:
         """An epoch names a policy that is to come: that of the batch, or another one that came before it."""
         under_way = self._under_way
         if under_way is None:
@@ -119,7 +119,7 @@
         self._under_way = None
         self.lost(under_way.batch, state.policy)
 
-    def settled(self, keeping: Keeping, state: State, given_up: Set[str]) -> None:
+    def settled(self, keeping: DurableAcceptor, state: EpochState, given_up: Set[str]) -> None:
         """An epoch has settled: the batch has come to its end, one way or another."""
         under_way = self._under_way
         if under_way is None:
@@ -135,7 +135,7 @@
         else:
             self._dropped(keeping, under_way.policy, batch)
 
-    def _dropped(self, keeping: Keeping, name: str, batch: Batch) -> None:
+    def _dropped(self, keeping: DurableAcceptor, name: str, batch: Batch) -> None:
         """Nodes could not serve a batch: only the changes that they named are refused, if they named any."""
         named_changes = keeping.culprits.get(name, {})
         whole = keeping.whole.get(name)
@@ -147,40 +147,50 @@
 
     # What became of a change
 
-    def became_of(self, change: str, keeping: Keeping) -> w.BecameOf:
-        """What became of one change, as far as this keeper knows. Refused: it is no id."""
+    def became_of(self, change: str, keeping: DurableAcceptor) -> messages.ChangeReply:
+        """What became of one change, as far as this keeper knows. RejectedError: it is no id."""
         try:
             change_id = bytes.fromhex(change)
         except ValueError:
-            raise Refused(f"change: {change[:40]!r} is no id") from None
+            raise RejectedError(f"change: {change[:40]!r} is no id") from None
         if len(change_id) != CHANGE_ID_BYTES or keeping.keeper is None:
-            raise Refused(f"change: {change[:40]!r} is no id, or this keeper knows nothing yet")
+            raise RejectedError(f"change: {change[:40]!r} is no id, or this keeper knows nothing yet")
         state = keeping.keeper.decided
         # What is decided says it, whatever this keeper had to do with it.
-        for name in named(state):
+        for name in policies_named(state):
             resources = self.log.state(name)
             revision = resources.revision_of(change_id) if resources is not None else None
             if revision is None:
                 continue
             if name == state.new:
-                return w.BecameOf(change, w.Outcome.UNDER_WAY, name, state.epoch)
+                return messages.ChangeReply(change, messages.ChangeOutcome.UNDER_WAY, name, state.epoch)
             return self._in_force(keeping, state, change, revision)
         outcome = self.queue.outcome(change_id, self.clock())
         if isinstance(outcome, InForce):
             return self._in_force(keeping, state, change, outcome.revision)
-        if isinstance(outcome, RefusedHere):
-            return w.BecameOf(change, w.Outcome.REFUSED, problems=list(outcome.problems))
+        if isinstance(outcome, RejectedHere):
+            return messages.ChangeReply(
+                change, messages.ChangeOutcome.REFUSED, problems=list(outcome.problems)
+            )
         if isinstance(outcome, Pending):
-            return w.BecameOf(change, w.Outcome.QUEUED, wait_ms=outcome.wait_ns // 1_000_000)
+            return messages.ChangeReply(
+                change, messages.ChangeOutcome.QUEUED, wait_ms=outcome.wait_ns // 1_000_000
+            )
         if isinstance(outcome, UnderWay):
-            return w.BecameOf(change, w.Outcome.QUEUED)  # no epoch names it yet, as far as is known
-        return w.BecameOf(change, w.Outcome.UNKNOWN)
-
-    def _in_force(self, keeping: Keeping, decided: State, change: str, revision: int) -> w.BecameOf:
+            return messages.ChangeReply(
+                change, messages.ChangeOutcome.QUEUED
+            )  # no epoch names it yet, as far as is known
+        return messages.ChangeReply(change, messages.ChangeOutcome.UNKNOWN)
+
+    def _in_force(
+        self, keeping: DurableAcceptor, decided: EpochState, change: str, revision: int
+    ) -> messages.ChangeReply:
         """A change of this revision, and an epoch since which it is in force, or a later one."""
         since = [one.state.epoch for one in keeping.history if version_of(one.state.policy) >= revision]
         name = self._at_version(decided.policy, revision)
-        return w.BecameOf(change, w.Outcome.IN_FORCE, name, min(since, default=decided.epoch))
+        return messages.ChangeReply(
+            change, messages.ChangeOutcome.IN_FORCE, name, min(since, default=decided.epoch)
+        )
 
     def _at_version(self, name: str, version: int) -> str:
         """The name of the entry of a version, on the chain that ends with a policy; empty: it is let go."""
--- a/hollybay/consensus/requests.py
+++ b/hollybay/consensus/requests.py
@@ -5,13 +5,13 @@
 from collections.abc import Awaitable, Callable, Iterable
 from typing import Protocol
 
-from . import messages as w
-from .policy import Policy, Refused
+from . import messages
+from .policy import Policy, RejectedError
 
-__all__ = ["Unreachable", "Way", "policy_from"]
+__all__ = ["Transport", "UnreachableError", "policy_from"]
 
 
-class Unreachable(Exception):
+class UnreachableError(Exception):
     """A call had no answer (status 0), or one that says no, and why."""
 
     def __init__(self, reason: str, status: int = 0) -> None:
@@ -19,8 +19,8 @@
         self.status = status
 
 
-class Way(Protocol):
-    """How a process calls another one at its door; Unreachable: no answer within so many seconds."""
+class Transport(Protocol):
+    """How a process calls another one at its door; UnreachableError: no answer within so many seconds."""
 
     def __call__(self, door: str, path: str, body: bytes | None, limit: float) -> Awaitable[bytes]: ...
 
@@ -33,7 +33,9 @@
     """
     for door in doors:
         try:
-            return w.unpacked((await call(door, f"entry/{name}", None)).decode("ascii", "replace"), name)
-        except (Unreachable, Refused):
+            return messages.unpacked(
+                (await call(door, f"entry/{name}", None)).decode("ascii", "replace"), name
+            )
+        except (UnreachableError, RejectedError):
             continue
     return None
--- a/hollybay/consensus/service.py
+++ b/hollybay/consensus/service.py
@@ -1,6 +1,7 @@
 """One process's part in an accord: a node holds a lease, a keeper grants them, and any keeper drives.
 
-It speaks to others through a `Way` that it is given, and puts policies in force through `Hands`; so the same
+It speaks to others through a `Transport` that it is given, and puts policies in force through `DataPlane`;
+so the same
 code runs a node over sockets (hollybay.proxy.consensus_member) and a whole tier on a virtual clock
 (hollybay.simulation.accord_rehearsal).
 Times are ns of a clock that goes on while a process is stopped.
@@ -22,7 +23,7 @@
 from hollybay.resources.state import EMPTY, ResourceState
 from hollybay.resources.wire import encode_change
 
-from . import messages as w
+from . import messages
 from .change_builder import (
     deletions,
     founding_change,
@@ -32,21 +33,21 @@
     servers_out,
     shown_operations,
 )
-from .coordinator import IDLE, ChangeDriver, announcement
-from .core import Boards, Know, Node, Stage, State, enough, named
-from .durable_voter import Disk, Keeping
-from .group_commit import Busy, Queued, RefusedNow
-from .interfaces import Answer, BadFile, FileRead, Hands, Terms
+from .coordinator import IDLE, ChangeCoordinator, announcement
+from .core import Decided, EpochState, Leaseholder, Stage, VoterSets, has_quorum, policies_named
+from .durable_acceptor import Disk, DurableAcceptor
+from .group_commit import Busy, Queued, RejectedNow
+from .interfaces import DataPlane, FileRead, InvalidFileError, MemberSettings, Response
 from .log import Entry, NotReached, PolicyLog, is_name
-from .log_fetch import NOT_REACHED, Brought, Fetcher
-from .log_server import Serving
+from .log_fetch import NOT_REACHED, Fetcher, FetchResult
+from .log_server import LogServer
 from .messages import number_of
-from .outgoing_requests import CALL_LIMIT, OutgoingCalls
-from .policy import Policy, Refused, first, successor
+from .outgoing_requests import CALL_LIMIT, PeerClient
+from .policy import Policy, RejectedError, first, successor
 from .proposals import Proposals
-from .requests import Unreachable, Way
+from .requests import Transport, UnreachableError
 from .status import keeper_status, node_status
-from .store import Store, StoreFailed
+from .store import Store, StoreError
 from .transfer import Uploads
 from .waiting import wait_at_most
 
@@ -78,7 +79,7 @@
     """What a node leaves to the process after it. boot: the machine's; late: ns of its clock."""
 
     boot: str
-    state: State
+    state: EpochState
     boards: list[list[str]]
     late: int
 
@@ -88,9 +89,9 @@
 
     def __init__(
         self,
-        terms: Terms,
-        way: Way,
-        hands: Hands,
+        terms: MemberSettings,
+        way: Transport,
+        hands: DataPlane,
         clock: Callable[[], int],
         wall: Callable[[], int],
         disk: Disk,
@@ -113,23 +114,23 @@
         self.log = PolicyLog(self.folder / "policies", step)
         self.opened = False  # whether what is on disk was taken up
         self.memory = Store(self.folder, "node", step)
-        self.node = Node(self.process)
+        self.node = Leaseholder(self.process)
         self.unfit: dict[str, _Unfit] = {}
         self.under: tuple[str, ...] = ()  # as it was put in force last
         self.until = 0  # requests may begin under it until then without another look
         self.known_doors: set[str] = set(terms.keepers)
-        self.keeping: Keeping | None = None
+        self.keeping: DurableAcceptor | None = None
         self.proposals = Proposals(self.log, clock)
-        self.long: dict[bytes, asyncio.Task[Answer]] = {}  # what takes long, by the digest of its call
+        self.long: dict[bytes, asyncio.Task[Response]] = {}  # what takes long, by the digest of its call
         self.uploads = Uploads()
-        self.serving = Serving(self.log, disk)
+        self.serving = LogServer(self.log, disk)
         self.loop = asyncio.get_running_loop()
         self.poked = asyncio.Event()
         self.keeper_lock = asyncio.Lock()
         self.learning = asyncio.Lock()
         self.tasks: set[asyncio.Task[Any]] = set()
-        self.outgoing = OutgoingCalls(terms.door, way, self.answer)
-        self.driver = ChangeDriver(
+        self.outgoing = PeerClient(terms.door, way, self.answer)
+        self.driver = ChangeCoordinator(
             self,
             terms,
             self.process,
@@ -143,17 +144,19 @@
         self.fetcher = Fetcher(
             self.log, lambda door, path: self.outgoing.call(door, path, None), self.disk, self._spawn
         )
-        self._kept: State | None = None  # what it left to the process after it, and until when that counts
+        self._kept: EpochState | None = (
+            None  # what it left to the process after it, and until when that counts
+        )
         self._kept_late = 0
         self.calls_in = 0
 
     # Start and end
 
     async def start(self) -> None:
-        """Take up what is on disk, and begin to ask. StoreFailed: the folder cannot be used."""
+        """Take up what is on disk, and begin to ask. StoreError: the folder cannot be used."""
         try:
             await self.disk(self.log.open)
-        except StoreFailed as error:
+        except StoreError as error:
             self.hands.say("log", error=str(error))
         for file, reason in self.log.aside.items():
             self.hands.say("set aside", file=file, reason=reason)
@@ -162,7 +165,7 @@
             found = self.memory.open()
             if found is not None:
                 self._inherit(found)
-        except StoreFailed as error:
+        except StoreError as error:
             self.hands.say("memory", error=str(error))
         self.become_keeper()
         self._apply()
@@ -196,7 +199,7 @@
             self._spawn(self._inherited(one))
 
     async def _inherited(self, one: _Remembered) -> None:
-        for name in named(one.state):
+        for name in policies_named(one.state):
             entry = self.log.entry(name)
             if entry is None or entry.state is None or await self._compiled(entry):
                 return
@@ -255,10 +258,12 @@
         if policy is None or policy.changes is None or base is None or base.state is None:
             return {}
         if len(policy.changes) == 1:
-            return {policy.changes[0].id.hex(): problems[: w.MAX_CULPRIT_REASONS]}
+            return {policy.changes[0].id.hex(): problems[: messages.MAX_CULPRIT_REASONS]}
         found = await self.hands.culprits(base, policy.changes)
-        named_changes = list(found.items())[: w.MAX_CULPRITS]
-        return {change.hex(): _shortened(texts)[: w.MAX_CULPRIT_REASONS] for change, texts in named_changes}
+        named_changes = list(found.items())[: messages.MAX_CULPRITS]
+        return {
+            change.hex(): _shortened(texts)[: messages.MAX_CULPRIT_REASONS] for change, texts in named_changes
+        }
 
     async def _from_disk(self, name: str) -> Policy | None:
         """A policy with its changes."""
@@ -287,7 +292,7 @@
             moved = self.node.at != before and self.node.at is not None
             if moved or self.poked.is_set():
                 continue  # at once: keepers let go of the lease before when they hear what it serves under
-            granted = self.node.at is not None and enough(self.node.boards, self.node.grants)
+            granted = self.node.at is not None and has_quorum(self.node.boards, self.node.grants)
             if granted or self.node.want is None:
                 wait = period * self.chance.uniform(0.85, 1.0)
             else:
@@ -296,15 +301,15 @@
             wait -= (self.clock() - self.node.asked) / SECOND
             await wait_at_most(self.poked, max(0.02, wait))
 
-    def doors_of(self, state: State | None) -> list[str]:
+    def doors_of(self, state: EpochState | None) -> list[str]:
         """The keepers whose leases it needs for an epoch; of what it does not know, all that it knows of."""
         doors: set[str] = set()
-        for name in named(state) if state is not None else ():
+        for name in policies_named(state) if state is not None else ():
             policy = self.log.get(name)
             doors |= set(policy.keepers) if policy is not None else set()
         return sorted(doors or self.known_doors)
 
-    def _others(self, state: State) -> list[str]:
+    def _others(self, state: EpochState) -> list[str]:
         """The same without this process."""
         return [door for door in self.doors_of(state) if door != self.terms.door]
 
@@ -315,8 +320,8 @@
         if ask.state is not None and ask.state.new:
             why = self.unfit.get(ask.state.new, why)
         doors = self.doors_of(ask.state)
-        asking = w.Asking(
-            w.FORM,
+        asking = messages.LeaseCall(
+            messages.FORM,
             ask,
             self.terms.name,
             self.terms.door,
@@ -326,7 +331,7 @@
             dict(why.culprits),
             why.whole,
         )
-        body = w.encode(asking)
+        body = messages.encode(asking)
         limit = min(CALL_LIMIT, self.terms.lease / SECOND / 3)
         calls = {self._spawn(self._ask(door, body, limit)) for door in doors}
         waiting: set[asyncio.Task[Any]] = set(calls)
@@ -335,15 +340,15 @@
             while waiting and not poked.done():
                 done, waiting = await asyncio.wait({*waiting, poked}, return_when=asyncio.FIRST_COMPLETED)
                 waiting.discard(poked)
-                if self.node.at == ask.state and enough(self.node.boards, self.node.grants):
+                if self.node.at == ask.state and has_quorum(self.node.boards, self.node.grants):
                     break
         finally:
             poked.cancel()
 
     async def _ask(self, door: str, body: bytes, limit: float) -> None:
         try:
-            answer = w.decode(await self.outgoing.call(door, "ask", body, limit), w.Granting)
-        except (Unreachable, Refused):
+            answer = messages.decode(await self.outgoing.call(door, "ask", body, limit), messages.LeaseReply)
+        except (UnreachableError, RejectedError):
             return
         if answer.grant is not None:
             grant = answer.grant._replace(keeper=number_of(door))
@@ -355,7 +360,7 @@
         elif answer.know is not None:
             await self.learn(answer.know, door)
 
-    async def learn(self, state: State, by: str) -> None:
+    async def learn(self, state: EpochState, by: str) -> None:
         """Hear of a later epoch: get its policies, make them ready, and ask for a lease on it."""
         if self.node.want is not None and state.epoch <= self.node.want.epoch:
             return
@@ -366,7 +371,7 @@
             if state.stage is Stage.PREPARE and state.new in self.unfit:
                 # It may hold now, as a disk that was full may have room.
                 self._forgive(state.new)
-            for name in named(state):
+            for name in policies_named(state):
                 brought = await self._fetched(name, by)
                 if brought.policy is None:
                     return  # it will be told again
@@ -378,14 +383,16 @@
                 else:
                     # Not kept on this disk: it cannot serve it now, and may later.
                     self._cannot(name, _Unfit(_shortened([brought.problem]), whole=True))
-            self.node = self.node.hear_know(Know(state), tuple(boards))
-            self.hands.say("hears", epoch=state.epoch, stage=state.stage.name, policies=list(named(state)))
+            self.node = self.node.hear_know(Decided(state), tuple(boards))
+            self.hands.say(
+                "hears", epoch=state.epoch, stage=state.stage.name, policies=list(policies_named(state))
+            )
             self.become_keeper()
             if state.stage is Stage.SETTLED and self.keeping is None:
                 self._spawn(self._pruned({state.policy, *self.under}))
         self.poked.set()
 
-    async def _fetched(self, name: str, by: str) -> Brought:
+    async def _fetched(self, name: str, by: str) -> FetchResult:
         """A policy, from its own disk or from whoever has it."""
         doors = dict.fromkeys([by, *self.doors_of(self.node.want), *sorted(self.known_doors)])
         return await self.fetcher.bring(name, [door for door in doors if door != self.terms.door])
@@ -400,13 +407,15 @@
             return
         self._kept = node.at
         self._kept_late = node.late
-        boards = [list(p.keepers) for name in named(node.at) if (p := self.log.get(name)) is not None]
+        boards = [
+            list(p.keepers) for name in policies_named(node.at) if (p := self.log.get(name)) is not None
+        ]
         data = msgspec.msgpack.encode(_Remembered(self.boot, node.at, boards, node.late))
 
         async def keep() -> None:
             try:
                 await self.disk(lambda: self.memory.put(data))
-            except StoreFailed as error:
+            except StoreError as error:
                 self.hands.say("memory", error=str(error))
 
         self._spawn(keep())
@@ -419,7 +428,7 @@
             return
         if not self.keeps():
             return
-        keeping = Keeping(
+        keeping = DurableAcceptor(
             number_of(self.terms.door),
             Store(self.folder, "keeper", self.step),
             self.log,
@@ -430,7 +439,7 @@
         )
         try:
             keeping.open()
-        except StoreFailed as error:
+        except StoreError as error:
             keeping.failed = str(error)
             self.hands.say("keeper", error=str(error))
         self.keeping = keeping
@@ -443,7 +452,7 @@
         if keeping is None or keeping.keeper is not None:
             return
         doors = sorted(self.known_doors - {self.terms.door})
-        told = dict(await self.outgoing.all_answers(doors, "tell", None, w.Telling))
+        told = dict(await self.outgoing.all_answers(doors, "tell", None, messages.KnowledgeReply))
         heard = {door: one for door, one in told.items() if one.founded and one.state is not None}
         if not heard:
             return
@@ -454,36 +463,36 @@
                 return
             boards = self.boards(latest)
             self.known_doors |= set(self.doors_of(latest))
-            if not enough(boards, (number_of(door) for door in heard)):
+            if not has_quorum(boards, (number_of(door) for door in heard)):
                 return
             async with self.keeper_lock:
                 await keeping.learn_all(
                     (one.state, one.accepted) for one in heard.values() if one.state is not None
                 )
-        except StoreFailed as error:
+        except StoreError as error:
             self.hands.say("keeper", error=str(error))
             return
         assert keeping.keeper is not None
         self.hands.say("keeper learned", epoch=keeping.keeper.decided.epoch, mute=keeping.keeper.mute)
 
-    async def _on_disk(self, state: State, by: str) -> bool:
-        """Bring the policies that an epoch names to the disk; whether all are there. StoreFailed: it took
+    async def _on_disk(self, state: EpochState, by: str) -> bool:
+        """Bring the policies that an epoch names to the disk; whether all are there. StoreError: it took
         none.
         """
-        for name in named(state):
+        for name in policies_named(state):
             brought = await self._fetched(name, by)
             if brought.problem:
-                raise StoreFailed(brought.problem)
+                raise StoreError(brought.problem)
             if brought.policy is None:
                 return False
         return True
 
-    def boards(self, state: State) -> Boards:
+    def boards(self, state: EpochState) -> VoterSets:
         """The boards of the policies that an epoch names, as far as these are here."""
-        policies = [self.log.get(name) for name in named(state)]
+        policies = [self.log.get(name) for name in policies_named(state)]
         return tuple(_board(policy) for policy in policies if policy is not None)
 
-    async def learn_keeper(self, state: State, by: str) -> bool:
+    async def learn_keeper(self, state: EpochState, by: str) -> bool:
         """What is decided reaches the keeper here, once it has the policies; whether that was news."""
         keeping = self.keeping
         if keeping is None or keeping.keeper is None or state.epoch <= keeping.keeper.decided.epoch:
@@ -503,7 +512,7 @@
             self.driver.wake()
         return new
 
-    def _settled(self, keeping: Keeping, state: State) -> None:
+    def _settled(self, keeping: DurableAcceptor, state: EpochState) -> None:
         """A change has come to its end, one way or another."""
         given_up = self.driver.end_drops()
         self._spawn(self._pruned({state.policy, *self.under}))
@@ -512,102 +521,104 @@
     async def _pruned(self, needed: set[str]) -> None:
         try:
             await self.disk(lambda: self.log.prune(needed))
-        except StoreFailed as error:
+        except StoreError as error:
             self.hands.say("snapshot", error=str(error))
 
     # Calls that come in
 
-    async def answer(self, path: str, body: bytes | None) -> Answer:
+    async def answer(self, path: str, body: bytes | None) -> Response:
         """Answer a call at the door. body: None for GET."""
         self.calls_in += 1
         return await self._guarded(path, self._answer(path, body))
 
     @staticmethod
-    async def _guarded(path: str, work: Coroutine[Any, Any, Answer]) -> Answer:
+    async def _guarded(path: str, work: Coroutine[Any, Any, Response]) -> Response:
         """The answer, also where it is a no."""
         try:
             return await work
-        except BadFile as error:
-            return Answer(422, w.encode({"refused": "the file does not hold", "problems": error.problems}))
+        except InvalidFileError as error:
+            return Response(
+                422, messages.encode({"refused": "the file does not hold", "problems": error.problems})
+            )
         except ChangeRefused as error:
-            return Answer(
-                409, w.encode({"refused": str(error), "problems": [str(p) for p in error.problems]})
+            return Response(
+                409, messages.encode({"refused": str(error), "problems": [str(p) for p in error.problems]})
             )
-        except Refused as error:
+        except RejectedError as error:
             return _told(409 if path in ("found", "propose", "drop", "draft") else 400, str(error))
-        except StoreFailed as error:
+        except StoreError as error:
             return _told(507, f"cannot be kept: {error}")
 
-    async def _answer(self, path: str, body: bytes | None) -> Answer:
+    async def _answer(self, path: str, body: bytes | None) -> Response:
         if body is None:
             return await self._got(path)
         if path == "know":
-            knowing = w.decode(body, w.Knowing)
+            knowing = messages.decode(body, messages.DecidedNotice)
             self._spawn(self.heard(knowing.state, knowing.by))
-            return Answer(200, b"{}")
+            return Response(200, b"{}")
         if path == "propose":
-            return await self.propose(w.decode(body, w.Proposing))
+            return await self.propose(messages.decode(body, messages.ProposeCall))
         if path == "change":
-            return await self.change(w.decode(body, w.Changing))
+            return await self.change(messages.decode(body, messages.ChangeCall))
         if path == "draft":
-            drafting = w.decode(body, w.Drafting)
+            drafting = messages.decode(body, messages.DraftCall)
             return await self._long(body, lambda: self.draft(drafting))
         if path == "upload":
-            self.uploads.take(w.decode(body, w.Uploading), self.clock())
-            return Answer(200, b"{}")
+            self.uploads.take(messages.decode(body, messages.UploadCall), self.clock())
+            return Response(200, b"{}")
         if path == "drop":
-            return await self.drop(w.decode(body, w.Dropping))
+            return await self.drop(messages.decode(body, messages.DropCall))
         if path == "found":
-            founding = w.decode(body, w.Founding)
+            founding = messages.decode(body, messages.BootstrapCall)
             return await self._long(body, lambda: self._found(founding))
         if path == "join":
-            return await self._joined(w.decode(body, w.Knowing))
+            return await self._joined(messages.decode(body, messages.DecidedNotice))
         if path not in ("ask", "prepare", "accept"):
             return _told(404, "no such call")
         keeping = self._keeper()
         if path == "ask":
-            asking = w.decode(body, w.Asking)
+            asking = messages.decode(body, messages.LeaseCall)
             if asking.ask.state is not None:
                 await self.learn_keeper(asking.ask.state, asking.door)
             async with self.keeper_lock:
-                return Answer(200, w.encode(keeping.ask(asking)))
+                return Response(200, messages.encode(keeping.ask(asking)))
         if path == "prepare":
-            preparing = w.decode(body, w.Preparing)
+            preparing = messages.decode(body, messages.PrepareCall)
             async with self.keeper_lock:
-                return Answer(200, w.encode(await keeping.prepare(preparing.call)))
-        accepting = w.decode(body, w.Accepting)
+                return Response(200, messages.encode(await keeping.prepare(preparing.call)))
+        accepting = messages.decode(body, messages.AcceptCall)
         await self._on_disk(accepting.call.state, accepting.by)
         async with self.keeper_lock:
-            return Answer(200, w.encode(await keeping.accept(accepting.call)))
+            return Response(200, messages.encode(await keeping.accept(accepting.call)))
 
-    def _keeper(self) -> Keeping:
+    def _keeper(self) -> DurableAcceptor:
         if self.keeping is None:
-            raise Refused("no keeper here")
+            raise RejectedError("no keeper here")
         return self.keeping
 
-    async def heard(self, state: State, by: str) -> None:
+    async def heard(self, state: EpochState, by: str) -> None:
         try:
             await self.learn_keeper(state, by)
-        except StoreFailed as error:
+        except StoreError as error:
             self.hands.say("keeper", error=str(error))
         await self.learn(state, by)
 
-    async def _got(self, path: str) -> Answer:
+    async def _got(self, path: str) -> Response:
         if path == "":
-            return Answer(200, w.encode(self.status()))
+            return Response(200, messages.encode(self.status()))
         if path == "tell":
-            return Answer(200, w.encode(self._keeper().tell()))
+            return Response(200, messages.encode(self._keeper().tell()))
         if path == "history":
             history = self.keeping.history if self.keeping is not None else []
-            return Answer(200, w.encode([self._entry(one) for one in history]))
+            return Response(200, messages.encode([self._entry(one) for one in history]))
         kind, _, name = path.partition("/")
         if kind == "entry" and is_name(name):
             policy = self.log.get(name)
             if policy is not None:
-                return Answer(200, w.packed(policy).encode())
+                return Response(200, messages.packed(policy).encode())
             return _told(404, f"no policy {name} here")
         if kind == "change":
-            return Answer(200, w.encode(self.proposals.became_of(name, self._keeper())))
+            return Response(200, messages.encode(self.proposals.became_of(name, self._keeper())))
         if kind == "diff":
             return await self._difference(name)
         if kind in ("since", "snapshot", "draft"):
@@ -616,10 +627,10 @@
             except NotReached as error:
                 return _told(NOT_REACHED, str(error))
             if piece is not None:
-                return Answer(200, w.encode(piece))
+                return Response(200, messages.encode(piece))
         return _told(404, "no such call")
 
-    async def _difference(self, names: str) -> Answer:
+    async def _difference(self, names: str) -> Response:
         """What differs between two policies (diff/NAME/NAME), as lines for people."""
         one, _, other = names.partition("/")
         before, after = self.log.state(one), self.log.state(other)
@@ -632,9 +643,9 @@
             *(f"-keeper {one}" for one in old.keepers if one not in new.keepers),
             *(f"+keeper {one}" for one in new.keepers if one not in old.keepers),
         ]
-        return Answer(200, w.encode([*found[0], *keepers]))
+        return Response(200, messages.encode([*found[0], *keepers]))
 
-    def _entry(self, one: w.Entry) -> dict[str, object]:
+    def _entry(self, one: messages.HistoryEntry) -> dict[str, object]:
         found: dict[str, object] = {
             "epoch": one.state.epoch,
             "stage": one.state.stage.name,
@@ -649,14 +660,14 @@
 
     # Operators' calls
 
-    async def _found(self, founding: w.Founding) -> Answer:
+    async def _found(self, founding: messages.BootstrapCall) -> Response:
         """Begin the accord: from an operator, told on to all keepers; or from the keeper that was told."""
         keeping = self._keeper()
         if founding.policy:
             return await self._found_by(keeping, founding)
         doors = sorted(self.terms.keepers)
         others = [door for door in doors if door != self.terms.door]
-        told = dict(await self.outgoing.all_answers(others, "tell", None, w.Telling))
+        told = dict(await self.outgoing.all_answers(others, "tell", None, messages.KnowledgeReply))
         mine = keeping.tell()
         # Only what this very keeper began, and nobody has gone on with, may be brought to its end.
         begun = [
@@ -664,22 +675,22 @@
         ]
         if begun or mine.promised or (mine.state is not None and mine.state.epoch):
             where = ", ".join(begun) or self.terms.door
-            raise Refused(f"founded already at {where}; a keeper learns from the others by itself")
+            raise RejectedError(f"founded already at {where}; a keeper learns from the others by itself")
         if len(told) < len(others):
             silent = ", ".join(door for door in others if door not in told)
-            raise Refused(f"keepers: {silent} did not answer; all must be there when an accord begins")
+            raise RejectedError(f"keepers: {silent} did not answer; all must be there when an accord begins")
         read = await self.hands.read(self._file(founding.file, founding.upload), EMPTY)
         changes = (founding_change(read.operations),) if read.operations else ()
         policy = first(changes, doors)
         problems = await self._compiled(await self._stored(policy))
         if problems:
-            raise Refused("file: " + "; ".join(problems))
+            raise RejectedError("file: " + "; ".join(problems))
         async with self.keeper_lock:
             await keeping.found(policy)
-        entry = w.packed(policy)
-        short = len(entry) <= w.PIECE_BYTES
-        words = w.Founding(policy=policy.name, entry=entry if short else "", by=self.terms.door)
-        body = w.encode(words)
+        entry = messages.packed(policy)
+        short = len(entry) <= messages.PIECE_BYTES
+        words = messages.BootstrapCall(policy=policy.name, entry=entry if short else "", by=self.terms.door)
+        body = messages.encode(words)
         limit = CALL_LIMIT if short else FOUND_CALL_LIMIT
         # A keeper that is not reached learns from the others, and has no vote on the first change.
         left = others
@@ -691,34 +702,36 @@
         answers = [door for door in others if door not in left]
         self.uploads.done(founding.upload)
         self.hands.say("founded", policy=policy.name, keepers=doors)
-        return Answer(200, w.encode({"policy": policy.name, "keepers": [self.terms.door, *answers]}))
+        return Response(200, messages.encode({"policy": policy.name, "keepers": [self.terms.door, *answers]}))
 
-    async def _found_by(self, keeping: Keeping, founding: w.Founding) -> Answer:
+    async def _found_by(self, keeping: DurableAcceptor, founding: messages.BootstrapCall) -> Response:
         """Begin under the first policy of another keeper."""
-        state = State(0, Stage.SETTLED, founding.policy)
+        state = EpochState(0, Stage.SETTLED, founding.policy)
         knows = keeping.keeper
         if knows is not None and knows.decided != state:
-            raise Refused(f"founded already: epoch {knows.decided.epoch}, {knows.decided.policy}")
+            raise RejectedError(f"founded already: epoch {knows.decided.epoch}, {knows.decided.policy}")
         if founding.by is None or founding.by not in self.terms.keepers:
-            raise Refused(f"keepers: {', '.join(self.terms.keepers)} here, not {founding.by}")
+            raise RejectedError(f"keepers: {', '.join(self.terms.keepers)} here, not {founding.by}")
         if founding.entry:
-            await self._stored(w.unpacked(founding.entry, founding.policy))
+            await self._stored(messages.unpacked(founding.entry, founding.policy))
         brought = await self.fetcher.bring(founding.policy, [founding.by])
         if brought.problem:
-            raise StoreFailed(brought.problem)
+            raise StoreError(brought.problem)
         policy = brought.policy
         if policy is None:
-            raise Refused(
+            raise RejectedError(
                 f"policy: {founding.policy} is not to be had: {self.fetcher.reasons.get(founding.by)}"
             )
         if self.terms.door not in policy.keepers or set(policy.keepers) != set(self.terms.keepers):
-            raise Refused(f"keepers: {', '.join(self.terms.keepers)} here, not {', '.join(policy.keepers)}")
+            raise RejectedError(
+                f"keepers: {', '.join(self.terms.keepers)} here, not {', '.join(policy.keepers)}"
+            )
         async with self.keeper_lock:
             await keeping.found(policy)
-        return Answer(200, w.encode({"policy": policy.name}))
+        return Response(200, messages.encode({"policy": policy.name}))
 
     async def _stored(self, policy: Policy) -> Entry:
-        """A policy that was made here, on disk. StoreFailed: it is not."""
+        """A policy that was made here, on disk. StoreError: it is not."""
         found: list[Entry] = []
         await self.disk(lambda: found.append(self.log.put(policy)))
         return found[0]
@@ -727,7 +740,7 @@
         """An operator file out of a call, or one that was uploaded before it."""
         return self.uploads.whole(upload) if upload else _from_base64(file)
 
-    async def _long(self, body: bytes, work: Callable[[], Coroutine[Any, Any, Answer]]) -> Answer:
+    async def _long(self, body: bytes, work: Callable[[], Coroutine[Any, Any, Response]]) -> Response:
         """Answer what may take longer than a call may: who makes the call again hears what came of it."""
         key = blake2b(body, digest_size=16).digest()
         task = self.long.get(key)
@@ -743,9 +756,9 @@
         self.long.pop(key, None)
         return task.result()
 
-    async def _joined(self, knowing: w.Knowing) -> Answer:
+    async def _joined(self, knowing: messages.DecidedNotice) -> Response:
         """Be a keeper of the next policy: learn all from the present ones before it is proposed."""
-        for name in named(knowing.state):
+        for name in policies_named(knowing.state):
             brought = await self._fetched(name, knowing.by)
             if brought.policy is not None:
                 self.known_doors |= set(brought.policy.keepers)
@@ -753,14 +766,14 @@
         self.become_keeper()
         await self.learn_all()
         if self.keeping is None or self.keeping.keeper is None:
-            raise Refused("it does not hear a majority of the keepers")
-        return Answer(200, b"{}")
+            raise RejectedError("it does not hear a majority of the keepers")
+        return Response(200, b"{}")
 
-    async def propose(self, words: w.Proposing) -> Answer:
+    async def propose(self, words: messages.ProposeCall) -> Response:
         """A change, checked here; from now on the keepers bring it to its end."""
         keeping = self._keeper()
         if keeping.keeper is None:
-            raise Refused("this keeper knows nothing yet; `hollybay policy found` begins an accord")
+            raise RejectedError("this keeper knows nothing yet; `hollybay policy found` begins an accord")
         await self._catch_up()
         state = keeping.keeper.decided
         base = self._base(state)
@@ -768,7 +781,7 @@
         assert resources is not None
         parent = bytes.fromhex(words.parent)
         if parent != old.digest:
-            raise Refused(f"parent: made on {parent.hex()[:12] or 'nothing'}, in force is {old.name}")
+            raise RejectedError(f"parent: made on {parent.hex()[:12] or 'nothing'}, in force is {old.name}")
         wanted = await self._wanted(words, resources)
         keepers = self._keepers(words.keepers, wanted.keepers)
         change = proposed_change(resources, wanted.operations, words.reason, words.author, parent)
@@ -777,42 +790,42 @@
         )
         if state.stage is not Stage.SETTLED:
             if state.new == policy.name:  # asked for again, by one who does not know what came of it
-                return Answer(202, w.encode(w.Changed(policy.name, state.epoch)))
-            raise Refused(f"{state.new} is under way; `status` ends it, `drop` gives it up")
+                return Response(202, messages.encode(messages.ProposeReply(policy.name, state.epoch)))
+            raise RejectedError(f"{state.new} is under way; `status` ends it, `drop` gives it up")
         other = self.driver.other_pending(policy.name)
         if other:
-            raise Refused(f"{other} is about to begin")
+            raise RejectedError(f"{other} is about to begin")
         strangers = [door for door in policy.keepers if door not in old.keepers]
         doors = {member.door for member in keeping.members.values()}
         missing = [door for door in strangers if door not in doors]
         if missing:
-            raise Refused(f"keepers: {', '.join(missing)} is no node that holds a lease here")
+            raise RejectedError(f"keepers: {', '.join(missing)} is no node that holds a lease here")
         for door in strangers:
             try:
                 await self.outgoing.call(door, "join", announcement(state, self.terms.door))
-            except Unreachable as error:
-                raise Refused(f"keepers: {door}: {error}") from None
+            except UnreachableError as error:
+                raise RejectedError(f"keepers: {door}: {error}") from None
         problems = await self._compiled(await self._stored(policy))
         if problems:
-            return Answer(
-                422, w.encode({"refused": f"{policy.name} does not hold here", "problems": problems})
+            return Response(
+                422, messages.encode({"refused": f"{policy.name} does not hold here", "problems": problems})
             )
         if keeping.keeper.decided != state or self.driver.other_pending(policy.name):
-            raise Refused("another change came first")
+            raise RejectedError("another change came first")
         self.driver.begin(policy, state.epoch + 1)
         self.driver.refused.pop(policy.name, None)
         self.hands.say("proposed", change=policy.name, reason=policy.reason, author=policy.author)
         self.driver.wake()
-        return Answer(202, w.encode(w.Changed(policy.name, state.epoch + 1)))
+        return Response(202, messages.encode(messages.ProposeReply(policy.name, state.epoch + 1)))
 
-    def _base(self, state: State) -> Entry:
+    def _base(self, state: EpochState) -> Entry:
         """The policy that the next one follows, with its resources."""
         base = self.log.entry(state.policy)
         if base is None or base.state is None:
-            raise Refused(f"{state.policy} is not on this disk")
+            raise RejectedError(f"{state.policy} is not on this disk")
         return base
 
-    async def _wanted(self, words: w.Proposing, state: ResourceState) -> FileRead:
+    async def _wanted(self, words: messages.ProposeCall, state: ResourceState) -> FileRead:
         """What a proposal of a whole policy changes, and the keepers that its file names."""
         operations: tuple[Operation, ...] = ()
         keepers = None
@@ -829,7 +842,7 @@
         """What makes the resources what they were after a policy."""
         wanted = self.log.state(name)
         if wanted is None:
-            raise Refused(f"like: the resources after {name} are not kept here")
+            raise RejectedError(f"like: the resources after {name} are not kept here")
         found: list[tuple[Operation, ...]] = []
         await self.disk(lambda: found.append(operations_like(state, wanted)))
         return found[0]
@@ -837,16 +850,16 @@
     def _keepers(self, keepers: list[str] | None, named_in_file: list[str] | None) -> list[str] | None:
         """The keepers that a proposal names, by its call or in its file."""
         if keepers is not None and named_in_file is not None and set(keepers) != set(named_in_file):
-            raise Refused("keepers: the file's [accord] names others")
+            raise RejectedError("keepers: the file's [accord] names others")
         return keepers if keepers is not None else named_in_file
 
     # Changes of resources
 
-    async def draft(self, words: w.Drafting) -> Answer:
+    async def draft(self, words: messages.DraftCall) -> Response:
         """The change that an operator wants, made on what is in force; nothing is proposed."""
         keeping = self._keeper()
         if keeping.keeper is None:
-            raise Refused("this keeper knows nothing yet; `hollybay policy found` begins an accord")
+            raise RejectedError("this keeper knows nothing yet; `hollybay policy found` begins an accord")
         await self._catch_up()
         base = self._base(keeping.keeper.decided)
         state = base.state
@@ -857,7 +870,7 @@
         elif words.file is not None or words.upload:
             read = await self.hands.read(self._file(words.file or "", words.upload), state)
             if read.keepers is not None and set(read.keepers) != set(base.policy.keepers):
-                raise Refused("keepers: the file's [accord] names others; they change by --keeper")
+                raise RejectedError("keepers: the file's [accord] names others; they change by --keeper")
             operations = read.operations
             if words.partial:
                 operations = tuple(one for one in operations if isinstance(one, Upsert))
@@ -867,7 +880,7 @@
             operations += server_operations(state, out)
         name = base.policy.name
         if not operations:
-            return Answer(200, w.encode(w.Drafted(name, "", 0)))
+            return Response(200, messages.encode(messages.DraftReply(name, "", 0)))
         change = Change(
             self.chance.randbytes(CHANGE_ID_BYTES), state.revision, words.reason, words.author, operations
         )
@@ -876,19 +889,25 @@
         data = encode_change(change)
         if len(data) <= MAX_DRAFT_BYTES:
             text = base64.b64encode(data).decode()
-            return Answer(200, w.encode(w.Drafted(name, text, len(operations), _bounded(lines))))
+            return Response(
+                200, messages.encode(messages.DraftReply(name, text, len(operations), _bounded(lines)))
+            )
         draft = change.id.hex()
         self.serving.keep(f"draft/{draft}", draft, data)
-        return Answer(200, w.encode(w.Drafted(name, "", len(operations), _bounded(lines), draft)))
+        return Response(
+            200, messages.encode(messages.DraftReply(name, "", len(operations), _bounded(lines), draft))
+        )
 
-    async def change(self, words: w.Changing) -> Answer:
+    async def change(self, words: messages.ChangeCall) -> Response:
         """Somebody proposes a change of resources: it waits for the next batch."""
         keeping = self._keeper()
         if keeping.keeper is None:
             return _busy("this keeper knows nothing yet", IDLE)
         if self.proposals.full:
-            raise StoreFailed("the disk took no entry a moment ago")
-        change = w.change_from(words.change) if not words.upload else await self._uploaded(words.upload)
+            raise StoreError("the disk took no entry a moment ago")
+        change = (
+            messages.change_from(words.change) if not words.upload else await self._uploaded(words.upload)
+        )
         state = self._base(keeping.keeper.decided).state
         assert state is not None
         if change.made_on > state.revision:
@@ -902,19 +921,21 @@
         change_id = change.id.hex()
         if isinstance(offered, Busy):
             return _busy("too many changes wait", offered.retry_after_ns / SECOND)
-        if isinstance(offered, RefusedNow):
-            refused = w.BecameOf(change_id, w.Outcome.REFUSED, problems=list(offered.problems))
-            return Answer(409, w.encode(refused))
+        if isinstance(offered, RejectedNow):
+            refused = messages.ChangeReply(
+                change_id, messages.ChangeOutcome.REFUSED, problems=list(offered.problems)
+            )
+            return Response(409, messages.encode(refused))
         if isinstance(offered, Queued):
             self.hands.say("queued", change=change_id, reason=change.reason, author=change.author)
             self.driver.wake()
-        return Answer(202, w.encode(self.proposals.became_of(change_id, keeping)))
+        return Response(202, messages.encode(self.proposals.became_of(change_id, keeping)))
 
     async def _uploaded(self, upload: str) -> Change:
         """A change that was uploaded."""
         found: list[Change] = []
         whole = self.uploads.whole(upload)
-        await self.disk(lambda: found.append(w.change_from_bytes(whole)))
+        await self.disk(lambda: found.append(messages.change_from_bytes(whole)))
         return found[0]
 
     async def propose_next(self) -> bool:
@@ -934,7 +955,7 @@
         policy, _ = successor(base.policy, base.state, batch.changes)
         try:
             entry = await self._stored(policy)
-        except StoreFailed:
+        except StoreError:
             self.proposals.cannot_store()
             raise
         problems = await self._compiled(entry)
@@ -956,31 +977,33 @@
         keeping = self._keeper()
         assert keeping.keeper is not None
         doors = self._others(keeping.keeper.decided)
-        for door, one in await self.outgoing.all_answers(doors, "tell", None, w.Telling, limit=0.3):
+        for door, one in await self.outgoing.all_answers(
+            doors, "tell", None, messages.KnowledgeReply, limit=0.3
+        ):
             if one.state is not None:
                 await self.learn_keeper(one.state, door)
 
-    async def drop(self, words: w.Dropping) -> Answer:
+    async def drop(self, words: messages.DropCall) -> Response:
         """Give a change up, unless it is decided already."""
         keeping = self._keeper()
         if keeping.keeper is None:
-            raise Refused("this keeper knows nothing yet")
+            raise RejectedError("this keeper knows nothing yet")
         # One that is about to begin does, and is then dropped: so all keepers know what became of it.
         about = self.driver.is_pending(words.change)
         state = keeping.keeper.decided
         if state.new != words.change and not about and not words.passed:
-            raise Refused(f"{words.change or 'nothing'} is not under way; {state.policy} is in force")
+            raise RejectedError(f"{words.change or 'nothing'} is not under way; {state.policy} is in force")
         self.driver.dropping.add(words.change)
         if not words.passed:
             self._spawn(self._passed(words.change, state))
         self.driver.wake()
-        return Answer(202, b"{}")
+        return Response(202, b"{}")
 
-    async def _passed(self, change: str, state: State) -> None:
+    async def _passed(self, change: str, state: EpochState) -> None:
         """Tell the other keepers to give a change up: whoever drives it does. If one of them cannot be told,
         which may be the one that drives, this one drives; were all of them to, each would take back what the
         others were promised."""
-        body = w.encode(w.Dropping(change, True))
+        body = messages.encode(messages.DropCall(change, True))
         reached = await asyncio.gather(
             *(self.outgoing.reaches(door, "drop", body) for door in self._others(state))
         )
@@ -1009,13 +1032,13 @@
     return frozenset(number_of(door) for door in policy.keepers)
 
 
-def _told(status: int, reason: str) -> Answer:
-    return Answer(status, w.encode({"refused": reason}))
+def _told(status: int, reason: str) -> Response:
+    return Response(status, messages.encode({"refused": reason}))
 
 
-def _busy(reason: str, seconds: float) -> Answer:
+def _busy(reason: str, seconds: float) -> Response:
     """An answer that says when to come again."""
-    return Answer(503, w.encode({"refused": reason, "retry_after_ms": max(1, int(1000 * seconds))}))
+    return Response(503, messages.encode({"refused": reason, "retry_after_ms": max(1, int(1000 * seconds))}))
 
 
 def _bounded(lines: list[str]) -> list[str]:
@@ -1030,7 +1053,7 @@
 
 def _shortened(problems: Sequence[str]) -> list[str]:
     """Problems as they are told."""
-    return [text[:400] for text in problems[: w.MOST_REASONS]]
+    return [text[:400] for text in problems[: messages.MOST_REASONS]]
 
 
 def _from_base64(text: str) -> bytes:
@@ -1038,4 +1061,4 @@
     try:
         return base64.b64decode(text, validate=True)
     except ValueError as error:
-        raise Refused(f"file: {error}") from None
+        raise RejectedError(f"file: {error}") from None
--- a/hollybay/consensus/status.py
+++ b/hollybay/consensus/status.py
@@ -11,11 +11,11 @@
 
 import msgspec
 
-from .core import Node
-from .durable_voter import Keeping
-from .interfaces import Terms
+from .core import Leaseholder
+from .durable_acceptor import DurableAcceptor
+from .interfaces import MemberSettings
 from .log import PolicyLog
-from .messages import Waiting
+from .messages import BlockingLease
 
 __all__ = ["ChangeProgress", "keeper_status", "members", "node_status"]
 
@@ -35,12 +35,12 @@
     pending: str
     refused: Mapping[str, str]
     driving: str
-    waits: Sequence[Waiting]
+    waits: Sequence[BlockingLease]
 
 
 def node_status(
-    terms: Terms,
-    node: Node,
+    terms: MemberSettings,
+    node: Leaseholder,
     now: int,
     *,
     process: int,
@@ -75,7 +75,7 @@
 
 
 def keeper_status(
-    keeping: Keeping | None, log: PolicyLog, changes: ChangeProgress, late: int, now: int
+    keeping: DurableAcceptor | None, log: PolicyLog, changes: ChangeProgress, late: int, now: int
 ) -> dict[str, object]:
     """What a keeper knows of the tier ("keeper"), or that it is none, or knows nothing yet and why.
 
@@ -117,7 +117,7 @@
     return {"keeper": found}
 
 
-def members(keeping: Keeping, now: int) -> list[dict[str, object]]:
+def members(keeping: DurableAcceptor, now: int) -> list[dict[str, object]]:
     """The nodes that a keeper has heard, by name; none where it knows nothing yet. now: ns."""
     if keeping.keeper is None:
         return []
--- a/hollybay/consensus/store.py
+++ b/hollybay/consensus/store.py
@@ -13,10 +13,10 @@
 
 from .record import MOST, Fate, pack, unpack
 
-__all__ = ["Store", "StoreFailed", "flush_folder"]
+__all__ = ["Store", "StoreError", "flush_folder"]
 
 
-class StoreFailed(Exception):
+class StoreError(Exception):
     """What was to be said is not on disk, or what is there must not be read; it must not be said."""
 
 
@@ -51,7 +51,7 @@
     def open(self) -> bytes | None:
         """The last whole record, None where there never was one.
 
-        StoreFailed: the folder cannot be read, a record is of a newer build, or what was there is damaged in
+        StoreError: the folder cannot be read, a record is of a newer build, or what was there is damaged in
         both generations: then what this process said is not known, and it must learn before it says more.
         """
         found: list[tuple[int, int, bytes]] = []
@@ -64,18 +64,18 @@
                 with path.open("rb") as file:
                     one = unpack(file.read(MOST + 256))
                 if one.fate is Fate.NEWER:
-                    raise StoreFailed(f"{path}: of a newer build than this one")
+                    raise StoreError(f"{path}: of a newer build than this one")
                 if one.fate is Fate.SOUND:
                     found.append((one.count, n, one.data))
                 else:
                     damaged = True
                     self._set_aside(path, one.fate)
         except OSError as error:
-            raise StoreFailed(f"{self.folder}: {error}") from None
+            raise StoreError(f"{self.folder}: {error}") from None
         self.doubtful = damaged
         if not found:
             if damaged:
-                raise StoreFailed(f"{self.paths[0]}: nothing whole is left of what was said")
+                raise StoreError(f"{self.paths[0]}: nothing whole is left of what was said")
             return None
         self.count, self.newest, self.data = max(found)
         return self.data
@@ -86,7 +86,7 @@
         self.aside.append(target)
 
     def put(self, data: bytes) -> None:
-        """Bring a record to the disk; once this returns it may be said. StoreFailed: it may not."""
+        """Bring a record to the disk; once this returns it may be said. StoreError: it may not."""
         packed = pack(self.count + 1, data)
         older = 1 - self.newest
         try:
@@ -101,7 +101,7 @@
             self.step("flush folder")
             flush_folder(self.folder)
         except OSError as error:
-            raise StoreFailed(f"{self.paths[older]}: {error}") from None
+            raise StoreError(f"{self.paths[older]}: {error}") from None
         self.count += 1
         self.newest = older
         self.data = data
--- a/hollybay/consensus/transfer.py
+++ b/hollybay/consensus/transfer.py
@@ -10,8 +10,8 @@
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass, field
 
-from . import messages as w
-from .policy import Refused
+from . import messages
+from .policy import RejectedError
 
 __all__ = ["MAX_UPLOADS", "MAX_UPLOAD_BYTES", "Uploads", "download", "piece_of", "pieces_up"]
 
@@ -21,25 +21,25 @@
 UPLOAD_IDLE = 60_000_000_000  # ns after which an upload that does not go on gives its place away
 
 
-def piece_of(name: str, whole: bytes, offset: int) -> w.Piece:
-    """One piece of an answer. Refused: it is not so long."""
-    if offset % w.PIECE_BYTES or not 0 <= offset <= len(whole):
-        raise Refused(f"offset: {offset} of {len(whole)} bytes begins no piece")
-    data = whole[offset : offset + w.PIECE_BYTES]
-    return w.Piece(name, len(whole), offset, base64.b64encode(data).decode())
+def piece_of(name: str, whole: bytes, offset: int) -> messages.Chunk:
+    """One piece of an answer. RejectedError: it is not so long."""
+    if offset % messages.PIECE_BYTES or not 0 <= offset <= len(whole):
+        raise RejectedError(f"offset: {offset} of {len(whole)} bytes begins no piece")
+    data = whole[offset : offset + messages.PIECE_BYTES]
+    return messages.Chunk(name, len(whole), offset, base64.b64encode(data).decode())
 
 
-def _data_of(piece: w.Piece | w.Uploading, most: int) -> bytes:
-    """What a piece holds. Refused: the whole is too long, or the piece is not as long as it must be."""
+def _data_of(piece: messages.Chunk | messages.UploadCall, most: int) -> bytes:
+    """What a piece holds. RejectedError: the whole is too long, or the piece is not as long as it must be."""
     if piece.total > most:
-        raise Refused(f"total: {piece.total} bytes, {most} at most")
+        raise RejectedError(f"total: {piece.total} bytes, {most} at most")
     try:
         data = base64.b64decode(piece.data, validate=True)
     except ValueError as error:
-        raise Refused(f"data: {error}") from None
-    wanted = min(w.PIECE_BYTES, piece.total - piece.offset)
+        raise RejectedError(f"data: {error}") from None
+    wanted = min(messages.PIECE_BYTES, piece.total - piece.offset)
     if len(data) != wanted:
-        raise Refused(f"data: {len(data)} bytes at {piece.offset} of {piece.total}, and not {wanted}")
+        raise RejectedError(f"data: {len(data)} bytes at {piece.offset} of {piece.total}, and not {wanted}")
     return data
 
 
@@ -49,27 +49,29 @@
     """Fetch an answer piece by piece; its name and the whole.
 
     call: makes a call by its path; path: of the first piece; again: the path of the others, by the name that
-    the first gave; most: bytes. Refused: the answer is too long, or its pieces do not fit each other.
+    the first gave; most: bytes. RejectedError: the answer is too long, or its pieces do not fit each other.
     """
-    first = w.decode(await call(path), w.Piece)
+    first = messages.decode(await call(path), messages.Chunk)
     if first.offset:
-        raise Refused(f"offset: {first.offset} in the first piece")
+        raise RejectedError(f"offset: {first.offset} in the first piece")
     pieces = [_data_of(first, most)]
     offset = len(pieces[0])
     while offset < first.total:
-        piece = w.decode(await call(f"{again(first.name)}/{offset}"), w.Piece)
+        piece = messages.decode(await call(f"{again(first.name)}/{offset}"), messages.Chunk)
         if (piece.name, piece.total, piece.offset) != (first.name, first.total, offset):
-            raise Refused(f"offset: a piece at {piece.offset} of {piece.total} where {offset} was asked for")
+            raise RejectedError(
+                f"offset: a piece at {piece.offset} of {piece.total} where {offset} was asked for"
+            )
         pieces.append(_data_of(piece, most))
         offset += len(pieces[-1])
     return first.name, b"".join(pieces)
 
 
-def pieces_up(upload: str, whole: bytes) -> list[w.Uploading]:
+def pieces_up(upload: str, whole: bytes) -> list[messages.UploadCall]:
     """The calls by which something is uploaded under an id."""
     return [
-        w.Uploading(upload, len(whole), piece.offset, piece.data)
-        for piece in (piece_of("", whole, at) for at in range(0, max(1, len(whole)), w.PIECE_BYTES))
+        messages.UploadCall(upload, len(whole), piece.offset, piece.data)
+        for piece in (piece_of("", whole, at) for at in range(0, max(1, len(whole)), messages.PIECE_BYTES))
     ]
 
 
@@ -87,19 +89,21 @@
     def __init__(self) -> None:
         self._open: dict[str, _Upload] = {}
 
-    def take(self, piece: w.Uploading, now: int) -> None:
-        """One more piece; one that came before is passed over. Refused: it does not fit, or no room is."""
+    def take(self, piece: messages.UploadCall, now: int) -> None:
+        """One more piece; one that came before is passed over. RejectedError: it does not fit, or no room
+        is.
+        """
         if not piece.id:
-            raise Refused("id: missing")
+            raise RejectedError("id: missing")
         self._forget(now)
         data = _data_of(piece, MAX_UPLOAD_BYTES)
         upload = self._open.get(piece.id)
         if upload is None:
             if len(self._open) >= MAX_UPLOADS:
-                raise Refused(f"{MAX_UPLOADS} uploads are under way; come again later")
+                raise RejectedError(f"{MAX_UPLOADS} uploads are under way; come again later")
             upload = self._open[piece.id] = _Upload(piece.total, now)
         if piece.total != upload.total or piece.offset > upload.size:
-            raise Refused(
+            raise RejectedError(
                 f"offset: {piece.offset} of {piece.total}, and {upload.size} of {upload.total} are here"
             )
         upload.touched = now
@@ -108,10 +112,10 @@
             upload.size += len(data)
 
     def whole(self, upload: str) -> bytes:
-        """What was uploaded; it may be asked for again for a while. Refused: it is not all here."""
+        """What was uploaded; it may be asked for again for a while. RejectedError: it is not all here."""
         found = self._open.get(upload)
         if found is None or found.size < found.total:
-            raise Refused(f"upload: {upload} is not here, or not whole")
+            raise RejectedError(f"upload: {upload} is not here, or not whole")
         return b"".join(found.pieces)
 
     def done(self, upload: str) -> None:
