--- a/hollybay/hollow/fleet.py
+++ b/hollybay/hollow/fleet.py
@@ -11,9 +11,9 @@
 
 import msgspec
 
-from hollybay.consensus import messages as w
-from hollybay.consensus.change_tracker import Follow
-from hollybay.consensus.requests import Unreachable
+from hollybay.consensus import messages
+from hollybay.consensus.change_tracker import ChangeTracker
+from hollybay.consensus.requests import UnreachableError
 from hollybay.proxy.consensus_member import call, clock
 from hollybay.resources.model import Change
 from hollybay.resources.wire import encode_change
@@ -141,15 +141,15 @@
             await keeper.say(Start(self.keeper_addresses))
         first = self.keeper_addresses[0]
         try:
-            await Follow(self._called, [first]).found(first, file)
-        except Unreachable as error:
+            await ChangeTracker(self._called, [first]).found(first, file)
+        except UnreachableError as error:
             raise FleetFailed(f"found: {error}") from None
 
     async def call(self, path: str, body: bytes | None) -> bytes:
         """Call the first keeper, as an operator does. FleetFailed: it says no, or nothing."""
         try:
             return await self._called(self.keeper_addresses[0], path, body)
-        except Unreachable as error:
+        except UnreachableError as error:
             raise FleetFailed(f"{path}: {error}") from None
 
     async def start_nodes(self) -> None:
@@ -189,9 +189,9 @@
     async def change(self, out: list[str], reason: str = "capacity") -> tuple[int, int]:
         """Propose that these servers are out, alone in a batch; the version, and when that was (ns)."""
         status = msgspec.json.decode(await self.call("", None))
-        body = w.encode(w.Proposing(None, status["keeper"]["digest"], reason, "rig", out))
+        body = messages.encode(messages.ProposeCall(None, status["keeper"]["digest"], reason, "rig", out))
         began = clock()
-        changed = w.decode(await self.call("propose", body), w.Changed)
+        changed = messages.decode(await self.call("propose", body), messages.ProposeReply)
         return version_of(changed.change), began
 
     async def offer(self, change: Change) -> bool:
@@ -199,18 +199,18 @@
 
         FleetFailed: it is refused for good.
         """
-        body = w.encode(w.Changing(base64.b64encode(encode_change(change)).decode()))
+        body = messages.encode(messages.ChangeCall(base64.b64encode(encode_change(change)).decode()))
         try:
             await self._called(self.keeper_addresses[0], "change", body)
-        except Unreachable as error:
+        except UnreachableError as error:
             if error.status in (0, TOO_BUSY):
                 return False
             raise FleetFailed(f"change: {error}") from None
         return True
 
-    async def became_of(self, change: Change) -> w.BecameOf:
+    async def became_of(self, change: Change) -> messages.ChangeReply:
         """What the first keeper knows of a change."""
-        return w.decode(await self.call(f"change/{change.id.hex()}", None), w.BecameOf)
+        return messages.decode(await self.call(f"change/{change.id.hex()}", None), messages.ChangeReply)
 
     async def _called(self, address: str, path: str, body: bytes | None) -> bytes:
         return await call(address, path, body, CALL_LIMIT_S)
--- a/hollybay/hollow/node.py
+++ b/hollybay/hollow/node.py
@@ -13,7 +13,7 @@
 
 from hollybay.admin.requests import Call, Kind
 from hollybay.balancing.interface import Settings
-from hollybay.consensus.interfaces import FileRead, Terms
+from hollybay.consensus.interfaces import FileRead, MemberSettings
 from hollybay.consensus.log import Entry
 from hollybay.consensus.messages import MOST_CALL
 from hollybay.consensus.service import Service
@@ -61,7 +61,7 @@
 
     async def start(self, keepers: tuple[str, ...]) -> None:
         """Take up what is on disk, and begin to ask for leases. StoreFailed, OSError: it cannot be used."""
-        terms = Terms(self.name, self.address, tuple(sorted(keepers)), self.lease_ns, 0, self.folder)
+        terms = MemberSettings(self.name, self.address, tuple(sorted(keepers)), self.lease_ns, 0, self.folder)
         (self.folder / self.name).mkdir(parents=True, exist_ok=True)
         boot = Path("/proc/sys/kernel/random/boot_id").read_text().strip()
         self.service = Service(
--- a/hollybay/proxy/compiled_policies.py
+++ b/hollybay/proxy/compiled_policies.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 
 from hollybay.balancing import interface as api
-from hollybay.consensus.interfaces import BadFile, FileRead
+from hollybay.consensus.interfaces import FileRead, InvalidFileError
 from hollybay.consensus.log import Entry
 from hollybay.resources.batch import assemble
 from hollybay.resources.model import Change, ChangeRefused
@@ -88,11 +88,13 @@
 
 
 async def read_file(file: bytes, state: ResourceState) -> FileRead:
-    """What makes the resources what a file says, and the keepers that it names. BadFile: it does not hold."""
+    """What makes the resources what a file says, and the keepers that it names. InvalidFileError: it does
+    not hold.
+    """
     made: list[FileRead] = []
     problems = await _in_thread(lambda: made.append(_read(file, state)))
     if problems:
-        raise BadFile(problems)
+        raise InvalidFileError(problems)
     return made[0]
 
 
--- a/hollybay/proxy/consensus_member.py
+++ b/hollybay/proxy/consensus_member.py
@@ -21,13 +21,13 @@
 import structlog
 
 from hollybay.admin.requests import Call
-from hollybay.consensus.interfaces import FileRead, Terms
+from hollybay.consensus.interfaces import FileRead, MemberSettings
 from hollybay.consensus.log import Entry
 from hollybay.consensus.messages import MOST_CALL
-from hollybay.consensus.policy import Refused
-from hollybay.consensus.requests import Unreachable
+from hollybay.consensus.policy import RejectedError
+from hollybay.consensus.requests import UnreachableError
 from hollybay.consensus.service import Service
-from hollybay.consensus.store import StoreFailed
+from hollybay.consensus.store import StoreError
 from hollybay.resources.model import Change
 from hollybay.resources.state import ResourceState
 from hollybay.routing.policy_intersection import Narrow
@@ -65,7 +65,7 @@
     return callers(sockets) + OUT
 
 
-def terms_of(table: AccordTable, config: Config) -> Terms:
+def terms_of(table: AccordTable, config: Config) -> MemberSettings:
     """What is set up; ConfigError names what does not hold."""
     if config.admin is None:
         raise ConfigError("admin: missing, and the operator file's [accord] needs it")
@@ -76,14 +76,16 @@
         raise ConfigError(f"name: {config.name!r} names no folder, which the operator file's [accord] needs")
     door = table.door or (f"[{host}]:{port}" if ":" in host else f"{host}:{port}")
     late = table.narrow_for if table.when_unsure == "narrow" else 0
-    return Terms(config.name, door, tuple(sorted(table.keepers)), table.lease, late, Path(table.folder))
+    return MemberSettings(
+        config.name, door, tuple(sorted(table.keepers)), table.lease, late, Path(table.folder)
+    )
 
 
 class Accord(PolicyCalls):
     """See above. began: told of each request that begins, with the clock's time and the policies."""
 
     def __init__(
-        self, terms: Terms, config: Config, operator: Operator, clients: Clients, desk: Desk
+        self, terms: MemberSettings, config: Config, operator: Operator, clients: Clients, desk: Desk
     ) -> None:
         self.terms = terms
         self.gate = operator.gate
@@ -115,7 +117,7 @@
         try:
             (self.terms.folder / self.terms.name).mkdir(parents=True, exist_ok=True)
             await self.service.start()
-        except (OSError, StoreFailed) as error:
+        except (OSError, StoreError) as error:
             raise ConfigError(f"[accord] folder: {error}") from None
 
     def close(self) -> None:
@@ -197,8 +199,8 @@
 
 
 async def call(door: str, path: str, body: bytes | None, limit: float, name: str = "operator") -> bytes:
-    """One call for a policy at a door. name: who calls. Unreachable: no answer within so many seconds, or one
-    that says no."""
+    """One call for a policy at a door. name: who calls. UnreachableError: no answer within so many seconds,
+    or one that says no."""
     host, _, port = door.rpartition(":")
     loop = asyncio.get_running_loop()
     caller = _Call(door, path, body, name)
@@ -207,7 +209,7 @@
             await loop.create_connection(lambda: caller, host.strip("[]"), int(port))
             return await caller.answer
     except (OSError, TimeoutError, ValueError, h11.ProtocolError) as error:
-        raise Unreachable(f"{door}: {type(error).__name__}: {error}") from None
+        raise UnreachableError(f"{door}: {type(error).__name__}: {error}") from None
     finally:
         caller.close()
 
@@ -259,25 +261,25 @@
                     self.pieces.append(bytes(event.data))
                     self.size += len(event.data)
                     if self.size > MOST_ANSWER:
-                        raise Refused("the answer is too long")
+                        raise RejectedError("the answer is too long")
                 elif isinstance(event, h11.EndOfMessage):
                     self._whole()
                 else:
-                    raise Refused("no whole answer")
-        except (h11.ProtocolError, Refused) as error:
+                    raise RejectedError("no whole answer")
+        except (h11.ProtocolError, RejectedError) as error:
             if not self.answer.done():
-                self.answer.set_exception(Unreachable(f"{self.door}: {error}"))
+                self.answer.set_exception(UnreachableError(f"{self.door}: {error}"))
 
     def _whole(self) -> None:
         body = b"".join(self.pieces)
         if self.status == 200 or self.status == 202:
             self.answer.set_result(body)
         else:
-            self.answer.set_exception(Unreachable(body.decode("utf-8", "replace"), self.status))
+            self.answer.set_exception(UnreachableError(body.decode("utf-8", "replace"), self.status))
 
     def connection_lost(self, exc: Exception | None) -> None:
         if not self.answer.done():
-            self.answer.set_exception(Unreachable(f"{self.door}: closed before it answered"))
+            self.answer.set_exception(UnreachableError(f"{self.door}: closed before it answered"))
 
     def close(self) -> None:
         """End the connection; what nobody waits for any more raises nowhere."""
@@ -289,7 +291,9 @@
             self.transport.abort()
 
 
-async def join(terms: Terms, config: Config, operator: Operator, clients: Clients, desk: Desk) -> Accord:
+async def join(
+    terms: MemberSettings, config: Config, operator: Operator, clients: Clients, desk: Desk
+) -> Accord:
     """Bring a node into its accord."""
     desk.door.most = MOST_CALL
     desk.door.room = callers(config.sockets)
--- a/hollybay/simulation/accord_rehearsal.py
+++ b/hollybay/simulation/accord_rehearsal.py
@@ -25,13 +25,13 @@
 from pathlib import Path
 from typing import Any
 
-from hollybay.consensus import messages as w
-from hollybay.consensus.change_tracker import Follow, Verdict
-from hollybay.consensus.interfaces import FileRead, Terms
+from hollybay.consensus import messages
+from hollybay.consensus.change_tracker import ChangeTracker, Verdict
+from hollybay.consensus.interfaces import FileRead, MemberSettings
 from hollybay.consensus.log import Entry
 from hollybay.consensus.oracle import Begun, Fault, Outcome, Said, check
 from hollybay.consensus.policy import version_of
-from hollybay.consensus.requests import Unreachable
+from hollybay.consensus.requests import UnreachableError
 from hollybay.consensus.service import Service
 from hollybay.resources.model import Change, Delete, Key, Kind, Operation, Upsert
 from hollybay.resources.state import EMPTY, ResourceState
@@ -116,7 +116,7 @@
     def _begin(self) -> None:
         stage, process = self.stage, self.process
         assert process is not None
-        terms = Terms(
+        terms = MemberSettings(
             self.name,
             self.door,
             stage.keepers,
@@ -252,7 +252,7 @@
             if answered.done():
                 return
             if answer.status >= 400:
-                answered.set_exception(Unreachable(answer.body.decode(), answer.status))
+                answered.set_exception(UnreachableError(answer.body.decode(), answer.status))
             else:
                 answered.set_result(answer.body)
 
@@ -264,7 +264,7 @@
             async with asyncio.timeout(max(0.001, limit - (self.loop.now - began))):
                 return await answered
         except TimeoutError:
-            raise Unreachable(f"{door}: no answer") from None
+            raise UnreachableError(f"{door}: no answer") from None
 
     # Requests
 
@@ -391,7 +391,7 @@
     async def _change(
         self, file: bytes, keepers: list[str] | None, drops: bool, follows: bool, twice: bool
     ) -> None:
-        follow = Follow(self.operator_call, self.chance.sample(self.keepers, len(self.keepers)))
+        follow = ChangeTracker(self.operator_call, self.chance.sample(self.keepers, len(self.keepers)))
         verdict = await follow.propose(file, None, keepers, f"because {file!r}", "", limit=0.0)
         if verdict.change and drops:
             await asyncio.sleep(self.chance.uniform(0.0, 0.4))
@@ -431,7 +431,7 @@
         return Change(self.chance.randbytes(16), state.revision, f"change {self.number}", "", (operation,))
 
     async def _streamed(self, change: Change) -> None:
-        follow = Follow(self.operator_call, self.chance.sample(self.keepers, len(self.keepers)))
+        follow = ChangeTracker(self.operator_call, self.chance.sample(self.keepers, len(self.keepers)))
         limit = self.chance.choice((3.0, 20.0, 60.0))
         proposed_at = self.keepers[-1:] if self.chance.random() < 0.1 else ()
         for door in proposed_at:  # its proposer does not wait for the answer
@@ -440,8 +440,10 @@
         self.told.append((change, verdict))
 
     async def _posted(self, door: str, change: Change) -> None:
-        with suppress(Unreachable):
-            await self.operator_call(door, "change", w.encode(w.Changing(w.change_text(change))))
+        with suppress(UnreachableError):
+            await self.operator_call(
+                door, "change", messages.encode(messages.ChangeCall(messages.change_text(change)))
+            )
 
     def _check_told(self) -> None:
         """Whether every proposer was told what is so, by the resources that all nodes ended with."""
@@ -489,12 +491,12 @@
         for seat in self.seats:
             seat.start()
         await asyncio.sleep(0.2)
-        body = w.encode(w.Founding(file=base64.b64encode(b"# first\n").decode()))
+        body = messages.encode(messages.BootstrapCall(file=base64.b64encode(b"# first\n").decode()))
         while True:
             try:
                 await self.operator_call(self.keepers[0], "found", body)
                 break
-            except Unreachable as error:
+            except UnreachableError as error:
                 if "founded already" in str(error):
                     break
                 await asyncio.sleep(0.2)
@@ -514,7 +516,7 @@
         await asyncio.sleep(12.0 + 4 * (self.shape.lease + self.shape.late))
         verdict = Verdict(3)
         for n in range(4):
-            follow = Follow(self.operator_call, [seat.door for seat in self.seats])
+            follow = ChangeTracker(self.operator_call, [seat.door for seat in self.seats])
             verdict = await follow.propose(b"# the last %d\n" % n, None, None, "the last", "", limit=60.0)
             self._note(verdict)
             if verdict.code == 0:
--- a/tests/test_accord_core.py
+++ b/tests/test_accord_core.py
@@ -9,20 +9,20 @@
 from hollybay.consensus.core import (
     Accept,
     Accepted,
-    Ask,
-    Driver,
-    Grant,
-    Keeper,
-    Know,
+    Acceptor,
+    Decided,
+    EpochState,
     Lease,
-    Node,
+    LeaseGrant,
+    Leaseholder,
+    LeaseRequest,
     Prepare,
     Promise,
+    Proposer,
     Stage,
-    State,
-    enough,
-    follows,
-    served,
+    effective_policies,
+    has_quorum,
+    is_valid_successor,
 )
 from hollybay.consensus.model_check import (
     DEAF,
@@ -46,10 +46,10 @@
 THREE = (frozenset({0, 1, 2}),)
 ALONE = (frozenset({0}),)
 UNFIT = (NOBODY, frozenset({"p1"}))
-P = State(0, Stage.SETTLED, "p0")
-PREPARE = State(1, Stage.PREPARE, "p0", "p1")
-NARROW = State(2, Stage.NARROW, "p0", "p1")
-NEW = State(3, Stage.SETTLED, "p1")
+P = EpochState(0, Stage.SETTLED, "p0")
+PREPARE = EpochState(1, Stage.PREPARE, "p0", "p1")
+NARROW = EpochState(2, Stage.NARROW, "p0", "p1")
+NEW = EpochState(3, Stage.SETTLED, "p1")
 BOUNDS = {
     "long": LONG,
     "long, unfit": replace(LONG, unfit=UNFIT),
@@ -90,47 +90,52 @@
     way_on = [P, PREPARE, NARROW, NEW]
     for n, old in enumerate(way_on):
         for m, new in enumerate(way_on):
-            assert follows(old, new) == (m == n + 1)
+            assert is_valid_successor(old, new) == (m == n + 1)
     for old in (PREPARE, NARROW):
-        assert follows(old, State(old.epoch + 1, Stage.SETTLED, "p0"))  # dropped
-    assert not follows(PREPARE, State(2, Stage.SETTLED, "p1"))  # without NARROW
-    assert not follows(P, State(1, Stage.PREPARE, "p0", "p0"))
-    assert not follows(PREPARE, State(2, Stage.NARROW, "p0", "p2"))
-    # Of two epochs in a row the policies that are served always have one in common.
-    for old, new in ((P, PREPARE), (PREPARE, NARROW), (NARROW, NEW), (NARROW, State(3, Stage.SETTLED, "p0"))):
-        assert set(served(old)) & set(served(new))
-    assert not set(served(PREPARE)) & set(served(NEW))
+        assert is_valid_successor(old, EpochState(old.epoch + 1, Stage.SETTLED, "p0"))  # dropped
+    assert not is_valid_successor(PREPARE, EpochState(2, Stage.SETTLED, "p1"))  # without NARROW
+    assert not is_valid_successor(P, EpochState(1, Stage.PREPARE, "p0", "p0"))
+    assert not is_valid_successor(PREPARE, EpochState(2, Stage.NARROW, "p0", "p2"))
+    # Of two epochs in a row the policies that are effective always have one in common.
+    for old, new in (
+        (P, PREPARE),
+        (PREPARE, NARROW),
+        (NARROW, NEW),
+        (NARROW, EpochState(3, Stage.SETTLED, "p0")),
+    ):
+        assert set(effective_policies(old)) & set(effective_policies(new))
+    assert not set(effective_policies(PREPARE)) & set(effective_policies(NEW))
 
 
 def test_a_lease_is_counted_from_before_it_was_asked_for_and_looked_at_when_used() -> None:
-    node, ask = Node(7, THREE, want=P).begin(100)
-    assert ask == Ask(7, 1, P, -1, True)
-    node = node.hear_grant(Grant(0, 1, 0), 50)
+    node, ask = Leaseholder(7, THREE, want=P).begin(100)
+    assert ask == LeaseRequest(7, 1, P, -1, True)
+    node = node.hear_grant(LeaseGrant(0, 1, 0), 50)
     assert node.serves(110) == ()  # one of three is no majority
-    node = node.hear_grant(Grant(0, 1, 0), 50)
+    node = node.hear_grant(LeaseGrant(0, 1, 0), 50)
     assert node.serves(110) == ()
-    node = node.hear_grant(Grant(2, 1, 0), 50)
+    node = node.hear_grant(LeaseGrant(2, 1, 0), 50)
     assert node.serves(149) == ("p0",) and node.serves(150) == ()
     # Of an earlier call, or on another epoch: nothing.
     later, _ = node.begin(200)
-    for grant in (Grant(0, 1, 0), Grant(1, 1, 0), Grant(0, 2, 1), Grant(1, 2, 1)):
+    for grant in (LeaseGrant(0, 1, 0), LeaseGrant(1, 1, 0), LeaseGrant(0, 2, 1), LeaseGrant(1, 2, 1)):
         later = later.hear_grant(grant, 50)
     assert later.serves(200) == ()
 
 
 def test_a_node_serves_on_until_the_next_epoch_is_granted_or_its_lease_is_over() -> None:
-    node = Node(1, ALONE, at=PREPARE, until=50, want=PREPARE)
-    node = node.hear_know(Know(NARROW), ALONE)
-    assert node.serves(10) == ("p0",) and node.hear_know(Know(PREPARE), ALONE) is node
+    node = Leaseholder(1, ALONE, at=PREPARE, until=50, want=PREPARE)
+    node = node.hear_know(Decided(NARROW), ALONE)
+    assert node.serves(10) == ("p0",) and node.hear_know(Decided(PREPARE), ALONE) is node
     node, ask = node.begin(10)
     assert (ask.state, ask.serving) == (NARROW, 1)
-    assert node.hear_grant(Grant(0, 1, 2), 50).serves(20) == ("p0", "p1")
-    unfit = node._replace(unfit=frozenset({"p1"})).hear_grant(Grant(0, 1, 2), 50)
+    assert node.hear_grant(LeaseGrant(0, 1, 2), 50).serves(20) == ("p0", "p1")
+    unfit = node._replace(unfit=frozenset({"p1"})).hear_grant(LeaseGrant(0, 1, 2), 50)
     assert unfit.serves(20) == ("p0",) and unfit.serves(50) == ()
 
 
 def test_a_keeper_votes_once_nobody_serves_under_an_epoch_before_the_last() -> None:
-    keeper = Keeper(0, NARROW, leases=(Lease(1, 1, 60, True), Lease(2, 2, 90, True)))
+    keeper = Acceptor(0, NARROW, leases=(Lease(1, 1, 60, True), Lease(2, 2, 90, True)))
     call = Accept((1, 1), NEW)
     assert keeper.hear_accept(59, call) == (keeper, None)
     voted, vote = keeper.hear_accept(60, call)
@@ -141,42 +146,44 @@
 
 
 def test_a_keeper_keeps_a_lease_while_its_node_may_still_serve_under_it() -> None:
-    keeper = Keeper(0, NARROW, leases=(Lease(1, 1, 60, True),))
-    asked, _ = keeper.hear_ask(10, Ask(1, 2, NARROW, 1, True), 50)
+    keeper = Acceptor(0, NARROW, leases=(Lease(1, 1, 60, True),))
+    asked, _ = keeper.hear_ask(10, LeaseRequest(1, 2, NARROW, 1, True), 50)
     assert not asked.may_vote(20, NEW)  # its grant may be lost, and the node goes on under PREPARE
-    moved, _ = asked.hear_ask(20, Ask(1, 3, NARROW, 2, True), 50)
+    moved, _ = asked.hear_ask(20, LeaseRequest(1, 3, NARROW, 2, True), 50)
     assert moved.may_vote(20, NEW)  # it says that it serves under NARROW now
 
 
 def test_a_late_node_goes_on_under_the_narrower_and_keepers_wait_for_it() -> None:
-    node = Node(1, ALONE, want=PREPARE)
+    node = Leaseholder(1, ALONE, want=PREPARE)
     node, ask = node.begin(100)
-    node = node.hear_grant(Grant(0, 1, 1), 50, 30)
+    node = node.hear_grant(LeaseGrant(0, 1, 1), 50, 30)
     assert node.serves(149) == ("p0",) and node.serves(150) == ("p0", "p1") == node.serves(179)
     assert node.serves(180) == () and node._replace(unfit=frozenset({"p1"})).serves(150) == ()
     assert node.begin(179)[1].serving == 1 and node.begin(180)[1].serving == -1
     # The keeper goes on as far as what the node serves then has something in common with the new epoch.
-    keeper, _ = Keeper(0, PREPARE).hear_ask(100, ask, 50, 30)
-    narrow = keeper.hear_know(Know(NARROW))
+    keeper, _ = Acceptor(0, PREPARE).hear_ask(100, ask, 50, 30)
+    narrow = keeper.hear_know(Decided(NARROW))
     assert not narrow.may_vote(149, NEW) and narrow.may_vote(150, NEW)
-    other = State(6, Stage.SETTLED, "p2")
-    later = keeper.hear_know(Know(State(5, Stage.NARROW, "p1", "p2")))
+    other = EpochState(6, Stage.SETTLED, "p2")
+    later = keeper.hear_know(Decided(EpochState(5, Stage.NARROW, "p1", "p2")))
     assert not later.may_vote(179, other) and later.may_vote(180, other)
     assert [one.node for one in later.waits_for(179, other)] == [1]
-    settled, _ = Keeper(0, P).hear_ask(100, ask._replace(state=P), 50, 30)
-    between = settled.hear_know(Know(NARROW))
+    settled, _ = Acceptor(0, P).hear_ask(100, ask._replace(state=P), 50, 30)
+    between = settled.hear_know(Decided(NARROW))
     assert not between.may_vote(179, NEW) and between.may_vote(179, NEW._replace(policy="p0"))
 
 
 def test_leases_and_votes_take_a_majority_of_each_board_that_an_epoch_names() -> None:
     boards = (frozenset({0, 1, 2}), frozenset({0, 3, 4}))
-    assert enough(boards, {0, 1, 3}) and not enough(boards, {0, 1, 2}) and not enough((), {0, 1, 2})
-    node, _ = Node(7, boards, want=PREPARE).begin(0)
+    assert (
+        has_quorum(boards, {0, 1, 3}) and not has_quorum(boards, {0, 1, 2}) and not has_quorum((), {0, 1, 2})
+    )
+    node, _ = Leaseholder(7, boards, want=PREPARE).begin(0)
     for keeper in (0, 1):
-        node = node.hear_grant(Grant(keeper, 1, 1), 50)
+        node = node.hear_grant(LeaseGrant(keeper, 1, 1), 50)
     assert node.serves(10) == ()  # a majority of the old board alone
-    assert node.hear_grant(Grant(4, 1, 1), 50).serves(10) == ("p0",)
-    driver, _ = Driver(1, boards, NARROW).begin(0)
+    assert node.hear_grant(LeaseGrant(4, 1, 1), 50).serves(10) == ("p0",)
+    driver, _ = Proposer(1, boards, NARROW).begin(0)
     for keeper in (0, 1):
         driver, asked = driver.hear_promise(Promise(keeper, driver.ballot, 1, None))
         assert asked is None
@@ -185,52 +192,52 @@
     for keeper in (0, 1):
         driver, know = driver.hear_accepted(Accepted(keeper, driver.ballot, NARROW))
         assert know is None
-    assert driver.hear_accepted(Accepted(4, driver.ballot, NARROW))[1] == Know(NARROW)
+    assert driver.hear_accepted(Accepted(4, driver.ballot, NARROW))[1] == Decided(NARROW)
 
 
 def test_a_keeper_that_lost_its_disk_does_not_vote_for_what_it_may_have_voted_for() -> None:
     told = [(PREPARE, None), (P, PREPARE)]
-    keeper = Keeper.anew(0, 100, 50, told)
+    keeper = Acceptor.anew(0, 100, 50, told)
     assert (keeper.decided, keeper.mute, keeper.quiet) == (PREPARE, 2, 150)
     call = Prepare((9, 9), 1)
     assert keeper.hear_prepare(call) == (keeper, None)
     assert keeper.hear_accept(200, Accept((9, 9), NARROW)) == (keeper, None)
     # It may have voted for NARROW: whoever says no gets no lease of it.
-    assert keeper.hear_ask(200, Ask(1, 1, PREPARE, 0, False), 50)[1] is None
-    assert keeper.hear_ask(200, Ask(1, 1, PREPARE, 0, True), 50)[1] == Grant(0, 1, 1)
-    later = keeper.hear_know(Know(NARROW))
+    assert keeper.hear_ask(200, LeaseRequest(1, 1, PREPARE, 0, False), 50)[1] is None
+    assert keeper.hear_ask(200, LeaseRequest(1, 1, PREPARE, 0, True), 50)[1] == LeaseGrant(0, 1, 1)
+    later = keeper.hear_know(Decided(NARROW))
     assert isinstance(later.hear_prepare(Prepare((1, 1), 2))[1], Promise)
     assert later.hear_accept(200, Accept((1, 1), NEW))[1] is not None
     # A vote that is known of counts further than what is known to be decided.
-    assert Keeper.anew(0, 0, 0, [(PREPARE, NARROW), (P, None)]).mute == 3
+    assert Acceptor.anew(0, 0, 0, [(PREPARE, NARROW), (P, None)]).mute == 3
 
 
 def test_a_no_holds_while_its_node_may_serve_and_comes_too_late_after_the_vote() -> None:
-    no = Ask(1, 1, PREPARE, 0, False)
-    told, grant = Keeper(0, PREPARE).hear_ask(0, no, 50)
+    no = LeaseRequest(1, 1, PREPARE, 0, False)
+    told, grant = Acceptor(0, PREPARE).hear_ask(0, no, 50)
     assert grant is not None and told.refused(49) == (1,)
     assert told.hear_accept(49, Accept((1, 1), NARROW))[1] is None
-    assert told.hear_accept(49, Accept((1, 1), State(2, Stage.SETTLED, "p0")))[1] is not None
+    assert told.hear_accept(49, Accept((1, 1), EpochState(2, Stage.SETTLED, "p0")))[1] is not None
     assert told.hear_accept(50, Accept((1, 1), NARROW))[1] is not None
-    voted, _ = Keeper(0, PREPARE).hear_accept(0, Accept((1, 1), NARROW))
+    voted, _ = Acceptor(0, PREPARE).hear_accept(0, Accept((1, 1), NARROW))
     assert voted.hear_ask(1, no, 50) == (voted, None)
-    assert voted.hear_ask(1, no._replace(able=True), 50)[1] == Grant(0, 1, 1)
+    assert voted.hear_ask(1, no._replace(able=True), 50)[1] == LeaseGrant(0, 1, 1)
 
 
 def test_whoever_knows_more_tells_the_other() -> None:
-    keeper = Keeper(0, NARROW)
-    assert keeper.hear_ask(0, Ask(1, 1, None, -1, True), 50) == (keeper, Know(NARROW))
-    assert keeper.hear_ask(0, Ask(1, 1, PREPARE, 1, True), 50) == (keeper, Know(NARROW))
-    learned, grant = keeper.hear_ask(0, Ask(1, 1, NEW, 2, True), 50)
-    assert learned.decided == NEW and grant == Grant(0, 1, 3)
-    assert keeper.hear_prepare(Prepare((1, 1), 1)) == (keeper, Know(NARROW))
+    keeper = Acceptor(0, NARROW)
+    assert keeper.hear_ask(0, LeaseRequest(1, 1, None, -1, True), 50) == (keeper, Decided(NARROW))
+    assert keeper.hear_ask(0, LeaseRequest(1, 1, PREPARE, 1, True), 50) == (keeper, Decided(NARROW))
+    learned, grant = keeper.hear_ask(0, LeaseRequest(1, 1, NEW, 2, True), 50)
+    assert learned.decided == NEW and grant == LeaseGrant(0, 1, 3)
+    assert keeper.hear_prepare(Prepare((1, 1), 1)) == (keeper, Decided(NARROW))
     assert keeper.hear_prepare(Prepare((1, 1), 3)) == (keeper, None)
-    assert keeper.hear_accept(0, Accept((1, 1), NARROW))[1] == Know(NARROW)
+    assert keeper.hear_accept(0, Accept((1, 1), NARROW))[1] == Decided(NARROW)
 
 
 def test_who_drives_ends_what_may_have_been_decided() -> None:
-    back = State(3, Stage.SETTLED, "p0")
-    driver, call = Driver(2, THREE, back).begin(4)
+    back = EpochState(3, Stage.SETTLED, "p0")
+    driver, call = Proposer(2, THREE, back).begin(4)
     assert call == Prepare((5, 2), 2)
     driver, nothing = driver.hear_promise(Promise(0, (5, 2), 2, None))
     assert nothing is None
--- a/tests/test_accord_fetch.py
+++ b/tests/test_accord_fetch.py
@@ -11,12 +11,12 @@
 import msgspec
 import pytest
 
-from hollybay.consensus import messages as w
+from hollybay.consensus import messages
 from hollybay.consensus.log import NotReached, PolicyLog, Snapshot
-from hollybay.consensus.log_fetch import NOT_REACHED, Brought, Fetcher
-from hollybay.consensus.policy import Policy, Refused, successor
-from hollybay.consensus.requests import Unreachable
-from hollybay.consensus.store import StoreFailed
+from hollybay.consensus.log_fetch import NOT_REACHED, Fetcher, FetchResult
+from hollybay.consensus.policy import Policy, RejectedError, successor
+from hollybay.consensus.requests import UnreachableError
+from hollybay.consensus.store import StoreError
 from hollybay.consensus.transfer import (
     MAX_UPLOAD_BYTES,
     MAX_UPLOADS,
@@ -43,7 +43,7 @@
         self.called.append((door, path))
         log = self.logs.get(door)
         if log is None:
-            raise Unreachable(f"{door}: nobody")
+            raise UnreachableError(f"{door}: nobody")
         kind, *parts = path.split("/")
         try:
             if kind == "since":
@@ -51,14 +51,14 @@
             else:
                 name, whole = log.snapshot(parts[0])
         except NotReached as error:
-            raise Unreachable(str(error), NOT_REACHED) from None
+            raise UnreachableError(str(error), NOT_REACHED) from None
         offset = int(parts[2 if kind == "since" else 1]) if len(parts) > (2 if kind == "since" else 1) else 0
         whole = self.spoil.get(door, lambda path, data: data)(path, whole)
-        return w.encode(piece_of(name, whole, offset))
+        return messages.encode(piece_of(name, whole, offset))
 
 
-def bring(log: PolicyLog, others: Others, name: str, *doors: str) -> tuple[Brought, Fetcher]:
-    async def play() -> tuple[Brought, Fetcher]:
+def bring(log: PolicyLog, others: Others, name: str, *doors: str) -> tuple[FetchResult, Fetcher]:
+    async def play() -> tuple[FetchResult, Fetcher]:
         async def disk(work: Callable[[], None]) -> None:
             work()
 
@@ -137,7 +137,7 @@
     log = filled(tmp_path / "n", policies[:3])
     before = files(tmp_path / "n")
     found, fetcher = bring(log, others, last, "bad")
-    assert found == Brought(None) and fetcher.reasons["bad"]
+    assert found == FetchResult(None) and fetcher.reasons["bad"]
     assert files(tmp_path / "n") == before and log.names() == [one.name for one in policies[:3]]
     found, fetcher = bring(log, others, last, "nobody", "bad", "good")
     assert found.policy is not None and log.state(last) == state_of(policies)
@@ -162,7 +162,7 @@
     others.spoil["bad"] = spoil
     log = opened(tmp_path / "n")
     found, fetcher = bring(log, others, last, "bad")
-    assert found == Brought(None) and "a gap" in fetcher.reasons["bad"] and not files(tmp_path / "n")
+    assert found == FetchResult(None) and "a gap" in fetcher.reasons["bad"] and not files(tmp_path / "n")
     found, _ = bring(log, others, last, "bad", "good")
     assert found.policy is not None and log.state(last) == state_of(policies)
 
@@ -172,7 +172,7 @@
 
     class Full(PolicyLog):
         def put(self, policy: Policy) -> Any:
-            raise StoreFailed("No space left on device")
+            raise StoreError("No space left on device")
 
     log = Full(tmp_path / "n")
     found, _ = bring(log, Others(k=filled(tmp_path / "k", policies)), policies[-1].name, "k")
@@ -183,10 +183,10 @@
 # Pieces
 
 
-def run_download(answers: Callable[[str], w.Piece], most: int) -> tuple[str, bytes]:
+def run_download(answers: Callable[[str], messages.Chunk], most: int) -> tuple[str, bytes]:
     async def play() -> tuple[str, bytes]:
         async def call(path: str) -> bytes:
-            return w.encode(answers(path))
+            return messages.encode(answers(path))
 
         async with asyncio.timeout(10):
             return await download(call, "x/n", lambda name: f"x/{name}", most)
@@ -196,62 +196,66 @@
 
 def test_pieces_make_the_whole_and_end_within_their_bound() -> None:
     whole = bytes(range(256)) * 4096
-    assert len(whole) == 4 * w.PIECE_BYTES
+    assert len(whole) == 4 * messages.PIECE_BYTES
     for data in (b"", b"x", whole, whole + b"x"):
 
-        def answer(path: str, data: bytes = data) -> w.Piece:
+        def answer(path: str, data: bytes = data) -> messages.Chunk:
             parts = path.split("/")
             return piece_of("n", data, int(parts[2]) if len(parts) > 2 else 0)
 
         assert run_download(answer, len(data)) == ("n", data)
         if data:
-            with pytest.raises(Refused, match="at most"):
+            with pytest.raises(RejectedError, match="at most"):
                 run_download(answer, len(data) - 1)
         assert all(
-            len(w.encode(answer(f"x/n/{at}"))) < w.MOST_CALL for at in range(0, len(data), w.PIECE_BYTES)
+            len(messages.encode(answer(f"x/n/{at}"))) < messages.MOST_CALL
+            for at in range(0, len(data), messages.PIECE_BYTES)
         )
 
 
 @pytest.mark.parametrize(
     ("piece", "why"),
     [
-        (w.Piece("n", 10**9, 0, ""), "bytes at 0 of"),
-        (w.Piece("n", 10**12, 0, ""), "at most"),
-        (w.Piece("n", 3, 1, "AA=="), "in the first piece"),
-        (w.Piece("n", 3, 0, "AA=="), "1 bytes at 0 of 3"),
-        (w.Piece("n", 3, 0, "no base64"), "data"),
+        (messages.Chunk("n", 10**9, 0, ""), "bytes at 0 of"),
+        (messages.Chunk("n", 10**12, 0, ""), "at most"),
+        (messages.Chunk("n", 3, 1, "AA=="), "in the first piece"),
+        (messages.Chunk("n", 3, 0, "AA=="), "1 bytes at 0 of 3"),
+        (messages.Chunk("n", 3, 0, "no base64"), "data"),
         # One that goes on for ever gives the same again and again.
-        (w.Piece("n", 10**9, 0, base64.b64encode(bytes(w.PIECE_BYTES)).decode()), "a piece at 0"),
+        (
+            messages.Chunk("n", 10**9, 0, base64.b64encode(bytes(messages.PIECE_BYTES)).decode()),
+            "a piece at 0",
+        ),
     ],
 )
-def test_pieces_that_do_not_fit_are_refused(piece: w.Piece, why: str) -> None:
-    with pytest.raises(Refused, match=why):
+def test_pieces_that_do_not_fit_are_refused(piece: messages.Chunk, why: str) -> None:
+    with pytest.raises(RejectedError, match=why):
         run_download(lambda path: piece, 10**10)
 
 
 def test_uploads_are_bounded_and_come_in_any_order_of_repeats() -> None:
     uploads = Uploads()
-    whole = bytes(w.PIECE_BYTES) + b"the end"
+    whole = bytes(messages.PIECE_BYTES) + b"the end"
     ids = [f"{n:032x}" for n in range(1, MAX_UPLOADS + 2)]
     first, second = pieces_up(ids[0], whole)
     for piece in (first, first, second, first, second):
         uploads.take(piece, 1)
     assert uploads.whole(ids[0]) == whole
-    with pytest.raises(Refused, match="not whole"):
+    with pytest.raises(RejectedError, match="not whole"):
         uploads.whole(ids[1])
     for piece, why in (
         (msgspec.structs.replace(second, id=ids[1]), "and 0 of"),
-        (w.Uploading(ids[1], MAX_UPLOAD_BYTES + 1, 0, ""), "at most"),
-        (msgspec.structs.replace(first, total=w.PIECE_BYTES + 9), "are here"),
+        (messages.UploadCall(ids[1], MAX_UPLOAD_BYTES + 1, 0, ""), "at most"),
+        (msgspec.structs.replace(first, total=messages.PIECE_BYTES + 9), "are here"),
         (msgspec.structs.replace(first, data="!!"), "data"),
         (msgspec.structs.replace(first, id=""), "id"),
     ):
-        with pytest.raises(Refused, match=why):
+        with pytest.raises(RejectedError, match=why):
             uploads.take(piece, 2)
         assert uploads.whole(ids[0]) == whole
     for one in ids[1:MAX_UPLOADS]:
         uploads.take(msgspec.structs.replace(first, id=one), 3)
-    with pytest.raises(Refused, match="come again later"):
+    with pytest.raises(RejectedError, match="come again later"):
         uploads.take(msgspec.structs.replace(first, id=ids[-1]), 4)
     uploads.take(msgspec.structs.replace(first, id=ids[-1]), 5 + UPLOAD_IDLE)
     uploads.done(ids[-1])
--- a/tests/test_accord_log.py
+++ b/tests/test_accord_log.py
@@ -16,9 +16,9 @@
 from hollybay.consensus import policy
 from hollybay.consensus.log import NotReached, PolicyLog, Snapshot, is_name
 from hollybay.consensus.log_fetch import check_links, parse_delta
-from hollybay.consensus.policy import Policy, Refused
+from hollybay.consensus.policy import Policy, RejectedError
 from hollybay.consensus.record import pack
-from hollybay.consensus.store import StoreFailed
+from hollybay.consensus.store import StoreError
 from hollybay.resources.model import Change, Delete, Kind, Operation, Upsert
 from hollybay.resources.state import EMPTY, ResourceState
 from hollybay.resources.wire import encode_snapshot
@@ -95,7 +95,7 @@
         (false, "after: "),
         (policies[2].without_changes(), "are not at hand"),
     ):
-        with pytest.raises(Refused, match=why):
+        with pytest.raises(RejectedError, match=why):
             log.put(one)
     assert log.names() == [one.name for one in policies[:2]]
     assert before == sorted(path.name for path in (tmp_path / "log").iterdir())
@@ -173,10 +173,10 @@
     for one in policies[:6]:
         log.put(one)
     full = True
-    with pytest.raises(StoreFailed, match="No space left"):
+    with pytest.raises(StoreError, match="No space left"):
         log.put(policies[6])
     assert log.get(policies[6].name) is None
-    with pytest.raises(StoreFailed, match="No space left"):
+    with pytest.raises(StoreError, match="No space left"):
         log.prune([policies[5].name])
     assert log.state(policies[5].name) == state_of(policies[:6])
     assert opened(tmp_path / "log").names() == [one.name for one in policies[:6]]
@@ -277,7 +277,7 @@
         (msgspec.msgpack.encode(Snapshot(header, b"nothing")), "no snapshot"),
         (msgspec.msgpack.encode(Snapshot(header, encode_snapshot(replace(state, revision=9)))), "revision 9"),
     ):
-        with pytest.raises(Refused, match=why):
+        with pytest.raises(RejectedError, match=why):
             log.install(data)
     assert not log.names() and not (tmp_path / "log").exists()
     log.install(msgspec.msgpack.encode(Snapshot(header, encode_snapshot(state))))
@@ -299,7 +299,7 @@
 def test_any_bytes_are_entries_or_refused(data: bytes) -> None:
     try:
         assert isinstance(parse_delta(data), list)
-    except Refused as error:
+    except RejectedError as error:
         assert str(error)
 
 
@@ -313,5 +313,5 @@
         ([*others[:3], *policies[3:]], "a gap"),
         (policies[::-1], "ends with 1-"),
     ):
-        with pytest.raises(Refused, match=why):
+        with pytest.raises(RejectedError, match=why):
             check_links(entries, policies[-1].name)
--- a/tests/test_accord_node.py
+++ b/tests/test_accord_node.py
@@ -23,9 +23,9 @@
 from click.testing import CliRunner, Result
 
 from hollybay.cli.main import main
-from hollybay.consensus import messages as w
-from hollybay.consensus.core import Ask, Prepare, Stage, State
-from hollybay.consensus.interfaces import Terms
+from hollybay.consensus import messages
+from hollybay.consensus.core import EpochState, LeaseRequest, Prepare, Stage
+from hollybay.consensus.interfaces import MemberSettings
 from hollybay.consensus.log import PolicyLog
 from hollybay.consensus.policy import first
 from hollybay.proxy.admin_service import Desk
@@ -59,7 +59,7 @@
         node.clients.ready = True
         desk = Desk(config, node.clients, node.node)
         door = f"127.0.0.1:{await desk.open()}"
-        terms = Terms(name, door, keepers or (door,), 800 * MS, 0, tmp_path / "accord")
+        terms = MemberSettings(name, door, keepers or (door,), 800 * MS, 0, tmp_path / "accord")
         accord = await join(terms, config, operator, node.clients, desk)
         await accord.start()
         try:
@@ -70,7 +70,7 @@
 
 
 async def founded(accord: Accord, file: bytes = b"") -> None:
-    body = w.encode(w.Founding(file=base64.b64encode(file).decode()))
+    body = messages.encode(messages.BootstrapCall(file=base64.b64encode(file).decode()))
     await call(accord.terms.door, "found", body, LIMIT)
     async with asyncio.timeout(LIMIT):
         while not accord.sure():
@@ -127,8 +127,10 @@
             state = keeping.keeper.decided
             before = keeping.keeper
             here = accord.terms.door
-            odd = State(7, Stage.SETTLED, "7-00000000000a", "8-00000000000b")
-            ask = w.Asking(w.FORM, Ask(1, 1, state, -1, True), "x", here, 900 * MS, 0)
+            odd = EpochState(7, Stage.SETTLED, "7-00000000000a", "8-00000000000b")
+            ask = messages.LeaseCall(
+                messages.FORM, LeaseRequest(1, 1, state, -1, True), "x", here, 900 * MS, 0
+            )
             policy = first([route_change("other")], [here])
 
             def proposal(**words: Any) -> bytes:
@@ -143,32 +145,42 @@
                 ("POST /-/policy/ask", b'{"form": 1}', 400, "missing required field"),
                 (
                     "POST /-/policy/ask",
-                    w.encode(msgspec.structs.replace(ask, form=w.FORM + 1)),
+                    messages.encode(msgspec.structs.replace(ask, form=messages.FORM + 1)),
                     400,
-                    f"this build speaks {w.FORM}",
+                    f"this build speaks {messages.FORM}",
                 ),
-                ("POST /-/policy/ask", w.encode(ask), 400, "at most are granted here"),
+                ("POST /-/policy/ask", messages.encode(ask), 400, "at most are granted here"),
                 (
                     "POST /-/policy/ask",
-                    w.encode(msgspec.structs.replace(ask, ask=ask.ask._replace(state=odd))),
+                    messages.encode(msgspec.structs.replace(ask, ask=ask.ask._replace(state=odd))),
+                    400,
+                    "state",
+                ),
+                (
+                    "POST /-/policy/know",
+                    messages.encode(messages.DecidedNotice(messages.FORM, odd, here)),
                     400,
                     "state",
                 ),
-                ("POST /-/policy/know", w.encode(w.Knowing(w.FORM, odd, here)), 400, "state"),
                 ("POST /-/policy/prepare", b"{}", 400, "missing"),
                 (
                     "POST /-/policy/accept",
-                    b'{"form":%d,"call":[[1,1],[1,9,"a",""]],"by":"h:1"}' % w.FORM,
+                    b'{"form":%d,"call":[[1,1],[1,9,"a",""]],"by":"h:1"}' % messages.FORM,
                     400,
                     "Invalid enum",
                 ),
                 (
                     "POST /-/policy/found",
-                    w.encode(w.Founding(policy=policy.name, by=here)),
+                    messages.encode(messages.BootstrapCall(policy=policy.name, by=here)),
                     409,
                     "founded already",
                 ),
-                ("POST /-/policy/found", w.encode(w.Founding(policy="????")), 409, "policy"),
+                (
+                    "POST /-/policy/found",
+                    messages.encode(messages.BootstrapCall(policy="????")),
+                    409,
+                    "policy",
+                ),
                 ("POST /-/policy/propose", proposal(), 409, "made on nothing"),
                 ("POST /-/policy/propose", proposal(parent=digest), 409, "made on"),
                 ("POST /-/policy/propose", proposal(file="no base64!", parent=now), 409, "file"),
@@ -179,7 +191,7 @@
                 ("GET /-/policy/file/../../etc/passwd", b"", 404, "no such call"),
                 ("GET /-/policy/entry/9-00000000000a", b"", 404, "no policy"),
                 ("PUT /-/policy", b"", 405, "GET and POST"),
-                ("POST /-/policy/propose", b"x" * (w.MOST_CALL + 1), 413, "too long"),
+                ("POST /-/policy/propose", b"x" * (messages.MOST_CALL + 1), 413, "too long"),
                 ("POST /-/drain", b"x" * 9000, 413, "too long"),
             ):
                 got, answer = await raw(accord, head, body)
@@ -187,7 +199,7 @@
             assert keeping.keeper._replace(leases=()) == before._replace(leases=())
             status_ = json.loads((await raw(accord, "GET /-/policy"))[1])
             assert status_["keeper"]["epoch"] == 0 and status_["serves"] == [state.policy]
-            prepare = w.encode(w.Preparing(w.FORM, Prepare((1, 1), 5)))
+            prepare = messages.encode(messages.PrepareCall(messages.FORM, Prepare((1, 1), 5)))
             assert (await raw(accord, "POST /-/policy/prepare", prepare))[0] == 200
 
     asyncio.run(play())
@@ -310,10 +322,10 @@
             assert [status for status, _ in answers] == [202] * 21 + [409, 202, 202]
             assert "was made on version 7" in answers[21][1].decode()
             told = {one.id: await ended(accord, one) for one in (*many, odd, rare)}
-            assert {told[one.id].outcome for one in many} == {w.Outcome.IN_FORCE}
+            assert {told[one.id].outcome for one in many} == {messages.ChangeOutcome.IN_FORCE}
             # Each of the two that cannot be served hears of its own reason, and of no other.
             for one, own, other in ((odd, "nobody", "somebody"), (rare, "somebody", "nobody")):
-                assert told[one.id].outcome is w.Outcome.REFUSED
+                assert told[one.id].outcome is messages.ChangeOutcome.REFUSED
                 reasons = " ".join(str(problem) for problem in told[one.id].problems)
                 assert own in reasons and other not in reasons.replace(own, "")
             keeping = accord.service.keeping
@@ -336,7 +348,7 @@
 
 
 def changing(change: Change) -> bytes:
-    return w.encode(w.Changing(w.change_text(change)))
+    return messages.encode(messages.ChangeCall(messages.change_text(change)))
 
 
 def replaced(change: Change, table: dict[str, str]) -> Change:
@@ -346,12 +358,14 @@
     return msgspec.structs.replace(change, operations=(fresh,))
 
 
-async def ended(accord: Accord, change: Change) -> w.BecameOf:
+async def ended(accord: Accord, change: Change) -> messages.ChangeReply:
     """What became of a change, once that is known."""
     async with asyncio.timeout(LIMIT):
         while True:
-            found = w.decode((await raw(accord, f"GET /-/policy/change/{change.id.hex()}"))[1], w.BecameOf)
-            if found.outcome in (w.Outcome.IN_FORCE, w.Outcome.REFUSED):
+            found = messages.decode(
+                (await raw(accord, f"GET /-/policy/change/{change.id.hex()}"))[1], messages.ChangeReply
+            )
+            if found.outcome in (messages.ChangeOutcome.IN_FORCE, messages.ChangeOutcome.REFUSED):
                 return found
             await asyncio.sleep(0.02)
 
@@ -365,7 +379,7 @@
     whole, fewer = tmp_path / "whole.toml", tmp_path / "fewer.toml"
     whole.write_text(text)
     fewer.write_text(text[: text.index('[[route]]\nname = "r6000"')])
-    assert len(text) > 2 * w.PIECE_BYTES
+    assert len(text) > 2 * messages.PIECE_BYTES
 
     async def play() -> None:
         async with agreeing(tmp_path) as (_, accord):
--- a/tests/test_accord_rehearsal.py
+++ b/tests/test_accord_rehearsal.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from hollybay.consensus.change_tracker import Known, judge
+from hollybay.consensus.change_tracker import ClusterView, judge
 from hollybay.consensus.oracle import Begun, Outcome, Said, check
 from hollybay.simulation.accord_rehearsal import Played, Shape, play, shape_of, stream_shape_of
 
@@ -95,8 +95,8 @@
     return words | more
 
 
-def known(*keepers: dict[str, object], **epochs: tuple[str, str, str]) -> Known:
-    found = Known({f"k{n}": {"keeper": one} for n, one in enumerate(keepers)})
+def known(*keepers: dict[str, object], **epochs: tuple[str, str, str]) -> ClusterView:
+    found = ClusterView({f"k{n}": {"keeper": one} for n, one in enumerate(keepers)})
     found.epochs = {int(epoch[1:]): one for epoch, one in epochs.items()}
     found.boards = {NEW: ["k0", "k1", "k2"]}
     return found
--- a/tests/test_accord_store.py
+++ b/tests/test_accord_store.py
@@ -13,7 +13,7 @@
 
 from hollybay.consensus import policy
 from hollybay.consensus.record import Fate, Found, pack, unpack
-from hollybay.consensus.store import Store, StoreFailed
+from hollybay.consensus.store import Store, StoreError
 from hollybay.resources.model import Change, Kind, Upsert
 from hollybay.resources.state import EMPTY
 
@@ -84,7 +84,7 @@
     store.open()
     store.put(b"one")
     full = True
-    with pytest.raises(StoreFailed, match="No space left"):
+    with pytest.raises(StoreError, match="No space left"):
         store.put(b"two")
     assert store.data == b"one"
     full = False
@@ -110,15 +110,15 @@
     store.put(b"x")
     path = store.paths[store.newest]
     path.write_bytes(b"something else")
-    with pytest.raises(StoreFailed, match="nothing whole is left"):
+    with pytest.raises(StoreError, match="nothing whole is left"):
         Store(tmp_path, "node").open()
     newer = bytearray(pack(3, b"y"))
     newer[9] = 9
     path.write_bytes(bytes(newer))
-    with pytest.raises(StoreFailed, match="of a newer build"):
+    with pytest.raises(StoreError, match="of a newer build"):
         Store(tmp_path, "node").open()
     assert path.exists()
-    with pytest.raises(StoreFailed):
+    with pytest.raises(StoreError):
         Store(path, "node").open()  # the folder is a file
 
 
@@ -167,7 +167,7 @@
     ]
     assert len({one.digest for one in (new, old, *others)}) == 10
     # Other changes than those that its digest is about are refused.
-    with pytest.raises(policy.Refused, match="content"):
+    with pytest.raises(policy.RejectedError, match="content"):
         policy.parse(msgspec.msgpack.encode(msgspec.structs.replace(new, changes=())))
 
 
@@ -187,7 +187,7 @@
         (([], ["a:1", "b:1", "\ud800"], "why", "who"), "keepers: "),
         (([], [], "why", "who"), "keepers: 0 come and 3 go"),
     ):
-        with pytest.raises(policy.Refused) as caught:
+        with pytest.raises(policy.RejectedError) as caught:
             policy.successor(old, state, *words)  # type: ignore[arg-type]
         assert str(caught.value).startswith(why), caught.value
 
@@ -203,7 +203,7 @@
         ({"keepers": ("b:1", "a:1", "c:1")}, "keepers: not in order"),
         ({"reason": "x" * 401}, "reason: "),
     ):
-        with pytest.raises(policy.Refused) as caught:
+        with pytest.raises(policy.RejectedError) as caught:
             policy.parse(msgspec.msgpack.encode(msgspec.structs.replace(good, **change)))
         assert str(caught.value).startswith(why), caught.value
 
@@ -212,5 +212,5 @@
 def test_any_bytes_are_a_policy_or_refused(data: bytes) -> None:
     try:
         assert isinstance(policy.parse(data), policy.Policy)
-    except policy.Refused as error:
+    except policy.RejectedError as error:
         assert str(error)
--- a/tests/test_group_commit.py
+++ b/tests/test_group_commit.py
@@ -12,16 +12,16 @@
 from hollybay.consensus.group_commit import (
     MILLISECOND,
     SECOND,
+    AlreadyDecided,
     AlreadyQueued,
     Busy,
-    Decided,
     InForce,
     Pending,
     ProposalQueue,
     Queued,
     QueueSettings,
-    Refused,
-    RefusedNow,
+    Rejected,
+    RejectedNow,
     UnderWay,
     Unknown,
     combined,
@@ -84,8 +84,8 @@
     one = taken(queue, EMPTY)
     assert queue.offer(change, EMPTY, 0) == AlreadyQueued()
     queue.decided(one.batch, 0)
-    assert queue.offer(change, EMPTY, 0) == Decided(1)  # this keeper remembers it
-    assert ProposalQueue().offer(change, one.state, 0) == Decided(1)  # another one has it in its state
+    assert queue.offer(change, EMPTY, 0) == AlreadyDecided(1)  # this keeper remembers it
+    assert ProposalQueue().offer(change, one.state, 0) == AlreadyDecided(1)  # another one has it in its state
 
 
 def test_what_another_keeper_had_decided_is_in_force_and_not_proposed_again() -> None:
@@ -99,7 +99,7 @@
     assert queue.outcome(change.id, 0) == InForce(1)
     again = ProposalQueue(NO_LINGER)
     again.offer(change, EMPTY, 0)
-    assert again.offer(change, elsewhere.state, 0) == Decided(1)
+    assert again.offer(change, elsewhere.state, 0) == AlreadyDecided(1)
     assert len(again) == 0 and again.outcome(change.id, 0) == InForce(1)
 
 
@@ -107,7 +107,7 @@
     queue = ProposalQueue(NO_LINGER)
     wrong = change_of(1, Delete(Kind.ROUTE, "r", 3))
     refused = queue.offer(wrong, EMPTY, 0)
-    assert isinstance(refused, RefusedNow) and "no such resource" in refused.problems[0].reason
+    assert isinstance(refused, RejectedNow) and "no such resource" in refused.problems[0].reason
     assert queue.outcome(wrong.id, 0) == Unknown()  # it was never accepted
     same = [change_of(n, Upsert(Kind.ROUTE, "r", 0, b"%d" % n)) for n in (2, 3)]
     for one in same:
@@ -121,8 +121,8 @@
     queue.decided(assembled.batch, 0)
     assert queue.take(assembled.state, 0) is None
     outcome = queue.outcome(same[1].id, 0)
-    assert isinstance(outcome, Refused) and "version 1 is there" in outcome.problems[0].reason
-    assert queue.offer(same[1], assembled.state, 0) == RefusedNow(outcome.problems)
+    assert isinstance(outcome, Rejected) and "version 1 is there" in outcome.problems[0].reason
+    assert queue.offer(same[1], assembled.state, 0) == RejectedNow(outcome.problems)
 
 
 def test_what_waits_again_and_what_did_not_fit_beside_it_keep_their_order() -> None:
@@ -148,7 +148,7 @@
     batch = taken(queue, EMPTY).batch
     assert batch.changes == (same[0],)
     queue.dropped(batch, {same[0].id: CANNOT}, 0)
-    assert queue.outcome(same[0].id, 0) == Refused(CANNOT)
+    assert queue.outcome(same[0].id, 0) == Rejected(CANNOT)
     assert taken(queue, EMPTY).batch.changes == (same[1],)
 
 
@@ -162,8 +162,8 @@
     queue.offer(later, EMPTY, 0)
     stranger = change_of(99).id
     queue.dropped(batch, {changes[1].id: CANNOT, changes[3].id: (), stranger: CANNOT}, 0)
-    assert queue.outcome(changes[1].id, 0) == Refused(CANNOT)
-    assert isinstance(queue.outcome(changes[3].id, 0), Refused)
+    assert queue.outcome(changes[1].id, 0) == Rejected(CANNOT)
+    assert isinstance(queue.outcome(changes[3].id, 0), Rejected)
     assert queue.outcome(stranger, 0) == Unknown()
     assert taken(queue, EMPTY).batch.changes == (changes[0], changes[2], later)
 
@@ -175,7 +175,7 @@
         queue.offer(one, EMPTY, 0)
     queue.dropped(assemble(EMPTY, changes).batch, {changes[0].id: CANNOT}, 0)
     queue.dropped(assemble(EMPTY, changes[1:2]).batch, {}, 0, CANNOT)
-    assert queue.outcome(changes[0].id, 0) == Refused(CANNOT) == queue.outcome(changes[1].id, 0)
+    assert queue.outcome(changes[0].id, 0) == Rejected(CANNOT) == queue.outcome(changes[1].id, 0)
     assert taken(queue, EMPTY).batch.changes == (changes[2],)
 
 
@@ -217,7 +217,7 @@
             else:
                 queue.decided(assembled.batch, 0)
                 state = assembled.state
-        assert queue.outcome(changes[bad].id, 0) == Refused(CANNOT)
+        assert queue.outcome(changes[bad].id, 0) == Rejected(CANNOT)
         good = [one for n, one in enumerate(changes) if n != bad]
         assert all(isinstance(queue.outcome(one.id, 0), InForce) for one in good)
 
@@ -251,7 +251,7 @@
     assert batches == [2, 1, 1, 1] and queue.bytes == 0
     too_large = change_of(6, Upsert(Kind.ROUTE, "larger", 0, b"x" * 8 * size))
     refused = queue.offer(too_large, EMPTY, 0)
-    assert isinstance(refused, RefusedNow) and "at most" in refused.problems[0].reason
+    assert isinstance(refused, RejectedNow) and "at most" in refused.problems[0].reason
 
 
 def test_a_full_queue_and_a_wait_that_is_too_long_are_told_at_once() -> None:
@@ -322,7 +322,7 @@
 
 
 def test_a_refusal_is_final_only_when_all_keepers_that_were_asked_refused_it() -> None:
-    refused = Refused(CANNOT)
+    refused = Rejected(CANNOT)
     assert combined([]) == Unknown()
     assert combined([refused, refused]) == refused
     assert combined([refused, Unknown()]) == Unknown()
@@ -370,7 +370,7 @@
         self.number = 0
         self.changes: dict[bytes, Change] = {}  # that were accepted
         self.bad: set[bytes] = set()  # that no node can serve
-        self.ended: dict[bytes, InForce | Refused] = {}
+        self.ended: dict[bytes, InForce | Rejected] = {}
         self.seen: set[bytes] = set()  # that were decided
         self.assembled: Assembled | None = None
 
@@ -401,7 +401,7 @@
             operation = Upsert(Kind.ROUTE, name, base, b"x" * size)
         change = change_of(self.number, operation, made_on=self.state.revision)
         answer = self.queue.offer(change, self.state, self.now)
-        assert not isinstance(answer, AlreadyQueued | Decided)
+        assert not isinstance(answer, AlreadyQueued | AlreadyDecided)
         if isinstance(answer, Queued):
             self.changes[change.id] = change
             if bad == 0:
@@ -413,9 +413,9 @@
         change = data.draw(st.sampled_from(list(self.changes.values())))
         answer = self.queue.offer(change, self.state, self.now)
         if change.id in self.seen:
-            assert answer == Decided(self.state.revision_of(change.id) or 0)
+            assert answer == AlreadyDecided(self.state.revision_of(change.id) or 0)
         elif change.id in self.ended:
-            assert isinstance(answer, RefusedNow)
+            assert isinstance(answer, RejectedNow)
         else:
             assert answer == AlreadyQueued()
 
@@ -478,7 +478,7 @@
             elif isinstance(outcome, InForce):
                 assert self.state.revision_of(change_id) == outcome.revision
                 self.ended[change_id] = outcome
-            elif isinstance(outcome, Refused):
+            elif isinstance(outcome, Rejected):
                 assert change_id not in self.seen
                 assert change_id in self.bad or outcome.problems != CANNOT
                 self.ended[change_id] = outcome
--- a/tests/test_hollow.py
+++ b/tests/test_hollow.py
@@ -21,7 +21,7 @@
 import pytest
 
 from hollybay.admin.requests import Call
-from hollybay.consensus import messages as w
+from hollybay.consensus import messages
 from hollybay.hollow.fleet import FleetFailed, fleet
 from hollybay.hollow.messages import Report, ReportNow, Reset, decode_command
 from hollybay.hollow.node import HollowNode
@@ -184,7 +184,7 @@
 
 async def proposed(keeper: HollowNode, out: list[str]) -> None:
     status = msgspec.json.decode(await call(keeper.address, "", None, LIMIT))
-    body = w.encode(w.Proposing(None, status["keeper"]["digest"], "why", "me", out))
+    body = messages.encode(messages.ProposeCall(None, status["keeper"]["digest"], "why", "me", out))
     await call(keeper.address, "propose", body, LIMIT)
 
 
@@ -195,7 +195,12 @@
     addresses = [await keeper.listen("127.0.0.1") for keeper in keepers]
     for keeper in keepers:
         await keeper.start(tuple(addresses))
-    await call(addresses[0], "found", w.encode(w.Founding(file=base64.b64encode(b"").decode())), LIMIT)
+    await call(
+        addresses[0],
+        "found",
+        messages.encode(messages.BootstrapCall(file=base64.b64encode(b"").decode())),
+        LIMIT,
+    )
     planted: list[HollowNode] = [
         ShortLease("short-lease", folder / "planted"),
         NoNews("no-news", folder / "planted", LEASE_MS * MS, 1),
