--- a/tests/made_up_world.py
+++ b/tests/made_up_world.py
@@ -33,6 +33,19 @@
     "world-peers-listless": {"weights": Weights.NONE, "load": 0.5, "nodes": 8, "peers": 7, "lost": 0.02},
     "world-lag": {"weights": Weights.LIVE, "load": 0.8, "lag": 300 * MS, "max_retry_after": SECOND},
     "world-single": {"weights": Weights.NOMINAL, "load": 0.8, "copies_allowed": False, "max_attempts": 4},
+    "world-drains": {"weights": Weights.LIVE, "load": 0.3, "limited": 1.0, "change": 40 * MS, "hasty": True},
+    "world-told": {
+        "weights": Weights.NOMINAL,
+        "load": 0.4,
+        "nodes": 30,
+        "reported": True,
+        "lost": 0.02,
+        "routes": 5000,
+        "max_retry_after": SECOND,
+        "tenants": TENANTS,
+        "denied": True,
+        "events": 4000,
+    },
     "world-reports": {"weights": Weights.LIVE, "load": 0.6, "zones": 3, "reported": True, "lost": 0.05},
 }
 
@@ -46,7 +59,10 @@
         self.slow: float = ways.pop("slow", 0.03)
         self.lost: float = ways.pop("lost", 0.01)
         self.well: bool = ways.pop("well", False)  # no server fails and no attempt is cut short
+        self.hasty: bool = ways.pop("hasty", False)  # clients have little time for more than an attempt
         self.change: int = ways.pop("change", 400 * MS)  # between two changes of the list, on average
+        self.routes: int = ways.pop("routes", 2)
+        self.denied: bool = ways.pop("denied", False)  # a tenant is turned away for some seconds
         self.lag: int = ways.pop("lag", 0)
         self.peers: int = ways.pop("peers", 0)
         if ways.pop("reported", False):
@@ -131,16 +147,19 @@
             left = int(0.02 * left * chance.random())
         elif chance.random() < 0.03:
             left = int(chance.random() * 100 * MS)
+        elif self.hasty:
+            left = left // 3
         keyed = CLASSES[cls].effect == Effect.KEYED
         sending = chance.random() < 0.05
-        self.requests[rid] = [cls, self.now + left, [], set(), False]
+        tenant = chance.randrange(4)
+        self.requests[rid] = [cls, self.now + left, [], set(), False, tenant]
         if sending:
             self.sending.add(rid)
             self.after(int(chance.expovariate(1 / (50 * MS))), ["whole", rid])
         if chance.random() < 0.03:
             self.after(int(chance.expovariate(1 / (30 * MS))), ["gone", rid])
         return [
-            "request", rid, cls if chance.random() < 0.998 else 99, left, chance.randrange(4),
+            "request", rid, cls if chance.random() < 0.998 else 99, left, tenant,
             chance.randrange(1, 50) if keyed else 0, chance.choice((0, 0, 1, 3)), chance.random() < 0.1,
             waited, self._limits(cls), chance.random() if chance.random() < 0.05 else 1.0, sending,
         ]  # fmt: skip
@@ -159,7 +178,7 @@
             chance.choice((0, 0, 500 * MS)),
             chance.choice((None, *(int(group) for group in Group))),
             share,
-            f"route-{cls % 2}" if share >= 0.0 else "",
+            f"route-{len(self.requests) % self.routes}" if share >= 0.0 else "",
             chance.choice(([0, 0], [0, 0], [50 * MS, 200 * MS])),
         ]
 
@@ -183,7 +202,7 @@
     def _begin(self, rid: int, server: Any, timeout: int) -> None:
         """An attempt starts, and how it will end is drawn."""
         chance = self.chance
-        cls, deadline, attempts, out, _ = self.requests[rid]
+        cls, deadline, attempts, out, _, tenant = self.requests[rid]
         number = len(attempts)
         attempts.append((server, self.now))
         out.add(number)
@@ -193,6 +212,8 @@
         if chance.random() < self.slow:
             takes *= 12
         result, takes = (Result.OK, takes) if self.well else self._mishap(line, takes)
+        if self.denied and tenant == 1 and self.now // SECOND % 6 < 3 and chance.random() < 0.7:
+            result, takes = Result.REJECTED, 2 * MS
         if result == Result.OK and chance.random() < STREAMED:
             self.after(takes, ["started", rid, number, server, takes])
             takes += int(chance.expovariate(1.0 / (300 * MS)))
@@ -228,9 +249,10 @@
         answered = result == Result.OK or (result == Result.ERROR and self._rarely())
         final = request[4] or answered
         request[4] = final
-        report = [round(2.0 * self.chance.random(), 3), 20.0, 3.0] if self.reported else []
+        rate = 100.0 * (1.5 + (self.now // SECOND % 9) / 3.0) * self.chance.uniform(0.8, 1.2)
+        report = [round(20.0 * self.chance.random(), 3), rate, 3.0] if self.reported else []
         if self.reported and server == ["s03"]:
-            report[0] = 30.0
+            report[0] = round(rate * self.chance.uniform(0.05, 1.2), 3)
         if report and self._rarely():
             report = [float("nan"), -1.0, 0.0]
         return ["outcome", rid, number, server, int(result), self.now - sent, final, report]
