--- /dev/null
+++ b/tests/golden/build.py
@@ -0,0 +1,304 @@
+"""Builds every sample that a golden file holds. The only module of the pins that names the project's classes.
+
+A rename in the project changes this module and no golden file.
+"""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+from functools import partial
+
+import msgspec
+
+from accord import words
+from accord.core import Accept, Accepted, Ask, Grant, Prepare, Promise, Stage, State
+from accord.policy import Policy, Refused, first, successor
+from accord.transfer import Uploads, piece_of, pieces_up
+from elderscale import accord as calling
+from resources.model import Change, Delete, Kind, Problem, Upsert
+from resources.state import EMPTY, ResourceState
+
+from .files import joined
+
+__all__ = ["FILES", "again", "refusal", "text_again", "text_refusal"]
+
+# Fixed sample values
+
+NODE = 0x1234_5678_9ABC
+DOOR = "10.0.0.1:7001"
+OTHER_DOOR = "10.0.0.2:7001"
+DOORS = ("10.0.0.1:7001", "10.0.0.2:7001", "10.0.0.3:7001")
+OLD, NEW = "7-0123456789ab", "8-ba9876543210"
+CHANGE_ID = bytes(range(16))
+UPLOAD_ID = "000102030405060708090a0b0c0d0e0f"
+SETTLED = State(4, Stage.SETTLED, OLD)
+PREPARE = State(5, Stage.PREPARE, OLD, NEW)
+NARROW = State(6, Stage.NARROW, OLD, NEW)
+BALLOT = (3, NODE)
+
+
+def _first_change() -> Change:
+    operations = (
+        Upsert(Kind.ROUTE, "hall-slots", 0, b'{"class":"view-schedule"}'),
+        Upsert(Kind.TENANT, "north", 0, b"{}"),
+        Upsert(Kind.SERVER_OUT, "10.1.0.5:9000", 0, b""),
+    )
+    return Change(CHANGE_ID, 0, "begin", "ann", operations)
+
+
+def _second_change() -> Change:
+    operations = (
+        Upsert(Kind.ROUTE, "hall-slots", 1, b'{"class":"book-venue"}'),
+        Delete(Kind.TENANT, "north", 1),
+    )
+    return Change(CHANGE_ID[::-1], 1, "narrower", "ben", operations)
+
+
+def _policies() -> tuple[Policy, Policy, ResourceState]:
+    """Two entries of a log, and the resources after the second."""
+    one = first((_first_change(),), DOORS)
+    state = EMPTY.applied(one.changes or (), 1)
+    two, after = successor(one, state, (_second_change(),))
+    return one, two, after
+
+
+# Messages between nodes and keepers
+
+
+def _message_values() -> dict[str, object]:
+    """Each message: with all fields set, and where some may be absent, with only the others set."""
+    w = words
+    one, two, _ = _policies()
+    change = w.change_text(_second_change())
+    ask = Ask(NODE, 9, PREPARE, 4, False)
+    return {
+        "asking": w.Asking(
+            w.FORM, ask, "n-1", DOOR, 2_000_000_000, 500_000_000,
+            ["route 'x': no such class"], {CHANGE_ID.hex(): ["its limit"]}, True,
+        ),
+        "asking.first": w.Asking(w.FORM, Ask(NODE, 1, None, -1, True), "n-1", DOOR, 2_000_000_000, 0),
+        "granting": w.Granting(grant=Grant(NODE, 9, 5)),
+        "granting.know": w.Granting(know=NARROW),
+        "granting.neither": w.Granting(),
+        "preparing": w.Preparing(w.FORM, Prepare(BALLOT, 5)),
+        "promising": w.Promising(Promise(NODE, BALLOT, 5, ((2, 7), NARROW)), None, 5, 0),
+        "promising.unbound": w.Promising(Promise(NODE, BALLOT, 5, None), None, 5, 0),
+        "promising.know": w.Promising(know=SETTLED, epoch=4, above=8),
+        "accepting": w.Accepting(w.FORM, Accept(BALLOT, NARROW), DOOR),
+        "voting": w.Voting(Accepted(NODE, BALLOT, NARROW), None, 5),
+        "voting.waits": w.Voting(
+            None, SETTLED, 4, 8, [w.Waiting("n-2", 77, 3, 1_500_000, True)], 250_000_000, "mute up to epoch 9"
+        ),
+        "voting.neither": w.Voting(),
+        "knowing": w.Knowing(w.FORM, PREPARE, OTHER_DOOR),
+        "telling": w.Telling(True, True, PREPARE, NARROW),
+        "telling.nothing": w.Telling(False),
+        "founding": w.Founding(file="Zm91bmQ="),
+        "founding.uploaded": w.Founding(upload=UPLOAD_ID),
+        "founding.passed": w.Founding(policy=one.name, entry=w.packed(one), by=DOOR),
+        "proposing": w.Proposing(
+            "Zm91bmQ=", two.parent.hex(), "why", "ann", ["10.1.0.5:9000"], list(DOORS), UPLOAD_ID, OLD
+        ),
+        "proposing.least": w.Proposing(None, "", "why"),
+        "drafting": w.Drafting(
+            "why", "ann", "Zm91bmQ=", UPLOAD_ID, OLD, ["10.1.0.5:9000"], ["10.1.0.6:9000"], True, ["route/x"]
+        ),
+        "drafting.least": w.Drafting("why"),
+        "drafted": w.Drafted(OLD, change, 2, ["~route/hall-slots", "-tenant/north"], UPLOAD_ID),
+        "changing": w.Changing(change),
+        "changing.uploaded": w.Changing("", UPLOAD_ID),
+        **{
+            f"became_of.{outcome.value.replace(' ', '_')}": w.BecameOf(
+                CHANGE_ID.hex(), outcome, NEW, 5, 120, [Problem("route 'x'", "class", "is missing")]
+            )
+            for outcome in w.Outcome
+        },
+        "uploading": pieces_up(UPLOAD_ID, b"an operator file")[0],
+        "piece": piece_of(NEW, b"a snapshot", 0),
+        "changed": w.Changed(NEW, 5),
+        "dropping": w.Dropping(NEW),
+        "dropping.passed": w.Dropping(NEW, True),
+        "history_entry": w.Entry(NARROW, 1_700_000_000_000),
+    }  # fmt: skip
+
+
+def messages() -> bytes:
+    """Each message as it goes out."""
+    return joined({name: words.encode(value) for name, value in _message_values().items()})
+
+
+def again(name: str, data: bytes) -> bytes:
+    """The golden bytes of a message, decoded and encoded again."""
+    return words.encode(words.decode(data, type(_message_values()[name])))
+
+
+def refusal(name: str, data: bytes) -> str:
+    """How bytes are refused as a message of this kind: the first words; empty: they are not."""
+    try:
+        words.decode(data, type(_message_values()[name]))
+    except Refused as error:
+        return str(error).partition(":")[0]
+    return ""
+
+
+# Bytes in a golden message, what they are replaced by, and the case that this makes.
+_DAMAGES = (
+    ("asking", "form_3", b'"form":2', b'"form":3'),
+    ("asking", "door_without_port", b"10.0.0.1:7001", b"10.0.0.1"),
+    ("asking", "lease_below_zero", b'"lease":2000000000', b'"lease":-1'),
+    ("asking", "stage_3", b"[5,1,", b"[5,3,"),
+    ("asking", "stage_without_new", b',"8-ba9876543210"]', b',""]'),
+    ("asking", "epoch_below_zero", b"[5,1,", b"[-1,1,"),
+    ("asking", "text_too_long", b'"n-1"', b'"' + b"n" * 401 + b'"'),
+    ("asking", "culprit_not_an_id", b"0c0d0e0f", b"0c0d0e0"),
+    ("preparing", "form_1", b'"form":2', b'"form":1'),
+    ("preparing", "ballot_short", b"[3,20015998343868]", b"[3]"),
+    ("accepting", "form_3", b'"form":2', b'"form":3'),
+    ("accepting", "settled_with_new", b"[6,2,", b"[6,0,"),
+    ("knowing", "form_3", b'"form":2', b'"form":3'),
+    ("knowing", "no_policy", b'"7-0123456789ab"', b'""'),
+    ("promising.know", "epoch_below_zero", b"[4,0,", b"[-4,0,"),
+    ("founding.passed", "name_not_one", b"1-f59e23eeec24", b"1-f59e"),
+    ("proposing", "digest_not_hex", b'"parent":"f', b'"parent":"F'),
+    ("proposing", "ten_keepers", b'"keepers":[', b'"keepers":[' + b'"10.0.0.1:1",' * 7),
+    ("drafting", "not_a_list", b'["10.1.0.5:9000"]', b'"10.1.0.5:9000"'),
+    ("changing.uploaded", "id_short", b"0d0e0f", b"0d0e"),
+    ("became_of.queued", "outcome_unknown", b'"queued"', b'"waiting"'),
+    ("uploading", "offset_below_zero", b'"offset":0', b'"offset":-1'),
+    ("piece", "total_too_large", b'"total":10', b'"total":1099511627777'),
+    ("dropping", "passed_not_a_flag", b"false", b"0"),
+)
+
+
+def malformed() -> bytes:
+    """Bytes that are no message, each with the kind that it is taken for, the case and the first words of
+    the refusal, underscores for their spaces."""
+    sound = {name: words.encode(value) for name, value in _message_values().items()}
+    found = {}
+    for name, case, old, new in _DAMAGES:
+        if old not in sound[name]:
+            raise ValueError(f"{name}: {case}: nothing to damage")
+        bad = sound[name].replace(old, new, 1)
+        found[f"{name}:{case}"] = refusal(name, bad).replace(" ", "_").encode() + b" " + bad
+    return joined(found)
+
+
+def fields() -> bytes:
+    """Which fields of each message may be absent, and the message that stands for one without them."""
+    found = {}
+    for name, value in _message_values().items():
+        whole: dict[str, object] = msgspec.json.decode(words.encode(value))
+        needed = {
+            field: content
+            for field, content in whole.items()
+            if refusal(name, msgspec.json.encode({key: whole[key] for key in whole if key != field}))
+        }
+        absent = ",".join(field for field in whole if field not in needed) or "-"
+        least = again(name, msgspec.json.encode(needed))
+        found[name] = absent.encode() + b" " + msgspec.json.encode(needed) + b" " + least
+    return joined(found)
+
+
+def values_in_text() -> bytes:
+    """Policies, changes, and the numbers of keepers as they stand inside messages."""
+    one, two, after = _policies()
+    return joined(
+        {
+            "policy.first": words.packed(one).encode(),
+            "policy.second": words.packed(two).encode(),
+            "policy.second.without_changes": words.packed(two.without_changes()).encode(),
+            "policy.second.name": two.name.encode(),
+            "policy.second.digest": two.digest.hex().encode(),
+            "resources.digest": after.digest.hex().encode(),
+            "change": words.change_text(_second_change()).encode(),
+            **{f"keeper_number.{door}": str(words.number_of(door)).encode() for door in DOORS},
+        }
+    )
+
+
+def text_again(name: str, data: bytes) -> bytes:
+    """A policy or change in text, decoded and encoded again."""
+    if name.startswith("policy"):
+        return words.packed(words.unpacked(data.decode())).encode()
+    return words.change_text(words.change_from(data.decode())).encode()
+
+
+def text_refusal(name: str, data: bytes) -> str:
+    """How such a text is refused: the first word; empty: it is not."""
+    try:
+        text_again(name, data)
+    except Refused as error:
+        return str(error).partition(":")[0]
+    return ""
+
+
+# Calls as they leave a node
+
+
+class _Sink(asyncio.Transport):
+    """Keeps what is written."""
+
+    def __init__(self) -> None:
+        super().__init__()
+        self.written = b""
+
+    def write(self, data: bytes | bytearray | memoryview) -> None:
+        self.written += bytes(data)
+
+    def abort(self) -> None:
+        """Nothing to end."""
+
+
+async def _outgoing(path: str, body: bytes | None) -> bytes:
+    call = calling._Call(DOOR, path, body, "n-1")
+    sink = _Sink()
+    call.connection_made(sink)
+    call.close()
+    return sink.written
+
+
+def outgoing_calls() -> bytes:
+    """The bytes of HTTP of calls with a body, with an empty one, and with none."""
+
+    async def work() -> bytes:
+        calls = (("ask", words.encode(words.Granting())), ("drop", b""), ("tell", None), ("", None))
+        return b"".join([await _outgoing(path, body) + b"\n--\n" for path, body in calls])
+
+    return asyncio.run(work())
+
+
+def uploads_refused() -> bytes:
+    """What uploads and pieces refuse, in words."""
+    good = pieces_up(UPLOAD_ID, b"12345678")[0]
+    replace = msgspec.structs.replace
+    pieces = {
+        "no_id": replace(good, id=""),
+        "not_base64": replace(good, data="?"),
+        "too_short": replace(good, data="MTI="),
+        "too_long": replace(good, total=(64 << 20) + 1),
+        "gap": words.Uploading(UPLOAD_ID, 262152, 262144, "MTIzNDU2Nzg="),
+    }
+    found = {name: _refused(partial(Uploads().take, piece, 0)) for name, piece in pieces.items()}
+    found["not_whole"] = _refused(lambda: Uploads().whole(UPLOAD_ID))
+    found["piece_at_odd_offset"] = _refused(lambda: piece_of(NEW, b"12345678", 3))
+    found["piece_past_the_end"] = _refused(lambda: piece_of(NEW, b"12345678", 262144))
+    return joined({name: text.encode() for name, text in found.items()})
+
+
+def _refused(work: Callable[[], object]) -> str:
+    try:
+        work()
+    except Refused as error:
+        return str(error)
+    return "taken"
+
+
+FILES: dict[str, Callable[[], bytes]] = {
+    "messages.txt": messages,
+    "messages_malformed.txt": malformed,
+    "messages_fields.txt": fields,
+    "values_in_text.txt": values_in_text,
+    "outgoing_calls.http": outgoing_calls,
+    "uploads_refused.txt": uploads_refused,
+}
--- /dev/null
+++ b/tests/golden/write.py
@@ -0,0 +1,21 @@
+"""Rewrites the golden files from the code as it stands: python -m tests.golden.write.
+
+To be used only where the form of these bytes is meant to change; see README.md.
+"""
+
+from __future__ import annotations
+
+from .build import FILES
+from .files import FOLDER
+
+
+def main() -> None:
+    """Write all golden files that are built; those written by hand stay."""
+    for name, build in FILES.items():
+        path = FOLDER / name
+        path.parent.mkdir(parents=True, exist_ok=True)
+        path.write_bytes(build())
+
+
+if __name__ == "__main__":
+    main()
