--- a/tests/golden/build.py
+++ b/tests/golden/build.py
@@ -6,14 +6,22 @@
 from __future__ import annotations
 
 import asyncio
+import base64
+import random
+import tempfile
 from collections.abc import Callable
 from functools import partial
+from pathlib import Path
 
 import msgspec
 
 from accord import words
+from accord.calls import Unreachable
+from accord.contracts import BadFile, FileRead, Terms
 from accord.core import Accept, Accepted, Ask, Grant, Prepare, Promise, Stage, State
+from accord.log import Entry
 from accord.policy import Policy, Refused, first, successor
+from accord.service import Service
 from accord.transfer import Uploads, piece_of, pieces_up
 from elderscale import accord as calling
 from resources.model import Change, Delete, Kind, Problem, Upsert
@@ -294,6 +302,171 @@
     return "taken"
 
 
+# A keeper's answers, call by call
+
+
+class _Hands:
+    """Does nothing to a node; operator files are maps of routes and their classes."""
+
+    async def compile(self, entry: Entry) -> list[str]:
+        return []
+
+    async def culprits(self, base: Entry, changes: tuple[Change, ...]) -> dict[bytes, list[str]]:
+        return {}
+
+    async def read(self, file: bytes, state: ResourceState) -> FileRead:
+        if not file.startswith(b"{"):
+            raise BadFile(["line 1: no table", "line 2: no value"])
+        routes: dict[str, str] = msgspec.json.decode(file)
+        operations = tuple(
+            Upsert(Kind.ROUTE, name, one.version if one is not None else 0, body.encode())
+            for name, body in routes.items()
+            for one in (state.get(Kind.ROUTE, name),)
+        )
+        return FileRead(operations, None)
+
+    def put(self, entries: tuple[Entry, ...]) -> None:
+        """Nothing is served."""
+
+    def say(self, event: str, **words: object) -> None:
+        """Nothing is written down."""
+
+
+async def _at_once(work: Callable[[], None]) -> None:
+    work()
+
+
+async def _nobody(door: str, path: str, body: bytes | None, limit: float) -> bytes:
+    raise Unreachable(f"{door}: nobody there")
+
+
+def _service(folder: Path) -> Service:
+    """A process that is its tier's only keeper, at a fixed time, with a fixed source of random numbers."""
+    terms = Terms("n-1", DOOR, (DOOR,), 2_000_000_000, 500_000_000, folder)
+    service = Service(
+        terms,
+        _nobody,
+        _Hands(),
+        lambda: 50_000_000_000,
+        lambda: 1_700_000_000_000,
+        _at_once,
+        random.Random(7),
+        "boot",
+    )
+    service.opened = True
+    service.become_keeper()
+    return service
+
+
+def _calls() -> list[tuple[str, bytes | None]]:
+    """Calls in the order in which they are made; each path of a keeper at least once."""
+    e = words.encode
+    w = words
+    first_name = "1-d3c835a2254e"  # of the founded policy, as the answer to "found" tells it
+    digest = "d3c835a2254e8aacc0a775961932666df5a41216cb1324a7ef4fb0da27a6bd37"
+    next_name = "2-842f55a97681"  # and to "propose"
+    found = State(0, Stage.SETTLED, first_name)
+    begun = State(1, Stage.PREPARE, first_name, next_name)
+    me = w.number_of(DOOR)
+    ballot = (1, NODE)
+    change = Change(CHANGE_ID, 1, "a tenant", "ben", (Upsert(Kind.TENANT, "north", 0, b"{}"),))
+    stale = Change(CHANGE_ID[::-1], 1, "stale", "ben", (Delete(Kind.ROUTE, "hall-slots", 9),))
+    later = Change(CHANGE_ID[::-1], 9, "later", "ben", (Upsert(Kind.TENANT, "south", 0, b"{}"),))
+    file = base64.b64encode(b'{"hall-slots":"b"}').decode()
+    bad = base64.b64encode(b"no file").decode()
+    ask = Ask(NODE, 1, found, -1, True)
+    asking = w.Asking(w.FORM, ask, "n-1", DOOR, 2_000_000_000, 500_000_000)
+    founding = base64.b64encode(b'{"hall-slots":"a"}').decode()
+    return [
+        ("", None),
+        ("tell", None),
+        ("history", None),
+        ("propose", e(w.Proposing(None, "", "why"))),
+        ("change", e(w.Changing(w.change_text(change)))),
+        ("draft", e(w.Drafting("why"))),
+        ("ask", e(asking)),
+        ("prepare", e(w.Preparing(w.FORM, Prepare(ballot, 0)))),
+        ("accept", e(w.Accepting(w.FORM, Accept(ballot, found), DOOR))),
+        ("found", e(w.Founding(bad))),
+        ("found", e(w.Founding("?"))),
+        ("found", e(w.Founding(founding))),
+        ("found", e(w.Founding(policy=OLD, by=DOOR))),
+        ("", None),
+        ("tell", None),
+        ("history", None),
+        (f"entry/{first_name}", None),
+        (f"entry/{OLD}", None),
+        ("entry/x", None),
+        (f"since/0/{first_name}", None),
+        (f"since/1/{OLD}", None),
+        (f"since/0/{first_name}/3", None),
+        (f"snapshot/{first_name}", None),
+        (f"diff/{first_name}/{first_name}", None),
+        (f"diff/{first_name}/{OLD}", None),
+        (f"change/{CHANGE_ID.hex()}", None),
+        (f"draft/{CHANGE_ID.hex()}", None),
+        ("ask", e(asking)),
+        ("ask", e(w.Asking(w.FORM, Ask(2, 1, None, -1, True), "n-2", OTHER_DOOR, 1_000_000_000, 0))),
+        ("ask", e(w.Asking(w.FORM, ask, "n-1", DOOR, 9_000_000_000, 0))),
+        ("prepare", e(w.Preparing(w.FORM, Prepare(ballot, 0)))),
+        ("prepare", e(w.Preparing(w.FORM, Prepare(ballot, 0)))),
+        ("accept", e(w.Accepting(w.FORM, Accept((0, me), SETTLED), DOOR))),
+        ("change", e(w.Changing(w.change_text(change)))),
+        ("change", e(w.Changing(w.change_text(stale)))),
+        ("change", e(w.Changing(w.change_text(later)))),
+        ("change", e(w.Changing("?"))),
+        ("change", e(w.Changing("", UPLOAD_ID))),
+        (f"change/{CHANGE_ID.hex()}", None),
+        ("draft", e(w.Drafting("a draft", "ann", file, out=["10.1.0.5:9000"]))),
+        ("draft", e(w.Drafting("nothing"))),
+        ("draft", e(w.Drafting("a draft", file=bad))),
+        ("draft", e(w.Drafting("a draft", delete=["route/none"]))),
+        ("draft", e(w.Drafting("a draft", like=OLD))),
+        ("propose", e(w.Proposing(file, "", "why"))),
+        ("upload", e(pieces_up(UPLOAD_ID, b"12345678")[0])),
+        ("upload", e(w.Uploading("", 8, 0, "MTIzNDU2Nzg="))),
+        ("know", e(w.Knowing(w.FORM, found, DOOR))),
+        ("join", e(w.Knowing(w.FORM, found, DOOR))),
+        ("propose", e(w.Proposing(file, digest, "why", "ann"))),
+        ("prepare", e(w.Preparing(w.FORM, Prepare((2, NODE), 0)))),
+        ("accept", e(w.Accepting(w.FORM, Accept((2, NODE), begun), DOOR))),
+        ("tell", None),
+        ("prepare", e(w.Preparing(w.FORM, Prepare((3, NODE), 0)))),
+        ("know", e(w.Knowing(w.FORM, begun, DOOR))),
+        ("", None),
+        ("drop", e(w.Dropping(next_name))),
+        ("drop", e(w.Dropping(OLD))),
+        ("drop", e(w.Dropping(OLD, True))),
+        ("ask", b""),
+        ("ask", b"{}"),
+        ("prepare", e(w.Preparing(3, Prepare(ballot, 0)))),
+        ("accept", b"[]"),
+        ("none", b"{}"),
+        ("none", None),
+        ("tell", b"{}"),
+        ("ask", None),
+    ]
+
+
+async def _answers(folder: Path) -> bytes:
+    service = _service(folder)
+    pieces = []
+    for path, body in _calls():
+        answer = await service.answer(path, body)
+        method = b"GET" if body is None else b"POST"
+        pieces.append(
+            b"%s %s %s\n%d %s\n\n" % (method, path.encode(), body or b"", answer.status, answer.body)
+        )
+    service.close()
+    return b"".join(pieces)
+
+
+def keeper_answers() -> bytes:
+    """What a keeper answers to calls in a row."""
+    with tempfile.TemporaryDirectory() as folder:
+        return asyncio.run(_answers(Path(folder)))
+
+
 FILES: dict[str, Callable[[], bytes]] = {
     "messages.txt": messages,
     "messages_malformed.txt": malformed,
@@ -301,4 +474,5 @@
     "values_in_text.txt": values_in_text,
     "outgoing_calls.http": outgoing_calls,
     "uploads_refused.txt": uploads_refused,
+    "keeper_answers.txt": keeper_answers,
 }
--- a/tests/test_golden_messages.py
+++ b/tests/test_golden_messages.py
@@ -27,6 +27,7 @@
         "values_in_text.txt",
         "outgoing_calls.http",
         "uploads_refused.txt",
+        "keeper_answers.txt",
     ],
 )
 def test_what_is_written_is_the_golden_file(name: str) -> None:
