--- a/tests/golden/build.py
+++ b/tests/golden/build.py
@@ -7,9 +7,12 @@
 
 import asyncio
 import base64
+import json
 import random
 import tempfile
-from collections.abc import Callable
+from collections.abc import AsyncIterator, Callable, Coroutine, Sequence
+from contextlib import asynccontextmanager
+from dataclasses import replace
 from functools import partial
 from pathlib import Path
 
@@ -24,6 +27,11 @@
 from accord.service import Service
 from accord.transfer import Uploads, piece_of, pieces_up
 from elderscale import accord as calling
+from elderscale.__main__ import assemble
+from elderscale.config import load
+from elderscale.desk import Desk
+from operations.calls import Denied
+from operations.calls import parse as parse_call
 from resources.model import Change, Delete, Kind, Problem, Upsert
 from resources.state import EMPTY, ResourceState
 
@@ -279,12 +287,12 @@
 def uploads_refused() -> bytes:
     """What uploads and pieces refuse, in words."""
     good = pieces_up(UPLOAD_ID, b"12345678")[0]
-    replace = msgspec.structs.replace
+    other = msgspec.structs.replace
     pieces = {
-        "no_id": replace(good, id=""),
-        "not_base64": replace(good, data="?"),
-        "too_short": replace(good, data="MTI="),
-        "too_long": replace(good, total=(64 << 20) + 1),
+        "no_id": other(good, id=""),
+        "not_base64": other(good, data="?"),
+        "too_short": other(good, data="MTI="),
+        "too_long": other(good, total=(64 << 20) + 1),
         "gap": words.Uploading(UPLOAD_ID, 262152, 262144, "MTIzNDU2Nzg="),
     }
     found = {name: _refused(partial(Uploads().take, piece, 0)) for name, piece in pieces.items()}
@@ -463,8 +471,166 @@
 
 def keeper_answers() -> bytes:
     """What a keeper answers to calls in a row."""
+    return _in_folder(_answers)
+
+
+# What operators are answered, and the servers that they have taken out
+
+SERVERS = [
+    {"id": "s-1", "addr": "10.1.0.1:9000", "zone": "a", "kind": "m", "cell": 0, "state": "SERVING"},
+    {"id": "s-2", "addr": "10.1.0.2:9000", "zone": "a", "kind": "m", "cell": 0, "state": "DRAINING"},
+    {"id": "s/3 é", "addr": "10.1.0.3:9000", "zone": "a", "kind": "m", "cell": 1, "state": "SERVING"},
+]
+CATEGORIES = [
+    {"name": "view", "effect": "retryable", "slo": 200_000_000, "give-up": 500_000_000, "worth": 3.0},
+    {"name": "send", "effect": "fragile", "slo": 1_200_000_000, "give-up": 5_000_000_000, "worth": 2.0},
+]
+NODE_FILE = {
+    "name": "n0",
+    "listen": "127.0.0.1:9000",
+    "discovery": "127.0.0.1:9001",
+    "admin": "127.0.0.1:9002",
+    "seed": "7",
+    "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 256},
+    "settings": {"balancers": 1, "zones": ["a"], "kinds": ["m"], "categories": CATEGORIES},
+    "known": {"version": 3, "full": True, "servers": SERVERS},
+}
+
+
+@asynccontextmanager
+async def _desk(folder: Path) -> AsyncIterator[Desk]:
+    """The operators' door of a node that serves nobody; its calls are answered as by a running one."""
+    path = folder / "node.json"
+    path.write_text(json.dumps(NODE_FILE))
+    scratch = folder / "scratch"
+    scratch.mkdir(exist_ok=True)
+    config = load({"BALANCER_CONFIG": str(path), "TMPDIR": str(scratch)})
+    clients, node, _ = assemble(config)
+    desk = Desk(replace(config, admin=("127.0.0.1", 0)), clients, node)
+    await desk.open()
+    try:
+        yield desk
+    finally:
+        desk.close()
+        clients.close()
+
+
+async def _spoken(desk: Desk, sent: bytes) -> bytes:
+    """All that a caller at the door hears until it is closed."""
+    reader, writer = await asyncio.open_connection("127.0.0.1", desk.door.port)
+    writer.write(sent)
+    heard = await asyncio.wait_for(reader.read(), 10)
+    writer.close()
+    return heard
+
+
+def _call_bytes(line: str, body: bytes = b"") -> bytes:
+    length = b"Content-Length: %d\r\n" % len(body) if body or line.startswith("POST") else b""
+    return line.encode() + b" HTTP/1.1\r\nHost: node\r\n" + length + b"\r\n" + body
+
+
+PATHS = (
+    "/-/ready", "/-/metrics", "/-/servers", "/-/drain", "/-/resume", "/-/servers/s-1/disable",
+    "/-/servers/s-1/enable", "/-/policy", "/-/policy/tell", "/-/policy/ask", "/-/none", "/", "/-/servers/",
+    "/-/servers/s-1", "/-/servers/s-1/none", "/-/servers//disable", "/-/policyx",
+)  # fmt: skip
+
+
+async def _wrong_methods(desk: Desk) -> list[tuple[bytes, bytes]]:
+    """Each path under each method that it does not take."""
+    found = []
+    for path in PATHS:
+        for method in ("GET", "POST", "PUT", "DELETE"):
+            sent = _call_bytes(f"{method} {path}")
+            heard = await _spoken(desk, sent) if _denied(method, path) else b""
+            if heard:
+                found.append((sent, heard))
+    return found
+
+
+def _denied(method: str, path: str) -> bool:
+    return isinstance(parse_call(method, path), Denied)
+
+
+async def _operators(desk: Desk, sent: Sequence[bytes]) -> list[tuple[bytes, bytes]]:
+    return [(one, await _spoken(desk, one)) for one in sent]
+
+
+def _exchange(pairs: Sequence[tuple[bytes, bytes]]) -> bytes:
+    """Calls and answers as a text: what was sent, a line >>>>, what was heard, a line ----."""
+    return b"".join(sent + b"\n>>>>\n" + heard + b"\n----\n" for sent, heard in pairs)
+
+
+async def _admin(folder: Path) -> bytes:
+    async with _desk(folder) as desk:
+        pairs = await _operators(desk, [_call_bytes("GET /-/ready"), _call_bytes("GET /-/ready?a=b")])
+        desk.clients.ready = True
+        lines = (
+            "GET /-/ready", "GET /-/servers", "POST /-/servers/s-1/disable", "POST /-/servers/s-1/disable",
+            "POST /-/servers/s%2F3%20%C3%A9/disable", "POST /-/servers/s-9/disable", "GET /-/servers?x",
+            "GET /-/metrics", "POST /-/servers/s-1/enable", "POST /-/servers/s-9/enable", "POST /-/drain",
+            "POST /-/drain", "GET /-/ready", "POST /-/resume", "GET /-/ready", "POST /-/resume",
+            "GET /-/policy", "GET /-/policy/tell", "POST /-/policy/ask",
+        )  # fmt: skip
+        pairs += await _operators(desk, [_call_bytes(line) for line in lines])
+        desk.clients.leaving = True
+        pairs += await _operators(desk, [_call_bytes("POST /-/resume")])
+        return _exchange(pairs)
+
+
+async def _admin_refused(folder: Path) -> bytes:
+    async with _desk(folder) as desk:
+        pairs = await _wrong_methods(desk)
+        odd = (
+            _call_bytes("POST /-/drain", body=b"x" * 9000),
+            b"GET /-/ready HTTP/1.1\r\n\r\n",
+            b"GET /-/ready HTTP/1.1\r\nHost: node\r\nContent-Length: x\r\n\r\n",
+            b"what is this\r\n\r\n",
+            b"GET /-/ready HTTP/1.1\r\nHost: no",  # and nothing more: its time runs out
+        )
+        pairs += await _operators(desk, odd)
+        return _exchange([(sent[:200], heard) for sent, heard in pairs])
+
+
+async def _admin_in_accord(folder: Path) -> bytes:
+    async with _desk(folder) as desk:
+        accord = calling.Accord.__new__(calling.Accord)
+        accord.service = _service(folder / "accord")
+        desk.accord = accord
+        desk.door.most = words.MOST_CALL
+        sent = (
+            _call_bytes("POST /-/servers/s-1/disable"),
+            _call_bytes("GET /-/policy"),
+            _call_bytes("GET /-/policy/tell?x=y"),
+            _call_bytes("GET /-/policy/entry/x"),
+            _call_bytes("POST /-/policy/ask", body=b"{}"),
+            _call_bytes("POST /-/policy/propose", body=words.encode(words.Proposing(None, "", "why"))),
+            _call_bytes("POST /-/policy/found", body=words.encode(words.Founding("bm8gZmlsZQ=="))),
+            _call_bytes("POST /-/policy/change", body=words.encode(words.Changing("?"))),
+            _call_bytes("POST /-/policy/none", body=b"{}"),
+            _call_bytes("PUT /-/policy/ask", body=b"{}"),
+        )
+        return _exchange(await _operators(desk, sent))
+
+
+def _in_folder(work: Callable[[Path], Coroutine[None, None, bytes]]) -> bytes:
     with tempfile.TemporaryDirectory() as folder:
-        return asyncio.run(_answers(Path(folder)))
+        return asyncio.run(work(Path(folder)))
+
+
+def admin() -> bytes:
+    """Operators' calls in a row, and the answers."""
+    return _in_folder(_admin)
+
+
+def admin_refused() -> bytes:
+    """Calls that are none, and the answers."""
+    return _in_folder(_admin_refused)
+
+
+def admin_in_accord() -> bytes:
+    """Calls at a node whose policy is agreed on with others, and the answers."""
+    return _in_folder(_admin_in_accord)
 
 
 FILES: dict[str, Callable[[], bytes]] = {
@@ -475,4 +641,7 @@
     "outgoing_calls.http": outgoing_calls,
     "uploads_refused.txt": uploads_refused,
     "keeper_answers.txt": keeper_answers,
+    "admin.http": admin,
+    "admin_refused.http": admin_refused,
+    "admin_in_accord.http": admin_in_accord,
 }
