--- a/tests/golden/build.py
+++ b/tests/golden/build.py
@@ -9,9 +9,10 @@
 import base64
 import json
 import random
+import shutil
 import tempfile
-from collections.abc import AsyncIterator, Callable, Coroutine, Sequence
-from contextlib import asynccontextmanager
+from collections.abc import AsyncIterator, Callable, Coroutine, Iterator, Sequence
+from contextlib import asynccontextmanager, contextmanager
 from dataclasses import replace
 from functools import partial
 from pathlib import Path
@@ -22,22 +23,26 @@
 from accord.calls import Unreachable
 from accord.contracts import BadFile, FileRead, Terms
 from accord.core import Accept, Accepted, Ask, Grant, Prepare, Promise, Stage, State
-from accord.log import Entry
+from accord.log import Entry, PolicyLog
 from accord.policy import Policy, Refused, first, successor
-from accord.service import Service
+from accord.service import Service, _Remembered
+from accord.store import Store, StoreFailed
 from accord.transfer import Uploads, piece_of, pieces_up
 from elderscale import accord as calling
 from elderscale.__main__ import assemble
 from elderscale.config import load
 from elderscale.desk import Desk
+from operations.bans import BansError
+from operations.bans import pack as pack_bans
+from operations.bans import unpack as unpack_bans
 from operations.calls import Denied
 from operations.calls import parse as parse_call
 from resources.model import Change, Delete, Kind, Problem, Upsert
 from resources.state import EMPTY, ResourceState
 
-from .files import joined
+from .files import joined, tree
 
-__all__ = ["FILES", "again", "refusal", "text_again", "text_refusal"]
+__all__ = ["FILES", "again", "disk", "read_damaged", "read_disk", "refusal", "text_again", "text_refusal"]
 
 # Fixed sample values
 
@@ -348,14 +353,24 @@
     raise Unreachable(f"{door}: nobody there")
 
 
-def _service(folder: Path) -> Service:
+class _Clock:
+    """Stands still until it is moved; ns."""
+
+    def __init__(self) -> None:
+        self.now = 50_000_000_000
+
+    def __call__(self) -> int:
+        return self.now
+
+
+def _service(folder: Path, clock: Callable[[], int] | None = None) -> Service:
     """A process that is its tier's only keeper, at a fixed time, with a fixed source of random numbers."""
     terms = Terms("n-1", DOOR, (DOOR,), 2_000_000_000, 500_000_000, folder)
     service = Service(
         terms,
         _nobody,
         _Hands(),
-        lambda: 50_000_000_000,
+        clock or _Clock(),
         lambda: 1_700_000_000_000,
         _at_once,
         random.Random(7),
@@ -633,6 +648,195 @@
     return _in_folder(_admin_in_accord)
 
 
+# The disk
+
+
+def _log_on_disk(folder: Path) -> tuple[Policy, Policy]:
+    """Write entries 1 to 3 and a snapshot of 2, by which 1 is let go; the policies 2 and 3."""
+    one, two, after = _policies()
+    change = Change(UPLOAD_ID[:16].encode(), 2, "", "", (Upsert(Kind.DEFAULTS, "", 0, b"\x80"),))
+    three, _ = successor(two, after, (msgspec.structs.replace(change, reason="why", author="cy"),))
+    log = PolicyLog(folder, kept_states=1, snapshot_floor=0)
+    log.open()
+    for policy in (one, two):
+        log.put(policy)
+    log.prune({two.name})
+    log.put(three)
+    return two, three
+
+
+async def _write_disk(folder: Path) -> None:
+    """The files of a keeper that was told, has promised and voted, and of its node."""
+    two, three = _log_on_disk(folder / "n-1" / "policies")
+    clock = _Clock()
+    service = _service(folder, clock)
+    service.log.open()
+    assert service.keeping is not None
+    await service.keeping.learn_all([(State(4, Stage.SETTLED, two.name), None)])
+    clock.now += 60_000_000_000  # until then it may not vote
+    vote = Accept(BALLOT, State(7, Stage.PREPARE, two.name, three.name))
+    calls: tuple[tuple[str, object], ...] = (
+        ("know", words.Knowing(words.FORM, State(6, Stage.SETTLED, two.name), DOOR)),
+        ("prepare", words.Preparing(words.FORM, Prepare(BALLOT, 6))),
+        ("accept", words.Accepting(words.FORM, vote, DOOR)),
+    )
+    for path, value in calls:
+        await service.answer(path, words.encode(value))
+        await asyncio.gather(*service.tasks)
+    for epoch, until in ((4, 160_000_000_000), (6, 170_000_000_000)):
+        at = State(epoch, Stage.SETTLED, two.name)
+        service.node = service.node._replace(at=at, late=until)
+        service._remember()
+        await asyncio.gather(*service.tasks)
+
+
+async def _take_out(folder: Path) -> bytes:
+    """Two servers out by hand: a file in the folder `scratch`."""
+    async with _desk(folder) as desk:
+        lines = ("POST /-/servers/s-2/disable", "POST /-/servers/s%2F3%20%C3%A9/disable")
+        return _exchange(await _operators(desk, [_call_bytes(line) for line in lines]))
+
+
+def write_disk(folder: Path) -> None:
+    """The files that a process leaves on disk, written into a folder."""
+    asyncio.run(_write_disk(folder))
+    with tempfile.TemporaryDirectory() as other:
+        asyncio.run(_take_out(Path(other)))
+        scratch = Path(other) / "scratch"
+        shutil.copytree(scratch, folder / "scratch", ignore=shutil.ignore_patterns("*.lock"))
+
+
+def disk() -> dict[str, bytes]:
+    """The same as paths and bytes."""
+    with tempfile.TemporaryDirectory() as folder:
+        write_disk(Path(folder))
+        return tree(Path(folder))
+
+
+async def _read_disk(folder: Path) -> bytes:
+    service = _service(folder)
+    service.keeping = None
+    service.log.open()
+    service.become_keeper()
+    remembered: _Remembered = msgspec.msgpack.decode(service.memory.open() or b"", type=_Remembered)
+    names = service.log.names()
+    paths = ["", "tell", "history", *(f"entry/{name}" for name in names)]
+    paths += [f"since/{n}/{names[-1]}" for n in (0, 1, 2)] + [f"snapshot/{names[-1]}"]
+    found = {path: await service.answer(path, None) for path in [*paths, f"diff/{names[0]}/{names[-1]}"]}
+    samples = {f"/{path}": b"%d %s" % (answer.status, answer.body) for path, answer in found.items()}
+    samples["node"] = msgspec.json.encode(remembered)
+    assert service.keeping is not None and service.keeping.keeper is not None
+    samples["keeper"] = msgspec.json.encode(tuple(service.keeping.keeper))
+    samples["counts"] = b"%d %d" % (service.keeping.store.count, service.memory.count)
+    samples["set_aside"] = msgspec.json.encode(service.log.aside)
+    for name in names:
+        state = service.log.state(name)
+        rows = [] if state is None else [f"{one.key} {one.version}" for one in state.resources.values()]
+        samples[f"resources.{name}"] = msgspec.json.encode(sorted(rows))
+    return joined(samples)
+
+
+async def _read_servers(folder: Path) -> bytes:
+    async with _desk(folder) as desk:
+        return _exchange(await _operators(desk, [_call_bytes("GET /-/servers")]))
+
+
+def read_disk(folder: Path) -> bytes:
+    """What the code reads in such a folder, as text; the folder may be written to."""
+    return asyncio.run(_read_disk(folder)) + asyncio.run(_read_servers(folder))
+
+
+def disk_as_read() -> bytes:
+    """What it reads in what it wrote."""
+    with tempfile.TemporaryDirectory() as folder:
+        write_disk(Path(folder))
+        return read_disk(Path(folder))
+
+
+_BAD_RECORDS: tuple[tuple[str, Callable[[bytes], bytes]], ...] = (
+    ("cut", lambda data: data[:-1]),
+    ("empty", lambda data: b""),
+    ("cut_in_head", lambda data: data[:12]),
+    ("one_bit", lambda data: data[:-1] + bytes([data[-1] ^ 1])),
+    ("count_changed", lambda data: data[:17] + bytes([data[17] ^ 8]) + data[18:]),
+    ("foreign", lambda data: b"PK" + data[2:]),
+    ("newer", lambda data: data[:9] + b"\2" + data[10:]),
+)
+
+
+def _store_opened(folder: Path, name: str) -> bytes:
+    store = Store(folder, name)
+    try:
+        data = store.open()
+    except StoreFailed as error:
+        return f"failed {error}".replace(str(folder), "FOLDER").encode()
+    kept = len(data) if data is not None else -1
+    return b"count %d, %d bytes, doubtful %d" % (store.count, kept, store.doubtful)
+
+
+def _log_opened(folder: Path) -> bytes:
+    log = PolicyLog(folder)
+    log.open()
+    return msgspec.json.encode({"names": log.names(), "set_aside": log.aside})
+
+
+def read_damaged(folder: Path) -> bytes:
+    """What is read where one file of such a folder, or both generations, are damaged."""
+    found = {}
+    for case, damage in _BAD_RECORDS:
+        for files in (["n-1/keeper.0"], ["n-1/keeper.1"], ["n-1/keeper.0", "n-1/keeper.1"]):
+            with _damaged(folder, files, damage) as copy:
+                key = "+".join(files) + ":" + case
+                found[key] = _store_opened(copy / "n-1", "keeper") + b" | " + _names(copy / "n-1")
+        for path in sorted((folder / "n-1" / "policies").iterdir()):
+            with _damaged(folder, [f"n-1/policies/{path.name}"], damage) as copy:
+                policies = copy / "n-1" / "policies"
+                found[f"{path.name}:{case}"] = _log_opened(policies) + b" | " + _names(policies)
+    return joined(found)
+
+
+def _names(folder: Path) -> bytes:
+    return " ".join(sorted(path.name for path in folder.iterdir() if path.is_file())).encode()
+
+
+@contextmanager
+def _damaged(folder: Path, files: Sequence[str], damage: Callable[[bytes], bytes]) -> Iterator[Path]:
+    """A copy of a folder, with damaged files."""
+    with tempfile.TemporaryDirectory() as other:
+        copy = Path(shutil.copytree(folder, Path(other) / "copy"))
+        for file in files:
+            (copy / file).write_bytes(damage((copy / file).read_bytes()))
+        yield copy
+
+
+def disk_damaged() -> bytes:
+    """The same for what is written now."""
+    with tempfile.TemporaryDirectory() as folder:
+        write_disk(Path(folder))
+        return read_damaged(Path(folder))
+
+
+def servers_out_refused() -> bytes:
+    """Files of servers out by hand, and how they are refused."""
+    sound = pack_bans(["s-1", "s-2"])
+    cases = {
+        "sound": sound,
+        "none_out": pack_bans([]),
+        "cut": sound[:-1],
+        "version_2": sound.replace(b'"version": 1', b'"version": 2'),
+        "not_a_list": sound.replace(b'["s-1", "s-2"]', b'"s-1"'),
+        "another_server": sound.replace(b"s-2", b"s-3"),
+        "not_a_map": b"[]",
+    }
+    found = {}
+    for case, data in cases.items():
+        try:
+            found[case] = f"{sorted(unpack_bans(data))} <- ".encode() + data
+        except BansError as error:
+            found[case] = str(error).partition(": ")[0].encode() + b" <- " + data
+    return joined(found)
+
+
 FILES: dict[str, Callable[[], bytes]] = {
     "messages.txt": messages,
     "messages_malformed.txt": malformed,
@@ -641,6 +845,9 @@
     "outgoing_calls.http": outgoing_calls,
     "uploads_refused.txt": uploads_refused,
     "keeper_answers.txt": keeper_answers,
+    "disk_as_read.txt": disk_as_read,
+    "disk_damaged.txt": disk_damaged,
+    "servers_out_refused.txt": servers_out_refused,
     "admin.http": admin,
     "admin_refused.http": admin_refused,
     "admin_in_accord.http": admin_in_accord,
--- a/tests/golden/write.py
+++ b/tests/golden/write.py
@@ -5,7 +5,9 @@
 
 from __future__ import annotations
 
-from .build import FILES
+import shutil
+
+from .build import FILES, disk
 from .files import FOLDER
 
 
@@ -15,6 +17,11 @@
         path = FOLDER / name
         path.parent.mkdir(parents=True, exist_ok=True)
         path.write_bytes(build())
+    shutil.rmtree(FOLDER / "disk", ignore_errors=True)
+    for name, data in disk().items():
+        path = FOLDER / "disk" / name
+        path.parent.mkdir(parents=True, exist_ok=True)
+        path.write_bytes(data)
 
 
 if __name__ == "__main__":
