--- a/tests/golden/build.py
+++ b/tests/golden/build.py
@@ -13,7 +13,9 @@
 import tempfile
 from collections.abc import AsyncIterator, Callable, Coroutine, Iterator, Sequence
 from contextlib import asynccontextmanager, contextmanager
-from dataclasses import replace
+from dataclasses import fields as dataclass_fields
+from dataclasses import is_dataclass, replace
+from enum import Enum
 from functools import partial
 from pathlib import Path
 
@@ -32,17 +34,28 @@
 from elderscale.__main__ import assemble
 from elderscale.config import load
 from elderscale.desk import Desk
+from lynxrouter import interface as module
+from lynxrouter.benchlink import Link
+from lynxrouter.wiresettings import FIELDS as REPORT_FIELDS
+from lynxrouter.wiresettings import parse_settings
 from operations.bans import BansError
 from operations.bans import pack as pack_bans
 from operations.bans import unpack as unpack_bans
 from operations.calls import Denied
 from operations.calls import parse as parse_call
+from peers.words import mark as report_mark
+from peers.words import parse as parse_load_report
+from peers.words import word as load_reports
 from resources.model import Change, Delete, Kind, Problem, Upsert
 from resources.state import EMPTY, ResourceState
 
-from .files import joined, tree
+from . import bench
+from .files import joined, read, tree
 
-__all__ = ["FILES", "again", "disk", "read_damaged", "read_disk", "refusal", "text_again", "text_refusal"]
+__all__ = [
+    "FILES", "again", "disk", "load_report_read", "read_damaged", "read_disk", "refusal", "text_again",
+    "text_refusal",
+]  # fmt: skip
 
 # Fixed sample values
 
@@ -837,6 +850,125 @@
     return joined(found)
 
 
+# Load reports between nodes
+
+
+def _load_reports() -> dict[str, list[bytes]]:
+    many = {n * 7919: n % 255 + 1 for n in range(120)}
+    held = {report_mark(server): n for n, server in enumerate(("s-1", "10.1.0.5:9000", b"\x0a\0\0\1#)"), 1)}
+    return {
+        "nothing_held": load_reports(0, 1, 1, {}),
+        "three_servers": load_reports(3, 0xFFFF_FFFF, 77, held),
+        "more_than_a_byte": load_reports(65535, 0, 0xFFFF_FFFF, {1: 300, 2: 0}),
+        "three_datagrams": load_reports(1, 2, 3, many),
+    }
+
+
+def load_report_datagrams() -> bytes:
+    """Datagrams as they are sent, as hexadecimal digits."""
+    return joined(
+        {
+            f"{name}.{part}": data.hex().encode()
+            for name, datagrams in _load_reports().items()
+            for part, data in enumerate(datagrams)
+        }
+    )
+
+
+def load_report_read(data: bytes) -> str:
+    """What a datagram says: six values in order, the last by server; empty: it is none."""
+    found = parse_load_report(data)
+    if found is None:
+        return ""
+    *head, held = found
+    return json.dumps([*head, sorted(held.items())])
+
+
+def load_reports_read() -> bytes:
+    """What the same datagrams say."""
+    return joined(
+        {
+            f"{name}.{part}": load_report_read(data).encode()
+            for name, datagrams in _load_reports().items()
+            for part, data in enumerate(datagrams)
+        }
+    )
+
+
+# The bench
+
+
+def bench_answer() -> bytes:
+    """What the process on the bench's wire writes for the recorded input."""
+    return bench.answer(read("bench_input.bin"))[0]
+
+
+def bench_refused() -> bytes:
+    """Inputs that are no frames, the exit code and what is written, as hexadecimal digits."""
+    found = {}
+    for case, sent in bench.refused().items():
+        written, code = bench.answer(sent)
+        found[case] = f"{sent.hex() or '-'} {code} {written.hex() or '-'}".encode()
+    return joined(found)
+
+
+def bench_actions() -> bytes:
+    """Each action's record and the tail, as hexadecimal digits."""
+    server = bytes.fromhex("0a124a072b23")
+    actions: dict[str, module.Action] = {
+        "SUBMIT_TO": module.Send(0x0EDA755D3A91C4, server, 80_000_000),
+        "SUBMIT_TO.no_timeout": module.Send(1, server),
+        "TURN_AWAY": module.Refuse(5, 250_000_000),
+        "DROP_REQUEST": module.Fail(5),
+        "RETRACT": module.Cancel(5, 2),
+        "PROBE": module.Probe(server),
+        "CLOSE": module.CloseIdle(server),
+        "WAKE_AT": module.SetTimer(500_000_000, 77),
+        "KEEP_INFORMED": module.Watch(True),
+        "KEEP_INFORMED.off": module.Watch(False),
+        "GET_LIST": module.FetchList(),
+        "JOURNAL_LINE": module.Log("two servers known"),
+    }
+    found = {}
+    for name, action in actions.items():
+        tail = bytearray()
+        record = Link._action(3, action, tail)
+        found[name] = record.hex().encode() + b" " + bytes(tail)
+    return joined(found)
+
+
+def _plain(value: object) -> object:
+    """Values without the names of their fields."""
+    if isinstance(value, Enum):
+        return value.value
+    if is_dataclass(value):
+        return [_plain(getattr(value, field.name)) for field in dataclass_fields(value)]
+    return [_plain(one) for one in value] if isinstance(value, tuple) else value
+
+
+def _settings_read(text: str) -> bytes:
+    """The values of settings in order; fields of reports by the bench's words for them."""
+    settings = parse_settings(text)
+    words_of = {ours: theirs for theirs, ours in REPORT_FIELDS.items()}
+    reports = tuple(words_of[name] for name in settings.report_fields)
+    return json.dumps(_plain(replace(settings, report_fields=reports))).encode()
+
+
+def bench_settings() -> bytes:
+    """Settings as they are read from the bench, and how bad ones are refused."""
+    texts = {"whole": bench.SETUP, "least": BENCH_LEAST}
+    found = {name: _settings_read(text) for name, text in texts.items()}
+    return joined(found | {case: told.encode() for case, told in bench.settings_refused().items()})
+
+
+BENCH_LEAST = """balancers=1
+categories.count=1
+categories.0.effect=fragile
+categories.0.slo=1
+categories.0.give-up=2
+"""
+
+
 FILES: dict[str, Callable[[], bytes]] = {
     "messages.txt": messages,
     "messages_malformed.txt": malformed,
@@ -848,6 +980,12 @@
     "disk_as_read.txt": disk_as_read,
     "disk_damaged.txt": disk_damaged,
     "servers_out_refused.txt": servers_out_refused,
+    "load_reports.txt": load_report_datagrams,
+    "load_reports_read.txt": load_reports_read,
+    "bench_answer.bin": bench_answer,
+    "bench_actions.txt": bench_actions,
+    "bench_refused.txt": bench_refused,
+    "bench_settings.txt": bench_settings,
     "admin.http": admin,
     "admin_refused.http": admin_refused,
     "admin_in_accord.http": admin_in_accord,
