--- a/tests/golden/build.py
+++ b/tests/golden/build.py
@@ -19,6 +19,7 @@
 from functools import partial
 from pathlib import Path
 
+import click
 import msgspec
 
 from accord import words
@@ -34,6 +35,7 @@
 from elderscale.__main__ import assemble
 from elderscale.config import load
 from elderscale.desk import Desk
+from hollybay.cli import main as command_line
 from lynxrouter import interface as module
 from lynxrouter.benchlink import Link
 from lynxrouter.wiresettings import FIELDS as REPORT_FIELDS
@@ -43,13 +45,15 @@
 from operations.bans import unpack as unpack_bans
 from operations.calls import Denied
 from operations.calls import parse as parse_call
+from operations.figures import CONTENT_TYPE as METRICS_TYPE
+from operations.figures import Exposition, Figures
 from peers.words import mark as report_mark
 from peers.words import parse as parse_load_report
 from peers.words import word as load_reports
 from resources.model import Change, Delete, Kind, Problem, Upsert
 from resources.state import EMPTY, ResourceState
 
-from . import bench
+from . import bench, commands
 from .files import joined, read, tree
 
 __all__ = [
@@ -969,6 +973,82 @@
 """
 
 
+# The command line
+
+
+def _subcommands(group: click.Group, before: str = "") -> list[str]:
+    """All commands and their subcommands, each as it is typed."""
+    found = []
+    for name, command in sorted(group.commands.items()):
+        found.append(f"{before}{name}")
+        if isinstance(command, click.Group):
+            found += _subcommands(command, f"{before}{name} ")
+    return found
+
+
+def command_help() -> bytes:
+    """The help of all commands, and what is said where a command is missing, unknown or incomplete."""
+    names = ["", *_subcommands(command_line)]
+    wrong = ["", "nothing", "--nothing", "check", "policy", "policy nothing", "policy status"]
+    return commands.shown([*(f"{name} --help".strip() for name in names), "-h", *wrong])
+
+
+def operator_files() -> bytes:
+    """What checks of operator files and questions for routes print."""
+    broken = ["broken_form.toml", "broken_rules.toml", "missing.toml"]
+    file = "deploy/operator.toml"
+    return commands.shown(
+        [
+            f"check {file}",
+            f"check {file} --config tests/golden/node.json",
+            f"check {file} --config tests/golden/missing.json",
+            *(f"check tests/golden/{name}" for name in broken),
+            "check tests/golden/broken_rules.toml --config tests/golden/node.json",
+            f"routes {file} GET /view-schedule/halls/7 -H 'Host: book.example'",
+            f"routes {file} GET /venues/7/slots",
+            f"routes {file} GET /view-schedule/season/1 -H 'X-Client: wallboard' -H 'X-Account: a'",
+            f"routes {file} POST /send-callout",
+            f"routes {file} GET /view-schedule/../x",
+            f"routes {file} GET / -H wrong",
+        ]
+    )
+
+
+# Figures
+
+
+def metrics() -> bytes:
+    """The figures as the endpoint prints them, each with a value of its own."""
+    figures = Figures(
+        classes=("view", "send"),
+        served=(1, 2),
+        refused=(3, 4),
+        failed=(5, 6),
+        attempts=7,
+        in_flight=8,
+        servers_known=9,
+        servers_excluded=10,
+        reloads_ok=11,
+        reloads_failed=12,
+    )
+    return f"{METRICS_TYPE}\n".encode() + Exposition(lambda: figures).text()
+
+
+async def _metrics_of_node(folder: Path) -> bytes:
+    async with _desk(folder) as desk:
+        tally = desk.node.tally
+        tally.served[:], tally.refused[:], tally.failed[:] = [1, 2], [3, 4], [5, 6]
+        tally.reloads_ok, tally.reloads_failed = 11, 12
+        desk.node.servers.written = 7
+        desk.node.owed = 8
+        return await _spoken(desk, _call_bytes("GET /-/metrics"))
+
+
+def metrics_of_node() -> bytes:
+    """The same from a node that has counted, with head and status."""
+    return _in_folder(_metrics_of_node)
+
+
 FILES: dict[str, Callable[[], bytes]] = {
     "messages.txt": messages,
     "messages_malformed.txt": malformed,
@@ -986,6 +1066,11 @@
     "bench_actions.txt": bench_actions,
     "bench_refused.txt": bench_refused,
     "bench_settings.txt": bench_settings,
+    "metrics.txt": metrics,
+    "metrics_of_node.http": metrics_of_node,
+    "command_help.txt": command_help,
+    "operator_files.txt": operator_files,
+    "node_without_configuration.txt": commands.node_without_configuration,
     "admin.http": admin,
     "admin_refused.http": admin_refused,
     "admin_in_accord.http": admin_in_accord,
--- /dev/null
+++ b/tests/test_golden_metrics.py
@@ -0,0 +1,13 @@
+"""Names, labels and texts of the metrics, held against golden texts (tests/golden)."""
+
+from __future__ import annotations
+
+import pytest
+
+from .golden import build
+from .golden.files import read
+
+
+@pytest.mark.parametrize("name", ["metrics.txt", "metrics_of_node.http"])
+def test_the_endpoint_prints_the_golden_text(name: str) -> None:
+    assert build.FILES[name]().decode() == read(name).decode()
