--- a/tests/golden/bench.py
+++ b/tests/golden/bench.py
@@ -14,7 +14,7 @@
 from collections.abc import Iterator
 from pathlib import Path
 
-__all__ = ["SETUP", "answer", "record", "refused", "settings_refused"]
+__all__ = ["EVERY_SETTING", "SETUP", "answer", "record", "refused", "settings_refused"]
 
 ROOT = Path(__file__).resolve().parent.parent.parent
 MS = 1_000_000
@@ -65,6 +65,61 @@
 zones=here,there
 some.key-to-come=whatever
 """
+# Every path that settings are read from, with a value that is not the one for an absent path.
+EVERY_SETTING = """balancers=5
+caps.cancel=true
+caps.conn-idle=16
+caps.connect-timeout=17
+caps.max-retry-after=18
+caps.max-streams=19
+caps.may-duplicate=true
+caps.most-tries=4
+caps.probes=true
+caps.retry-after=true
+categories.count=2
+categories.0.effect=dedup
+categories.0.give-up=500000000
+categories.0.group=cell
+categories.0.late-worth=0.25
+categories.0.name=view
+categories.0.slo=200000000
+categories.0.streamed=true
+categories.0.window=4000000000
+categories.0.worth=3.0
+categories.1.effect=fragile
+categories.1.give-up=2
+categories.1.group=zone
+categories.1.slo=1
+counted-by=work
+deductions.connection=0.01
+deductions.cross-zone=0.02
+deductions.handshake=0.03
+deductions.late-fail=0.04
+deductions.probe=0.05
+deductions.waste=0.06
+kinds=x,y,z
+me=4
+membership-mode=subscribe
+my-zone=1
+over-share-worth=0.1
+quantum=4000000
+report.fields=rif,q,busy,lat_ms,rate,fail_rate
+report.via=pull
+rules.cold-share=0.32
+rules.drain-grace=20
+rules.fall-multiple=3.5
+rules.grace-to-answer=21
+rules.must-ask-in=22
+rules.overload-for=23
+rules.warm-up=24
+tenants.count=2
+tenants.0.allowance-per-s=33.0
+tenants.0.name=north
+tenants.0.share=0.7
+tenants.1.share=0.3
+weights=rough
+zones=here,there
+"""
 SERVERS = [(b"\x0a\0\0%c" % n, 9003 + n, n % 2, n % 2, n // 3) for n in range(6)]
 
 
@@ -211,6 +266,8 @@
     ("categories.0.worth=3.0", "categories.0.worth=nan"),
     ("caps.cancel=true", "caps.cancel=yes"),
     ("weights=live", "weights=other"),
+    ("report.via=piggyback", "report.via=other"),
+    ("categories.1.group=cell", "categories.1.group=other"),
     ("membership-mode=subscribe", "membership-mode=push"),
     ("quantum=4000000", "quantum=-1"),
 )
--- a/tests/golden/build.py
+++ b/tests/golden/build.py
@@ -57,8 +57,8 @@
 from .files import joined, read, tree
 
 __all__ = [
-    "FILES", "again", "disk", "load_report_read", "read_damaged", "read_disk", "refusal", "text_again",
-    "text_refusal",
+    "FILES", "again", "disk", "load_report_read", "read_damaged", "read_disk", "refusal", "settings_read",
+    "text_again", "text_refusal",
 ]  # fmt: skip
 
 # Fixed sample values
@@ -950,7 +950,7 @@
     return [_plain(one) for one in value] if isinstance(value, tuple) else value
 
 
-def _settings_read(text: str) -> bytes:
+def settings_read(text: str) -> bytes:
     """The values of settings in order; fields of reports by the bench's words for them."""
     settings = parse_settings(text)
     words_of = {ours: theirs for theirs, ours in REPORT_FIELDS.items()}
@@ -960,8 +960,8 @@
 
 def bench_settings() -> bytes:
     """Settings as they are read from the bench, and how bad ones are refused."""
-    texts = {"whole": bench.SETUP, "least": BENCH_LEAST}
-    found = {name: _settings_read(text) for name, text in texts.items()}
+    texts = {"whole": bench.SETUP, "least": BENCH_LEAST, "every": bench.EVERY_SETTING}
+    found = {name: settings_read(text) for name, text in texts.items()}
     return joined(found | {case: told.encode() for case, told in bench.settings_refused().items()})
 
 
--- a/tests/test_golden_bench.py
+++ b/tests/test_golden_bench.py
@@ -22,3 +22,13 @@
 def test_an_input_that_is_no_frame_ends_as_before(case: str) -> None:
     sent, code, written = lines("bench_refused.txt")[case].decode().replace("-", "").split(" ")
     assert bench.answer(bytes.fromhex(sent)) == (bytes.fromhex(written), int(code))
+
+
+@pytest.mark.parametrize("line", bench.EVERY_SETTING.splitlines())
+def test_each_line_of_the_settings_counts(line: str) -> None:
+    """So that a path that is read under another name makes the golden file differ."""
+    try:
+        found = build.settings_read(bench.EVERY_SETTING.replace(line + "\n", ""))
+    except ValueError:
+        return  # it must be there
+    assert found != lines("bench_settings.txt")["every"]
