--- a/tests/golden/build.py
+++ b/tests/golden/build.py
@@ -52,6 +52,7 @@
 from peers.words import word as load_reports
 from resources.model import Change, Delete, Kind, Problem, Upsert
 from resources.state import EMPTY, ResourceState
+from simulation import accord_rehearsal as rehearsal
 
 from . import bench, commands
 from .files import joined, read, tree
@@ -506,6 +507,36 @@
     return _in_folder(_answers)
 
 
+# Calls as processes make them, over a tier on a virtual clock
+
+
+def _calls_of(seed: int, shape: rehearsal.Shape) -> set[str]:
+    """Method, first part of the path and fields of each call that is made in one run."""
+    seen: set[str] = set()
+    with tempfile.TemporaryDirectory() as folder:
+        stage = rehearsal._Stage(seed, shape, Path(folder))
+        carry = stage.call
+
+        async def call(
+            caller: rehearsal._Seat | None, door: str, path: str, body: bytes | None, limit: float
+        ) -> bytes:
+            fields = ",".join(json.loads(body)) if body else ""
+            method = "GET" if body is None else "POST"
+            seen.add(f"{method} /{path.partition('/')[0]} {fields}".rstrip())
+            return await carry(caller, door, path, body, limit)
+
+        stage.call = call  # type: ignore[method-assign]
+        stage.run()
+    return seen
+
+
+def calls_made() -> bytes:
+    """The calls that nodes, keepers and operators of a tier make in two short runs."""
+    changes = rehearsal.Shape(stream=4.0, proposals=0.4, seconds=10.0)
+    seen = _calls_of(2, changes) | _calls_of(1, rehearsal.Shape(proposals=0.6, seconds=12.0))
+    return "".join(f"{line}\n" for line in sorted(seen)).encode()
+
+
 # What operators are answered, and the servers that they have taken out
 
 SERVERS = [
@@ -1057,6 +1088,7 @@
     "outgoing_calls.http": outgoing_calls,
     "uploads_refused.txt": uploads_refused,
     "keeper_answers.txt": keeper_answers,
+    "calls_made.txt": calls_made,
     "disk_as_read.txt": disk_as_read,
     "disk_damaged.txt": disk_damaged,
     "servers_out_refused.txt": servers_out_refused,
--- a/tests/test_golden_messages.py
+++ b/tests/test_golden_messages.py
@@ -28,6 +28,7 @@
         "outgoing_calls.http",
         "uploads_refused.txt",
         "keeper_answers.txt",
+        "calls_made.txt",
     ],
 )
 def test_what_is_written_is_the_golden_file(name: str) -> None:
