--- /dev/null
+++ b/tests/golden/build.py
@@ -0,0 +1,1109 @@
+"""Builds every sample that a golden file holds. The only module of the pins that names the project's classes.
+
+A rename in the project changes this module and no golden file.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import base64
+import json
+import random
+import shutil
+import tempfile
+from collections.abc import AsyncIterator, Callable, Coroutine, Iterator, Sequence
+from contextlib import asynccontextmanager, contextmanager
+from dataclasses import fields as dataclass_fields
+from dataclasses import is_dataclass, replace
+from enum import Enum
+from functools import partial
+from pathlib import Path
+
+import click
+import msgspec
+
+from accord import words
+from accord.calls import Unreachable
+from accord.contracts import BadFile, FileRead, Terms
+from accord.core import Accept, Accepted, Ask, Grant, Prepare, Promise, Stage, State
+from accord.log import Entry, PolicyLog
+from accord.policy import Policy, Refused, first, successor
+from accord.service import Service, _Remembered
+from accord.store import Store, StoreFailed
+from accord.transfer import Uploads, piece_of, pieces_up
+from elderscale import accord as calling
+from elderscale.__main__ import assemble
+from elderscale.config import load
+from elderscale.desk import Desk
+from hollybay.cli import main as command_line
+from lynxrouter import interface as module
+from lynxrouter.benchlink import Link
+from lynxrouter.wiresettings import FIELDS as REPORT_FIELDS
+from lynxrouter.wiresettings import parse_settings
+from operations.bans import BansError
+from operations.bans import pack as pack_bans
+from operations.bans import unpack as unpack_bans
+from operations.calls import Denied
+from operations.calls import parse as parse_call
+from operations.figures import CONTENT_TYPE as METRICS_TYPE
+from operations.figures import Exposition, Figures
+from peers.words import mark as report_mark
+from peers.words import parse as parse_load_report
+from peers.words import word as load_reports
+from resources.model import Change, Delete, Kind, Problem, Upsert
+from resources.state import EMPTY, ResourceState
+from simulation import accord_rehearsal as rehearsal
+
+from . import bench, commands
+from .files import joined, read, tree
+
+__all__ = [
+    "FILES", "again", "disk", "load_report_read", "read_damaged", "read_disk", "refusal", "settings_read",
+    "text_again", "text_refusal",
+]  # fmt: skip
+
+# Fixed sample values
+
+NODE = 0x1234_5678_9ABC
+DOOR = "10.0.0.1:7001"
+OTHER_DOOR = "10.0.0.2:7001"
+DOORS = ("10.0.0.1:7001", "10.0.0.2:7001", "10.0.0.3:7001")
+OLD, NEW = "7-0123456789ab", "8-ba9876543210"
+CHANGE_ID = bytes(range(16))
+UPLOAD_ID = "000102030405060708090a0b0c0d0e0f"
+SETTLED = State(4, Stage.SETTLED, OLD)
+PREPARE = State(5, Stage.PREPARE, OLD, NEW)
+NARROW = State(6, Stage.NARROW, OLD, NEW)
+BALLOT = (3, NODE)
+
+
+def _first_change() -> Change:
+    operations = (
+        Upsert(Kind.ROUTE, "hall-slots", 0, b'{"class":"view-schedule"}'),
+        Upsert(Kind.TENANT, "north", 0, b"{}"),
+        Upsert(Kind.SERVER_OUT, "10.1.0.5:9000", 0, b""),
+    )
+    return Change(CHANGE_ID, 0, "begin", "ann", operations)
+
+
+def _second_change() -> Change:
+    operations = (
+        Upsert(Kind.ROUTE, "hall-slots", 1, b'{"class":"book-venue"}'),
+        Delete(Kind.TENANT, "north", 1),
+    )
+    return Change(CHANGE_ID[::-1], 1, "narrower", "ben", operations)
+
+
+def _policies() -> tuple[Policy, Policy, ResourceState]:
+    """Two entries of a log, and the resources after the second."""
+    one = first((_first_change(),), DOORS)
+    state = EMPTY.applied(one.changes or (), 1)
+    two, after = successor(one, state, (_second_change(),))
+    return one, two, after
+
+
+# Messages between nodes and keepers
+
+
+def _message_values() -> dict[str, object]:
+    """Each message: with all fields set, and where some may be absent, with only the others set."""
+    w = words
+    one, two, _ = _policies()
+    change = w.change_text(_second_change())
+    ask = Ask(NODE, 9, PREPARE, 4, False)
+    return {
+        "asking": w.Asking(
+            w.FORM, ask, "n-1", DOOR, 2_000_000_000, 500_000_000,
+            ["route 'x': no such class"], {CHANGE_ID.hex(): ["its limit"]}, True,
+        ),
+        "asking.first": w.Asking(w.FORM, Ask(NODE, 1, None, -1, True), "n-1", DOOR, 2_000_000_000, 0),
+        "granting": w.Granting(grant=Grant(NODE, 9, 5)),
+        "granting.know": w.Granting(know=NARROW),
+        "granting.neither": w.Granting(),
+        "preparing": w.Preparing(w.FORM, Prepare(BALLOT, 5)),
+        "promising": w.Promising(Promise(NODE, BALLOT, 5, ((2, 7), NARROW)), None, 5, 0),
+        "promising.unbound": w.Promising(Promise(NODE, BALLOT, 5, None), None, 5, 0),
+        "promising.know": w.Promising(know=SETTLED, epoch=4, above=8),
+        "accepting": w.Accepting(w.FORM, Accept(BALLOT, NARROW), DOOR),
+        "voting": w.Voting(Accepted(NODE, BALLOT, NARROW), None, 5),
+        "voting.waits": w.Voting(
+            None, SETTLED, 4, 8, [w.Waiting("n-2", 77, 3, 1_500_000, True)], 250_000_000, "mute up to epoch 9"
+        ),
+        "voting.neither": w.Voting(),
+        "knowing": w.Knowing(w.FORM, PREPARE, OTHER_DOOR),
+        "telling": w.Telling(True, True, PREPARE, NARROW),
+        "telling.nothing": w.Telling(False),
+        "founding": w.Founding(file="Zm91bmQ="),
+        "founding.uploaded": w.Founding(upload=UPLOAD_ID),
+        "founding.passed": w.Founding(policy=one.name, entry=w.packed(one), by=DOOR),
+        "proposing": w.Proposing(
+            "Zm91bmQ=", two.parent.hex(), "why", "ann", ["10.1.0.5:9000"], list(DOORS), UPLOAD_ID, OLD
+        ),
+        "proposing.least": w.Proposing(None, "", "why"),
+        "drafting": w.Drafting(
+            "why", "ann", "Zm91bmQ=", UPLOAD_ID, OLD, ["10.1.0.5:9000"], ["10.1.0.6:9000"], True, ["route/x"]
+        ),
+        "drafting.least": w.Drafting("why"),
+        "drafted": w.Drafted(OLD, change, 2, ["~route/hall-slots", "-tenant/north"], UPLOAD_ID),
+        "changing": w.Changing(change),
+        "changing.uploaded": w.Changing("", UPLOAD_ID),
+        **{
+            f"became_of.{outcome.value.replace(' ', '_')}": w.BecameOf(
+                CHANGE_ID.hex(), outcome, NEW, 5, 120, [Problem("route 'x'", "class", "is missing")]
+            )
+            for outcome in w.Outcome
+        },
+        "uploading": pieces_up(UPLOAD_ID, b"an operator file")[0],
+        "piece": piece_of(NEW, b"a snapshot", 0),
+        "changed": w.Changed(NEW, 5),
+        "dropping": w.Dropping(NEW),
+        "dropping.passed": w.Dropping(NEW, True),
+        "history_entry": w.Entry(NARROW, 1_700_000_000_000),
+    }  # fmt: skip
+
+
+def messages() -> bytes:
+    """Each message as it goes out."""
+    return joined({name: words.encode(value) for name, value in _message_values().items()})
+
+
+def again(name: str, data: bytes) -> bytes:
+    """The golden bytes of a message, decoded and encoded again."""
+    return words.encode(words.decode(data, type(_message_values()[name])))
+
+
+def refusal(name: str, data: bytes) -> str:
+    """How bytes are refused as a message of this kind: the first words; empty: they are not."""
+    try:
+        words.decode(data, type(_message_values()[name]))
+    except Refused as error:
+        return str(error).partition(":")[0]
+    return ""
+
+
+# Bytes in a golden message, what they are replaced by, and the case that this makes.
+_DAMAGES = (
+    ("asking", "form_3", b'"form":2', b'"form":3'),
+    ("asking", "door_without_port", b"10.0.0.1:7001", b"10.0.0.1"),
+    ("asking", "lease_below_zero", b'"lease":2000000000', b'"lease":-1'),
+    ("asking", "stage_3", b"[5,1,", b"[5,3,"),
+    ("asking", "stage_without_new", b',"8-ba9876543210"]', b',""]'),
+    ("asking", "epoch_below_zero", b"[5,1,", b"[-1,1,"),
+    ("asking", "text_too_long", b'"n-1"', b'"' + b"n" * 401 + b'"'),
+    ("asking", "culprit_not_an_id", b"0c0d0e0f", b"0c0d0e0"),
+    ("preparing", "form_1", b'"form":2', b'"form":1'),
+    ("preparing", "ballot_short", b"[3,20015998343868]", b"[3]"),
+    ("accepting", "form_3", b'"form":2', b'"form":3'),
+    ("accepting", "settled_with_new", b"[6,2,", b"[6,0,"),
+    ("knowing", "form_3", b'"form":2', b'"form":3'),
+    ("knowing", "no_policy", b'"7-0123456789ab"', b'""'),
+    ("promising.know", "epoch_below_zero", b"[4,0,", b"[-4,0,"),
+    ("founding.passed", "name_not_one", b"1-f59e23eeec24", b"1-f59e"),
+    ("proposing", "digest_not_hex", b'"parent":"f', b'"parent":"F'),
+    ("proposing", "ten_keepers", b'"keepers":[', b'"keepers":[' + b'"10.0.0.1:1",' * 7),
+    ("drafting", "not_a_list", b'["10.1.0.5:9000"]', b'"10.1.0.5:9000"'),
+    ("changing.uploaded", "id_short", b"0d0e0f", b"0d0e"),
+    ("became_of.queued", "outcome_unknown", b'"queued"', b'"waiting"'),
+    ("uploading", "offset_below_zero", b'"offset":0', b'"offset":-1'),
+    ("piece", "total_too_large", b'"total":10', b'"total":1099511627777'),
+    ("dropping", "passed_not_a_flag", b"false", b"0"),
+)
+
+
+def malformed() -> bytes:
+    """Bytes that are no message, each with the kind that it is taken for, the case and the first words of
+    the refusal, underscores for their spaces."""
+    sound = {name: words.encode(value) for name, value in _message_values().items()}
+    found = {}
+    for name, case, old, new in _DAMAGES:
+        if old not in sound[name]:
+            raise ValueError(f"{name}: {case}: nothing to damage")
+        bad = sound[name].replace(old, new, 1)
+        found[f"{name}:{case}"] = refusal(name, bad).replace(" ", "_").encode() + b" " + bad
+    return joined(found)
+
+
+def fields() -> bytes:
+    """Which fields of each message may be absent, and the message that stands for one without them."""
+    found = {}
+    for name, value in _message_values().items():
+        whole: dict[str, object] = msgspec.json.decode(words.encode(value))
+        needed = {
+            field: content
+            for field, content in whole.items()
+            if refusal(name, msgspec.json.encode({key: whole[key] for key in whole if key != field}))
+        }
+        absent = ",".join(field for field in whole if field not in needed) or "-"
+        least = again(name, msgspec.json.encode(needed))
+        found[name] = absent.encode() + b" " + msgspec.json.encode(needed) + b" " + least
+    return joined(found)
+
+
+def values_in_text() -> bytes:
+    """Policies, changes, and the numbers of keepers as they stand inside messages."""
+    one, two, after = _policies()
+    return joined(
+        {
+            "policy.first": words.packed(one).encode(),
+            "policy.second": words.packed(two).encode(),
+            "policy.second.without_changes": words.packed(two.without_changes()).encode(),
+            "policy.second.name": two.name.encode(),
+            "policy.second.digest": two.digest.hex().encode(),
+            "resources.digest": after.digest.hex().encode(),
+            "change": words.change_text(_second_change()).encode(),
+            **{f"keeper_number.{door}": str(words.number_of(door)).encode() for door in DOORS},
+        }
+    )
+
+
+def text_again(name: str, data: bytes) -> bytes:
+    """A policy or change in text, decoded and encoded again."""
+    if name.startswith("policy"):
+        return words.packed(words.unpacked(data.decode())).encode()
+    return words.change_text(words.change_from(data.decode())).encode()
+
+
+def text_refusal(name: str, data: bytes) -> str:
+    """How such a text is refused: the first word; empty: it is not."""
+    try:
+        text_again(name, data)
+    except Refused as error:
+        return str(error).partition(":")[0]
+    return ""
+
+
+# Calls as they leave a node
+
+
+class _Sink(asyncio.Transport):
+    """Keeps what is written."""
+
+    def __init__(self) -> None:
+        super().__init__()
+        self.written = b""
+
+    def write(self, data: bytes | bytearray | memoryview) -> None:
+        self.written += bytes(data)
+
+    def abort(self) -> None:
+        """Nothing to end."""
+
+
+async def _outgoing(path: str, body: bytes | None) -> bytes:
+    call = calling._Call(DOOR, path, body, "n-1")
+    sink = _Sink()
+    call.connection_made(sink)
+    call.close()
+    return sink.written
+
+
+def outgoing_calls() -> bytes:
+    """The bytes of HTTP of calls with a body, with an empty one, and with none."""
+
+    async def work() -> bytes:
+        calls = (("ask", words.encode(words.Granting())), ("drop", b""), ("tell", None), ("", None))
+        return b"".join([await _outgoing(path, body) + b"\n--\n" for path, body in calls])
+
+    return asyncio.run(work())
+
+
+def uploads_refused() -> bytes:
+    """What uploads and pieces refuse, in words."""
+    good = pieces_up(UPLOAD_ID, b"12345678")[0]
+    other = msgspec.structs.replace
+    pieces = {
+        "no_id": other(good, id=""),
+        "not_base64": other(good, data="?"),
+        "too_short": other(good, data="MTI="),
+        "too_long": other(good, total=(64 << 20) + 1),
+        "gap": words.Uploading(UPLOAD_ID, 262152, 262144, "MTIzNDU2Nzg="),
+    }
+    found = {name: _refused(partial(Uploads().take, piece, 0)) for name, piece in pieces.items()}
+    found["not_whole"] = _refused(lambda: Uploads().whole(UPLOAD_ID))
+    found["piece_at_odd_offset"] = _refused(lambda: piece_of(NEW, b"12345678", 3))
+    found["piece_past_the_end"] = _refused(lambda: piece_of(NEW, b"12345678", 262144))
+    return joined({name: text.encode() for name, text in found.items()})
+
+
+def _refused(work: Callable[[], object]) -> str:
+    try:
+        work()
+    except Refused as error:
+        return str(error)
+    return "taken"
+
+
+# A keeper's answers, call by call
+
+
+class _Hands:
+    """Does nothing to a node; operator files are maps of routes and their classes."""
+
+    async def compile(self, entry: Entry) -> list[str]:
+        return []
+
+    async def culprits(self, base: Entry, changes: tuple[Change, ...]) -> dict[bytes, list[str]]:
+        return {}
+
+    async def read(self, file: bytes, state: ResourceState) -> FileRead:
+        if not file.startswith(b"{"):
+            raise BadFile(["line 1: no table", "line 2: no value"])
+        routes: dict[str, str] = msgspec.json.decode(file)
+        operations = tuple(
+            Upsert(Kind.ROUTE, name, one.version if one is not None else 0, body.encode())
+            for name, body in routes.items()
+            for one in (state.get(Kind.ROUTE, name),)
+        )
+        return FileRead(operations, None)
+
+    def put(self, entries: tuple[Entry, ...]) -> None:
+        """Nothing is served."""
+
+    def say(self, event: str, **words: object) -> None:
+        """Nothing is written down."""
+
+
+async def _at_once(work: Callable[[], None]) -> None:
+    work()
+
+
+async def _nobody(door: str, path: str, body: bytes | None, limit: float) -> bytes:
+    raise Unreachable(f"{door}: nobody there")
+
+
+class _Clock:
+    """Stands still until it is moved; ns."""
+
+    def __init__(self) -> None:
+        self.now = 50_000_000_000
+
+    def __call__(self) -> int:
+        return self.now
+
+
+def _service(folder: Path, clock: Callable[[], int] | None = None) -> Service:
+    """A process that is its tier's only keeper, at a fixed time, with a fixed source of random numbers."""
+    terms = Terms("n-1", DOOR, (DOOR,), 2_000_000_000, 500_000_000, folder)
+    service = Service(
+        terms,
+        _nobody,
+        _Hands(),
+        clock or _Clock(),
+        lambda: 1_700_000_000_000,
+        _at_once,
+        random.Random(7),
+        "boot",
+    )
+    service.opened = True
+    service.become_keeper()
+    return service
+
+
+def _calls() -> list[tuple[str, bytes | None]]:
+    """Calls in the order in which they are made; each path of a keeper at least once."""
+    e = words.encode
+    w = words
+    first_name = "1-d3c835a2254e"  # of the founded policy, as the answer to "found" tells it
+    digest = "d3c835a2254e8aacc0a775961932666df5a41216cb1324a7ef4fb0da27a6bd37"
+    next_name = "2-842f55a97681"  # and to "propose"
+    found = State(0, Stage.SETTLED, first_name)
+    begun = State(1, Stage.PREPARE, first_name, next_name)
+    me = w.number_of(DOOR)
+    ballot = (1, NODE)
+    change = Change(CHANGE_ID, 1, "a tenant", "ben", (Upsert(Kind.TENANT, "north", 0, b"{}"),))
+    stale = Change(CHANGE_ID[::-1], 1, "stale", "ben", (Delete(Kind.ROUTE, "hall-slots", 9),))
+    later = Change(CHANGE_ID[::-1], 9, "later", "ben", (Upsert(Kind.TENANT, "south", 0, b"{}"),))
+    file = base64.b64encode(b'{"hall-slots":"b"}').decode()
+    bad = base64.b64encode(b"no file").decode()
+    ask = Ask(NODE, 1, found, -1, True)
+    asking = w.Asking(w.FORM, ask, "n-1", DOOR, 2_000_000_000, 500_000_000)
+    founding = base64.b64encode(b'{"hall-slots":"a"}').decode()
+    return [
+        ("", None),
+        ("tell", None),
+        ("history", None),
+        ("propose", e(w.Proposing(None, "", "why"))),
+        ("change", e(w.Changing(w.change_text(change)))),
+        ("draft", e(w.Drafting("why"))),
+        ("ask", e(asking)),
+        ("prepare", e(w.Preparing(w.FORM, Prepare(ballot, 0)))),
+        ("accept", e(w.Accepting(w.FORM, Accept(ballot, found), DOOR))),
+        ("found", e(w.Founding(bad))),
+        ("found", e(w.Founding("?"))),
+        ("found", e(w.Founding(founding))),
+        ("found", e(w.Founding(policy=OLD, by=DOOR))),
+        ("", None),
+        ("tell", None),
+        ("history", None),
+        (f"entry/{first_name}", None),
+        (f"entry/{OLD}", None),
+        ("entry/x", None),
+        (f"since/0/{first_name}", None),
+        (f"since/1/{OLD}", None),
+        (f"since/0/{first_name}/3", None),
+        (f"snapshot/{first_name}", None),
+        (f"diff/{first_name}/{first_name}", None),
+        (f"diff/{first_name}/{OLD}", None),
+        (f"change/{CHANGE_ID.hex()}", None),
+        (f"draft/{CHANGE_ID.hex()}", None),
+        ("ask", e(asking)),
+        ("ask", e(w.Asking(w.FORM, Ask(2, 1, None, -1, True), "n-2", OTHER_DOOR, 1_000_000_000, 0))),
+        ("ask", e(w.Asking(w.FORM, ask, "n-1", DOOR, 9_000_000_000, 0))),
+        ("prepare", e(w.Preparing(w.FORM, Prepare(ballot, 0)))),
+        ("prepare", e(w.Preparing(w.FORM, Prepare(ballot, 0)))),
+        ("accept", e(w.Accepting(w.FORM, Accept((0, me), SETTLED), DOOR))),
+        ("change", e(w.Changing(w.change_text(change)))),
+        ("change", e(w.Changing(w.change_text(stale)))),
+        ("change", e(w.Changing(w.change_text(later)))),
+        ("change", e(w.Changing("?"))),
+        ("change", e(w.Changing("", UPLOAD_ID))),
+        (f"change/{CHANGE_ID.hex()}", None),
+        ("draft", e(w.Drafting("a draft", "ann", file, out=["10.1.0.5:9000"]))),
+        ("draft", e(w.Drafting("nothing"))),
+        ("draft", e(w.Drafting("a draft", file=bad))),
+        ("draft", e(w.Drafting("a draft", delete=["route/none"]))),
+        ("draft", e(w.Drafting("a draft", like=OLD))),
+        ("propose", e(w.Proposing(file, "", "why"))),
+        ("upload", e(pieces_up(UPLOAD_ID, b"12345678")[0])),
+        ("upload", e(w.Uploading("", 8, 0, "MTIzNDU2Nzg="))),
+        ("know", e(w.Knowing(w.FORM, found, DOOR))),
+        ("join", e(w.Knowing(w.FORM, found, DOOR))),
+        ("propose", e(w.Proposing(file, digest, "why", "ann"))),
+        ("prepare", e(w.Preparing(w.FORM, Prepare((2, NODE), 0)))),
+        ("accept", e(w.Accepting(w.FORM, Accept((2, NODE), begun), DOOR))),
+        ("tell", None),
+        ("prepare", e(w.Preparing(w.FORM, Prepare((3, NODE), 0)))),
+        ("know", e(w.Knowing(w.FORM, begun, DOOR))),
+        ("", None),
+        ("drop", e(w.Dropping(next_name))),
+        ("drop", e(w.Dropping(OLD))),
+        ("drop", e(w.Dropping(OLD, True))),
+        ("ask", b""),
+        ("ask", b"{}"),
+        ("prepare", e(w.Preparing(3, Prepare(ballot, 0)))),
+        ("accept", b"[]"),
+        ("none", b"{}"),
+        ("none", None),
+        ("tell", b"{}"),
+        ("ask", None),
+    ]
+
+
+async def _answers(folder: Path) -> bytes:
+    service = _service(folder)
+    pieces = []
+    for path, body in _calls():
+        answer = await service.answer(path, body)
+        method = b"GET" if body is None else b"POST"
+        pieces.append(
+            b"%s %s %s\n%d %s\n\n" % (method, path.encode(), body or b"", answer.status, answer.body)
+        )
+    service.close()
+    return b"".join(pieces)
+
+
+def keeper_answers() -> bytes:
+    """What a keeper answers to calls in a row."""
+    return _in_folder(_answers)
+
+
+# Calls as processes make them, over a tier on a virtual clock
+
+
+def _calls_of(seed: int, shape: rehearsal.Shape) -> set[str]:
+    """Method, first part of the path and fields of each call that is made in one run."""
+    seen: set[str] = set()
+    with tempfile.TemporaryDirectory() as folder:
+        stage = rehearsal._Stage(seed, shape, Path(folder))
+        carry = stage.call
+
+        async def call(
+            caller: rehearsal._Seat | None, door: str, path: str, body: bytes | None, limit: float
+        ) -> bytes:
+            fields = ",".join(json.loads(body)) if body else ""
+            method = "GET" if body is None else "POST"
+            seen.add(f"{method} /{path.partition('/')[0]} {fields}".rstrip())
+            return await carry(caller, door, path, body, limit)
+
+        stage.call = call  # type: ignore[method-assign]
+        stage.run()
+    return seen
+
+
+def calls_made() -> bytes:
+    """The calls that nodes, keepers and operators of a tier make in two short runs."""
+    changes = rehearsal.Shape(stream=4.0, proposals=0.4, seconds=10.0)
+    seen = _calls_of(2, changes) | _calls_of(1, rehearsal.Shape(proposals=0.6, seconds=12.0))
+    return "".join(f"{line}\n" for line in sorted(seen)).encode()
+
+
+# What operators are answered, and the servers that they have taken out
+
+SERVERS = [
+    {"id": "s-1", "addr": "10.1.0.1:9000", "zone": "a", "kind": "m", "cell": 0, "state": "SERVING"},
+    {"id": "s-2", "addr": "10.1.0.2:9000", "zone": "a", "kind": "m", "cell": 0, "state": "DRAINING"},
+    {"id": "s/3 é", "addr": "10.1.0.3:9000", "zone": "a", "kind": "m", "cell": 1, "state": "SERVING"},
+]
+CATEGORIES = [
+    {"name": "view", "effect": "retryable", "slo": 200_000_000, "give-up": 500_000_000, "worth": 3.0},
+    {"name": "send", "effect": "fragile", "slo": 1_200_000_000, "give-up": 5_000_000_000, "worth": 2.0},
+]
+NODE_FILE = {
+    "name": "n0",
+    "listen": "127.0.0.1:9000",
+    "discovery": "127.0.0.1:9001",
+    "admin": "127.0.0.1:9002",
+    "seed": "7",
+    "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 256},
+    "settings": {"balancers": 1, "zones": ["a"], "kinds": ["m"], "categories": CATEGORIES},
+    "known": {"version": 3, "full": True, "servers": SERVERS},
+}
+
+
+@asynccontextmanager
+async def _desk(folder: Path) -> AsyncIterator[Desk]:
+    """The operators' door of a node that serves nobody; its calls are answered as by a running one."""
+    path = folder / "node.json"
+    path.write_text(json.dumps(NODE_FILE))
+    scratch = folder / "scratch"
+    scratch.mkdir(exist_ok=True)
+    config = load({"BALANCER_CONFIG": str(path), "TMPDIR": str(scratch)})
+    clients, node, _ = assemble(config)
+    desk = Desk(replace(config, admin=("127.0.0.1", 0)), clients, node)
+    await desk.open()
+    try:
+        yield desk
+    finally:
+        desk.close()
+        clients.close()
+
+
+async def _spoken(desk: Desk, sent: bytes) -> bytes:
+    """All that a caller at the door hears until it is closed."""
+    reader, writer = await asyncio.open_connection("127.0.0.1", desk.door.port)
+    writer.write(sent)
+    heard = await asyncio.wait_for(reader.read(), 10)
+    writer.close()
+    return heard
+
+
+def _call_bytes(line: str, body: bytes = b"") -> bytes:
+    length = b"Content-Length: %d\r\n" % len(body) if body or line.startswith("POST") else b""
+    return line.encode() + b" HTTP/1.1\r\nHost: node\r\n" + length + b"\r\n" + body
+
+
+PATHS = (
+    "/-/ready", "/-/metrics", "/-/servers", "/-/drain", "/-/resume", "/-/servers/s-1/disable",
+    "/-/servers/s-1/enable", "/-/policy", "/-/policy/tell", "/-/policy/ask", "/-/none", "/", "/-/servers/",
+    "/-/servers/s-1", "/-/servers/s-1/none", "/-/servers//disable", "/-/policyx",
+)  # fmt: skip
+
+
+async def _wrong_methods(desk: Desk) -> list[tuple[bytes, bytes]]:
+    """Each path under each method that it does not take."""
+    found = []
+    for path in PATHS:
+        for method in ("GET", "POST", "PUT", "DELETE"):
+            sent = _call_bytes(f"{method} {path}")
+            heard = await _spoken(desk, sent) if _denied(method, path) else b""
+            if heard:
+                found.append((sent, heard))
+    return found
+
+
+def _denied(method: str, path: str) -> bool:
+    return isinstance(parse_call(method, path), Denied)
+
+
+async def _operators(desk: Desk, sent: Sequence[bytes]) -> list[tuple[bytes, bytes]]:
+    return [(one, await _spoken(desk, one)) for one in sent]
+
+
+def _exchange(pairs: Sequence[tuple[bytes, bytes]]) -> bytes:
+    """Calls and answers as a text: what was sent, a line >>>>, what was heard, a line ----."""
+    return b"".join(sent + b"\n>>>>\n" + heard + b"\n----\n" for sent, heard in pairs)
+
+
+async def _admin(folder: Path) -> bytes:
+    async with _desk(folder) as desk:
+        pairs = await _operators(desk, [_call_bytes("GET /-/ready"), _call_bytes("GET /-/ready?a=b")])
+        desk.clients.ready = True
+        lines = (
+            "GET /-/ready", "GET /-/servers", "POST /-/servers/s-1/disable", "POST /-/servers/s-1/disable",
+            "POST /-/servers/s%2F3%20%C3%A9/disable", "POST /-/servers/s-9/disable", "GET /-/servers?x",
+            "GET /-/metrics", "POST /-/servers/s-1/enable", "POST /-/servers/s-9/enable", "POST /-/drain",
+            "POST /-/drain", "GET /-/ready", "POST /-/resume", "GET /-/ready", "POST /-/resume",
+            "GET /-/policy", "GET /-/policy/tell", "POST /-/policy/ask",
+        )  # fmt: skip
+        pairs += await _operators(desk, [_call_bytes(line) for line in lines])
+        desk.clients.leaving = True
+        pairs += await _operators(desk, [_call_bytes("POST /-/resume")])
+        return _exchange(pairs)
+
+
+async def _admin_refused(folder: Path) -> bytes:
+    async with _desk(folder) as desk:
+        pairs = await _wrong_methods(desk)
+        odd = (
+            _call_bytes("POST /-/drain", body=b"x" * 9000),
+            b"GET /-/ready HTTP/1.1\r\n\r\n",
+            b"GET /-/ready HTTP/1.1\r\nHost: node\r\nContent-Length: x\r\n\r\n",
+            b"what is this\r\n\r\n",
+            b"GET /-/ready HTTP/1.1\r\nHost: no",  # and nothing more: its time runs out
+        )
+        pairs += await _operators(desk, odd)
+        return _exchange([(sent[:200], heard) for sent, heard in pairs])
+
+
+async def _admin_in_accord(folder: Path) -> bytes:
+    async with _desk(folder) as desk:
+        accord = calling.Accord.__new__(calling.Accord)
+        accord.service = _service(folder / "accord")
+        desk.accord = accord
+        desk.door.most = words.MOST_CALL
+        sent = (
+            _call_bytes("POST /-/servers/s-1/disable"),
+            _call_bytes("GET /-/policy"),
+            _call_bytes("GET /-/policy/tell?x=y"),
+            _call_bytes("GET /-/policy/entry/x"),
+            _call_bytes("POST /-/policy/ask", body=b"{}"),
+            _call_bytes("POST /-/policy/propose", body=words.encode(words.Proposing(None, "", "why"))),
+            _call_bytes("POST /-/policy/found", body=words.encode(words.Founding("bm8gZmlsZQ=="))),
+            _call_bytes("POST /-/policy/change", body=words.encode(words.Changing("?"))),
+            _call_bytes("POST /-/policy/none", body=b"{}"),
+            _call_bytes("PUT /-/policy/ask", body=b"{}"),
+        )
+        return _exchange(await _operators(desk, sent))
+
+
+def _in_folder(work: Callable[[Path], Coroutine[None, None, bytes]]) -> bytes:
+    with tempfile.TemporaryDirectory() as folder:
+        return asyncio.run(work(Path(folder)))
+
+
+def admin() -> bytes:
+    """Operators' calls in a row, and the answers."""
+    return _in_folder(_admin)
+
+
+def admin_refused() -> bytes:
+    """Calls that are none, and the answers."""
+    return _in_folder(_admin_refused)
+
+
+def admin_in_accord() -> bytes:
+    """Calls at a node whose policy is agreed on with others, and the answers."""
+    return _in_folder(_admin_in_accord)
+
+
+# The disk
+
+
+def _log_on_disk(folder: Path) -> tuple[Policy, Policy]:
+    """Write entries 1 to 3 and a snapshot of 2, by which 1 is let go; the policies 2 and 3."""
+    one, two, after = _policies()
+    change = Change(UPLOAD_ID[:16].encode(), 2, "", "", (Upsert(Kind.DEFAULTS, "", 0, b"\x80"),))
+    three, _ = successor(two, after, (msgspec.structs.replace(change, reason="why", author="cy"),))
+    log = PolicyLog(folder, kept_states=1, snapshot_floor=0)
+    log.open()
+    for policy in (one, two):
+        log.put(policy)
+    log.prune({two.name})
+    log.put(three)
+    return two, three
+
+
+async def _write_disk(folder: Path) -> None:
+    """The files of a keeper that was told, has promised and voted, and of its node."""
+    two, three = _log_on_disk(folder / "n-1" / "policies")
+    clock = _Clock()
+    service = _service(folder, clock)
+    service.log.open()
+    assert service.keeping is not None
+    await service.keeping.learn_all([(State(4, Stage.SETTLED, two.name), None)])
+    clock.now += 60_000_000_000  # until then it may not vote
+    vote = Accept(BALLOT, State(7, Stage.PREPARE, two.name, three.name))
+    calls: tuple[tuple[str, object], ...] = (
+        ("know", words.Knowing(words.FORM, State(6, Stage.SETTLED, two.name), DOOR)),
+        ("prepare", words.Preparing(words.FORM, Prepare(BALLOT, 6))),
+        ("accept", words.Accepting(words.FORM, vote, DOOR)),
+    )
+    for path, value in calls:
+        await service.answer(path, words.encode(value))
+        await asyncio.gather(*service.tasks)
+    for epoch, until in ((4, 160_000_000_000), (6, 170_000_000_000)):
+        at = State(epoch, Stage.SETTLED, two.name)
+        service.node = service.node._replace(at=at, late=until)
+        service._remember()
+        await asyncio.gather(*service.tasks)
+
+
+async def _take_out(folder: Path) -> bytes:
+    """Two servers out by hand: a file in the folder `scratch`."""
+    async with _desk(folder) as desk:
+        lines = ("POST /-/servers/s-2/disable", "POST /-/servers/s%2F3%20%C3%A9/disable")
+        return _exchange(await _operators(desk, [_call_bytes(line) for line in lines]))
+
+
+def write_disk(folder: Path) -> None:
+    """The files that a process leaves on disk, written into a folder."""
+    asyncio.run(_write_disk(folder))
+    with tempfile.TemporaryDirectory() as other:
+        asyncio.run(_take_out(Path(other)))
+        scratch = Path(other) / "scratch"
+        shutil.copytree(scratch, folder / "scratch", ignore=shutil.ignore_patterns("*.lock"))
+
+
+def disk() -> dict[str, bytes]:
+    """The same as paths and bytes."""
+    with tempfile.TemporaryDirectory() as folder:
+        write_disk(Path(folder))
+        return tree(Path(folder))
+
+
+async def _read_disk(folder: Path) -> bytes:
+    service = _service(folder)
+    service.keeping = None
+    service.log.open()
+    service.become_keeper()
+    remembered: _Remembered = msgspec.msgpack.decode(service.memory.open() or b"", type=_Remembered)
+    names = service.log.names()
+    paths = ["", "tell", "history", *(f"entry/{name}" for name in names)]
+    paths += [f"since/{n}/{names[-1]}" for n in (0, 1, 2)] + [f"snapshot/{names[-1]}"]
+    found = {path: await service.answer(path, None) for path in [*paths, f"diff/{names[0]}/{names[-1]}"]}
+    samples = {f"/{path}": b"%d %s" % (answer.status, answer.body) for path, answer in found.items()}
+    samples["node"] = msgspec.json.encode(remembered)
+    assert service.keeping is not None and service.keeping.keeper is not None
+    samples["keeper"] = msgspec.json.encode(tuple(service.keeping.keeper))
+    samples["counts"] = b"%d %d" % (service.keeping.store.count, service.memory.count)
+    samples["set_aside"] = msgspec.json.encode(service.log.aside)
+    for name in names:
+        state = service.log.state(name)
+        rows = [] if state is None else [f"{one.key} {one.version}" for one in state.resources.values()]
+        samples[f"resources.{name}"] = msgspec.json.encode(sorted(rows))
+    return joined(samples)
+
+
+async def _read_servers(folder: Path) -> bytes:
+    async with _desk(folder) as desk:
+        return _exchange(await _operators(desk, [_call_bytes("GET /-/servers")]))
+
+
+def read_disk(folder: Path) -> bytes:
+    """What the code reads in such a folder, as text; the folder may be written to."""
+    return asyncio.run(_read_disk(folder)) + asyncio.run(_read_servers(folder))
+
+
+def disk_as_read() -> bytes:
+    """What it reads in what it wrote."""
+    with tempfile.TemporaryDirectory() as folder:
+        write_disk(Path(folder))
+        return read_disk(Path(folder))
+
+
+_BAD_RECORDS: tuple[tuple[str, Callable[[bytes], bytes]], ...] = (
+    ("cut", lambda data: data[:-1]),
+    ("empty", lambda data: b""),
+    ("cut_in_head", lambda data: data[:12]),
+    ("one_bit", lambda data: data[:-1] + bytes([data[-1] ^ 1])),
+    ("count_changed", lambda data: data[:17] + bytes([data[17] ^ 8]) + data[18:]),
+    ("foreign", lambda data: b"PK" + data[2:]),
+    ("newer", lambda data: data[:9] + b"\2" + data[10:]),
+)
+
+
+def _store_opened(folder: Path, name: str) -> bytes:
+    store = Store(folder, name)
+    try:
+        data = store.open()
+    except StoreFailed as error:
+        return f"failed {error}".replace(str(folder), "FOLDER").encode()
+    kept = len(data) if data is not None else -1
+    return b"count %d, %d bytes, doubtful %d" % (store.count, kept, store.doubtful)
+
+
+def _log_opened(folder: Path) -> bytes:
+    log = PolicyLog(folder)
+    log.open()
+    return msgspec.json.encode({"names": log.names(), "set_aside": log.aside})
+
+
+def read_damaged(folder: Path) -> bytes:
+    """What is read where one file of such a folder, or both generations, are damaged."""
+    found = {}
+    for case, damage in _BAD_RECORDS:
+        for files in (["n-1/keeper.0"], ["n-1/keeper.1"], ["n-1/keeper.0", "n-1/keeper.1"]):
+            with _damaged(folder, files, damage) as copy:
+                key = "+".join(files) + ":" + case
+                found[key] = _store_opened(copy / "n-1", "keeper") + b" | " + _names(copy / "n-1")
+        for path in sorted((folder / "n-1" / "policies").iterdir()):
+            with _damaged(folder, [f"n-1/policies/{path.name}"], damage) as copy:
+                policies = copy / "n-1" / "policies"
+                found[f"{path.name}:{case}"] = _log_opened(policies) + b" | " + _names(policies)
+    return joined(found)
+
+
+def _names(folder: Path) -> bytes:
+    return " ".join(sorted(path.name for path in folder.iterdir() if path.is_file())).encode()
+
+
+@contextmanager
+def _damaged(folder: Path, files: Sequence[str], damage: Callable[[bytes], bytes]) -> Iterator[Path]:
+    """A copy of a folder, with damaged files."""
+    with tempfile.TemporaryDirectory() as other:
+        copy = Path(shutil.copytree(folder, Path(other) / "copy"))
+        for file in files:
+            (copy / file).write_bytes(damage((copy / file).read_bytes()))
+        yield copy
+
+
+def disk_damaged() -> bytes:
+    """The same for what is written now."""
+    with tempfile.TemporaryDirectory() as folder:
+        write_disk(Path(folder))
+        return read_damaged(Path(folder))
+
+
+def servers_out_refused() -> bytes:
+    """Files of servers out by hand, and how they are refused."""
+    sound = pack_bans(["s-1", "s-2"])
+    cases = {
+        "sound": sound,
+        "none_out": pack_bans([]),
+        "cut": sound[:-1],
+        "version_2": sound.replace(b'"version": 1', b'"version": 2'),
+        "not_a_list": sound.replace(b'["s-1", "s-2"]', b'"s-1"'),
+        "another_server": sound.replace(b"s-2", b"s-3"),
+        "not_a_map": b"[]",
+    }
+    found = {}
+    for case, data in cases.items():
+        try:
+            found[case] = f"{sorted(unpack_bans(data))} <- ".encode() + data
+        except BansError as error:
+            found[case] = str(error).partition(": ")[0].encode() + b" <- " + data
+    return joined(found)
+
+
+# Load reports between nodes
+
+
+def _load_reports() -> dict[str, list[bytes]]:
+    many = {n * 7919: n % 255 + 1 for n in range(120)}
+    held = {report_mark(server): n for n, server in enumerate(("s-1", "10.1.0.5:9000", b"\x0a\0\0\1#)"), 1)}
+    return {
+        "nothing_held": load_reports(0, 1, 1, {}),
+        "three_servers": load_reports(3, 0xFFFF_FFFF, 77, held),
+        "more_than_a_byte": load_reports(65535, 0, 0xFFFF_FFFF, {1: 300, 2: 0}),
+        "three_datagrams": load_reports(1, 2, 3, many),
+    }
+
+
+def load_report_datagrams() -> bytes:
+    """Datagrams as they are sent, as hexadecimal digits."""
+    return joined(
+        {
+            f"{name}.{part}": data.hex().encode()
+            for name, datagrams in _load_reports().items()
+            for part, data in enumerate(datagrams)
+        }
+    )
+
+
+def load_report_read(data: bytes) -> str:
+    """What a datagram says: six values in order, the last by server; empty: it is none."""
+    found = parse_load_report(data)
+    if found is None:
+        return ""
+    *head, held = found
+    return json.dumps([*head, sorted(held.items())])
+
+
+def load_reports_read() -> bytes:
+    """What the same datagrams say."""
+    return joined(
+        {
+            f"{name}.{part}": load_report_read(data).encode()
+            for name, datagrams in _load_reports().items()
+            for part, data in enumerate(datagrams)
+        }
+    )
+
+
+# The bench
+
+
+def bench_answer() -> bytes:
+    """What the process on the bench's wire writes for the recorded input."""
+    return bench.answer(read("bench_input.bin"))[0]
+
+
+def bench_refused() -> bytes:
+    """Inputs that are no frames, the exit code and what is written, as hexadecimal digits."""
+    found = {}
+    for case, sent in bench.refused().items():
+        written, code = bench.answer(sent)
+        found[case] = f"{sent.hex() or '-'} {code} {written.hex() or '-'}".encode()
+    return joined(found)
+
+
+def bench_actions() -> bytes:
+    """Each action's record and the tail, as hexadecimal digits."""
+    server = bytes.fromhex("0a124a072b23")
+    actions: dict[str, module.Action] = {
+        "SUBMIT_TO": module.Send(0x0EDA755D3A91C4, server, 80_000_000),
+        "SUBMIT_TO.no_timeout": module.Send(1, server),
+        "TURN_AWAY": module.Refuse(5, 250_000_000),
+        "DROP_REQUEST": module.Fail(5),
+        "RETRACT": module.Cancel(5, 2),
+        "PROBE": module.Probe(server),
+        "CLOSE": module.CloseIdle(server),
+        "WAKE_AT": module.SetTimer(500_000_000, 77),
+        "KEEP_INFORMED": module.Watch(True),
+        "KEEP_INFORMED.off": module.Watch(False),
+        "GET_LIST": module.FetchList(),
+        "JOURNAL_LINE": module.Log("two servers known"),
+    }
+    found = {}
+    for name, action in actions.items():
+        tail = bytearray()
+        record = Link._action(3, action, tail)
+        found[name] = record.hex().encode() + b" " + bytes(tail)
+    return joined(found)
+
+
+def _plain(value: object) -> object:
+    """Values without the names of their fields."""
+    if isinstance(value, Enum):
+        return value.value
+    if is_dataclass(value):
+        return [_plain(getattr(value, field.name)) for field in dataclass_fields(value)]
+    return [_plain(one) for one in value] if isinstance(value, tuple) else value
+
+
+def settings_read(text: str) -> bytes:
+    """The values of settings in order; fields of reports by the bench's words for them."""
+    settings = parse_settings(text)
+    words_of = {ours: theirs for theirs, ours in REPORT_FIELDS.items()}
+    reports = tuple(words_of[name] for name in settings.report_fields)
+    return json.dumps(_plain(replace(settings, report_fields=reports))).encode()
+
+
+def bench_settings() -> bytes:
+    """Settings as they are read from the bench, and how bad ones are refused."""
+    texts = {"whole": bench.SETUP, "least": BENCH_LEAST, "every": bench.EVERY_SETTING}
+    found = {name: settings_read(text) for name, text in texts.items()}
+    return joined(found | {case: told.encode() for case, told in bench.settings_refused().items()})
+
+
+BENCH_LEAST = """balancers=1
+categories.count=1
+categories.0.effect=fragile
+categories.0.slo=1
+categories.0.give-up=2
+"""
+
+
+# The command line
+
+
+def _subcommands(group: click.Group, before: str = "") -> list[str]:
+    """All commands and their subcommands, each as it is typed."""
+    found = []
+    for name, command in sorted(group.commands.items()):
+        found.append(f"{before}{name}")
+        if isinstance(command, click.Group):
+            found += _subcommands(command, f"{before}{name} ")
+    return found
+
+
+def command_help() -> bytes:
+    """The help of all commands, and what is said where a command is missing, unknown or incomplete."""
+    names = ["", *_subcommands(command_line)]
+    wrong = ["", "nothing", "--nothing", "check", "policy", "policy nothing", "policy status"]
+    return commands.shown([*(f"{name} --help".strip() for name in names), "-h", *wrong])
+
+
+def operator_files() -> bytes:
+    """What checks of operator files and questions for routes print."""
+    broken = ["broken_form.toml", "broken_rules.toml", "missing.toml"]
+    file = "deploy/operator.toml"
+    return commands.shown(
+        [
+            f"check {file}",
+            f"check {file} --config tests/golden/node.json",
+            f"check {file} --config tests/golden/missing.json",
+            *(f"check tests/golden/{name}" for name in broken),
+            "check tests/golden/broken_rules.toml --config tests/golden/node.json",
+            f"routes {file} GET /view-schedule/halls/7 -H 'Host: book.example'",
+            f"routes {file} GET /venues/7/slots",
+            f"routes {file} GET /view-schedule/season/1 -H 'X-Client: wallboard' -H 'X-Account: a'",
+            f"routes {file} POST /send-callout",
+            f"routes {file} GET /view-schedule/../x",
+            f"routes {file} GET / -H wrong",
+        ]
+    )
+
+
+# Figures
+
+
+def metrics() -> bytes:
+    """The figures as the endpoint prints them, each with a value of its own."""
+    figures = Figures(
+        classes=("view", "send"),
+        served=(1, 2),
+        refused=(3, 4),
+        failed=(5, 6),
+        attempts=7,
+        in_flight=8,
+        servers_known=9,
+        servers_excluded=10,
+        reloads_ok=11,
+        reloads_failed=12,
+    )
+    return f"{METRICS_TYPE}\n".encode() + Exposition(lambda: figures).text()
+
+
+async def _metrics_of_node(folder: Path) -> bytes:
+    async with _desk(folder) as desk:
+        tally = desk.node.tally
+        tally.served[:], tally.refused[:], tally.failed[:] = [1, 2], [3, 4], [5, 6]
+        tally.reloads_ok, tally.reloads_failed = 11, 12
+        desk.node.servers.written = 7
+        desk.node.owed = 8
+        return await _spoken(desk, _call_bytes("GET /-/metrics"))
+
+
+def metrics_of_node() -> bytes:
+    """The same from a node that has counted, with head and status."""
+    return _in_folder(_metrics_of_node)
+
+
+FILES: dict[str, Callable[[], bytes]] = {
+    "messages.txt": messages,
+    "messages_malformed.txt": malformed,
+    "messages_fields.txt": fields,
+    "values_in_text.txt": values_in_text,
+    "outgoing_calls.http": outgoing_calls,
+    "uploads_refused.txt": uploads_refused,
+    "keeper_answers.txt": keeper_answers,
+    "calls_made.txt": calls_made,
+    "disk_as_read.txt": disk_as_read,
+    "disk_damaged.txt": disk_damaged,
+    "servers_out_refused.txt": servers_out_refused,
+    "load_reports.txt": load_report_datagrams,
+    "load_reports_read.txt": load_reports_read,
+    "bench_answer.bin": bench_answer,
+    "bench_actions.txt": bench_actions,
+    "bench_refused.txt": bench_refused,
+    "bench_settings.txt": bench_settings,
+    "metrics.txt": metrics,
+    "metrics_of_node.http": metrics_of_node,
+    "command_help.txt": command_help,
+    "operator_files.txt": operator_files,
+    "node_without_configuration.txt": commands.node_without_configuration,
+    "admin.http": admin,
+    "admin_refused.http": admin_refused,
+    "admin_in_accord.http": admin_in_accord,
+}
