--- a/Makefile
+++ b/Makefile
@@ -2,7 +2,9 @@
 # pyproject.toml. A node on the platform has .venv alone, from requirements.txt, as deploy/balancer.toml says.
 VENV := .venv-dev
 READY := $(VENV)/.ready
-.PHONY: demo test bench check-model platform setup
+# As many workers as processors, and each group of tests/groups.py in one of them, the longest begun first.
+PARALLEL := -n auto --dist loadgroup --no-loadscope-reorder
+.PHONY: demo test quick bench check-model platform setup
 
 demo: $(READY)
 	$(VENV)/bin/hollybay demo
@@ -11,7 +13,13 @@
 	$(VENV)/bin/ruff check .
 	$(VENV)/bin/ruff format --check .
 	$(VENV)/bin/mypy
-	$(VENV)/bin/python -m pytest -q --durations=20
+	$(VENV)/bin/python -m pytest -q $(PARALLEL) --durations=20
+
+# For every step: lint, and the tests that need no sockets, processes or long searches.
+quick: $(READY)
+	$(VENV)/bin/ruff check .
+	$(VENV)/bin/ruff format --check .
+	$(VENV)/bin/python -m pytest -q $(PARALLEL) -m "pure and not long"
 
 bench: $(READY)
 	$(VENV)/bin/python -m benchmarks
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -12,6 +12,8 @@
 from _pytest.terminal import TerminalReporter
 from hypothesis import settings
 
+from .groups import APART, LONG, PURE, group_of
+
 asyncio.set_event_loop_policy(uvloop.EventLoopPolicy())
 settings.register_profile("ci", derandomize=True, deadline=None, database=None)
 settings.load_profile("ci")
@@ -25,14 +27,39 @@
 assert len(RED) <= 3, "KNOWN-RED.txt holds more than three tests"
 
 
+def module_of(item: pytest.Item) -> str:
+    """The name of the module that a test is in."""
+    return item.path.stem
+
+
+def name_of(report: pytest.TestReport) -> str:
+    """The test that a report is of: pytest-xdist adds the group to its name."""
+    name, _, _ = report.nodeid.rpartition("@")
+    return name if name in RED else report.nodeid
+
+
+def pytest_configure(config: pytest.Config) -> None:
+    config.addinivalue_line("markers", "pure: no sockets, no processes, no waiting (tests/groups.py)")
+    config.addinivalue_line("markers", "long: a search of many seconds among these (tests/groups.py)")
+
+
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
     for item in items:
+        module = module_of(item)
+        if (group := group_of(module)) is not None:
+            item.add_marker(pytest.mark.xdist_group(group))
+        if module in PURE:
+            item.add_marker(pytest.mark.pure)
+        if item.nodeid.split("::", 1)[-1].split("[")[0] in LONG:
+            item.add_marker(pytest.mark.long)
         if item.nodeid in RED:
             item.add_marker(pytest.mark.xfail(reason=RED[item.nodeid], strict=False))
+    # The longest group is begun first: a worker takes up the groups in this order.
+    items.sort(key=lambda item: APART.index(module_of(item)) if module_of(item) in APART else len(APART))
 
 
 def pytest_terminal_summary(terminalreporter: TerminalReporter) -> None:
     for name, word in (("xfailed", "red"), ("xpassed", "holds by now, take it off the list")):
         for report in terminalreporter.getreports(name):
-            if report.nodeid in RED:
-                terminalreporter.write_line(f"KNOWN-RED, {word}: {RED[report.nodeid]}")
+            if name_of(report) in RED:
+                terminalreporter.write_line(f"KNOWN-RED, {word}: {RED[name_of(report)]}")
--- /dev/null
+++ b/tests/groups.py
@@ -0,0 +1,87 @@
+"""Which modules of tests run where: one list, applied in conftest.py.
+
+In the parallel suite a module runs in one worker, its tests in their order; only pure tests are dealt out one
+by one, as they share nothing.
+"""
+
+from __future__ import annotations
+
+__all__ = ["APART", "LONG", "PURE", "group_of"]
+
+# Whole fleets of real processes, processor time and lateness: one after another in one worker, as two at a
+# time would measure one another. The longest modules come first.
+APART = (
+    "test_tier_scenes",
+    "test_accord_scenes",
+    "test_change_stream",
+    "test_hollow",
+    "test_capacity",
+    "test_handover",
+    "test_demo",
+    "test_lag",
+    "test_shutdown",
+)
+# No sockets, no processes, no waiting: `make quick` runs these.
+PURE = frozenset(
+    {
+        "test_accord_core",
+        "test_accord_fetch",
+        "test_accord_log",
+        "test_accord_store",
+        "test_bans",
+        "test_batch_culprits",
+        "test_batch_model",
+        "test_calls",
+        "test_choice",
+        "test_cold_sum",
+        "test_fleet_shares",
+        "test_group_commit",
+        "test_guard",
+        "test_import_direction",
+        "test_learning_in_a_jam",
+        "test_limits_module",
+        "test_outliers",
+        "test_resource_plan",
+        "test_resource_tables",
+        "test_resource_wire",
+        "test_resources",
+        "test_routing_file",
+        "test_routing_gate",
+        "test_routing_matcher",
+        "test_routing_narrow",
+        "test_routing_paths",
+        "test_rules",
+        "test_simulation_oracles",
+        "test_tenant_limits",
+        "test_tier_evenness",
+        "test_tier_records",
+    }
+)
+
+
+# Pure modules whose tests share a fixture.
+TOGETHER = frozenset({"test_import_direction"})
+# Searches among the pure tests that take many seconds each: the whole suite runs them, `make quick` does not.
+LONG = frozenset(
+    {
+        "TestQueueMachine::runTest",
+        "test_any_tables_are_read_or_refused",
+        "test_a_plan_after_changes_is_that_of_a_whole_compile",
+        "test_each_planted_defect_is_found",
+        "test_it_agrees_with_looking_at_every_route",
+        "test_it_allows_no_more_than_either_and_breaks_no_rule",
+        "test_of_ten_thousand_unsafe_files_none_is_accepted",
+        "test_routes_that_come_and_go_are_as_if_compiled_at_once",
+        "test_the_gate_counts_as_under_whole_compiles",
+        "test_the_real_parts_pass_the_search_and_the_search_goes_everywhere",
+        "test_the_sum_over_all_nodes_stays_within_budget_and_chance",
+        "test_two_routes_of_one_rank_that_take_one_request_are_always_named",
+    }
+)
+
+
+def group_of(module: str) -> str | None:
+    """The group of a module's tests, that run one after another in one worker; None: each on its own."""
+    if module in APART:
+        return "apart"
+    return None if module in PURE - TOGETHER else module
