--- a/tests/test_hollow.py
+++ b/tests/test_hollow.py
@@ -262,7 +262,7 @@
 def test_a_fleet_without_its_process_says_so(tmp_path: Path) -> None:
     async def play(loop: MeteredLoop) -> None:
         with pytest.raises(FleetFailed, match="ended with"):
-            async with fleet(tmp_path, 1, 10, nodes_of_a_process=1) as running:
+            async with fleet(tmp_path, 1, LEASE_MS, nodes_of_a_process=1) as running:
                 await running.nodes[0].end()
                 await running.reports()
 
