--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -9,7 +9,7 @@
 import sys
 from collections import Counter
 from collections.abc import Iterator
-from contextlib import contextmanager
+from contextlib import ExitStack, contextmanager
 from dataclasses import replace
 from pathlib import Path
 
@@ -93,10 +93,10 @@
 
 
 @contextmanager
-def reserved() -> Iterator[int]:
-    """A port that nobody else gets, and that processes that share it can listen on."""
+def reserved(option: int = socket.SO_REUSEPORT) -> Iterator[int]:
+    """A port that nobody else gets, and that processes that set this option too can listen on."""
     with socket.socket() as sock:
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
+        sock.setsockopt(socket.SOL_SOCKET, option, 1)
         sock.bind(("127.0.0.1", 0))
         yield sock.getsockname()[1]
 
@@ -242,8 +242,8 @@
         # A process that is killed takes with it what it holds; an upgrade in order does not.
         assert asked - served <= len(callers)
 
-    with reserved() as port:
+    with ExitStack() as held:
+        port = held.enter_context(reserved())
         # One door for each process; they are held so that no other test is given them meanwhile.
-        with reserved() as a, reserved() as b, reserved() as c, reserved() as d, reserved() as e:
-            admins = [a, b, c, d, e]
+        admins = [held.enter_context(reserved(socket.SO_REUSEADDR)) for _ in range(5)]
         asyncio.run(play(port, admins))
