--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -43,6 +43,7 @@
     config.addinivalue_line("markers", "long: a search of many seconds among these (tests/groups.py)")
 
 
+@pytest.hookimpl(tryfirst=True)  # before pytest-xdist reads the groups
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
     for item in items:
         module = module_of(item)
