--- a/tests/golden/build.py
+++ b/tests/golden/build.py
@@ -22,45 +22,62 @@
 import click
 import msgspec
 
-from accord import words
-from accord.calls import Unreachable
-from accord.contracts import BadFile, FileRead, Terms
-from accord.core import Accept, Accepted, Ask, Grant, Prepare, Promise, Stage, State
-from accord.log import Entry, PolicyLog
-from accord.policy import Policy, Refused, first, successor
-from accord.service import Service, _Remembered
-from accord.store import Store, StoreFailed
-from accord.transfer import Uploads, piece_of, pieces_up
-from elderscale import accord as calling
-from elderscale.__main__ import assemble
-from elderscale.config import load
-from elderscale.desk import Desk
-from hollybay.cli import main as command_line
-from lynxrouter import interface as module
-from lynxrouter.benchlink import Link
-from lynxrouter.wiresettings import FIELDS as REPORT_FIELDS
-from lynxrouter.wiresettings import parse_settings
-from operations.bans import BansError
-from operations.bans import pack as pack_bans
-from operations.bans import unpack as unpack_bans
-from operations.calls import Denied
-from operations.calls import parse as parse_call
-from operations.figures import CONTENT_TYPE as METRICS_TYPE
-from operations.figures import Exposition, Figures
-from peers.words import mark as report_mark
-from peers.words import parse as parse_load_report
-from peers.words import word as load_reports
-from resources.model import Change, Delete, Kind, Problem, Upsert
-from resources.state import EMPTY, ResourceState
-from simulation import accord_rehearsal as rehearsal
+from hollybay.admin.administrative_drains import BansError
+from hollybay.admin.administrative_drains import pack as pack_bans
+from hollybay.admin.administrative_drains import unpack as unpack_bans
+from hollybay.admin.metrics import CONTENT_TYPE as METRICS_TYPE
+from hollybay.admin.metrics import Exposition, Figures
+from hollybay.admin.requests import Denied
+from hollybay.admin.requests import parse as parse_call
+from hollybay.balancing import interface as module
+from hollybay.balancing.bench_adapter import Link
+from hollybay.balancing.bench_settings import FIELDS as REPORT_FIELDS
+from hollybay.balancing.bench_settings import parse_settings
+from hollybay.cli.main import main as command_line
+from hollybay.consensus import messages as words
+from hollybay.consensus.core import (
+    Accept,
+    Accepted,
+    EpochState,
+    LeaseGrant,
+    LeaseRequest,
+    Prepare,
+    Promise,
+    Stage,
+)
+from hollybay.consensus.interfaces import FileRead, InvalidFileError, MemberSettings
+from hollybay.consensus.log import Entry, PolicyLog
+from hollybay.consensus.policy import Policy, RejectedError, first, successor
+from hollybay.consensus.requests import UnreachableError
+from hollybay.consensus.service import Service, _Remembered
+from hollybay.consensus.store import Store, StoreError
+from hollybay.consensus.transfer import Uploads, piece_of, pieces_up
+from hollybay.gossip.load_report import mark as report_mark
+from hollybay.gossip.load_report import parse as parse_load_report
+from hollybay.gossip.load_report import word as load_reports
+from hollybay.proxy import consensus_member as calling
+from hollybay.proxy.__main__ import assemble
+from hollybay.proxy.admin_service import Desk
+from hollybay.proxy.config import load
+from hollybay.resources.model import Change, Delete, Kind, Problem, Upsert
+from hollybay.resources.state import EMPTY, ResourceState
+from hollybay.simulation import accord_rehearsal as rehearsal
 
 from . import bench, commands
 from .files import joined, read, tree
 
 __all__ = [
-    "FILES", "again", "disk", "load_report_read", "read_damaged", "read_disk", "refusal", "settings_read",
-    "text_again", "text_refusal",
-]  # fmt: skip
+    "FILES",
+    "again",
+    "disk",
+    "load_report_read",
+    "read_damaged",
+    "read_disk",
+    "refusal",
+    "settings_read",
+    "text_again",
+    "text_refusal",
+]
 
 # Fixed sample values
 
@@ -71,9 +88,9 @@
 OLD, NEW = "7-0123456789ab", "8-ba9876543210"
 CHANGE_ID = bytes(range(16))
 UPLOAD_ID = "000102030405060708090a0b0c0d0e0f"
-SETTLED = State(4, Stage.SETTLED, OLD)
-PREPARE = State(5, Stage.PREPARE, OLD, NEW)
-NARROW = State(6, Stage.NARROW, OLD, NEW)
+SETTLED = EpochState(4, Stage.SETTLED, OLD)
+PREPARE = EpochState(5, Stage.PREPARE, OLD, NEW)
+NARROW = EpochState(6, Stage.NARROW, OLD, NEW)
 BALLOT = (3, NODE)
 
 
@@ -110,56 +127,71 @@
     w = words
     one, two, _ = _policies()
     change = w.change_text(_second_change())
-    ask = Ask(NODE, 9, PREPARE, 4, False)
+    ask = LeaseRequest(NODE, 9, PREPARE, 4, False)
     return {
-        "asking": w.Asking(
-            w.FORM, ask, "n-1", DOOR, 2_000_000_000, 500_000_000,
-            ["route 'x': no such class"], {CHANGE_ID.hex(): ["its limit"]}, True,
+        "asking": w.LeaseCall(
+            w.FORM,
+            ask,
+            "n-1",
+            DOOR,
+            2_000_000_000,
+            500_000_000,
+            ["route 'x': no such class"],
+            {CHANGE_ID.hex(): ["its limit"]},
+            True,
         ),
-        "asking.first": w.Asking(w.FORM, Ask(NODE, 1, None, -1, True), "n-1", DOOR, 2_000_000_000, 0),
-        "granting": w.Granting(grant=Grant(NODE, 9, 5)),
-        "granting.know": w.Granting(know=NARROW),
-        "granting.neither": w.Granting(),
-        "preparing": w.Preparing(w.FORM, Prepare(BALLOT, 5)),
-        "promising": w.Promising(Promise(NODE, BALLOT, 5, ((2, 7), NARROW)), None, 5, 0),
-        "promising.unbound": w.Promising(Promise(NODE, BALLOT, 5, None), None, 5, 0),
-        "promising.know": w.Promising(know=SETTLED, epoch=4, above=8),
-        "accepting": w.Accepting(w.FORM, Accept(BALLOT, NARROW), DOOR),
-        "voting": w.Voting(Accepted(NODE, BALLOT, NARROW), None, 5),
-        "voting.waits": w.Voting(
-            None, SETTLED, 4, 8, [w.Waiting("n-2", 77, 3, 1_500_000, True)], 250_000_000, "mute up to epoch 9"
+        "asking.first": w.LeaseCall(
+            w.FORM, LeaseRequest(NODE, 1, None, -1, True), "n-1", DOOR, 2_000_000_000, 0
         ),
-        "voting.neither": w.Voting(),
-        "knowing": w.Knowing(w.FORM, PREPARE, OTHER_DOOR),
-        "telling": w.Telling(True, True, PREPARE, NARROW),
-        "telling.nothing": w.Telling(False),
-        "founding": w.Founding(file="Zm91bmQ="),
-        "founding.uploaded": w.Founding(upload=UPLOAD_ID),
-        "founding.passed": w.Founding(policy=one.name, entry=w.packed(one), by=DOOR),
-        "proposing": w.Proposing(
+        "granting": w.LeaseReply(grant=LeaseGrant(NODE, 9, 5)),
+        "granting.know": w.LeaseReply(know=NARROW),
+        "granting.neither": w.LeaseReply(),
+        "preparing": w.PrepareCall(w.FORM, Prepare(BALLOT, 5)),
+        "promising": w.PrepareReply(Promise(NODE, BALLOT, 5, ((2, 7), NARROW)), None, 5, 0),
+        "promising.unbound": w.PrepareReply(Promise(NODE, BALLOT, 5, None), None, 5, 0),
+        "promising.know": w.PrepareReply(know=SETTLED, epoch=4, above=8),
+        "accepting": w.AcceptCall(w.FORM, Accept(BALLOT, NARROW), DOOR),
+        "voting": w.AcceptReply(Accepted(NODE, BALLOT, NARROW), None, 5),
+        "voting.waits": w.AcceptReply(
+            None,
+            SETTLED,
+            4,
+            8,
+            [w.BlockingLease("n-2", 77, 3, 1_500_000, True)],
+            250_000_000,
+            "mute up to epoch 9",
+        ),
+        "voting.neither": w.AcceptReply(),
+        "knowing": w.DecidedNotice(w.FORM, PREPARE, OTHER_DOOR),
+        "telling": w.KnowledgeReply(True, True, PREPARE, NARROW),
+        "telling.nothing": w.KnowledgeReply(False),
+        "founding": w.BootstrapCall(file="Zm91bmQ="),
+        "founding.uploaded": w.BootstrapCall(upload=UPLOAD_ID),
+        "founding.passed": w.BootstrapCall(policy=one.name, entry=w.packed(one), by=DOOR),
+        "proposing": w.ProposeCall(
             "Zm91bmQ=", two.parent.hex(), "why", "ann", ["10.1.0.5:9000"], list(DOORS), UPLOAD_ID, OLD
         ),
-        "proposing.least": w.Proposing(None, "", "why"),
-        "drafting": w.Drafting(
+        "proposing.least": w.ProposeCall(None, "", "why"),
+        "drafting": w.DraftCall(
             "why", "ann", "Zm91bmQ=", UPLOAD_ID, OLD, ["10.1.0.5:9000"], ["10.1.0.6:9000"], True, ["route/x"]
         ),
-        "drafting.least": w.Drafting("why"),
-        "drafted": w.Drafted(OLD, change, 2, ["~route/hall-slots", "-tenant/north"], UPLOAD_ID),
-        "changing": w.Changing(change),
-        "changing.uploaded": w.Changing("", UPLOAD_ID),
+        "drafting.least": w.DraftCall("why"),
+        "drafted": w.DraftReply(OLD, change, 2, ["~route/hall-slots", "-tenant/north"], UPLOAD_ID),
+        "changing": w.ChangeCall(change),
+        "changing.uploaded": w.ChangeCall("", UPLOAD_ID),
         **{
-            f"became_of.{outcome.value.replace(' ', '_')}": w.BecameOf(
+            f"became_of.{outcome.value.replace(' ', '_')}": w.ChangeReply(
                 CHANGE_ID.hex(), outcome, NEW, 5, 120, [Problem("route 'x'", "class", "is missing")]
             )
-            for outcome in w.Outcome
+            for outcome in w.ChangeOutcome
         },
         "uploading": pieces_up(UPLOAD_ID, b"an operator file")[0],
         "piece": piece_of(NEW, b"a snapshot", 0),
-        "changed": w.Changed(NEW, 5),
-        "dropping": w.Dropping(NEW),
-        "dropping.passed": w.Dropping(NEW, True),
-        "history_entry": w.Entry(NARROW, 1_700_000_000_000),
-    }  # fmt: skip
+        "changed": w.ProposeReply(NEW, 5),
+        "dropping": w.DropCall(NEW),
+        "dropping.passed": w.DropCall(NEW, True),
+        "history_entry": w.HistoryEntry(NARROW, 1_700_000_000_000),
+    }
 
 
 def messages() -> bytes:
@@ -176,7 +208,7 @@
     """How bytes are refused as a message of this kind: the first words; empty: they are not."""
     try:
         words.decode(data, type(_message_values()[name]))
-    except Refused as error:
+    except RejectedError as error:
         return str(error).partition(":")[0]
     return ""
 
@@ -267,7 +299,7 @@
     """How such a text is refused: the first word; empty: it is not."""
     try:
         text_again(name, data)
-    except Refused as error:
+    except RejectedError as error:
         return str(error).partition(":")[0]
     return ""
 
@@ -301,7 +333,7 @@
     """The bytes of HTTP of calls with a body, with an empty one, and with none."""
 
     async def work() -> bytes:
-        calls = (("ask", words.encode(words.Granting())), ("drop", b""), ("tell", None), ("", None))
+        calls = (("ask", words.encode(words.LeaseReply())), ("drop", b""), ("tell", None), ("", None))
         return b"".join([await _outgoing(path, body) + b"\n--\n" for path, body in calls])
 
     return asyncio.run(work())
@@ -316,7 +348,7 @@
         "not_base64": other(good, data="?"),
         "too_short": other(good, data="MTI="),
         "too_long": other(good, total=(64 << 20) + 1),
-        "gap": words.Uploading(UPLOAD_ID, 262152, 262144, "MTIzNDU2Nzg="),
+        "gap": words.UploadCall(UPLOAD_ID, 262152, 262144, "MTIzNDU2Nzg="),
     }
     found = {name: _refused(partial(Uploads().take, piece, 0)) for name, piece in pieces.items()}
     found["not_whole"] = _refused(lambda: Uploads().whole(UPLOAD_ID))
@@ -328,7 +360,7 @@
 def _refused(work: Callable[[], object]) -> str:
     try:
         work()
-    except Refused as error:
+    except RejectedError as error:
         return str(error)
     return "taken"
 
@@ -347,7 +379,7 @@
 
     async def read(self, file: bytes, state: ResourceState) -> FileRead:
         if not file.startswith(b"{"):
-            raise BadFile(["line 1: no table", "line 2: no value"])
+            raise InvalidFileError(["line 1: no table", "line 2: no value"])
         routes: dict[str, str] = msgspec.json.decode(file)
         operations = tuple(
             Upsert(Kind.ROUTE, name, one.version if one is not None else 0, body.encode())
@@ -368,7 +400,7 @@
 
 
 async def _nobody(door: str, path: str, body: bytes | None, limit: float) -> bytes:
-    raise Unreachable(f"{door}: nobody there")
+    raise UnreachableError(f"{door}: nobody there")
 
 
 class _Clock:
@@ -383,7 +415,7 @@
 
 def _service(folder: Path, clock: Callable[[], int] | None = None) -> Service:
     """A process that is its tier's only keeper, at a fixed time, with a fixed source of random numbers."""
-    terms = Terms("n-1", DOOR, (DOOR,), 2_000_000_000, 500_000_000, folder)
+    terms = MemberSettings("n-1", DOOR, (DOOR,), 2_000_000_000, 500_000_000, folder)
     service = Service(
         terms,
         _nobody,
@@ -406,8 +438,8 @@
     first_name = "1-d3c835a2254e"  # of the founded policy, as the answer to "found" tells it
     digest = "d3c835a2254e8aacc0a775961932666df5a41216cb1324a7ef4fb0da27a6bd37"
     next_name = "2-842f55a97681"  # and to "propose"
-    found = State(0, Stage.SETTLED, first_name)
-    begun = State(1, Stage.PREPARE, first_name, next_name)
+    found = EpochState(0, Stage.SETTLED, first_name)
+    begun = EpochState(1, Stage.PREPARE, first_name, next_name)
     me = w.number_of(DOOR)
     ballot = (1, NODE)
     change = Change(CHANGE_ID, 1, "a tenant", "ben", (Upsert(Kind.TENANT, "north", 0, b"{}"),))
@@ -415,23 +447,23 @@
     later = Change(CHANGE_ID[::-1], 9, "later", "ben", (Upsert(Kind.TENANT, "south", 0, b"{}"),))
     file = base64.b64encode(b'{"hall-slots":"b"}').decode()
     bad = base64.b64encode(b"no file").decode()
-    ask = Ask(NODE, 1, found, -1, True)
-    asking = w.Asking(w.FORM, ask, "n-1", DOOR, 2_000_000_000, 500_000_000)
+    ask = LeaseRequest(NODE, 1, found, -1, True)
+    asking = w.LeaseCall(w.FORM, ask, "n-1", DOOR, 2_000_000_000, 500_000_000)
     founding = base64.b64encode(b'{"hall-slots":"a"}').decode()
     return [
         ("", None),
         ("tell", None),
         ("history", None),
-        ("propose", e(w.Proposing(None, "", "why"))),
-        ("change", e(w.Changing(w.change_text(change)))),
-        ("draft", e(w.Drafting("why"))),
+        ("propose", e(w.ProposeCall(None, "", "why"))),
+        ("change", e(w.ChangeCall(w.change_text(change)))),
+        ("draft", e(w.DraftCall("why"))),
         ("ask", e(asking)),
-        ("prepare", e(w.Preparing(w.FORM, Prepare(ballot, 0)))),
-        ("accept", e(w.Accepting(w.FORM, Accept(ballot, found), DOOR))),
-        ("found", e(w.Founding(bad))),
-        ("found", e(w.Founding("?"))),
-        ("found", e(w.Founding(founding))),
-        ("found", e(w.Founding(policy=OLD, by=DOOR))),
+        ("prepare", e(w.PrepareCall(w.FORM, Prepare(ballot, 0)))),
+        ("accept", e(w.AcceptCall(w.FORM, Accept(ballot, found), DOOR))),
+        ("found", e(w.BootstrapCall(bad))),
+        ("found", e(w.BootstrapCall("?"))),
+        ("found", e(w.BootstrapCall(founding))),
+        ("found", e(w.BootstrapCall(policy=OLD, by=DOOR))),
         ("", None),
         ("tell", None),
         ("history", None),
@@ -447,40 +479,43 @@
         (f"change/{CHANGE_ID.hex()}", None),
         (f"draft/{CHANGE_ID.hex()}", None),
         ("ask", e(asking)),
-        ("ask", e(w.Asking(w.FORM, Ask(2, 1, None, -1, True), "n-2", OTHER_DOOR, 1_000_000_000, 0))),
-        ("ask", e(w.Asking(w.FORM, ask, "n-1", DOOR, 9_000_000_000, 0))),
-        ("prepare", e(w.Preparing(w.FORM, Prepare(ballot, 0)))),
-        ("prepare", e(w.Preparing(w.FORM, Prepare(ballot, 0)))),
-        ("accept", e(w.Accepting(w.FORM, Accept((0, me), SETTLED), DOOR))),
-        ("change", e(w.Changing(w.change_text(change)))),
-        ("change", e(w.Changing(w.change_text(stale)))),
-        ("change", e(w.Changing(w.change_text(later)))),
-        ("change", e(w.Changing("?"))),
-        ("change", e(w.Changing("", UPLOAD_ID))),
+        (
+            "ask",
+            e(w.LeaseCall(w.FORM, LeaseRequest(2, 1, None, -1, True), "n-2", OTHER_DOOR, 1_000_000_000, 0)),
+        ),
+        ("ask", e(w.LeaseCall(w.FORM, ask, "n-1", DOOR, 9_000_000_000, 0))),
+        ("prepare", e(w.PrepareCall(w.FORM, Prepare(ballot, 0)))),
+        ("prepare", e(w.PrepareCall(w.FORM, Prepare(ballot, 0)))),
+        ("accept", e(w.AcceptCall(w.FORM, Accept((0, me), SETTLED), DOOR))),
+        ("change", e(w.ChangeCall(w.change_text(change)))),
+        ("change", e(w.ChangeCall(w.change_text(stale)))),
+        ("change", e(w.ChangeCall(w.change_text(later)))),
+        ("change", e(w.ChangeCall("?"))),
+        ("change", e(w.ChangeCall("", UPLOAD_ID))),
         (f"change/{CHANGE_ID.hex()}", None),
-        ("draft", e(w.Drafting("a draft", "ann", file, out=["10.1.0.5:9000"]))),
-        ("draft", e(w.Drafting("nothing"))),
-        ("draft", e(w.Drafting("a draft", file=bad))),
-        ("draft", e(w.Drafting("a draft", delete=["route/none"]))),
-        ("draft", e(w.Drafting("a draft", like=OLD))),
-        ("propose", e(w.Proposing(file, "", "why"))),
+        ("draft", e(w.DraftCall("a draft", "ann", file, out=["10.1.0.5:9000"]))),
+        ("draft", e(w.DraftCall("nothing"))),
+        ("draft", e(w.DraftCall("a draft", file=bad))),
+        ("draft", e(w.DraftCall("a draft", delete=["route/none"]))),
+        ("draft", e(w.DraftCall("a draft", like=OLD))),
+        ("propose", e(w.ProposeCall(file, "", "why"))),
         ("upload", e(pieces_up(UPLOAD_ID, b"12345678")[0])),
-        ("upload", e(w.Uploading("", 8, 0, "MTIzNDU2Nzg="))),
-        ("know", e(w.Knowing(w.FORM, found, DOOR))),
-        ("join", e(w.Knowing(w.FORM, found, DOOR))),
-        ("propose", e(w.Proposing(file, digest, "why", "ann"))),
-        ("prepare", e(w.Preparing(w.FORM, Prepare((2, NODE), 0)))),
-        ("accept", e(w.Accepting(w.FORM, Accept((2, NODE), begun), DOOR))),
+        ("upload", e(w.UploadCall("", 8, 0, "MTIzNDU2Nzg="))),
+        ("know", e(w.DecidedNotice(w.FORM, found, DOOR))),
+        ("join", e(w.DecidedNotice(w.FORM, found, DOOR))),
+        ("propose", e(w.ProposeCall(file, digest, "why", "ann"))),
+        ("prepare", e(w.PrepareCall(w.FORM, Prepare((2, NODE), 0)))),
+        ("accept", e(w.AcceptCall(w.FORM, Accept((2, NODE), begun), DOOR))),
         ("tell", None),
-        ("prepare", e(w.Preparing(w.FORM, Prepare((3, NODE), 0)))),
-        ("know", e(w.Knowing(w.FORM, begun, DOOR))),
+        ("prepare", e(w.PrepareCall(w.FORM, Prepare((3, NODE), 0)))),
+        ("know", e(w.DecidedNotice(w.FORM, begun, DOOR))),
         ("", None),
-        ("drop", e(w.Dropping(next_name))),
-        ("drop", e(w.Dropping(OLD))),
-        ("drop", e(w.Dropping(OLD, True))),
+        ("drop", e(w.DropCall(next_name))),
+        ("drop", e(w.DropCall(OLD))),
+        ("drop", e(w.DropCall(OLD, True))),
         ("ask", b""),
         ("ask", b"{}"),
-        ("prepare", e(w.Preparing(3, Prepare(ballot, 0)))),
+        ("prepare", e(w.PrepareCall(3, Prepare(ballot, 0)))),
         ("accept", b"[]"),
         ("none", b"{}"),
         ("none", None),
@@ -593,10 +628,24 @@
 
 
 PATHS = (
-    "/-/ready", "/-/metrics", "/-/servers", "/-/drain", "/-/resume", "/-/servers/s-1/disable",
-    "/-/servers/s-1/enable", "/-/policy", "/-/policy/tell", "/-/policy/ask", "/-/none", "/", "/-/servers/",
-    "/-/servers/s-1", "/-/servers/s-1/none", "/-/servers//disable", "/-/policyx",
-)  # fmt: skip
+    "/-/ready",
+    "/-/metrics",
+    "/-/servers",
+    "/-/drain",
+    "/-/resume",
+    "/-/servers/s-1/disable",
+    "/-/servers/s-1/enable",
+    "/-/policy",
+    "/-/policy/tell",
+    "/-/policy/ask",
+    "/-/none",
+    "/",
+    "/-/servers/",
+    "/-/servers/s-1",
+    "/-/servers/s-1/none",
+    "/-/servers//disable",
+    "/-/policyx",
+)
 
 
 async def _wrong_methods(desk: Desk) -> list[tuple[bytes, bytes]]:
@@ -629,12 +678,26 @@
         pairs = await _operators(desk, [_call_bytes("GET /-/ready"), _call_bytes("GET /-/ready?a=b")])
         desk.clients.ready = True
         lines = (
-            "GET /-/ready", "GET /-/servers", "POST /-/servers/s-1/disable", "POST /-/servers/s-1/disable",
-            "POST /-/servers/s%2F3%20%C3%A9/disable", "POST /-/servers/s-9/disable", "GET /-/servers?x",
-            "GET /-/metrics", "POST /-/servers/s-1/enable", "POST /-/servers/s-9/enable", "POST /-/drain",
-            "POST /-/drain", "GET /-/ready", "POST /-/resume", "GET /-/ready", "POST /-/resume",
-            "GET /-/policy", "GET /-/policy/tell", "POST /-/policy/ask",
-        )  # fmt: skip
+            "GET /-/ready",
+            "GET /-/servers",
+            "POST /-/servers/s-1/disable",
+            "POST /-/servers/s-1/disable",
+            "POST /-/servers/s%2F3%20%C3%A9/disable",
+            "POST /-/servers/s-9/disable",
+            "GET /-/servers?x",
+            "GET /-/metrics",
+            "POST /-/servers/s-1/enable",
+            "POST /-/servers/s-9/enable",
+            "POST /-/drain",
+            "POST /-/drain",
+            "GET /-/ready",
+            "POST /-/resume",
+            "GET /-/ready",
+            "POST /-/resume",
+            "GET /-/policy",
+            "GET /-/policy/tell",
+            "POST /-/policy/ask",
+        )
         pairs += await _operators(desk, [_call_bytes(line) for line in lines])
         desk.clients.leaving = True
         pairs += await _operators(desk, [_call_bytes("POST /-/resume")])
@@ -667,9 +730,9 @@
             _call_bytes("GET /-/policy/tell?x=y"),
             _call_bytes("GET /-/policy/entry/x"),
             _call_bytes("POST /-/policy/ask", body=b"{}"),
-            _call_bytes("POST /-/policy/propose", body=words.encode(words.Proposing(None, "", "why"))),
-            _call_bytes("POST /-/policy/found", body=words.encode(words.Founding("bm8gZmlsZQ=="))),
-            _call_bytes("POST /-/policy/change", body=words.encode(words.Changing("?"))),
+            _call_bytes("POST /-/policy/propose", body=words.encode(words.ProposeCall(None, "", "why"))),
+            _call_bytes("POST /-/policy/found", body=words.encode(words.BootstrapCall("bm8gZmlsZQ=="))),
+            _call_bytes("POST /-/policy/change", body=words.encode(words.ChangeCall("?"))),
             _call_bytes("POST /-/policy/none", body=b"{}"),
             _call_bytes("PUT /-/policy/ask", body=b"{}"),
         )
@@ -720,19 +783,19 @@
     service = _service(folder, clock)
     service.log.open()
     assert service.keeping is not None
-    await service.keeping.learn_all([(State(4, Stage.SETTLED, two.name), None)])
+    await service.keeping.learn_all([(EpochState(4, Stage.SETTLED, two.name), None)])
     clock.now += 60_000_000_000  # until then it may not vote
-    vote = Accept(BALLOT, State(7, Stage.PREPARE, two.name, three.name))
+    vote = Accept(BALLOT, EpochState(7, Stage.PREPARE, two.name, three.name))
     calls: tuple[tuple[str, object], ...] = (
-        ("know", words.Knowing(words.FORM, State(6, Stage.SETTLED, two.name), DOOR)),
-        ("prepare", words.Preparing(words.FORM, Prepare(BALLOT, 6))),
-        ("accept", words.Accepting(words.FORM, vote, DOOR)),
+        ("know", words.DecidedNotice(words.FORM, EpochState(6, Stage.SETTLED, two.name), DOOR)),
+        ("prepare", words.PrepareCall(words.FORM, Prepare(BALLOT, 6))),
+        ("accept", words.AcceptCall(words.FORM, vote, DOOR)),
     )
     for path, value in calls:
         await service.answer(path, words.encode(value))
         await asyncio.gather(*service.tasks)
     for epoch, until in ((4, 160_000_000_000), (6, 170_000_000_000)):
-        at = State(epoch, Stage.SETTLED, two.name)
+        at = EpochState(epoch, Stage.SETTLED, two.name)
         service.node = service.node._replace(at=at, late=until)
         service._remember()
         await asyncio.gather(*service.tasks)
@@ -816,7 +879,7 @@
     store = Store(folder, name)
     try:
         data = store.open()
-    except StoreFailed as error:
+    except StoreError as error:
         return f"failed {error}".replace(str(folder), "FOLDER").encode()
     kept = len(data) if data is not None else -1
     return b"count %d, %d bytes, doubtful %d" % (store.count, kept, store.doubtful)
@@ -953,15 +1016,15 @@
     actions: dict[str, module.Action] = {
         "SUBMIT_TO": module.Send(0x0EDA755D3A91C4, server, 80_000_000),
         "SUBMIT_TO.no_timeout": module.Send(1, server),
-        "TURN_AWAY": module.Refuse(5, 250_000_000),
+        "TURN_AWAY": module.Reject(5, 250_000_000),
         "DROP_REQUEST": module.Fail(5),
         "RETRACT": module.Cancel(5, 2),
         "PROBE": module.Probe(server),
         "CLOSE": module.CloseIdle(server),
         "WAKE_AT": module.SetTimer(500_000_000, 77),
-        "KEEP_INFORMED": module.Watch(True),
-        "KEEP_INFORMED.off": module.Watch(False),
-        "GET_LIST": module.FetchList(),
+        "KEEP_INFORMED": module.WatchServers(True),
+        "KEEP_INFORMED.off": module.WatchServers(False),
+        "GET_LIST": module.FetchServers(),
         "JOURNAL_LINE": module.Log("two servers known"),
     }
     found = {}
--- a/tests/loopback_day.py
+++ b/tests/loopback_day.py
@@ -6,8 +6,18 @@
 from pathlib import Path
 from typing import Any
 
-from standins.loopback import CLASSES, LIMIT, OK, Backend, Registry, Running, read_message, request, running
-from standins.loopback import settings as loopback_settings
+from hollybay.testbed.loopback import (
+    CLASSES,
+    LIMIT,
+    OK,
+    Backend,
+    Registry,
+    Running,
+    read_message,
+    request,
+    running,
+)
+from hollybay.testbed.loopback import settings as loopback_settings
 
 __all__ = ["loopback_day"]
 
--- a/tests/made_up_world.py
+++ b/tests/made_up_world.py
@@ -10,8 +10,17 @@
 from heapq import heappop, heappush
 from typing import Any
 
-from lynxrouter.interface import Effect, Group, ListKind, Prices, Result, State, Tenant, Weights
-from standins.world import CLASSES, MS, SECOND, make_settings
+from hollybay.balancing.interface import (
+    DeduplicationScope,
+    Effect,
+    ListKind,
+    Prices,
+    Result,
+    ServerState,
+    Tenant,
+    WeightMode,
+)
+from hollybay.testbed.world import CLASSES, MS, SECOND, make_settings
 
 from . import recorded_decisions as recorded
 
@@ -23,19 +32,57 @@
 TENANTS = tuple(Tenant(f"t{n}", 0.25, 50.0 * n) for n in range(4))
 # The settings of each world, and how it goes; load is relative to what its servers can do.
 WORLDS: dict[str, dict[str, Any]] = {
-    "world-copies": {"weights": Weights.LIVE, "load": 0.15, "limited": 0.8, "slow": 0.05, "well": True},
-    "world-nominal": {"weights": Weights.NOMINAL, "load": 0.9, "tenants": TENANTS, "max_retry_after": SECOND},
-    "world-rough": {"weights": Weights.ROUGH, "load": 0.6, "zone": 1, "crossing": 0.2, "nodes": 3},
-    "world-none": {"weights": Weights.NONE, "load": 1.6, "cancel_allowed": False, "max_retry_after": SECOND},
-    "world-must-ask": {"weights": Weights.LIVE, "load": 0.15, "must_ask": True, "change": 60 * SECOND},
-    "world-alone": {"weights": Weights.LIVE, "load": 0.7, "zones": 1, "nodes": 1, "lost": 0.03},
-    "world-peers": {"weights": Weights.LIVE, "load": 0.7, "nodes": 40, "peers": 39, "zones": 3},
-    "world-peers-listless": {"weights": Weights.NONE, "load": 0.5, "nodes": 8, "peers": 7, "lost": 0.02},
-    "world-lag": {"weights": Weights.LIVE, "load": 0.8, "lag": 300 * MS, "max_retry_after": SECOND},
-    "world-single": {"weights": Weights.NOMINAL, "load": 0.8, "copies_allowed": False, "max_attempts": 4},
-    "world-drains": {"weights": Weights.LIVE, "load": 0.3, "limited": 1.0, "change": 40 * MS, "hasty": True},
+    "world-copies": {
+        "weight_mode": WeightMode.LIVE,
+        "load": 0.15,
+        "limited": 0.8,
+        "slow": 0.05,
+        "well": True,
+    },
+    "world-nominal": {
+        "weight_mode": WeightMode.NOMINAL,
+        "load": 0.9,
+        "tenants": TENANTS,
+        "max_retry_after": SECOND,
+    },
+    "world-rough": {"weight_mode": WeightMode.ROUGH, "load": 0.6, "zone": 1, "crossing": 0.2, "nodes": 3},
+    "world-none": {
+        "weight_mode": WeightMode.NONE,
+        "load": 1.6,
+        "cancel_allowed": False,
+        "max_retry_after": SECOND,
+    },
+    "world-must-ask": {
+        "weight_mode": WeightMode.LIVE,
+        "load": 0.15,
+        "must_poll": True,
+        "change": 60 * SECOND,
+    },
+    "world-alone": {"weight_mode": WeightMode.LIVE, "load": 0.7, "zones": 1, "nodes": 1, "lost": 0.03},
+    "world-peers": {"weight_mode": WeightMode.LIVE, "load": 0.7, "nodes": 40, "peers": 39, "zones": 3},
+    "world-peers-listless": {
+        "weight_mode": WeightMode.NONE,
+        "load": 0.5,
+        "nodes": 8,
+        "peers": 7,
+        "lost": 0.02,
+    },
+    "world-lag": {"weight_mode": WeightMode.LIVE, "load": 0.8, "lag": 300 * MS, "max_retry_after": SECOND},
+    "world-single": {
+        "weight_mode": WeightMode.NOMINAL,
+        "load": 0.8,
+        "hedging_allowed": False,
+        "max_attempts": 4,
+    },
+    "world-drains": {
+        "weight_mode": WeightMode.LIVE,
+        "load": 0.3,
+        "limited": 1.0,
+        "change": 40 * MS,
+        "hasty": True,
+    },
     "world-told": {
-        "weights": Weights.NOMINAL,
+        "weight_mode": WeightMode.NOMINAL,
         "load": 0.4,
         "nodes": 30,
         "reported": True,
@@ -46,7 +93,13 @@
         "denied": True,
         "events": 4000,
     },
-    "world-reports": {"weights": Weights.LIVE, "load": 0.6, "zones": 3, "reported": True, "lost": 0.05},
+    "world-reports": {
+        "weight_mode": WeightMode.LIVE,
+        "load": 0.6,
+        "zones": 3,
+        "reported": True,
+        "lost": 0.05,
+    },
 }
 
 
@@ -84,7 +137,7 @@
     def _server(self, n: int) -> list[Any]:
         """A line of the list: id, zone, kind, cell, state, weight, start of its process."""
         zones, kinds = self.settings.zones, self.settings.kinds
-        return [[f"s{n:02}"], n % zones, n % kinds, n // 4, State.READY, 1.0 + 0.5 * (n % 3), 0]
+        return [[f"s{n:02}"], n % zones, n % kinds, n // 4, ServerState.READY, 1.0 + 0.5 * (n % 3), 0]
 
     # Time
 
@@ -94,7 +147,7 @@
 
     def run(self) -> None:
         """Play until so many events were given."""
-        self.after(0, ["tell", ListKind.CACHED if self.settings.must_ask else ListKind.FULL])
+        self.after(0, ["tell", ListKind.CACHED if self.settings.must_poll else ListKind.FULL])
         self.after(MS, ["ask"])
         self.after(SECOND, ["change"])
         self.after(50 * MS, ["stray"])
@@ -159,10 +212,19 @@
         if chance.random() < 0.03:
             self.after(int(chance.expovariate(1 / (30 * MS))), ["gone", rid])
         return [
-            "request", rid, cls if chance.random() < 0.998 else 99, left, tenant,
-            chance.randrange(1, 50) if keyed else 0, chance.choice((0, 0, 1, 3)), chance.random() < 0.1,
-            waited, self._limits(cls), chance.random() if chance.random() < 0.05 else 1.0, sending,
-        ]  # fmt: skip
+            "request",
+            rid,
+            cls if chance.random() < 0.998 else 99,
+            left,
+            tenant,
+            chance.randrange(1, 50) if keyed else 0,
+            chance.choice((0, 0, 1, 3)),
+            chance.random() < 0.1,
+            waited,
+            self._limits(cls),
+            chance.random() if chance.random() < 0.05 else 1.0,
+            sending,
+        ]
 
     def _limits(self, cls: int) -> list[Any] | None:
         """What the request's route allows."""
@@ -176,7 +238,7 @@
             chance.choice((-1, -1, 0, 1, 1)),
             chance.choice((0, 0, 10 * MS, 40 * MS)),
             chance.choice((0, 0, 500 * MS)),
-            chance.choice((None, *(int(group) for group in Group))),
+            chance.choice((None, *(int(group) for group in DeduplicationScope))),
             share,
             f"route-{len(self.requests) % self.routes}" if share >= 0.0 else "",
             chance.choice(([0, 0], [0, 0], [50 * MS, 200 * MS])),
@@ -270,7 +332,7 @@
 
     def _line(self, line: list[Any]) -> list[Any]:
         weight = line[5]
-        if self.settings.weights == Weights.LIVE:
+        if self.settings.weight_mode == WeightMode.LIVE:
             weight /= 1.0 + 0.5 * self.chance.randrange(4)
         return [*line[:4], int(line[4]), weight, line[6]]
 
@@ -284,18 +346,20 @@
         if what == "failed":
             return self._tell(ListKind.FAILED)
         if what == "kinds":
-            unknown = [["s-kind"], 0, 99, 0, int(State.READY), -1.0, 0]
-            never_there = [["s-gone"], 0, 0, 0, int(State.GONE), 1.0, 0]
+            unknown = [["s-kind"], 0, 99, 0, int(ServerState.READY), -1.0, 0]
+            never_there = [["s-gone"], 0, 0, 0, int(ServerState.GONE), 1.0, 0]
             lines = [unknown, never_there] if self._rarely() else [never_there]
             return ["list", int(ListKind.CHANGES), lines, self.version]
         line = chance.choice(self.servers)
         if what == "start":
-            line[4], line[6] = State.READY, self.now - chance.choice((0, 0, 2, 7)) * SECOND
+            line[4], line[6] = ServerState.READY, self.now - chance.choice((0, 0, 2, 7)) * SECOND
         else:
-            line[4] = {"drain": State.DRAINING, "ready": State.READY, "go": State.GONE}[what]
-        if sum(s[4] == State.READY for s in self.servers) < 8:
+            line[4] = {"drain": ServerState.DRAINING, "ready": ServerState.READY, "go": ServerState.GONE}[
+                what
+            ]
+        if sum(s[4] == ServerState.READY for s in self.servers) < 8:
             for s in self.servers:
-                s[4] = State.READY
+                s[4] = ServerState.READY
             return self._tell(ListKind.FULL)
         return ["list", int(ListKind.CHANGES), [self._line(line)], self.version]
 
--- a/tests/record_decisions.py
+++ b/tests/record_decisions.py
@@ -16,8 +16,8 @@
 from types import ModuleType
 from typing import Any
 
-import elderscale.node
-from simulation.world import play_seed
+import hollybay.proxy.exchange
+from hollybay.simulation.world import play_seed
 
 from . import recorded_decisions as recorded
 from .loopback_day import loopback_day
@@ -70,7 +70,7 @@
 
 
 def simulated(seed: int) -> dict[str, recorded.Stream]:
-    with recording(elderscale.node) as made:
+    with recording(hollybay.proxy.exchange) as made:
         play_seed(seed)
     return {f"seed-{seed}-{n}": made[n].stream for n in SIMULATED[seed]}
 
@@ -82,7 +82,7 @@
 
 
 def on_loopback() -> dict[str, recorded.Stream]:
-    with recording(elderscale.node) as made, TemporaryDirectory() as folder:
+    with recording(hollybay.proxy.exchange) as made, TemporaryDirectory() as folder:
         asyncio.run(loopback_day(Path(folder) / "config.json"))
     return {"loopback": made[0].stream}
 
--- a/tests/recorded_decisions.py
+++ b/tests/recorded_decisions.py
@@ -19,14 +19,30 @@
 from pathlib import Path
 from typing import Any
 
-from lynxrouter import Balancer
-from lynxrouter import interface as api
+from hollybay.balancing import Balancer
+from hollybay.balancing import interface as api
 
 __all__ = [
-    "ACTIONS", "EVENTS", "FOLDER", "Balancer", "Line", "Stream", "chained", "covers", "decode_event",
-    "decode_settings", "digest_of", "draws_made", "encode_actions", "encode_event", "encode_settings",
-    "load", "names", "replay", "save",
-]  # fmt: skip
+    "ACTIONS",
+    "EVENTS",
+    "FOLDER",
+    "Balancer",
+    "Line",
+    "Stream",
+    "chained",
+    "covers",
+    "decode_event",
+    "decode_settings",
+    "digest_of",
+    "draws_made",
+    "encode_actions",
+    "encode_event",
+    "encode_settings",
+    "load",
+    "names",
+    "replay",
+    "save",
+]
 
 FOLDER = Path(__file__).resolve().parent / "golden" / "decisions"
 SUFFIX = ".jsonl.gz"
@@ -102,56 +118,119 @@
 BYTES = Part(lambda value: value.decode("latin-1"), lambda value: value.encode("latin-1"))
 
 REQUEST_CLASS = Shape(
-    api.RequestClass, "name", ("effect", enum(api.Effect)), "worth", "aim", "deadline", "late_worth",
-    ("group", enum(api.Group)), "window", "streamed",
-)  # fmt: skip
+    api.RequestClass,
+    "name",
+    ("effect", enum(api.Effect)),
+    "priority_weight",
+    "latency_objective",
+    "deadline",
+    "late_weight",
+    ("deduplication_scope", enum(api.DeduplicationScope)),
+    "deduplication_window",
+    "streamed",
+)
 TENANT = Shape(api.Tenant, "name", "share", "allowance")
 PRICES = Shape(api.Prices, "crossing", "handshake", "connection", "waste", "late_failure", "probe")
 SETTINGS = Shape(
-    api.Settings, ("classes", each(REQUEST_CLASS.part)), ("tenants", each(TENANT.part)), "zones", "kinds",
-    "zone", "node", "nodes", "tick", ("weights", enum(api.Weights)), ("report_mode", enum(api.ReportMode)),
-    ("report_fields", NUMBERS), "must_ask", "max_attempts", "copies_allowed", "cancel_allowed",
-    "probes_allowed", "over_share_worth", "worth_by_work", "connect_timeout", "idle_timeout", "streams",
-    "max_retry_after", "answer_grace", "drain_grace", "cold_share", "warm_up", "fall_multiple", "fall_span",
-    "must_ask_within", ("prices", PRICES.part),
-)  # fmt: skip
+    api.Settings,
+    ("classes", each(REQUEST_CLASS.part)),
+    ("tenants", each(TENANT.part)),
+    "zones",
+    "kinds",
+    "zone",
+    "node",
+    "nodes",
+    "tick",
+    ("weight_mode", enum(api.WeightMode)),
+    ("report_mode", enum(api.ReportMode)),
+    ("report_fields", NUMBERS),
+    "must_poll",
+    "max_attempts",
+    "hedging_allowed",
+    "cancel_allowed",
+    "probes_allowed",
+    "over_share_weight",
+    "weight_by_work",
+    "connect_timeout",
+    "idle_timeout",
+    "streams",
+    "max_retry_after",
+    "answer_grace",
+    "drain_grace",
+    "cold_share",
+    "warm_up",
+    "overload_multiple",
+    "overload_window",
+    "poll_within",
+    ("prices", PRICES.part),
+)
 SERVER = Shape(
-    api.Server, ("id", SERVER_ID), "zone", "kind", "cell", ("state", enum(api.State)), "weight", "up_since"
+    api.Server,
+    ("id", SERVER_ID),
+    "zone",
+    "kind",
+    "cell",
+    ("state", enum(api.ServerState)),
+    "weight",
+    "up_since",
 )
 LIMITS = Shape(
-    api.Limits, "attempts", "attempt_timeout", "copies", "copy_delay", "repeat_window",
-    ("repeat_group", optional(enum(api.Group))), "retry_share", "budget", ("retry_after", NUMBERS),
-)  # fmt: skip
+    api.Limits,
+    "attempts",
+    "attempt_timeout",
+    "hedges",
+    "hedge_delay",
+    "retry_window",
+    ("retry_scope", optional(enum(api.DeduplicationScope))),
+    "retry_share",
+    "budget",
+    ("retry_after", NUMBERS),
+)
 RESULT = ("result", enum(api.Result))
 EVENTS = {
-    "list": Shape(
-        api.ServerList, ("kind", enum(api.ListKind)), ("servers", each(SERVER.part)), "version"
-    ),
+    "list": Shape(api.ServerList, ("kind", enum(api.ListKind)), ("servers", each(SERVER.part)), "version"),
     "request": Shape(
-        api.Request, "id", "cls", "time_left", "tenant", "key", "cost", "repeat", "waited",
-        ("limits", optional(LIMITS.part)), "room", "sending",
+        api.Request,
+        "id",
+        "class_index",
+        "time_left",
+        "tenant",
+        "key",
+        "cost",
+        "is_retry",
+        "queued_time",
+        ("limits", optional(LIMITS.part)),
+        "free_slot_share",
+        "body_pending",
     ),
-    "whole": Shape(api.Whole, "id"),
-    "started": Shape(api.Started, "id", "attempt", ("server", SERVER_ID), "rtt"),
+    "whole": Shape(api.RequestCompleted, "id"),
+    "started": Shape(api.ResponseStarted, "id", "attempt", ("server", SERVER_ID), "rtt"),
     "outcome": Shape(
-        api.Outcome, "id", "attempt", ("server", SERVER_ID), RESULT, "rtt", "final", ("report", NUMBERS)
+        api.AttemptFinished,
+        "id",
+        "attempt",
+        ("server", SERVER_ID),
+        RESULT,
+        "rtt",
+        "final",
+        ("report", NUMBERS),
     ),
-    "gone": Shape(api.Gone, "id"),
-    "timer": Shape(api.Timer, "token"),
+    "gone": Shape(api.ClientDisconnected, "id"),
+    "timer": Shape(api.TimerFired, "token"),
     "probed": Shape(api.ProbeResult, ("server", SERVER_ID), RESULT, "rtt", ("report", NUMBERS)),
     "message": Shape(api.PeerMessage, "sender", ("data", BYTES)),
-    "elsewhere": Shape(api.Elsewhere, ("held", HELD), "nodes"),
-}  # fmt: skip
+    "elsewhere": Shape(api.PeerLoad, ("in_flight", HELD), "nodes"),
+}
 ACTIONS = {
     "send": Shape(api.Send, "id", ("server", SERVER_ID), "timeout", "until"),
-    "refuse": Shape(api.Refuse, "id", "retry_after"),
+    "refuse": Shape(api.Reject, "id", "retry_after"),
     "fail": Shape(api.Fail, "id"),
     "cancel": Shape(api.Cancel, "id", "attempt"),
     "probe": Shape(api.Probe, ("server", SERVER_ID)),
     "close": Shape(api.CloseIdle, ("server", SERVER_ID)),
     "set": Shape(api.SetTimer, "delay", "token"),
-    "watch": Shape(api.Watch, "active"),
-    "fetch": Shape(api.FetchList),
+    "watch": Shape(api.WatchServers, "active"),
+    "fetch": Shape(api.FetchServers),
     "log": Shape(api.Log, "text"),
 }
 _SHAPES = (REQUEST_CLASS, TENANT, PRICES, SETTINGS, SERVER, LIMITS, *EVENTS.values(), *ACTIONS.values())
--- a/tests/test_same_decisions.py
+++ b/tests/test_same_decisions.py
@@ -14,7 +14,7 @@
 
 import pytest
 
-from lynxrouter.interface import ListKind, Result
+from hollybay.balancing.interface import ListKind, Result
 
 from . import recorded_decisions as recorded
 from .show_first_difference import digests, first_difference
