--- a/hollybay/mutation/planted.py
+++ b/hollybay/mutation/planted.py
@@ -29,7 +29,10 @@
 ROSTER = "hollybay/balancing/endpoints.py"
 SHARES = "hollybay/balancing/fair_shares.py"
 NODE = "hollybay/proxy/exchange.py"
-SERVERS = "hollybay/proxy/upstream/pools.py"
+POOLS = "hollybay/proxy/upstream/pools.py"
+ATTEMPT = "hollybay/proxy/upstream/attempt.py"
+SERVER_CONNECTION = "hollybay/proxy/upstream/connection.py"
+RESPONSE_HEAD = "hollybay/proxy/upstream/response_head.py"
 CLIENTS = "hollybay/proxy/downstream/connections.py"
 UPLOAD = "hollybay/proxy/streaming_body.py"
 DISCOVERY = "hollybay/proxy/discovery.py"
@@ -138,21 +141,21 @@
     # Connections to servers
     Defect(
         "reset-taken-for-unsent",
-        SERVERS,
+        ATTEMPT,
         "elif result == api.Result.CONNECT_FAILED and self.written:",
         "elif result == api.Result.CONNECT_FAILED and not self.written:",
     ),
     Defect(
         "silence-taken-for-unsent",
-        SERVERS,
+        ATTEMPT,
         "if result == api.Result.TIMEOUT and not self.written:",
         "if result == api.Result.TIMEOUT:",
     ),
     Defect(
         "error-taken-for-rejection",
-        SERVERS,
-        "unprocessed = event.status_code in (503, 504) and any(",
-        "unprocessed = event.status_code in (500, 503, 504) or any(",
+        RESPONSE_HEAD,
+        "unprocessed = event.status_code in REJECTING_STATUSES and any(",
+        "unprocessed = event.status_code in (500, *REJECTING_STATUSES) or any(",
     ),
     Defect(
         "spent-body-sent-again",
@@ -168,24 +171,26 @@
     ),
     Defect(
         "last-byte-of-an-upload-early",
-        SERVERS,
+        SERVER_CONNECTION,
         "data, self.tail = data[:-1], data[-1:]",
         'data, self.tail = data, b""',
     ),
     Defect(
         "early-answer-taken",
-        SERVERS,
+        SERVER_CONNECTION,
         "        if not attempt.written:\n            # Nothing was asked in full yet",
         "        if False:\n            # Nothing was asked in full yet",
     ),
-    Defect("two-framings-taken", SERVERS, "if chunked and length is not None:", "if False:"),
+    Defect(
+        "two-framings-taken", RESPONSE_HEAD, "if found.chunked and found.length is not None:", "if False:"
+    ),
     Defect(
         "reused-with-bytes-left",
-        SERVERS,
+        SERVER_CONNECTION,
         "self.http.their_state is h11.DONE and not self.http.trailing_data[0]",
         "self.http.their_state is h11.DONE",
     ),
-    Defect("rests-too-long", SERVERS, "api.IDLE_PART * self", "2.0 * self"),
+    Defect("rests-too-long", POOLS, "api.IDLE_PART * self", "2.0 * self"),
     Defect(
         "room-of-bodies-leaks",
         UPLOAD,
@@ -194,22 +199,22 @@
     ),
     Defect(
         "descriptor-leaks",
-        SERVERS,
+        POOLS,
         "        except OSError:  # TimeoutError is one, too\n            sock.close()",
         "        except OSError:  # TimeoutError is one, too\n            pass",
     ),
     Defect(
-        "old-address-kept", SERVERS, "if backend is not None and backend.address != address:", "if False:"
+        "old-address-kept", POOLS, "if endpoint is not None and endpoint.address != address:", "if False:"
     ),
     Defect(
         "connects-too-long",
-        SERVERS,
-        "asyncio.timeout(self.settings.connect_timeout / SECOND)",
-        "asyncio.timeout(4 * self.settings.connect_timeout / SECOND)",
+        POOLS,
+        "limit = self.settings.connect_timeout / SECOND",
+        "limit = 4 * self.settings.connect_timeout / SECOND",
     ),
     Defect(
         "tells-too-much-time",
-        SERVERS,
+        SERVER_CONNECTION,
         "left = max(1, (until - system.monotonic_ns()) // MS)",
         "left = max(1, (until - system.monotonic_ns()) // MS) + 500",
     ),
--- a/hollybay/proxy/__main__.py
+++ b/hollybay/proxy/__main__.py
@@ -18,7 +18,7 @@
 from .downstream.connections import ACCEPT_BATCH, Clients
 from .exchange import Node
 from .request_counters import Tally
-from .upstream.pools import Servers
+from .upstream.pools import UpstreamPools
 
 if TYPE_CHECKING:
     from hollybay.routing.schema import AccordTable
@@ -58,7 +58,7 @@
 def assemble(config: Config, reserved: int = 0) -> tuple[Clients, Node, Discovery]:
     """The parts of a node, put together but not yet started. reserved: descriptors that others need."""
     spare = config.sockets - RESERVED - (DOOR if config.admin is not None else 0) - reserved
-    servers = Servers(config.settings, config.names, limit=spare * 4 // 9)
+    servers = UpstreamPools(config.settings, config.names, limit=spare * 4 // 9)
     node = Node(config.settings, config.seed, servers)
     clients = Clients(config, node, limit=spare * 5 // 9)
     known = config.known
--- a/hollybay/proxy/exchange.py
+++ b/hollybay/proxy/exchange.py
@@ -16,7 +16,8 @@
 from .http_messages import Answer, Message
 from .ports import Client, Presence
 from .request_counters import Tally
-from .upstream.pools import Attempt, Servers
+from .upstream.attempt import Attempt
+from .upstream.pools import UpstreamPools
 
 log = logging.getLogger("elderscale")
 
@@ -79,7 +80,7 @@
 class Node:
     """One instance of the module on the monotonic clock."""
 
-    def __init__(self, settings: api.Settings, seed: int, servers: Servers) -> None:
+    def __init__(self, settings: api.Settings, seed: int, servers: UpstreamPools) -> None:
         self.settings = settings
         self.servers = servers
         self.lists: Lists | None = None
@@ -283,12 +284,12 @@
             min(request.deadline, system.monotonic_ns() + action.timeout)
             if action.timeout
             else request.deadline,
-            listener=self,
+            observer=self,
             repeatable=cls.effect == api.Effect.SAFE,
             streamed=cls.streamed,
             owner=request,
             number=number,
-            until=action.until,
+            write_deadline=action.until,
         )
         request.attempts.append(attempt)
         request.out += 1
@@ -424,9 +425,14 @@
                 attempt.number,
                 attempt.server,
                 result,
-                # Of a long answer the first bytes count: the rest comes at its client's pace.
-                max(0, (attempt.began or system.monotonic_ns() - attempt.lag) - attempt.sent),
+                _response_time(attempt),
                 request.done,
                 attempt.report,
             )
         )
+
+
+def _response_time(attempt: Attempt) -> int:
+    """How long (ns) the server took: to the first bytes of a streamed response, else to the last ones."""
+    ended = attempt.response_started or system.monotonic_ns() - attempt.read_delay
+    return max(0, ended - attempt.sent)
--- /dev/null
+++ b/hollybay/proxy/upstream/attempt.py
@@ -0,0 +1,155 @@
+"""One attempt at a request: which server, until when, and how it ended."""
+
+from __future__ import annotations
+
+import asyncio
+from typing import Any, Protocol
+
+from hollybay.balancing import interface as api
+
+from .. import system
+from ..http_messages import Answer, Message
+from ..ports import Client
+
+__all__ = ["Attempt", "AttemptConnection", "AttemptObserver"]
+
+
+class AttemptObserver(Protocol):
+    """Who is notified of how attempts go."""
+
+    def wanted(self, attempt: Attempt) -> bool:
+        """Tell whether anybody still waits for it; asked before its first byte, and before its last."""
+
+    def started(self, attempt: Attempt, answer: Answer) -> Client | None:
+        """Take note that a streamed response begins; return where it goes, None to give the attempt up."""
+
+    def ended(self, attempt: Attempt, answer: Answer | None) -> None:
+        """Take the result of an attempt, and its response where that was kept until it was whole."""
+
+
+class AttemptConnection(Protocol):
+    """What an attempt asks of the connection that carries it."""
+
+    attempt: Attempt | None
+
+    def read_on(self, reading: bool) -> None:
+        """Read from the socket, or leave to the kernel what comes."""
+
+    def close(self) -> None:
+        """Close at once."""
+
+
+class Attempt:
+    """One attempt at a request. Ends exactly once, with a result.
+
+    Parameters
+    ----------
+    message
+        What is sent.
+    server
+        Where it is sent.
+    deadline
+        When the client's time is up, in ns of the monotonic clock.
+    observer
+        Who is notified of the response and of the result.
+    repeatable
+        Whether the request is safe to send again, whatever became of this attempt.
+    streamed
+        Whether the response is passed on as it comes.
+    owner
+        The request that the attempt belongs to; the observer's own value.
+    number
+        0 for the first attempt at the request, then 1, and so on.
+    write_deadline
+        When (ns) its last byte has to be written at the latest; 0: no such time.
+    """
+
+    __slots__ = (
+        "connecting",
+        "connection",
+        "deadline",
+        "message",
+        "number",
+        "observer",
+        "owner",
+        "read_delay",
+        "repeatable",
+        "report",
+        "response_started",
+        "result",
+        "sent",
+        "server",
+        "streamed",
+        "timer",
+        "unsent",
+        "write_deadline",
+        "written",
+    )
+
+    def __init__(
+        self,
+        message: Message,
+        server: api.ServerId,
+        deadline: int,
+        observer: AttemptObserver,
+        repeatable: bool = True,
+        streamed: bool = False,
+        owner: Any = None,
+        number: int = 0,
+        write_deadline: int = 0,
+    ) -> None:
+        self.message: Message | None = message
+        self.server = server
+        self.deadline = deadline
+        self.observer = observer
+        self.repeatable = repeatable
+        self.streamed = streamed
+        self.owner = owner
+        self.number = number
+        self.write_deadline = write_deadline
+        self.sent = system.monotonic_ns()  # ns; for a streamed body, when its last byte was written
+        self.response_started = 0  # ns; when the first bytes of a streamed response came, 0: none has
+        self.read_delay = 0  # ns; for how long the end of the response was here before the node read it
+        self.written = False  # its last byte was handed over: from here on it may have run
+        self.result: api.Result | None = None
+        self.report: tuple[float, ...] = ()
+        self.connection: AttemptConnection | None = None
+        self.connecting: asyncio.Task[None] | None = None
+        self.timer: asyncio.TimerHandle | None = None
+        # The attempts at the same server that are not whole on the wire yet, this one among them.
+        self.unsent: dict[Attempt, None] | None = None
+
+    def cancel(self) -> None:
+        """Stop waiting; the connection is closed."""
+        self.end(api.Result.CANCELLED)
+
+    def broke(self) -> None:
+        """End because the connection is gone, or because what came on it is no response."""
+        self.end(api.Result.CONNECT_FAILED)
+
+    def read_on(self, reading: bool) -> None:
+        """Apply the back-pressure of the client that the response is passed on to."""
+        if self.connection is not None:
+            self.connection.read_on(reading)
+
+    def end(self, result: api.Result, answer: Answer | None = None) -> None:
+        """Take the first result, and notify the observer; a connection still in use is closed."""
+        if self.result is not None:
+            return
+        if result == api.Result.TIMEOUT and not self.written:
+            result = api.Result.CONNECT_FAILED  # a server begins a request when its last byte has come
+        elif result == api.Result.CONNECT_FAILED and self.written:
+            result = api.Result.RESET
+        self.result = result
+        self.message = None
+        if self.timer is not None:
+            self.timer.cancel()
+        if self.connecting is not None:
+            self.connecting.cancel()
+        if self.connection is not None:
+            self.connection.attempt = None
+            self.connection.close()
+            self.connection = None
+        if self.unsent is not None:
+            self.unsent.pop(self, None)
+        self.observer.ended(self, answer)
--- /dev/null
+++ b/hollybay/proxy/upstream/connection.py
@@ -0,0 +1,496 @@
+"""One connection to a server: writes requests, holds back the last byte while that is safe, reads responses.
+
+Which events lead to which state stands in `states`; this module holds what each event does. The piece with
+the last byte of a request is written last, as a server begins with that byte: until then, whatever breaks,
+nothing has run.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+from collections.abc import Callable
+from typing import Protocol
+
+import h11
+
+from hollybay.balancing import interface as api
+
+from .. import system
+from ..config import MS, Names
+from ..http_messages import (
+    LONG_BODY,
+    MAX_BODY,
+    MAX_HEAD,
+    SMALL_BODY,
+    Answer,
+    Headers,
+    Message,
+    Peer,
+    end_to_end,
+    head,
+)
+from ..ports import Client
+from ..streaming_body import Upload
+from .attempt import Attempt
+from .endpoint import Endpoint, PooledConnection
+from .response_head import STATUS_OK, check_framing, read_head, result_of_failure
+from .states import ConnectionEvent, ConnectionState, next_state
+
+__all__ = ["ConnectionOwner", "ServerConnection", "connection_price"]
+
+# How long the last byte of a request that must not be repeated freely is held back: about a round trip and
+# the peer's waking up. A connection that is already dead, or reset by its first byte, breaks within it, while
+# it is still certain that nothing ran.
+LAST_BYTE_HOLD_SECONDS = 0.003
+# A server that sends more than belongs to an answer (a second copy, noise) may do so some milliseconds late.
+# A connection is settled when its last answer ended so long ago (s). A settled one is taken before one that
+# is not; on one that is not, the last byte of a request of whatever class is held until it is: what comes
+# before that byte is no answer to it.
+SETTLE_SECONDS = 0.012
+# A server's requests are held for as long as this many connections take to settle, together, before another
+# connection is opened to it instead; see HoldAccount.
+SETTLES_PER_CONNECTION = 2.0
+# Without a byte for so long an answer that has begun is spoilt: a head without end, a length that does not
+# fit. Servers write in pieces, but keep writing. The longer leaves room for a lost packet to be sent again,
+# as taking a good answer for spoilt costs more where it must not be repeated. An answer that may be long
+# and still comes by then is passed on from there.
+RESPONSE_LIMIT_SECONDS = 0.25
+RESPONSE_LIMIT_SAFE_SECONDS = 0.05
+# The most that one answer can bring before it is passed on: informational answers ahead, framing and
+# trailers.
+RESPONSE_READ_LIMIT = MAX_BODY + 4 * MAX_HEAD
+# A stream that brings nothing for this long is taken for left unfinished.
+STREAM_STALL_SECONDS = 8.0
+# What a reader of one answer must know of the request, which is not written through it, before it takes an
+# informational answer: answers to GET and to POST end alike. Where none comes it need not be told, which
+# would cost each request one part in forty.
+_PLACEHOLDER_REQUEST = h11.Request(method=b"GET", target=b"/", headers=[(b"host", b"server")])
+# The first digit of such an answer's status, or nothing where that has not come yet.
+_INFORMATIONAL = (b"1", b"")
+
+
+class ConnectionOwner(Protocol):
+    """What a connection asks of the pools that it belongs to."""
+
+    loop: asyncio.AbstractEventLoop
+    names: Names
+    load_header: bytes
+    not_for_clients: frozenset[bytes]
+    written: int
+    connections: set[ServerConnection]
+    opening: set[Attempt]
+
+    def pool(self, connection: PooledConnection) -> None:
+        """Keep a connection for the next request to its server."""
+
+    def unpool(self, connection: PooledConnection) -> None:
+        """Take a connection out of the pool, if it is there."""
+
+    def dropped(self, connection: ServerConnection) -> None:
+        """Forget a connection that is gone."""
+
+
+def connection_price() -> float:
+    """For how long (s), together, requests are held for settling connections before another one is opened."""
+    return SETTLES_PER_CONNECTION * SETTLE_SECONDS
+
+
+class ServerConnection(Peer):
+    """One connection to a server; it carries one attempt at a time.
+
+    Parameters
+    ----------
+    owner
+        The pools that the connection belongs to.
+    endpoint
+        The server at its other end.
+    opened_for
+        The attempt for which it was opened, and which it carries first.
+    sock
+        Its socket.
+    """
+
+    def __init__(
+        self, owner: ConnectionOwner, endpoint: Endpoint, opened_for: Attempt, sock: socket.socket
+    ) -> None:
+        super().__init__(sock)
+        self.state = ConnectionState.CONNECTING
+        self.opened_for: Attempt | None = opened_for
+        self.owner = owner
+        self.endpoint = endpoint
+        self.attempt: Attempt | None = None
+        self.http = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEAD)
+        self.pieces: list[bytes] = []
+        self.timer: asyncio.TimerHandle | None = None
+        self.taken = 0  # bytes of the present answer
+        self.upload: Upload | None = None  # the long body that is on its way
+        self.tail = b""  # the last byte so far, held back until it is known whether it is the last one
+        self.answered = 0.0  # when (s, the loop's clock) the last response ended
+
+    def _advance(self, event: ConnectionEvent) -> None:
+        self.state = next_state(self.state, event)
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Count as a connection from here on."""
+        super().connection_made(transport)
+        self._advance(ConnectionEvent.CONNECTED)
+        # From here on it counts as a connection; counted twice, a burst would seem to use up the descriptors.
+        self.owner.connections.add(self)
+        if self.opened_for is not None:
+            self.owner.opening.discard(self.opened_for)
+            self.opened_for = None
+
+    def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002 (asyncio's signature)
+        """End the attempt that the connection carries, if there is one."""
+        self._advance(ConnectionEvent.LOST)
+        self.stop_timer()
+        self.owner.dropped(self)
+        if self.attempt is not None:
+            self._fail()
+
+    def alive(self) -> bool:
+        """Whether the kernel knows the connection as whole and has nothing to read.
+
+        A close or bytes may have come that the loop has not seen yet.
+        """
+        if self.state is ConnectionState.CLOSED or not self.connected():
+            return False
+        # Nothing has been asked in full: bytes that wait to be read belong to no request, and would be taken
+        # for the answer to the next one.
+        return not self.unread()
+
+    def close(self) -> None:
+        """Close at once; what is unsent is dropped."""
+        self.stop_timer()
+        if self.upload is not None:
+            self.upload.leave(self)
+            self.upload = None
+        self.owner.unpool(self)
+        self._advance(ConnectionEvent.CLOSE_REQUESTED)
+        if self.state is not ConnectionState.CLOSED:
+            self.transport.abort()
+
+    def stop_timer(self) -> None:
+        """Cancel the timer of the connection, if it runs."""
+        if self.timer is not None:
+            self.timer.cancel()
+            self.timer = None
+
+    def after(self, delay: float, call: Callable[[], None]) -> None:
+        """Set the one timer of the connection; delay: s."""
+        self.stop_timer()
+        self.timer = self.owner.loop.call_later(delay, call)
+
+    # Writing
+
+    def begin(self, attempt: Attempt) -> None:
+        """Write a request, all but its last piece; see _write_last_piece."""
+        if self.endpoint.draining is not None and self.owner.loop.time() >= self.endpoint.closes:
+            # The timer that withdraws what is not yet written is due, and has not been called yet.
+            self.close()
+            attempt.end(api.Result.CONNECT_FAILED)
+            return
+        if not attempt.observer.wanted(attempt):
+            # Its client left while the connection came up, which is as good for the next one.
+            self.rest(attempt)
+            return
+        message = attempt.message
+        assert message is not None
+        self._advance(ConnectionEvent.REQUEST_STARTED)
+        self.attempt = attempt
+        attempt.connection = self
+        self.head: Answer | None = None
+        self.verdict: api.Result | None = None
+        self.body: list[bytes] = []
+        self.size = 0
+        self.client: Client | None = None
+        self.taken = 0
+        self.moved = self.owner.loop.time()
+        self.least_hold = 0.0 if attempt.repeatable else LAST_BYTE_HOLD_SECONDS
+        until = attempt.deadline if message.upload is None else min(attempt.deadline, message.upload.until)
+        left = max(1, (until - system.monotonic_ns()) // MS)
+        headers = [*message.headers, (b"x-time-left-ms", b"%d" % left)]
+        self.http = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEAD)
+        if message.upload is not None:
+            self._begin_upload(message, message.upload, headers)
+            return
+        if message.method != b"GET" or message.size:
+            headers.append((b"content-length", b"%d" % message.size))
+        pieces = [head(b"%s %s HTTP/1.1" % (message.method, message.target), headers), *message.body]
+        if message.size <= SMALL_BODY:
+            pieces = [b"".join(pieces)]
+        if self._hold_time() > 0.0:
+            tail = pieces.pop()
+            pieces += [tail[:-1], tail[-1:]]
+        pieces.reverse()
+        self.pieces = pieces
+        self._write()
+
+    def rest(self, attempt: Attempt) -> None:
+        """Nothing is to be written for an attempt after all."""
+        self.answered = self.owner.loop.time()
+        self.owner.pool(self)
+        attempt.end(api.Result.NOT_SENT)
+
+    def _begin_upload(self, message: Message, upload: Upload, headers: Headers) -> None:
+        assert self.attempt is not None
+        framing = (b"transfer-encoding", b"chunked")
+        if upload.length is not None:
+            framing = (b"content-length", b"%d" % upload.length)
+        if upload.taken:
+            # A part of it has gone while this connection came up.
+            self.attempt.end(api.Result.NOT_SENT)
+            return
+        self.pieces = []
+        self.tail = b""
+        self.upload = upload
+        upload.open(self)
+        first = b"%s %s HTTP/1.1" % (message.method, message.target)
+        self.transport.write(head(first, [*headers, framing]))
+        self._write()
+
+    def more(self) -> None:
+        """There is more of a long body, or it is whole."""
+        self._write()
+
+    def _feed(self, upload: Upload) -> None:
+        """Write what has come of a long body, at the pace of the server, but for its last piece."""
+        while not self.unsent and not self.transport.is_closing():
+            data = upload.pull()
+            if not data:
+                break
+            if upload.length is None:
+                data = b"%x\r\n%s\r\n" % (len(data), data)
+            else:
+                data = self.tail + data
+                data, self.tail = data[:-1], data[-1:]
+            if data:
+                self.transport.write(data)
+        if upload.exhausted and not self.unsent:
+            self.pieces = [self.tail if upload.length is not None else b"0\r\n\r\n"]
+            self.upload = None
+            upload.leave(self)
+
+    def resume_writing(self) -> None:
+        """Go on with the request: the kernel has taken all that was written."""
+        super().resume_writing()
+        self._write()
+
+    def _write(self) -> None:
+        attempt = self.attempt
+        if attempt is None:
+            return
+        if self.upload is not None:
+            self._feed(self.upload)
+            if self.upload is not None:
+                return
+        while len(self.pieces) > 1 and not self.unsent and not self.transport.is_closing():
+            self.transport.write(self.pieces.pop())
+        if self.unsent or self.timer is not None:
+            return
+        if len(self.pieces) == 1:
+            self._advance(ConnectionEvent.LAST_PIECE_LEFT)
+            hold = self._hold_time()
+            if hold > 0.0:
+                self.after(hold, self._write_last_piece)
+            else:
+                self._write_last_piece()
+        elif not self.pieces:
+            self._note_written()
+
+    def unsettled(self) -> float:
+        """For how long (s) what comes may still belong to the last answer; 0 or less: no longer."""
+        return SETTLE_SECONDS - (self.owner.loop.time() - self.answered)
+
+    def settled(self, now: float) -> bool:
+        """Whether nothing that comes can belong to the last response any more; now: s, the loop's clock."""
+        return self.answered <= now - SETTLE_SECONDS
+
+    def _hold_time(self) -> float:
+        """For how long (s) the last byte of the present request is to be held; 0: not at all."""
+        return max(self.least_hold, self.unsettled())
+
+    def _write_last_piece(self) -> None:
+        """Write the piece with the last byte. Until the kernel has taken it, the request has not run."""
+        self.stop_timer()
+        if not self.alive():
+            self._fail()
+            return
+        attempt = self.attempt
+        if attempt is None:
+            return
+        if not attempt.observer.wanted(attempt) or 0 < attempt.write_deadline <= system.monotonic_ns():
+            attempt.end(api.Result.NOT_SENT)
+            return
+        # The kernel may take the byte and the loop tell of it a turn later: whatever ends the attempt in
+        # between, it may have run.
+        attempt.written = True
+        self._advance(ConnectionEvent.REQUEST_SENT)
+        self.transport.write(self.pieces.pop())
+        if self.transport.is_closing():
+            attempt.written = False  # refused at once
+            self._fail()
+        elif not self.unsent:
+            self._note_written()
+
+    def _note_written(self) -> None:
+        attempt = self.attempt
+        if attempt is not None and attempt in self.endpoint.unsent and not self.transport.is_closing():
+            if attempt.message is not None and attempt.message.upload is not None:
+                # A server begins with the last byte: how long the body was on its way says nothing of it.
+                attempt.sent = system.monotonic_ns()
+            self.owner.written += 1
+            self.endpoint.unsent.pop(attempt)
+
+    # Reading
+
+    def received(self, data: memoryview) -> None:
+        """Read on in the response."""
+        if self.attempt is None:
+            self.close()  # nothing was asked: what comes could only be taken for an answer to the next one
+            return
+        self.moved = self.owner.loop.time()
+        begins = not self.taken
+        if begins and data[9:10] in _INFORMATIONAL:
+            self.http.send(_PLACEHOLDER_REQUEST)
+        self.taken += len(data)
+        if self.taken > RESPONSE_READ_LIMIT and self.client is None:
+            self._fail()
+            return
+        self.http.receive_data(data)
+        self._process_events()
+        if begins and self.attempt is not None and self.timer is None:
+            # Most answers are whole by now.
+            self.after(self._limit(self.attempt), self._check_progress)
+
+    @staticmethod
+    def _limit(attempt: Attempt) -> float:
+        return RESPONSE_LIMIT_SAFE_SECONDS if attempt.repeatable else RESPONSE_LIMIT_SECONDS
+
+    def _check_progress(self) -> None:
+        """An answer is not whole after a while: spoilt where it stands still, long where it may be."""
+        self.timer = None
+        attempt = self.attempt
+        if attempt is None:
+            return
+        limit = self._limit(attempt)
+        left = limit - (self.owner.loop.time() - self.moved)
+        if left <= 0.2 * limit:
+            self._fail()
+        elif self.body and self.head is not None and (self.head.length or LONG_BODY) > MAX_BODY:
+            self._start_stream(attempt)
+        else:
+            self.after(left, self._check_progress)
+
+    def eof_received(self) -> None:
+        """End the response, where it ends with the connection."""
+        if self.attempt is not None:
+            self.http.receive_data(b"")
+            self._process_events()
+            if self.attempt is not None:
+                self._fail()
+        else:
+            self.close()
+
+    def _process_events(self) -> None:
+        try:
+            while self.attempt is not None:
+                event = self.http.next_event()
+                if event is h11.NEED_DATA or event is h11.PAUSED:
+                    break
+                if type(event) is h11.Response:
+                    self._receive_head(self.attempt, event)
+                elif type(event) is h11.Data:
+                    self._receive_body(self.attempt, bytes(event.data))
+                elif type(event) is h11.EndOfMessage:
+                    self._complete(self.attempt)
+                elif isinstance(event, h11.ConnectionClosed):
+                    self._fail()
+        except h11.RemoteProtocolError:
+            self._fail()
+        if self.attempt is not None and self.verdict is not None:
+            self.attempt.end(self.verdict)  # the head said all; the rest of its body is not worth waiting for
+
+    def _receive_head(self, attempt: Attempt, event: h11.Response) -> None:
+        found = read_head(event, self.owner.load_header)
+        if found.load_report is not None:
+            attempt.report = self.endpoint.load_report(found.load_report, self.owner.names)
+        if event.status_code != STATUS_OK:
+            self.verdict = result_of_failure(event, found.headers)
+            return
+        if not attempt.written:
+            # Nothing was asked in full yet, so no server can have made this for it.
+            raise h11.RemoteProtocolError("an answer before the request")
+        check_framing(found)
+        headers = end_to_end(found.headers, self.owner.not_for_clients)
+        self.head = Answer(STATUS_OK, headers, None, found.length)
+        self._advance(ConnectionEvent.RESPONSE_STARTED)
+        if attempt.streamed:
+            self._start_stream(attempt)
+
+    def _receive_body(self, attempt: Attempt, data: bytes) -> None:
+        if self.verdict is not None:
+            return
+        self.size += len(data)
+        if self.size > LONG_BODY:
+            raise h11.RemoteProtocolError("too long")
+        if self.client is not None:
+            self.client.write(data)
+            return
+        # Held until it is whole: what has been passed on in part can be neither tried again nor taken back.
+        self.body.append(data)
+        if self.size > MAX_BODY:
+            self._start_stream(attempt)
+
+    def _start_stream(self, attempt: Attempt) -> None:
+        """Pass the answer on from here: where its class is streamed, or it is long."""
+        assert self.head is not None
+        self.after(STREAM_STALL_SECONDS, self._check_stall)
+        attempt.response_started = system.monotonic_ns()
+        self.client = attempt.observer.started(attempt, self.head)
+        if self.client is None:
+            attempt.cancel()
+            return
+        self._advance(ConnectionEvent.STREAM_STARTED)
+        if self.body:
+            self.client.write(b"".join(self.body))
+            self.body = []
+
+    def _check_stall(self) -> None:
+        """A stream that its server leaves unfinished would hold the client and both sockets for ever."""
+        idle = self.owner.loop.time() - self.moved
+        if self.attempt is not None and self.reading and idle >= STREAM_STALL_SECONDS:
+            self._fail()
+        else:
+            if not self.reading:
+                self.moved = self.owner.loop.time()
+            self.after(
+                max(0.1, STREAM_STALL_SECONDS - (self.owner.loop.time() - self.moved)), self._check_stall
+            )
+
+    def _complete(self, attempt: Attempt) -> None:
+        self.stop_timer()
+        attempt.read_delay = self.waited()[1] * MS
+        reusable = attempt.written and self.http.their_state is h11.DONE and not self.http.trailing_data[0]
+        answer = None
+        if self.head is not None and self.client is None:
+            answer = Answer(200, self.head.headers, self.body)
+        self.body = []
+        self.answered = self.owner.loop.time()
+        self.attempt = attempt.connection = None
+        if reusable:
+            self._advance(ConnectionEvent.RESPONSE_COMPLETED)
+            self.owner.pool(self)
+        else:
+            self.close()
+        attempt.end(self.verdict or api.Result.OK, answer)
+
+    def _fail(self) -> None:
+        attempt = self.attempt
+        if attempt is None:
+            return
+        if self.verdict is not None:
+            attempt.end(self.verdict)  # the head was whole, and proves what it says
+        else:
+            attempt.broke()
--- /dev/null
+++ b/hollybay/proxy/upstream/endpoint.py
@@ -0,0 +1,64 @@
+"""A server of the list, as the pools know it: its address, its idle connections, what is on its way to it."""
+
+from __future__ import annotations
+
+import asyncio
+from typing import Protocol
+
+from hollybay.balancing import interface as api
+
+from ..config import Names
+from .attempt import Attempt
+from .connection_wait import HoldAccount
+
+__all__ = ["Endpoint", "PooledConnection"]
+
+
+class PooledConnection(Protocol):
+    """What a pool asks of an idle connection."""
+
+    endpoint: Endpoint
+    answered: float  # when (s, the loop's clock) its last response ended
+
+    def alive(self) -> bool:
+        """Tell whether the connection is whole and has nothing to read."""
+
+    def settled(self, now: float) -> bool:
+        """Tell whether nothing that comes can belong to the last response any more."""
+
+    def unsettled(self) -> float:
+        """Return for how long (s) what comes may still belong to the last response."""
+
+    def read_on(self, reading: bool) -> None:
+        """Read from the socket, or leave to the kernel what comes."""
+
+    def stop_timer(self) -> None:
+        """Cancel the timer of the connection."""
+
+    def begin(self, attempt: Attempt) -> None:
+        """Carry an attempt."""
+
+    def close(self) -> None:
+        """Close at once."""
+
+
+class Endpoint:
+    """A server of the list."""
+
+    __slots__ = ("address", "closes", "draining", "holds", "id", "idle", "last_report", "unsent")
+
+    def __init__(self, server: api.ServerId, address: tuple[str, int]) -> None:
+        self.id = server
+        self.address = address
+        self.draining: asyncio.TimerHandle | None = None
+        self.closes = 0.0  # while it drains: from when on nothing is written to it (s, the loop's clock)
+        self.idle: list[PooledConnection] = []  # the last one rested shortest and is taken first
+        self.unsent: dict[Attempt, None] = {}  # in the order in which they were begun
+        self.holds = HoldAccount()
+        self.last_report: tuple[bytes, tuple[float, ...]] = (b"", ())
+
+    def load_report(self, text: bytes, names: Names) -> tuple[float, ...]:
+        """Return the values of its load report, which it renews less often than it answers."""
+        if text != self.last_report[0]:
+            self.last_report = (text, names.load_report(text.decode("latin-1")))
+        return self.last_report[1]
--- /dev/null
+++ b/hollybay/proxy/upstream/health_check.py
@@ -0,0 +1,62 @@
+"""Health checks: an attempt that no client waits for, and what its response says of the server's load."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from hollybay.balancing import interface as api
+
+from .. import system
+from ..config import SECOND, Names
+from ..http_messages import Answer, Message
+from .attempt import Attempt
+
+__all__ = ["HEALTH_CHECK_LIMIT_NS", "health_check"]
+
+HEALTH_CHECK_LIMIT_NS = SECOND
+LIVENESS_PATH = b"/health/live"
+LOAD_REPORT_PATH = b"/stats"
+
+
+def health_check(
+    server: api.ServerId, host: bytes, reports: bool, names: Names, feed: Callable[[api.Event], None]
+) -> Attempt:
+    """Make the attempt that checks a server; its result goes to `feed` as an `api.ProbeResult`.
+
+    Parameters
+    ----------
+    server, host
+        Which server, and what it is called in the request.
+    reports
+        Whether the check asks for a load report in place of the liveness alone.
+    names
+        What the values of a load report are called.
+    feed
+        Takes the result.
+    """
+    path = LOAD_REPORT_PATH if reports else LIVENESS_PATH
+    message = Message(b"GET", path, [(b"host", host)], (), 0)
+    deadline = system.monotonic_ns() + HEALTH_CHECK_LIMIT_NS
+    return Attempt(message, server, deadline, _HealthCheckObserver(names, feed))
+
+
+class _HealthCheckObserver:
+    """Takes the result of a health check."""
+
+    def __init__(self, names: Names, feed: Callable[[api.Event], None]) -> None:
+        self.names = names
+        self.feed = feed
+
+    def wanted(self, attempt: Attempt) -> bool:  # noqa: ARG002 (nobody can leave)
+        return True
+
+    def started(self, attempt: Attempt, answer: Answer) -> None:  # noqa: ARG002 (never streamed)
+        return None
+
+    def ended(self, attempt: Attempt, answer: Answer | None) -> None:
+        assert attempt.result is not None
+        report = attempt.report
+        if answer is not None and answer.body and not report:
+            report = self.names.load_report(b"".join(answer.body).decode("latin-1"))
+        round_trip = system.monotonic_ns() - attempt.sent
+        self.feed(api.ProbeResult(attempt.server, attempt.result, round_trip, report))
--- a/hollybay/simulation/nodes.py
+++ b/hollybay/simulation/nodes.py
@@ -11,7 +11,7 @@
 from hollybay.proxy.discovery import Discovery
 from hollybay.proxy.downstream.connections import Clients as NodeClients
 from hollybay.proxy.exchange import Node
-from hollybay.proxy.upstream.pools import Servers
+from hollybay.proxy.upstream.pools import UpstreamPools
 
 from .loop import Process
 from .machine import Machine
@@ -195,7 +195,7 @@
         return held
 
 
-def _open(servers: Servers) -> int:
+def _open(servers: UpstreamPools) -> int:
     """Connections to servers; what is closed within a step counts until the next, and is left out here."""
     count = len(servers.connections) + len(servers.opening)
     if count > servers.limit:
--- a/hollybay/testbed/loopback.py
+++ b/hollybay/testbed/loopback.py
@@ -176,18 +176,18 @@
         self.open = asyncio.Event()
         self.waiting = 0
         servers = node.node.servers
-        connected = servers._connected
+        establish = servers.establish
         seen = 0
 
         async def late(sock: socket.socket, address: tuple[str, int]) -> None:
             nonlocal seen
-            await connected(sock, address)
+            await establish(sock, address)
             seen += 1
             if seen > free:
                 self.waiting += 1
                 await self.open.wait()
 
-        servers._connected = late  # type: ignore[method-assign]
+        servers.establish = late
 
 
 def call(node: Running, data: bytes) -> socket.socket:
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -11,8 +11,11 @@
 
 import pytest
 
-from hollybay.proxy.upstream import pools as module
-from hollybay.proxy.upstream.pools import ServerConnection
+from hollybay.proxy.upstream import connection as module
+from hollybay.proxy.upstream.attempt import Attempt
+from hollybay.proxy.upstream.connection import ServerConnection
+from hollybay.proxy.upstream.pools import MAX_UNSETTLED
+from hollybay.proxy.upstream.states import ConnectionState
 from hollybay.testbed.loopback import (
     CLASSES,
     LIMIT,
@@ -42,7 +45,7 @@
     cls: str, end: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The request is whole at its server, and its connection has not heard that it is written."""
-    monkeypatch.setattr(ServerConnection, "_written", lambda conn: None)
+    monkeypatch.setattr(ServerConnection, "_note_written", lambda conn: None)
     one_cell = [{**c, "group": "cell"} if c["name"] == "book" else c for c in CLASSES]
 
     async def play() -> None:
@@ -149,7 +152,7 @@
             asked = request(cls, rid="r-1", extra=b"X-Time-Left-Ms: 500\r\n")
             asking = asyncio.ensure_future(node.ask(asked))
             await node.until(lambda: gate.waiting > 0)
-            (backend,) = node.node.servers.backends.values()
+            (backend,) = node.node.servers.endpoints.values()
             if change == "draining":
                 registry.tell(server, state="DRAINING")
             elif change == "gone":
@@ -223,8 +226,8 @@
                 (conn,) = node.node.servers.connections
                 send = node.node.servers.send
 
-                def late(attempt: module.Attempt) -> None:
-                    if not conn.lost and not conn.unread():
+                def late(attempt: Attempt) -> None:
+                    if conn.state is not ConnectionState.CLOSED and not conn.unread():
                         end = server.writers[0].get_extra_info("socket")
                         socket.socket(fileno=os.dup(end.fileno())).send(more)
                         while not conn.unread():
@@ -259,7 +262,7 @@
     cls: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """It comes when the connection has been taken again, so soon that its last byte is still held."""
-    monkeypatch.setattr(module, "SETTLE", 0.5)
+    monkeypatch.setattr(module, "SETTLE_SECONDS", 0.5)
 
     async def play() -> None:
         server = Twice(OK.replace(b"ok", b"NO"))
@@ -284,7 +287,7 @@
         self.heads.append((await read_message(reader))[0])
         writer.write(OK)
         await reader.readexactly(1)
-        await asyncio.sleep(4 * module.HOLD_LAST_BYTE)
+        await asyncio.sleep(4 * module.LAST_BYTE_HOLD_SECONDS)
         writer.write(self.more)
         await reader.read(1)  # until the connection ends
 
@@ -293,7 +296,7 @@
 def test_a_second_answer_later_than_the_hold_of_an_unsafe_request_is_no_answer_to_the_next(
     cls: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(module, "SETTLE", 0.5)
+    monkeypatch.setattr(module, "SETTLE_SECONDS", 0.5)
 
     async def play() -> None:
         server = Later(OK.replace(b"ok", b"NO"))
@@ -311,7 +314,7 @@
     settle: float, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Two full holds are worth a connection; a few connections settle in turn."""
-    monkeypatch.setattr(module, "SETTLE", settle)
+    monkeypatch.setattr(module, "SETTLE_SECONDS", settle)
 
     async def play() -> None:
         server = Backend("s-1")
@@ -319,7 +322,7 @@
             for n in range(30):
                 assert b" 200 " in await node.ask(request(rid=f"r-{n}"))
             if settle:
-                assert 2 <= server.accepted <= module.MOST_UNSETTLED
+                assert 2 <= server.accepted <= MAX_UNSETTLED
             else:
                 assert server.accepted == 1
 
@@ -329,7 +332,7 @@
 def test_without_room_for_another_connection_a_request_is_held(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(module, "SETTLE", 0.02)
+    monkeypatch.setattr(module, "SETTLE_SECONDS", 0.02)
 
     async def play() -> None:
         server = Backend("s-1")
@@ -351,10 +354,10 @@
             server.go.set()
             await asyncio.gather(*asking)
             servers = node.node.servers
-            idle = next(iter(servers.backends.values())).idle
+            idle = next(iter(servers.endpoints.values())).idle
             now = servers.loop.time()
             for conn, rest in zip(idle, (3.0, 2.0, 0.0), strict=True):
-                conn.answered = now - rest * module.SETTLE
+                conn.answered = now - rest * module.SETTLE_SECONDS
             assert servers._settled(idle) is idle[1]
             idle[0].answered = idle[1].answered = now
             assert servers._settled(idle) is idle[2]
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -11,10 +11,12 @@
 
 import pytest
 
+from hollybay.balancing import interface as api
 from hollybay.proxy.downstream.connections import HIDING, ClientConnection
 from hollybay.proxy.exchange import LOOK
 from hollybay.proxy.http_messages import SMALL_BODY
-from hollybay.proxy.upstream import pools as servers_module
+from hollybay.proxy.upstream import connection as connection_module
+from hollybay.proxy.upstream.attempt import Attempt
 from hollybay.testbed.loopback import (
     LIMIT,
     OK,
@@ -176,7 +178,7 @@
             begun: list[int] = []
             send = node.node.servers.send
 
-            def note(attempt: servers_module.Attempt) -> None:
+            def note(attempt: Attempt) -> None:
                 begun.append(attempt.owner.id)
                 send(attempt)
 
@@ -241,7 +243,7 @@
 
     async def play() -> None:
         server = Backend("s-1")
-        monkeypatch.setattr(servers_module, "HOLD_LAST_BYTE", 0.05)
+        monkeypatch.setattr(connection_module, "LAST_BYTE_HOLD_SECONDS", 0.05)
         async with running(tmp_path / "c.json", Registry(), server) as node:
             sock = call(node, request(cls, rid="r-1"))
             await node.until(lambda: any(conn.timer for conn in node.node.servers.connections))
@@ -266,7 +268,7 @@
             other = next(backend.name for backend in backends if not backend.heads)
             sock.close()
             left(node, conn)
-            node.node._send(servers_module.api.Send(open_.id, other))
+            node.node._send(api.Send(open_.id, other))
             assert not conn.rid and conn.transport.is_closing()
             for backend in backends:
                 backend.go.set()
--- a/tests/test_other_customers.py
+++ b/tests/test_other_customers.py
@@ -12,7 +12,7 @@
 
 from hollybay.balancing import interface as api
 from hollybay.proxy.config import SECOND, settings_of
-from hollybay.proxy.upstream.pools import GRACE_PART
+from hollybay.proxy.upstream.pools import DRAIN_GRACE_PART
 from hollybay.testbed.loopback import Backend, Registry, request, running
 from hollybay.testbed.world import MS
 from tests.test_rules import walk
@@ -177,10 +177,10 @@
             names = {line["name"] for line in given_["categories"]}
             for cls in {"view", "send", "book"} - names:
                 assert (await node.ask(request(cls))).startswith(b"HTTP/1.1 404 ")
-            (backend,) = node.node.servers.backends.values()
+            (backend,) = node.node.servers.endpoints.values()
             node.node.servers._drain(backend)
             assert backend.draining is not None
             left = backend.draining.when() - node.node.loop.time()
-            assert left <= GRACE_PART * given_["rules"]["drain-grace"] / SECOND + 0.01
+            assert left <= DRAIN_GRACE_PART * given_["rules"]["drain-grace"] / SECOND + 0.01
 
     asyncio.run(play())
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -14,7 +14,7 @@
 
 from hollybay.proxy.__main__ import drain
 from hollybay.proxy.downstream.connections import ACCEPT_BATCH, SUSPECT, ClientConnection
-from hollybay.proxy.upstream.pools import Attempt
+from hollybay.proxy.upstream.attempt import Attempt
 from hollybay.testbed.loopback import (
     CLASSES,
     LIMIT,
--- a/tests/test_upload.py
+++ b/tests/test_upload.py
@@ -11,7 +11,7 @@
 
 from hollybay.proxy.http_messages import MAX_BODY
 from hollybay.proxy.streaming_body import KEPT_MOST, WINDOW, Room, Upload
-from hollybay.proxy.upstream import pools as servers_module
+from hollybay.proxy.upstream import connection as connection_module
 from hollybay.testbed.loopback import LIMIT, OK, Backend, Listener, Registry, read_message, request, running
 
 
@@ -198,7 +198,7 @@
     chunked: bool, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Up to there nothing has run: a server that goes now costs a refusal, not a failure."""
-    monkeypatch.setattr(servers_module, "HOLD_LAST_BYTE", 10 * LIMIT)
+    monkeypatch.setattr(connection_module, "LAST_BYTE_HOLD_SECONDS", 10 * LIMIT)
 
     async def play() -> None:
         server = Taker("s-1")
