--- a/hollybay/balancing/state.py
+++ b/hollybay/balancing/state.py
@@ -1,142 +1,192 @@
-"""What the decision module keeps of servers, requests and attempts. State only: nothing is decided here.
+"""What the balancer records about servers, requests and attempts. State only: nothing is decided here.
 
-Times and durations are integer nanoseconds on the caller's clock.
+Times and durations are integer nanoseconds on the caller's clock. A server's size is its capacity relative to
+other servers.
 """
 
 from __future__ import annotations
 
+from enum import Enum
+
 from .interface import Limits, Request, Result, ServerId, ServerState
 
-__all__ = ["MS", "SECOND", "Owed", "Server", "SpeedClass", "Try"]
+__all__ = [
+    "MILLISECOND_NS",
+    "SECOND_NS",
+    "Attempt",
+    "PendingRequest",
+    "RequestPhase",
+    "Server",
+    "SpeedClass",
+]
 
-MS = 1_000_000
-SECOND = 1_000_000_000
+MILLISECOND_NS = 1_000_000
+SECOND_NS = 1_000_000_000
 
 
 class Server:
-    """What this node knows of a server."""
+    """What this node knows of a server.
+
+    Parameters
+    ----------
+    server_id
+        The id under which the list names it.
+    first_ejection
+        How long (ns) it is ejected when it first proves an outlier.
+    """
 
     __slots__ = (
-        "answered",
-        "cap",
         "cell",
-        "cold_at",
-        "cold_gap",
-        "denied",
-        "fails",
-        "free_at",
-        "group",
-        "held",
+        "consecutive_connect_failures",
+        "consecutive_timeouts",
+        "effective_capacity",
+        "ejected_until",
+        "failure_rate",
         "id",
+        "idle_from",
+        "idle_position",
+        "in_flight",
+        "in_idle_index",
         "kind",
-        "listed",
-        "load",
-        "lot",
-        "nominal",
-        "others",
-        "pause",
-        "paused_until",
-        "pos",
-        "refused",
-        "silent",
-        "since",
+        "last_answer_at",
+        "next_ejection",
+        "nominal_size",
+        "on_probation",
+        "ownership_rank",
+        "peer_in_flight",
+        "rejected_tenants",
+        "reported_failure_rate",
+        "reported_failure_until",
+        "reported_load",
         "size",
-        "slow",
+        "slow_start_factor",
+        "slow_start_interval",
+        "slow_start_send_at",
+        "slowdown",
+        "speed_class",
         "state",
-        "told",
-        "told_until",
-        "trial",
-        "warmth",
+        "up_since",
         "weight",
         "zone",
     )
 
-    def __init__(self, sid: ServerId, pause: int) -> None:
-        self.id = sid
-        self.zone = self.kind = self.cell = 0
+    def __init__(self, server_id: ServerId, first_ejection: int) -> None:
+        # From the server list
+        self.id = server_id
+        self.zone = 0
+        self.kind = 0  # of machine
+        self.cell = 0
         self.state = ServerState.READY
         self.weight = 1.0
-        self.since = 0  # start of its process, 0: long ago
-        self.nominal = 1.0  # size as the list has it
-        self.size = 1.0  # estimated capacity when warm and well, relative to others
-        self.cap = 1.0  # estimated present capacity
-        self.lot = 0.0  # this node's lot for it, evenly drawn from 0 to 1
-        self.listed = True  # whether it may join this node's idle lists
-        self.warmth = 1.0  # share of its capacity that it has at its age, at the least
-        self.free_at = 0  # from when this node may take it for idle again
-        self.cold_gap = 0  # time that the cold budget sets between this node's sends while the server is cold
-        self.cold_at = -1  # from when the cold budget allows the next
-        self.held = 0  # attempts out there: this node's, and those that others tell of
-        self.others = 0  # of them, those that others tell of
-        self.pos = -1  # place in its class's idle list, -1: not in it
-        self.group: SpeedClass | None = None
-        self.load = 0.0  # requests held for each core, where the list tells
-        self.slow = 1.0  # response time relative to what its size promises
-        self.fails = 0.0  # running share of failures
-        self.told = 0.0  # share of failures as the server tells it, in force until told_until
-        self.told_until = 0
-        self.refused = 0  # connects that failed since the last answer
-        self.silent = 0  # time-outs since the last answer
-        self.answered = 0  # last answer of any kind
-        self.paused_until = 0
-        self.pause = pause  # how long the next pause is
-        self.denied: dict[int, int] = {}  # until when it is left out, by tenant that it turns away
-        self.trial = False  # one attempt is out to see whether it is well again
+        self.up_since = 0  # when its process started, 0: long ago
+        self.nominal_size = 1.0  # size as the list gives it
+        self.reported_load = 0.0  # requests per core, where the list has it, less by the list's age
+
+        # Capacity
+        self.size = 1.0  # estimated, when warm and healthy
+        self.slowdown = 1.0  # response time relative to what its size promises
+        self.effective_capacity = 1.0  # estimated, at present
+
+        # Idle index and speed class
+        self.speed_class: SpeedClass | None = None  # None: it gets no requests
+        self.ownership_rank = 0.0  # this node's rank among the owners, uniform from 0 to 1
+        self.in_idle_index = True  # whether it may be in this node's idle index
+        self.idle_position = -1  # in its speed class's list of idle servers, -1: not in it
+        self.idle_from = 0  # when this node may take it for idle again
+
+        # Slow start
+        self.slow_start_factor = 1.0  # least share of its size that it can do at its age
+        self.slow_start_interval = 0  # ns between two sends of this node while it starts
+        self.slow_start_send_at = -1  # when the next send is allowed, -1: not known yet
+
+        # Attempts in flight
+        self.in_flight = 0  # this node's and those that peers report
+        self.peer_in_flight = 0  # those that peers report
+
+        # Health
+        self.failure_rate = 0.0  # moving share of this node's attempts
+        self.reported_failure_rate = 0.0  # as the server reports it
+        self.reported_failure_until = 0  # until when that is valid
+        self.consecutive_connect_failures = 0
+        self.consecutive_timeouts = 0
+        self.last_answer_at = 0  # of any kind
+
+        # Outlier ejection
+        self.ejected_until = 0
+        self.next_ejection = first_ejection  # duration (ns) of the next ejection
+        self.on_probation = False  # ejected, and has not shown since that it is healthy
+
+        # When (ns) each tenant that it rejects may be sent there again
+        self.rejected_tenants: dict[int, int] = {}
 
 
 class SpeedClass:
-    """Servers of about one speed, near or far, with an indexed list of the idle ones."""
+    """Servers of about one speed, in local or in remote zones, with the list of the idle ones.
+
+    Attributes
+    ----------
+    idle
+        Idle servers in any order; each server knows its position.
+    pending_idle
+        A heap of (idle from, tie-break, server): servers that may become idle.
+    """
 
-    __slots__ = ("idle", "waking")
+    __slots__ = ("idle", "pending_idle")
 
     def __init__(self) -> None:
         self.idle: list[Server] = []
-        self.waking: list[tuple[int, int, Server]] = []  # heap of (free_at, tie-break, server)
+        self.pending_idle: list[tuple[int, int, Server]] = []
+
+
+class RequestPhase(Enum):
+    """Where a request is on its way."""
+
+    ACTIVE = 0  # an attempt is in flight, or is being decided
+    WAITING = 1  # for a server that may be used
+    FINISHED = 2  # answered, or the client has left; attempts may still be in flight
 
 
-class Owed:
-    """A request this node owes an answer, or whose attempts are still out."""
+class PendingRequest:
+    """A request that this node has to answer, or whose attempts are still in flight."""
 
     __slots__ = (
-        "cls",
+        "attempts",
+        "body_pending",
+        "class_index",
         "cost",
         "deadline",
-        "done",
         "id",
+        "in_flight_attempts",
         "limits",
-        "out",
-        "sending",
+        "phase",
         "streaming",
         "tenant",
-        "tries",
-        "waiting",
     )
 
     def __init__(self, event: Request, now: int) -> None:
         self.id = event.id
-        self.cls = event.class_index
+        self.class_index = event.class_index
         self.tenant = event.tenant
-        self.cost = event.cost
+        self.cost = event.cost  # hint: work relative to others of its class, 0: none
         self.limits: Limits | None = event.limits
-        self.sending = event.body_pending
         self.deadline = now + event.time_left
-        self.tries: list[Try] = []
-        self.out = 0
-        self.done = False
-        self.waiting = False
-        self.streaming = False
+        self.phase = RequestPhase.ACTIVE
+        self.body_pending = event.body_pending  # its last byte has not come yet
+        self.streaming = False  # an attempt's response has begun
+        self.attempts: list[Attempt] = []
+        self.in_flight_attempts = 0
 
 
-class Try:
-    """One attempt; result None: still out."""
+class Attempt:
+    """One attempt of a request at a server."""
 
-    __slots__ = ("beside", "cell", "counted", "result", "sent", "server", "zone")
+    __slots__ = ("cell", "in_flight_at_send", "is_counted", "result", "sent_at", "server", "zone")
 
-    def __init__(self, server: Server, sent: int) -> None:
+    def __init__(self, server: Server, sent_at: int) -> None:
         self.server = server
-        self.beside = server.held  # this node's other attempts there when it was sent
-        self.zone = server.zone
+        self.zone = server.zone  # of the server when it was sent
         self.cell = server.cell
-        self.sent = sent
-        self.counted = False  # its server is at work on it, as far as this node knows
-        self.result: Result | None = None
+        self.sent_at = sent_at
+        self.in_flight_at_send = server.in_flight  # other attempts there at that time
+        self.is_counted = False  # among the server's attempts in flight
+        self.result: Result | None = None  # None: in flight
--- a/hollybay/balancing/traffic_share.py
+++ b/hollybay/balancing/traffic_share.py
@@ -1,87 +1,134 @@
-"""What share of all traffic is a node's own, told without talk: by what servers report that all send them."""
+"""A node's share of all traffic, estimated without communication from the rates that servers report."""
 
 from __future__ import annotations
 
 from collections.abc import Sequence
 
-__all__ = ["Census"]
-
-SECOND = 1_000_000_000
-# Time (ns) over which own attempts and reports are counted: long against chance at a few requests a second,
-# short against a tier that lost most of its nodes.
-HORIZON = 6 * SECOND
-# The share that the settings tell (one of all nodes) counts as so many attempts seen, and before so many
-# reports were heard nothing else is taken for true.
-PRIOR, HEARD_LEAST = 4.0, 6
-# The settings' number stands unless the share found is beyond so many times it, or below that part, for so
-# long; and again once within the second. By chance, or while reports begin, it is off for less.
-# Taken at once, or as it is within the band, it cost 0.001 to 0.002 of the worth on drawn days.
-BAND, BACK, HOLD = 2.0, 1.4, 3 * SECOND
-# A share is at most so many times that of the settings, or that part of it.
-FACTOR_MOST = 30.0
-# One report counts as at most so many times the mean of those before.
-LOUDEST = 4.0
-# Of a cold server's budget a node takes no more than if the tier were so much smaller than told: all nodes
-# may be wrong in the same direction at once.
-COLD_FACTOR = 3.0
-
-
-class Census:
-    """Own attempts, over those that servers tell of from all nodes.
-
-    A share follows who is really there, and what each is offered: the shares of all nodes are one together,
-    also when most are dead, the settings tell a wrong number, or one gets a multiple of the mean. Where
-    answers tell no rate, it is the number in the settings. It does harm where servers report a rate that is
-    not theirs from all nodes, within FACTOR_MOST.
+__all__ = ["TrafficShare"]
+
+SECOND_NS = 1_000_000_000
+# The time (ns) over which own attempts and reports are counted: long against chance at a few requests a
+# second, short against the loss of most nodes.
+HORIZON_NS = 6 * SECOND_NS
+# The configured share (one of all nodes) counts as this many attempts, as a prior.
+PRIOR_ATTEMPTS = 4.0
+# Before this many reports the configured number of nodes is used, and a report is not limited.
+MIN_REPORTS = 6
+# The configured number of nodes is replaced once the estimate is off by more than DEVIATION_FACTOR for
+# DEVIATION_HOLD_NS, and used again as soon as the estimate is off by less than RETURN_FACTOR. By chance, or
+# while reports begin, the estimate is off for less time.
+DEVIATION_FACTOR = 2.0
+RETURN_FACTOR = 1.4
+DEVIATION_HOLD_NS = 3 * SECOND_NS
+# The estimate is at most this many times the configured number of nodes, and at least that part of it.
+MAX_FACTOR = 30.0
+# One report counts as at most this many times the mean of those before, or of the least mean (requests a
+# second per unit of size).
+MAX_REPORT_RATIO = 4.0
+MIN_MEAN_RATE = 0.1
+# The number of reports over which the mean rate moves.
+MEAN_REPORTS = 24
+# For slow start the number of nodes is at least the configured one divided by this: all nodes may be wrong in
+# the same direction at once.
+MAX_COLD_FACTOR = 3.0
+
+
+class TrafficShare:
+    """Own attempts, relative to the requests that servers report from all nodes.
+
+    The shares of all nodes add up to one, also when most nodes are dead, the configured number is wrong, or
+    one node gets a multiple of the mean. Where reports have no rate, the configured number is used. Servers
+    that report a wrong rate mislead it within MAX_FACTOR.
+
+    Parameters
+    ----------
+    nodes
+        The configured number of nodes.
+    fields
+        The names of a report's values, in order; "rate" (requests a second) is used.
+    now
+        The time (ns).
     """
 
-    __slots__ = ("at", "attempts", "away", "field", "heard", "level", "nodes", "seen")
+    __slots__ = (
+        "attempts",
+        "configured_nodes",
+        "deviating_for",
+        "observed_seconds",
+        "rate_field",
+        "rate_per_size",
+        "reports",
+        "updated_at",
+    )
 
     def __init__(self, nodes: int, fields: Sequence[str], now: int) -> None:
-        self.nodes = nodes
-        self.field = fields.index("rate") if "rate" in fields else -1
-        self.away = 0  # for how long (ns) the settings' number has been off
-        self.at = now
-        self.attempts = 0.0  # own, fading
-        self.seen = 0.0  # seconds over which they were counted, fading
-        self.heard = 0
-        self.level = 0.0  # requests a second that servers tell, for each unit of their size
-
-    def sent(self) -> None:
-        """This node has sent an attempt."""
+        self.configured_nodes = nodes
+        self.rate_field = fields.index("rate") if "rate" in fields else -1
+        self.deviating_for = 0  # ns for which the estimate has been off
+        self.updated_at = now
+        self.attempts = 0.0  # own, decaying
+        self.observed_seconds = 0.0  # over which they were counted, decaying
+        self.reports = 0
+        self.rate_per_size = 0.0  # moving mean of reported requests a second per unit of size
+
+    def record_attempt(self) -> None:
+        """Count an attempt that this node has sent."""
         self.attempts += 1.0
 
-    def hear(self, report: Sequence[float], size: float) -> None:
-        """An answer tells what its server gets; size: the server's, relative to others, above 0."""
-        if not 0 <= self.field < len(report) or not report[self.field] >= 0.0:
+    def observe_report(self, report: Sequence[float], size: float) -> None:
+        """Take in a load report.
+
+        Parameters
+        ----------
+        report
+            The report's values; one without a valid rate is ignored.
+        size
+            The server's size relative to others, above 0.
+        """
+        if not 0 <= self.rate_field < len(report) or not report[self.rate_field] >= 0.0:
             return
-        told = report[self.field] / size
-        if self.heard >= HEARD_LEAST:
-            told = min(told, LOUDEST * max(self.level, 0.1))
-        self.heard += 1
-        self.level += (told - self.level) / min(self.heard, 24)
+        reported = report[self.rate_field] / size
+        if self.reports >= MIN_REPORTS:
+            reported = min(reported, MAX_REPORT_RATIO * max(self.rate_per_size, MIN_MEAN_RATE))
+        self.reports += 1
+        self.rate_per_size += (reported - self.rate_per_size) / min(self.reports, MEAN_REPORTS)
+
+    def effective_nodes(self, now: int, size: float) -> float:
+        """Return 1 / this node's share of all traffic: how many nodes there are, were all like this one.
 
-    def others(self, now: int, size: float) -> float:
-        """1 over this node's share of all traffic: so many nodes there are, were all like this one.
+        Parameters
+        ----------
+        now
+            The time (ns).
+        size
+            The size of all servers together.
 
-        size: of all servers together. At least 1.
+        Returns
+        -------
+        float
+            At least 1.
         """
-        span = max(0, now - self.at)
-        self.at = now
-        keep = max(0.0, 1.0 - span / HORIZON)
-        self.seen = self.seen * keep + span / SECOND
+        span = max(0, now - self.updated_at)
+        self.updated_at = now
+        keep = max(0.0, 1.0 - span / HORIZON_NS)
+        self.observed_seconds = self.observed_seconds * keep + span / SECOND_NS
         self.attempts *= keep
-        if self.heard < HEARD_LEAST:
-            return float(self.nodes)
-        total = self.level * size * self.seen
-        found = (total + PRIOR * self.nodes) / (self.attempts + PRIOR)
-        off = max(found / self.nodes, self.nodes / found)
-        taken = self.away >= HOLD
-        self.away = self.away + span if off > (BACK if taken else BAND) else 0
-        if self.away < HOLD:
-            return float(self.nodes)
-        return max(1.0, self.nodes / FACTOR_MOST, min(found, self.nodes * FACTOR_MOST))
-
-    def for_cold(self, others: float) -> float:
-        """The number of nodes by which a cold server's budget is dealt."""
-        return max(others, self.nodes / COLD_FACTOR)
+        configured = self.configured_nodes
+        if self.reports < MIN_REPORTS:
+            return float(configured)
+        total = self.rate_per_size * size * self.observed_seconds
+        estimate = (total + PRIOR_ATTEMPTS * configured) / (self.attempts + PRIOR_ATTEMPTS)
+        self._update_deviation(max(estimate / configured, configured / estimate), span)
+        if self.deviating_for < DEVIATION_HOLD_NS:
+            return float(configured)
+        return max(1.0, configured / MAX_FACTOR, min(estimate, configured * MAX_FACTOR))
+
+    def _update_deviation(self, factor: float, span: int) -> None:
+        """Count the time (ns) for which the estimate has been off by a factor."""
+        replaced = self.deviating_for >= DEVIATION_HOLD_NS
+        limit = RETURN_FACTOR if replaced else DEVIATION_FACTOR
+        self.deviating_for = self.deviating_for + span if factor > limit else 0
+
+    def slow_start_nodes(self, nodes: float) -> float:
+        """Return the number of nodes among which a starting server's budget is divided."""
+        return max(nodes, self.configured_nodes / MAX_COLD_FACTOR)
--- a/hollybay/balancing/zone_reachability.py
+++ b/hollybay/balancing/zone_reachability.py
@@ -1,48 +1,78 @@
-"""Which zone can be reached, from how a node's connects go there: sooner than a list tells of a lost one."""
+"""Which zones are reachable, judged by how connects end: sooner than discovery reports a lost zone."""
 
 from __future__ import annotations
 
-__all__ = ["Reach"]
+__all__ = ["ZoneReachability"]
 
-# Share of connects that fail at which a zone is taken for lost; the most of the traffic that is then kept
-# from it, as the rest sees it come back; and what one answer leaves of that share.
-LOST_FROM, LOST_MOST, LOST_FADE = 0.25, 0.95, 0.8
+# The share of failed connects above which a zone is taken for unreachable.
+UNREACHABLE_FAILURE_RATE = 0.25
+# The largest share of traffic diverted from an unreachable zone; the rest finds out when it is back.
+MAX_DIVERTED_SHARE = 0.95
+# What one successful connect leaves of the share of failed ones.
+SUCCESS_DECAY = 0.8
+# A zone is unreachable only if its share of failed connects is this many times that of the other zones.
+UNREACHABLE_RATIO = 2.0
 
 
-class Reach:
-    """The node's own zone (near) and all others (far): the share of connects that fail, as a running mean.
+class ZoneReachability:
+    """The share of connects that fail, for the node's own zone (local) and for all others (remote).
 
-    A server that is down alone shows in its own record. When a whole zone goes, a node with few requests
-    meets each of its servers once in seconds, and would try them all, one after another and each several
-    times. It does harm where many servers of one zone fail at once and its others could bear the load:
-    that part of the traffic then crosses.
+    A single server that is down shows in its own failure rate. When a whole zone goes, a node with few
+    requests meets each of the zone's servers only once in seconds, and would try one after another.
+    Where many servers of a zone fail at once and its others could carry the load, traffic crosses in vain.
+
+    Attributes
+    ----------
+    local_failure_rate, remote_failure_rate
+        Moving shares (0 to 1) of failed connects.
     """
 
-    __slots__ = ("far", "near")
+    __slots__ = ("local_failure_rate", "remote_failure_rate")
 
     def __init__(self) -> None:
-        self.near = 0.0
-        self.far = 0.0
-
-    def note(self, near: bool, failed: bool, weight: float) -> None:
-        """How a connect went; weight: of one event in the mean. What works counts for more, so that a zone
-        with some servers down is none that is lost, and one that comes back is seen at once."""
-        share = self.near if near else self.far
-        share = share + weight * (1.0 - share) if failed else share * LOST_FADE
-        if near:
-            self.near = share
+        self.local_failure_rate = 0.0
+        self.remote_failure_rate = 0.0
+
+    def observe_connect(self, local: bool, failed: bool, weight: float) -> None:
+        """Record how a connect ended.
+
+        A success weighs more than a failure, so that a zone with some servers down is not taken for
+        unreachable, and one that comes back is seen at once.
+
+        Parameters
+        ----------
+        local
+            Whether it went to the node's own zone.
+        failed
+            Whether it failed.
+        weight
+            The weight of one failure in the moving share, 0 to 1.
+        """
+        rate = self.local_failure_rate if local else self.remote_failure_rate
+        rate = rate + weight * (1.0 - rate) if failed else rate * SUCCESS_DECAY
+        if local:
+            self.local_failure_rate = rate
         else:
-            self.far = share
+            self.remote_failure_rate = rate
 
     @property
-    def far_lost(self) -> bool:
-        """Whether crossing brings nothing."""
-        return self.far > LOST_FROM and self.far > 2.0 * self.near
-
-    def away(self, spill: float) -> float:
-        """The share of requests that try far zones first, where loads alone would have spill of them go."""
-        if self.far_lost:
-            return (1.0 - LOST_MOST) * spill
-        if self.near > LOST_FROM and self.near > 2.0 * self.far:
-            return max(spill, min(LOST_MOST, (self.near - LOST_FROM) / LOST_FROM))
-        return spill
+    def remote_unreachable(self) -> bool:
+        """Whether sending requests to other zones is useless."""
+        rate = self.remote_failure_rate
+        return rate > UNREACHABLE_FAILURE_RATE and rate > UNREACHABLE_RATIO * self.local_failure_rate
+
+    def remote_first_share(self, load_share: float) -> float:
+        """Return the share (0 to 1) of requests that try remote zones first.
+
+        Parameters
+        ----------
+        load_share
+            The share that would go there by load alone.
+        """
+        if self.remote_unreachable:
+            return (1.0 - MAX_DIVERTED_SHARE) * load_share
+        rate = self.local_failure_rate
+        if rate > UNREACHABLE_FAILURE_RATE and rate > UNREACHABLE_RATIO * self.remote_failure_rate:
+            diverted = (rate - UNREACHABLE_FAILURE_RATE) / UNREACHABLE_FAILURE_RATE
+            return max(load_share, min(MAX_DIVERTED_SHARE, diverted))
+        return load_share
--- a/hollybay/cli/main.py
+++ b/hollybay/cli/main.py
@@ -15,7 +15,7 @@
 
 if TYPE_CHECKING:
     from hollybay.balancing.interface import Settings
-    from hollybay.routing.route_table import Plan
+    from hollybay.routing.compiled_policy import CompiledPolicy
 
     from .demo import Report
 
@@ -43,22 +43,22 @@
 
 def _settings(config: str | None) -> Settings | None:
     """The settings of a node's configuration, where one is named."""
-    from hollybay.proxy.config import ConfigError, settings_of
+    from hollybay.proxy.config import ConfigError, settings_from_json
 
     path = config or os.environ.get("BALANCER_CONFIG")
     if not path:
         return None
     try:
         data = json.loads(Path(path).read_text())
-        return settings_of(data.get("settings") if isinstance(data, dict) else None)
+        return settings_from_json(data.get("settings") if isinstance(data, dict) else None)
     except (OSError, ValueError, ConfigError) as error:
         raise click.ClickException(f"{path}: {error}") from None
 
 
-def _plan(file: str, settings: Settings | None) -> Plan:
+def _plan(file: str, settings: Settings | None) -> CompiledPolicy:
     """The compiled file; what does not hold is printed, and ends the command with 2."""
+    from hollybay.routing.policy_compiler import compile_file
     from hollybay.routing.problems import OperatorError
-    from hollybay.routing.route_table import compile_file
 
     try:
         data = Path(file).read_bytes()
@@ -93,7 +93,9 @@
     settings = _settings(config)
     plan = _plan(file, settings)
     against = "the settings" if settings is not None else "what it declares of its classes"
-    click.echo(f"{file}: holds against {against}: {len(plan.routes)} routes, {len(plan.by_class)} classes")
+    click.echo(
+        f"{file}: holds against {against}: {len(plan.routes)} routes, {len(plan.class_limits)} classes"
+    )
 
 
 @main.command()
@@ -109,7 +111,7 @@
 
     Exit status 1 if the request would be turned away.
     """
-    from hollybay.routing.explain import explain
+    from hollybay.routing.explain import explain_request
 
     given = {}
     for header in headers:
@@ -117,17 +119,17 @@
         if not sep or not name.strip():
             raise click.BadParameter(f"{header!r} is no NAME:VALUE", param_hint="-H")
         given[name.strip().lower().encode("latin-1", "replace")] = value.strip().encode("latin-1", "replace")
-    found = explain(
+    found = explain_request(
         _plan(file, _settings(config)),
         method.encode("latin-1", "replace"),
         path.encode("latin-1", "replace"),
         given,
     )
-    if found.denied is not None:
-        click.echo(f"turned away with {found.denied.status}: {found.denied.reason}")
+    if found.rejection is not None:
+        click.echo(f"turned away with {found.rejection.status}: {found.rejection.reason}")
         sys.exit(1)
     click.echo(f"route: {found.route or 'none'}")
-    click.echo(f"class: {found.cls}")
+    click.echo(f"class: {found.class_name}")
     for key, value in found.variables.items():
         click.echo(f"variable {key} = {value}")
     table = Table("limit", "value", "from")
--- a/hollybay/cli/policy.py
+++ b/hollybay/cli/policy.py
@@ -8,53 +8,60 @@
 import os
 import sys
 from collections.abc import Callable, Iterable
-from dataclasses import asdict
 from pathlib import Path
-from typing import Any
+from typing import Any, NoReturn
 
 import click
 from rich.console import Console
-from rich.table import Table
-
-from hollybay.consensus.change_tracker import (
-    ChangeRequest,
-    ChangeTracker,
-    ClusterView,
-    InvalidInputError,
-    Verdict,
-)
+
+from hollybay.consensus.change_tracker import ChangeRequest, ChangeTracker
+from hollybay.consensus.cluster_view import ClusterView
 from hollybay.consensus.requests import UnreachableError
+from hollybay.consensus.verdict import ExitStatus, InvalidInputError, Verdict
+
+from .policy_output import (
+    Progress,
+    history_table,
+    lines_without_voters,
+    member_table,
+    verdict_document,
+    verdict_lines,
+)
 
 __all__ = ["policy"]
 
-CALL_LIMIT = 2.0  # seconds
-TEXTS = {0: "in force everywhere", 1: "nowhere", 2: "bad input", 3: "not known yet"}
+CALL_LIMIT_S = 2.0
+ADDRESSES_VARIABLE = "HOLLYBAY_DOORS"
+MAX_PORT = 65535
 
 
-def _doors(doors: Iterable[str]) -> list[str]:
-    found = [*doors, *os.environ.get("HOLLYBAY_DOORS", "").replace(",", " ").split()]
-    if not found:
+def _all_addresses(addresses: Iterable[str]) -> list[str]:
+    """The addresses of the options and of the environment. click.UsageError: none, or a malformed one."""
+    given = [*addresses, *os.environ.get(ADDRESSES_VARIABLE, "").replace(",", " ").split()]
+    if not given:
         raise click.UsageError("no --door, and HOLLYBAY_DOORS is not set: where is any node called?")
-    for door in found:
-        host, sep, port = door.rpartition(":")
-        if not sep or not host or not port.isdigit() or not 0 < int(port) < 65536:
-            raise click.BadParameter(f"{door!r} is no HOST:PORT", param_hint="--door")
-    return found
+    for address in given:
+        host, separator, port = address.rpartition(":")
+        if not separator or not host or not port.isdigit() or not 0 < int(port) <= MAX_PORT:
+            raise click.BadParameter(f"{address!r} is no HOST:PORT", param_hint="--door")
+    return given
 
 
-async def _call(door: str, path: str, body: bytes | None) -> bytes:
+async def _call(address: str, path: str, body: bytes | None) -> bytes:
     from hollybay.proxy.consensus_member import call
 
-    return await call(door, path, body, CALL_LIMIT)
+    return await call(address, path, body, CALL_LIMIT_S)
 
 
-def _follow(doors: Iterable[str], show: Callable[[ClusterView], None] = lambda known: None) -> ChangeTracker:
-    return ChangeTracker(_call, _doors(doors), show)
+def _tracker(
+    addresses: Iterable[str], on_update: Callable[[ClusterView], None] = lambda _view: None
+) -> ChangeTracker:
+    return ChangeTracker(_call, _all_addresses(addresses), on_update)
 
 
-_DOOR = click.option(
+_ADDRESSES = click.option(
     "--door",
-    "doors",
+    "addresses",
     multiple=True,
     metavar="HOST:PORT",
     help="A node's door for operators (HOLLYBAY_DOORS).",
@@ -77,80 +84,46 @@
     """
 
 
-class _Shown:
-    """Progress, a line for each thing that is new."""
-
-    def __init__(self, quiet: bool) -> None:
-        self.quiet = quiet
-        self.last = ""
-
-    def __call__(self, known: ClusterView) -> None:
-        latest = known.latest
-        if self.quiet or latest is None:
-            return
-        stage = f"epoch {latest['epoch']} {latest['stage'].lower()}: {latest['policy']}"
-        if latest["new"]:
-            stage += f", then {latest['new']}"
-        waits = {
-            one["name"]: one
-            for keeper in known.keepers.values()
-            for one in [*keeper["waits"], *keeper["older"]]
-        }
-        lines = []
-        for name, one in sorted(waits.items()):
-            what = "cannot serve it" if one["no"] else "silent"
-            lines.append(f"  {what}: {name}, lease ends in {one['left'] / 1e9:.0f} s")
-        members = [member for keeper in known.keepers.values() for member in keeper["members"]]
-        behind = sorted({m["name"] for m in members if m["epoch"] < latest["epoch"] and m["left_s"]})
-        if behind:
-            some = ", ".join(behind[:6]) + (", ..." if len(behind) > 6 else "")
-            lines.append(f"  not there yet: {len(behind)} ({some})")
-        text = "\n".join([stage, *lines])
-        if text != self.last:
-            self.last = text
-            click.echo(text, err=True)
-
-
-def _end(verdict: Verdict, as_json: bool) -> None:
-    """Say what became of a change, and end with its status."""
+def _exit_with(verdict: Verdict, as_json: bool) -> NoReturn:
+    """Print what became of a change, and exit with its status."""
     if as_json:
-        click.echo(json.dumps(asdict(verdict)))
+        click.echo(json.dumps(verdict_document(verdict)))
         sys.exit(verdict.code)
-    name = verdict.change or "the change"
-    click.echo(f"{name}: {TEXTS[verdict.code]}: {verdict.text}")
-    for node, reasons in sorted(verdict.reasons.items()):
-        for reason in reasons:
-            click.echo(f"  {node}: {reason}")
-    if verdict.code == 3:
-        click.echo("  `hollybay policy status` tells how far it is, `hollybay policy drop` gives it up")
+    for line in verdict_lines(verdict):
+        click.echo(line)
     sys.exit(verdict.code)
 
 
+def _unknown(text: str) -> Verdict:
+    return Verdict(ExitStatus.UNKNOWN, text=text)
+
+
 @policy.command()
 @click.argument("file", type=click.Path(dir_okay=False), required=False)
-@_DOOR
-def found(file: str | None, doors: tuple[str, ...]) -> None:
+@_ADDRESSES
+def found(file: str | None, addresses: tuple[str, ...]) -> None:
     """Begin an accord, once, with FILE or with no routes and limits: all keepers must be there."""
-    data = _read(file) if file is not None else b""
+    data = _read_file(file) if file is not None else b""
 
     async def work() -> str:
-        follow = _follow(doors)
-        await follow.look()
-        why = "no keeper answers"
-        for door, status in follow.known.statuses.items():
-            if "keeper_waits" not in status and status.get("keeper") is None:
+        tracker = _tracker(addresses)
+        await tracker.refresh()
+        reason = "no keeper answers"
+        for address, status in tracker.view.statuses.items():
+            if status.voter is None and status.voter_waits is None:
                 continue
             try:
-                told = json.loads(await follow.found(door, data))
-                return f"founded: {told['policy']}, keepers {', '.join(told['keepers'])}"
+                reply = json.loads(await tracker.bootstrap(address, data))
             except UnreachableError as error:
-                why = str(error)
-        raise click.ClickException(why)
+                reason = str(error)
+                continue
+            return f"founded: {reply['policy']}, keepers {', '.join(reply['keepers'])}"
+        raise click.ClickException(reason)
 
     click.echo(asyncio.run(work()))
 
 
-def _read(file: str) -> bytes:
+def _read_file(file: str) -> bytes:
     try:
         return Path(file).read_bytes()
     except OSError as error:
@@ -168,7 +141,7 @@
 @click.option("--parent", default="", help="The policy that it was made on; refused if another is in force.")
 @_LIMIT
 @_JSON
-@_DOOR
+@_ADDRESSES
 def propose(
     file: str | None,
     reason: str,
@@ -179,7 +152,7 @@
     parent: str,
     limit: float,
     as_json: bool,
-    doors: tuple[str, ...],
+    addresses: tuple[str, ...],
 ) -> None:
     """Propose a change: FILE as the operator file, servers out or back, other keepers.
 
@@ -188,41 +161,42 @@
     """
     if file is None and not out and not back_in and not keepers:
         raise click.UsageError("nothing to propose: no FILE, --out, --in or --keeper")
-    data = _read(file) if file is not None else None
-    name = author if author is not None else _user()
+    data = _read_file(file) if file is not None else None
+    name = author if author is not None else _user_name()
 
     async def work() -> Verdict:
-        follow = _follow(doors, _Shown(as_json))
+        tracker = _tracker(addresses, Progress(as_json))
         if not parent and not keepers:
-            return await _applied(follow, limit, reason, name, ChangeRequest(data, out=out, back_in=back_in))
+            request = ChangeRequest(data, drain=out, undrain=back_in)
+            return await _build_and_submit(tracker, limit, reason, name, request)
         servers = None
         if out or back_in:
-            await follow.look()
-            latest = follow.known.latest
+            await tracker.refresh()
+            latest = tracker.view.latest
             if latest is None:
-                return Verdict(3, text="no keeper answers")
-            servers = sorted((set(latest["out"]) | set(out)) - set(back_in))
-        return await follow.propose(data, servers, list(keepers) or None, reason, name, limit, parent)
+                return _unknown("no keeper answers")
+            servers = sorted((set(latest.drained_servers) | set(out)) - set(back_in))
+        return await tracker.propose(data, servers, list(keepers) or None, reason, name, limit, parent)
 
-    _end(asyncio.run(work()), as_json)
+    _exit_with(asyncio.run(work()), as_json)
 
 
-async def _applied(
-    follow: ChangeTracker, limit: float, reason: str, author: str, wish: ChangeRequest
+async def _build_and_submit(
+    tracker: ChangeTracker, limit: float, reason: str, author: str, request: ChangeRequest
 ) -> Verdict:
-    """Have the change made that makes the resources so, propose it and follow it."""
+    """Have a change built, submit it and wait for its outcome."""
     try:
-        drafted, change = await follow.draft(reason, author, wish)
+        draft, change = await tracker.build_change(reason, author, request)
     except InvalidInputError as error:
         return error.verdict()
     except UnreachableError as error:
-        return Verdict(3, text=str(error))
+        return _unknown(str(error))
     if change is None:
-        return Verdict(1, text=f"says the same as {drafted.policy}, which is in force")
-    return await follow.change(change, limit)
+        return Verdict(ExitStatus.NOWHERE, text=f"says the same as {draft.policy}, which is in force")
+    return await tracker.submit(change, limit)
 
 
-def _user() -> str:
+def _user_name() -> str:
     try:
         return getpass.getuser()
     except (KeyError, OSError):
@@ -238,7 +212,7 @@
 @click.option("--author", default=None, help="Who; your user name if not given.")
 @_LIMIT
 @_JSON
-@_DOOR
+@_ADDRESSES
 def change(
     file: str | None,
     delete: tuple[str, ...],
@@ -246,110 +220,83 @@
     author: str | None,
     limit: float,
     as_json: bool,
-    doors: tuple[str, ...],
+    addresses: tuple[str, ...],
 ) -> None:
     """Write or replace the routes, classes, tenants and defaults that FILE holds; the others stay."""
     if file is None and not delete:
         raise click.UsageError("nothing to change: no FILE and no --delete")
-    wish = ChangeRequest(_read(file) if file is not None else None, partial=True, delete=delete)
+    data = _read_file(file) if file is not None else None
+    request = ChangeRequest(data, partial=True, delete=delete)
 
     async def work() -> Verdict:
-        follow = _follow(doors, _Shown(as_json))
-        return await _applied(follow, limit, reason, author if author is not None else _user(), wish)
+        tracker = _tracker(addresses, Progress(as_json))
+        name = author if author is not None else _user_name()
+        return await _build_and_submit(tracker, limit, reason, name, request)
 
-    _end(asyncio.run(work()), as_json)
+    _exit_with(asyncio.run(work()), as_json)
 
 
 @policy.command()
 @_JSON
-@_DOOR
-def status(as_json: bool, doors: tuple[str, ...]) -> None:
+@_ADDRESSES
+def status(as_json: bool, addresses: tuple[str, ...]) -> None:
     """What is in force, where a change is, and every node. Exit status 3 if no keeper answers."""
-    follow = _follow(doors)
-    known = asyncio.run(follow.look())
-    latest = known.latest
+    tracker = _tracker(addresses)
+    view = asyncio.run(tracker.refresh())
+    latest = view.latest
     if as_json:
-        click.echo(json.dumps({"statuses": known.statuses}))
-        sys.exit(0 if latest is not None else 3)
+        click.echo(json.dumps({"statuses": view.documents}))
+        sys.exit(ExitStatus.IN_FORCE if latest is not None else ExitStatus.UNKNOWN)
     if latest is None:
-        click.echo("no keeper answers" if known.statuses else "nobody answers")
-        for door, one in known.statuses.items():
-            serves = ", ".join(one["serves"]) or "nothing"
-            click.echo(f"  {door}: {one['name']} serves {serves}; {one.get('keeper_waits', '')}")
-        sys.exit(3)
-    _Shown(False)(known)
-    members: dict[str, dict[str, Any]] = {}
-    for keeper in known.keepers.values():
-        for one in keeper["members"]:
-            seen = members.setdefault(one["name"], one)
-            if one["heard_s"] < seen["heard_s"]:
-                members[one["name"]] = one
-    table = Table("node", "epoch", "lease left s", "heard s ago", "can serve", "keeper")
-    for name, one in sorted(members.items()):
-        twice = " (twice)" if one["twice"] else ""
-        table.add_row(
-            name + twice,
-            str(one["epoch"]),
-            f"{one['left_s']:.1f}",
-            f"{one['heard_s']:.1f}",
-            "yes" if one["able"] else "no",
-            "yes" if one["door"] in latest["board"] else "",
-        )
-    Console().print(table)
-    for door in latest["board"]:
-        if door not in known.keepers:
-            click.echo(f"keeper {door} does not answer as one")
+        for line in lines_without_voters(view):
+            click.echo(line)
+        sys.exit(ExitStatus.UNKNOWN)
+    Progress(False)(view)
+    Console().print(member_table(view, latest))
+    for address in latest.voters:
+        if address not in view.voters:
+            click.echo(f"keeper {address} does not answer as one")
 
 
 @policy.command()
 @_JSON
-@_DOOR
-def history(as_json: bool, doors: tuple[str, ...]) -> None:
+@_ADDRESSES
+def history(as_json: bool, addresses: tuple[str, ...]) -> None:
     """All epochs that keepers remember, the newest last."""
-    follow = _follow(doors)
+    tracker = _tracker(addresses)
 
     async def work() -> list[dict[str, Any]]:
-        await follow.look()
-        found: dict[int, dict[str, Any]] = {}
-        for door in follow.known.keepers:
+        await tracker.refresh()
+        by_epoch: dict[int, dict[str, Any]] = {}
+        for address in tracker.view.voters:
             try:
-                for one in json.loads(await _call(door, "history", None)):
-                    found.setdefault(one["epoch"], one)
+                for entry in json.loads(await _call(address, "history", None)):
+                    by_epoch.setdefault(entry["epoch"], entry)
             except (UnreachableError, ValueError):
                 continue
-        return [found[epoch] for epoch in sorted(found)]
+        return [by_epoch[epoch] for epoch in sorted(by_epoch)]
 
     entries = asyncio.run(work())
     if as_json:
         click.echo(json.dumps(entries))
         return
-    table = Table("epoch", "stage", "policy", "new", "reason", "author")
-    for one in entries:
-        table.add_row(
-            str(one["epoch"]),
-            one["stage"].lower(),
-            one["policy"],
-            one["new"],
-            one.get("reason", ""),
-            one.get("author", ""),
-        )
-    Console().print(table)
+    Console().print(history_table(entries))
 
 
 @policy.command()
 @click.argument("one")
 @click.argument("other", required=False)
-@_DOOR
-def diff(one: str, other: str | None, doors: tuple[str, ...]) -> None:
+@_ADDRESSES
+def diff(one: str, other: str | None, addresses: tuple[str, ...]) -> None:
     """What differs between two policies, by their names; or what a FILE would change."""
-    follow = _follow(doors)
+    tracker = _tracker(addresses)
 
     async def work() -> list[str]:
-        await follow.look()
+        await tracker.refresh()
         if other is not None:
-            return await follow.difference(one, other)
-        drafted, _ = await follow.draft("a difference", "", ChangeRequest(_read(one)))
-        return drafted.lines
+            return await tracker.diff(one, other)
+        draft, _ = await tracker.build_change("a difference", "", ChangeRequest(_read_file(one)))
+        return draft.lines
 
     try:
         lines = asyncio.run(work())
@@ -367,56 +314,66 @@
 @click.argument("change", required=False)
 @_LIMIT
 @_JSON
-@_DOOR
-def drop(change: str | None, limit: float, as_json: bool, doors: tuple[str, ...]) -> None:
+@_ADDRESSES
+def drop(change: str | None, limit: float, as_json: bool, addresses: tuple[str, ...]) -> None:
     """Give up CHANGE, or the one that is under way: exit status 1 once it is nowhere."""
 
     async def work() -> Verdict:
-        follow = _follow(doors, _Shown(as_json))
-        known = await follow.look()
-        latest = known.latest
+        tracker = _tracker(addresses, Progress(as_json))
+        view = await tracker.refresh()
+        latest = view.latest
         if latest is None:
-            return Verdict(3, text="no keeper answers")
-        name = (
-            change
-            or latest["new"]
-            or next((k["pending"] for k in known.keepers.values() if k["pending"]), "")
-        )
+            return _unknown("no keeper answers")
+        name = change or latest.new or _pending_change(view)
         if not name:
-            return Verdict(2, text="no change is under way")
-        begun = [epoch for epoch, found in known.epochs.items() if found[0] == "PREPARE" and found[2] == name]
-        why = await follow.drop(name)
-        if why:
-            return Verdict(2, name, text=why)
-        return await follow.follow(name, max(begun, default=int(latest["epoch"]) + 1), limit)
+            return Verdict(ExitStatus.BAD_INPUT, text="no change is under way")
+        first_epoch = _first_epoch(view, name)
+        reason = await tracker.drop(name)
+        if reason:
+            return Verdict(ExitStatus.BAD_INPUT, name, text=reason)
+        return await tracker.track(name, latest.epoch + 1 if first_epoch is None else first_epoch, limit)
+
+    _exit_with(asyncio.run(work()), as_json)
+
+
+def _pending_change(view: ClusterView) -> str:
+    """The change that a voter is about to propose, or ""."""
+    return next((voter.pending for voter in view.voters.values() if voter.pending), "")
+
 
-    _end(asyncio.run(work()), as_json)
+def _first_epoch(view: ClusterView, change: str) -> int | None:
+    """The last epoch that a change began with; None: it has not begun, as far as is known."""
+    epochs = (
+        epoch for epoch, record in view.epochs.items() if record.stage == "PREPARE" and record.new == change
+    )
+    return max(epochs, default=None)
 
 
 @policy.command()
 @click.option("--reason", required=True, help="Why; it stands in the history.")
 @_LIMIT
 @_JSON
-@_DOOR
-def back(reason: str, limit: float, as_json: bool, doors: tuple[str, ...]) -> None:
+@_ADDRESSES
+def back(reason: str, limit: float, as_json: bool, addresses: tuple[str, ...]) -> None:
     """Propose what was in force before, as a change of its own."""
 
     async def work() -> Verdict:
-        follow = _follow(doors, _Shown(as_json))
-        await follow.look()
-        latest = follow.known.latest
+        tracker = _tracker(addresses, Progress(as_json))
+        await tracker.refresh()
+        latest = tracker.view.latest
         if latest is None:
-            return Verdict(3, text="no keeper answers")
-        now = await follow.policy(latest["policy"])
-        if now is None or now.version < 2:
-            return Verdict(2, text="nothing was in force before")
-        before = await follow.policy(now.parent_name)
+            return _unknown("no keeper answers")
+        current = await tracker.fetch_policy(latest.policy)
+        if current is None or current.version < 2:
+            return Verdict(ExitStatus.BAD_INPUT, text="nothing was in force before")
+        before = await tracker.fetch_policy(current.parent_name)
         if before is None:
-            return Verdict(3, text="no keeper has what was in force before")
-        if before.keepers == now.keepers:
-            return await _applied(follow, limit, reason, _user(), ChangeRequest(like=before.name))
-        return await follow.propose(
-            None, None, list(before.keepers), reason, _user(), limit, like=before.name
+            return _unknown("no keeper has what was in force before")
+        if before.voters == current.voters:
+            request = ChangeRequest(like_policy=before.name)
+            return await _build_and_submit(tracker, limit, reason, _user_name(), request)
+        return await tracker.propose(
+            None, None, list(before.voters), reason, _user_name(), limit, like_policy=before.name
         )
 
-    _end(asyncio.run(work()), as_json)
+    _exit_with(asyncio.run(work()), as_json)
--- a/hollybay/cluster/change_stream.py
+++ b/hollybay/cluster/change_stream.py
@@ -26,9 +26,11 @@
 from pathlib import Path
 from typing import Any
 
-from hollybay.consensus.change_tracker import ChangeTracker, ClusterView, Verdict
+from hollybay.consensus.change_tracker import ChangeTracker
+from hollybay.consensus.cluster_view import ClusterView
 from hollybay.consensus.log import PolicyLog
 from hollybay.consensus.policy import version_of
+from hollybay.consensus.verdict import Verdict
 from hollybay.proxy.consensus_member import call
 from hollybay.resources.model import CHANGE_ID_BYTES, Change, Delete, Kind, Operation, Upsert
 from hollybay.resources.state import ResourceState
@@ -192,7 +194,7 @@
     in_force = codes == {0}
     found = [f"is told of another: {text}" for text in _of_others(one)]
     for name, state in states.items():
-        times = sum(ids.count(one.change.id) for ids in state.ids_at.values())
+        times = sum(ids.count(one.change.id) for ids in state.change_ids_by_revision.values())
         if times != int(in_force):
             found.append(f"told to be {'in force' if in_force else 'refused'}, {name} has it {times} times")
     if in_force and one.sort in (Sort.BAD, Sort.OUTDATED, Sort.UNFIT):
@@ -239,8 +241,8 @@
     async def _called(self, door: str, path: str, body: bytes | None) -> bytes:
         return await call(door, path, body, CALL_LIMIT)
 
-    def _in_order(self, known: ClusterView) -> list[str]:
-        return sorted(super()._in_order(known), key=lambda door: door != self.first)
+    def voters_in_order(self, view: ClusterView) -> list[str]:
+        return sorted(super().voters_in_order(view), key=lambda door: door != self.first)
 
 
 class _StreamRig(_Rig):
@@ -302,7 +304,7 @@
         began = time.monotonic_ns()
         doors = self.called[: self.run.keepers]
         proposers = [_Proposer(doors, first) for first in keepers]
-        one.told = await asyncio.gather(*(each.change(change, self.stream.limit) for each in proposers))
+        one.told = await asyncio.gather(*(each.submit(change, self.stream.limit) for each in proposers))
         one.ended = self.now()
         for verdict in one.told:
             # The oracle knows policies; a refused change never had one.
@@ -322,7 +324,9 @@
     @property
     def largest_batch(self) -> int:
         """How many changes were decided together at the most."""
-        return max(len(ids) for state in self.states.values() for ids in state.ids_at.values())
+        return max(
+            len(ids) for state in self.states.values() for ids in state.change_ids_by_revision.values()
+        )
 
 
 def on_disk(folder: Path, serves: list[str]) -> ResourceState:
--- a/hollybay/cluster/plan.py
+++ b/hollybay/cluster/plan.py
@@ -1,7 +1,7 @@
 """A plan of a run: who is there, what load comes, which faults happen when, and what must hold.
 
-Typed by msgspec, read with all problems at once (hollybay/routing/forms.py), then checked for its meaning
-here: groups that exist, faults that end within the run, links that the rig has, as many processes as the
+Typed by msgspec, read with all problems at once (hollybay.routing.typed_tables), then checked here for its
+meaning: groups that exist, faults that end within the run, links that the rig has, as many processes as the
 machine bears.
 Durations are nanoseconds. Source of the form: docs/MAINTAINERS-tier.md.
 """
@@ -18,8 +18,8 @@
 
 import msgspec
 
-from hollybay.routing.forms import Duration, Table, read_tables
 from hollybay.routing.problems import OperatorError, Problem
+from hollybay.routing.typed_tables import Duration, Table, read_tables
 
 from .evenness import FIGURES
 from .links import State
--- a/hollybay/cluster/planted.py
+++ b/hollybay/cluster/planted.py
@@ -6,10 +6,10 @@
 from collections.abc import Callable, Hashable
 from typing import Any
 
-from hollybay.balancing import server_selection as choice
+from hollybay.balancing.server_selection import ServerSelector
 from hollybay.balancing.state import Server
-from hollybay.balancing.traffic_share import Census
-from hollybay.gossip import Held
+from hollybay.balancing.traffic_share import TrafficShare
+from hollybay.gossip import RemoteLoad
 
 __all__ = ["DEFECTS", "FULL_DISK", "plant"]
 
@@ -18,111 +18,118 @@
 
 def _same_numbers() -> None:
     """All nodes draw the same random numbers, and begin them anew with each request."""
-    old = choice.Choice.pick
+    old = ServerSelector.pick
 
-    def pick(self: choice.Choice, request: Any, now: int) -> Server | None:
+    def pick(self: ServerSelector, request: Any, now: int) -> Server | None:
         self.random.seed(now // 1_000_000_000)
         return old(self, request, now)
 
-    choice.Choice.pick = pick  # type: ignore[method-assign]
+    ServerSelector.pick = pick  # type: ignore[method-assign]
 
 
 def _least_loaded() -> None:
     """Every node takes the server that the list tells to have the least in hand."""
 
-    def pick(self: choice.Choice, request: Any, now: int) -> Server | None:
-        fit = [s for s in self.roster.servers.values() if s.group is not None]
-        return min(fit, key=lambda s: (s.load, s.id)) if fit else None
+    def pick(self: ServerSelector, request: Any, now: int) -> Server | None:
+        fit = [s for s in self.endpoints.servers.values() if s.speed_class is not None]
+        return min(fit, key=lambda s: (s.reported_load, s.id)) if fit else None
 
-    choice.Choice.pick = pick  # type: ignore[method-assign]
+    ServerSelector.pick = pick  # type: ignore[method-assign]
 
 
 def _avoids_returned() -> None:
     """A server that was started anew is never used again."""
-    old = choice.Choice.rebuild
+    old = ServerSelector.rebuild
 
-    def rebuild(self: choice.Choice, now: int) -> None:
-        for s in self.roster.servers.values():
-            if s.since:
-                s.paused_until = now + 3_600_000_000_000
+    def rebuild(self: ServerSelector, now: int) -> None:
+        for s in self.endpoints.servers.values():
+            if s.up_since:
+                s.ejected_until = now + 3_600_000_000_000
         old(self, now)
 
-    choice.Choice.rebuild = rebuild  # type: ignore[method-assign]
+    ServerSelector.rebuild = rebuild  # type: ignore[method-assign]
 
 
 def _few_for_all() -> None:
     """Every node keeps to the first quarter of the servers."""
-    old = choice.Choice.pick
+    old = ServerSelector.pick
 
-    def pick(self: choice.Choice, request: Any, now: int) -> Server | None:
-        names = sorted(str(s) for s, server in self.roster.servers.items() if server.group is not None)
+    def pick(self: ServerSelector, request: Any, now: int) -> Server | None:
+        names = sorted(
+            str(s) for s, server in self.endpoints.servers.items() if server.speed_class is not None
+        )
         if not names:
             return old(self, request, now)
         few = names[: max(1, len(names) // 4)]
-        return self.roster.servers[random.choice(few)]
+        return self.endpoints.servers[random.choice(few)]
 
-    choice.Choice.pick = pick  # type: ignore[method-assign]
+    ServerSelector.pick = pick  # type: ignore[method-assign]
 
 
 def _configured_only() -> None:
     """Shares follow the number in the settings, whatever servers tell."""
 
-    def others(self: Census, now: int, size: float) -> float:
-        return float(self.nodes)
+    def effective_nodes(self: TrafficShare, now: int, size: float) -> float:
+        return float(self.configured_nodes)
 
-    Census.others = others  # type: ignore[method-assign]
+    TrafficShare.effective_nodes = effective_nodes  # type: ignore[method-assign]
 
 
 def _keeps_shares() -> None:
-    """What a node said counts for ever, also once it is dead or stopped."""
+    """A load report never expires, also once its node is dead or stopped."""
 
-    def look(self: Held, now: int) -> dict[Hashable, int]:
+    def expire(self: RemoteLoad, now: int) -> dict[Hashable, int]:
         return {}
 
-    Held.look = look  # type: ignore[method-assign]
+    RemoteLoad.expire = expire  # type: ignore[method-assign]
 
 
 def _lease_never_over() -> None:
     """A node does not look at the end of its lease when a request begins."""
-    from hollybay.consensus import core
+    from hollybay.consensus import core, leaseholder
 
-    def serves(self: core.Leaseholder, now: int) -> tuple[str, ...]:
-        return core.effective_policies(self.at) if self.at is not None else ()
+    def serves(self: leaseholder.Leaseholder, now: int) -> tuple[str, ...]:
+        return core.effective_policies(self.effective_epoch) if self.effective_epoch is not None else ()
 
-    core.Leaseholder.serves = serves  # type: ignore[method-assign]
+    leaseholder.Leaseholder.policies_in_force = serves  # type: ignore[method-assign]
 
 
 def _narrow_skipped() -> None:
     """Nodes go from the old policy to the new one without the narrower of both between."""
-    from hollybay.consensus import core
+    from hollybay.consensus import core, leaseholder
 
-    def serves(self: core.Leaseholder, now: int) -> tuple[str, ...]:
-        if self.at is None or now >= self.until:
+    def serves(self: leaseholder.Leaseholder, now: int) -> tuple[str, ...]:
+        if self.effective_epoch is None or now >= self.lease_end:
             return ()
-        return (self.at.new,) if self.at.stage is core.Stage.NARROW else (self.at.policy,)
+        return (
+            (self.effective_epoch.new,)
+            if self.effective_epoch.stage is core.Stage.JOINT
+            else (self.effective_epoch.policy,)
+        )
 
-    core.Leaseholder.serves = serves  # type: ignore[method-assign]
+    leaseholder.Leaseholder.policies_in_force = serves  # type: ignore[method-assign]
 
 
 def _disk_full_by_mark() -> None:
     """Not a defect but a fault: a node's log cannot be written while there is a mark in its folder."""
-    from hollybay.consensus.log import Entry, PolicyLog
+    from hollybay.consensus.log import PolicyLog
+    from hollybay.consensus.log_entry import Entry
     from hollybay.consensus.policy import Policy
     from hollybay.consensus.store import StoreError
 
-    put = PolicyLog.put
+    put = PolicyLog.append
 
     def putting(self: PolicyLog, policy: Policy) -> Entry:
-        if self.get(policy.name) is None and (self.folder.parent / FULL_DISK).exists():
+        if self.policy(policy.name) is None and (self.folder.parent / FULL_DISK).exists():
             raise StoreError("[Errno 28] No space left on device")
         return put(self, policy)
 
-    PolicyLog.put = putting  # type: ignore[method-assign]
+    PolicyLog.append = putting  # type: ignore[method-assign]
 
 
 def _unfit_by_name() -> None:
     """Not a defect but a fault: a node cannot serve routes whose names begin with its own."""
-    from hollybay.consensus.log import Entry
+    from hollybay.consensus.log_entry import Entry
     from hollybay.proxy.consensus_member import Accord
     from hollybay.resources.model import Change
 
@@ -132,7 +139,7 @@
         return name.startswith(f"{self.terms.name}-")
 
     async def compiling(self: Accord, entry: Entry) -> list[str]:
-        names = [key.name for key in entry.changed or () if is_unfit(self, key.name)]
+        names = [key.name for key in entry.changed_keys or () if is_unfit(self, key.name)]
         return [f"route {name!r}: does not hold here" for name in names] or await compiles(self, entry)
 
     async def naming(self: Accord, base: Entry, changes: tuple[Change, ...]) -> dict[bytes, list[str]]:
@@ -150,7 +157,7 @@
     """All changes of a batch are refused where one of them is bad."""
     from hollybay.consensus.group_commit import ProposalQueue
 
-    dropped = ProposalQueue.dropped
+    dropped = ProposalQueue.batch_dropped
 
     def drops(self: ProposalQueue, batch: Any, reasons: Any, now: int, problems: Any = ()) -> None:
         all_of = dict.fromkeys(
@@ -158,7 +165,7 @@
         )
         dropped(self, batch, all_of, now, problems)
 
-    ProposalQueue.dropped = drops  # type: ignore[method-assign]
+    ProposalQueue.batch_dropped = drops  # type: ignore[method-assign]
 
 
 DEFECTS: dict[str, Callable[[], None]] = {
--- a/hollybay/cluster/roles.py
+++ b/hollybay/cluster/roles.py
@@ -26,8 +26,8 @@
 import uvloop
 
 from hollybay.balancing import interface as api
-from hollybay.proxy.__main__ import serve
 from hollybay.proxy.config import load
+from hollybay.proxy.life_cycle import serve
 from hollybay.testbed.callers import Call, Callers, Line, Mix, starved
 from hollybay.testbed.fleet import Answering, Kind, ModelServer
 from hollybay.testbed.ledger import Asked, Final, Ledger, Limits, Start
@@ -81,9 +81,9 @@
 
 def limits_of_tier(run: Any) -> Limits:
     """The rules' figures for a run."""
-    from hollybay.proxy.config import settings_of
+    from hollybay.proxy.config import settings_from_json
 
-    return replace(Limits.of(settings_of(words_of(run))), late=LATE)
+    return replace(Limits.of(settings_from_json(words_of(run))), late=LATE)
 
 
 class _Recording(Ledger):
@@ -225,7 +225,8 @@
 
 def _hampered(full: bool) -> None:
     """No policy after the first compiles here, or its disk is full from then on."""
-    from hollybay.consensus.log import Entry, PolicyLog
+    from hollybay.consensus.log import PolicyLog
+    from hollybay.consensus.log_entry import Entry
     from hollybay.consensus.policy import Policy
     from hollybay.consensus.store import StoreError
     from hollybay.proxy.consensus_member import Accord
@@ -239,14 +240,14 @@
 
         Accord.compile = compile  # type: ignore[method-assign]
         return
-    kept = PolicyLog.put
+    kept = PolicyLog.append
 
     def put(self: PolicyLog, policy: Policy) -> Entry:
-        if policy.version > 1 and self.get(policy.name) is None:
+        if policy.version > 1 and self.policy(policy.name) is None:
             raise StoreError("[Errno 28] No space left on device")
         return kept(self, policy)
 
-    PolicyLog.put = put  # type: ignore[method-assign]
+    PolicyLog.append = put  # type: ignore[method-assign]
 
 
 async def _worker(role: str, name: str, folder: Path, words: dict[str, Any]) -> None:
@@ -798,20 +799,22 @@
 
     async def do_change(self, doors: list[str], to: int, change: dict[str, Any]) -> Any:
         """Propose and follow a change; what came of it."""
-        from hollybay.consensus.change_tracker import ChangeTracker, ClusterView, Verdict
+        from hollybay.consensus.change_tracker import ChangeTracker
+        from hollybay.consensus.cluster_view import ClusterView
+        from hollybay.consensus.verdict import Verdict
 
         began = time.monotonic_ns()
         follow = ChangeTracker(self.call, doors)
         if to:
             # Of several keepers that answer this one takes the proposal.
-            look = follow.look
+            look = follow.refresh
 
             async def looked() -> ClusterView:
                 known = await look()
                 known.statuses = dict(sorted(known.statuses.items(), key=lambda item: item[0] != doors[to]))
                 return known
 
-            follow.look = looked  # type: ignore[method-assign]
+            follow.refresh = looked  # type: ignore[method-assign]
         file = change["file"].encode() if change["file"] is not None else None
         words = (file, change["out"], change["keepers"], "a change of the plan", "the rig")
         if change["drop"] is None:
@@ -821,7 +824,7 @@
             if verdict.change:
                 await asyncio.sleep(change["drop"] / SECOND)
                 await follow.drop(verdict.change)
-                verdict = await follow.follow(verdict.change, verdict.epoch, change["limit"] / SECOND)
+                verdict = await follow.track(verdict.change, verdict.epoch, change["limit"] / SECOND)
         assert isinstance(verdict, Verdict)
         now = time.monotonic_ns()
         self.books.write(Said(now, verdict.change, verdict.code, verdict.text, began))
--- a/hollybay/cluster/zygote.py
+++ b/hollybay/cluster/zygote.py
@@ -134,7 +134,7 @@
 
 def main() -> int:
     """Import what all need, then fork as told."""
-    from . import roles  # noqa: F401
+    from . import roles
 
     gc.collect()
     gc.freeze()  # or a collection in a child would copy the pages that all share
--- a/hollybay/consensus/__init__.py
+++ b/hollybay/consensus/__init__.py
@@ -1,6 +1,10 @@
-"""One policy at every node or at none: the pure core, and what is on disk before it is said.
+"""A replicated configuration log: epochs decided by quorums of voters, and leases on them.
 
-policy   a policy as a thing: bytes, servers out by hand, version, digest, parent
-record   what a node or keeper has said, as bytes that tell whether they are whole
-store    a file of such bytes, in two generations; the thin edge
+core, acceptor, leaseholder, proposer   the protocol; no I/O
+policy, log                             a policy as an entry of the log; the log on disk
+service                                 one process's part: joins the roles and routes requests
+model_check                             searches what the protocol can do for violations of the guarantee
+
+Published names differ: on the wire, on disk and for operators a voter is a keeper, an address a door,
+bootstrap is found, the joint stage NARROW, grace is late, and decided is know.
 """
--- /dev/null
+++ b/hollybay/consensus/background_tasks.py
@@ -0,0 +1,44 @@
+"""The tasks that a member runs beside its callers."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable, Coroutine
+from typing import Any
+
+__all__ = ["BackgroundTasks"]
+
+
+class BackgroundTasks:
+    """Starts tasks, keeps them from being collected while they run, and reports those that fail.
+
+    Parameters
+    ----------
+    on_failure : callable
+        Takes the exception of a task that raised one.
+    """
+
+    def __init__(self, on_failure: Callable[[BaseException], None]) -> None:
+        self.running: set[asyncio.Task[Any]] = set()
+        self._on_failure = on_failure
+        self._loop = asyncio.get_running_loop()
+
+    def spawn(self, work: Coroutine[Any, Any, Any]) -> asyncio.Task[Any]:
+        """Start a task."""
+        task = self._loop.create_task(work)
+        self.running.add(task)
+        task.add_done_callback(self._ended)
+        return task
+
+    def cancel_all(self) -> None:
+        """Cancel all that are running."""
+        for task in list(self.running):
+            task.cancel()
+
+    def _ended(self, task: asyncio.Task[Any]) -> None:
+        self.running.discard(task)
+        if task.cancelled():
+            return
+        error = task.exception()
+        if error is not None:
+            self._on_failure(error)
--- /dev/null
+++ b/hollybay/consensus/ballots.py
@@ -0,0 +1,272 @@
+"""One ballot: the promises and votes that a proposer collects from the voters to decide the next epoch."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+from dataclasses import dataclass, field
+from enum import Enum, auto
+from typing import Protocol
+
+from . import messages
+from .announcer import Announcer
+from .core import Accept, EpochState, Stage, VoterSets, effective_policies
+from .durable_acceptor import DurableAcceptor
+from .environment import Environment
+from .messages import number_of, stage_label
+from .outgoing_requests import PeerClient
+from .proposer import Proposer
+
+__all__ = ["BallotOutcome", "BallotRunner", "Learner"]
+
+# Seconds for which further replies are awaited once there is a quorum.
+GATHER_TIME = 0.03
+# Seconds between two requests for votes that must wait for leases; the interval grows up to the maximum.
+VOTE_INTERVAL, MAX_VOTE_INTERVAL = 0.02, 0.1
+VOTE_INTERVAL_GROWTH = 1.3
+# Requests for votes that no voter answers, one after another, before the ballot is given up.
+MAX_SILENT_REQUESTS = 3
+# Seconds after which the decided epoch is announced again to those that have not moved on.
+ANNOUNCE_INTERVAL = 0.5
+
+
+class BallotOutcome(Enum):
+    """How a ballot ended."""
+
+    DECIDED = auto()
+    SUPERSEDED = auto()  # a voter has promised a higher ballot to another proposer
+    FAILED = auto()  # no quorum answered, a later epoch is known, or another one is wanted by now
+
+
+class Learner(Protocol):
+    """What a proposer lets its own process learn."""
+
+    async def learn(self, state: EpochState, source: str) -> None:
+        """The leaseholder learns of an epoch, from an address."""
+        ...
+
+    async def acceptor_learns(self, state: EpochState, source: str) -> bool:
+        """The acceptor learns of a decided epoch; whether that was news. StoreError: the disk failed."""
+        ...
+
+
+@dataclass(slots=True)
+class _Ballot:
+    """The ballot under way.
+
+    Attributes
+    ----------
+    state : EpochState
+        The decided epoch that it follows.
+    addresses : list of str
+        The voters.
+    proposer : Proposer
+    voted : set of str
+        The voters that have voted.
+    silent_requests : int
+        Requests that no voter answered, one after another.
+    """
+
+    state: EpochState
+    addresses: list[str]
+    proposer: Proposer
+    voted: set[str] = field(default_factory=set)
+    silent_requests: int = 0
+
+
+class BallotRunner:
+    """Runs ballots for one process.
+
+    Parameters
+    ----------
+    environment : Environment
+    process : int
+        The number of this process, which its ballots carry.
+    learner : Learner
+    peers : PeerClient
+    announcer : Announcer
+    """
+
+    def __init__(
+        self,
+        environment: Environment,
+        process: int,
+        learner: Learner,
+        peers: PeerClient,
+        announcer: Announcer,
+    ) -> None:
+        self.environment = environment
+        self.process = process
+        self.learner = learner
+        self.peers = peers
+        self.announcer = announcer
+        self.blocking_leases: list[messages.BlockingLease] = []  # that the votes wait for
+        self._highest_number = 0  # of a ballot that was seen
+        self._own_address = environment.settings.address
+
+    async def run(
+        self,
+        acceptor: DurableAcceptor,
+        state: EpochState,
+        proposal: EpochState,
+        addresses: list[str],
+        voter_sets: VoterSets,
+        wanted: Callable[[], EpochState | None],
+    ) -> BallotOutcome:
+        """Propose an epoch after a decided one.
+
+        Parameters
+        ----------
+        acceptor : DurableAcceptor
+            The acceptor of this process.
+        state : EpochState
+            The decided epoch.
+        proposal : EpochState
+            The one to follow it.
+        addresses : list of str
+            The voters of the decided epoch.
+        voter_sets : VoterSets
+            The same, by their numbers.
+        wanted : callable
+            Gives the epoch that should follow by now; None: no other one.
+        """
+        ballot = _Ballot(state, addresses, Proposer(self.process, voter_sets, proposal))
+        accept = await self._collect_promises(acceptor, ballot)
+        if accept is None:
+            return BallotOutcome.FAILED
+        return await self._collect_votes(acceptor, ballot, accept, wanted)
+
+    # Promises
+
+    async def _collect_promises(self, acceptor: DurableAcceptor, ballot: _Ballot) -> Accept | None:
+        """Ask for promises; the request for votes that follows from them, if a quorum has promised.
+
+        Promises of voters that have voted for nothing are counted first, so that the proposal stays free
+        where it may be.
+        """
+        above = max(acceptor.promised_number(), self._highest_number)
+        ballot.proposer, prepare = ballot.proposer.begin_ballot(above)
+        self._highest_number = prepare.ballot[0]
+        body = messages.encode(messages.PrepareCall(messages.FORM, prepare))
+        replies: list[tuple[str, messages.PrepareReply]] = []
+        async for address, reply in self.peers.answers(
+            ballot.addresses,
+            "prepare",
+            body,
+            messages.PrepareReply,
+            GATHER_TIME,
+            ballot.proposer.voter_sets,
+        ):
+            self._highest_number = max(self._highest_number, reply.promised_number)
+            if reply.decided is not None:
+                await self._learn(reply.decided, address)
+                return None
+            if reply.decided_epoch < ballot.state.epoch:
+                self.announcer.tell(address, ballot.state)
+            replies.append((address, reply))
+        replies.sort(key=lambda one: one[1].promise is None or one[1].promise.accepted is not None)
+        return self._count_promises(ballot, replies)
+
+    @staticmethod
+    def _count_promises(ballot: _Ballot, replies: list[tuple[str, messages.PrepareReply]]) -> Accept | None:
+        accept: Accept | None = None
+        for address, reply in replies:
+            if reply.promise is not None:
+                promise = reply.promise._replace(voter=number_of(address))
+                ballot.proposer, asked = ballot.proposer.on_promise(promise)
+                accept = accept or asked
+        return accept
+
+    # Votes
+
+    async def _collect_votes(
+        self,
+        acceptor: DurableAcceptor,
+        ballot: _Ballot,
+        accept: Accept,
+        wanted: Callable[[], EpochState | None],
+    ) -> BallotOutcome:
+        """Ask for votes until a quorum has voted, or the ballot must be given up."""
+        body = messages.encode(messages.AcceptCall(messages.FORM, accept, self._own_address))
+        interval = VOTE_INTERVAL
+        loop = asyncio.get_running_loop()
+        announced_at = loop.time()
+        while True:
+            acceptor.last_coordinated = self.environment.clock()
+            is_due = loop.time() - announced_at > ANNOUNCE_INTERVAL
+            if is_due and ballot.state.stage is not Stage.SETTLED:
+                announced_at = loop.time()
+                # Whoever has not heard of the epoch blocks the next one.
+                self.announcer.announce(ballot.state, acceptor)
+            outcome = await self._request_votes(acceptor, ballot, accept, body)
+            if outcome is not None:
+                return outcome
+            if ballot.silent_requests > MAX_SILENT_REQUESTS or accept.state != wanted():
+                # A vote of one that promised may have made it ask for this epoch; another quorum may not.
+                return BallotOutcome.FAILED
+            await asyncio.sleep(interval)
+            interval = min(MAX_VOTE_INTERVAL, interval * VOTE_INTERVAL_GROWTH)
+
+    async def _request_votes(
+        self, acceptor: DurableAcceptor, ballot: _Ballot, accept: Accept, body: bytes
+    ) -> BallotOutcome | None:
+        """Ask once those that have not voted; None: the ballot goes on."""
+        blocking: dict[int, messages.BlockingLease] = {}
+        is_answered = False
+        missing = [address for address in ballot.addresses if address not in ballot.voted]
+        async for address, reply in self.peers.answers(
+            missing, "accept", body, messages.AcceptReply, GATHER_TIME, ballot.proposer.voter_sets
+        ):
+            is_answered = True
+            outcome = await self._take_reply(acceptor, ballot, accept, address, reply)
+            if outcome is not None:
+                return outcome
+            for lease in reply.blocking_leases:
+                blocking[lease.process] = lease
+        self.blocking_leases = sorted(blocking.values(), key=lambda lease: lease.name)
+        ballot.silent_requests = 0 if is_answered else ballot.silent_requests + 1
+        return None
+
+    async def _take_reply(
+        self,
+        acceptor: DurableAcceptor,
+        ballot: _Ballot,
+        accept: Accept,
+        address: str,
+        reply: messages.AcceptReply,
+    ) -> BallotOutcome | None:
+        """Take in one voter's reply; None: the ballot goes on."""
+        if reply.accepted is not None:
+            ballot.voted.add(address)
+            vote = reply.accepted._replace(voter=number_of(address))
+            ballot.proposer, decided = ballot.proposer.on_accepted(vote)
+            if decided is not None:
+                await self._publish(acceptor, decided.state, ballot.addresses)
+                return BallotOutcome.DECIDED
+        elif reply.decided is not None:
+            await self._learn(reply.decided, address)
+            return BallotOutcome.FAILED
+        elif reply.promised_number > accept.ballot[0]:
+            self._highest_number = max(self._highest_number, reply.promised_number)
+            return BallotOutcome.SUPERSEDED
+        elif reply.decided_epoch < ballot.state.epoch:
+            self.announcer.tell(address, ballot.state)
+        return None
+
+    async def _publish(self, acceptor: DurableAcceptor, state: EpochState, voters: list[str]) -> None:
+        """An epoch is decided: all are told."""
+        self.blocking_leases = []
+        self.environment.data_plane.say(
+            "decided",
+            epoch=state.epoch,
+            stage=stage_label(state.stage),
+            policies=list(effective_policies(state)),
+            change=state.new,
+        )
+        await self.learner.acceptor_learns(state, self._own_address)
+        self.announcer.announce(state, acceptor, voters)
+
+    async def _learn(self, state: EpochState, source: str) -> None:
+        """A voter knows of a later epoch."""
+        await self.learner.acceptor_learns(state, source)
+        await self.learner.learn(state, source)
--- a/hollybay/consensus/change_builder.py
+++ b/hollybay/consensus/change_builder.py
@@ -1,4 +1,4 @@
-"""Differences between resources as operations, and changes made of them. Pure."""
+"""Building changes: differences between resource states as operations. Pure."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from hollybay.resources.model import (
     CHANGE_ID_BYTES,
     Change,
-    ChangeRefused,
+    ChangeRejectedError,
     Delete,
     Kind,
     Operation,
@@ -21,82 +21,103 @@
 
 __all__ = [
     "MAX_SHOWN",
-    "deletions",
-    "founding_change",
-    "operations_like",
+    "bootstrap_change",
+    "delete_operations",
+    "drain_operations",
+    "drained_servers",
+    "format_operations",
+    "operations_to_match",
     "proposed_change",
-    "server_operations",
-    "servers_out",
-    "shown_operations",
 ]
 
 KINDS = frozenset(kind.value for kind in Kind)
-MAX_SHOWN = 2000  # lines of differences that are shown
+# The most operations whose difference is shown.
+MAX_SHOWN = 2000
+# The longest name of an unknown resource that is quoted.
+MAX_QUOTED_NAME_LENGTH = 80
 
 
-def servers_out(state: ResourceState) -> list[str]:
-    """The servers that are out by hand, in order."""
-    return sorted(one.name for one in state.of_kind(Kind.SERVER_OUT))
+def drained_servers(state: ResourceState) -> list[str]:
+    """The servers that operators have taken out of service, in order."""
+    return sorted(resource.name for resource in state.of_kind(Kind.DRAINED_SERVER))
 
 
-def server_operations(state: ResourceState, out: Iterable[str]) -> tuple[Operation, ...]:
-    """What makes these servers, and no others, be out."""
-    wanted, present = set(out), set(servers_out(state))
-    found: list[Operation] = [Upsert(Kind.SERVER_OUT, name, 0, b"") for name in sorted(wanted - present)]
+def drain_operations(state: ResourceState, servers: Iterable[str]) -> tuple[Operation, ...]:
+    """The operations after which exactly these servers are drained."""
+    wanted, present = set(servers), set(drained_servers(state))
+    operations: list[Operation] = [
+        Upsert(Kind.DRAINED_SERVER, name, 0, b"") for name in sorted(wanted - present)
+    ]
     for name in sorted(present - wanted):
-        there = state.get(Kind.SERVER_OUT, name)
-        assert there is not None
-        found.append(Delete(Kind.SERVER_OUT, name, there.version))
-    return tuple(found)
-
-
-def deletions(state: ResourceState, names: Iterable[str]) -> tuple[Operation, ...]:
-    """What deletes resources that are named KIND/NAME. ChangeRefused: there is no such one."""
-    found: list[Operation] = []
+        resource = state.get(Kind.DRAINED_SERVER, name)
+        assert resource is not None
+        operations.append(Delete(Kind.DRAINED_SERVER, name, resource.version))
+    return tuple(operations)
+
+
+def delete_operations(state: ResourceState, names: Iterable[str]) -> tuple[Operation, ...]:
+    """The operations that delete resources.
+
+    Parameters
+    ----------
+    names
+        The resources, each KIND/NAME.
+
+    Raises
+    ------
+    ChangeRejectedError
+        One of them does not exist.
+    """
+    operations: list[Operation] = []
     problems: list[Problem] = []
     for text in dict.fromkeys(names):
         kind, _, name = text.partition("/")
-        there = state.get(Kind(kind), name) if kind in KINDS else None
-        if there is None:
-            known = "" if kind in KINDS else f"; kinds are {', '.join(sorted(KINDS))}"
-            problems.append(Problem(text[:80], "", f"there is no such resource{known}"))
-        else:
-            found.append(Delete(there.kind, there.name, there.version))
+        resource = state.get(Kind(kind), name) if kind in KINDS else None
+        if resource is not None:
+            operations.append(Delete(resource.kind, resource.name, resource.version))
+            continue
+        hint = "" if kind in KINDS else f"; kinds are {', '.join(sorted(KINDS))}"
+        reason = f"there is no such resource{hint}"
+        problems.append(Problem(text[:MAX_QUOTED_NAME_LENGTH], "", reason))
     if problems:
-        raise ChangeRefused(tuple(problems))
-    return tuple(found)
+        raise ChangeRejectedError(tuple(problems))
+    return tuple(operations)
+
 
+def operations_to_match(state: ResourceState, target: ResourceState) -> tuple[Operation, ...]:
+    """The operations that turn the resources of a state into those of another one.
 
-def operations_like(state: ResourceState, wanted: ResourceState) -> tuple[Operation, ...]:
-    """What makes the resources of one state those of another; looks at every resource of both."""
-    found: list[Operation] = []
-    for key, there in state.resources.items():
-        new = wanted.resources.get(key)
+    The cost goes with the number of resources in both states.
+    """
+    operations: list[Operation] = []
+    for key, old in state.resources.items():
+        new = target.resources.get(key)
         if new is None:
-            found.append(Delete(key.kind, key.name, there.version))
-        elif new.body != there.body:
-            found.append(Upsert(key.kind, key.name, there.version, new.body))
-    for key, new in wanted.resources.items():
+            operations.append(Delete(key.kind, key.name, old.version))
+        elif new.body != old.body:
+            operations.append(Upsert(key.kind, key.name, old.version, new.body))
+    for key, new in target.resources.items():
         if key not in state.resources:
-            found.append(Upsert(key.kind, key.name, 0, new.body))
-    return tuple(sorted(found, key=lambda one: one.key))
+            operations.append(Upsert(key.kind, key.name, 0, new.body))
+    return tuple(sorted(operations, key=lambda operation: operation.key))
 
 
-def shown_operations(state: ResourceState, operations: Sequence[Operation]) -> list[str]:
-    """Operations on a state as lines for people: resources that go, come, or change with their bodies."""
+def format_operations(state: ResourceState, operations: Sequence[Operation]) -> list[str]:
+    """Operations on a state as lines for people: removed, added and changed resources with their bodies."""
     lines: list[str] = []
-    for operation in sorted(operations, key=lambda one: one.key)[:MAX_SHOWN]:
-        there = state.resources.get(operation.key)
-        if there is not None:
-            lines.append(f"-{operation.key}{_body(there.body)}")
+    for operation in sorted(operations, key=lambda operation: operation.key)[:MAX_SHOWN]:
+        old = state.resources.get(operation.key)
+        if old is not None:
+            lines.append(f"-{operation.key}{_format_body(old.body)}")
         if isinstance(operation, Upsert):
-            lines.append(f"+{operation.key}{_body(operation.body)}")
+            lines.append(f"+{operation.key}{_format_body(operation.body)}")
     if len(operations) > MAX_SHOWN:
         lines.append(f"and {len(operations) - MAX_SHOWN} more resources")
     return lines
 
 
-def _body(body: bytes) -> str:
+def _format_body(body: bytes) -> str:
+    """A body as JSON, or its length if it is not MessagePack."""
     if not body:
         return ""
     try:
@@ -105,27 +126,36 @@
         return f" ({len(body)} bytes)"
 
 
-def _id_of(*parts: bytes) -> bytes:
-    whole = blake2b(digest_size=CHANGE_ID_BYTES, person=b"hollybay.draft")
+def _change_id(*parts: bytes) -> bytes:
+    """An id that is the same for the same parts."""
+    hasher = blake2b(digest_size=CHANGE_ID_BYTES, person=b"hollybay.draft")
     for part in parts:
-        whole.update(len(part).to_bytes(8, "big"))
-        whole.update(part)
-    return whole.digest()
+        hasher.update(len(part).to_bytes(8, "big"))
+        hasher.update(part)
+    return hasher.digest()
 
 
-def founding_change(operations: tuple[Operation, ...]) -> Change:
-    """The change that a tier begins with."""
-    return Change(_id_of(msgspec.msgpack.encode(operations)), 0, "first", "", operations)
+def bootstrap_change(operations: tuple[Operation, ...]) -> Change:
+    """The change that a cluster begins with."""
+    return Change(_change_id(msgspec.msgpack.encode(operations)), 0, "first", "", operations)
 
 
 def proposed_change(
     state: ResourceState, operations: tuple[Operation, ...], reason: str, author: str, parent: bytes
 ) -> Change:
-    """A change on a state, known by its content and the policy that it was made on: asked for again, by one
-    who does not know what came of it, it is the same change."""
-    words = (
+    """A change on a state, identified by its content and the policy that it was made on.
+
+    An operator that does not know the outcome and requests it again gets the same change.
+
+    Parameters
+    ----------
+    parent
+        Digest of the policy that the state belongs to.
+    """
+    change_id = _change_id(
+        parent,
         msgspec.msgpack.encode(operations),
         reason.encode("utf-8", "replace"),
         author.encode("utf-8", "replace"),
     )
-    return Change(_id_of(parent, *words), state.revision, reason, author, operations)
+    return Change(change_id, state.revision, reason, author, operations)
--- /dev/null
+++ b/hollybay/consensus/change_requests.py
@@ -0,0 +1,216 @@
+"""Requests for changes of resources: drafts of them, proposals that wait for a batch, and the next batch."""
+
+from __future__ import annotations
+
+import base64
+
+from hollybay.resources.model import CHANGE_ID_BYTES, Change, Operation, Upsert
+from hollybay.resources.state import ResourceState
+from hollybay.resources.wire import encode_change
+
+from . import messages
+from .change_builder import delete_operations, drain_operations, drained_servers, format_operations
+from .coordinator import IDLE_INTERVAL, ChangeCoordinator
+from .core import Stage
+from .durable_acceptor import DurableAcceptor
+from .environment import Environment
+from .interfaces import Response
+from .log_entry import Entry
+from .log_replica import LogReplica
+from .log_server import LogServer
+from .policy import RejectedError, successor_policy
+from .proposal_outcomes import Busy, Queued, RejectedNow
+from .proposals import Proposals
+from .replies import ACCEPTED, CONFLICT, busy, ok
+from .request_content import RequestContent
+from .serviceability import Serviceability
+from .store import StoreError
+from .voter import Voter
+
+__all__ = ["ChangeRequests"]
+
+SECOND = 1_000_000_000  # ns
+MAX_DRAFT_BYTES = 64 << 10  # bytes of a change that a reply holds; a longer one is fetched in pieces
+MAX_LINES_BYTES = 128 << 10  # bytes of lines for people in a reply
+JSON_QUOTES_BYTES = 4  # that a line takes beside its characters
+
+
+class ChangeRequests:
+    """Answers these requests at a voter, and proposes batches of the changes that wait."""
+
+    def __init__(
+        self,
+        environment: Environment,
+        replica: LogReplica,
+        voter: Voter,
+        serviceability: Serviceability,
+        coordinator: ChangeCoordinator,
+        proposals: Proposals,
+        content: RequestContent,
+        log_server: LogServer,
+    ) -> None:
+        self.environment = environment
+        self.replica = replica
+        self.voter = voter
+        self.serviceability = serviceability
+        self.coordinator = coordinator
+        self.proposals = proposals
+        self.content = content
+        self.log_server = log_server
+
+    # Drafts
+
+    async def on_draft(self, call: messages.DraftCall) -> Response:
+        """The change that an operator wants, made on what is in force; nothing is proposed."""
+        acceptor = self.voter.require_acceptor()
+        if acceptor.state is None:
+            raise RejectedError("this keeper knows nothing yet; `hollybay policy found` begins an accord")
+        await self.voter.catch_up()
+        base = self.replica.base(acceptor.state.decided)
+        state = base.state
+        assert state is not None
+        operations = await self._drafted(call, base, state)
+        policy = base.policy.name
+        if not operations:
+            return ok(messages.DraftReply(policy, "", 0))
+        change_id = self.environment.rng.randbytes(CHANGE_ID_BYTES)
+        change = Change(change_id, state.revision, call.reason, call.author, operations)
+        state.check(change)
+        lines = format_operations(state, operations)
+        data = encode_change(change)
+        if len(data) <= MAX_DRAFT_BYTES:
+            text = base64.b64encode(data).decode()
+            return ok(messages.DraftReply(policy, text, len(operations), _bounded(lines)))
+        draft = change.id.hex()
+        self.log_server.cache(f"draft/{draft}", draft, data)
+        return ok(messages.DraftReply(policy, "", len(operations), _bounded(lines), draft))
+
+    async def _drafted(
+        self, call: messages.DraftCall, base: Entry, state: ResourceState
+    ) -> tuple[Operation, ...]:
+        """The operations that a request asks for."""
+        operations: tuple[Operation, ...] = ()
+        if call.like_policy:
+            operations = await self.content.operations_to_match(state, call.like_policy)
+        elif call.file is not None or call.upload:
+            operations = await self._drafted_from_file(call, base, state)
+        operations += delete_operations(state, call.delete)
+        if call.servers_out or call.servers_in:
+            out = (set(drained_servers(state)) | set(call.servers_out)) - set(call.servers_in)
+            operations += drain_operations(state, out)
+        return operations
+
+    async def _drafted_from_file(
+        self, call: messages.DraftCall, base: Entry, state: ResourceState
+    ) -> tuple[Operation, ...]:
+        read = await self.content.read_file(call.file or "", call.upload, state)
+        if read.voters is not None and set(read.voters) != set(base.policy.voters):
+            raise RejectedError("keepers: the file's [accord] names others; they change by --keeper")
+        if not call.partial:
+            return read.operations
+        return tuple(operation for operation in read.operations if isinstance(operation, Upsert))
+
+    # Proposals
+
+    async def on_change(self, call: messages.ChangeCall) -> Response:
+        """Somebody proposes a change of resources: it waits for the next batch."""
+        acceptor = self.voter.require_acceptor()
+        if acceptor.state is None:
+            return busy("this keeper knows nothing yet", IDLE_INTERVAL)
+        if self.proposals.is_storage_full:
+            raise StoreError("the disk took no entry a moment ago")
+        change = await self.content.change(call.change, call.upload)
+        state = self._decided_resources(acceptor)
+        if change.base_revision > state.revision:
+            await self.voter.catch_up()
+            state = self._decided_resources(acceptor)
+            if change.base_revision > state.revision:
+                return busy(
+                    f"made on {change.base_revision}, and this keeper knows of {state.revision}",
+                    IDLE_INTERVAL,
+                )
+        return self._offer(change, call.upload, state, acceptor)
+
+    def _offer(
+        self, change: Change, upload: str, state: ResourceState, acceptor: DurableAcceptor
+    ) -> Response:
+        """Put a change into the queue, if it takes it."""
+        offered = self.proposals.offer(change, state)
+        self.content.uploads.discard(upload)
+        change_id = change.id.hex()
+        if isinstance(offered, Busy):
+            return busy("too many changes wait", offered.retry_after_ns / SECOND)
+        if isinstance(offered, RejectedNow):
+            problems = list(offered.problems)
+            reply = messages.ChangeReply(change_id, messages.ChangeOutcome.REFUSED, problems=problems)
+            return ok(reply, CONFLICT)
+        if isinstance(offered, Queued):
+            self.environment.data_plane.say(
+                "queued", change=change_id, reason=change.reason, author=change.author
+            )
+            self.coordinator.wake()
+        return ok(self.proposals.change_status(change_id, acceptor), ACCEPTED)
+
+    def _decided_resources(self, acceptor: DurableAcceptor) -> ResourceState:
+        """The resources of the policy that is decided, as far as this voter knows."""
+        assert acceptor.state is not None
+        state = self.replica.base(acceptor.state.decided).state
+        assert state is not None
+        return state
+
+    # Batches
+
+    async def propose_next(self) -> bool:
+        """Make the next policy of the changes that wait, where the group is settled.
+
+        Returns
+        -------
+        bool
+            Whether there was anything to propose.
+
+        Raises
+        ------
+        StoreError
+            The disk takes no entry.
+        """
+        acceptor = self.voter.acceptor
+        if acceptor is None or acceptor.state is None or self.proposals.has_active_batch:
+            return False
+        decided = acceptor.state.decided
+        base = self.replica.log.entry(decided.policy)
+        if decided.stage is not Stage.SETTLED or base is None or base.state is None:
+            return False
+        batch = self.proposals.next_batch(base.state)
+        if batch is None:
+            return False
+        policy, _ = successor_policy(base.policy, base.state, batch.changes)
+        try:
+            entry = await self.replica.store(policy)
+        except StoreError:
+            self.proposals.storage_failed()
+            raise
+        problems = await self.serviceability.prepare(entry)
+        if problems:
+            why = self.serviceability.unserviceable[policy.name]
+            self.serviceability.clear(policy.name)  # proposed again it is another policy, or holds
+            self.proposals.reject_batch(batch, why.culprits, problems)
+            return True
+        if acceptor.state.decided != decided or self.coordinator.pending is not None:
+            self.proposals.batch_superseded(batch, acceptor.state.decided.policy)
+            return True
+        self.coordinator.begin(entry.policy, decided.epoch + 1)
+        self.proposals.batch_proposed(policy.name, batch)
+        self.environment.data_plane.say(
+            "proposed", change=policy.name, reason=policy.reason, author=policy.author
+        )
+        return True
+
+
+def _bounded(lines: list[str]) -> list[str]:
+    """Lines for people, as many as a reply holds."""
+    left = MAX_LINES_BYTES
+    for place, line in enumerate(lines):
+        left -= len(line) + JSON_QUOTES_BYTES
+        if left < 0:
+            return [*lines[:place], f"and {len(lines) - place} more lines"]
+    return lines
--- a/hollybay/consensus/durable_acceptor.py
+++ b/hollybay/consensus/durable_acceptor.py
@@ -1,22 +1,21 @@
-"""A keeper with its disk: what it says is there before it is said; and what it knows of the nodes.
+"""An acceptor with its disk: whatever it sends that must outlive the process is on disk before it is sent.
 
-Calls are answered one after another. An answer is worked out, what must outlive the process is brought to the
-disk, and only then the new state is taken on and the answer given. It tells times by a clock that it is given
-(ns, one that goes on while a process is stopped) and reaches nobody by itself.
+Messages are answered one after another. The next state and the answer are computed; what must outlive the
+process is written; only then the state is taken on and the answer given. Clocks and disk are given; the
+acceptor reaches no other process by itself.
 """
 
 from __future__ import annotations
 
 from collections.abc import Awaitable, Callable, Iterable
-from dataclasses import dataclass
 
 import msgspec
 
+from .acceptor import Acceptor, Lease
 from .core import (
     NO_BALLOT,
     Accept,
     Accepted,
-    Acceptor,
     Ballot,
     Decided,
     EpochState,
@@ -27,6 +26,7 @@
     policies_named,
 )
 from .log import PolicyLog
+from .member_reports import MemberReports
 from .messages import (
     AcceptReply,
     BlockingLease,
@@ -39,288 +39,309 @@
 from .policy import Policy, RejectedError
 from .store import Store, StoreError
 
-__all__ = ["DurableAcceptor", "KnownMember", "margin"]
+__all__ = ["Disk", "DurableAcceptor", "clock_margin"]
 
-HISTORY = 200  # epochs that are kept
-SECOND = 1_000_000_000
-FORGOTTEN = 600 * SECOND  # ns after which a process that asks no more is not shown any longer
+MAX_HISTORY = 200  # epochs that are kept
+# The margin for clocks that drift apart: a part of the lease, and a constant (ns).
+CLOCK_DRIFT_DIVISOR = 20
+CLOCK_MARGIN = 50_000_000
+
+Disk = Callable[[Callable[[], None]], Awaitable[None]]
 
 
-def margin(lease: int) -> int:
-    """How much longer (ns) a keeper takes a lease to last, for clocks that run apart."""
-    return lease // 20 + 50_000_000
+def clock_margin(lease: int) -> int:
+    """How much longer than its holder an acceptor counts a lease, for clocks that drift apart, ns."""
+    return lease // CLOCK_DRIFT_DIVISOR + CLOCK_MARGIN
 
 
-class _Said(msgspec.Struct, frozen=True, array_like=True):
-    """What is on disk. longest: the longest lease (ns, with late time) that may have been granted."""
+class _PersistedState(msgspec.Struct, frozen=True, array_like=True):
+    """What is on disk. longest_lease: that may have been granted, with its grace time, ns."""
 
     decided: EpochState
     promised: Ballot
     accepted: tuple[Ballot, EpochState] | None
-    mute: int
-    longest: int
+    last_barred_epoch: int
+    longest_lease: int
     history: list[HistoryEntry]
 
 
-@dataclass(slots=True)
-class KnownMember:
-    """A process that asks for leases, as this keeper heard it last. heard: ns."""
-
-    name: str
-    door: str
-    heard: int
-    epoch: int  # that it asks for
-    serving: int
-    able: bool
-    reasons: list[str]
-
-
-Disk = Callable[[Callable[[], None]], Awaitable[None]]
-
-
 class DurableAcceptor:
-    """One keeper. me: its number; longest: the longest lease that it may grant, ns, with late time.
-
-    disk: runs what touches the disk, and comes back when it is done; clock, wall: ns, ms.
+    """One acceptor.
+
+    Parameters
+    ----------
+    number : int
+        Its own number.
+    store : Store
+        Holds what must outlive the process.
+    log : PolicyLog
+    clock : callable
+        The time in ns, of a clock that advances while the process is stopped.
+    wall_clock : callable
+        The time of day in ms.
+    longest_lease : int
+        The longest lease that it may grant, with its grace time, ns.
+    disk : Disk
+        Runs what blocks on the disk.
+
+    Attributes
+    ----------
+    state : Acceptor or None
+        None: it knows nothing, and must recover or be bootstrapped.
+    history : list of HistoryEntry
+        The last epochs that it learned.
+    reports : MemberReports
+        What leaseholders report.
+    storage_failure : str
+        Why its state could not be written; empty: it could.
+    last_coordinated : int
+        When a proposer was last at work here, ns.
     """
 
     def __init__(
         self,
-        me: int,
+        number: int,
         store: Store,
         log: PolicyLog,
         clock: Callable[[], int],
-        wall: Callable[[], int],
-        longest: int,
+        wall_clock: Callable[[], int],
+        longest_lease: int,
         disk: Disk,
     ) -> None:
-        self.me = me
+        self.number = number
         self.store = store
         self.log = log
         self.clock = clock
-        self.wall = wall
-        self.longest = longest
+        self.wall_clock = wall_clock
+        self.longest_lease = longest_lease
         self.disk = disk
-        self.keeper: Acceptor | None = None  # None: it knows nothing, and must learn or be founded
+        self.state: Acceptor | None = None
         self.history: list[HistoryEntry] = []
-        self.members: dict[int, KnownMember] = {}
-        self.refusals: dict[str, dict[str, list[str]]] = {}  # policy, node: why it cannot serve it
-        self.culprits: dict[str, dict[str, list[str]]] = {}  # policy, change: why a node cannot serve it
-        self.whole: dict[str, list[str]] = {}  # policy: why a node could serve none at all
-        self.failed = ""  # why what it says cannot be kept
-        self._swept = 0
-        self.heard = 0  # when somebody last drove here, ns
+        self.reports = MemberReports()
+        self.storage_failure = ""
+        self.last_coordinated = 0
+
+    # Persistence
 
     def open(self) -> None:
-        """Take up what this keeper said in a life before. StoreError: that is not known; it must learn."""
+        """Take up the state of the process before.
+
+        Raises
+        ------
+        StoreError
+            It is not known; the acceptor must recover from the others.
+        """
         data = self.store.open()
         if data is None or self.store.doubtful:
             return
         try:
-            said: _Said = msgspec.msgpack.decode(data, type=_Said)
+            found: _PersistedState = msgspec.msgpack.decode(data, type=_PersistedState)
         except msgspec.DecodeError as error:
             raise StoreError(f"{self.store.folder}: {error}") from None
-        if any(self.log.get(name) is None for name in policies_named(said.decided)):
-            return  # a disk that lost some of it: what else it lost is not known
-        kept = Acceptor(self.me, said.decided, said.promised, said.accepted, mute=said.mute)
-        longest = max(self.longest, said.longest)
-        self.keeper = kept.reborn(self.clock(), longest + margin(longest))
-        self.history = said.history
-
-    # What must outlive the process
-
-    async def _take(self, after: Acceptor, longest: int = 0) -> None:
-        """Take on a new state, on disk first. StoreError: it stays as it was."""
-        before = self.keeper
-        history = self.history
-        if before is None or after.decided != before.decided:
-            entry = HistoryEntry(after.decided, self.wall())
-            history = [*(one for one in history if one.state.epoch < after.decided.epoch), entry][-HISTORY:]
-        said = _Said(
-            after.decided, after.promised, after.accepted, after.mute, max(longest, self.longest), history
+        if any(self.log.policy(name) is None for name in policies_named(found.decided)):
+            return  # a disk that lost some of the log: what else it lost is not known
+        state = Acceptor(
+            self.number,
+            found.decided,
+            found.promised,
+            found.accepted,
+            last_barred_epoch=found.last_barred_epoch,
         )
-        if before is None or before[1:4] != after[1:4] or before.mute != after.mute:
-            data = msgspec.msgpack.encode(said)
-            try:
-                await self.disk(lambda: self.store.put(data))
-            except StoreError as error:
-                self.failed = str(error)
-                raise
-            self.failed = ""
-        self.keeper = after
+        longest = max(self.longest_lease, found.longest_lease)
+        self.state = state.restarted(self.clock(), longest + clock_margin(longest))
+        self.history = found.history
+
+    async def _take_on(self, after: Acceptor) -> None:
+        """Take on a new state, on disk first. StoreError: the state stays as it was."""
+        before = self.state
+        history = self._history_with(after)
+        if before is None or _must_be_written(before, after):
+            await self._write(after, history)
+        self.state = after
         self.history = history
 
-    def holds(self, state: EpochState) -> bool:
+    def _history_with(self, after: Acceptor) -> list[HistoryEntry]:
+        """The history once a state is taken on."""
+        if self.state is not None and after.decided == self.state.decided:
+            return self.history
+        entry = HistoryEntry(after.decided, self.wall_clock())
+        earlier = [one for one in self.history if one.state.epoch < after.decided.epoch]
+        return [*earlier, entry][-MAX_HISTORY:]
+
+    async def _write(self, after: Acceptor, history: list[HistoryEntry]) -> None:
+        data = msgspec.msgpack.encode(
+            _PersistedState(
+                after.decided,
+                after.promised,
+                after.accepted,
+                after.last_barred_epoch,
+                self.longest_lease,
+                history,
+            )
+        )
+        try:
+            await self.disk(lambda: self.store.put(data))
+        except StoreError as error:
+            self.storage_failure = str(error)
+            raise
+        self.storage_failure = ""
+
+    def has_policies(self, state: EpochState) -> bool:
         """Whether all policies that an epoch names are on disk."""
-        return all(self.log.get(name) is not None for name in policies_named(state))
+        return all(self.log.policy(name) is not None for name in policies_named(state))
 
     # Beginnings
 
-    async def found(self, policy: Policy) -> None:
-        """Begin the accord, under this policy, which is on disk already. RejectedError: it has begun."""
+    async def bootstrap(self, policy: Policy) -> None:
+        """Begin under the first policy, which is on disk.
+
+        Raises
+        ------
+        RejectedError
+            It has begun under another one, or is at a later epoch.
+        StoreError
+            The state is not on disk.
+        """
         state = EpochState(0, Stage.SETTLED, policy.name)
-        if self.keeper is not None:
-            if self.keeper.decided == state:
+        if self.state is not None:
+            decided = self.state.decided
+            if decided == state:
                 return
-            raise RejectedError(
-                f"founded already: epoch {self.keeper.decided.epoch}, {self.keeper.decided.policy}"
-            )
-        await self._take(Acceptor(self.me, state))
-
-    async def learn_all(self, told: Iterable[tuple[EpochState, EpochState | None]]) -> None:
-        """A keeper that knows nothing takes up what a majority of the others told."""
-        if self.keeper is None:
-            # What it granted in a life before is over in so long, if it had one.
-            longest = self.longest + margin(self.longest)
-            await self._take(Acceptor.anew(self.me, self.clock(), longest, told))
-
-    def tell(self) -> KnowledgeReply:
-        """What it knows."""
-        if self.keeper is None:
+            raise RejectedError(f"founded already: epoch {decided.epoch}, {decided.policy}")
+        await self._take_on(Acceptor(self.number, state))
+
+    async def recover(self, known: Iterable[tuple[EpochState, EpochState | None]]) -> None:
+        """Take up what a majority of the others know, where this one knows nothing.
+
+        known: the decided epoch that each knows, and the epoch that it voted for.
+        """
+        if self.state is None:
+            # Whatever it granted before has ended after so long.
+            longest = self.longest_lease + clock_margin(self.longest_lease)
+            await self._take_on(Acceptor.recovered(self.number, self.clock(), longest, known))
+
+    def knowledge(self) -> KnowledgeReply:
+        """What it knows, for one that knows nothing."""
+        if self.state is None:
             return KnowledgeReply(False)
-        accepted = self.keeper.accepted
-        promised = self.keeper.promised != NO_BALLOT
+        accepted = self.state.accepted
         return KnowledgeReply(
-            True, promised, self.keeper.decided, accepted[1] if accepted is not None else None
+            True,
+            self.state.promised != NO_BALLOT,
+            self.state.decided,
+            accepted[1] if accepted is not None else None,
         )
 
-    # Calls
+    # Messages
 
-    async def know(self, state: EpochState) -> bool:
-        """Learn what is decided; whether that was news. Its policies are on disk already."""
-        if self.keeper is None or state.epoch <= self.keeper.decided.epoch or not self.holds(state):
+    async def learn_decided(self, state: EpochState) -> bool:
+        """Learn that an epoch is decided; whether that was news. Its policies must be on disk."""
+        if self.state is None or state.epoch <= self.state.decided.epoch or not self.has_policies(state):
             return False
-        await self._take(self.keeper.hear_know(Decided(state)))
+        await self._take_on(self.state.on_decided(Decided(state)))
         return True
 
-    def ask(self, words: LeaseCall) -> LeaseReply:
-        """A node asks for a lease."""
-        if self.keeper is None:
+    def grant_lease(self, call: LeaseCall) -> LeaseReply:
+        """Answer a request for a lease. RejectedError: the lease is longer than any that is granted here."""
+        if self.state is None:
             return LeaseReply()
-        if words.lease + words.late > self.longest:
-            raise RejectedError(
-                f"lease: {words.lease + words.late} ns, and {self.longest} at most are granted here"
-            )
+        length = call.lease + call.grace
+        if length > self.longest_lease:
+            raise RejectedError(f"lease: {length} ns, and {self.longest_lease} at most are granted here")
         now = self.clock()
-        ask = words.ask
-        self._note(now, words)
-        if ask.state is not None and ask.state.epoch > self.keeper.decided.epoch:
-            return LeaseReply()  # it knows more, and will tell; no grant on what is not on this disk
-        after, answer = self.keeper.hear_ask(now, ask, words.lease + margin(words.lease), words.late)
-        self.keeper = after  # leases are not on disk, see core
+        request = call.request
+        self.reports.take(now, call)
+        if request.state is not None and request.state.epoch > self.state.decided.epoch:
+            return LeaseReply()  # no grant on an epoch whose policies are not on this disk
+        after, answer = self.state.grant_lease(
+            now, request, call.lease + clock_margin(call.lease), call.grace
+        )
+        self.state = after  # leases are not on disk, see core
         if isinstance(answer, LeaseGrant):
             return LeaseReply(grant=answer)
-        return LeaseReply(know=answer.state if answer is not None else None)
+        return LeaseReply(decided=answer.state if answer is not None else None)
 
-    def _note(self, now: int, words: LeaseCall) -> None:
-        ask = words.ask
-        epoch = ask.state.epoch if ask.state is not None else -1
-        self.members[ask.node] = KnownMember(
-            words.name, words.door, now, epoch, ask.serving, ask.able, list(words.reasons)
-        )
-        if ask.state is not None and ask.state.new and not ask.able:
-            self.refusals.setdefault(ask.state.new, {})[words.name] = list(words.reasons)
-            self._blame(ask.state.new, words)
-            while len(self.refusals) > 16:
-                del self.refusals[next(iter(self.refusals))]
-        if now - self._swept > SECOND:
-            self._swept = now
-            for process in [p for p, one in self.members.items() if now - one.heard > FORGOTTEN]:
-                del self.members[process]
-
-    def _blame(self, policy: str, words: LeaseCall) -> None:
-        """Note which changes of a batch a node names."""
-        reasons = [f"{words.name}: {reason}" for reason in words.reasons]
-        for change, texts in words.culprits.items():
-            its_own = [f"{words.name}: {text}" for text in texts]
-            self.culprits.setdefault(policy, {}).setdefault(change, its_own)
-        if words.whole:
-            self.whole.setdefault(policy, reasons)
-        for noted in (self.culprits, self.whole):
-            while len(noted) > 16:
-                del noted[next(iter(noted))]
-
-    def forget_refusals(self, policy: str) -> None:
-        """A policy is proposed again: what nodes said of it before counts no more."""
-        self.refusals.pop(policy, None)
-        self.culprits.pop(policy, None)
-        self.whole.pop(policy, None)
-
-    async def prepare(self, call: Prepare) -> PrepareReply:
-        """Somebody who drives asks for a promise."""
-        if self.keeper is None:
+    async def prepare(self, message: Prepare) -> PrepareReply:
+        """Answer a proposer that asks for a promise."""
+        if self.state is None:
             return PrepareReply()
-        self.heard = self.clock()
-        after, answer = self.keeper.hear_prepare(call)
+        self.last_coordinated = self.clock()
+        after, answer = self.state.on_prepare(message)
         if isinstance(answer, Promise):
-            await self._take(after)
-            return PrepareReply(promise=answer, epoch=after.decided.epoch)
+            await self._take_on(after)
+            return PrepareReply(promise=answer, decided_epoch=after.decided.epoch)
         return PrepareReply(
-            know=answer.state if answer is not None else None,
-            epoch=after.decided.epoch,
-            above=after.promised[0],
+            decided=answer.state if answer is not None else None,
+            decided_epoch=after.decided.epoch,
+            promised_number=after.promised[0],
         )
 
-    async def accept(self, call: Accept) -> AcceptReply:
-        """Somebody who drives asks for a vote; the policies of the epoch are on disk already."""
-        keeper = self.keeper
-        if keeper is None:
-            return AcceptReply(why="it knows nothing yet")
-        if not self.holds(call.state):
-            return AcceptReply(
-                epoch=keeper.decided.epoch,
-                why=f"it has not all of {' and '.join(policies_named(call.state))}",
-            )
+    async def accept(self, message: Accept) -> AcceptReply:
+        """Answer a proposer that asks for a vote; the policies of the epoch must be on disk."""
+        state = self.state
+        if state is None:
+            return AcceptReply(reason="it knows nothing yet")
+        if not self.has_policies(message.state):
+            names = " and ".join(policies_named(message.state))
+            return AcceptReply(decided_epoch=state.decided.epoch, reason=f"it has not all of {names}")
         now = self.clock()
-        self.heard = now
-        after, answer = keeper.hear_accept(now, call)
+        self.last_coordinated = now
+        after, answer = state.on_accept(now, message)
         if isinstance(answer, Accepted):
-            await self._take(after)
-            return AcceptReply(vote=answer, epoch=after.decided.epoch)
+            await self._take_on(after)
+            return AcceptReply(accepted=answer, decided_epoch=after.decided.epoch)
+        is_barred = message.state.epoch <= state.last_barred_epoch
         return AcceptReply(
-            know=answer.state if answer is not None else None,
-            epoch=keeper.decided.epoch,
-            above=keeper.promised[0],
-            waits=self.waits(now, call.state),
-            quiet=max(0, keeper.quiet - now),
-            why=f"mute up to epoch {keeper.mute}" if call.state.epoch <= keeper.mute else "",
+            decided=answer.state if answer is not None else None,
+            decided_epoch=state.decided.epoch,
+            promised_number=state.promised[0],
+            blocking_leases=self.blocking_leases(now, message.state),
+            no_vote_for=max(0, state.no_vote_before - now),
+            reason=f"mute up to epoch {state.last_barred_epoch}" if is_barred else "",
         )
 
-    def waits(self, now: int, state: EpochState) -> list[BlockingLease]:
-        """Whom it waits for before it may vote for an epoch."""
-        keeper = self.keeper
-        if keeper is None:
+    # Leases
+
+    def blocking_leases(self, now: int, state: EpochState) -> list[BlockingLease]:
+        """The leases that must end before it may vote for an epoch. now: ns."""
+        if self.state is None:
             return []
-        found = [
-            self._waiting(now, one.node, one.epoch, one.until, one.late, False)
-            for one in keeper.waits_for(now, state)
-        ]
-        if state.stage is Stage.NARROW:
-            no = set(keeper.refused(now))
+        found = [self._shown(now, lease) for lease in self.state.blocking_leases(now, state)]
+        if state.stage is Stage.JOINT:
+            refusing = set(self.state.refusing_nodes(now))
             found += [
-                self._waiting(now, one.node, one.epoch, one.until, 0, True)
-                for one in keeper.leases
-                if one.node in no
+                self._shown(now, lease._replace(grace_end=0), refuses=True)
+                for lease in self.state.leases
+                if lease.node in refusing
             ]
         return found
 
-    def _waiting(self, now: int, node: int, epoch: int, until: int, late: int, no: bool) -> BlockingLease:
-        member = self.members.get(node)
-        return BlockingLease(
-            member.name if member is not None else "?", node, epoch, max(until, late) - now, no
-        )
-
-    def older(self, now: int) -> list[BlockingLease]:
-        """The nodes that may still serve under an epoch before the one that it knows to be decided."""
-        keeper = self.keeper
-        if keeper is None:
+    def older_leases(self, now: int) -> list[BlockingLease]:
+        """The leases, with their grace time, on epochs before the decided one. now: ns."""
+        if self.state is None:
             return []
         return [
-            self._waiting(now, one.node, one.epoch, one.until, one.late, False)
-            for one in keeper.leases
-            if one.epoch < keeper.decided.epoch and max(one.until, one.late) > now
+            self._shown(now, lease)
+            for lease in self.state.leases
+            if lease.epoch < self.state.decided.epoch and max(lease.lease_end, lease.grace_end) > now
         ]
 
-    def above(self) -> int:
-        """The highest count of a ballot that it heeds."""
-        return self.keeper.promised[0] if self.keeper is not None else NO_BALLOT[0]
+    def _shown(self, now: int, lease: Lease, refuses: bool = False) -> BlockingLease:
+        member = self.reports.members.get(lease.node)
+        name = member.name if member is not None else "?"
+        remaining = max(lease.lease_end, lease.grace_end) - now
+        return BlockingLease(name, lease.node, lease.epoch, remaining, refuses)
+
+    def promised_number(self) -> int:
+        """The number of the ballot that it has promised."""
+        return self.state.promised[0] if self.state is not None else NO_BALLOT[0]
+
+
+def _must_be_written(before: Acceptor, after: Acceptor) -> bool:
+    """Whether states differ in what must outlive the process."""
+    return (before.decided, before.promised, before.accepted, before.last_barred_epoch) != (
+        after.decided,
+        after.promised,
+        after.accepted,
+        after.last_barred_epoch,
+    )
--- a/hollybay/consensus/group_commit.py
+++ b/hollybay/consensus/group_commit.py
@@ -1,23 +1,19 @@
-"""Group commit: proposed changes wait in a queue at a keeper, and one decision takes all that have come.
+"""Group commit: proposed changes wait in a queue at a voter, and one decision commits all of them as a batch.
 
-The queue is pure: what happened goes in, what to do comes out; all times are ns that the caller gives, from
-one clock that does not go backwards. A change that was accepted (`Queued`) ends exactly once: `InForce` or
-`Rejected`.
+The queue is pure: events go in, decisions come out. All times are ns of one monotonic clock that the caller
+reads. A change that was accepted (`Queued`) ends exactly once: `InForce` or `Rejected`.
 
-Whoever drives calls `take` when the tier is settled, has the batch decided, and reports what became of it:
+The proposer calls `next_batch` when the cluster is settled, has the batch decided, and reports the result:
 
-    take --> batch under way --> decided   its changes are in force
-                             --> dropped   the changes that a node named are refused, the rest waits again
-                             --> lost      another keeper's batch was decided first; all of it waits again
+    next_batch --> batch in progress --> decided     its changes are in force
+                                     --> dropped     the changes that nodes named are rejected, the rest waits
+                                     --> superseded  another voter's batch was decided first; all of it waits
 
-What waits again keeps its place before all that came later, and is assembled anew on the state of that time.
+Changes that wait again keep their place before all later ones; their next batch is built on the newest state.
 
-A batch that is dropped without anybody naming a change is divided (binary splitting, as in group testing):
-the next batch is its first half, and so on until a batch of a single change is dropped, which is refused.
-One bad change among n costs at most about 2 * log2(n) further batches; the others are decided.
-
-A refusal speaks for the queue of one keeper. A proposer that had no answer, and offered the same change at
-another keeper as well, has been refused only when all of these say so: see `combined`.
+A batch that is dropped without any node naming a change is split (binary splitting, as in group testing): the
+next batch is its first half, and so on until a batch of a single change is dropped, which is rejected. One
+bad change among n costs at most about 2 * log2(n) further batches; the others are decided.
 """
 
 from __future__ import annotations
@@ -27,190 +23,49 @@
 from dataclasses import dataclass, replace
 from itertools import takewhile
 
-from hollybay.resources.batch import MAX_BATCH_CHANGES, Assembled, Batch, assemble
-from hollybay.resources.model import Change, ChangeRefused, Problem
+from hollybay.resources.batch import Assembled, Batch, assemble
+from hollybay.resources.model import Change, ChangeRejectedError, Problem
 from hollybay.resources.state import ResourceState
-from hollybay.resources.wire import MAX_BATCH_BYTES, encode_change
-
-__all__ = [
-    "AlreadyDecided",
-    "AlreadyQueued",
-    "Busy",
-    "InForce",
-    "Offered",
-    "Outcome",
-    "Pending",
-    "ProposalQueue",
-    "QueueSettings",
-    "Queued",
-    "Rejected",
-    "RejectedNow",
-    "UnderWay",
-    "Unknown",
-    "combined",
-]
-
-MILLISECOND = 1_000_000
-SECOND = 1_000_000_000
-
-# What a batch needs beside its changes, in bytes, at the most.
-BATCH_OVERHEAD_BYTES = 1024
-# The part of a new measurement in the average time of a batch.
-AVERAGE_WEIGHT = 0.25
-# Why a change is refused whose batch was dropped, when it stood alone in it and nobody gave a reason.
+from hollybay.resources.wire import encode_change
+
+from .proposal_outcomes import (
+    AlreadyDecided,
+    AlreadyQueued,
+    Busy,
+    InForce,
+    OfferReply,
+    Outcome,
+    Pending,
+    Queued,
+    Rejected,
+    RejectedNow,
+    UnderWay,
+    Unknown,
+)
+from .queue_settings import QueueSettings
+from .wait_estimate import Backlog, estimated_wait_ns, retry_after_ns, updated_average_ns
+
+__all__ = ["ProposalQueue"]
+
+# Why a change is rejected that was alone in a dropped batch, where no node gave a reason.
 CANNOT_BE_SERVED = Problem("change", "", "a node cannot serve it")
 
 
-@dataclass(frozen=True, slots=True)
-class QueueSettings:
-    """Bounds of a queue.
-
-    max_changes, max_bytes: what it holds, with the batch that is under way.
-    max_wait_ns: a proposal that would be decided later than this, by the estimate, is told to come again.
-    max_batch_changes, max_batch_bytes: what one batch holds; a single larger change goes alone.
-    max_change_bytes: a larger change is refused.
-    linger_ns: how long the first change waits for others before a batch is taken.
-    initial_batch_ns: how long a batch is taken to last before any was measured.
-    max_retry_after_ns: the longest time that a proposer is told to wait.
-    max_outcomes, outcome_ns: how many outcomes are remembered, and for how long.
-    """
-
-    max_changes: int = 4096
-    max_bytes: int = 64 << 20
-    max_wait_ns: int = 10 * SECOND
-    max_batch_changes: int = 512
-    max_batch_bytes: int = 1 << 20
-    max_change_bytes: int = 32 << 20
-    linger_ns: int = 5 * MILLISECOND
-    initial_batch_ns: int = 500 * MILLISECOND
-    max_retry_after_ns: int = 60 * SECOND
-    max_outcomes: int = 16_384
-    outcome_ns: int = 600 * SECOND
-
-    def __post_init__(self) -> None:
-        """ValueError: the bounds do not fit each other."""
-        if not 1 <= self.max_batch_changes <= MAX_BATCH_CHANGES:
-            raise ValueError(f"max_batch_changes: {self.max_batch_changes} is not 1 to {MAX_BATCH_CHANGES}")
-        largest = MAX_BATCH_BYTES - BATCH_OVERHEAD_BYTES
-        if not 1 <= max(self.max_change_bytes, self.max_batch_bytes) <= largest:
-            raise ValueError(f"max_change_bytes and max_batch_bytes: not 1 to {largest}")
-        if self.max_change_bytes > self.max_bytes:
-            raise ValueError(f"max_bytes: {self.max_bytes} is less than max_change_bytes")
-        if self.max_changes < 1 or self.max_outcomes < 1:
-            raise ValueError("max_changes and max_outcomes: not 1 or more")
-
-
-# What a proposal is answered at once
-
-
-@dataclass(frozen=True, slots=True)
-class Queued:
-    """It will be decided. position: as in Pending; wait_ns: how long that will take, estimated."""
-
-    position: int
-    wait_ns: int
-
-
-@dataclass(frozen=True, slots=True)
-class AlreadyQueued:
-    """It was proposed before and has not ended; `outcome` tells more."""
-
-
-@dataclass(frozen=True, slots=True)
-class AlreadyDecided:
-    """It was proposed before and is in force since this revision."""
-
-    revision: int
-
-
-@dataclass(frozen=True, slots=True)
-class RejectedNow:
-    """It may not be applied, or was refused before; nothing was queued."""
-
-    problems: tuple[Problem, ...]
-
-
-@dataclass(frozen=True, slots=True)
-class Busy:
-    """It would wait too long, or the queue is full; nothing was queued.
-
-    retry_after_ns: when the proposer may come again.
-    """
-
-    retry_after_ns: int
-
-
-Offered = Queued | AlreadyQueued | AlreadyDecided | RejectedNow | Busy
-
-
-# What becomes of a change that was queued
-
-
-@dataclass(frozen=True, slots=True)
-class Pending:
-    """It waits. position: at most so many changes are before it; wait_ns: until it is decided, estimated."""
-
-    position: int
-    wait_ns: int
-
-
-@dataclass(frozen=True, slots=True)
-class UnderWay:
-    """It is part of the batch that is being decided. revision: from which it would be in force."""
-
-    revision: int
-
-
-@dataclass(frozen=True, slots=True)
-class InForce:
-    """It was decided. Final."""
-
-    revision: int
-
-
-@dataclass(frozen=True, slots=True)
-class Rejected:
-    """It was not applied, and this keeper will not propose it. Final for the queue of this keeper."""
-
-    problems: tuple[Problem, ...]
-
-
-@dataclass(frozen=True, slots=True)
-class Unknown:
-    """It was not accepted here, or that is forgotten."""
-
-
-Outcome = Pending | UnderWay | InForce | Rejected | Unknown
-
-
-def combined(outcomes: Iterable[Outcome]) -> Outcome:
-    """What became of a change, from the outcomes at every keeper at which it was ever offered.
-
-    Of each keeper what it said since the change was last offered to it: a change that was refused may fit
-    again (a resource that was in its way is deleted), and an offer whose answer was lost may have been
-    accepted. InForce from one of them is final. Rejected is final only where each of them refused it: a
-    keeper that accepted it may still propose it, and one that started anew has forgotten what it accepted
-    (Unknown), while its last batch may still be decided. Whoever is told Unknown offers the change again,
-    under the same id.
-    """
-    found = list(outcomes)
-    for kind in (InForce, UnderWay, Pending, Unknown):
-        for one in found:
-            if isinstance(one, kind):
-                return one
-    problems: list[Problem] = []
-    for one in found:
-        if isinstance(one, Rejected):
-            problems += [problem for problem in one.problems if problem not in problems]
-    return Rejected(tuple(problems)) if found else Unknown()
-
-
-# The queue
-
-
 @dataclass(slots=True)
-class _Waiting:
-    """A change that has not ended. sequence: its place, given once; group: see _Splitting; size: bytes."""
+class _QueuedChange:
+    """A change that has not ended.
+
+    Parameters
+    ----------
+    size
+        Bytes of the change as encoded.
+    sequence
+        Its place in the queue, given once.
+    offered_at
+        When it was accepted, ns.
+    group
+        Changes of one nonzero group are tried in a batch of their own; see `ProposalQueue._regroup`.
+    """
 
     change: Change
     size: int
@@ -220,306 +75,334 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Taken:
-    """The batch that is under way, and when it was taken."""
+class _BatchInProgress:
+    """The batch that is being decided, and when it was formed (ns)."""
 
     batch: Batch
-    taken_at: int
+    started_at: int
 
 
 class ProposalQueue:
-    """The changes that were proposed to one keeper, first come first; see the module."""
+    """The changes that were proposed to one voter, first come first served; see the module.
+
+    Attributes
+    ----------
+    average_batch_ns
+        Average duration of a batch.
+    bytes
+        Size of all changes that have not ended.
+    """
 
     def __init__(self, settings: QueueSettings | None = None) -> None:
         self.settings = settings or QueueSettings()
-        self.batch_ns = self.settings.initial_batch_ns  # the average time of a batch
-        self.bytes = 0  # of all changes that have not ended
-        self._waiting: OrderedDict[bytes, _Waiting] = OrderedDict()  # by id, in order of sequence
-        self._under_way: dict[bytes, _Waiting] = {}
+        self.average_batch_ns = self.settings.initial_batch_ns
+        self.bytes = 0
+        self._waiting: OrderedDict[bytes, _QueuedChange] = OrderedDict()  # by change id, in order of sequence
+        self._under_way: dict[bytes, _QueuedChange] = {}  # by change id: the changes of the batch in progress
         self._under_way_bytes = 0
-        self._taken: _Taken | None = None
+        self._in_progress: _BatchInProgress | None = None
         self._ended: OrderedDict[bytes, tuple[int, InForce | Rejected]] = OrderedDict()
-        self._sequence = 0
-        self._groups = 0  # the number of the last group
+        self._last_sequence = 0
+        self._last_group = 0
 
     def __len__(self) -> int:
-        """How many changes have not ended, with those that are under way."""
+        """How many changes have not ended, including those of the batch in progress."""
         return len(self._waiting) + len(self._under_way)
 
     @property
-    def under_way(self) -> Batch | None:
-        """The batch that was taken and of which nothing was reported yet."""
-        return self._taken.batch if self._taken is not None else None
+    def batch_in_progress(self) -> Batch | None:
+        """The batch that was formed last and whose result was not reported yet."""
+        return self._in_progress.batch if self._in_progress is not None else None
 
     # Proposals
 
-    def offer(self, change: Change, state: ResourceState, now: int) -> Offered:
-        """Accept a proposal, or say why not. state: the newest that this keeper knows."""
-        self._forget(now)
-        known = self._known(change.id, state, now)
-        if known is not None:
-            return known
+    def offer(self, change: Change, state: ResourceState, now: int) -> OfferReply:
+        """Queue a proposed change, or say why not.
+
+        Parameters
+        ----------
+        state
+            The newest state that this voter knows.
+        """
+        self._expire_outcomes(now)
+        earlier = self._earlier_reply(change.id, state, now)
+        if earlier is not None:
+            return earlier
         try:
             state.check(change)
-        except ChangeRefused as error:
+        except ChangeRejectedError as error:
             return RejectedNow(error.problems)
         size = len(encode_change(change))
         if size > self.settings.max_change_bytes:
             text = f"{size} bytes, {self.settings.max_change_bytes} at most"
             return RejectedNow((Problem("change", "", text),))
-        wait = self._estimate(len(self._waiting) + 1, self.bytes - self._under_way_bytes + size, now)
+        waiting_bytes = self.bytes - self._under_way_bytes
+        wait = self._estimated_wait_ns(len(self._waiting) + 1, waiting_bytes + size, now)
         if self._is_full(size) or wait > self.settings.max_wait_ns:
-            return Busy(self._retry_after(wait, now))
-        self._sequence += 1
-        waiting = _Waiting(change, size, self._sequence, now)
-        self._waiting[change.id] = waiting
+            return Busy(retry_after_ns(self._backlog(now), wait, self.settings))
+        return Queued(self._position(self._enqueue(change, size, now)), wait)
+
+    def _enqueue(self, change: Change, size: int, now: int) -> _QueuedChange:
+        """Add a change at the end of the queue."""
+        self._last_sequence += 1
+        queued = _QueuedChange(change, size, self._last_sequence, now)
+        self._waiting[change.id] = queued
         self.bytes += size
-        return Queued(self._position(waiting), wait)
+        return queued
 
-    def _known(self, change_id: bytes, state: ResourceState, now: int) -> Offered | None:
-        """What is said of a change that was proposed before; None: it was not."""
+    def _earlier_reply(self, change_id: bytes, state: ResourceState, now: int) -> OfferReply | None:
+        """The reply to a change that was offered before; None if it was not."""
         revision = state.revision_of(change_id)
         if revision is not None:
-            self._end(change_id, InForce(revision), now)
+            self._finish(change_id, InForce(revision), now)
             return AlreadyDecided(revision)
         if change_id in self._under_way or change_id in self._waiting:
             return AlreadyQueued()
         ended = self._ended.get(change_id)
         if ended is None:
             return None
-        outcome = ended[1]
-        return (
-            AlreadyDecided(outcome.revision)
-            if isinstance(outcome, InForce)
-            else RejectedNow(outcome.problems)
-        )
+        _, outcome = ended
+        if isinstance(outcome, InForce):
+            return AlreadyDecided(outcome.revision)
+        return RejectedNow(outcome.problems)
 
     def outcome(self, change_id: bytes, now: int) -> Outcome:
-        """What became of one change that was accepted here."""
-        self._forget(now)
-        if change_id in self._under_way and self._taken is not None:
-            return UnderWay(self._taken.batch.revision)
+        """What became of a change that was accepted here."""
+        self._expire_outcomes(now)
+        if change_id in self._under_way and self._in_progress is not None:
+            return UnderWay(self._in_progress.batch.revision)
         waiting = self._waiting.get(change_id)
         if waiting is not None:
             position = self._position(waiting)
-            return Pending(position, self._estimate(position + 1, 0, now))
+            return Pending(position, self._estimated_wait_ns(position + 1, 0, now))
         ended = self._ended.get(change_id)
         return ended[1] if ended is not None else Unknown()
 
     # Batches
 
-    def next_take_ns(self, now: int) -> int | None:
-        """In how many ns `take` may give a batch, 0: now; None: not before something else happens."""
-        if self._taken is not None or not self._waiting:
+    def next_batch_delay_ns(self, now: int) -> int | None:
+        """Time until `next_batch` may return a batch, 0: now; None: not before another event."""
+        if self._in_progress is not None or not self._waiting:
             return None
-        first = next(iter(self._waiting.values()))
-        if first.group or len(self._waiting) >= self.settings.max_batch_changes:
+        oldest = next(iter(self._waiting.values()))
+        if oldest.group or len(self._waiting) >= self.settings.max_batch_changes:
             return 0
-        return max(0, first.offered_at + self.settings.linger_ns - now)
+        return max(0, oldest.offered_at + self.settings.linger_ns - now)
 
-    def take(self, state: ResourceState, now: int) -> Assembled | None:
-        """The next batch, on the newest state; None: there is none now, see `next_take_ns`.
+    def next_batch(self, state: ResourceState, now: int) -> Assembled | None:
+        """Form the next batch on the newest state; None: there is none now, see `next_batch_delay_ns`.
 
-        Changes that do not fit the state any more are refused, each with its problems, or found to be in
-        force. One that fits the state, and only not what the changes before it in the batch would make of
-        it, waits until that batch has come to its end, as it may be dropped or lost. At most
-        max_batch_changes are looked at; `take` may be called again at once.
+        Changes that no longer fit the state are rejected with their problems, or found to be in force. A
+        change that fits the state but conflicts with an earlier one of the batch waits until the batch has
+        ended, as it may be dropped or superseded. At most `max_batch_changes` are considered; the method may
+        be called again at once.
         """
-        self._forget(now)
-        if self.next_take_ns(now) != 0:
+        self._expire_outcomes(now)
+        if self.next_batch_delay_ns(now) != 0:
             return None
-        candidates = self._candidates()
-        for waiting in list(candidates):
-            revision = state.revision_of(waiting.change.id)
-            if revision is not None:
-                self._end(waiting.change.id, InForce(revision), now)
-                candidates.remove(waiting)
-        assembled = assemble(state, (waiting.change for waiting in candidates))
-        refused: list[tuple[Change, ChangeRefused]] = []
-        for change, error in assembled.refused:
-            lasting = self._lasting_refusal(change, error, state)
-            if lasting is not None:
-                refused.append((change, lasting))
-                self._end(change.id, Rejected(lasting.problems), now)
+        candidates = [queued.change for queued in self._batch_candidates()]
+        assembled = assemble(state, self._without_decided(candidates, state, now))
+        rejections: list[tuple[Change, ChangeRejectedError]] = []
+        for change, error in assembled.rejected:
+            rejection = self._rejection_by_state(change, error, state)
+            if rejection is not None:
+                rejections.append((change, rejection))
+                self._finish(change.id, Rejected(rejection.problems), now)
         if not assembled.batch.changes:
             return None
-        for change in assembled.batch.changes:
-            waiting = self._waiting.pop(change.id)
-            self._under_way[change.id] = waiting
-            self._under_way_bytes += waiting.size
-        self._taken = _Taken(assembled.batch, now)
-        return replace(assembled, refused=tuple(refused))
-
-    def _lasting_refusal(
-        self, change: Change, error: ChangeRefused, state: ResourceState
-    ) -> ChangeRefused | None:
-        """Why a change that does not fit its batch does not fit the state either; None: it does.
-
-        error: why it does not fit the batch.
+        self._start(assembled.batch, now)
+        return replace(assembled, rejected=tuple(rejections))
+
+    def _batch_candidates(self) -> list[_QueuedChange]:
+        """The first changes of the queue that form one batch by count, bytes and group."""
+        candidates: list[_QueuedChange] = []
+        size = 0
+        for queued in self._waiting.values():
+            size += queued.size
+            if candidates and (size > self.settings.max_batch_bytes or queued.group != candidates[0].group):
+                break
+            candidates.append(queued)
+            if len(candidates) == self.settings.max_batch_changes:
+                break
+        return candidates
+
+    def _without_decided(self, changes: Iterable[Change], state: ResourceState, now: int) -> list[Change]:
+        """The changes that are not in force in a state; the others have ended."""
+        undecided: list[Change] = []
+        for change in changes:
+            if not self._finish_if_decided(change.id, state, now):
+                undecided.append(change)
+        return undecided
+
+    def _rejection_by_state(
+        self, change: Change, error: ChangeRejectedError, state: ResourceState
+    ) -> ChangeRejectedError | None:
+        """Why a change does not fit the state by itself; None: it does.
+
+        Parameters
+        ----------
+        error
+            Why it does not fit its batch.
         """
         try:
             state.check(change)
-        except ChangeRefused as lasting:
-            return lasting
+        except ChangeRejectedError as rejection:
+            return rejection
         return None
 
-    def _candidates(self) -> list[_Waiting]:
-        """The first changes of the queue that make one batch by count, bytes and group."""
-        found: list[_Waiting] = []
-        size = 0
-        for waiting in self._waiting.values():
-            size += waiting.size
-            if found and (size > self.settings.max_batch_bytes or waiting.group != found[0].group):
-                break
-            found.append(waiting)
-            if len(found) == self.settings.max_batch_changes:
-                break
-        return found
+    def _start(self, batch: Batch, now: int) -> None:
+        """A batch is in progress from now on."""
+        for change in batch.changes:
+            queued = self._waiting.pop(change.id)
+            self._under_way[change.id] = queued
+            self._under_way_bytes += queued.size
+        self._in_progress = _BatchInProgress(batch, now)
 
-    # What became of a batch
+    # Results of a batch
 
-    def decided(self, batch: Batch, now: int) -> None:
-        """A batch, of this keeper or of another one, is in force.
+    def batch_decided(self, batch: Batch, now: int) -> None:
+        """A batch, of this voter or of another one, is in force.
 
-        Where another one's was decided, what is under way here waits again.
+        If it is another voter's, the batch in progress here waits again.
         """
-        self._forget(now)
+        self._expire_outcomes(now)
         if self._is_own(batch):
-            self._measure(now)
+            self._record_duration(now)
         for change in batch.changes:
-            self._end(change.id, InForce(batch.revision), now)
-        self._put_back()
+            self._finish(change.id, InForce(batch.revision), now)
+        self._requeue()
 
-    def dropped(
+    def batch_dropped(
         self,
         batch: Batch,
         reasons: Mapping[bytes, tuple[Problem, ...]],
         now: int,
         problems: tuple[Problem, ...] = (),
     ) -> None:
-        """A batch, of this keeper or of another one, was given up, as a node cannot serve it.
+        """A batch, of this voter or of another one, was given up because a node cannot serve it.
+
+        If no change is named, a batch of this voter is split.
 
-        reasons: the problems of each change that was named, by its id; ids that are not in the batch are
-        passed over. problems: what nodes said without naming a change. Where no change was named, a batch of
-        this keeper is divided.
+        Parameters
+        ----------
+        reasons
+            The problems of each change that a node named, by change id; ids that are not in the batch are
+            ignored.
+        problems
+            What nodes reported without naming a change.
         """
-        self._forget(now)
-        own = self._is_own(batch)
-        if own:
-            self._measure(now)
+        self._expire_outcomes(now)
+        is_own = self._is_own(batch)
+        if is_own:
+            self._record_duration(now)
         named = {change.id: reasons[change.id] for change in batch.changes if change.id in reasons}
         if not named and len(batch.changes) == 1:
             named = {batch.changes[0].id: problems}
-        for change_id, its_problems in named.items():
-            self._end(change_id, Rejected(its_problems or (CANNOT_BE_SERVED,)), now)
-        if own:
-            # What was suspected before is explained by this batch: of the rest nothing is known.
-            for waiting in self._waiting.values():
-                waiting.group = 0
-            self._divide(split=not named)
-        self._put_back()
-
-    def lost(self, batch: Batch, state: ResourceState, now: int) -> None:
-        """The batch of this keeper was not decided: another one was, and `state` is the one after it.
+        for change_id, change_problems in named.items():
+            self._finish(change_id, Rejected(change_problems or (CANNOT_BE_SERVED,)), now)
+        if is_own:
+            # This batch explains the earlier suspicion: nothing is known of the other changes.
+            for queued in self._waiting.values():
+                queued.group = 0
+            self._regroup(split=not named)
+        self._requeue()
+
+    def batch_superseded(self, batch: Batch, state: ResourceState, now: int) -> None:
+        """The batch of this voter was not decided: another one was, and `state` is the one after it.
 
         Changes that are in force in that state have ended; the others wait again.
         """
-        self._forget(now)
+        self._expire_outcomes(now)
         if not self._is_own(batch):
             return
         for change_id in list(self._under_way):
-            revision = state.revision_of(change_id)
-            if revision is not None:
-                self._end(change_id, InForce(revision), now)
-        self._put_back()
+            self._finish_if_decided(change_id, state, now)
+        self._requeue()
 
-    def _divide(self, split: bool) -> None:
-        """Put what is under way into two groups, each a batch of its own; or, not split, into none."""
+    def _regroup(self, split: bool) -> None:
+        """Divide the changes of the batch in progress into two groups, or (split False) into none."""
         suspects = list(self._under_way.values())
         half = (len(suspects) + 1) // 2
-        self._groups += 2
-        for place, waiting in enumerate(suspects):
-            waiting.group = self._groups - (place < half) if split else 0
-
-    def _put_back(self) -> None:
-        """What is under way waits again, in its place: before all that came later."""
+        self._last_group += 2
+        for place, queued in enumerate(suspects):
+            if not split:
+                queued.group = 0
+            elif place < half:
+                queued.group = self._last_group - 1
+            else:
+                queued.group = self._last_group
+
+    def _requeue(self) -> None:
+        """The changes of the batch in progress wait again in their place, before all later ones."""
         if self._under_way:
-            last = next(reversed(self._under_way.values())).sequence
-            # Some that came between did not fit beside them, and wait.
-            between = takewhile(lambda waiting: waiting.sequence < last, self._waiting.values())
-            first = sorted((*self._under_way.values(), *between), key=lambda waiting: waiting.sequence)
-            for waiting in reversed(first):
-                self._waiting[waiting.change.id] = waiting
-                self._waiting.move_to_end(waiting.change.id, last=False)
+            last_sequence = next(reversed(self._under_way.values())).sequence
+            # Changes between them that conflicted with the batch were left waiting.
+            between = takewhile(lambda queued: queued.sequence < last_sequence, self._waiting.values())
+            front = sorted((*self._under_way.values(), *between), key=lambda queued: queued.sequence)
+            for queued in reversed(front):
+                self._waiting[queued.change.id] = queued
+                self._waiting.move_to_end(queued.change.id, last=False)
         self._under_way.clear()
         self._under_way_bytes = 0
-        self._taken = None
+        self._in_progress = None
 
     def _is_own(self, batch: Batch) -> bool:
-        return self._taken is not None and self._taken.batch == batch
+        return self._in_progress is not None and self._in_progress.batch == batch
 
     # Outcomes
 
-    def _end(self, change_id: bytes, outcome: InForce | Rejected, now: int) -> None:
-        """A change has ended; nothing happens where it was not accepted here."""
-        waiting = self._waiting.pop(change_id, None)
-        if waiting is None:
-            waiting = self._under_way.pop(change_id, None)
-            if waiting is None:
+    def _finish(self, change_id: bytes, outcome: InForce | Rejected, now: int) -> None:
+        """A change has ended; does nothing if it was not accepted here."""
+        queued = self._waiting.pop(change_id, None)
+        if queued is None:
+            queued = self._under_way.pop(change_id, None)
+            if queued is None:
                 return
-            self._under_way_bytes -= waiting.size
-        self.bytes -= waiting.size
+            self._under_way_bytes -= queued.size
+        self.bytes -= queued.size
         self._ended[change_id] = (now, outcome)
 
-    def _forget(self, now: int) -> None:
-        """Let go of the outcomes that are too many or too old."""
+    def _finish_if_decided(self, change_id: bytes, state: ResourceState, now: int) -> bool:
+        """Whether a change is in force in a state; then it has ended."""
+        revision = state.revision_of(change_id)
+        if revision is None:
+            return False
+        self._finish(change_id, InForce(revision), now)
+        return True
+
+    def _expire_outcomes(self, now: int) -> None:
+        """Remove outcomes that are too many or too old."""
         while self._ended:
-            oldest = next(iter(self._ended.values()))[0]
+            oldest, _ = next(iter(self._ended.values()))
             if len(self._ended) <= self.settings.max_outcomes and now - oldest <= self.settings.outcome_ns:
                 return
             self._ended.popitem(last=False)
 
     # Estimates
 
-    def _position(self, waiting: _Waiting) -> int:
-        """At most so many changes wait before it: sequences are given in order, and some have ended."""
-        return waiting.sequence - next(iter(self._waiting.values())).sequence
+    def _position(self, queued: _QueuedChange) -> int:
+        """An upper bound of the changes before one: sequences ascend, and some changes have ended."""
+        return queued.sequence - next(iter(self._waiting.values())).sequence
 
     def _is_full(self, size: int) -> bool:
         return len(self) >= self.settings.max_changes or self.bytes + size > self.settings.max_bytes
 
-    def _elapsed(self, now: int) -> int:
-        """How long the batch that is under way has lasted, ns."""
-        return now - self._taken.taken_at if self._taken is not None else 0
-
-    def _measure(self, now: int) -> None:
-        """The batch that is under way has come to its end."""
-        self.batch_ns += int(AVERAGE_WEIGHT * (self._elapsed(now) - self.batch_ns))
-
-    def _estimate(self, changes: int, size: int, now: int) -> int:
-        """How long the last of so many waiting changes of so many bytes waits until it is decided, ns.
-
-        A batch that lasts longer than the average is the better measure; and nobody waits less than those who
-        wait already.
-        """
-        batch_ns = max(self.batch_ns, self._elapsed(now))
-        by_count = -(-changes // self.settings.max_batch_changes)
-        by_bytes = -(-size // self.settings.max_batch_bytes)
-        batches = max(by_count, by_bytes)
-        if self._taken is not None:
-            batches += 1
-        if any(waiting.group for waiting in self._first_waiting()):
-            batches += 1
-        waited = max((now - waiting.offered_at for waiting in self._first_waiting()), default=0)
-        return max(self.settings.linger_ns + batches * batch_ns, waited)
-
-    def _first_waiting(self) -> Iterable[_Waiting]:
-        """The oldest change that waits, and the oldest that is under way."""
-        for there in (self._under_way, self._waiting):
-            if there:
-                yield next(iter(there.values()))
-
-    def _retry_after(self, wait: int, now: int) -> int:
-        """When a proposer that is sent away may come again, ns."""
-        batch_ns = max(self.batch_ns, self._elapsed(now))
-        return min(self.settings.max_retry_after_ns, max(batch_ns, wait - self.settings.max_wait_ns, 1))
+    def _record_duration(self, now: int) -> None:
+        """Add the duration of the batch in progress, which has ended, to the average."""
+        if self._in_progress is not None:
+            duration_ns = now - self._in_progress.started_at
+            self.average_batch_ns = updated_average_ns(self.average_batch_ns, duration_ns)
+
+    def _estimated_wait_ns(self, changes: int, size: int, now: int) -> int:
+        return estimated_wait_ns(self._backlog(now), changes, size, self.settings)
+
+    def _backlog(self, now: int) -> Backlog:
+        """What has to be decided before a change that is offered now."""
+        oldest = [next(iter(queue.values())) for queue in (self._under_way, self._waiting) if queue]
+        in_progress = self._in_progress
+        return Backlog(
+            average_batch_ns=self.average_batch_ns,
+            elapsed_batch_ns=now - in_progress.started_at if in_progress is not None else None,
+            splits_batches=any(queued.group for queued in oldest),
+            longest_wait_ns=max((now - queued.offered_at for queued in oldest), default=0),
+        )
--- a/hollybay/consensus/interfaces.py
+++ b/hollybay/consensus/interfaces.py
@@ -1,4 +1,4 @@
-"""What a member of an accord is given, and what it gives: its settings, its node, files read and answers.
+"""What a member of the replicated log is given, and what it gives: settings, its node, files and responses.
 
 The service (hollybay.consensus.service) and those who run it or read files for it share these types.
 """
@@ -15,7 +15,7 @@
 from hollybay.resources.model import Change, Operation
 from hollybay.resources.state import ResourceState
 
-from .log import Entry
+from .log_entry import Entry
 from .policy import RejectedError
 
 __all__ = ["DataPlane", "FileRead", "InvalidFileError", "MemberSettings", "Response"]
@@ -26,7 +26,7 @@
     """What an operator file says: how the resources differ from it, and the keepers; None: it names none."""
 
     operations: tuple[Operation, ...]
-    keepers: list[str] | None
+    voters: list[str] | None
 
 
 class InvalidFileError(RejectedError):
@@ -38,38 +38,38 @@
 
 
 class DataPlane(Protocol):
-    """What an accord does to its node."""
+    """What the replicated log does to its node."""
 
     def compile(self, entry: Entry) -> Awaitable[list[str]]:
         """Make a policy ready to be in force; why it cannot be: nothing if it can."""
         ...
 
     def culprits(self, base: Entry, changes: tuple[Change, ...]) -> Awaitable[Mapping[bytes, list[str]]]:
-        """Which changes of a batch on a policy do not hold, one after another, and why; by their ids."""
+        """The changes of a batch that are invalid by themselves, with reasons; empty: not known."""
         ...
 
     def read(self, file: bytes, state: ResourceState) -> Awaitable[FileRead]:
-        """What an operator file says. InvalidFileError: it does not hold."""
+        """What an operator file says. InvalidFileError: it is invalid."""
         ...
 
     def put(self, entries: tuple[Entry, ...]) -> None:
-        """From now on requests begin under the narrower of these; of none: none may begin."""
+        """From now on requests begin under the intersection of these; none: may_begin_request refuses."""
         ...
 
     def say(self, event: str, **words: object) -> None:
-        """Write down a transition."""
+        """Log a transition."""
         ...
 
 
 @dataclass(frozen=True, slots=True)
 class MemberSettings:
-    """What an operator sets up. door: where this process is called; keepers: whom it asks first; ns."""
+    """What an operator sets up. address: of this process; voters: whom it asks first; lease, grace: ns."""
 
     name: str
-    door: str
-    keepers: tuple[str, ...]
+    address: str
+    voters: tuple[str, ...]
     lease: int
-    late: int  # 0: it leaves when its lease is over
+    grace: int  # 0: it leaves when its lease is over
     folder: Path
 
 
--- /dev/null
+++ b/hollybay/consensus/lease_client.py
@@ -0,0 +1,288 @@
+"""The leaseholder of this process: it renews its lease, and decides what requests are served under."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+from typing import Any
+
+from . import messages
+from .background_tasks import BackgroundTasks
+from .core import Decided, EpochState, LeaseGrant, LeaseRequest, Stage, has_quorum, policies_named
+from .environment import Environment
+from .grace_memory import GraceMemory, RememberedGrace
+from .leaseholder import Leaseholder
+from .log_replica import LogReplica, voter_set
+from .messages import number_of, stage_label
+from .outgoing_requests import CALL_LIMIT, PeerClient
+from .policy import RejectedError
+from .requests import UnreachableError
+from .serviceability import Serviceability, Unserviceable, bounded_reasons
+from .store import StoreError
+from .waiting import wait_at_most
+
+__all__ = ["LeaseClient"]
+
+SECOND = 1_000_000_000  # ns
+# Renewal periods in the length of a lease; a period is shortened by a random factor.
+PERIODS_PER_LEASE = 2
+RENEWAL_JITTER = (0.85, 1.0)
+# Rounds in a renewal period while no quorum has granted; their interval is shortened by a random factor, too.
+RETRIES_PER_PERIOD = 5
+RETRY_JITTER = (0.5, 1.0)
+MIN_ROUND_INTERVAL = 0.02  # seconds
+CALLS_PER_LEASE = 3  # a call may take the length of a lease divided by this
+
+
+class LeaseClient:
+    """Requests leases of the voters for one process, and puts policies in force at its node.
+
+    Parameters
+    ----------
+    environment : Environment
+    process : int
+        The number of this process.
+    replica : LogReplica
+    peers : PeerClient
+    tasks : BackgroundTasks
+    on_learned : callable
+        Takes a later epoch once this process has its policies.
+    """
+
+    def __init__(
+        self,
+        environment: Environment,
+        process: int,
+        replica: LogReplica,
+        peers: PeerClient,
+        tasks: BackgroundTasks,
+        on_learned: Callable[[EpochState], None],
+    ) -> None:
+        self.environment = environment
+        self.settings = environment.settings
+        self.data_plane = environment.data_plane
+        self.clock = environment.clock
+        self.replica = replica
+        self.peers = peers
+        self.tasks = tasks
+        self.leaseholder = Leaseholder(process)
+        self.serviceability = Serviceability(
+            environment.data_plane, replica, self._mark_unserviceable, self._clear_unserviceable
+        )
+        self.memory = GraceMemory(environment, replica.log)
+        self.policies_in_force: tuple[str, ...] = ()  # as put in force at the node last
+        self.valid_until = 0  # ns; requests may begin under these until then without another check
+        self._news = asyncio.Event()  # there is a later epoch to request a lease on
+        self._learning = asyncio.Lock()
+        self._on_learned = on_learned
+
+    # What requests begin under
+
+    def may_begin_request(self) -> bool:
+        """Whether a request may begin now; what it is served under is in force then."""
+        if self.clock() < self.valid_until:
+            return True
+        self.apply()
+        return bool(self.policies_in_force)
+
+    def apply(self) -> None:
+        """Put in force what the leaseholder serves under now."""
+        now = self.clock()
+        holder = self.leaseholder
+        policies = holder.policies_in_force(now)
+        has_lease = now < holder.lease_end
+        if policies != self.policies_in_force:
+            policies = self._put_in_force(policies, has_lease)
+        end = holder.lease_end if has_lease else holder.grace_end
+        self.valid_until = end if policies else 0
+
+    def _put_in_force(self, policies: tuple[str, ...], has_lease: bool) -> tuple[str, ...]:
+        """Put policies in force at the node; none where one of them is not here. Returns those in force."""
+        log = self.replica.log
+        entries = tuple(entry for name in policies if (entry := log.entry(name)) is not None)
+        if len(entries) < len(policies):
+            policies = entries = ()
+        self.policies_in_force = policies
+        self.data_plane.put(entries)
+        state = self.leaseholder.effective_epoch
+        self.data_plane.say(
+            "serves" if policies else "serves nothing",
+            epoch=state.epoch if state is not None else -1,
+            stage=stage_label(state.stage) if state is not None else "",
+            policies=list(policies),
+            late=bool(policies) and not has_lease,
+        )
+        return policies
+
+    def _mark_unserviceable(self, name: str) -> None:
+        names = self.leaseholder.unserviceable_policies | {name}
+        self.leaseholder = self.leaseholder._replace(unserviceable_policies=names)
+
+    def _clear_unserviceable(self, name: str) -> None:
+        names = self.leaseholder.unserviceable_policies - {name}
+        self.leaseholder = self.leaseholder._replace(unserviceable_policies=names)
+
+    # Grace time across a restart
+
+    def restore(self) -> None:
+        """Go on in the grace time of the process before, if there was one; voters still count on it."""
+        try:
+            remembered = self.memory.read()
+        except StoreError as error:
+            self.data_plane.say("memory", error=str(error))
+            return
+        if remembered is None:
+            return
+        for addresses in remembered.voter_sets:
+            self.replica.known_addresses.update(addresses)
+        if remembered.boot_id == self.environment.boot_id and self.clock() < remembered.grace_end:
+            self.tasks.spawn(self._resume(remembered))
+
+    async def _resume(self, remembered: RememberedGrace) -> None:
+        for name in policies_named(remembered.state):
+            entry = self.replica.log.entry(name)
+            if entry is None or entry.state is None or await self.serviceability.prepare(entry):
+                return
+        if self.leaseholder.effective_epoch is None:
+            # In the grace time of the process before, and not as one that holds a lease.
+            self.leaseholder = self.leaseholder._replace(
+                effective_epoch=remembered.state, lease_end=0, grace_end=remembered.grace_end
+            )
+            self.apply()
+
+    def remember(self) -> None:
+        """Leave to the process after this one what it may serve under."""
+        record = self.memory.record(self.leaseholder)
+        if record is not None:
+            self.tasks.spawn(self.memory.write(record))
+
+    # Renewal
+
+    async def run(self) -> None:
+        """Request leases, round after round."""
+        while True:
+            before = self.leaseholder.effective_epoch
+            self._news.clear()
+            await self._round()
+            now_effective = self.leaseholder.effective_epoch
+            advanced = now_effective != before and now_effective is not None
+            if advanced or self._news.is_set():
+                continue  # at once: voters release the lease before when they hear what is served under now
+            elapsed = (self.clock() - self.leaseholder.requested_at) / SECOND
+            await wait_at_most(self._news, max(MIN_ROUND_INTERVAL, self._interval() - elapsed))
+
+    def _interval(self) -> float:
+        """The time from the beginning of a round to the next one, seconds."""
+        period = self.settings.lease / SECOND / PERIODS_PER_LEASE
+        holder = self.leaseholder
+        granted = holder.effective_epoch is not None and has_quorum(holder.voter_sets, holder.grants)
+        if granted or holder.latest_epoch is None:
+            return period * self.environment.rng.uniform(*RENEWAL_JITTER)
+        # While the lease lasts there is time for a few rounds.
+        return period / RETRIES_PER_PERIOD * self.environment.rng.uniform(*RETRY_JITTER)
+
+    async def _round(self) -> None:
+        """Request a lease of all voters, until a quorum grants it, all have answered, or there is news."""
+        self.leaseholder, request = self.leaseholder.begin_round(self.clock())
+        body = messages.encode(self._lease_call(request))
+        limit = min(CALL_LIMIT, self.settings.lease / SECOND / CALLS_PER_LEASE)
+        calls = {
+            self.tasks.spawn(self._request(address, body, limit))
+            for address in self.replica.voter_addresses(request.state)
+        }
+        waiting: set[asyncio.Task[Any]] = set(calls)
+        news = asyncio.get_running_loop().create_task(self._news.wait())
+        try:
+            while waiting and not news.done():
+                _, waiting = await asyncio.wait({*waiting, news}, return_when=asyncio.FIRST_COMPLETED)
+                waiting.discard(news)
+                holder = self.leaseholder
+                if holder.effective_epoch == request.state and has_quorum(holder.voter_sets, holder.grants):
+                    break
+        finally:
+            news.cancel()
+
+    def _lease_call(self, request: LeaseRequest) -> messages.LeaseCall:
+        why = Unserviceable([])
+        if request.state is not None and request.state.new:
+            why = self.serviceability.unserviceable.get(request.state.new, why)
+        return messages.LeaseCall(
+            messages.FORM,
+            request,
+            self.settings.name,
+            self.settings.address,
+            self.settings.lease,
+            self.settings.grace,
+            why.reasons,
+            dict(why.culprits),
+            why.whatever_it_holds,
+        )
+
+    async def _request(self, address: str, body: bytes, limit: float) -> None:
+        """Request a lease of one voter, and take in its answer."""
+        try:
+            reply = messages.decode(await self.peers.call(address, "ask", body, limit), messages.LeaseReply)
+        except (UnreachableError, RejectedError):
+            return
+        if reply.grant is not None:
+            self._take_grant(reply.grant._replace(voter=number_of(address)))
+        elif reply.decided is not None:
+            await self.learn(reply.decided, address)
+
+    def _take_grant(self, grant: LeaseGrant) -> None:
+        before = self.leaseholder
+        after = before.on_grant(grant, self.settings.lease, self.settings.grace)
+        self.leaseholder = after
+        if after.effective_epoch is not before.effective_epoch or after.lease_end != before.lease_end:
+            self.apply()
+            self.remember()
+
+    # Later epochs
+
+    async def learn(self, state: EpochState, source: str) -> None:
+        """Learn of a later epoch: fetch its policies, make them ready, and request a lease on it.
+
+        source: the address of a process that has the policies.
+        """
+        if self._knows(state):
+            return
+        async with self._learning:
+            if self._knows(state):
+                return
+            voter_sets = await self._prepare(state, source)
+            if voter_sets is None:
+                return  # it will be sent again
+            self.leaseholder = self.leaseholder.on_decided(Decided(state), voter_sets)
+            self.data_plane.say(
+                "hears",
+                epoch=state.epoch,
+                stage=stage_label(state.stage),
+                policies=list(policies_named(state)),
+            )
+            self._on_learned(state)
+        self._news.set()
+
+    def _knows(self, state: EpochState) -> bool:
+        latest = self.leaseholder.latest_epoch
+        return latest is not None and state.epoch <= latest.epoch
+
+    async def _prepare(self, state: EpochState, source: str) -> tuple[frozenset[int], ...] | None:
+        """Fetch and prepare the policies of an epoch; their voter sets, or None where one is missing."""
+        if state.stage is Stage.PREPARE and state.new in self.serviceability.unserviceable:
+            # It may be possible now, as a disk that was full may have room.
+            self.serviceability.clear(state.new)
+        voter_sets: list[frozenset[int]] = []
+        for name in policies_named(state):
+            fetched = await self.replica.fetch(name, source)
+            if fetched.policy is None:
+                return None
+            self.replica.known_addresses.update(fetched.policy.voters)
+            voter_sets.append(voter_set(fetched.policy))
+            entry = self.replica.log.entry(name)
+            if entry is not None:
+                await self.serviceability.prepare(entry)
+            else:
+                # It is not on this disk: the node cannot serve it now, and may later.
+                reasons = bounded_reasons([fetched.problem])
+                self.serviceability.mark(name, Unserviceable(reasons, whatever_it_holds=True))
+        return tuple(voter_sets)
--- /dev/null
+++ b/hollybay/consensus/leaseholder.py
@@ -0,0 +1,109 @@
+"""The leaseholder of the protocol in `core`: it decides what requests are served under. No I/O."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+from typing import NamedTuple
+
+from .core import (
+    Decided,
+    EpochState,
+    LeaseGrant,
+    LeaseRequest,
+    VoterSets,
+    effective_policies,
+    has_quorum,
+    policies_named,
+)
+
+__all__ = ["Leaseholder"]
+
+# The epoch that a leaseholder names when it serves under none.
+NO_EPOCH = -1
+
+
+class Leaseholder(NamedTuple):
+    """A process that serves requests.
+
+    Attributes
+    ----------
+    number : int
+        Its own number.
+    voter_sets : VoterSets
+        Those whose grants it needs for a lease on `latest_epoch`.
+    effective_epoch : EpochState or None
+        The epoch that it serves under.
+    lease_end, grace_end : int
+        When its lease on that epoch ends, and the grace time after it, ns.
+    latest_epoch : EpochState or None
+        The latest epoch that it knows, which it requests leases on.
+    round_number : int
+        Counts its rounds of requests.
+    requested_at : int
+        When the present round began, ns.
+    grants : frozenset of int
+        The voters that have granted a lease in this round.
+    unserviceable_policies : frozenset of str
+        The policies that it cannot serve.
+    """
+
+    number: int
+    voter_sets: VoterSets = ()
+    effective_epoch: EpochState | None = None
+    lease_end: int = 0
+    grace_end: int = 0
+    latest_epoch: EpochState | None = None
+    round_number: int = 0
+    requested_at: int = 0
+    grants: frozenset[int] = frozenset()
+    unserviceable_policies: frozenset[str] = frozenset()
+
+    def policies_in_force(self, now: int) -> tuple[str, ...]:
+        """The policies that a request beginning now is served under; empty: none may begin."""
+        if self.effective_epoch is None or now >= max(self.lease_end, self.grace_end):
+            return ()
+        if now < self.lease_end:
+            return effective_policies(self.effective_epoch)
+        policies = policies_named(self.effective_epoch)
+        return () if self._cannot_serve(policies) else policies
+
+    def begin_round(self, now: int) -> tuple[Leaseholder, LeaseRequest]:
+        """Request a lease of all voters; it is counted from now, before any of them has the request."""
+        begun = self._replace(round_number=self.round_number + 1, requested_at=now, grants=frozenset())
+        serves = self.effective_epoch is not None and now < max(self.lease_end, self.grace_end)
+        serving_epoch = (
+            self.effective_epoch.epoch if self.effective_epoch is not None and serves else NO_EPOCH
+        )
+        can_serve_new = (
+            self.latest_epoch is None
+            or not self.latest_epoch.new
+            or self.latest_epoch.new not in self.unserviceable_policies
+        )
+        request = LeaseRequest(
+            self.number, begun.round_number, self.latest_epoch, serving_epoch, can_serve_new
+        )
+        return begun, request
+
+    def on_grant(self, grant: LeaseGrant, lease: int, grace: int = 0) -> Leaseholder:
+        """Count a grant; with those of a quorum it serves under that epoch.
+
+        lease, grace: how long the lease lasts from the beginning of the round, and the grace time after it,
+        ns.
+        """
+        latest = self.latest_epoch
+        if latest is None or (grant.round_number, grant.epoch) != (self.round_number, latest.epoch):
+            return self
+        counted = self._replace(grants=self.grants | {grant.voter})
+        if not has_quorum(self.voter_sets, counted.grants) or self._cannot_serve(effective_policies(latest)):
+            return counted
+        lease_end = self.requested_at + lease
+        return counted._replace(effective_epoch=latest, lease_end=lease_end, grace_end=lease_end + grace)
+
+    def on_decided(self, message: Decided, voter_sets: VoterSets) -> Leaseholder:
+        """Learn of a later epoch; what it serves under stays until a lease on that one is granted."""
+        if self.latest_epoch is not None and message.state.epoch <= self.latest_epoch.epoch:
+            return self
+        return self._replace(latest_epoch=message.state, voter_sets=voter_sets, grants=frozenset())
+
+    def _cannot_serve(self, policies: Iterable[str]) -> bool:
+        return any(policy in self.unserviceable_policies for policy in policies)
--- /dev/null
+++ b/hollybay/consensus/log_entry.py
@@ -0,0 +1,114 @@
+"""Entries of the replicated log in memory, and snapshots as they are stored and sent. Pure."""
+
+from __future__ import annotations
+
+import re
+from dataclasses import dataclass, replace
+
+import msgspec
+
+from hollybay.resources.model import Key, Kind
+from hollybay.resources.state import ResourceState
+from hollybay.resources.wire import WireError, decode_snapshot, encode_snapshot
+
+from .policy import Policy, RejectedError, changed_keys, decode_policy, version_of
+
+__all__ = ["Entry", "Snapshot", "age_order", "is_name"]
+
+# The keys of an entry that changes more resources are not kept in memory.
+MAX_CHANGED_KEYS = 4096
+_NAME = re.compile(r"[0-9]{1,12}-[0-9a-f]{12}")
+
+
+def is_name(text: str) -> bool:
+    """Whether this is the name of a policy."""
+    return _NAME.fullmatch(text) is not None
+
+
+def age_order(name: str) -> tuple[int, str]:
+    """Sort key of names: the oldest version first."""
+    return version_of(name), name
+
+
+@dataclass(frozen=True, slots=True)
+class Entry:
+    """An entry of the log without its changes.
+
+    Parameters
+    ----------
+    state
+        The resources after it; None: they are no longer in memory.
+    changed_keys
+        The resources that it changed; None: too many, or not known.
+    size_bytes
+        Size of the encoded entry; 0: it came with a snapshot.
+    drained_servers
+        The servers that operators have taken out of service.
+    """
+
+    policy: Policy
+    state: ResourceState | None
+    changed_keys: frozenset[Key] | None
+    size_bytes: int
+    drained_servers: frozenset[str] = frozenset()
+
+    @classmethod
+    def from_snapshot(cls, policy: Policy, state: ResourceState) -> Entry:
+        """The entry at which a snapshot was made."""
+        drained = frozenset(resource.name for resource in state.of_kind(Kind.DRAINED_SERVER))
+        return cls(policy, state, None, 0, drained)
+
+    @classmethod
+    def after(cls, parent: Entry | None, policy: Policy, state: ResourceState, size_bytes: int) -> Entry:
+        """The entry of a policy with its changes; parent: the entry before it, None for the first."""
+        drained = parent.drained_servers if parent is not None else frozenset()
+        keys = changed_keys(policy.changes or ())
+        touched = {key.name for key in keys if key.kind is Kind.DRAINED_SERVER}
+        if touched:
+            present = {name for name in touched if state.get(Kind.DRAINED_SERVER, name) is not None}
+            drained = (drained - touched) | present
+        return cls(policy.without_changes(), state, _bounded(keys), size_bytes, drained)
+
+    def with_changes_of(self, policy: Policy, size_bytes: int) -> Entry:
+        """The entry of a snapshot, whose encoded entry is at hand as well."""
+        return replace(self, changed_keys=_bounded(changed_keys(policy.changes or ())), size_bytes=size_bytes)
+
+    def without_state(self) -> Entry:
+        """The entry without the resources after it."""
+        return replace(self, state=None, changed_keys=None)
+
+
+def _bounded(keys: frozenset[Key]) -> frozenset[Key] | None:
+    return keys if len(keys) <= MAX_CHANGED_KEYS else None
+
+
+class Snapshot(msgspec.Struct, frozen=True, array_like=True):
+    """A policy without its changes, and the resources after it as `resources.wire` encodes them."""
+
+    policy: Policy
+    resources: bytes
+
+    @classmethod
+    def encode(cls, policy: Policy, state: ResourceState) -> bytes:
+        """A snapshot as bytes; policy: without its changes, state: the resources after it."""
+        return msgspec.msgpack.encode(cls(policy, encode_snapshot(state)))
+
+    @classmethod
+    def decode(cls, data: bytes) -> tuple[Policy, ResourceState]:
+        """The policy and the resources of a snapshot.
+
+        Raises
+        ------
+        RejectedError
+            The bytes are no snapshot, or the resources are not those of the policy.
+        """
+        try:
+            snapshot: Snapshot = msgspec.msgpack.decode(data, type=cls)
+            policy = snapshot.policy
+            decode_policy(msgspec.msgpack.encode(policy))  # checks the bounds of its fields
+            state = decode_snapshot(snapshot.resources, policy.after)
+        except (msgspec.DecodeError, RecursionError, WireError) as error:
+            raise RejectedError(f"no snapshot: {error}") from None
+        if state.revision != policy.version:
+            raise RejectedError(f"no snapshot: revision {state.revision} of version {policy.version}")
+        return policy.without_changes(), state
--- a/hollybay/consensus/log_fetch.py
+++ b/hollybay/consensus/log_fetch.py
@@ -1,9 +1,8 @@
-"""What a process lacks of the log, from others: a delta, or a snapshot and what follows it.
+"""Fetching the part of the log that a process lacks: a delta, or a snapshot and the entries after it.
 
-Whatever comes is verified before anything of it is taken in: it must end with the entry that was asked for,
-each entry must hold the digest of the one before it, and the first must follow what is here. So a delta over
-a gap, a digest that does not fit and an answer that is too long are refused with a reason, and the next
-keeper is asked.
+Every reply is verified before any of it is stored: it must end with the requested entry, each entry must hold
+the digest of the one before it, and the first must follow an entry that is here. A delta with a gap, a digest
+that does not match and a reply that is too long are rejected with a reason, and the next voter is asked.
 """
 
 from __future__ import annotations
@@ -11,6 +10,7 @@
 import asyncio
 from collections.abc import Awaitable, Callable, Coroutine, Iterable
 from dataclasses import dataclass, field
+from functools import partial
 from itertools import pairwise
 from typing import Any, TypeVar
 
@@ -19,74 +19,95 @@
 from hollybay.resources.state import ResourceState
 from hollybay.resources.wire import MAX_BATCH_BYTES, MAX_SNAPSHOT_BYTES
 
-from .log import PolicyLog, Snapshot
-from .policy import Policy, RejectedError, parse, version_of
+from .log import PolicyLog
+from .log_entry import Snapshot
+from .policy import Policy, RejectedError, decode_policy, version_of
 from .requests import UnreachableError
 from .store import StoreError
 from .transfer import download
 
-__all__ = ["MAX_DELTA_BYTES", "NOT_REACHED", "FetchResult", "Fetcher", "parse_delta"]
+__all__ = ["LOG_TRUNCATED_STATUS", "MAX_DELTA_BYTES", "FetchResult", "Fetcher", "parse_delta"]
 
+# The longest delta.
 MAX_DELTA_BYTES = 2 * MAX_BATCH_BYTES
-NOT_REACHED = 410  # the status that says: the log does not reach back so far
-# Deltas that are asked for, from older and older entries, before a snapshot is.
-DELTA_TRIES = 2
-MAX_REASONS = 16
+# HTTP status of a reply that the log does not reach back so far.
+LOG_TRUNCATED_STATUS = 410
+# How many deltas are requested, from ever older entries, before a snapshot is.
+MAX_DELTA_REQUESTS = 2
+# How many addresses' failures are remembered, and the longest text of one in characters.
+MAX_FAILURES = 16
+MAX_FAILURE_LENGTH = 400
 
 T = TypeVar("T")
-Call = Callable[[str, str], Awaitable[bytes]]  # door, path
+# Makes a call, by address and path.
+Call = Callable[[str, str], Awaitable[bytes]]
 
 
 @dataclass(frozen=True, slots=True)
 class FetchResult:
-    """An entry that was asked for. policy: None: nobody gave it; problem: why it is not on this disk."""
+    """The result of a fetch.
+
+    Parameters
+    ----------
+    policy
+        The requested entry; None: nobody had it.
+    problem
+        Why the entry is not on this disk.
+    """
 
     policy: Policy | None
     problem: str = ""
 
 
 @dataclass(frozen=True, slots=True)
-class _Chain:
-    """What was fetched and holds together: a snapshot, or none, and the entries after it or after what is
-    here.
+class _FetchedChain:
+    """Verified entries, after a snapshot or after an entry that is here.
+
+    Parameters
+    ----------
+    entries
+        In order; may be empty where there is a snapshot.
+    snapshot
+        An encoded snapshot; empty: there is none.
+    parsed_snapshot
+        The policy and the resources of the snapshot.
     """
 
     entries: list[Policy]
     snapshot: bytes = b""
-    parsed: tuple[Policy, ResourceState] | None = None
+    parsed_snapshot: tuple[Policy, ResourceState] | None = None
 
     @property
     def last(self) -> Policy:
+        """The requested entry."""
         if self.entries:
             return self.entries[-1]
-        assert self.parsed is not None
-        return self.parsed[0]
-
-    def take(self, log: PolicyLog) -> None:
-        """Bring it to the disk. StoreError: that failed; RejectedError: an entry does not make what it
-        states.
-        """
-        if self.parsed is not None:
-            log.install(self.snapshot, self.parsed)
+        assert self.parsed_snapshot is not None
+        policy, _ = self.parsed_snapshot
+        return policy
+
+    def store(self, log: PolicyLog) -> None:
+        """Add the entries to a log. StoreError, RejectedError: as for `PolicyLog.append`."""
+        if self.parsed_snapshot is not None:
+            log.install_snapshot(self.snapshot, self.parsed_snapshot)
         for policy in self.entries:
-            log.put(policy)
+            log.append(policy)
 
 
 def parse_delta(data: bytes) -> list[Policy]:
-    """Entries from their bytes. RejectedError: they hold none."""
+    """The entries of an encoded delta. RejectedError: it holds none."""
     try:
-        pieces: list[msgspec.Raw] = msgspec.msgpack.decode(data, type=list[msgspec.Raw])
+        encoded: list[msgspec.Raw] = msgspec.msgpack.decode(data, type=list[msgspec.Raw])
     except (msgspec.DecodeError, RecursionError) as error:
         raise RejectedError(f"no entries: {error}") from None
-    return [parse(bytes(piece)) for piece in pieces]
+    return [decode_policy(bytes(entry)) for entry in encoded]
 
 
 def check_links(entries: list[Policy], name: str) -> None:
-    """Whether entries follow each other up to one of this name. RejectedError: they do not."""
+    """Check that entries form a chain that ends with the one of this name. RejectedError: they do not."""
     if not entries or entries[-1].name != name:
-        raise RejectedError(
-            f"a delta that ends with {entries[-1].name if entries else 'nothing'}, and not {name}"
-        )
+        last = entries[-1].name if entries else "nothing"
+        raise RejectedError(f"a delta that ends with {last}, and not {name}")
     for before, after in pairwise(entries):
         if after.version != before.version + 1 or after.parent != before.digest:
             raise RejectedError(f"a gap: {after.name} does not follow {before.name}")
@@ -94,119 +115,126 @@
 
 @dataclass
 class Fetcher:
-    """Fetches entries for one process. call: by door and path; spawn: begins a task that ends with the
-    process.
-
-    disk: runs in a thread what touches the disk, or takes long. reasons: by door, why its last answer was
-    refused.
+    """Fetches entries for one process; concurrent requests for one entry share a fetch.
+
+    Parameters
+    ----------
+    log
+        Where entries are stored.
+    call
+        Makes a call, by address and path.
+    run_blocking
+        Runs a function in a thread: what uses the disk or takes long.
+    spawn
+        Starts a task that is cancelled when the process ends.
+    failures
+        Why the last reply of an address was rejected.
     """
 
     log: PolicyLog
     call: Call
-    disk: Callable[[Callable[[], None]], Awaitable[None]]
+    run_blocking: Callable[[Callable[[], None]], Awaitable[None]]
     spawn: Callable[[Coroutine[Any, Any, Any]], asyncio.Task[Any]]
-    reasons: dict[str, str] = field(default_factory=dict)
-    _going: dict[str, asyncio.Task[FetchResult]] = field(default_factory=dict)
-
-    async def bring(self, name: str, doors: Iterable[str]) -> FetchResult:
-        """An entry, on this disk if possible, from whichever of these doors gives it first."""
-        known = self.log.get(name)
-        if known is not None:
-            return FetchResult(known)
-        going = self._going.get(name)
-        if going is not None:
-            found = await asyncio.shield(going)
-            if found.policy is not None:
-                return found
-        task: asyncio.Task[FetchResult] = self.spawn(self._bring(name, list(doors)))
-        self._going[name] = task
+    failures: dict[str, str] = field(default_factory=dict)
+    _in_flight: dict[str, asyncio.Task[FetchResult]] = field(default_factory=dict)
+
+    async def fetch(self, name: str, addresses: Iterable[str]) -> FetchResult:
+        """An entry, stored here if possible, from the first of these addresses that has it."""
+        policy = self.log.policy(name)
+        if policy is not None:
+            return FetchResult(policy)
+        in_flight = self._in_flight.get(name)
+        if in_flight is not None:
+            result = await asyncio.shield(in_flight)
+            if result.policy is not None:
+                return result
+        task: asyncio.Task[FetchResult] = self.spawn(self._fetch_from_any(name, list(addresses)))
+        self._in_flight[name] = task
         try:
             return await asyncio.shield(task)
         finally:
-            if self._going.get(name) is task:
-                del self._going[name]
+            if self._in_flight.get(name) is task:
+                del self._in_flight[name]
 
-    async def _bring(self, name: str, doors: list[str]) -> FetchResult:
-        for door in doors:
+    async def _fetch_from_any(self, name: str, addresses: list[str]) -> FetchResult:
+        for address in addresses:
             try:
-                chain = await self._chain(door, name)
-                await self.disk(lambda chain=chain: chain.take(self.log))  # type: ignore[misc]
+                chain = await self._fetch_chain(address, name)
+                await self.run_blocking(partial(chain.store, self.log))
             except StoreError as error:
                 return FetchResult(chain.last.without_changes(), f"cannot be kept: {error}")
             except (UnreachableError, RejectedError) as error:
-                self._note(door, f"{name}: {error}")
+                self._record_failure(address, f"{name}: {error}")
                 continue
-            return FetchResult(self.log.get(name))
+            return FetchResult(self.log.policy(name))
         return FetchResult(None)
 
-    def _note(self, door: str, reason: str) -> None:
-        self.reasons.pop(door, None)
-        self.reasons[door] = reason[:400]
-        while len(self.reasons) > MAX_REASONS:
-            del self.reasons[next(iter(self.reasons))]
+    def _record_failure(self, address: str, reason: str) -> None:
+        self.failures.pop(address, None)
+        self.failures[address] = reason[:MAX_FAILURE_LENGTH]
+        while len(self.failures) > MAX_FAILURES:
+            del self.failures[next(iter(self.failures))]
 
-    async def _chain(self, door: str, name: str) -> _Chain:
-        """What is lacking for an entry, from one door. UnreachableError, RejectedError: it does not give
-        that.
-        """
+    async def _fetch_chain(self, address: str, name: str) -> _FetchedChain:
+        """What this log lacks for an entry. UnreachableError, RejectedError: the address does not give it."""
         for version in self._versions_before(name):
             try:
-                entries = await self._delta(door, version, name)
+                entries = await self._fetch_delta(address, version, name)
             except UnreachableError as error:
-                if error.status != NOT_REACHED:
+                if error.status != LOG_TRUNCATED_STATUS:
                     raise
                 break
-            if self._follows_here(entries[0]):
-                return _Chain(entries)
-        return await self._snapshot(door, name)
+            if self._has_parent(entries[0]):
+                return _FetchedChain(entries)
+        return await self._fetch_snapshot(address, name)
 
     def _versions_before(self, name: str) -> list[int]:
-        """The newest versions that are here of what may be before an entry; 0 where there is none."""
+        """The newest versions here that may precede an entry, the newest first; [0] where there is none."""
         target = version_of(name)
-        here = {
-            policy.version
-            for one in self.log.names()
-            if (policy := self.log.get(one)) is not None
-            and policy.version < target
-            and self.log.state(one) is not None
-        }
-        return sorted(here, reverse=True)[:DELTA_TRIES] or [0]
-
-    def _follows_here(self, entry: Policy) -> bool:
+        versions: set[int] = set()
+        for other in self.log.names():
+            policy = self.log.policy(other)
+            if policy is None or policy.version >= target or self.log.state(other) is None:
+                continue
+            versions.add(policy.version)
+        return sorted(versions, reverse=True)[:MAX_DELTA_REQUESTS] or [0]
+
+    def _has_parent(self, entry: Policy) -> bool:
+        """Whether the resources that an entry was made on are here."""
         if entry.version == 1:
             return True
-        parent = self.log.get(entry.parent_name)
+        parent = self.log.policy(entry.parent_name)
         return (
             parent is not None
             and parent.digest == entry.parent
             and self.log.state(entry.parent_name) is not None
         )
 
-    async def _delta(self, door: str, version: int, name: str) -> list[Policy]:
+    async def _fetch_delta(self, address: str, version: int, name: str) -> list[Policy]:
         path = f"since/{version}/{name}"
-        _, data = await download(lambda part: self.call(door, part), path, lambda _: path, MAX_DELTA_BYTES)
-        entries = await self._worked_out(lambda: parse_delta(data))
+        _, data = await download(partial(self.call, address), path, lambda _: path, MAX_DELTA_BYTES)
+        entries = await self._compute(lambda: parse_delta(data))
         check_links(entries, name)
         return entries
 
-    async def _snapshot(self, door: str, name: str) -> _Chain:
+    async def _fetch_snapshot(self, address: str, name: str) -> _FetchedChain:
         _, data = await download(
-            lambda part: self.call(door, part),
+            partial(self.call, address),
             f"snapshot/{name}",
-            lambda found: f"snapshot/{found}",
+            lambda snapshot_name: f"snapshot/{snapshot_name}",
             MAX_SNAPSHOT_BYTES,
         )
-        parsed = await self._worked_out(lambda: Snapshot.parse(data))
-        policy = parsed[0]
+        parsed = await self._compute(lambda: Snapshot.decode(data))
+        policy, _ = parsed
         if policy.name == name:
-            return _Chain([], data, parsed)
-        entries = await self._delta(door, policy.version, name)
+            return _FetchedChain([], data, parsed)
+        entries = await self._fetch_delta(address, policy.version, name)
         if entries[0].parent != policy.digest:
             raise RejectedError(f"a gap: {entries[0].name} does not follow the snapshot {policy.name}")
-        return _Chain(entries, data, parsed)
+        return _FetchedChain(entries, data, parsed)
 
-    async def _worked_out(self, work: Callable[[], T]) -> T:
-        """The result of what takes long, worked out in a thread."""
-        found: list[T] = []
-        await self.disk(lambda: found.append(work()))
-        return found[0]
+    async def _compute(self, work: Callable[[], T]) -> T:
+        """The result of a function that takes long, computed in a thread."""
+        results: list[T] = []
+        await self.run_blocking(lambda: results.append(work()))
+        return results[0]
