--- /dev/null
+++ b/hollybay/consensus/log_replica.py
@@ -0,0 +1,122 @@
+"""The process's replica of the policy log, and who the voters are by what the log holds."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from .core import EpochState, VoterSets, policies_named
+from .environment import Environment, run_on_disk
+from .log import PolicyLog
+from .log_entry import Entry
+from .log_fetch import Fetcher, FetchResult
+from .messages import number_of
+from .policy import Policy, RejectedError
+from .store import StoreError
+
+__all__ = ["LogReplica", "voter_set"]
+
+
+def voter_set(policy: Policy) -> frozenset[int]:
+    """The numbers of a policy's voters."""
+    return frozenset(number_of(address) for address in policy.voters)
+
+
+class LogReplica:
+    """The policies that this process has, and how it gets those that it lacks.
+
+    Parameters
+    ----------
+    environment : Environment
+    log : PolicyLog
+    fetcher : Fetcher
+        Brings entries from other processes.
+    latest_epoch : callable
+        The latest epoch that the leaseholder knows; its voters are asked before others.
+    """
+
+    def __init__(
+        self,
+        environment: Environment,
+        log: PolicyLog,
+        fetcher: Fetcher,
+        latest_epoch: Callable[[], EpochState | None],
+    ) -> None:
+        self.environment = environment
+        self.log = log
+        self.fetcher = fetcher
+        self.latest_epoch = latest_epoch
+        self.own_address = environment.settings.address
+        self.known_addresses: set[str] = set(environment.settings.voters)
+
+    # Voters
+
+    def voter_addresses(self, state: EpochState | None) -> list[str]:
+        """The voters of an epoch; of one that is not known here, all voters that ever were."""
+        addresses: set[str] = set()
+        for name in policies_named(state) if state is not None else ():
+            policy = self.log.policy(name)
+            addresses |= set(policy.voters) if policy is not None else set()
+        return sorted(addresses or self.known_addresses)
+
+    def other_voters(self, state: EpochState) -> list[str]:
+        """The voters of an epoch without this process."""
+        return [address for address in self.voter_addresses(state) if address != self.own_address]
+
+    def voter_sets(self, state: EpochState) -> VoterSets:
+        """The voter sets of those policies of an epoch that are here."""
+        policies = [self.log.policy(name) for name in policies_named(state)]
+        return tuple(voter_set(policy) for policy in policies if policy is not None)
+
+    # Entries
+
+    async def fetch(self, name: str, source: str) -> FetchResult:
+        """A policy, from the own disk, from an address that should have it, or from any voter."""
+        voters = self.voter_addresses(self.latest_epoch())
+        addresses = dict.fromkeys([source, *voters, *sorted(self.known_addresses)])
+        return await self.fetcher.fetch(
+            name, [address for address in addresses if address != self.own_address]
+        )
+
+    async def fetch_all(self, state: EpochState, source: str) -> bool:
+        """Bring the policies that an epoch names to the disk; whether all are there.
+
+        Raises
+        ------
+        StoreError
+            It could not be written.
+        """
+        for name in policies_named(state):
+            fetched = await self.fetch(name, source)
+            if fetched.problem:
+                raise StoreError(fetched.problem)
+            if fetched.policy is None:
+                return False
+        return True
+
+    async def store(self, policy: Policy) -> Entry:
+        """Bring a policy that was made here to the disk. StoreError: it is not there."""
+        return await run_on_disk(self.environment.disk, lambda: self.log.append(policy))
+
+    async def read(self, name: str) -> Policy | None:
+        """A policy with its changes, from the disk."""
+        return await run_on_disk(self.environment.disk, lambda: self.log.read_entry(name))
+
+    async def prune(self, needed: set[str]) -> None:
+        """Drop entries that are no longer needed; a disk that fails is logged."""
+        try:
+            await self.environment.disk(lambda: self.log.prune(needed))
+        except StoreError as error:
+            self.environment.data_plane.say("snapshot", error=str(error))
+
+    def base(self, state: EpochState) -> Entry:
+        """The entry that the next policy follows, with its resources.
+
+        Raises
+        ------
+        RejectedError
+            It is not on this disk.
+        """
+        entry = self.log.entry(state.policy)
+        if entry is None or entry.state is None:
+            raise RejectedError(f"{state.policy} is not on this disk")
+        return entry
--- a/hollybay/consensus/log_server.py
+++ b/hollybay/consensus/log_server.py
@@ -1,70 +1,139 @@
-"""Entries and snapshots for others, in pieces; what is longer than one piece is kept for a while."""
+"""Serving entries and snapshots of the log in chunks; long replies are cached for a while."""
 
 from __future__ import annotations
 
 import asyncio
 from collections.abc import Awaitable, Callable
+from dataclasses import dataclass
 
-from . import messages
-from .log import PolicyLog, is_name
-from .transfer import piece_of
+from .log import PolicyLog
+from .log_entry import is_name
+from .messages import PIECE_BYTES, Chunk
+from .transfer import chunk_at
 
 __all__ = ["LogServer", "is_number"]
 
-# Seconds for which an answer that is longer than a call is kept for its further pieces, and how many are.
-TRANSFER_KEPT, MAX_TRANSFERS = 10.0, 2
+# How long a reply that is longer than one chunk is cached for its further chunks.
+TRANSFER_CACHE_SECONDS = 10.0
+MAX_CACHED_TRANSFERS = 2
+MAX_NUMBER_DIGITS = 12
+
+_DRAFT = "draft"
+_SINCE = "since"
+_SNAPSHOT = "snapshot"
 
 
 def is_number(text: str) -> bool:
-    """Whether a part of a path is a number, of a size that may be one."""
-    return text.isascii() and text.isdecimal() and len(text) <= 12
+    """Whether a segment of a path is a number of a permitted size."""
+    return text.isascii() and text.isdecimal() and len(text) <= MAX_NUMBER_DIGITS
 
 
-class LogServer:
-    """See above. disk: runs in a thread what touches the disk, or takes long."""
+@dataclass(frozen=True, slots=True)
+class _Request:
+    """A request for a chunk.
 
-    def __init__(self, log: PolicyLog, disk: Callable[[Callable[[], None]], Awaitable[None]]) -> None:
-        self.log = log
-        self.disk = disk
-        self._kept: dict[str, tuple[str, bytes]] = {}
+    Parameters
+    ----------
+    kind
+        `since/VERSION`, `snapshot` or `draft`.
+    name
+        The entry or the draft.
+    offset
+        Of the chunk, in bytes.
+    """
+
+    kind: str
+    name: str
+    offset: int
+
+    @property
+    def cache_key(self) -> str:
+        """Where the whole reply is cached."""
+        return f"{self.kind}/{self.name}"
+
+
+@dataclass(frozen=True, slots=True)
+class _Reply:
+    """A whole reply, under its own name."""
+
+    name: str
+    data: bytes
 
-    async def piece(self, path: str) -> messages.Chunk | None:
-        """The piece of since/VERSION/NAME[/OFFSET], snapshot/NAME[/OFFSET] or draft/ID[/OFFSET].
 
-        None: there is no such call, or no such draft any more. NotReached: the log does not reach so far
-        here. Refused: no piece begins there.
+def _parse_path(path: str) -> _Request | None:
+    """The request of a path; None: it is none."""
+    kind, *segments = path.split("/")
+    if kind == _SINCE and segments:
+        version = segments.pop(0)
+        if not is_number(version):
+            return None
+        kind = f"{_SINCE}/{int(version)}"
+    if not 1 <= len(segments) <= 2 or not all(map(is_number, segments[1:])):
+        return None
+    offset = int(segments[1]) if len(segments) > 1 else 0
+    return _Request(kind, segments[0], offset)
+
+
+class LogServer:
+    """Serves the log of one process.
+
+    Parameters
+    ----------
+    log
+        What is served.
+    run_blocking
+        Runs a function in a thread: what uses the disk or takes long.
+    """
+
+    def __init__(self, log: PolicyLog, run_blocking: Callable[[Callable[[], None]], Awaitable[None]]) -> None:
+        self.log = log
+        self.run_blocking = run_blocking
+        self._cached: dict[str, _Reply] = {}
+
+    async def chunk(self, path: str) -> Chunk | None:
+        """The chunk of since/VERSION/NAME[/OFFSET], snapshot/NAME[/OFFSET] or draft/ID[/OFFSET].
+
+        Returns
+        -------
+        Chunk or None
+            None: there is no such path, or the draft has expired.
+
+        Raises
+        ------
+        LogTruncatedError
+            The log does not reach back so far.
+        RejectedError
+            No chunk begins at the offset.
         """
-        kind, *parts = path.split("/")
-        if kind == "since" and parts:
-            if not is_number(parts[0]):
-                return None
-            kind = f"since/{int(parts.pop(0))}"
-        if not 1 <= len(parts) <= 2 or not all(map(is_number, parts[1:])):
+        request = _parse_path(path)
+        if request is None:
             return None
-        offset = int(parts[1]) if len(parts) > 1 else 0
-        kept = self._kept.get(f"{kind}/{parts[0]}")
-        if kept is None and kind != "draft" and is_name(parts[0]):
-            kept = await self._read(kind, parts[0])
-        return piece_of(*kept, offset) if kept is not None else None
-
-    async def _read(self, kind: str, name: str) -> tuple[str, bytes]:
-        found: list[tuple[str, bytes]] = []
-
-        def work() -> None:
-            if kind == "snapshot":
-                found.append(self.log.snapshot(name))
+        reply = self._cached.get(request.cache_key)
+        if reply is None and request.kind != _DRAFT and is_name(request.name):
+            reply = await self._read(request)
+        return chunk_at(reply.name, reply.data, request.offset) if reply is not None else None
+
+    async def _read(self, request: _Request) -> _Reply:
+        """The whole reply, from the disk."""
+        replies: list[_Reply] = []
+
+        def read() -> None:
+            if request.kind == _SNAPSHOT:
+                replies.append(_Reply(*self.log.newest_snapshot(request.name)))
             else:
-                found.append((name, self.log.since(int(kind.partition("/")[2]), name)))
-
-        await self.disk(work)
-        if len(found[0][1]) > messages.PIECE_BYTES:
-            # The further pieces of a snapshot are asked for by its own name.
-            self.keep(f"{kind}/{found[0][0]}", *found[0])
-        return found[0]
-
-    def keep(self, path: str, name: str, whole: bytes) -> None:
-        """Keep something for its further pieces for a while."""
-        while len(self._kept) >= MAX_TRANSFERS:
-            del self._kept[next(iter(self._kept))]
-        self._kept[path] = (name, whole)
-        asyncio.get_running_loop().call_later(TRANSFER_KEPT, self._kept.pop, path, None)
+                version = int(request.kind.partition("/")[2])
+                replies.append(_Reply(request.name, self.log.encoded_delta(version, request.name)))
+
+        await self.run_blocking(read)
+        reply = replies[0]
+        if len(reply.data) > PIECE_BYTES:
+            # The further chunks of a snapshot are requested by its own name.
+            self.cache(f"{request.kind}/{reply.name}", reply.name, reply.data)
+        return reply
+
+    def cache(self, path: str, name: str, data: bytes) -> None:
+        """Cache a reply for its further chunks, for `TRANSFER_CACHE_SECONDS`."""
+        while len(self._cached) >= MAX_CACHED_TRANSFERS:
+            del self._cached[next(iter(self._cached))]
+        self._cached[path] = _Reply(name, data)
+        asyncio.get_running_loop().call_later(TRANSFER_CACHE_SECONDS, self._cached.pop, path, None)
--- /dev/null
+++ b/hollybay/consensus/long_requests.py
@@ -0,0 +1,47 @@
+"""Requests that may take longer than a caller waits: the caller repeats the request and gets the result."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable, Coroutine
+from hashlib import blake2b
+from typing import Any
+
+from .background_tasks import BackgroundTasks
+from .interfaces import Response
+from .replies import answered, busy
+
+__all__ = ["LongRequests"]
+
+RESPONSE_LIMIT = 1.0  # seconds after which a caller is told to come again
+RETRY_AFTER = 0.5  # seconds
+MAX_LONG_REQUESTS = 4
+KEY_BYTES = 16
+
+
+class LongRequests:
+    """The requests under way, by a digest of their bodies."""
+
+    def __init__(self, tasks: BackgroundTasks) -> None:
+        self.tasks = tasks
+        self._under_way: dict[bytes, asyncio.Task[Response]] = {}
+
+    async def answer(self, body: bytes, work: Callable[[], Coroutine[Any, Any, Response]]) -> Response:
+        """The response to a request, or one that asks to repeat it while it is worked on."""
+        key = blake2b(body, digest_size=KEY_BYTES).digest()
+        task = self._under_way.get(key)
+        if task is None:
+            self._forget_done()
+            if len(self._under_way) >= MAX_LONG_REQUESTS:
+                return busy("others are worked on", RETRY_AFTER)
+            # All of these are operators' requests for a change, and their refusals the same.
+            task = self._under_way[key] = self.tasks.spawn(answered("found", work()))
+        await asyncio.wait({task}, timeout=RESPONSE_LIMIT)
+        if not task.done():
+            return busy("it is worked on", RETRY_AFTER)
+        self._under_way.pop(key, None)
+        return task.result()
+
+    def _forget_done(self) -> None:
+        for key in [key for key, task in self._under_way.items() if task.done()]:
+            del self._under_way[key]
--- /dev/null
+++ b/hollybay/consensus/member_reports.py
@@ -0,0 +1,119 @@
+"""What leaseholders report to a voter with their requests: where they are, and what they cannot serve."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from typing import TypeVar
+
+from .messages import LeaseCall
+
+__all__ = ["KnownMember", "MemberReports"]
+
+SECOND = 1_000_000_000  # ns
+FORGET_AFTER = 600 * SECOND  # ns after which a process that requests no more is not shown any longer
+SWEEP_INTERVAL = SECOND  # ns
+MAX_POLICIES = 16  # whose reports are kept
+
+_T = TypeVar("_T")
+
+
+@dataclass(slots=True)
+class KnownMember:
+    """A process that requests leases, by its last request.
+
+    Attributes
+    ----------
+    name, address : str
+    last_contact : int
+        When it was received, ns.
+    epoch : int
+        The epoch that it requested a lease on; -1: none.
+    serving_epoch : int
+        The epoch that it served under; -1: none.
+    can_serve_new : bool
+        Whether it could serve the new policy.
+    reasons : list of str
+        Why it could not.
+    """
+
+    name: str
+    address: str
+    last_contact: int
+    epoch: int
+    serving_epoch: int
+    can_serve_new: bool
+    reasons: list[str]
+
+
+class MemberReports:
+    """The reports of all leaseholders.
+
+    Attributes
+    ----------
+    members : dict
+        By the number of the process.
+    refusals : dict
+        By policy and name of a process: why it cannot serve the policy.
+    culprits : dict
+        By policy and id of a change: why a process cannot serve the change.
+    cannot_serve_any : dict
+        By policy: why a process could serve no new policy at all.
+    """
+
+    def __init__(self) -> None:
+        self.members: dict[int, KnownMember] = {}
+        self.refusals: dict[str, dict[str, list[str]]] = {}
+        self.culprits: dict[str, dict[str, list[str]]] = {}
+        self.cannot_serve_any: dict[str, list[str]] = {}
+        self._swept_at = 0  # ns
+
+    def take(self, now: int, call: LeaseCall) -> None:
+        """Note what a request for a lease reports. now: ns."""
+        request = call.request
+        epoch = request.state.epoch if request.state is not None else -1
+        self.members[request.node] = KnownMember(
+            call.name,
+            call.address,
+            now,
+            epoch,
+            request.serving_epoch,
+            request.can_serve_new,
+            list(call.reasons),
+        )
+        if request.state is not None and request.state.new and not request.can_serve_new:
+            self._take_refusal(request.state.new, call)
+        if now - self._swept_at > SWEEP_INTERVAL:
+            self._swept_at = now
+            self._forget_members(now)
+
+    def forget(self, policy: str) -> None:
+        """A policy is proposed again: what was reported of it before counts no more."""
+        self.refusals.pop(policy, None)
+        self.culprits.pop(policy, None)
+        self.cannot_serve_any.pop(policy, None)
+
+    def _take_refusal(self, policy: str, call: LeaseCall) -> None:
+        """Note why a process cannot serve a policy, and which changes of the batch it names."""
+        self.refusals.setdefault(policy, {})[call.name] = list(call.reasons)
+        for change, reasons in call.culprits.items():
+            own = [f"{call.name}: {reason}" for reason in reasons]
+            self.culprits.setdefault(policy, {}).setdefault(change, own)
+        if call.cannot_serve_any:
+            reasons_of_all = [f"{call.name}: {reason}" for reason in call.reasons]
+            self.cannot_serve_any.setdefault(policy, reasons_of_all)
+        _drop_oldest(self.culprits)
+        _drop_oldest(self.cannot_serve_any)
+        _drop_oldest(self.refusals)
+
+    def _forget_members(self, now: int) -> None:
+        """Forget processes that have not been in contact for long."""
+        for process in [
+            process for process, member in self.members.items() if now - member.last_contact > FORGET_AFTER
+        ]:
+            del self.members[process]
+
+
+def _drop_oldest(reports: dict[str, _T]) -> None:
+    """Keep the reports of the policies that were reported last."""
+    while len(reports) > MAX_POLICIES:
+        del reports[next(iter(reports))]
--- /dev/null
+++ b/hollybay/consensus/message_fields.py
@@ -0,0 +1,59 @@
+"""The limits of messages, the types of their fields, and their base."""
+
+from __future__ import annotations
+
+from typing import Annotated
+
+import msgspec
+
+from hollybay.resources.model import CHANGE_ID_BYTES
+
+__all__ = [
+    "FORM",
+    "MAX_CULPRITS",
+    "MAX_CULPRIT_REASONS",
+    "MAX_VOTERS",
+    "MOST_CALL",
+    "MOST_OUT",
+    "MOST_REASONS",
+    "PIECE_BYTES",
+    "Address",
+    "ChangeId",
+    "Count",
+    "CulpritReasons",
+    "Digest",
+    "Message",
+    "Name",
+    "Nanoseconds",
+    "Text",
+    "UploadId",
+]
+
+FORM = 2  # the version of these messages; a request of another one is refused
+# What is longer than one request (deltas, snapshots, operator files, large changes) is sent in pieces of so
+# many bytes.
+PIECE_BYTES = 256 << 10
+# The longest request, bytes: a piece in base64, and what stands around it.
+MOST_CALL = 4 * PIECE_BYTES // 3 + (64 << 10)
+MOST_REASONS = 20
+MAX_CULPRITS = 64  # changes that a node names in one request
+MAX_CULPRIT_REASONS = 3  # why it cannot serve each of them
+MOST_OUT = 2000  # servers that one request names
+
+MAX_VOTERS = 9  # that one request names
+
+Text = Annotated[str, msgspec.Meta(max_length=400)]
+Nanoseconds = Annotated[int, msgspec.Meta(ge=0, le=86_400_000_000_000)]
+Address = Annotated[
+    str, msgspec.Meta(max_length=100, pattern=r"^(\[[0-9a-fA-F:.]+\]|[^:\[\]\s]+):[0-9]{1,5}$")
+]
+Digest = Annotated[str, msgspec.Meta(pattern=r"^[0-9a-f]{0,64}$")]
+ChangeId = Annotated[str, msgspec.Meta(pattern=rf"^[0-9a-f]{{{2 * CHANGE_ID_BYTES}}}$")]
+UploadId = Annotated[str, msgspec.Meta(pattern=r"^([0-9a-f]{32})?$")]
+Name = Annotated[str, msgspec.Meta(pattern=r"^([0-9]{1,12}-[0-9a-f]{12})?$")]
+CulpritReasons = Annotated[list[Text], msgspec.Meta(max_length=MAX_CULPRIT_REASONS)]
+Count = Annotated[int, msgspec.Meta(ge=0, le=1 << 40)]
+
+
+class Message(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """One request or reply."""
--- /dev/null
+++ b/hollybay/consensus/message_values.py
@@ -0,0 +1,53 @@
+"""Policies and changes as text inside messages."""
+
+from __future__ import annotations
+
+import base64
+
+import msgspec
+
+from hollybay.resources.model import Change
+from hollybay.resources.wire import WireError, decode_change, encode_change
+
+from .policy import Policy, RejectedError, decode_policy
+
+__all__ = ["change_from", "change_from_bytes", "change_text", "packed", "unpacked"]
+
+
+def packed(policy: Policy) -> str:
+    """A policy as text."""
+    return base64.b64encode(msgspec.msgpack.encode(policy)).decode()
+
+
+def unpacked(text: str, name: str = "") -> Policy:
+    """A policy from its text. RejectedError: it is none, or another than the one of this name."""
+    try:
+        data = base64.b64decode(text, validate=True)
+    except ValueError as error:
+        raise RejectedError(f"policy: {error}") from None
+    policy = decode_policy(data)
+    if name and policy.name != name:
+        raise RejectedError(f"policy: its digest says {policy.name}, not {name}")
+    return policy
+
+
+def change_text(change: Change) -> str:
+    """A change as text."""
+    return base64.b64encode(encode_change(change)).decode()
+
+
+def change_from(text: str) -> Change:
+    """A change from its text. RejectedError: it is none."""
+    try:
+        data = base64.b64decode(text, validate=True)
+    except ValueError as error:
+        raise RejectedError(f"change: {error}") from None
+    return change_from_bytes(data)
+
+
+def change_from_bytes(data: bytes) -> Change:
+    """A change from its bytes. RejectedError: it is none."""
+    try:
+        return decode_change(data)
+    except WireError as error:
+        raise RejectedError(f"change: {error}") from None
--- a/hollybay/consensus/messages.py
+++ b/hollybay/consensus/messages.py
@@ -1,29 +1,53 @@
-"""What processes say to one another at their doors, under /-/policy, as JSON. Pure.
+"""The requests and replies that processes exchange under /-/policy, as JSON. No I/O.
 
-Source of the form: docs/OPERATORS-accord.md. A number that names a keeper or a process is made here: of a
-keeper's address, so that all give it the same, and of chance, so that a process that starts again is another.
+The form is described in docs/OPERATORS-accord.md. Where a field has another name on the wire, the class maps
+it with `rename`. The protocol's own messages (`core`) are arrays on the wire.
 """
 
 from __future__ import annotations
 
-import base64
-from enum import Enum
 from hashlib import blake2b
 from typing import Annotated, TypeVar
 
 import msgspec
 
-from hollybay.resources.model import CHANGE_ID_BYTES, Change, Problem
-from hollybay.resources.wire import WireError, decode_change, encode_change
-
-from .core import Accept, Accepted, EpochState, LeaseGrant, LeaseRequest, Prepare, Promise
-from .policy import Policy, RejectedError, parse
+from .core import Accept, Accepted, EpochState, LeaseGrant, LeaseRequest, Prepare, Promise, Stage
+from .message_fields import (
+    FORM,
+    MAX_CULPRIT_REASONS,
+    MAX_CULPRITS,
+    MOST_CALL,
+    MOST_REASONS,
+    PIECE_BYTES,
+    Address,
+    ChangeId,
+    Count,
+    CulpritReasons,
+    Message,
+    Nanoseconds,
+    Text,
+    UploadId,
+)
+from .message_values import change_from, change_from_bytes, change_text, packed, unpacked
+from .operator_messages import (
+    BootstrapCall,
+    ChangeCall,
+    ChangeOutcome,
+    ChangeReply,
+    DraftCall,
+    DraftReply,
+    DropCall,
+    ProposeCall,
+    ProposeReply,
+)
+from .policy import RejectedError
 
 __all__ = [
     "FORM",
     "MAX_CULPRITS",
     "MAX_CULPRIT_REASONS",
     "MOST_CALL",
+    "MOST_REASONS",
     "PIECE_BYTES",
     "AcceptCall",
     "AcceptReply",
@@ -53,220 +77,212 @@
     "encode",
     "number_of",
     "packed",
+    "stage_label",
     "unpacked",
 ]
 
-FORM = 2  # of these words; who speaks another one is told so
-# What is larger than one call (deltas, snapshots, operator files, large changes) goes in pieces of so many
-# bytes.
-PIECE_BYTES = 256 << 10
-# The longest call: a piece in base64, and what stands around it.
-MOST_CALL = 4 * PIECE_BYTES // 3 + (64 << 10)
-MOST_REASONS = 20
-MAX_CULPRITS = 64  # changes that a node names in one call
-MAX_CULPRIT_REASONS = 3  # why it cannot serve each of them
-MOST_OUT = 2000  # servers that one call names
-
-Text = Annotated[str, msgspec.Meta(max_length=400)]
-Nanoseconds = Annotated[int, msgspec.Meta(ge=0, le=86_400_000_000_000)]
-Door = Annotated[str, msgspec.Meta(max_length=100, pattern=r"^(\[[0-9a-fA-F:.]+\]|[^:\[\]\s]+):[0-9]{1,5}$")]
-Digest = Annotated[str, msgspec.Meta(pattern=r"^[0-9a-f]{0,64}$")]
-ChangeId = Annotated[str, msgspec.Meta(pattern=rf"^[0-9a-f]{{{2 * CHANGE_ID_BYTES}}}$")]
-UploadId = Annotated[str, msgspec.Meta(pattern=r"^([0-9a-f]{32})?$")]
-Name = Annotated[str, msgspec.Meta(pattern=r"^([0-9]{1,12}-[0-9a-f]{12})?$")]
-CulpritReasons = Annotated[list[Text], msgspec.Meta(max_length=MAX_CULPRIT_REASONS)]
-Count = Annotated[int, msgspec.Meta(ge=0, le=1 << 40)]
-
-
-class _Words(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One call or answer."""
-
-
-class LeaseCall(_Words, frozen=True):
-    """A node asks a keeper. lease, late: ns that it counts with; reasons: why it is not able.
-
-    culprits: the changes of the batch that it cannot serve, as far as it knows; whole: it could serve none
-    now.
+# The published names of the stages.
+_STAGE_LABELS = {Stage.SETTLED: "SETTLED", Stage.PREPARE: "PREPARE", Stage.JOINT: "NARROW"}
+
+
+# Leases
+
+
+class LeaseCall(
+    Message,
+    frozen=True,
+    rename={"request": "ask", "address": "door", "grace": "late", "cannot_serve_any": "whole"},
+):
+    """A leaseholder requests a lease of a voter.
+
+    Attributes
+    ----------
+    form : int
+        The version of the messages, FORM.
+    request : LeaseRequest
+    name, address : str
+        The name of the process, and where it is called.
+    lease, grace : int
+        How long it counts the lease, and the grace time after it, ns.
+    reasons : list of str
+        Why it cannot serve the new policy.
+    culprits : dict
+        The reasons by the ids of the changes of the batch that it cannot serve, as far as it knows.
+    cannot_serve_any : bool
+        Whether it could serve no new policy now, whatever that holds.
     """
 
     form: int
-    ask: LeaseRequest
+    request: LeaseRequest
     name: Text
-    door: Door
+    address: Address
     lease: Nanoseconds
-    late: Nanoseconds
-    reasons: Annotated[list[Text], msgspec.Meta(max_length=MOST_REASONS)] = []
-    culprits: Annotated[dict[ChangeId, CulpritReasons], msgspec.Meta(max_length=MAX_CULPRITS)] = {}
-    whole: bool = False
+    grace: Nanoseconds
+    reasons: Annotated[list[Text], msgspec.Meta(max_length=MOST_REASONS)] = msgspec.field(
+        default_factory=list
+    )
+    culprits: Annotated[dict[ChangeId, CulpritReasons], msgspec.Meta(max_length=MAX_CULPRITS)] = (
+        msgspec.field(default_factory=dict)
+    )
+    cannot_serve_any: bool = False
 
 
-class LeaseReply(_Words, frozen=True):
-    """The answer: one of the two, or neither."""
+class LeaseReply(Message, frozen=True, rename={"decided": "know"}):
+    """The reply: a grant, or the epoch that is decided, or neither."""
 
     grant: LeaseGrant | None = None
-    know: EpochState | None = None
+    decided: EpochState | None = None
 
 
-class PrepareCall(_Words, frozen=True):
-    """Whoever drives asks for a promise."""
+# Ballots
 
-    form: int
-    call: Prepare
 
+class PrepareCall(Message, frozen=True, rename={"prepare": "call"}):
+    """A proposer asks for a promise."""
 
-class PrepareReply(_Words, frozen=True):
-    """The answer. epoch: the last that the keeper knows to be decided; above: the ballot that it heeds."""
+    form: int
+    prepare: Prepare
+
+
+class PrepareReply(
+    Message, frozen=True, rename={"decided": "know", "decided_epoch": "epoch", "promised_number": "above"}
+):
+    """The reply.
+
+    Attributes
+    ----------
+    promise : Promise, optional
+    decided : EpochState, optional
+        A later epoch that is decided.
+    decided_epoch : int
+        The last epoch that the voter knows to be decided; -1: none.
+    promised_number : int
+        The number of the ballot that it has promised.
+    """
 
     promise: Promise | None = None
-    know: EpochState | None = None
-    epoch: int = -1
-    above: int = 0
+    decided: EpochState | None = None
+    decided_epoch: int = -1
+    promised_number: int = 0
 
 
-class AcceptCall(_Words, frozen=True):
-    """Whoever drives asks for a vote; by: where the policies are to be had."""
+class AcceptCall(Message, frozen=True, rename={"accept": "call", "source": "by"}):
+    """A proposer asks for a vote. source: the address of a process that has the policies."""
 
     form: int
-    call: Accept
-    by: Door
-
-
-class BlockingLease(_Words, frozen=True):
-    """A node whose lease must be over first. left: ns; no: it cannot serve the new policy."""
+    accept: Accept
+    source: Address
+
+
+class BlockingLease(Message, frozen=True, rename={"remaining": "left", "refuses": "no"}):
+    """A lease that must end before a voter may vote.
+
+    Attributes
+    ----------
+    name : str
+        The name of its holder.
+    process : int
+        The holder's number.
+    epoch : int
+    remaining : int
+        Until it ends, ns.
+    refuses : bool
+        Whether it blocks because its holder cannot serve the new policy.
+    """
 
     name: str
     process: int
     epoch: int
-    left: int
-    no: bool
+    remaining: int
+    refuses: bool
+
+
+class AcceptReply(
+    Message,
+    frozen=True,
+    rename={
+        "accepted": "vote",
+        "decided": "know",
+        "decided_epoch": "epoch",
+        "promised_number": "above",
+        "blocking_leases": "waits",
+        "no_vote_for": "quiet",
+        "reason": "why",
+    },
+):
+    """The reply.
+
+    Attributes
+    ----------
+    accepted : Accepted, optional
+        The vote.
+    decided, decided_epoch, promised_number
+        As in PrepareReply.
+    blocking_leases : list of BlockingLease
+        The leases that must end before it may vote.
+    no_vote_for : int
+        For how long it may vote for nothing, as it has restarted, ns.
+    reason : str
+        Why it does not vote, for people.
+    """
 
+    accepted: Accepted | None = None
+    decided: EpochState | None = None
+    decided_epoch: int = -1
+    promised_number: int = 0
+    blocking_leases: list[BlockingLease] = msgspec.field(default_factory=list)
+    no_vote_for: int = 0
+    reason: str = ""
 
-class AcceptReply(_Words, frozen=True):
-    """The answer. waits: what it waits for; quiet: ns until it may vote at all; why: it cannot, in words."""
 
-    vote: Accepted | None = None
-    know: EpochState | None = None
-    epoch: int = -1
-    above: int = 0
-    waits: list[BlockingLease] = []
-    quiet: int = 0
-    why: str = ""
+# Knowledge
 
 
-class DecidedNotice(_Words, frozen=True):
-    """Somebody tells what is decided; by: where the policies are to be had."""
+class DecidedNotice(Message, frozen=True, rename={"source": "by"}):
+    """An epoch is decided. source: the address of a process that has the policies."""
 
     form: int
     state: EpochState
-    by: Door
-
-
-class KnowledgeReply(_Words, frozen=True):
-    """What a keeper knows, for one that knows nothing. founded: whether it is a keeper of anything yet;
-    promised: whether it has promised anything since the last epoch."""
-
-    founded: bool
-    promised: bool = False
-    state: EpochState | None = None
-    accepted: EpochState | None = None
-
-
-class BootstrapCall(_Words, frozen=True):
-    """An operator begins the tier's accord, with a file or one that was uploaded; or a keeper passes it on.
-
-    policy: the name of the first policy; entry: it itself, where it is short; by: where it is to be had.
-    """
-
-    file: str = ""
-    upload: UploadId = ""
-    policy: Name = ""
-    entry: str = ""
-    by: Door | None = None
-
-
-class ProposeCall(_Words, frozen=True):
-    """An operator proposes a change of the policy with this digest, alone in its batch.
-
-    file: base64; upload: it was uploaded; out: all servers out; like: as they were after this policy;
-    keepers: all of them. None or empty: as they are.
-    """
-
-    file: str | None
-    parent: Digest
-    reason: Text
-    author: Text = ""
-    out: Annotated[list[Text], msgspec.Meta(max_length=MOST_OUT)] | None = None
-    keepers: Annotated[list[Door], msgspec.Meta(max_length=9)] | None = None
-    upload: UploadId = ""
-    like: Name = ""
-
-
-class DraftCall(_Words, frozen=True):
-    """An operator asks for the change that makes the resources what a file says, or servers be out or in.
-
-    file, upload, like: as in ProposeCall; partial: what the file does not hold stays as it is; out, back_in:
-    servers to take out, and to put back; delete: resources to delete, as KIND/NAME.
-    """
-
-    reason: Text
-    author: Text = ""
-    file: str | None = None
-    upload: UploadId = ""
-    like: Name = ""
-    out: Annotated[list[Text], msgspec.Meta(max_length=MOST_OUT)] = []
-    back_in: Annotated[list[Text], msgspec.Meta(max_length=MOST_OUT)] = []
-    partial: bool = False
-    delete: Annotated[list[Text], msgspec.Meta(max_length=MOST_OUT)] = []
-
-
-class DraftReply(_Words, frozen=True):
-    """The answer: the change, made on this policy, and the number of its operations.
-
-    change: base64; empty where nothing differs, or it is too long and to be fetched as draft/DRAFT. lines:
-    what it does, for people.
+    source: Address
+
+
+class KnowledgeReply(
+    Message,
+    frozen=True,
+    rename={"bootstrapped": "founded", "has_promised": "promised", "decided": "state"},
+):
+    """What a voter knows, for one that knows nothing.
+
+    Attributes
+    ----------
+    bootstrapped : bool
+        Whether it has begun at all.
+    has_promised : bool
+        Whether it has promised any ballot since the last epoch.
+    decided : EpochState, optional
+        The last epoch that it knows to be decided.
+    accepted : EpochState, optional
+        The epoch that it has voted for after that one.
     """
 
-    policy: str
-    change: str
-    operations: int
-    lines: list[str] = []
-    draft: str = ""
-
-
-class ChangeCall(_Words, frozen=True):
-    """Somebody proposes a change of resources. change: base64 of its MessagePack; upload: it was uploaded."""
-
-    change: str = ""
-    upload: UploadId = ""
-
-
-class ChangeOutcome(str, Enum):
-    """What became of a change, as one keeper knows it."""
+    bootstrapped: bool
+    has_promised: bool = False
+    decided: EpochState | None = None
+    accepted: EpochState | None = None
 
-    QUEUED = "queued"
-    UNDER_WAY = "under way"
-    IN_FORCE = "in force"  # decided; some nodes may serve under the policy before yet
-    REFUSED = "refused"  # this keeper will not propose it
-    UNKNOWN = "unknown"  # it was not proposed here, or that is forgotten: it may be proposed again
 
+class HistoryEntry(Message, frozen=True, rename={"learned_at": "at"}):
+    """One epoch in a voter's history; also on its disk. learned_at: its wall clock when it learned it, ms."""
 
-class ChangeReply(_Words, frozen=True):
-    """The answer to a proposal of a change, and to a question for it.
+    state: EpochState
+    learned_at: int
 
-    policy: the entry that holds it; epoch: in force: since which it is so, or a later one; under way: the one
-    that tells it. wait_ms: until it is decided, estimated.
-    """
 
-    id: str
-    outcome: ChangeOutcome
-    policy: str = ""
-    epoch: int = 0
-    wait_ms: int = 0
-    problems: list[Problem] = []
+# Pieces of what is too long for one request
 
 
-class UploadCall(_Words, frozen=True):
-    """One piece of what is too long for one call. id: chosen by who sends it; data: base64; total: bytes."""
+class UploadCall(Message, frozen=True):
+    """One piece of an upload. id: chosen by the sender; total, offset: bytes; data: base64."""
 
     id: UploadId
     total: Count
@@ -274,8 +290,8 @@
     data: str
 
 
-class Chunk(_Words, frozen=True):
-    """One piece of an answer that is too long for one call; name: what it is a piece of; data: base64."""
+class Chunk(Message, frozen=True):
+    """One piece of a long reply. name: what it is a piece of; total, offset: bytes; data: base64."""
 
     name: str
     total: Count
@@ -283,37 +299,22 @@
     data: str
 
 
-class ProposeReply(_Words, frozen=True):
-    """The answer to a proposal that goes on: its name, and the epoch that it begins with."""
-
-    change: str
-    epoch: int
-
-
-class DropCall(_Words, frozen=True):
-    """An operator drops a change, or a keeper passes it on."""
-
-    change: str
-    passed: bool = False
-
-
-class HistoryEntry(_Words, frozen=True):
-    """One epoch in a keeper's history; at: the keeper's wall clock in ms when it learned of it."""
-
-    state: EpochState
-    at: int
-
-
 _T = TypeVar("_T")
 
 
-def encode(words: object) -> bytes:
-    """As it goes out."""
-    return msgspec.json.encode(words)
+def encode(message: object) -> bytes:
+    """A message as it is sent."""
+    return msgspec.json.encode(message)
 
 
 def decode(data: bytes, kind: type[_T]) -> _T:
-    """What came in; RejectedError: it is none of these words."""
+    """A message of a kind that was received.
+
+    Raises
+    ------
+    RejectedError
+        It is none, of another version, or names an epoch that cannot be.
+    """
     try:
         found: _T = msgspec.json.decode(data, type=kind)
     except (msgspec.DecodeError, RecursionError) as error:
@@ -321,57 +322,43 @@
     form = getattr(found, "form", FORM)
     if form != FORM:
         raise RejectedError(f"form: {form}, and this build speaks {FORM}")
-    for part in (found, getattr(found, "ask", None), getattr(found, "call", None)):
-        for state in (getattr(part, "state", None), getattr(part, "know", None)):
-            if isinstance(state, EpochState) and not _sane(state):
-                raise RejectedError(f"state: {state} is none")
+    for state in _received_states(found):
+        if not _is_well_formed(state):
+            raise RejectedError(f"state: {_shown(state)} is none")
     return found
 
 
-def _sane(state: EpochState) -> bool:
-    """Whether an epoch can be one at all."""
-    return state.epoch >= 0 and bool(state.new) == (state.stage != 0) and state.policy != ""
-
+def _received_states(message: object) -> list[EpochState]:
+    """The epochs that a message names, but for those in promises and votes, which only repeat sent ones."""
+    candidates: list[EpochState | None] = []
+    match message:
+        case DecidedNotice() | HistoryEntry():
+            candidates.append(message.state)
+        case LeaseCall():
+            candidates.append(message.request.state)
+        case AcceptCall():
+            candidates.append(message.accept.state)
+        case LeaseReply() | PrepareReply() | AcceptReply() | KnowledgeReply():
+            candidates.append(message.decided)
+    return [state for state in candidates if state is not None]
 
-def packed(policy: Policy) -> str:
-    """A policy as text."""
-    return base64.b64encode(msgspec.msgpack.encode(policy)).decode()
 
-
-def unpacked(text: str, name: str = "") -> Policy:
-    """A policy from its text. RejectedError: it is none, or another than the one of this name."""
-    try:
-        data = base64.b64decode(text, validate=True)
-    except ValueError as error:
-        raise RejectedError(f"policy: {error}") from None
-    policy = parse(data)
-    if name and policy.name != name:
-        raise RejectedError(f"policy: its digest says {policy.name}, not {name}")
-    return policy
-
-
-def change_text(change: Change) -> str:
-    """A change as text."""
-    return base64.b64encode(encode_change(change)).decode()
+def _is_well_formed(state: EpochState) -> bool:
+    """Whether an epoch can be one at all."""
+    return state.epoch >= 0 and bool(state.new) == (state.stage is not Stage.SETTLED) and state.policy != ""
 
 
-def change_from(text: str) -> Change:
-    """A change from its text. RejectedError: it is none."""
-    try:
-        data = base64.b64decode(text, validate=True)
-    except ValueError as error:
-        raise RejectedError(f"change: {error}") from None
-    return change_from_bytes(data)
+def stage_label(stage: Stage) -> str:
+    """The published name of a stage, in status, history and logs."""
+    return _STAGE_LABELS[stage]
 
 
-def change_from_bytes(data: bytes) -> Change:
-    """A change from its bytes. RejectedError: it is none."""
-    try:
-        return decode_change(data)
-    except WireError as error:
-        raise RejectedError(f"change: {error}") from None
+def _shown(state: EpochState) -> str:
+    """An epoch in the text of a refusal."""
+    stage = f"<Stage.{stage_label(state.stage)}: {state.stage.value}>"
+    return f"EpochState(epoch={state.epoch}, stage={stage}, policy={state.policy!r}, new={state.new!r})"
 
 
 def number_of(address: str) -> int:
-    """A keeper's number."""
+    """The number of a voter, the same at all processes; made of its address."""
     return int.from_bytes(blake2b(address.encode(), digest_size=6).digest(), "big")
--- /dev/null
+++ b/hollybay/consensus/model_moves.py
@@ -0,0 +1,260 @@
+"""All that may happen in the world of the model check.
+
+Each move calls the real code (`core` and its roles) under a network that loses, duplicates, delays and
+reorders: a request is received by any part of the voters, and their replies by the sender or by nobody. A
+voter or a leaseholder crashes at any point, a voter may lose its disk, policies may name other voters, and
+time advances in ticks.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Iterator
+from itertools import combinations
+from typing import TypeVar
+
+from .acceptor import Acceptor
+from .core import (
+    Accept,
+    Accepted,
+    Decided,
+    EpochState,
+    LeaseGrant,
+    LeaseRequest,
+    Prepare,
+    Promise,
+    Stage,
+    effective_policies,
+    has_quorum,
+)
+from .model_world import POLICIES, Bounds, World, decide, with_newest_alone
+from .proposer import Proposer, highest_ballot_number
+
+__all__ = ["grants_first", "moves", "replaced", "successors"]
+
+_T = TypeVar("_T")
+_VoterNumbers = tuple[int, ...]
+
+
+def moves(world: World, bounds: Bounds, skips_joint: bool = False) -> Iterator[tuple[str, World]]:
+    """All that may happen next, each with its name and the state that it leads to."""
+    for name, after in _moves(world, bounds, skips_joint):
+        yield name, with_newest_alone(after)
+
+
+def _moves(world: World, bounds: Bounds, skips_joint: bool) -> Iterator[tuple[str, World]]:
+    if world.now < bounds.ticks:
+        yield "time goes on", world._replace(now=world.now + 1)
+    parts = _parts_of(bounds.voters)
+    for n in range(len(world.nodes)):
+        yield from _node_moves(world, bounds, n, parts)
+    for n in range(len(world.proposers)):
+        yield from _proposer_moves(world, bounds, n, parts, skips_joint)
+    for n, voter in enumerate(world.voters):
+        if voter is None:
+            yield from _recoveries(world, bounds, n, parts)
+        else:
+            yield from _voter_moves(world, bounds, n, voter)
+
+
+def _parts_of(count: int) -> list[_VoterNumbers]:
+    """Which voters a request may reach: any, but none."""
+    return [part for size in range(1, count + 1) for part in combinations(range(count), size)]
+
+
+def replaced(items: tuple[_T, ...], n: int, item: _T) -> tuple[_T, ...]:
+    """Items with another one in place n."""
+    return (*items[:n], item, *items[n + 1 :])
+
+
+# Moves of voters
+
+
+def _voter_moves(world: World, bounds: Bounds, n: int, voter: Acceptor) -> Iterator[tuple[str, World]]:
+    if world.disk_losses < bounds.disk_losses and None not in world.voters:
+        without = replaced(world.voters, n, None)
+        yield f"keeper {n} loses its disk", world._replace(voters=without, disk_losses=world.disk_losses + 1)
+    latest = max(world.decided)
+    if voter.decided.epoch < latest.epoch:
+        voters = replaced(world.voters, n, voter.on_decided(Decided(latest)))
+        yield f"keeper {n} learns epoch {latest.epoch}", world._replace(voters=voters)
+    if world.crashes < bounds.crashes:
+        restarted = voter.restarted(world.now, bounds.voter_lease + bounds.grace)
+        voters = replaced(world.voters, n, restarted)
+        yield f"keeper {n} crashes and is back", world._replace(voters=voters, crashes=world.crashes + 1)
+
+
+def _recoveries(
+    world: World, bounds: Bounds, n: int, parts: list[_VoterNumbers]
+) -> Iterator[tuple[str, World]]:
+    """A voter without a disk learns from a quorum of the others."""
+    for part in parts:
+        others = [voter for k in part if k != n and (voter := world.voters[k]) is not None]
+        if n in part or len(others) < len(part):
+            continue
+        if not has_quorum(bounds.voter_sets_of(max(voter.decided for voter in others)), part):
+            continue
+        known = [
+            (voter.decided, voter.accepted[1] if voter.accepted is not None else None) for voter in others
+        ]
+        kind = type(others[0])
+        recovered = kind.recovered(n, world.now, bounds.voter_lease + bounds.grace, known)
+        voters = replaced(world.voters, n, recovered)
+        yield f"keeper {n} learns all from {part}", world._replace(voters=voters)
+
+
+# Moves of nodes
+
+
+def _node_moves(
+    world: World, bounds: Bounds, n: int, parts: list[_VoterNumbers]
+) -> Iterator[tuple[str, World]]:
+    node = world.nodes[n]
+    request = world.requests[n]
+    if node.round_number < bounds.rounds:
+        begun, new_request = node.begin_round(world.now)
+        nodes = replaced(world.nodes, n, begun)
+        requests = replaced(world.requests, n, new_request)
+        yield f"node {n} asks", world._replace(nodes=nodes, requests=requests)
+    if request is not None:
+        for part in parts:
+            yield f"keepers {part} hear node {n}", _requested(world, bounds, n, request, part)
+    if world.replies[n]:
+        yield f"node {n} hears", _replied(world, bounds, n)
+    if world.crashes < bounds.crashes and node.round_number:
+        yield f"node {n} crashes and is back", _node_restarted(world, n)
+
+
+def _requested(world: World, bounds: Bounds, n: int, request: LeaseRequest, part: _VoterNumbers) -> World:
+    """Some voters receive a node's request; their replies are on their way."""
+    voters = world.voters
+    replies = set(world.replies[n])
+    for k in part:
+        voter = voters[k]
+        if voter is None:
+            continue
+        after, reply = voter.grant_lease(world.now, request, bounds.voter_lease, bounds.grace)
+        voters = replaced(voters, k, after)
+        if reply is not None:
+            replies.add(reply)
+    return world._replace(
+        voters=voters,
+        requests=replaced(world.requests, n, None),
+        replies=replaced(world.replies, n, frozenset(replies)),
+    )
+
+
+def _replied(world: World, bounds: Bounds, n: int) -> World:
+    """A node receives the replies that are on their way to it."""
+    node = world.nodes[n]
+    for reply in sorted(world.replies[n], key=grants_first):
+        if isinstance(reply, LeaseGrant):
+            node = node.on_grant(reply, bounds.lease, bounds.grace)
+        else:
+            node = node.on_decided(reply, bounds.voter_sets_of(reply.state))
+    return world._replace(
+        nodes=replaced(world.nodes, n, node), replies=replaced(world.replies, n, frozenset())
+    )
+
+
+def grants_first(reply: LeaseGrant | Decided) -> tuple[bool, str]:
+    """The order in which a node takes replies of one moment: grants before decisions, each by its content."""
+    return isinstance(reply, Decided), repr(reply)
+
+
+def _node_restarted(world: World, n: int) -> World:
+    node = world.nodes[n]
+    fresh = type(node)(
+        node.number,
+        round_number=node.round_number,
+        unserviceable_policies=node.unserviceable_policies,
+    )
+    return world._replace(
+        nodes=replaced(world.nodes, n, fresh),
+        requests=replaced(world.requests, n, None),
+        replies=replaced(world.replies, n, frozenset()),
+        crashes=world.crashes + 1,
+    )
+
+
+# Moves of proposers
+
+
+def successors(decided: EpochState) -> list[EpochState]:
+    """What a proposer may propose after an epoch; the last one aborts the change."""
+    epoch = decided.epoch + 1
+    if decided.stage is Stage.SETTLED:
+        newer = POLICIES[POLICIES.index(decided.policy) + 1 :]
+        return [EpochState(epoch, Stage.PREPARE, decided.policy, new) for new in newer[:1]]
+    abort = EpochState(epoch, Stage.SETTLED, decided.policy)
+    if decided.stage is Stage.PREPARE:
+        return [EpochState(epoch, Stage.JOINT, decided.policy, decided.new), abort]
+    return [EpochState(epoch, Stage.SETTLED, decided.new), abort]
+
+
+def _proposer_moves(
+    world: World, bounds: Bounds, n: int, parts: list[_VoterNumbers], skips_joint: bool
+) -> Iterator[tuple[str, World]]:
+    proposer = world.proposers[n]
+    latest = max(world.decided)
+    voter_sets = bounds.voter_sets_of(latest)
+    quorums = [part for part in parts if has_quorum(voter_sets, part)]
+    if latest.epoch < bounds.epochs and proposer.ballot[0] < bounds.ballots * (latest.epoch + 1):
+        proposals = successors(latest)
+        if skips_joint and latest.stage is Stage.PREPARE:
+            proposals.append(EpochState(latest.epoch + 1, Stage.SETTLED, latest.new))
+        for proposal in proposals:
+            above = max(highest_ballot_number(voter.promised for voter in world.known()), proposer.ballot[0])
+            idle = proposer._replace(proposal=proposal, voter_sets=voter_sets, decided=None)
+            begun, prepare = idle.begin_ballot(above)
+            for part in quorums:
+                yield from _prepared(world, n, begun, prepare, part)
+    if proposer.value is not None and proposer.decided is None:
+        accept = Accept(proposer.ballot, proposer.value)
+        for part in parts:
+            yield from _accepted(world, n, accept, part)
+
+
+def _prepared(
+    world: World, n: int, proposer: Proposer, prepare: Prepare, part: _VoterNumbers
+) -> Iterator[tuple[str, World]]:
+    """Some voters receive a request for promises, and the proposer their promises."""
+    voters = world.voters
+    for k in part:
+        voter = voters[k]
+        if voter is None:
+            continue
+        after, reply = voter.on_prepare(prepare)
+        voters = replaced(voters, k, after)
+        if isinstance(reply, Promise):
+            proposer, _ = proposer.on_promise(reply)
+    if proposer.value is not None:
+        proposers = replaced(world.proposers, n, proposer)
+        name = f"keepers {part} promise {proposer.ballot} for {_shown(proposer.proposal)}"
+        yield name, world._replace(voters=voters, proposers=proposers)
+
+
+def _accepted(world: World, n: int, accept: Accept, part: _VoterNumbers) -> Iterator[tuple[str, World]]:
+    """Some voters receive a request for votes, and the proposer their votes."""
+    voters = world.voters
+    proposer = world.proposers[n]
+    has_votes = False
+    decided: EpochState | None = None
+    for k in part:
+        voter = voters[k]
+        if voter is None:
+            continue
+        after, reply = voter.on_accept(world.now, accept)
+        voters = replaced(voters, k, after)
+        if isinstance(reply, Accepted):
+            has_votes = True
+            proposer, decision = proposer.on_accepted(reply)
+            if decision is not None:
+                decided = decision.state
+    if has_votes:
+        next_world = world._replace(voters=voters, proposers=replaced(world.proposers, n, proposer))
+        next_world = decide(next_world, decided) if decided is not None else next_world
+        yield f"keepers {part} vote for {_shown(accept.state)}", next_world
+
+
+def _shown(state: EpochState) -> str:
+    return f"epoch {state.epoch} {state.stage.name}{effective_policies(state)}"
--- a/hollybay/consensus/outgoing_requests.py
+++ b/hollybay/consensus/outgoing_requests.py
@@ -1,4 +1,4 @@
-"""Calls from one process of an accord to others, one at a time or to many at once, and their answers."""
+"""Requests of one process to others, one at a time or to many at once, and their replies."""
 
 from __future__ import annotations
 
@@ -22,10 +22,16 @@
 
 
 class PeerClient:
-    """Calls to processes by their addresses (host:port); those to this process itself never leave it.
-
-    own_address: where this process is called; transport: carries a call to another process; local: answers
-    a call to this one, from its path and body.
+    """Sends requests to processes by their addresses (host:port); those to this process never leave it.
+
+    Parameters
+    ----------
+    own_address : str
+        Where this process is called.
+    transport : Transport
+        Carries a request to another process.
+    local : callable
+        Answers a request to this process, from its path and body.
     """
 
     def __init__(
@@ -40,9 +46,20 @@
         self.calls = 0  # that left this process
 
     async def call(self, address: str, path: str, body: bytes | None, limit: float = CALL_LIMIT) -> bytes:
-        """The body of the answer; body: None for GET; limit: seconds.
-
-        UnreachableError: no answer, or one whose status is an error.
+        """Send a request and return the body of the reply.
+
+        Parameters
+        ----------
+        address, path : str
+        body : bytes or None
+            None for GET.
+        limit : float
+            How long it may take, seconds.
+
+        Raises
+        ------
+        UnreachableError
+            There was no reply, or one whose status is an error.
         """
         if address == self.own_address:
             answer = await self.local(path, body)
@@ -53,7 +70,7 @@
         return await self.transport(address, path, body, limit)
 
     async def reaches(self, address: str, path: str, body: bytes, limit: float = CALL_LIMIT) -> bool:
-        """Whether a call was answered, and without an error; limit: seconds."""
+        """Whether a request is answered within `limit` seconds, and without an error."""
         try:
             await self.call(address, path, body, limit)
         except UnreachableError:
@@ -63,8 +80,8 @@
     async def all_answers(
         self, addresses: list[str], path: str, body: bytes | None, kind: type[_T], limit: float = CALL_LIMIT
     ) -> list[tuple[str, _T]]:
-        """All answers of a kind that come within `limit` seconds, with the addresses they came from."""
-        return [one async for one in self.answers(addresses, path, body, kind, limit)]
+        """All replies of a kind that come within `limit` seconds, with the addresses they came from."""
+        return [reply async for reply in self.answers(addresses, path, body, kind, limit)]
 
     async def answers(
         self,
@@ -73,17 +90,27 @@
         body: bytes | None,
         kind: type[_T],
         more: float,
-        boards: VoterSets = (),
+        voter_sets: VoterSets = (),
     ) -> AsyncGenerator[tuple[str, _T]]:
-        """Answers of a kind as they come, with the addresses they came from; calls that fail are left out.
-
-        It ends after `more` seconds; where boards are given, `more` seconds after a majority of each board
-        has answered.
+        """Replies of a kind as they come, with the addresses they came from; failures are left out.
+
+        Parameters
+        ----------
+        addresses : list of str
+        path : str
+        body : bytes or None
+            None for GET.
+        kind : type
+            The message that a reply holds.
+        more : float
+            For how long replies are awaited, seconds; where there are voter sets, once a majority of each
+            has replied.
+        voter_sets : VoterSets
         """
         loop = asyncio.get_running_loop()
         waiting = {loop.create_task(self._decoded(address, path, body, kind)) for address in addresses}
-        heard: set[int] = set()
-        end: float | None = None if boards else loop.time() + more
+        replied: set[int] = set()
+        end: float | None = None if voter_sets else loop.time() + more
         try:
             while waiting:
                 left = None if end is None else max(0.0, end - loop.time())
@@ -92,12 +119,12 @@
                     return
                 for task in done:
                     try:
-                        address, answer = task.result()
+                        address, reply = task.result()
                     except (UnreachableError, RejectedError):
                         continue
-                    heard.add(number_of(address))
-                    yield address, answer
-                if end is None and has_quorum(boards, heard):
+                    replied.add(number_of(address))
+                    yield address, reply
+                if end is None and has_quorum(voter_sets, replied):
                     end = loop.time() + more
         finally:
             for task in waiting:
--- a/hollybay/consensus/planted_batch_defects.py
+++ b/hollybay/consensus/planted_batch_defects.py
@@ -5,32 +5,33 @@
 from collections.abc import Mapping
 from dataclasses import replace
 
-from hollybay.resources.batch import Batch, BatchMismatch
-from hollybay.resources.model import Change, ChangeRefused, Problem
+from hollybay.resources.batch import Batch, BatchMismatchError
+from hollybay.resources.model import Change, ChangeRejectedError, Problem
 from hollybay.resources.state import ResourceState
 
-from .batch_model_check import CANNOT, Delivery, Parts, Replica
-from .group_commit import (
+from .batch_model import CANNOT, Delivery, Parts, Replica
+from .group_commit import ProposalQueue
+from .proposal_outcomes import (
     InForce,
-    Offered,
+    OfferReply,
     Outcome,
     Pending,
-    ProposalQueue,
     Rejected,
     UnderWay,
     Unknown,
-    combined,
+    combined_outcome,
 )
 
 __all__ = ["DEFECTS"]
 
-PATIENCE = 5  # steps after which the queue that does so gives a change up
+# Steps after which a queue with the defect gives a change up.
+PATIENCE_STEPS = 5
 
 
-class _RefusesWholeBatch(ProposalQueue):
-    """It refuses all of a batch when nodes name one of its changes."""
+class _RejectsWholeBatch(ProposalQueue):
+    """It rejects all changes of a batch when nodes name one of them."""
 
-    def dropped(
+    def batch_dropped(
         self,
         batch: Batch,
         reasons: Mapping[bytes, tuple[Problem, ...]],
@@ -38,82 +39,84 @@
         problems: tuple[Problem, ...] = (),
     ) -> None:
         named = {change.id: CANNOT for change in batch.changes} if reasons else {}
-        super().dropped(batch, named, now, problems)
+        super().batch_dropped(batch, named, now, problems)
 
 
-class _NeverDivides(ProposalQueue):
+class _NeverSplits(ProposalQueue):
     """It proposes the same batch again where nobody said which change was bad."""
 
-    def _divide(self, split: bool) -> None:
-        super()._divide(split=False)
+    def _regroup(self, split: bool) -> None:
+        super()._regroup(split=False)
 
 
-class _RefusesTooEarly(ProposalQueue):
-    """It refuses what does not fit beside a change of the same batch, though that may never be decided."""
+class _RejectsTooEarly(ProposalQueue):
+    """It rejects a change that conflicts with another one of its batch, which may never be decided."""
 
-    def _lasting_refusal(self, change: Change, error: ChangeRefused, state: ResourceState) -> ChangeRefused:
+    def _rejection_by_state(
+        self, change: Change, error: ChangeRejectedError, state: ResourceState
+    ) -> ChangeRejectedError:
         return error
 
 
 class _LosesBatches(ProposalQueue):
-    """It does not propose again what lost to another keeper's batch."""
+    """It forgets the changes of a batch that was superseded."""
 
-    def lost(self, batch: Batch, state: ResourceState, now: int) -> None:
-        if self.under_way == batch:
+    def batch_superseded(self, batch: Batch, state: ResourceState, now: int) -> None:
+        if self.batch_in_progress == batch:
             for change_id in list(self._under_way):
                 self.bytes -= self._under_way.pop(change_id).size
-        super().lost(batch, state, now)
+        super().batch_superseded(batch, state, now)
 
 
-class _TellsOfAnother(ProposalQueue):
-    """It tells whoever waits what became of the change that ended last."""
+class _ReportsAnotherOutcome(ProposalQueue):
+    """It reports the outcome of the change that ended last."""
 
     def outcome(self, change_id: bytes, now: int) -> Outcome:
-        found = super().outcome(change_id, now)
-        if isinstance(found, Pending) and self._ended:
+        outcome = super().outcome(change_id, now)
+        if isinstance(outcome, Pending) and self._ended:
             return next(reversed(self._ended.values()))[1]
-        return found
+        return outcome
 
 
-class _TellsTooEarly(ProposalQueue):
-    """It takes what is under way for decided."""
+class _ReportsTooEarly(ProposalQueue):
+    """It reports a change that is under way as in force."""
 
     def outcome(self, change_id: bytes, now: int) -> Outcome:
-        found = super().outcome(change_id, now)
-        return InForce(found.revision) if isinstance(found, UnderWay) else found
+        outcome = super().outcome(change_id, now)
+        return InForce(outcome.revision) if isinstance(outcome, UnderWay) else outcome
 
 
 class _GivesUp(ProposalQueue):
-    """It refuses what has waited long, though its batch of a life before may still be decided."""
+    """It rejects what has waited long, though a batch from before a restart may still be decided."""
 
-    def offer(self, change: Change, state: ResourceState, now: int) -> Offered:
+    def offer(self, change: Change, state: ResourceState, now: int) -> OfferReply:
         for change_id, waiting in list(self._waiting.items()):
-            if now - waiting.offered_at > PATIENCE:
-                self._end(change_id, Rejected((Problem("change", "", "waited too long"),)), now)
+            if now - waiting.offered_at > PATIENCE_STEPS:
+                self._finish(change_id, Rejected((Problem("change", "", "waited too long"),)), now)
         return super().offer(change, state, now)
 
 
-class _TakesGaps(Replica):
-    """It takes batches in whatever revision they are made on."""
+class _AcceptsGaps(Replica):
+    """It applies batches whatever revision they were made on."""
 
     def after_batch(self, state: ResourceState, batch: Batch) -> ResourceState:
         if batch.revision <= state.revision:
             return state
         try:
-            return replace(state, revision=batch.revision - 1).applied(batch.changes, batch.revision)
-        except ChangeRefused as error:
-            raise BatchMismatch(str(error)) from None
+            return replace(state, revision=batch.revision - 1).with_batch(batch.changes, batch.revision)
+        except ChangeRejectedError as error:
+            raise BatchMismatchError(str(error)) from None
 
 
-class _TakesOldSnapshots(Replica):
-    """It takes in a snapshot that is older than what it has."""
+class _AcceptsOldSnapshots(Replica):
+    """It applies a snapshot that is older than its state."""
 
     def after_snapshot(self, snapshot: ResourceState) -> ResourceState:
         return snapshot
 
 
 class _TrustsTheBase(Replica):
-    """It takes a snapshot for the state that the delta beside it was made on."""
+    """It assumes that the delta beside a snapshot was made on that snapshot."""
 
     def receive(self, delivery: Delivery) -> None:
         snapshot, batches = delivery.snapshot, delivery.batches
@@ -121,16 +124,16 @@
             state = replace(snapshot, revision=batches[0].revision - 1)
             for batch in batches:
                 try:
-                    state = state.applied(batch.changes, batch.revision)
-                except ChangeRefused as error:
-                    raise BatchMismatch(str(error)) from None
+                    state = state.with_batch(batch.changes, batch.revision)
+                except ChangeRejectedError as error:
+                    raise BatchMismatchError(str(error)) from None
             self.state = state
             return
         super().receive(delivery)
 
 
-class _TakesHalf(Replica):
-    """It takes in what fits of a delivery and leaves the rest."""
+class _AppliesHalf(Replica):
+    """It applies the part of a delivery that fits."""
 
     def after_snapshot(self, snapshot: ResourceState) -> ResourceState:
         self.state = super().after_snapshot(snapshot)
@@ -141,31 +144,31 @@
         return self.state
 
 
-def _first_refusal(outcomes: list[Outcome]) -> Outcome:
-    """It takes one keeper's refusal for that of all."""
-    refused = next((one for one in outcomes if isinstance(one, Rejected)), None)
-    return refused if refused is not None else combined(outcomes)
+def _first_rejection(outcomes: list[Outcome]) -> Outcome:
+    """It takes the rejection by one voter for that by all."""
+    rejection = next((outcome for outcome in outcomes if isinstance(outcome, Rejected)), None)
+    return rejection if rejection is not None else combined_outcome(outcomes)
 
 
-def _unknown_is_refused(outcomes: list[Outcome]) -> Outcome:
-    """It takes a keeper that has forgotten its change for one that refused it."""
-    return combined(Rejected(()) if isinstance(one, Unknown) else one for one in outcomes)
+def _unknown_is_rejected(outcomes: list[Outcome]) -> Outcome:
+    """It takes a voter that has forgotten its change for one that rejected it."""
+    return combined_outcome(Rejected(()) if isinstance(outcome, Unknown) else outcome for outcome in outcomes)
 
 
 DEFECTS: dict[str, Parts] = {
-    "one bad change drops its batch": Parts(queue=_RefusesWholeBatch),
-    "a batch is never divided": Parts(queue=_NeverDivides),
-    "refused for a batch that is not decided": Parts(queue=_RefusesTooEarly),
+    "one bad change drops its batch": Parts(queue=_RejectsWholeBatch),
+    "a batch is never divided": Parts(queue=_NeverSplits),
+    "refused for a batch that is not decided": Parts(queue=_RejectsTooEarly),
     "a lost batch is not offered again": Parts(queue=_LosesBatches),
-    "a proposer is told of another's outcome": Parts(queue=_TellsOfAnother),
-    "in force before the decision": Parts(queue=_TellsTooEarly),
+    "a proposer is told of another's outcome": Parts(queue=_ReportsAnotherOutcome),
+    "in force before the decision": Parts(queue=_ReportsTooEarly),
     "refused for its long wait": Parts(queue=_GivesUp),
     "a change is decided twice": Parts(remembers_ids=False),
-    "a delta over a gap": Parts(replica=_TakesGaps),
-    "a snapshot older than the state": Parts(replica=_TakesOldSnapshots),
+    "a delta over a gap": Parts(replica=_AcceptsGaps),
+    "a snapshot older than the state": Parts(replica=_AcceptsOldSnapshots),
     "a snapshot older than the delta's base": Parts(replica=_TrustsTheBase),
-    "half of a delivery": Parts(replica=_TakesHalf),
-    "one refusal taken for all": Parts(verdict=_first_refusal),
-    "a keeper that forgot taken for a no": Parts(verdict=_unknown_is_refused),
+    "half of a delivery": Parts(replica=_AppliesHalf),
+    "one refusal taken for all": Parts(verdict=_first_rejection),
+    "a keeper that forgot taken for a no": Parts(verdict=_unknown_is_rejected),
     "an old refusal counted after a new offer": Parts(voids_answers=False),
 }
--- a/hollybay/consensus/planted_defects.py
+++ b/hollybay/consensus/planted_defects.py
@@ -1,224 +1,241 @@
-"""Defects of the core that the model check must find: each a part with one rule left out."""
+"""Defects of the protocol that the model check must find: each a role with one rule left out."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable
 
+from .acceptor import Acceptor, Lease
 from .core import (
+    NO_BALLOT,
     Accept,
     Accepted,
-    Acceptor,
     Decided,
     EpochState,
-    Lease,
     LeaseGrant,
-    Leaseholder,
     LeaseRequest,
     Prepare,
     Promise,
-    Proposer,
     Stage,
     effective_policies,
     is_valid_successor,
 )
-from .model_check import Parts
+from .leaseholder import Leaseholder
+from .model_world import Parts
+from .proposer import Proposer
 
 __all__ = ["DEFECTS"]
 
 
+# Acceptors
+
+
 class _ForgetsVotes(Acceptor):
-    """It votes before its vote is on the disk."""
+    """It votes before its vote is on disk."""
 
-    def reborn(self, now: int, lease: int) -> Acceptor:
-        return super().reborn(now, lease)._replace(promised=(0, 0), accepted=None)
+    def restarted(self, now: int, lease: int) -> Acceptor:
+        return super().restarted(now, lease)._replace(promised=NO_BALLOT, accepted=None)
 
 
 class _ForgetsPromises(Acceptor):
-    """Its promise is not on the disk."""
+    """It promises before its promise is on disk."""
 
-    def reborn(self, now: int, lease: int) -> Acceptor:
-        return super().reborn(now, lease)._replace(promised=(0, 0))
+    def restarted(self, now: int, lease: int) -> Acceptor:
+        return super().restarted(now, lease)._replace(promised=NO_BALLOT)
 
 
-class _VotesAtOnce(Acceptor):
-    """Reborn it votes without waiting for the leases of its former life."""
+class _VotesAfterRestart(Acceptor):
+    """It votes after a restart without waiting for the leases that it granted before."""
 
-    def reborn(self, now: int, lease: int) -> Acceptor:
-        return super().reborn(now, lease)._replace(quiet=0)
+    def restarted(self, now: int, lease: int) -> Acceptor:
+        return super().restarted(now, lease)._replace(no_vote_before=0)
 
 
-class _WaitsForNobody(Acceptor):
-    """It votes though a node that is silent may still serve under an epoch before the last."""
+class _IgnoresLeases(Acceptor):
+    """It votes though a silent node may still serve under an epoch before the decided one."""
 
     def may_vote(self, now: int, state: EpochState) -> bool:
-        refused = state.stage is Stage.NARROW and bool(self.refused(now))
+        is_refused = state.stage is Stage.JOINT and bool(self.refusing_nodes(now))
         return (
             is_valid_successor(self.decided, state)
-            and now >= self.quiet
-            and not refused
-            and state.epoch > self.mute
+            and now >= self.no_vote_before
+            and not is_refused
+            and state.epoch > self.last_barred_epoch
         )
 
 
-class _GrantsAfterItsVote(Acceptor):
-    """It grants a lease to a node that says no after it has voted for NARROW."""
+class _GrantsAfterVote(Acceptor):
+    """It grants a lease to a node that cannot serve the new policy after it has voted for JOINT."""
 
-    def hear_ask(
-        self, now: int, ask: LeaseRequest, lease: int, late: int = 0
+    def grant_lease(
+        self, now: int, request: LeaseRequest, lease: int, grace: int = 0
     ) -> tuple[Acceptor, LeaseGrant | Decided | None]:
-        after, answer = Acceptor.hear_ask(self._replace(accepted=None), now, ask, lease, late)
-        same = after.decided == self.decided
-        return after._replace(accepted=self.accepted) if same else after, answer
+        without_vote = self._replace(accepted=None)
+        after, reply = Acceptor.grant_lease(without_vote, now, request, lease, grace)
+        if after.decided == self.decided:
+            after = after._replace(accepted=self.accepted)
+        return after, reply
 
 
-class _HearsNoNo(Acceptor):
-    """A node's no does not keep it from voting for NARROW."""
+class _IgnoresRefusals(Acceptor):
+    """It votes for JOINT though a node cannot serve the new policy."""
 
-    def refused(self, now: int) -> tuple[int, ...]:
+    def refusing_nodes(self, now: int) -> tuple[int, ...]:
         return ()
 
 
-class _ComparesNothing(Acceptor):
-    """It votes for any later epoch, whatever it was made on."""
+class _IgnoresParent(Acceptor):
+    """It votes for any later epoch, whatever that follows."""
 
     def may_vote(self, now: int, state: EpochState) -> bool:
-        waits = any(one.epoch < self.decided.epoch and one.until > now for one in self.leases)
-        return state.epoch > self.decided.epoch and now >= self.quiet and not waits
+        is_blocked = any(lease.epoch < self.decided.epoch and lease.lease_end > now for lease in self.leases)
+        return state.epoch > self.decided.epoch and now >= self.no_vote_before and not is_blocked
 
 
-class _VotesTwice(Acceptor):
+class _BreaksPromise(Acceptor):
     """It votes under a ballot below the one that it promised."""
 
-    def hear_accept(self, now: int, call: Accept) -> tuple[Acceptor, Accepted | Decided | None]:
-        return Acceptor.hear_accept(self._replace(promised=(0, 0)), now, call)
+    def on_accept(self, now: int, message: Accept) -> tuple[Acceptor, Accepted | Decided | None]:
+        return Acceptor.on_accept(self._replace(promised=NO_BALLOT), now, message)
 
 
-class _TellsNothing(Acceptor):
-    """It does not tell what it voted for already."""
+class _HidesVote(Acceptor):
+    """It does not tell what it has voted for already."""
 
-    def hear_prepare(self, call: Prepare) -> tuple[Acceptor, Promise | Decided | None]:
-        after, answer = super().hear_prepare(call)
-        return after, answer._replace(accepted=None) if isinstance(answer, Promise) else answer
+    def on_prepare(self, message: Prepare) -> tuple[Acceptor, Promise | Decided | None]:
+        after, reply = super().on_prepare(message)
+        return after, reply._replace(accepted=None) if isinstance(reply, Promise) else reply
 
 
 class _GrantsOldEpochs(Acceptor):
-    """It grants leases on whatever epoch a node asks for."""
+    """It grants leases on any epoch that is requested."""
 
-    def hear_ask(
-        self, now: int, ask: LeaseRequest, lease: int, late: int = 0
+    def grant_lease(
+        self, now: int, request: LeaseRequest, lease: int, grace: int = 0
     ) -> tuple[Acceptor, LeaseGrant | Decided | None]:
-        if ask.state is not None and ask.state.epoch < self.decided.epoch:
-            return self, LeaseGrant(self.me, ask.turn, ask.state.epoch)
-        return super().hear_ask(now, ask, lease, late)
+        if request.state is not None and request.state.epoch < self.decided.epoch:
+            return self, LeaseGrant(self.number, request.round_number, request.state.epoch)
+        return super().grant_lease(now, request, lease, grace)
 
 
-class _ShortLeases(Acceptor):
-    """It takes a lease for over while its node still counts on it."""
+class _CountsShortLeases(Acceptor):
+    """It takes a lease for ended while its holder still counts on it."""
 
-    def hear_ask(
-        self, now: int, ask: LeaseRequest, lease: int, late: int = 0
+    def grant_lease(
+        self, now: int, request: LeaseRequest, lease: int, grace: int = 0
     ) -> tuple[Acceptor, LeaseGrant | Decided | None]:
-        return super().hear_ask(now, ask, lease - 2, late)
+        return super().grant_lease(now, request, lease - 2, grace)
 
 
-class _FromTheAnswer(Leaseholder):
-    """It counts its lease from the answer, not from before it asked."""
+class _VotesAfterDiskLoss(Acceptor):
+    """It votes at once after it lost its disk, though it may have voted before."""
 
-    def hear_grant(self, grant: LeaseGrant, lease: int, late: int = 0) -> Leaseholder:
-        return super().hear_grant(grant, lease + 2, late)
+    @staticmethod
+    def recovered(
+        number: int, now: int, lease: int, known: Iterable[tuple[EpochState, EpochState | None]]
+    ) -> Acceptor:
+        return _VotesAfterDiskLoss(*Acceptor.recovered(number, now, lease, known))._replace(
+            last_barred_epoch=0
+        )
 
 
-class _OneGrant(Leaseholder):
-    """One keeper's grant is enough for it."""
+class _IgnoresGrace(Acceptor):
+    """It takes a node whose lease has ended for silent, though that serves on in its grace time."""
 
-    def hear_grant(self, grant: LeaseGrant, lease: int, late: int = 0) -> Leaseholder:
-        return Leaseholder.hear_grant(
-            self._replace(boards=(frozenset({grant.keeper}),)), grant, lease, late
-        )._replace(boards=self.boards)
+    def blocking_leases(self, now: int, state: EpochState) -> tuple[Lease, ...]:
+        return tuple(
+            lease for lease in self.leases if lease.epoch < self.decided.epoch and lease.lease_end > now
+        )
 
 
-class _OldGrants(Leaseholder):
-    """It counts grants of an earlier call with those of the present one."""
+# Leaseholders
 
-    def begin(self, now: int) -> tuple[Leaseholder, LeaseRequest]:
-        after, ask = super().begin(now)
-        return after._replace(grants=self.grants), ask
 
+class _CountsFromReply(Leaseholder):
+    """It counts its lease from the reply, not from before its request."""
 
-class _NeverOver(Leaseholder):
-    """It does not look at the end of its lease when a request begins."""
+    def on_grant(self, grant: LeaseGrant, lease: int, grace: int = 0) -> Leaseholder:
+        return super().on_grant(grant, lease + 2, grace)
 
-    def serves(self, now: int) -> tuple[str, ...]:
-        return effective_policies(self.at) if self.at is not None else ()
 
+class _TakesOneGrant(Leaseholder):
+    """One voter's grant is enough for it."""
 
-class _ServesAnything(Leaseholder):
-    """It serves under a policy that it cannot serve."""
+    def on_grant(self, grant: LeaseGrant, lease: int, grace: int = 0) -> Leaseholder:
+        alone = self._replace(voter_sets=(frozenset({grant.voter}),))
+        return Leaseholder.on_grant(alone, grant, lease, grace)._replace(voter_sets=self.voter_sets)
 
-    def hear_grant(self, grant: LeaseGrant, lease: int, late: int = 0) -> Leaseholder:
-        return Leaseholder.hear_grant(self._replace(unfit=frozenset()), grant, lease, late)._replace(
-            unfit=self.unfit
-        )
 
+class _KeepsOldGrants(Leaseholder):
+    """It counts grants of an earlier round with those of the present one."""
 
-class _SaysYes(Leaseholder):
-    """It says yes without looking."""
+    def begin_round(self, now: int) -> tuple[Leaseholder, LeaseRequest]:
+        after, request = super().begin_round(now)
+        return after._replace(grants=self.grants), request
 
-    def begin(self, now: int) -> tuple[Leaseholder, LeaseRequest]:
-        after, ask = super().begin(now)
-        return after, ask._replace(able=True)
 
+class _IgnoresLeaseEnd(Leaseholder):
+    """It does not check the end of its lease when a request begins."""
 
-class _AnyVotes(Proposer):
-    """A majority of those that answered is enough for it: here, the first."""
+    def policies_in_force(self, now: int) -> tuple[str, ...]:
+        return effective_policies(self.effective_epoch) if self.effective_epoch is not None else ()
 
-    def hear_accepted(self, vote: Accepted) -> tuple[Proposer, Decided | None]:
-        after, _ = super().hear_accepted(vote)
-        return after._replace(decided=vote.state), Decided(vote.state)
 
+class _ServesAnything(Leaseholder):
+    """It serves under a policy that it cannot serve."""
 
-class _DropsDoubts(Proposer):
-    """It puts its own wish in the place of one that may have been decided."""
+    def on_grant(self, grant: LeaseGrant, lease: int, grace: int = 0) -> Leaseholder:
+        able = self._replace(unserviceable_policies=frozenset())
+        return Leaseholder.on_grant(able, grant, lease, grace)._replace(
+            unserviceable_policies=self.unserviceable_policies
+        )
 
-    def hear_promise(self, promise: Promise) -> tuple[Proposer, Accept | None]:
-        return super().hear_promise(promise._replace(accepted=None))
 
+class _ClaimsToServe(Leaseholder):
+    """It states that it could serve any new policy."""
 
-class _VotesAnew(Acceptor):
-    """It has lost its disk and votes at once, though it may have voted before."""
+    def begin_round(self, now: int) -> tuple[Leaseholder, LeaseRequest]:
+        after, request = super().begin_round(now)
+        return after, request._replace(can_serve_new=True)
 
-    @staticmethod
-    def anew(me: int, now: int, lease: int, told: Iterable[tuple[EpochState, EpochState | None]]) -> Acceptor:
-        return _VotesAnew(*Acceptor.anew(me, now, lease, told))._replace(mute=0)
+
+# Proposers
+
+
+class _TakesAnyVotes(Proposer):
+    """A majority of those that replied is enough for it: here, the first."""
+
+    def on_accepted(self, vote: Accepted) -> tuple[Proposer, Decided | None]:
+        after, _ = super().on_accepted(vote)
+        return after._replace(decided=vote.state), Decided(vote.state)
 
 
-class _IgnoresLate(Acceptor):
-    """It takes a node whose lease is over for silent, though that goes on under what it knows."""
+class _IgnoresVotes(Proposer):
+    """It puts its own proposal in the place of one that may have been decided."""
 
-    def waits_for(self, now: int, state: EpochState) -> tuple[Lease, ...]:
-        return tuple(one for one in self.leases if one.epoch < self.decided.epoch and one.until > now)
+    def on_promise(self, promise: Promise) -> tuple[Proposer, Accept | None]:
+        return super().on_promise(promise._replace(accepted=None))
 
 
 DEFECTS: dict[str, Parts] = {
-    "voted before stored": Parts(keeper=_ForgetsVotes),
-    "promised before stored": Parts(keeper=_ForgetsPromises),
-    "reborn and not quiet": Parts(keeper=_VotesAtOnce),
-    "a silent node not waited for": Parts(keeper=_WaitsForNobody),
-    "a no heard too late": Parts(keeper=_GrantsAfterItsVote),
-    "a no not heard": Parts(keeper=_HearsNoNo),
-    "parent not compared": Parts(keeper=_ComparesNothing, skips=True),
-    "votes below its promise": Parts(keeper=_VotesTwice),
-    "votes not told": Parts(keeper=_TellsNothing),
-    "leases on old epochs": Parts(keeper=_GrantsOldEpochs),
-    "leases over too soon": Parts(keeper=_ShortLeases),
-    "lease counted from the answer": Parts(node=_FromTheAnswer),
-    "one grant enough": Parts(node=_OneGrant),
-    "old grants counted": Parts(node=_OldGrants),
-    "end of the lease not looked at": Parts(node=_NeverOver),
-    "serves what it cannot": Parts(node=_ServesAnything),
-    "yes without looking": Parts(node=_SaysYes),
-    "majority of those that answered": Parts(driver=_AnyVotes),
-    "in doubt and dropped": Parts(driver=_DropsDoubts),
-    "votes with a lost disk": Parts(keeper=_VotesAnew),
-    "nodes that are late not waited for": Parts(keeper=_IgnoresLate),
+    "voted before stored": Parts(acceptor=_ForgetsVotes),
+    "promised before stored": Parts(acceptor=_ForgetsPromises),
+    "reborn and not quiet": Parts(acceptor=_VotesAfterRestart),
+    "a silent node not waited for": Parts(acceptor=_IgnoresLeases),
+    "a no heard too late": Parts(acceptor=_GrantsAfterVote),
+    "a no not heard": Parts(acceptor=_IgnoresRefusals),
+    "parent not compared": Parts(acceptor=_IgnoresParent, skips_joint=True),
+    "votes below its promise": Parts(acceptor=_BreaksPromise),
+    "votes not told": Parts(acceptor=_HidesVote),
+    "leases on old epochs": Parts(acceptor=_GrantsOldEpochs),
+    "leases over too soon": Parts(acceptor=_CountsShortLeases),
+    "lease counted from the answer": Parts(leaseholder=_CountsFromReply),
+    "one grant enough": Parts(leaseholder=_TakesOneGrant),
+    "old grants counted": Parts(leaseholder=_KeepsOldGrants),
+    "end of the lease not looked at": Parts(leaseholder=_IgnoresLeaseEnd),
+    "serves what it cannot": Parts(leaseholder=_ServesAnything),
+    "yes without looking": Parts(leaseholder=_ClaimsToServe),
+    "majority of those that answered": Parts(proposer=_TakesAnyVotes),
+    "in doubt and dropped": Parts(proposer=_IgnoresVotes),
+    "votes with a lost disk": Parts(acceptor=_VotesAfterDiskLoss),
+    "nodes that are late not waited for": Parts(acceptor=_IgnoresGrace),
 }
--- a/hollybay/consensus/policy.py
+++ b/hollybay/consensus/policy.py
@@ -1,9 +1,9 @@
-"""A policy: one entry of the replicated log, which is a batch of resource changes and who decides the next
-one. Pure.
+"""A policy: one entry of the replicated log, a batch of resource changes and the voters for the next entry.
 
-Each entry holds the digest of the entry before it (a hash chain) and the digests of the resources on its two
-sides. Two policies are the same if their digests are: BLAKE2b over everything, with the changes by a digest
-of their own, so that an entry is verified also where its changes are not at hand (it came with a snapshot).
+Pure. Each entry holds the digest of the entry before it (a hash chain) and the digests of the resources
+before and after it. Two policies are equal if their digests are: BLAKE2b over all fields, where the changes
+stand with a digest of their own, so that an entry can be verified without its changes (it came with a
+snapshot).
 """
 
 from __future__ import annotations
@@ -16,75 +16,92 @@
 
 from hollybay.resources.batch import MAX_BATCH_CHANGES, Batch, assemble
 from hollybay.resources.digest import DIGEST_BYTES
-from hollybay.resources.model import Change, ChangeRefused, Key
+from hollybay.resources.model import Change, ChangeRejectedError, Key
 from hollybay.resources.state import EMPTY, ResourceState
 from hollybay.resources.wire import MAX_BATCH_BYTES
 
 __all__ = [
-    "FIRST",
+    "FIRST_POLICY",
     "MAX_ENTRY_BYTES",
     "MAX_TEXT_LENGTH",
     "Policy",
     "RejectedError",
     "changed_keys",
-    "first",
-    "parse",
-    "successor",
+    "decode_policy",
+    "first_policy",
+    "successor_policy",
     "version_of",
 ]
 
-# The longest reason, author and keeper, in characters.
+# The longest reason, author and voter address, in characters.
 MAX_TEXT_LENGTH = 400
-# The longest entry as encoded: a batch, and what stands around it.
+# The longest encoded entry: a batch and the other fields.
 MAX_ENTRY_BYTES = MAX_BATCH_BYTES + (64 << 10)
-BOARDS = (1, 3, 5)  # keepers that there may be: with an even number one more may fail no more
+# Permitted numbers of voters: an even number tolerates no more failures than the odd one below it.
+VOTER_COUNTS = (1, 3, 5)
 
 
 class RejectedError(ValueError):
-    """It is no policy, or none that may follow; the text says why, and names the field."""
+    """Malformed or inadmissible input; the text names the field and says why."""
 
 
 class Policy(msgspec.Struct, frozen=True, dict=True, array_like=True):
     """One entry of the log.
 
-    version: 1 for the first, one more for each that follows; it is the revision of the resources after it.
-    parent: the digest of the entry before it. before, after: the digests of the resources on its two sides.
-    content: the digest of the changes. changes: None where they are not at hand.
+    Encoded as an array: the order of the fields is fixed.
+
+    Parameters
+    ----------
+    version
+        1 for the first entry, one more for each successor; the revision of the resources after it.
+    parent
+        Digest of the entry before it; empty for the first.
+    before, after
+        Digests of the resources before and after it.
+    changes_digest
+        Digest of the changes.
+    reason, author
+        Shown in the history.
+    voters
+        Addresses of those who decide the next entry, in order.
+    changes
+        The batch; None where it is not at hand.
     """
 
     version: int
     parent: bytes
     before: bytes
     after: bytes
-    content: bytes
+    changes_digest: bytes
     reason: str
     author: str
-    keepers: tuple[str, ...] = ()  # the board: where those who decide are called, in order
+    voters: tuple[str, ...] = ()
     changes: tuple[Change, ...] | None = None
 
     @cached_property
     def digest(self) -> bytes:
-        """What it is known by, 32 bytes."""
+        """Identity of the entry, 32 bytes."""
         parts = (
             b"%d" % self.version,
             self.parent,
             self.before,
             self.after,
-            self.content,
+            self.changes_digest,
             self.reason.encode(),
             self.author.encode(),
-            *(b"%d" % len(self.keepers), *(keeper.encode() for keeper in self.keepers)),
+            b"%d" % len(self.voters),
+            *(voter.encode() for voter in self.voters),
         )
-        whole = blake2b(digest_size=DIGEST_BYTES, person=b"hollybay.policy")
+        hasher = blake2b(digest_size=DIGEST_BYTES, person=b"hollybay.policy")
         for part in parts:
-            # Each with its length, or two policies could run together into the same bytes.
-            whole.update(len(part).to_bytes(8, "big"))
-            whole.update(part)
-        return whole.digest()
+            # Each part with its length, so that different policies never hash the same bytes.
+            hasher.update(len(part).to_bytes(8, "big"))
+            hasher.update(part)
+        return hasher.digest()
 
     @cached_property
     def name(self) -> str:
-        """Version and the digest's first figures, for people."""
+        """Short name: the version and the first 12 hex digits of the digest."""
         return f"{self.version}-{self.digest.hex()[:12]}"
 
     @property
@@ -94,7 +111,13 @@
 
     @property
     def batch(self) -> Batch:
-        """Its changes as a batch. RejectedError: they are not at hand."""
+        """Its changes as a batch.
+
+        Raises
+        ------
+        RejectedError
+            The changes are not at hand.
+        """
         if self.changes is None:
             raise RejectedError(f"changes: those of {self.name} are not at hand")
         return Batch(self.version, self.before, self.changes, self.after)
@@ -114,129 +137,179 @@
     return frozenset(operation.key for change in changes for operation in change.operations)
 
 
-def _content(changes: tuple[Change, ...]) -> bytes:
-    return blake2b(
-        msgspec.msgpack.encode(changes), digest_size=DIGEST_BYTES, person=b"hollybay.changes"
-    ).digest()
+def _digest_of_changes(changes: tuple[Change, ...]) -> bytes:
+    encoded = msgspec.msgpack.encode(changes)
+    return blake2b(encoded, digest_size=DIGEST_BYTES, person=b"hollybay.changes").digest()
+
+
+def _validated(policy: Policy) -> Policy:
+    """The policy, if each of its fields is within its bounds; else RejectedError names the field."""
+    _check_digests(policy)
+    _check_voters(policy.voters)
+    _check_text("reason", policy.reason)
+    _check_text("author", policy.author)
+    for voter in policy.voters:
+        _check_text("keepers", voter)
+    _check_changes(policy)
+    return policy
 
 
-def _checked(policy: Policy) -> Policy:
-    """The policy, where each field is within its bounds; RejectedError names the one that is not."""
+def _check_digests(policy: Policy) -> None:
     if policy.version < 1:
         raise RejectedError(f"version: {policy.version} is under 1")
     if len(policy.parent) != (DIGEST_BYTES if policy.version > 1 else 0):
         raise RejectedError(f"parent: {len(policy.parent)} bytes are no digest")
-    for field in ("before", "after", "content"):
-        if len(getattr(policy, field)) != DIGEST_BYTES:
-            raise RejectedError(f"{field}: {len(getattr(policy, field))} bytes are no digest")
+    for field, digest in (
+        ("before", policy.before),
+        ("after", policy.after),
+        ("content", policy.changes_digest),
+    ):
+        if len(digest) != DIGEST_BYTES:
+            raise RejectedError(f"{field}: {len(digest)} bytes are no digest")
     if policy.version == 1 and policy.before != EMPTY.digest:
         raise RejectedError("before: the first entry begins with no resources")
-    if policy.keepers and len(policy.keepers) not in BOARDS:
-        raise RejectedError(f"keepers: {len(policy.keepers)}, and there may be {', '.join(map(str, BOARDS))}")
-    if list(policy.keepers) != sorted(set(policy.keepers)):
+
+
+def _check_voters(voters: tuple[str, ...]) -> None:
+    if voters and len(voters) not in VOTER_COUNTS:
+        counts = ", ".join(map(str, VOTER_COUNTS))
+        raise RejectedError(f"keepers: {len(voters)}, and there may be {counts}")
+    if list(voters) != sorted(set(voters)):
         raise RejectedError("keepers: not in order, or one stands twice")
-    for field, text in (
-        ("reason", policy.reason),
-        ("author", policy.author),
-        *(("keepers", k) for k in policy.keepers),
-    ):
-        if len(text) > MAX_TEXT_LENGTH or not text.isprintable():
-            raise RejectedError(f"{field}: {text[:40]!r} is too long, or no plain text")
-        try:
-            text.encode()
-        except UnicodeEncodeError:
-            raise RejectedError(f"{field}: {text[:40]!r} is no plain text") from None
-    if policy.changes is not None and len(policy.changes) > MAX_BATCH_CHANGES:
+
+
+def _check_text(field: str, text: str) -> None:
+    if len(text) > MAX_TEXT_LENGTH or not text.isprintable():
+        raise RejectedError(f"{field}: {text[:40]!r} is too long, or no plain text")
+    try:
+        text.encode()
+    except UnicodeEncodeError:
+        raise RejectedError(f"{field}: {text[:40]!r} is no plain text") from None
+
+
+def _check_changes(policy: Policy) -> None:
+    if policy.changes is None:
+        return
+    if len(policy.changes) > MAX_BATCH_CHANGES:
         raise RejectedError(f"changes: {len(policy.changes)}, {MAX_BATCH_CHANGES} at most")
-    if policy.changes is not None and _content(policy.changes) != policy.content:
+    if _digest_of_changes(policy.changes) != policy.changes_digest:
         raise RejectedError("content: it is not the digest of the changes")
-    return policy
 
 
-def first(changes: Iterable[Change] = (), keepers: Iterable[str] = ()) -> Policy:
-    """The policy that a tier begins with. RejectedError: a change does not fit, or something is out of
-    bounds.
+def first_policy(changes: Iterable[Change] = (), voters: Iterable[str] = ()) -> Policy:
+    """The policy that a cluster begins with.
+
+    Raises
+    ------
+    RejectedError
+        A change does not fit, or a field is out of bounds.
     """
-    return _entry(None, EMPTY, changes, "first", "", tuple(sorted(keepers)))[0]
+    policy, _ = _next_policy(None, EMPTY, changes, "first", "", tuple(sorted(voters)))
+    return policy
 
 
-def successor(
+def successor_policy(
     old: Policy,
     state: ResourceState,
     changes: Iterable[Change],
-    keepers: Iterable[str] | None = None,
+    voters: Iterable[str] | None = None,
     reason: str | None = None,
     author: str = "",
 ) -> tuple[Policy, ResourceState]:
-    """The policy that follows another, and the resources after it. state: those of the old one.
-
-    keepers None: the same. reason None: the one of the change, where it is a single one. RejectedError: a
-    change does not fit, nothing changes, or more keepers change than one at a time.
+    """The policy that follows another one, and the resources after it.
+
+    Parameters
+    ----------
+    old, state
+        The policy before, and the resources after it.
+    voters
+        Addresses of those who decide the next policy; None: the same as before.
+    reason
+        Shown in the history; None: the one of the change, where it is a single one.
+
+    Raises
+    ------
+    RejectedError
+        A change does not fit, nothing changes, or the voters change by more than one replacement.
     """
-    taken = tuple(changes)
-    board = old.keepers if keepers is None else tuple(sorted(keepers))
-    if not taken and board == old.keepers:
+    batch_changes = tuple(changes)
+    new_voters = old.voters if voters is None else tuple(sorted(voters))
+    if not batch_changes and new_voters == old.voters:
         raise RejectedError(f"changes: says the same as {old.name}")
-    come, gone = set(board) - set(old.keepers), set(old.keepers) - set(board)
-    # One for another, or one more and one for the number to be odd; else the new ones could outvote the old
-    # before they know anything.
-    if old.keepers and len(come) + len(gone) > 2:
-        raise RejectedError(
-            f"keepers: {len(come)} come and {len(gone)} go; one at a time may be replaced, or two added"
-        )
-    if old.keepers and not board:
-        raise RejectedError("keepers: none")
+    _check_voter_change(old.voters, new_voters)
     if reason is None:
-        reason, author = _shown(taken)
+        reason, author = _summary(batch_changes)
     if not reason.strip():
         raise RejectedError("reason: missing")
-    return _entry(old, state, taken, reason, author, board)
+    return _next_policy(old, state, batch_changes, reason, author, new_voters)
 
 
-def _shown(changes: tuple[Change, ...]) -> tuple[str, str]:
+def _check_voter_change(old: tuple[str, ...], new: tuple[str, ...]) -> None:
+    """RejectedError: more voters change than may change at once."""
+    if not old:
+        return
+    added, removed = set(new) - set(old), set(old) - set(new)
+    # One replacement, or two additions or removals, which keep the number odd: more new voters could outvote
+    # the old ones before they have the log.
+    if len(added) + len(removed) > 2:
+        raise RejectedError(
+            f"keepers: {len(added)} come and {len(removed)} go; one at a time may be replaced, or two added"
+        )
+    if not new:
+        raise RejectedError("keepers: none")
+
+
+def _summary(changes: tuple[Change, ...]) -> tuple[str, str]:
     """The reason and the author that an entry with these changes shows."""
     if len(changes) == 1:
         return changes[0].reason, changes[0].author
     return f"{len(changes)} changes", ""
 
 
-def _entry(
+def _next_policy(
     old: Policy | None,
     state: ResourceState,
     changes: Iterable[Change],
     reason: str,
     author: str,
-    keepers: tuple[str, ...],
+    voters: tuple[str, ...],
 ) -> tuple[Policy, ResourceState]:
+    """The policy with these changes after `old` (None: the first one), and the resources after it."""
     try:
         assembled = assemble(state, changes)
-    except ChangeRefused as error:
+    except ChangeRejectedError as error:
         raise RejectedError(str(error)) from None
-    if assembled.refused:
-        raise RejectedError("; ".join(str(error) for _, error in assembled.refused))
+    if assembled.rejected:
+        raise RejectedError("; ".join(str(error) for _, error in assembled.rejected))
     batch = assembled.batch
     policy = Policy(
-        batch.revision,
-        old.digest if old is not None else b"",
-        batch.before,
-        batch.after,
-        _content(batch.changes),
-        reason,
-        author,
-        keepers,
-        batch.changes,
+        version=batch.revision,
+        parent=old.digest if old is not None else b"",
+        before=batch.before,
+        after=batch.after,
+        changes_digest=_digest_of_changes(batch.changes),
+        reason=reason,
+        author=author,
+        voters=voters,
+        changes=batch.changes,
     )
-    return _checked(policy), assembled.state
+    return _validated(policy), assembled.state
+
 
+FIRST_POLICY = first_policy()
 
-FIRST = first()
 
+def decode_policy(data: bytes) -> Policy:
+    """A policy from its MessagePack form.
 
-def parse(data: bytes) -> Policy:
-    """A policy from its MessagePack form; RejectedError: it is none."""
+    Raises
+    ------
+    RejectedError
+        The bytes are none, or a field is out of bounds.
+    """
     if len(data) > MAX_ENTRY_BYTES:
         raise RejectedError(f"no policy: {len(data)} bytes, {MAX_ENTRY_BYTES} at most")
     try:
-        return _checked(msgspec.msgpack.decode(data, type=Policy))
+        return _validated(msgspec.msgpack.decode(data, type=Policy))
     except (msgspec.DecodeError, RecursionError) as error:
         raise RejectedError(f"no policy: {error}") from None
--- /dev/null
+++ b/hollybay/consensus/policy_requests.py
@@ -0,0 +1,168 @@
+"""Operators' requests that change a policy as a whole (a file, other voters, an earlier state), and drops."""
+
+from __future__ import annotations
+
+import asyncio
+
+from hollybay.resources.model import Operation
+from hollybay.resources.state import ResourceState
+
+from . import messages
+from .announcer import announcement
+from .background_tasks import BackgroundTasks
+from .change_builder import drain_operations, proposed_change
+from .coordinator import ChangeCoordinator
+from .core import EpochState, Stage
+from .durable_acceptor import DurableAcceptor
+from .environment import Environment
+from .interfaces import FileRead, Response
+from .log_entry import Entry
+from .log_replica import LogReplica
+from .outgoing_requests import PeerClient
+from .policy import Policy, RejectedError, successor_policy
+from .replies import ACCEPTED, UNPROCESSABLE, ok, refused_for
+from .request_content import RequestContent
+from .requests import UnreachableError
+from .serviceability import Serviceability
+from .voter import Voter
+
+__all__ = ["PolicyRequests"]
+
+
+class PolicyRequests:
+    """Answers these requests at a voter."""
+
+    def __init__(
+        self,
+        environment: Environment,
+        replica: LogReplica,
+        peers: PeerClient,
+        tasks: BackgroundTasks,
+        voter: Voter,
+        serviceability: Serviceability,
+        coordinator: ChangeCoordinator,
+        content: RequestContent,
+    ) -> None:
+        self.environment = environment
+        self.replica = replica
+        self.peers = peers
+        self.tasks = tasks
+        self.voter = voter
+        self.serviceability = serviceability
+        self.coordinator = coordinator
+        self.content = content
+
+    # Proposals
+
+    async def on_propose(self, call: messages.ProposeCall) -> Response:
+        """Propose the next policy, once it holds here; from then on the voters bring it to its end."""
+        acceptor = self.voter.require_acceptor()
+        if acceptor.state is None:
+            raise RejectedError("this keeper knows nothing yet; `hollybay policy found` begins an accord")
+        await self.voter.catch_up()
+        state = acceptor.state.decided
+        base = self.replica.base(state)
+        policy = await self._next_policy(call, base)
+        if state.stage is not Stage.SETTLED:
+            if state.new == policy.name:  # requested again, by one who does not know what became of it
+                return ok(messages.ProposeReply(policy.name, state.epoch), ACCEPTED)
+            raise RejectedError(f"{state.new} is under way; `status` ends it, `drop` gives it up")
+        other = self.coordinator.other_pending(policy.name)
+        if other:
+            raise RejectedError(f"{other} is about to begin")
+        await self._add_voters(acceptor, state, base.policy, policy)
+        problems = await self.serviceability.prepare(await self.replica.store(policy))
+        if problems:
+            return refused_for(UNPROCESSABLE, f"{policy.name} does not hold here", problems)
+        if acceptor.state.decided != state or self.coordinator.other_pending(policy.name):
+            raise RejectedError("another change came first")
+        self._begin(policy, state.epoch + 1)
+        return ok(messages.ProposeReply(policy.name, state.epoch + 1), ACCEPTED)
+
+    def _begin(self, policy: Policy, epoch: int) -> None:
+        self.coordinator.begin(policy, epoch)
+        self.coordinator.refused.pop(policy.name, None)
+        self.environment.data_plane.say(
+            "proposed", change=policy.name, reason=policy.reason, author=policy.author
+        )
+        self.coordinator.wake()
+
+    async def _next_policy(self, call: messages.ProposeCall, base: Entry) -> Policy:
+        """The policy that a request proposes on the one in force."""
+        old, resources = base.policy, base.state
+        assert resources is not None
+        parent = bytes.fromhex(call.parent)
+        if parent != old.digest:
+            raise RejectedError(f"parent: made on {parent.hex()[:12] or 'nothing'}, in force is {old.name}")
+        wanted = await self._wanted(call, resources)
+        voters = _voters(call.voters, wanted.voters)
+        change = proposed_change(resources, wanted.operations, call.reason, call.author, parent)
+        changes = (change,) if wanted.operations else ()
+        policy, _ = successor_policy(old, resources, changes, voters, call.reason, call.author)
+        return policy
+
+    async def _wanted(self, call: messages.ProposeCall, state: ResourceState) -> FileRead:
+        """The operations that a request asks for, and the voters that its file names."""
+        operations: tuple[Operation, ...] = ()
+        voters = None
+        if call.like_policy:
+            operations = await self.content.operations_to_match(state, call.like_policy)
+        elif call.file is not None or call.upload:
+            read = await self.content.read_file(call.file or "", call.upload, state)
+            operations, voters = read.operations, read.voters
+        if call.servers_out is not None:
+            operations += drain_operations(state, call.servers_out)
+        return FileRead(operations, voters)
+
+    async def _add_voters(
+        self, acceptor: DurableAcceptor, state: EpochState, old: Policy, new: Policy
+    ) -> None:
+        """Let each new voter learn all before the policy that names it is proposed."""
+        added = [address for address in new.voters if address not in old.voters]
+        member_addresses = {member.address for member in acceptor.reports.members.values()}
+        missing = [address for address in added if address not in member_addresses]
+        if missing:
+            raise RejectedError(f"keepers: {', '.join(missing)} is no node that holds a lease here")
+        for address in added:
+            try:
+                await self.peers.call(address, "join", announcement(state, self.replica.own_address))
+            except UnreachableError as error:
+                raise RejectedError(f"keepers: {address}: {error}") from None
+
+    # Drops
+
+    async def on_drop(self, call: messages.DropCall) -> Response:
+        """Give a change up, unless it is decided already."""
+        acceptor = self.voter.require_acceptor()
+        if acceptor.state is None:
+            raise RejectedError("this keeper knows nothing yet")
+        # One that is about to begin does begin, and is then dropped: so all voters know what became of it.
+        is_pending = self.coordinator.is_pending(call.change)
+        state = acceptor.state.decided
+        if state.new != call.change and not is_pending and not call.forwarded:
+            raise RejectedError(f"{call.change or 'nothing'} is not under way; {state.policy} is in force")
+        self.coordinator.dropping.add(call.change)
+        if not call.forwarded:
+            self.tasks.spawn(self._forward_drop(call.change, state))
+        self.coordinator.wake()
+        return Response(ACCEPTED, b"{}")
+
+    async def _forward_drop(self, change: str, state: EpochState) -> None:
+        """Tell the other voters to give a change up; the one that coordinates it does.
+
+        Where one of them is not reached, which may be that one, this process coordinates. If all did, each
+        would supersede the promises made to the others.
+        """
+        body = messages.encode(messages.DropCall(change, True))
+        reached = await asyncio.gather(
+            *(self.peers.reaches(address, "drop", body) for address in self.replica.other_voters(state))
+        )
+        if not all(reached) and change in self.coordinator.dropping:
+            self.coordinator.take_over(change)
+
+
+def _voters(requested: list[str] | None, named_in_file: list[str] | None) -> list[str] | None:
+    """The voters that a request names, by itself or in its file; None: as they are."""
+    if requested is not None and named_in_file is not None and set(requested) != set(named_in_file):
+        raise RejectedError("keepers: the file's [accord] names others")
+    return requested if requested is not None else named_in_file
--- /dev/null
+++ b/hollybay/consensus/proposal_outcomes.py
@@ -0,0 +1,153 @@
+"""Answers of a proposal queue: the reply to an offered change, and what became of a queued one.
+
+A rejection holds for the queue of one voter. A proposer that got no answer and offered the same change at
+another voter too has been rejected only once all of these voters say so: see `combined_outcome`.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+from dataclasses import dataclass
+
+from hollybay.resources.model import Problem
+
+__all__ = [
+    "AlreadyDecided",
+    "AlreadyQueued",
+    "Busy",
+    "InForce",
+    "OfferReply",
+    "Outcome",
+    "Pending",
+    "Queued",
+    "Rejected",
+    "RejectedNow",
+    "UnderWay",
+    "Unknown",
+    "combined_outcome",
+]
+
+
+# Replies to an offer
+
+
+@dataclass(frozen=True, slots=True)
+class Queued:
+    """The change was accepted and will be decided.
+
+    Parameters
+    ----------
+    position
+        As in `Pending`.
+    wait_ns
+        Estimated time until the change is decided.
+    """
+
+    position: int
+    wait_ns: int
+
+
+@dataclass(frozen=True, slots=True)
+class AlreadyQueued:
+    """The change was offered before and has not ended."""
+
+
+@dataclass(frozen=True, slots=True)
+class AlreadyDecided:
+    """The change was offered before and is in force since `revision`."""
+
+    revision: int
+
+
+@dataclass(frozen=True, slots=True)
+class RejectedNow:
+    """The change may not be applied, or was rejected before; nothing was queued."""
+
+    problems: tuple[Problem, ...]
+
+
+@dataclass(frozen=True, slots=True)
+class Busy:
+    """The queue is full or the estimated wait too long; nothing was queued.
+
+    Parameters
+    ----------
+    retry_after_ns
+        When the proposer may offer the change again.
+    """
+
+    retry_after_ns: int
+
+
+OfferReply = Queued | AlreadyQueued | AlreadyDecided | RejectedNow | Busy
+
+
+# Outcomes of a queued change
+
+
+@dataclass(frozen=True, slots=True)
+class Pending:
+    """The change waits for a batch.
+
+    Parameters
+    ----------
+    position
+        An upper bound of the number of changes before it.
+    wait_ns
+        Estimated time until the change is decided.
+    """
+
+    position: int
+    wait_ns: int
+
+
+@dataclass(frozen=True, slots=True)
+class UnderWay:
+    """The change is part of the batch in progress, which would make `revision`."""
+
+    revision: int
+
+
+@dataclass(frozen=True, slots=True)
+class InForce:
+    """The change was decided as part of `revision`. Final."""
+
+    revision: int
+
+
+@dataclass(frozen=True, slots=True)
+class Rejected:
+    """The change was not applied and this voter will not propose it. Final for the queue of this voter."""
+
+    problems: tuple[Problem, ...]
+
+
+@dataclass(frozen=True, slots=True)
+class Unknown:
+    """The change was not accepted here, or its outcome has expired."""
+
+
+Outcome = Pending | UnderWay | InForce | Rejected | Unknown
+
+
+def combined_outcome(outcomes: Iterable[Outcome]) -> Outcome:
+    """Combine the outcomes of one change at every voter at which it was ever offered.
+
+    Of each voter counts what it answered after the last offer: a change that was rejected may fit again (a
+    conflicting resource is deleted), and an offer whose reply was lost may have been accepted.
+
+    `InForce` at one voter is final. `Rejected` is final only where all voters rejected the change: a voter
+    that accepted it may still propose it, and one that restarted has forgotten what it accepted (`Unknown`)
+    while its last batch may still be decided. A proposer that gets `Unknown` offers the change again under
+    the same id.
+    """
+    known = list(outcomes)
+    for kind in (InForce, UnderWay, Pending, Unknown):
+        for outcome in known:
+            if isinstance(outcome, kind):
+                return outcome
+    problems: list[Problem] = []
+    for outcome in known:
+        if isinstance(outcome, Rejected):
+            problems += [problem for problem in outcome.problems if problem not in problems]
+    return Rejected(tuple(problems)) if known else Unknown()
--- a/hollybay/consensus/proposals.py
+++ b/hollybay/consensus/proposals.py
@@ -1,7 +1,6 @@
-"""The changes that were proposed to one keeper: its queue, the batch that it wants to be next, and what
-became of each.
+"""The changes that were proposed to one voter: their queue, the batch that it proposes, and their status.
 
-Pure but for the clock that it is given (ns): the service tells it what was decided, and asks it what to
+Pure except for the clock (ns) that it is given. The service reports what was decided and asks for what to
 propose.
 """
 
@@ -14,187 +13,243 @@
 from hollybay.resources.model import CHANGE_ID_BYTES, Change, Problem
 from hollybay.resources.state import EMPTY, ResourceState
 
-from . import messages
 from .core import EpochState, policies_named
 from .durable_acceptor import DurableAcceptor
-from .group_commit import InForce, Offered, Pending, ProposalQueue, UnderWay
-from .group_commit import Rejected as RejectedHere
+from .group_commit import ProposalQueue
 from .log import PolicyLog
+from .messages import MOST_REASONS, ChangeOutcome, ChangeReply
 from .policy import RejectedError, version_of
+from .proposal_outcomes import InForce, OfferReply, Outcome, Pending, Rejected, UnderWay
+from .queue_settings import MILLISECOND_NS, SECOND_NS
 
 __all__ = ["Proposals", "problems_of"]
 
-SECOND = 1_000_000_000
-# ns for which no change is taken by a keeper whose disk took none.
-FULL_FOR = 2 * SECOND
-GIVEN_UP = (Problem("change", "", "given up by an operator"),)
+# How long a voter accepts no change after its disk could not store an entry.
+STORAGE_RETRY_NS = 2 * SECOND_NS
+DROPPED_BY_OPERATOR = (Problem("change", "", "given up by an operator"),)
 
 
 def problems_of(reasons: Sequence[str]) -> tuple[Problem, ...]:
-    """Reasons of nodes as problems of a change."""
-    return tuple(Problem("change", "", reason) for reason in reasons[: messages.MOST_REASONS])
+    """Reasons that nodes gave, as problems of a change."""
+    return tuple(Problem("change", "", reason) for reason in reasons[:MOST_REASONS])
 
 
 @dataclass(slots=True)
-class _UnderWay:
-    """The batch that this keeper wants to be next. began: whether an epoch names its policy."""
+class _ActiveBatch:
+    """The batch that this voter proposes as the next entry.
+
+    Parameters
+    ----------
+    policy
+        The name of the entry.
+    has_begun
+        Whether an epoch names the entry.
+    """
 
     policy: str
     batch: Batch
-    began: bool = False
+    has_begun: bool = False
 
 
 class Proposals:
-    """See above. log: of the process; clock: ns."""
+    """The proposed changes of one voter; see the module.
+
+    Parameters
+    ----------
+    log
+        The replicated log of this process.
+    clock
+        The present time, ns.
+    """
 
     def __init__(self, log: PolicyLog, clock: Callable[[], int]) -> None:
         self.log = log
         self.clock = clock
         self.queue = ProposalQueue()
-        self._under_way: _UnderWay | None = None
-        self._full_until = 0
+        self._active: _ActiveBatch | None = None
+        self._storage_full_until = 0
 
     def __len__(self) -> int:
-        """How many changes wait or are under way."""
+        """How many changes are waiting or under way."""
         return len(self.queue)
 
     @property
-    def busy(self) -> bool:
-        """Whether a batch is under way."""
-        return self._under_way is not None
+    def has_active_batch(self) -> bool:
+        """Whether a batch of this voter is being decided."""
+        return self._active is not None
 
     @property
-    def full(self) -> bool:
-        """Whether no change is taken, as the disk took none a moment ago."""
-        return self.clock() < self._full_until
+    def is_storage_full(self) -> bool:
+        """Whether changes are rejected because the disk could not store an entry a moment ago."""
+        return self.clock() < self._storage_full_until
 
-    def holds(self, policy: str) -> bool:
-        """Whether this is the policy of the batch that is under way."""
-        return self._under_way is not None and self._under_way.policy == policy
+    def is_proposing(self, policy: str) -> bool:
+        """Whether this is the entry of the active batch."""
+        return self._active is not None and self._active.policy == policy
 
-    def offer(self, change: Change, state: ResourceState) -> Offered:
-        """A change is proposed; state: the newest that this keeper knows."""
+    def offer(self, change: Change, state: ResourceState) -> OfferReply:
+        """Queue a proposed change, or say why not; state: the newest that this voter knows."""
         return self.queue.offer(change, state, self.clock())
 
-    # What goes on
+    # Batches
 
-    def next_take_ns(self) -> int | None:
-        """In how many ns there may be a batch; None: not before something else happens."""
-        return self.queue.next_take_ns(self.clock())
+    def next_batch_delay_ns(self) -> int | None:
+        """Time until there may be a batch; None: not before another event."""
+        return self.queue.next_batch_delay_ns(self.clock())
 
-    def take(self, state: ResourceState) -> Batch | None:
-        """The next batch, on what is in force; None: there is none now."""
-        assembled = self.queue.take(state, self.clock())
+    def next_batch(self, state: ResourceState) -> Batch | None:
+        """Form the next batch on the state in force; None: there is none now."""
+        assembled = self.queue.next_batch(state, self.clock())
         return assembled.batch if assembled is not None else None
 
-    def propose(self, policy: str, batch: Batch) -> None:
-        """The batch is proposed, as this policy."""
-        self._under_way = _UnderWay(policy, batch)
+    def batch_proposed(self, policy: str, batch: Batch) -> None:
+        """The batch is proposed as the entry of this name."""
+        self._active = _ActiveBatch(policy, batch)
 
-    def cannot_store(self) -> None:
-        """The disk takes no entry. Other keepers may have room: who asks hears that nothing is known here."""
+    def storage_failed(self) -> None:
+        """The disk cannot store an entry: forget the queue, so that proposers turn to other voters."""
         self.queue = ProposalQueue()
-        self._full_until = self.clock() + FULL_FOR
+        self._storage_full_until = self.clock() + STORAGE_RETRY_NS
 
-    def refuse(
+    def reject_batch(
         self, batch: Batch, named_changes: Mapping[str, Sequence[str]], reasons: Sequence[str]
     ) -> None:
-        """The batch cannot be served: the changes that were named are refused, the others wait again."""
-        by_id = {bytes.fromhex(change): problems_of(texts) for change, texts in named_changes.items()}
-        self.queue.dropped(batch, by_id, self.clock(), problems_of(reasons))
-
-    def lost(self, batch: Batch, policy: str) -> None:
-        """Another policy than that of the batch is in force, or goes on: the batch waits again."""
-        after = self.log.state(policy)
-        self.queue.lost(batch, after if after is not None else EMPTY, self.clock())
-
-    def begun(self, state: EpochState) -> None:
-        """An epoch names a policy that is to come: that of the batch, or another one that came before it."""
-        under_way = self._under_way
-        if under_way is None:
+        """The batch cannot be served: the changes that were named are rejected, the others wait again.
+
+        Parameters
+        ----------
+        named_changes
+            Why each change cannot be served, by its id in hex.
+        reasons
+            What nodes reported without naming a change.
+        """
+        by_id = {bytes.fromhex(change_id): problems_of(texts) for change_id, texts in named_changes.items()}
+        self.queue.batch_dropped(batch, by_id, self.clock(), problems_of(reasons))
+
+    def batch_superseded(self, batch: Batch, policy: str) -> None:
+        """Another entry than that of the batch is in force or under way: the batch waits again."""
+        state = self.log.state(policy)
+        self.queue.batch_superseded(batch, state if state is not None else EMPTY, self.clock())
+
+    # Epochs
+
+    def epoch_begun(self, state: EpochState) -> None:
+        """An epoch names a new entry: that of the active batch, or another one that came first."""
+        active = self._active
+        if active is None:
             return
-        if state.new == under_way.policy:
-            under_way.began = True
+        if state.new == active.policy:
+            active.has_begun = True
             return
-        self._under_way = None
-        self.lost(under_way.batch, state.policy)
-
-    def settled(self, keeping: DurableAcceptor, state: EpochState, given_up: Set[str]) -> None:
-        """An epoch has settled: the batch has come to its end, one way or another."""
-        under_way = self._under_way
-        if under_way is None:
+        self._active = None
+        self.batch_superseded(active.batch, state.policy)
+
+    def epoch_settled(self, acceptor: DurableAcceptor, state: EpochState, dropped: Set[str]) -> None:
+        """An epoch has settled: the active batch was decided, superseded or dropped.
+
+        Parameters
+        ----------
+        dropped
+            The entries that an operator asked to drop.
+        """
+        active = self._active
+        if active is None:
             return
-        self._under_way = None
-        batch = under_way.batch
-        if state.policy == under_way.policy:
-            self.queue.decided(batch, self.clock())
-        elif not under_way.began or version_of(state.policy) >= batch.revision:
-            self.lost(batch, state.policy)
-        elif under_way.policy in given_up:
-            self.queue.dropped(batch, {change.id: GIVEN_UP for change in batch.changes}, self.clock())
+        self._active = None
+        batch = active.batch
+        if state.policy == active.policy:
+            self.queue.batch_decided(batch, self.clock())
+        elif not active.has_begun or version_of(state.policy) >= batch.revision:
+            self.batch_superseded(batch, state.policy)
+        elif active.policy in dropped:
+            reasons = {change.id: DROPPED_BY_OPERATOR for change in batch.changes}
+            self.queue.batch_dropped(batch, reasons, self.clock())
         else:
-            self._dropped(keeping, under_way.policy, batch)
-
-    def _dropped(self, keeping: DurableAcceptor, name: str, batch: Batch) -> None:
-        """Nodes could not serve a batch: only the changes that they named are refused, if they named any."""
-        named_changes = keeping.culprits.get(name, {})
-        whole = keeping.whole.get(name)
-        if whole is not None:
-            named_changes = {change.id.hex(): whole for change in batch.changes}
-        refusals = keeping.refusals.get(name, {})
+            self._unserved(acceptor, active.policy, batch)
+
+    def _unserved(self, acceptor: DurableAcceptor, name: str, batch: Batch) -> None:
+        """Reject the changes of a batch that nodes named; all, where a node can serve no new policy."""
+        named_changes = acceptor.reports.culprits.get(name, {})
+        reasons_for_all = acceptor.reports.cannot_serve_any.get(name)
+        if reasons_for_all is not None:
+            named_changes = {change.id.hex(): reasons_for_all for change in batch.changes}
+        refusals = acceptor.reports.refusals.get(name, {})
         reasons = [f"{node}: {reason}" for node, texts in refusals.items() for reason in texts]
-        self.refuse(batch, named_changes, reasons)
+        self.reject_batch(batch, named_changes, reasons)
+
+    # Status of a change
 
-    # What became of a change
+    def change_status(self, change: str, acceptor: DurableAcceptor) -> ChangeReply:
+        """What became of one change, as far as this voter knows.
 
-    def became_of(self, change: str, keeping: DurableAcceptor) -> messages.ChangeReply:
-        """What became of one change, as far as this keeper knows. RejectedError: it is no id."""
-        try:
-            change_id = bytes.fromhex(change)
-        except ValueError:
-            raise RejectedError(f"change: {change[:40]!r} is no id") from None
-        if len(change_id) != CHANGE_ID_BYTES or keeping.keeper is None:
+        Parameters
+        ----------
+        change
+            The id of the change in hex.
+
+        Raises
+        ------
+        RejectedError
+            It is not an id, or this voter knows nothing yet.
+        """
+        change_id = _parse_change_id(change)
+        if len(change_id) != CHANGE_ID_BYTES or acceptor.state is None:
             raise RejectedError(f"change: {change[:40]!r} is no id, or this keeper knows nothing yet")
-        state = keeping.keeper.decided
-        # What is decided says it, whatever this keeper had to do with it.
-        for name in policies_named(state):
+        decided = acceptor.state.decided
+        reply = self._decided_status(change, change_id, acceptor, decided)
+        if reply is not None:
+            return reply
+        outcome = self.queue.outcome(change_id, self.clock())
+        if isinstance(outcome, InForce):
+            return self._in_force(acceptor, decided, change, outcome.revision)
+        return _queue_status(change, outcome)
+
+    def _decided_status(
+        self, change: str, change_id: bytes, acceptor: DurableAcceptor, decided: EpochState
+    ) -> ChangeReply | None:
+        """The status of a change by what is decided, whichever voter proposed it; None: no epoch has it."""
+        for name in policies_named(decided):
             resources = self.log.state(name)
             revision = resources.revision_of(change_id) if resources is not None else None
             if revision is None:
                 continue
-            if name == state.new:
-                return messages.ChangeReply(change, messages.ChangeOutcome.UNDER_WAY, name, state.epoch)
-            return self._in_force(keeping, state, change, revision)
-        outcome = self.queue.outcome(change_id, self.clock())
-        if isinstance(outcome, InForce):
-            return self._in_force(keeping, state, change, outcome.revision)
-        if isinstance(outcome, RejectedHere):
-            return messages.ChangeReply(
-                change, messages.ChangeOutcome.REFUSED, problems=list(outcome.problems)
-            )
-        if isinstance(outcome, Pending):
-            return messages.ChangeReply(
-                change, messages.ChangeOutcome.QUEUED, wait_ms=outcome.wait_ns // 1_000_000
-            )
-        if isinstance(outcome, UnderWay):
-            return messages.ChangeReply(
-                change, messages.ChangeOutcome.QUEUED
-            )  # no epoch names it yet, as far as is known
-        return messages.ChangeReply(change, messages.ChangeOutcome.UNKNOWN)
+            if name == decided.new:
+                return ChangeReply(change, ChangeOutcome.UNDER_WAY, name, decided.epoch)
+            return self._in_force(acceptor, decided, change, revision)
+        return None
 
     def _in_force(
-        self, keeping: DurableAcceptor, decided: EpochState, change: str, revision: int
-    ) -> messages.ChangeReply:
-        """A change of this revision, and an epoch since which it is in force, or a later one."""
-        since = [one.state.epoch for one in keeping.history if version_of(one.state.policy) >= revision]
-        name = self._at_version(decided.policy, revision)
-        return messages.ChangeReply(
-            change, messages.ChangeOutcome.IN_FORCE, name, min(since, default=decided.epoch)
-        )
-
-    def _at_version(self, name: str, version: int) -> str:
-        """The name of the entry of a version, on the chain that ends with a policy; empty: it is let go."""
-        policy = self.log.get(name)
+        self, acceptor: DurableAcceptor, decided: EpochState, change: str, revision: int
+    ) -> ChangeReply:
+        """The status of a change of a revision, with an epoch since which it is in force, or a later one."""
+        epochs = [
+            entry.state.epoch for entry in acceptor.history if version_of(entry.state.policy) >= revision
+        ]
+        name = self._name_at_version(decided.policy, revision)
+        return ChangeReply(change, ChangeOutcome.IN_FORCE, name, min(epochs, default=decided.epoch))
+
+    def _name_at_version(self, name: str, version: int) -> str:
+        """The name of the entry of a version on the chain that ends with `name`; empty if it was pruned."""
+        policy = self.log.policy(name)
         while policy is not None and policy.version > version:
-            policy = self.log.get(policy.parent_name)
+            policy = self.log.policy(policy.parent_name)
         return policy.name if policy is not None and policy.version == version else ""
+
+
+def _parse_change_id(text: str) -> bytes:
+    try:
+        return bytes.fromhex(text)
+    except ValueError:
+        raise RejectedError(f"change: {text[:40]!r} is no id") from None
+
+
+def _queue_status(change: str, outcome: Outcome) -> ChangeReply:
+    """The status of a change that is not in force, by its outcome in the queue."""
+    if isinstance(outcome, Rejected):
+        return ChangeReply(change, ChangeOutcome.REFUSED, problems=list(outcome.problems))
+    if isinstance(outcome, Pending):
+        return ChangeReply(change, ChangeOutcome.QUEUED, wait_ms=outcome.wait_ns // MILLISECOND_NS)
+    if isinstance(outcome, UnderWay):
+        # As far as this voter knows no epoch names it yet.
+        return ChangeReply(change, ChangeOutcome.QUEUED)
+    return ChangeReply(change, ChangeOutcome.UNKNOWN)
--- /dev/null
+++ b/hollybay/consensus/queries.py
@@ -0,0 +1,120 @@
+"""GET requests: the log's entries, the history of epochs, what became of a change, and differences."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from . import messages
+from .change_builder import format_operations, operations_to_match
+from .environment import Environment, run_on_disk
+from .interfaces import Response
+from .log import LogTruncatedError
+from .log_entry import is_name
+from .log_fetch import LOG_TRUNCATED_STATUS
+from .log_replica import LogReplica
+from .log_server import LogServer
+from .messages import stage_label
+from .proposals import Proposals
+from .replies import NOT_FOUND, OK, ok, refused
+from .voter import Voter
+
+__all__ = ["Queries"]
+
+PIECEWISE_KINDS = frozenset({"since", "snapshot", "draft"})
+
+
+class Queries:
+    """Answers requests that change nothing.
+
+    Parameters
+    ----------
+    environment : Environment
+    replica : LogReplica
+    voter : Voter
+    proposals : Proposals
+    log_server : LogServer
+    status : callable
+        Gives the status of this process.
+    """
+
+    def __init__(
+        self,
+        environment: Environment,
+        replica: LogReplica,
+        voter: Voter,
+        proposals: Proposals,
+        log_server: LogServer,
+        status: Callable[[], dict[str, object]],
+    ) -> None:
+        self.environment = environment
+        self.replica = replica
+        self.log = replica.log
+        self.voter = voter
+        self.proposals = proposals
+        self.log_server = log_server
+        self.status = status
+
+    async def answer(self, path: str) -> Response:
+        """Answer one of these requests, by its path."""
+        if path == "":
+            return ok(self.status())
+        if path == "tell":
+            return self.voter.knowledge()
+        if path == "history":
+            return self._history()
+        kind, _, name = path.partition("/")
+        if kind == "entry" and is_name(name):
+            return self._entry(name)
+        if kind == "change":
+            return ok(self.proposals.change_status(name, self.voter.require_acceptor()))
+        if kind == "diff":
+            return await self._difference(name)
+        if kind in PIECEWISE_KINDS:
+            return await self._piece(path)
+        return refused(NOT_FOUND, "no such call")
+
+    def _entry(self, name: str) -> Response:
+        policy = self.log.policy(name)
+        if policy is None:
+            return refused(NOT_FOUND, f"no policy {name} here")
+        return Response(OK, messages.packed(policy).encode())
+
+    async def _piece(self, path: str) -> Response:
+        try:
+            piece = await self.log_server.chunk(path)
+        except LogTruncatedError as error:
+            return refused(LOG_TRUNCATED_STATUS, str(error))
+        return ok(piece) if piece is not None else refused(NOT_FOUND, "no such call")
+
+    async def _difference(self, names: str) -> Response:
+        """How two policies differ (diff/NAME/NAME), as lines for people."""
+        old_name, _, new_name = names.partition("/")
+        before, after = self.log.state(old_name), self.log.state(new_name)
+        old, new = self.log.policy(old_name), self.log.policy(new_name)
+        if before is None or after is None or old is None or new is None:
+            return refused(NOT_FOUND, f"not both of {old_name} and {new_name} are kept here")
+        lines = await run_on_disk(
+            self.environment.disk, lambda: format_operations(before, operations_to_match(before, after))
+        )
+        removed = [f"-keeper {address}" for address in old.voters if address not in new.voters]
+        added = [f"+keeper {address}" for address in new.voters if address not in old.voters]
+        return ok([*lines, *removed, *added])
+
+    def _history(self) -> Response:
+        acceptor = self.voter.acceptor
+        entries = acceptor.history if acceptor is not None else []
+        return ok([self._history_line(entry) for entry in entries])
+
+    def _history_line(self, entry: messages.HistoryEntry) -> dict[str, object]:
+        state = entry.state
+        line: dict[str, object] = {
+            "epoch": state.epoch,
+            "stage": stage_label(state.stage),
+            "policy": state.policy,
+            "new": state.new,
+            "at": entry.learned_at,
+        }
+        policy = self.log.policy(state.new or state.policy)
+        if policy is not None:
+            line |= {"reason": policy.reason, "author": policy.author}
+        return line
--- a/hollybay/consensus/record.py
+++ b/hollybay/consensus/record.py
@@ -1,4 +1,4 @@
-"""What was said, as bytes that tell whether they are whole: magic, form, count, length, checksum.
+"""A record as bytes that tell whether they are whole: magic, form, count, length, checksum.
 
 Pure. A record that is torn, another program's or of a newer build is told apart from data, and each from the
 others, so that a node that must not vote says why.
--- /dev/null
+++ b/hollybay/consensus/replies.py
@@ -0,0 +1,69 @@
+"""Responses to requests, by what they say."""
+
+from __future__ import annotations
+
+from collections.abc import Awaitable
+
+from hollybay.resources.model import ChangeRejectedError
+
+from . import messages
+from .interfaces import InvalidFileError, Response
+from .policy import RejectedError
+from .store import StoreError
+
+__all__ = [
+    "ACCEPTED",
+    "CONFLICT",
+    "NOT_FOUND",
+    "UNPROCESSABLE",
+    "answered",
+    "busy",
+    "ok",
+    "refused",
+    "refused_for",
+]
+
+OK = 200
+ACCEPTED = 202
+BAD_REQUEST = 400
+NOT_FOUND = 404
+CONFLICT = 409
+UNPROCESSABLE = 422
+UNAVAILABLE = 503
+INSUFFICIENT_STORAGE = 507
+# The requests of operators that ask for a change: a refusal is a conflict with what is in force.
+CHANGING_PATHS = frozenset({"found", "propose", "drop", "draft"})
+
+
+def ok(message: object, status: int = OK) -> Response:
+    """A response with a message."""
+    return Response(status, messages.encode(message))
+
+
+def refused(status: int, reason: str) -> Response:
+    """A response that refuses a request."""
+    return ok({"refused": reason}, status)
+
+
+def refused_for(status: int, reason: str, problems: object) -> Response:
+    """A response that refuses a request for a list of problems."""
+    return ok({"refused": reason, "problems": problems}, status)
+
+
+def busy(reason: str, seconds: float) -> Response:
+    """A response that asks to repeat the request after some seconds."""
+    return ok({"refused": reason, "retry_after_ms": max(1, int(1000 * seconds))}, UNAVAILABLE)
+
+
+async def answered(path: str, work: Awaitable[Response]) -> Response:
+    """The response to a request, also where it raised an error that the caller is told."""
+    try:
+        return await work
+    except InvalidFileError as error:
+        return refused_for(UNPROCESSABLE, "the file does not hold", error.problems)
+    except ChangeRejectedError as error:
+        return refused_for(CONFLICT, str(error), [str(problem) for problem in error.problems])
+    except RejectedError as error:
+        return refused(CONFLICT if path in CHANGING_PATHS else BAD_REQUEST, str(error))
+    except StoreError as error:
+        return refused(INSUFFICIENT_STORAGE, f"cannot be kept: {error}")
--- a/hollybay/consensus/requests.py
+++ b/hollybay/consensus/requests.py
@@ -20,21 +20,21 @@
 
 
 class Transport(Protocol):
-    """How a process calls another one at its door; UnreachableError: no answer within so many seconds."""
+    """How a process calls another one at its address; UnreachableError: no answer within so many seconds."""
 
-    def __call__(self, door: str, path: str, body: bytes | None, limit: float) -> Awaitable[bytes]: ...
+    def __call__(self, address: str, path: str, body: bytes | None, limit: float, /) -> Awaitable[bytes]: ...
 
 
 async def policy_from(
-    call: Callable[[str, str, bytes | None], Awaitable[bytes]], doors: Iterable[str], name: str
+    call: Callable[[str, str, bytes | None], Awaitable[bytes]], addresses: Iterable[str], name: str
 ) -> Policy | None:
-    """A policy by its name, without its changes, from the first of these doors that has it; None: nobody
-    does.
+    """A policy by its name, without its changes, from the first of these addresses that has it; None:
+    nobody does.
     """
-    for door in doors:
+    for address in addresses:
         try:
             return messages.unpacked(
-                (await call(door, f"entry/{name}", None)).decode("ascii", "replace"), name
+                (await call(address, f"entry/{name}", None)).decode("ascii", "replace"), name
             )
         except (UnreachableError, RejectedError):
             continue
--- /dev/null
+++ b/hollybay/consensus/serviceability.py
@@ -0,0 +1,102 @@
+"""Which policies this node cannot serve, and why."""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Mapping, Sequence
+from dataclasses import dataclass, field
+
+from . import messages
+from .interfaces import DataPlane
+from .log_entry import Entry
+from .log_replica import LogReplica
+
+__all__ = ["Serviceability", "Unserviceable", "bounded_reasons"]
+
+MAX_UNSERVICEABLE_KEPT = 64  # policies whose reasons are kept
+MAX_REASON_LENGTH = 400  # characters
+
+
+@dataclass(frozen=True, slots=True)
+class Unserviceable:
+    """Why a node cannot serve a policy.
+
+    Attributes
+    ----------
+    reasons : list of str
+    culprits : mapping
+        The reasons by the ids of the changes at fault, as far as these are known.
+    whatever_it_holds : bool
+        Whether the node could serve no new policy now, whatever it holds.
+    """
+
+    reasons: list[str]
+    culprits: Mapping[str, list[str]] = field(default_factory=dict)
+    whatever_it_holds: bool = False
+
+
+def bounded_reasons(reasons: Sequence[str]) -> list[str]:
+    """Reasons within the bounds of a message."""
+    return [text[:MAX_REASON_LENGTH] for text in reasons[: messages.MOST_REASONS]]
+
+
+class Serviceability:
+    """Makes policies ready to be served, and notes those that cannot be.
+
+    Parameters
+    ----------
+    data_plane : DataPlane
+    replica : LogReplica
+    on_marked, on_cleared : callable
+        Take the name of a policy that cannot be served, and of one that may be again.
+    """
+
+    def __init__(
+        self,
+        data_plane: DataPlane,
+        replica: LogReplica,
+        on_marked: Callable[[str], None],
+        on_cleared: Callable[[str], None],
+    ) -> None:
+        self.data_plane = data_plane
+        self.replica = replica
+        self.unserviceable: dict[str, Unserviceable] = {}
+        self._on_marked = on_marked
+        self._on_cleared = on_cleared
+
+    async def prepare(self, entry: Entry) -> list[str]:
+        """Make a policy that is on disk ready to be served; the reasons why it cannot be, if any."""
+        name = entry.policy.name
+        known = self.unserviceable.get(name)
+        if known is not None:
+            return known.reasons
+        reasons = await self.data_plane.compile(entry)
+        if reasons:
+            reasons = bounded_reasons(reasons)
+            self.mark(name, Unserviceable(reasons, await self._culprits(entry, reasons)))
+        return reasons
+
+    def mark(self, name: str, why: Unserviceable) -> None:
+        """Note that a policy cannot be served."""
+        self.unserviceable[name] = why
+        self._on_marked(name)
+        while len(self.unserviceable) > MAX_UNSERVICEABLE_KEPT:
+            self.unserviceable.pop(next(iter(self.unserviceable)))
+
+    def clear(self, name: str) -> None:
+        """Forget that a policy cannot be served."""
+        self.unserviceable.pop(name, None)
+        self._on_cleared(name)
+
+    async def _culprits(self, entry: Entry, reasons: list[str]) -> dict[str, list[str]]:
+        """The changes of a batch by which it cannot be served; empty: they are not known."""
+        policy = await self.replica.read(entry.policy.name)
+        base = self.replica.log.entry(entry.policy.parent_name)
+        if policy is None or policy.changes is None or base is None or base.state is None:
+            return {}
+        if len(policy.changes) == 1:
+            return {policy.changes[0].id.hex(): reasons[: messages.MAX_CULPRIT_REASONS]}
+        found = await self.data_plane.culprits(base, policy.changes)
+        culprits = list(found.items())[: messages.MAX_CULPRITS]
+        return {
+            change.hex(): bounded_reasons(texts)[: messages.MAX_CULPRIT_REASONS] for change, texts in culprits
+        }
--- a/hollybay/consensus/status.py
+++ b/hollybay/consensus/status.py
@@ -1,7 +1,7 @@
-"""What a process of an accord tells people about itself: its lease and, where it is a keeper, the tier.
+"""The status of a member for people: its lease and, where it is a voter, what it knows of the group.
 
-The functions read what they are given and change nothing. They give maps that become the JSON of
-GET /-/policy; times in them are seconds.
+The functions read what they are given and change nothing. They return maps that become the JSON of
+GET /-/policy, whose keys are published (docs/OPERATORS-accord.md); times in them are seconds.
 """
 
 from __future__ import annotations
@@ -11,131 +11,181 @@
 
 import msgspec
 
-from .core import Leaseholder
+from .acceptor import Acceptor
 from .durable_acceptor import DurableAcceptor
 from .interfaces import MemberSettings
+from .leaseholder import Leaseholder
 from .log import PolicyLog
-from .messages import BlockingLease
+from .messages import BlockingLease, stage_label
 
 __all__ = ["ChangeProgress", "keeper_status", "members", "node_status"]
 
 SECOND = 1_000_000_000  # ns
+SECONDS_DIGITS = 3  # after the point
 
 
 @dataclass(frozen=True, slots=True)
 class ChangeProgress:
-    """How changes fare at a keeper.
-
-    queued: changes that wait for the next batch; pending: the policy that is about to begin, or ""; refused:
-    policies that never began, and why; driving: the policy that this keeper brings further, or ""; waits:
-    the nodes whose leases hold it up.
+    """The progress of changes at a voter.
+
+    Attributes
+    ----------
+    queued : int
+        Changes that wait for the next batch.
+    pending : str
+        The policy that is about to begin; empty: none.
+    refused : mapping
+        Policies that never began, and why.
+    coordinating : str
+        The policy that this voter coordinates; empty: none.
+    blocking_leases : sequence of BlockingLease
+        The leases that the next epoch waits for.
     """
 
     queued: int
     pending: str
     refused: Mapping[str, str]
-    driving: str
-    waits: Sequence[BlockingLease]
+    coordinating: str
+    blocking_leases: Sequence[BlockingLease]
 
 
 def node_status(
-    terms: MemberSettings,
-    node: Leaseholder,
+    settings: MemberSettings,
+    holder: Leaseholder,
     now: int,
     *,
     process: int,
-    keepers: Sequence[str],
-    unfit: Mapping[str, Sequence[str]],
+    voters: Sequence[str],
+    unserviceable: Mapping[str, Sequence[str]],
     refused_fetches: Mapping[str, str],
-    calls_in: int,
-    calls_out: int,
+    requests_in: int,
+    requests_out: int,
 ) -> dict[str, object]:
-    """What a node serves under and until when.
-
-    now: ns of the clock of its leases; keepers: those whose leases it needs; unfit: policies that it cannot
-    serve, and why; refused_fetches: keepers that did not give what it asked for, and why.
+    """What a node serves under, and until when.
+
+    Parameters
+    ----------
+    settings : MemberSettings
+    holder : Leaseholder
+    now : int
+        ns, of the clock of its leases.
+    process : int
+        The number of the process.
+    voters : sequence of str
+        The addresses of those whose leases it needs.
+    unserviceable : mapping
+        Policies that it cannot serve, and why.
+    refused_fetches : mapping
+        Addresses that did not give what was fetched from them, and why.
+    requests_in, requests_out : int
+        Requests that were received, and sent.
     """
-    at = node.at
-    strict = now < node.until
+    state = holder.effective_epoch
+    has_lease = now < holder.lease_end
+    policies = holder.policies_in_force(now)
+    end = holder.lease_end if has_lease else holder.grace_end
     return {
-        "name": terms.name,
-        "door": terms.door,
+        "name": settings.name,
+        "door": settings.address,
         "process": process,
-        "keepers": keepers,
-        "serves": list(node.serves(now)),
-        "epoch": at.epoch if at is not None else -1,
-        "stage": at.stage.name if at is not None else "",
-        "late": not strict and bool(node.serves(now)),
-        "left_s": round(max(0, (node.until if strict else node.late) - now) / SECOND, 3),
-        "unfit": unfit,
+        "keepers": voters,
+        "serves": list(policies),
+        "epoch": state.epoch if state is not None else -1,
+        "stage": stage_label(state.stage) if state is not None else "",
+        "late": not has_lease and bool(policies),
+        "left_s": _seconds_until(end, now),
+        "unfit": unserviceable,
         "refused_fetches": refused_fetches,
-        "calls_in": calls_in,
-        "calls_out": calls_out,
+        "calls_in": requests_in,
+        "calls_out": requests_out,
     }
 
 
 def keeper_status(
-    keeping: DurableAcceptor | None, log: PolicyLog, changes: ChangeProgress, late: int, now: int
+    acceptor: DurableAcceptor | None, log: PolicyLog, changes: ChangeProgress, grace: int, now: int
 ) -> dict[str, object]:
-    """What a keeper knows of the tier ("keeper"), or that it is none, or knows nothing yet and why.
-
-    late: ns that a node may serve on after its lease; now: ns of the clock of the leases.
+    """What a voter knows of the group ("keeper"), or that there is none, or that it knows nothing and why.
+
+    Parameters
+    ----------
+    acceptor : DurableAcceptor or None
+    log : PolicyLog
+    changes : ChangeProgress
+    grace : int
+        For how long a node may serve on after its lease, ns.
+    now : int
+        ns, of the clock of the leases.
     """
-    if keeping is None:
+    if acceptor is None:
         return {"keeper": None}
-    keeper = keeping.keeper
-    if keeper is None:
-        return {"keeper": None, "keeper_waits": keeping.failed or "it knows nothing yet"}
-    state = keeper.decided
-    entry = log.entry(state.policy)
+    if acceptor.state is None:
+        return {"keeper": None, "keeper_waits": acceptor.storage_failure or "it knows nothing yet"}
+    return {"keeper": _voter_status(acceptor, acceptor.state, log, changes, grace, now)}
+
+
+def _voter_status(
+    acceptor: DurableAcceptor,
+    state: Acceptor,
+    log: PolicyLog,
+    changes: ChangeProgress,
+    grace: int,
+    now: int,
+) -> dict[str, object]:
+    decided = state.decided
+    entry = log.entry(decided.policy)
     policy = entry.policy if entry is not None else None
     resources = entry.state if entry is not None else None
-    found: dict[str, object] = {
-        "epoch": state.epoch,
-        "stage": state.stage.name,
-        "policy": state.policy,
+    return {
+        "epoch": decided.epoch,
+        "stage": stage_label(decided.stage),
+        "policy": decided.policy,
         "digest": policy.digest.hex() if policy is not None else "",
-        "out": sorted(entry.out) if entry is not None else [],
+        "out": sorted(entry.drained_servers) if entry is not None else [],
         "resources": len(resources.resources) if resources is not None else 0,
         "resources_digest": resources.digest.hex() if resources is not None else "",
         "queued": changes.queued,
         "parent": policy.parent.hex() if policy is not None else "",
-        "board": list(policy.keepers) if policy is not None else [],
-        "older": [msgspec.to_builtins(one) for one in keeping.older(now)],
-        "new": state.new,
+        "board": list(policy.voters) if policy is not None else [],
+        "older": [msgspec.to_builtins(lease) for lease in acceptor.older_leases(now)],
+        "new": decided.new,
         "pending": changes.pending,
         "refused": changes.refused,
-        "reasons": keeping.refusals,
-        "driving": changes.driving,
-        "waits": [msgspec.to_builtins(one) for one in changes.waits],
-        "quiet_s": round(max(0, keeper.quiet - now) / SECOND, 3),
-        "late_s": late / SECOND,
-        "mute": keeper.mute,
-        "failed": keeping.failed,
-        "members": members(keeping, now),
+        "reasons": acceptor.reports.refusals,
+        "driving": changes.coordinating,
+        "waits": [msgspec.to_builtins(lease) for lease in changes.blocking_leases],
+        "quiet_s": _seconds_until(state.no_vote_before, now),
+        "late_s": grace / SECOND,
+        "mute": state.last_barred_epoch,
+        "failed": acceptor.storage_failure,
+        "members": members(acceptor, now),
     }
-    return {"keeper": found}
 
 
-def members(keeping: DurableAcceptor, now: int) -> list[dict[str, object]]:
-    """The nodes that a keeper has heard, by name; none where it knows nothing yet. now: ns."""
-    if keeping.keeper is None:
+def members(acceptor: DurableAcceptor, now: int) -> list[dict[str, object]]:
+    """The processes that request leases of a voter, by name; none where it knows nothing yet. now: ns."""
+    if acceptor.state is None:
         return []
-    until: dict[int, int] = {}
-    for one in keeping.keeper.leases:
-        until[one.node] = max(until.get(one.node, 0), one.until)
-    names = [member.name for member in keeping.members.values()]
+    lease_ends: dict[int, int] = {}
+    for lease in acceptor.state.leases:
+        lease_ends[lease.node] = max(lease_ends.get(lease.node, 0), lease.lease_end)
+    known = acceptor.reports.members
+    names = [member.name for member in known.values()]
     return [
         {
             "name": member.name,
-            "door": member.door,
+            "door": member.address,
             "process": process,
-            "epoch": member.serving,
-            "able": member.able,
-            "left_s": round(max(0, until.get(process, 0) - now) / SECOND, 3),
-            "heard_s": round((now - member.heard) / SECOND, 3),
-            # Two processes of one name: an upgrade, or a number that two claim.
-            "twice": names.count(member.name) > 1 and until.get(process, 0) > now,
+            "epoch": member.serving_epoch,
+            "able": member.can_serve_new,
+            "left_s": _seconds_until(lease_ends.get(process, 0), now),
+            "heard_s": round((now - member.last_contact) / SECOND, SECONDS_DIGITS),
+            # Two processes of one name: an upgrade, or a name that two have been given.
+            "twice": names.count(member.name) > 1 and lease_ends.get(process, 0) > now,
         }
-        for process, member in sorted(keeping.members.items(), key=lambda item: item[1].name)
+        for process, member in sorted(known.items(), key=lambda item: item[1].name)
     ]
+
+
+def _seconds_until(end: int, now: int) -> float:
+    """The time until a moment, both ns, in seconds; 0 once it has passed."""
+    return round(max(0, end - now) / SECOND, SECONDS_DIGITS)
--- a/hollybay/consensus/store.py
+++ b/hollybay/consensus/store.py
@@ -1,4 +1,4 @@
-"""A file of records on disk, in two generations: what a process has said is there before it is said.
+"""A file of records on disk, in two generations: whatever a process sends is on disk first.
 
 A record is written beside, flushed to the disk, and renamed over the older of two names; then the folder is
 flushed. So at any moment one whole record stands, and after a crash the newer of what is whole counts. What
@@ -17,11 +17,11 @@
 
 
 class StoreError(Exception):
-    """What was to be said is not on disk, or what is there must not be read; it must not be said."""
+    """The record is not on disk, or is damaged or of a newer build; nothing may be sent on it."""
 
 
 def flush_folder(path: Path) -> None:
-    """Bring the names in a folder to the disk. OSError: that failed."""
+    """Flush the names in a folder to the disk. Raises OSError where that failed."""
     handle = os.open(path, os.O_RDONLY)
     try:
         os.fsync(handle)
@@ -44,15 +44,15 @@
         self.data = b""
         self.newest = 1  # the generation that holds the last record; the other is written next
         self.aside: list[Path] = []
-        # A named generation is damaged by no crash, only by the disk: what was said last may be gone with it,
-        # and whoever votes must first learn from the others.
+        # No crash damages a generation in place, only the disk: the last record may be gone with it, and a
+        # voter must first recover from the others.
         self.doubtful = False
 
     def open(self) -> bytes | None:
         """The last whole record, None where there never was one.
 
         StoreError: the folder cannot be read, a record is of a newer build, or what was there is damaged in
-        both generations: then what this process said is not known, and it must learn before it says more.
+        both generations: then what this process sent is not known, and it must recover before it sends more.
         """
         found: list[tuple[int, int, bytes]] = []
         damaged = False
@@ -86,7 +86,7 @@
         self.aside.append(target)
 
     def put(self, data: bytes) -> None:
-        """Bring a record to the disk; once this returns it may be said. StoreError: it may not."""
+        """Write a record; once this returns it may be sent. Raises StoreError: it may not."""
         packed = pack(self.count + 1, data)
         older = 1 - self.newest
         try:
--- a/hollybay/consensus/transfer.py
+++ b/hollybay/consensus/transfer.py
@@ -1,7 +1,7 @@
-"""What is longer than one call goes in pieces: answers that are fetched, and calls that are uploaded.
+"""Transfers that are longer than one call: replies are downloaded, and calls uploaded, in chunks.
 
-Each piece but the last has exactly PIECE_BYTES, and the size of the whole stands in the first: so a transfer
-ends, within its bound, however the other side answers.
+Each chunk but the last has exactly PIECE_BYTES, and each states the total size: so a transfer ends within its
+bound however the other side answers.
 """
 
 from __future__ import annotations
@@ -10,118 +10,147 @@
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass, field
 
-from . import messages
+from .messages import PIECE_BYTES, Chunk, UploadCall, decode
 from .policy import RejectedError
 
-__all__ = ["MAX_UPLOADS", "MAX_UPLOAD_BYTES", "Uploads", "download", "piece_of", "pieces_up"]
+__all__ = ["MAX_UPLOADS", "MAX_UPLOAD_BYTES", "Uploads", "chunk_at", "download", "upload_calls"]
 
-# One upload: an operator file, or a change made of one, of the largest size that the tier is built for.
+# One upload: an operator file of the largest supported size, or a change made of one.
 MAX_UPLOAD_BYTES = 64 << 20
 MAX_UPLOADS = 2
-UPLOAD_IDLE = 60_000_000_000  # ns after which an upload that does not go on gives its place away
+# An upload without progress for so long is discarded.
+UPLOAD_IDLE_NS = 60_000_000_000
 
 
-def piece_of(name: str, whole: bytes, offset: int) -> messages.Chunk:
-    """One piece of an answer. RejectedError: it is not so long."""
-    if offset % messages.PIECE_BYTES or not 0 <= offset <= len(whole):
-        raise RejectedError(f"offset: {offset} of {len(whole)} bytes begins no piece")
-    data = whole[offset : offset + messages.PIECE_BYTES]
-    return messages.Chunk(name, len(whole), offset, base64.b64encode(data).decode())
+def chunk_at(name: str, data: bytes, offset: int) -> Chunk:
+    """The chunk of a reply at an offset. RejectedError: no chunk begins there."""
+    if offset % PIECE_BYTES or not 0 <= offset <= len(data):
+        raise RejectedError(f"offset: {offset} of {len(data)} bytes begins no piece")
+    part = data[offset : offset + PIECE_BYTES]
+    return Chunk(name, len(data), offset, base64.b64encode(part).decode())
 
 
-def _data_of(piece: messages.Chunk | messages.UploadCall, most: int) -> bytes:
-    """What a piece holds. RejectedError: the whole is too long, or the piece is not as long as it must be."""
-    if piece.total > most:
-        raise RejectedError(f"total: {piece.total} bytes, {most} at most")
+def _decoded_data(chunk: Chunk | UploadCall, max_bytes: int) -> bytes:
+    """The bytes of a chunk. RejectedError: the total is too large, or the chunk has another length."""
+    if chunk.total > max_bytes:
+        raise RejectedError(f"total: {chunk.total} bytes, {max_bytes} at most")
     try:
-        data = base64.b64decode(piece.data, validate=True)
+        data = base64.b64decode(chunk.data, validate=True)
     except ValueError as error:
         raise RejectedError(f"data: {error}") from None
-    wanted = min(messages.PIECE_BYTES, piece.total - piece.offset)
-    if len(data) != wanted:
-        raise RejectedError(f"data: {len(data)} bytes at {piece.offset} of {piece.total}, and not {wanted}")
+    expected = min(PIECE_BYTES, chunk.total - chunk.offset)
+    if len(data) != expected:
+        raise RejectedError(f"data: {len(data)} bytes at {chunk.offset} of {chunk.total}, and not {expected}")
     return data
 
 
 async def download(
-    call: Callable[[str], Awaitable[bytes]], path: str, again: Callable[[str], str], most: int
+    call: Callable[[str], Awaitable[bytes]], path: str, next_path: Callable[[str], str], max_bytes: int
 ) -> tuple[str, bytes]:
-    """Fetch an answer piece by piece; its name and the whole.
-
-    call: makes a call by its path; path: of the first piece; again: the path of the others, by the name that
-    the first gave; most: bytes. RejectedError: the answer is too long, or its pieces do not fit each other.
+    """Download a reply in chunks.
+
+    Parameters
+    ----------
+    call
+        Makes a call by its path.
+    path
+        Of the first chunk.
+    next_path
+        The path of the further chunks without their offset, by the name that the first one stated.
+    max_bytes
+        The longest permitted reply.
+
+    Returns
+    -------
+    tuple of str and bytes
+        The name that the reply states, and the whole of it.
+
+    Raises
+    ------
+    RejectedError
+        The reply is too long, or its chunks do not belong together.
     """
-    first = messages.decode(await call(path), messages.Chunk)
+    first = decode(await call(path), Chunk)
     if first.offset:
         raise RejectedError(f"offset: {first.offset} in the first piece")
-    pieces = [_data_of(first, most)]
-    offset = len(pieces[0])
+    parts = [_decoded_data(first, max_bytes)]
+    offset = len(parts[0])
     while offset < first.total:
-        piece = messages.decode(await call(f"{again(first.name)}/{offset}"), messages.Chunk)
-        if (piece.name, piece.total, piece.offset) != (first.name, first.total, offset):
+        chunk = decode(await call(f"{next_path(first.name)}/{offset}"), Chunk)
+        if (chunk.name, chunk.total, chunk.offset) != (first.name, first.total, offset):
             raise RejectedError(
-                f"offset: a piece at {piece.offset} of {piece.total} where {offset} was asked for"
+                f"offset: a piece at {chunk.offset} of {chunk.total} where {offset} was asked for"
             )
-        pieces.append(_data_of(piece, most))
-        offset += len(pieces[-1])
-    return first.name, b"".join(pieces)
+        parts.append(_decoded_data(chunk, max_bytes))
+        offset += len(parts[-1])
+    return first.name, b"".join(parts)
 
 
-def pieces_up(upload: str, whole: bytes) -> list[messages.UploadCall]:
-    """The calls by which something is uploaded under an id."""
-    return [
-        messages.UploadCall(upload, len(whole), piece.offset, piece.data)
-        for piece in (piece_of("", whole, at) for at in range(0, max(1, len(whole)), messages.PIECE_BYTES))
-    ]
+def upload_calls(upload_id: str, data: bytes) -> list[UploadCall]:
+    """The calls that upload data under an id."""
+    chunks = (chunk_at("", data, offset) for offset in range(0, max(1, len(data)), PIECE_BYTES))
+    return [UploadCall(upload_id, len(data), chunk.offset, chunk.data) for chunk in chunks]
 
 
 @dataclass(slots=True)
 class _Upload:
+    """An upload in progress. last_chunk_at: ns."""
+
     total: int
-    touched: int
-    pieces: list[bytes] = field(default_factory=list)
+    last_chunk_at: int
+    parts: list[bytes] = field(default_factory=list)
     size: int = 0
 
 
 class Uploads:
-    """What is being uploaded to this process; bounded in number, bytes and time (ns)."""
+    """The uploads to this process; bounded in number, size and time."""
 
     def __init__(self) -> None:
-        self._open: dict[str, _Upload] = {}
+        self._by_id: dict[str, _Upload] = {}
+
+    def add(self, chunk: UploadCall, now: int) -> None:
+        """Add a chunk; one that is repeated is ignored.
 
-    def take(self, piece: messages.UploadCall, now: int) -> None:
-        """One more piece; one that came before is passed over. RejectedError: it does not fit, or no room
-        is.
+        Parameters
+        ----------
+        now
+            The present time, ns.
+
+        Raises
+        ------
+        RejectedError
+            The chunk does not follow the others, or too many uploads are in progress.
         """
-        if not piece.id:
+        if not chunk.id:
             raise RejectedError("id: missing")
-        self._forget(now)
-        data = _data_of(piece, MAX_UPLOAD_BYTES)
-        upload = self._open.get(piece.id)
+        self._discard_idle(now)
+        data = _decoded_data(chunk, MAX_UPLOAD_BYTES)
+        upload = self._by_id.get(chunk.id)
         if upload is None:
-            if len(self._open) >= MAX_UPLOADS:
+            if len(self._by_id) >= MAX_UPLOADS:
                 raise RejectedError(f"{MAX_UPLOADS} uploads are under way; come again later")
-            upload = self._open[piece.id] = _Upload(piece.total, now)
-        if piece.total != upload.total or piece.offset > upload.size:
+            upload = self._by_id[chunk.id] = _Upload(chunk.total, now)
+        if chunk.total != upload.total or chunk.offset > upload.size:
             raise RejectedError(
-                f"offset: {piece.offset} of {piece.total}, and {upload.size} of {upload.total} are here"
+                f"offset: {chunk.offset} of {chunk.total}, and {upload.size} of {upload.total} are here"
             )
-        upload.touched = now
-        if piece.offset == upload.size:
-            upload.pieces.append(data)
+        upload.last_chunk_at = now
+        if chunk.offset == upload.size:
+            upload.parts.append(data)
             upload.size += len(data)
 
-    def whole(self, upload: str) -> bytes:
-        """What was uploaded; it may be asked for again for a while. RejectedError: it is not all here."""
-        found = self._open.get(upload)
-        if found is None or found.size < found.total:
-            raise RejectedError(f"upload: {upload} is not here, or not whole")
-        return b"".join(found.pieces)
-
-    def done(self, upload: str) -> None:
-        """Let an upload go."""
-        self._open.pop(upload, None)
-
-    def _forget(self, now: int) -> None:
-        for upload in [one for one, found in self._open.items() if now - found.touched > UPLOAD_IDLE]:
-            del self._open[upload]
+    def content(self, upload_id: str) -> bytes:
+        """What was uploaded; it stays until it is discarded. RejectedError: it is not complete."""
+        upload = self._by_id.get(upload_id)
+        if upload is None or upload.size < upload.total:
+            raise RejectedError(f"upload: {upload_id} is not here, or not whole")
+        return b"".join(upload.parts)
+
+    def discard(self, upload_id: str) -> None:
+        """Remove an upload."""
+        self._by_id.pop(upload_id, None)
+
+    def _discard_idle(self, now: int) -> None:
+        idle = [key for key, upload in self._by_id.items() if now - upload.last_chunk_at > UPLOAD_IDLE_NS]
+        for upload_id in idle:
+            del self._by_id[upload_id]
--- /dev/null
+++ b/hollybay/consensus/verdict.py
@@ -0,0 +1,147 @@
+"""What became of a change, judged from the epochs and leases that voters know. Pure.
+
+Nothing but decided epochs and leases counts, so that two operators never get different verdicts.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+from dataclasses import dataclass, field
+from enum import IntEnum
+
+from .cluster_view import ClusterView
+
+__all__ = ["ExitStatus", "InvalidInputError", "Verdict", "judge", "judge_settled"]
+
+NOT_BEGUN = "not begun"
+_SETTLED = "SETTLED"
+_NARROW = "NARROW"
+
+
+class ExitStatus(IntEnum):
+    """What became of a change, as an exit status of the command."""
+
+    IN_FORCE = 0  # at every node
+    NOWHERE = 1
+    BAD_INPUT = 2
+    UNKNOWN = 3  # not decided, or not known yet
+
+
+@dataclass(frozen=True, slots=True)
+class Verdict:
+    """What became of a change.
+
+    Parameters
+    ----------
+    status
+        Whether it is in force.
+    change
+        The name of its policy, or its id.
+    epoch
+        The epoch that it began with; 0: none is known.
+    text
+        Details for people.
+    reasons
+        Why nodes cannot serve it, by node.
+    """
+
+    status: ExitStatus
+    change: str = ""
+    epoch: int = 0
+    text: str = ""
+    reasons: dict[str, list[str]] = field(default_factory=dict)
+
+    @property
+    def code(self) -> int:
+        """The exit status as a number."""
+        return int(self.status)
+
+    @property
+    def is_final(self) -> bool:
+        """Whether it cannot change any more."""
+        return self.status is not ExitStatus.UNKNOWN
+
+
+class InvalidInputError(Exception):
+    """A voter rejected what an operator gave.
+
+    Parameters
+    ----------
+    status
+        The exit status.
+    reason
+        For people.
+    problems
+        What is wrong with the input.
+    """
+
+    def __init__(self, status: ExitStatus, reason: str, problems: Iterable[str] = ()) -> None:
+        super().__init__(reason)
+        self.status = status
+        self.problems = list(problems)
+
+    def verdict(self) -> Verdict:
+        """The verdict on a change that was never proposed."""
+        reasons = {"the keeper": self.problems} if self.problems else {}
+        return Verdict(self.status, text=str(self), reasons=reasons)
+
+
+def judge(view: ClusterView, change: str, epoch: int) -> Verdict:
+    """What became of a change that was to begin with an epoch, as far as it is decided."""
+    latest = view.latest
+    if latest is None:
+        return Verdict(ExitStatus.UNKNOWN, change, epoch, "no keeper answers")
+    first = view.epochs.get(epoch)
+    if first is not None and first.new != change:
+        return Verdict(ExitStatus.NOWHERE, change, epoch, f"another change came first: {first.new}")
+    if latest.epoch < epoch:
+        return Verdict(ExitStatus.UNKNOWN, change, epoch, NOT_BEGUN)
+    settled_policy = _settled_policy(view, epoch)
+    if settled_policy is None:
+        return Verdict(ExitStatus.UNKNOWN, change, epoch, "under way", view.reasons(change))
+    if settled_policy != change:
+        return Verdict(ExitStatus.NOWHERE, change, epoch, "dropped", view.reasons(change))
+    return judge_settled(view, change, epoch, epoch + 2)
+
+
+def _settled_policy(view: ClusterView, epoch: int) -> str | None:
+    """The policy that was in force after a change that began with an epoch; None: it is not known yet."""
+    for following in (epoch + 1, epoch + 2):
+        record = view.epochs.get(following)
+        if record is None or (record.stage == _NARROW and following == epoch + 1):
+            continue
+        return record.policy
+    return None
+
+
+def judge_settled(view: ClusterView, change: str, epoch: int, settled: int) -> Verdict:
+    """Whether a change is in force at every node.
+
+    Parameters
+    ----------
+    epoch
+        The epoch that it began with.
+    settled
+        The epoch that settled it.
+    """
+    latest = view.latest
+    # No voter votes for the epoch after it while a lease on an earlier one runs; a node in its grace period
+    # may be left.
+    has_grace = any(voter.grace_s for voter in view.voters.values())
+    if latest is not None and latest.epoch > settled and not has_grace:
+        text = "was in force everywhere, and a later change goes on or is in force"
+        return Verdict(ExitStatus.IN_FORCE, change, epoch, text)
+    voters = view.voters_by_policy.get(change, [])
+    # Voters that no longer grant leases on an earlier epoch, and whose earlier leases have ended.
+    confirming = [
+        address
+        for address, voter in view.voters.items()
+        if address in voters
+        and voter.epoch >= settled
+        and not voter.quiet_s
+        and not any(lease.epoch < settled for lease in voter.older_leases)
+    ]
+    if 2 * len(confirming) <= len(voters) or not voters:
+        text = "in force, and some nodes may serve under the one before yet"
+        return Verdict(ExitStatus.UNKNOWN, change, epoch, text)
+    return Verdict(ExitStatus.IN_FORCE, change, epoch, "in force everywhere")
--- /dev/null
+++ b/hollybay/consensus/voter_client.py
@@ -0,0 +1,222 @@
+"""Calls of an operator to the voters: their status, uploads, and calls that take long."""
+
+from __future__ import annotations
+
+import asyncio
+import base64
+from collections.abc import Awaitable, Callable, Iterable
+from dataclasses import dataclass
+from hashlib import blake2b
+from typing import Any, TypeVar
+
+import msgspec
+
+from .cluster_view import ClusterView, parse_history, parse_status
+from .messages import PIECE_BYTES, encode
+from .policy import Policy
+from .requests import UnreachableError, policy_from
+from .transfer import upload_calls
+from .verdict import ExitStatus, InvalidInputError
+
+__all__ = [
+    "MAX_INLINE_BYTES",
+    "POLL_INTERVAL_S",
+    "Call",
+    "FileArgument",
+    "VoterClient",
+    "invalid_input",
+    "problems_in",
+    "reason_in",
+    "retry_after_s",
+]
+
+# Time between two polls of what became of a change.
+POLL_INTERVAL_S = 0.05
+# How long a call that takes long is repeated.
+LONG_CALL_LIMIT_S = 300.0
+# How often in a row such a call may remain without an answer.
+MAX_SILENT_ATTEMPTS = 5
+# The longest time that a voter may tell an operator to wait.
+MAX_RETRY_AFTER_S = 60.0
+# A longer file or change is uploaded in chunks.
+MAX_INLINE_BYTES = PIECE_BYTES // 2
+UPLOAD_ID_BYTES = 16
+
+# HTTP statuses of voters.
+CONFLICT = 409
+UNPROCESSABLE = 422
+UNAVAILABLE = 503
+
+T = TypeVar("T")
+# Makes a call, by address, path and body.
+Call = Callable[[str, str, bytes | None], Awaitable[bytes]]
+
+
+@dataclass(frozen=True, slots=True)
+class FileArgument:
+    """A file in a call.
+
+    Parameters
+    ----------
+    text
+        Its bytes in base64; None: there is none, or it was uploaded.
+    upload
+        The id under which it was uploaded, or "".
+    """
+
+    text: str | None = None
+    upload: str = ""
+
+
+class VoterClient:
+    """Calls voters for an operator, who may lose any of them at any time.
+
+    Parameters
+    ----------
+    call
+        Makes a call, by address, path and body. UnreachableError: it had no answer, or one with an error.
+    addresses
+        Processes that are known at first.
+    on_update
+        Called with the view after each refresh.
+    """
+
+    def __init__(
+        self,
+        call: Call,
+        addresses: Iterable[str],
+        on_update: Callable[[ClusterView], None] = lambda view: None,
+    ) -> None:
+        self.call = call
+        self.addresses = list(dict.fromkeys(addresses))
+        self.on_update = on_update
+        self.view = ClusterView()
+
+    async def refresh(self) -> ClusterView:
+        """Poll all processes that are known, and the voters that they name."""
+        view = self.view
+        view.statuses = {}
+        view.documents = {}
+        polled: set[str] = set()
+        while True:
+            addresses = [address for address in self.addresses if address not in polled]
+            if not addresses:
+                break
+            polled |= set(addresses)
+            for address, document, status in await self._poll(addresses, "", parse_status):
+                view.documents[address] = document
+                view.statuses[address] = status
+                self.addresses += [other for other in status.voter_addresses if other not in self.addresses]
+        for _, _, history in await self._poll(list(view.voters), "history", parse_history):
+            for record in history:
+                view.epochs[record.epoch] = record
+        self.on_update(view)
+        return view
+
+    async def _poll(
+        self, addresses: list[str], path: str, parse: Callable[[object], T]
+    ) -> list[tuple[str, Any, T]]:
+        """Address, JSON document and parsed value of each answer, in the order of the addresses."""
+
+        async def poll(address: str) -> tuple[str, Any, T] | None:
+            try:
+                document = msgspec.json.decode(await self.call(address, path, None))
+                return address, document, parse(document)
+            except (UnreachableError, msgspec.DecodeError):
+                return None
+
+        answers = await asyncio.gather(*map(poll, addresses))
+        return [answer for answer in answers if answer is not None]
+
+    def voters_in_order(self, view: ClusterView) -> list[str]:
+        """The voters that answer, those of the latest policy first: so most operators call the same one."""
+        current = view.latest.voters if view.latest is not None else ()
+        return sorted(view.voters, key=lambda address: (address not in current, address))
+
+    async def fetch_policy(self, name: str) -> Policy | None:
+        """A policy without its changes, from any process that has it."""
+        return await policy_from(self.call, self.addresses, name)
+
+    async def learn_voters(self, name: str) -> None:
+        """Add the voters that a policy names to the view, if a process has the policy."""
+        if name in self.view.voters_by_policy:
+            return
+        policy = await self.fetch_policy(name)
+        if policy is not None:
+            self.view.voters_by_policy[name] = list(policy.voters)
+
+    async def file_argument(self, address: str, file: bytes | None) -> FileArgument:
+        """A file as it goes into a call to a voter; uploads it if it is long."""
+        if file is None:
+            return FileArgument()
+        if len(file) <= MAX_INLINE_BYTES:
+            return FileArgument(text=base64.b64encode(file).decode())
+        return FileArgument(upload=await self.upload(address, file))
+
+    async def upload(self, address: str, data: bytes) -> str:
+        """Upload data that is too long for a call; its id. UnreachableError: the voter does not accept it."""
+        upload_id = blake2b(data, digest_size=UPLOAD_ID_BYTES).hexdigest()
+        for chunk in upload_calls(upload_id, data):
+            await self.call(address, "upload", encode(chunk))
+        return upload_id
+
+    async def call_until_done(self, address: str, path: str, body: bytes) -> bytes:
+        """Make a call that takes long: repeated while the voter works on it or is too busy to answer."""
+        loop = asyncio.get_running_loop()
+        deadline = loop.time() + LONG_CALL_LIMIT_S
+        silent_attempts = 0
+        while True:
+            try:
+                return await self.call(address, path, body)
+            except UnreachableError as error:
+                wait_s = retry_after_s(error)
+                silent_attempts = silent_attempts + 1 if not error.status else 0
+                may_repeat = wait_s is not None or 0 < silent_attempts < MAX_SILENT_ATTEMPTS
+                if not may_repeat or loop.time() > deadline:
+                    raise
+            await asyncio.sleep(wait_s or POLL_INTERVAL_S)
+
+
+def _details(error: UnreachableError) -> dict[str, Any]:
+    """The JSON object that a voter sent with an error; empty: it sent none."""
+    try:
+        details = msgspec.json.decode(str(error).encode("utf-8", "replace"))
+    except msgspec.DecodeError:
+        return {}
+    return details if isinstance(details, dict) else {}
+
+
+def reason_in(error: UnreachableError) -> str:
+    """Why a voter rejected a call."""
+    return str(_details(error).get("refused", error))
+
+
+def retry_after_s(error: UnreachableError) -> float | None:
+    """In how many seconds a voter wants to be called again; None: it does not say so."""
+    wait_ms = _details(error).get("retry_after_ms")
+    if not isinstance(wait_ms, int) or error.status != UNAVAILABLE:
+        return None
+    return min(MAX_RETRY_AFTER_S, max(0.0, wait_ms / 1000))
+
+
+def problems_in(error: UnreachableError) -> list[str]:
+    """The problems that a voter listed with an error, or the text of the error."""
+    problems = _details(error).get("problems")
+    if not isinstance(problems, list):
+        return [str(error)]
+    return [_problem_text(problem) for problem in problems]
+
+
+def _problem_text(problem: object) -> str:
+    """A problem as it stands in JSON: an array of resource, field and reason, or a text."""
+    if isinstance(problem, list):
+        return ": ".join(str(part) for part in problem if part)
+    return str(problem)
+
+
+def invalid_input(error: UnreachableError) -> InvalidInputError:
+    """The error of a voter that rejected what an operator gave."""
+    is_conflict = error.status in (CONFLICT, UNPROCESSABLE)
+    status = ExitStatus.NOWHERE if is_conflict else ExitStatus.BAD_INPUT
+    problems = problems_in(error) if "problems" in _details(error) else ()
+    return InvalidInputError(status, reason_in(error), problems)
--- a/hollybay/gossip/__init__.py
+++ b/hollybay/gossip/__init__.py
@@ -1,10 +1,16 @@
-"""What nodes say of their load to one another, where their network lets them: pure, no sockets, no clock.
+"""Load reports between nodes, free of I/O and clocks.
 
-words    a datagram of at most 256 bytes, and what may stand in one
-held     what the others have at each server, from what they last said, for as long as it counts
+Each node reports the requests that it has in flight at each server, in datagrams of at most 256 bytes.
+
+Modules
+-------
+load_report
+    Encoding of load reports.
+remote_load
+    The sum of the other nodes' reports while they are valid, and the load that this node reports itself.
 """
 
-from .load_report import Saying, parse, word
-from .remote_load import Held, Own
+from .load_report import LoadReport, decode_report, encode_reports
+from .remote_load import LocalLoad, RemoteLoad
 
-__all__ = ["Held", "Own", "Saying", "parse", "word"]
+__all__ = ["LoadReport", "LocalLoad", "RemoteLoad", "decode_report", "encode_reports"]
--- a/hollybay/gossip/load_report.py
+++ b/hollybay/gossip/load_report.py
@@ -1,9 +1,25 @@
-"""A saying: what one node has at servers now, whole, in datagrams of at most 256 bytes.
+"""Encoding of load reports: the complete load of one node, in datagrams of at most 256 bytes.
 
-Form (big endian): "hb", version 1, number of the node (u16), its process (u32), count of its sayings (u32),
-part and parts (u8 each), entries (u8), then for each a server's mark (u32) and how many of the node's
-requests are there (u8). Whole states, not changes: one that is lost, doubled or late does no harm that the
-next does not mend.
+A report holds the whole state and no changes to an earlier one: the next report makes up for a datagram that
+was lost, duplicated or delayed.
+
+Format (big endian)
+-------------------
+========  =======================================================
+bytes     field
+========  =======================================================
+2         magic number "hb"
+1         version, 1
+2         number of the node
+4         incarnation of the node: a number drawn by its process
+4         sequence number of the report, from 1
+1         index of this part, from 0
+1         number of parts
+1         number of entries that follow
+========  =======================================================
+
+Each entry is the hash of a server's id (4 bytes) and the number of the node's requests in flight there (1
+byte; 255 stands for that many or more).
 """
 
 from __future__ import annotations
@@ -14,63 +30,100 @@
 from typing import NamedTuple
 from zlib import crc32
 
-__all__ = ["MOST_ENTRIES", "MOST_PARTS", "SIZE", "Saying", "mark", "parse", "word"]
+__all__ = [
+    "MAX_DATAGRAM_BYTES",
+    "MAX_ENTRIES",
+    "MAX_PARTS",
+    "LoadReport",
+    "decode_report",
+    "encode_reports",
+    "server_hash",
+]
 
-SIZE = 256
-_HEAD = struct.Struct(">2sBHIIBBB")
+MAX_DATAGRAM_BYTES = 256
+_HEADER = struct.Struct(">2sBHIIBBB")
 _ENTRY = struct.Struct(">IB")
 _MAGIC, _VERSION = b"hb", 1
-MOST_ENTRIES = (SIZE - _HEAD.size) // _ENTRY.size
-# A node that is at more servers than these hold says the rest not at all: who has that many sees for itself.
-MOST_PARTS = 8
+_MAX_COUNT = 255  # requests in flight that an entry can tell
+MAX_ENTRIES = (MAX_DATAGRAM_BYTES - _HEADER.size) // _ENTRY.size  # per datagram
+MAX_PARTS = 8  # datagrams per report; the servers with the least load are left out beyond that
+_HASH_CACHE_SIZE = 4096
 
 
-@lru_cache(maxsize=4096)
-def mark(server: Hashable) -> int:
-    """The number that stands for a server in a saying; two servers may share one, see Held."""
+@lru_cache(maxsize=_HASH_CACHE_SIZE)
+def server_hash(server: Hashable) -> int:
+    """Return the number that stands for a server in reports; two servers may share one."""
     return crc32(repr(server).encode())
 
 
-class Saying(NamedTuple):
-    """One datagram. process: of the node, drawn at its start; turn: the number of its saying, from 1."""
+class LoadReport(NamedTuple):
+    """One datagram of a load report.
+
+    Attributes
+    ----------
+    node
+        Number of the node.
+    incarnation
+        Random number that the node's process drew at its start.
+    sequence
+        Sequence number of the report within the incarnation, from 1.
+    part, part_count
+        Index of this datagram, and how many there are of the report.
+    in_flight
+        Requests in flight by server hash.
+    """
 
     node: int
-    process: int
-    turn: int
+    incarnation: int
+    sequence: int
     part: int
-    parts: int
-    held: Mapping[int, int]  # by mark
+    part_count: int
+    in_flight: Mapping[int, int]
 
 
-def word(node: int, process: int, count: int, held: Mapping[int, int]) -> list[bytes]:
-    """The datagrams of one state: at least one, as an empty state is news too.
+def encode_reports(node: int, incarnation: int, sequence: int, in_flight: Mapping[int, int]) -> list[bytes]:
+    """Encode one load report as datagrams, the servers with the most requests first.
 
-    Those with the most come first, and beyond MOST_PARTS datagrams the rest is left out. ValueError: a
-    figure is out of its range.
+    There is at least one datagram, as an idle node reports that it is idle. Servers that do not fit into
+    `MAX_PARTS` datagrams are left out.
+
+    Raises
+    ------
+    ValueError
+        A number is out of the range of its field.
     """
-    entries = sorted(((n, m) for m, n in held.items() if n > 0), reverse=True)[: MOST_PARTS * MOST_ENTRIES]
-    parts = max(1, -(-len(entries) // MOST_ENTRIES))
+    by_load = sorted(((count, server) for server, count in in_flight.items() if count > 0), reverse=True)
+    entries = by_load[: MAX_PARTS * MAX_ENTRIES]
+    part_count = max(1, -(-len(entries) // MAX_ENTRIES))
     datagrams = []
     try:
-        for part in range(parts):
-            mine = entries[part * MOST_ENTRIES : (part + 1) * MOST_ENTRIES]
-            head = _HEAD.pack(_MAGIC, _VERSION, node, process, count, part, parts, len(mine))
-            datagrams.append(head + b"".join(_ENTRY.pack(m, min(n, 255)) for n, m in mine))
+        for part in range(part_count):
+            part_entries = entries[part * MAX_ENTRIES : (part + 1) * MAX_ENTRIES]
+            header = _HEADER.pack(
+                _MAGIC, _VERSION, node, incarnation, sequence, part, part_count, len(part_entries)
+            )
+            body = b"".join(_ENTRY.pack(server, min(count, _MAX_COUNT)) for count, server in part_entries)
+            datagrams.append(header + body)
     except struct.error as error:
         raise ValueError(f"a saying of node {node}: {error}") from None
     return datagrams
 
 
-def parse(data: bytes) -> Saying | None:
-    """What a datagram says; None where it is none of these, whatever else it is."""
-    if not _HEAD.size <= len(data) <= SIZE:
+def decode_report(data: bytes) -> LoadReport | None:
+    """Decode a datagram; None if it is not a valid load report."""
+    if not _HEADER.size <= len(data) <= MAX_DATAGRAM_BYTES:
+        return None
+    magic, version, node, incarnation, sequence, part, part_count, entry_count = _HEADER.unpack_from(data)
+    if (magic, version) != (_MAGIC, _VERSION):
+        return None
+    if len(data) != _HEADER.size + entry_count * _ENTRY.size:
         return None
-    magic, version, node, process, count, part, parts, entries = _HEAD.unpack_from(data)
-    if (magic, version) != (_MAGIC, _VERSION) or len(data) != _HEAD.size + entries * _ENTRY.size:
+    if not sequence or not part < part_count <= MAX_PARTS:
         return None
-    if not count or not part < parts <= MOST_PARTS or (entries < MOST_ENTRIES and part + 1 < parts):
+    is_last = part + 1 == part_count
+    if entry_count < MAX_ENTRIES and not is_last:
         return None
-    held = dict(_ENTRY.iter_unpack(data[_HEAD.size :]))
-    if len(held) != entries or not all(held.values()):
+    in_flight = dict(_ENTRY.iter_unpack(data[_HEADER.size :]))
+    if len(in_flight) != entry_count or not all(in_flight.values()):
         return None
-    return Saying(node, process, count, part, parts, held)
+    return LoadReport(node, incarnation, sequence, part, part_count, in_flight)
