--- a/hollybay/proxy/operator_file.py
+++ b/hollybay/proxy/operator_file.py
@@ -1,6 +1,7 @@
-"""The operator's file on a running node: read at the start, and again at SIGHUP, whole or not at all.
+"""Operator file of a running node: loaded at the start and at each SIGHUP, completely or not at all.
 
-Imported only where the file is named. What it says is decided in `routing`; here it is read.
+Imported only where an operator file is configured. `hollybay.routing` decides what it means; this module
+reads it.
 """
 
 from __future__ import annotations
@@ -8,37 +9,66 @@
 import asyncio
 import logging
 import sys
-from collections.abc import Callable
+from collections.abc import Callable, Iterator
+from contextlib import contextmanager
 from pathlib import Path
 
 from hollybay.balancing.interface import Settings
-from hollybay.routing.admission_control import Gate
+from hollybay.routing.admission_control import AdmissionControl
+from hollybay.routing.compiled_policy import CompiledPolicy
+from hollybay.routing.policy_compiler import compile_file
 from hollybay.routing.problems import OperatorError, Problem
-from hollybay.routing.route_table import Plan, compile_file
 
 from . import system
 from .config import ConfigError
 
-__all__ = ["Operator"]
-
-log = logging.getLogger("elderscale")
-
-MAX_LOGGED = 20  # problems of one file that are logged
-# A file that is being written is read until two readings this far apart (s) agree, so many times at most. The
-# first half of a file can be sound TOML: it would be in force until the next SIGHUP. It does not help against
-# a writer that ended half way; who renames a whole file into place needs neither.
-SETTLE, SETTLE_READS = 0.05, 40
-# How soon (s) the thread that compiles must let go of the interpreter while the loop waits for it. With the
-# interpreter's own 5 ms each turn of the loop was that much late: a surge with a reload at every moment had
-# answers 60 ms past their deadline. It costs switches, and only while a file is read.
-YIELD = 0.0005
-
-
-class Operator:
-    """The file, and the gate that it sets up.
-
-    Use from the node's loop only. A reload reads and compiles in a thread, so that requests are served
-    meanwhile; one reload at a time, and of those asked for during one only the last is done.
+__all__ = ["COMPILE_SWITCH_INTERVAL_S", "OperatorFile"]
+
+log = logging.getLogger("hollybay.proxy")
+
+MAX_LOGGED_PROBLEMS = 20  # per reload
+# The file is read until two readings agree, as the first half of a file that is being written can be valid
+# TOML and would stay in force until the next SIGHUP. A writer that renames a complete file into place does
+# not depend on this.
+SETTLE_INTERVAL_S = 0.05
+MAX_SETTLE_READS = 40
+# Thread switch interval of the interpreter while a file is compiled in a thread. With the default of 5 ms
+# each turn of the event loop could be that much late.
+COMPILE_SWITCH_INTERVAL_S = 0.0005
+
+
+class OperatorFile:
+    """The operator file and the admission control that it configures.
+
+    To be used in the thread of the event loop only. A reload reads and compiles in another thread while
+    requests are served; reloads do not overlap, and of those requested during one only the last is run.
+
+    Parameters
+    ----------
+    path
+        Path of the file.
+    settings
+        Settings of the balancer, which bound what the file may say.
+    seed
+        Seed of the random numbers of admission control.
+    settle_pause
+        Called between two readings of the file.
+
+    Attributes
+    ----------
+    admission
+        Admission control under the file in force.
+    consensus_table
+        The [accord] table of the file; None if it has none.
+    reloads_finished
+        Number of finished reloads, whatever their result.
+    reload_finished
+        Set whenever a reload has finished; whoever waits for the next one clears it.
+
+    Raises
+    ------
+    ConfigError
+        The file cannot be read or is invalid; the message tells all problems.
     """
 
     def __init__(
@@ -46,93 +76,112 @@
         path: str,
         settings: Settings,
         seed: int,
-        pause: Callable[[], None] = lambda: system.sleep(SETTLE),
+        settle_pause: Callable[[], None] = lambda: system.sleep(SETTLE_INTERVAL_S),
     ) -> None:
-        """Read the file; ConfigError tells all that does not hold. pause: what lies between two readings."""
         self.path = Path(path)
-        self.pause = pause
+        self.settle_pause = settle_pause
         self.settings = settings
         try:
-            plan = self._compiled()
+            plan = self._read_plan()
         except OperatorError as error:
             raise ConfigError(str(error)) from None
-        self.gate = Gate(plan, seed, settings.max_retry_after)
-        self.accord = plan.accord
-        if plan.accord is not None and not plan.bare:
+        if plan.accord is not None and not plan.is_empty:
             raise ConfigError(
                 f"{path}: [accord]: routes and limits beside it would be this node's alone; "
                 "`hollybay policy propose` puts them in force everywhere"
             )
-        self.done = 0  # reloads that are over, whatever came of them
-        self.changed = asyncio.Event()  # set with each of them
-        self._work: asyncio.Task[None] | None = None
-        self._again = False
-
-    def _compiled(self) -> Plan:
-        """The plan of what the file holds now; OperatorError tells all that is wrong."""
-        try:
-            data = system.read_bytes(self.path)
-            for _ in range(SETTLE_READS):
-                self.pause()
-                again = system.read_bytes(self.path)
-                if again == data:
-                    break
-                data = again
-            else:
-                raise ValueError("it keeps changing")
-        except (OSError, ValueError) as error:
-            raise OperatorError(str(self.path), [Problem("", "", None, f"cannot be read: {error}")]) from None
-        return compile_file(data, self.settings, str(self.path))
+        self.admission = AdmissionControl(plan, seed, settings.max_retry_after)
+        self.consensus_table = plan.accord
+        self.reloads_finished = 0
+        self.reload_finished = asyncio.Event()
+        self._reload_task: asyncio.Task[None] | None = None
+        self._reload_requested = False
 
     def reload(self) -> None:
-        """Read the file again; one that does not hold is logged and changes nothing.
+        """Request a reload; an invalid file is logged and changes nothing.
 
-        Where nodes agree on the policy, this node alone changes nothing.
+        Where nodes replicate their policy, a file of one node changes nothing either.
         """
-        if self.accord is not None:
+        if self.consensus_table is not None:
             log.error(
                 "reload: %s: this node is in an accord, and takes over nothing; use: hollybay policy propose",
                 self.path,
             )
-            self.done += 1
-            self.changed.set()
+            self._finish_reload()
             return
-        self._again = True
-        if self._work is None:
-            self._work = asyncio.get_running_loop().create_task(self._reload())
+        self._reload_requested = True
+        if self._reload_task is None:
+            self._reload_task = asyncio.get_running_loop().create_task(self._run_reloads())
 
-    async def _reload(self) -> None:
-        interval = sys.getswitchinterval()
-        sys.setswitchinterval(YIELD)
+    async def close(self) -> None:
+        """Cancel a reload that is under way."""
+        if self._reload_task is not None:
+            self._reload_task.cancel()
+            await asyncio.gather(self._reload_task, return_exceptions=True)
+
+    async def _run_reloads(self) -> None:
         try:
-            while self._again:
-                self._again = False
-                try:
-                    plan = await asyncio.get_running_loop().run_in_executor(None, self._compiled)
-                except OperatorError as error:
-                    for problem in error.problems[:MAX_LOGGED]:
-                        log.error("reload: %s: %s", error.file, problem)
-                    log.error(
-                        "reload: %s does not hold (%d problems); the old one stays in force",
-                        error.file,
-                        len(error.problems),
-                    )
-                except Exception:
-                    # What nobody foresaw in a file costs this reload and nothing else.
-                    log.exception("reload: %s cannot be read; the old one stays in force", self.path)
-                else:
-                    if plan.peers != self.gate.plan.peers:
-                        log.warning("reload: [peers] differs, which takes a restart")
-                    self.gate.take_over(plan)
-                    log.info("reload: %s: %d routes in force", self.path, len(plan.routes))
-                self.done += 1
-                self.changed.set()
+            with _short_switch_interval():
+                while self._reload_requested:
+                    self._reload_requested = False
+                    await self._reload_once()
+                    self._finish_reload()
         finally:
-            sys.setswitchinterval(interval)
-            self._work = None
+            self._reload_task = None
 
-    async def close(self) -> None:
-        """End a reload that is under way."""
-        if self._work is not None:
-            self._work.cancel()
-            await asyncio.gather(self._work, return_exceptions=True)
+    async def _reload_once(self) -> None:
+        try:
+            plan = await asyncio.get_running_loop().run_in_executor(None, self._read_plan)
+        except OperatorError as error:
+            _log_problems(error)
+        except Exception:
+            # An unforeseen error fails this reload and nothing else.
+            log.exception("reload: %s cannot be read; the old one stays in force", self.path)
+        else:
+            if plan.peers != self.admission.policy.peers:
+                log.warning("reload: [peers] differs, which takes a restart")
+            self.admission.replace_policy(plan)
+            log.info("reload: %s: %d routes in force", self.path, len(plan.routes))
+
+    def _finish_reload(self) -> None:
+        self.reloads_finished += 1
+        self.reload_finished.set()
+
+    def _read_plan(self) -> CompiledPolicy:
+        """Read and compile the file; OperatorError tells all problems."""
+        try:
+            data = self._read_settled()
+        except (OSError, ValueError) as error:
+            raise OperatorError(str(self.path), [Problem("", "", None, f"cannot be read: {error}")]) from None
+        return compile_file(data, self.settings, str(self.path))
+
+    def _read_settled(self) -> bytes:
+        """Read the file until two readings agree; ValueError if it keeps changing."""
+        data = system.read_bytes(self.path)
+        for _ in range(MAX_SETTLE_READS):
+            self.settle_pause()
+            previous, data = data, system.read_bytes(self.path)
+            if data == previous:
+                return data
+        raise ValueError("it keeps changing")
+
+
+@contextmanager
+def _short_switch_interval() -> Iterator[None]:
+    """Let a compiling thread yield to the event loop sooner."""
+    interval = sys.getswitchinterval()
+    sys.setswitchinterval(COMPILE_SWITCH_INTERVAL_S)
+    try:
+        yield
+    finally:
+        sys.setswitchinterval(interval)
+
+
+def _log_problems(error: OperatorError) -> None:
+    for problem in error.problems[:MAX_LOGGED_PROBLEMS]:
+        log.error("reload: %s: %s", error.file, problem)
+    log.error(
+        "reload: %s does not hold (%d problems); the old one stays in force",
+        error.file,
+        len(error.problems),
+    )
--- /dev/null
+++ b/hollybay/proxy/shutdown.py
@@ -0,0 +1,82 @@
+"""Graceful shutdown of a node: serve what still comes, then answer what is left before SIGKILL."""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+from typing import TYPE_CHECKING
+
+from hollybay.proxy.downstream.listener import ClientListener
+
+from .exchange import Node
+from .units import SECOND
+
+if TYPE_CHECKING:
+    from .handover import ListenerGroup
+
+__all__ = ["drain"]
+
+log = logging.getLogger("hollybay.proxy")
+
+# New connections keep coming for up to 0.4 s after SIGTERM.
+ACCEPT_PERIOD_S = 0.55
+# SIGKILL comes this long after the longest deadline of a request, which counts as MAX_DEADLINE_S at most.
+KILL_DELAY_S = 0.7
+MAX_DEADLINE_S = 3.0
+KILL_MARGIN_S = 0.3  # before SIGKILL by which the process is done
+# Time at the end for requests that are then still in flight. Until then clients are served on their open
+# connections: where nodes are restarted one after another, the next node may not be ready yet.
+FINAL_PERIOD_S = 1.2
+LAST_ANSWERS_S = 0.1  # at the very end, for answers to requests that ran out of time
+
+ACCEPT_POLL_INTERVAL_S = 0.01
+DRAIN_POLL_INTERVAL_S = 0.02
+
+
+async def drain(
+    clients: ClientListener,
+    node: Node,
+    accept_period_s: float = ACCEPT_PERIOD_S,
+    final_period_s: float = FINAL_PERIOD_S,
+    listener_group: ListenerGroup | None = None,
+) -> None:
+    """Drain the node, and answer everything that is then left.
+
+    Parameters
+    ----------
+    clients, node
+        The downstream side and the data plane.
+    accept_period_s
+        How long new connections are accepted (s).
+    final_period_s
+        Time before the end at which connections are closed even if their clients keep using them (s).
+    listener_group
+        The processes of this node that listen on its address. If another one has taken over, the node does
+        not report itself as not ready: clients are told to reconnect with their next answer instead.
+    """
+    has_successor = listener_group is not None and listener_group.count_others() > 0
+    loop = asyncio.get_running_loop()
+    started_at = loop.time()
+    longest_deadline_s = max(request_class.deadline for request_class in node.settings.classes) / SECOND
+    end = started_at + min(longest_deadline_s, MAX_DEADLINE_S) + KILL_DELAY_S - KILL_MARGIN_S
+    final_period_start = end - final_period_s
+    log.info("draining: %d requests open, %d connections", node.owed, len(clients.connections))
+    if has_successor:
+        clients.closing = True
+    else:
+        clients.draining = True
+    await asyncio.sleep(accept_period_s)
+    while not clients.stop_listening(anyway=loop.time() >= final_period_start):
+        await asyncio.sleep(ACCEPT_POLL_INTERVAL_S)
+    if listener_group is not None:
+        listener_group.leave()
+    while clients.any_left() and loop.time() < final_period_start:
+        await asyncio.sleep(DRAIN_POLL_INTERVAL_S)
+    clients.closing = True
+    while clients.any_left() and loop.time() < end - LAST_ANSWERS_S:
+        clients.close_idle()
+        await asyncio.sleep(DRAIN_POLL_INTERVAL_S)
+    clients.forwarding_stopped = True  # requests that are complete only now are rejected
+    node.end_all()
+    await asyncio.sleep(LAST_ANSWERS_S if clients.any_left() else 0)
+    log.info("drained in %.2f s, %d connections left", loop.time() - started_at, len(clients.connections))
--- a/hollybay/proxy/system.py
+++ b/hollybay/proxy/system.py
@@ -1,7 +1,7 @@
-"""The seam between the node and its machine: the clock, sockets, files, and what the kernel alone can tell.
+"""Interface between the node and its machine: clock, sockets, files, and what only the kernel knows.
 
-The node asks here and nowhere else, by module and name (`system.monotonic_ns()`), so that a simulation can
-put others in their place; on a real machine these are the functions themselves, at the cost of a call.
+The node uses these functions by module and name (`system.monotonic_ns()`) and nothing else of the kind, so
+that a simulation can replace them.
 """
 
 from __future__ import annotations
@@ -15,53 +15,58 @@
 from collections.abc import Callable
 from pathlib import Path
 
-__all__ = ["monotonic_ns", "read_bytes", "settle", "sleep", "tcp_socket", "unread", "wall_ahead"]
+__all__ = [
+    "finish_startup",
+    "monotonic_ns",
+    "read_bytes",
+    "sleep",
+    "tcp_socket",
+    "unread_bytes",
+    "wall_clock_offset",
+]
 
-# The monotonic clock, ns.
-monotonic_ns: Callable[[], int] = time.monotonic_ns
+SIZE_OF_INT = 4
 
 
-def _wall_ahead() -> int:
+def _wall_clock_offset() -> int:
     return time.time_ns() - time.monotonic_ns()
 
 
-# How far (ns) the wall's clock is ahead of the monotonic one. Read once: were the difference read at each
-# list, a server's start would wander with it and an old process would seem to be a new one.
-wall_ahead = _wall_ahead()
-
-
 def _tcp_socket(host: str) -> socket.socket:
-    """A socket for this host.
-
-    With its protocol named: asyncio switches Nagle's delay off only then, and the last byte of a request,
-    sent by itself, would wait 40 ms for the peer's acknowledgement.
-    """
+    """Create a TCP socket of the address family of a host."""
+    # asyncio disables Nagle's algorithm only on sockets whose protocol is named; with it the last segment of
+    # a request would wait 40 ms for the peer's delayed acknowledgement.
     family = socket.AF_INET6 if ":" in host else socket.AF_INET
     return socket.socket(family, socket.SOCK_STREAM, socket.IPPROTO_TCP)
 
 
-def _unread(sock: socket.socket) -> int:
-    """How many bytes of the peer the kernel holds that nobody has read yet."""
-    return int.from_bytes(fcntl.ioctl(sock.fileno(), termios.FIONREAD, bytes(4)), sys.byteorder)
-
-
-tcp_socket: Callable[[str], socket.socket] = _tcp_socket
-unread: Callable[[socket.socket], int] = _unread
+def _unread_bytes(sock: socket.socket) -> int:
+    """Return how many bytes the kernel has received on a socket that were not read yet."""
+    return int.from_bytes(fcntl.ioctl(sock.fileno(), termios.FIONREAD, bytes(SIZE_OF_INT)), sys.byteorder)
 
 
 def _read_bytes(path: str | Path) -> bytes:
-    """What a file holds; OSError where it cannot be read."""
+    """Return the content of a file; OSError if it cannot be read."""
     return Path(path).read_bytes()
 
 
-def _settle() -> None:
-    """The process has started: what lives as long as it does need not be looked through at every
-    collection."""
+def _finish_startup() -> None:
+    """Exempt all present objects from garbage collection, once the process has started."""
     gc.collect()
     gc.freeze()
 
 
+# Current time of the monotonic clock (ns).
+monotonic_ns: Callable[[], int] = time.monotonic_ns
+
+# Lead of the wall clock over the monotonic clock (ns). It is read once: with a difference that varies from
+# list to list, the start of a server would vary too and the server would seem to have restarted.
+wall_clock_offset = _wall_clock_offset()
+
+# Functions that a simulation replaces.
+tcp_socket: Callable[[str], socket.socket] = _tcp_socket
+unread_bytes: Callable[[socket.socket], int] = _unread_bytes
 read_bytes: Callable[[str | Path], bytes] = _read_bytes
-# Sleeps so many seconds; only where a thread may wait.
+finish_startup: Callable[[], None] = _finish_startup
+# Block the calling thread for some seconds; never to be called in the thread of the event loop.
 sleep: Callable[[float], None] = time.sleep
-settle: Callable[[], None] = _settle
--- a/hollybay/proxy/upstream/connection.py
+++ b/hollybay/proxy/upstream/connection.py
@@ -17,7 +17,6 @@
 from hollybay.balancing import interface as api
 
 from .. import system
-from ..config import MS, Names
 from ..http_messages import (
     LONG_BODY,
     MAX_BODY,
@@ -30,8 +29,10 @@
     end_to_end,
     head,
 )
+from ..name_table import NameTable
 from ..ports import Client
 from ..streaming_body import Upload
+from ..units import MS
 from .attempt import Attempt
 from .endpoint import Endpoint, PooledConnection
 from .response_head import STATUS_OK, check_framing, read_head, result_of_failure
@@ -74,7 +75,7 @@
     """What a connection asks of the pools that it belongs to."""
 
     loop: asyncio.AbstractEventLoop
-    names: Names
+    names: NameTable
     load_header: bytes
     not_for_clients: frozenset[bytes]
     written: int
@@ -141,7 +142,7 @@
             self.owner.opening.discard(self.opened_for)
             self.opened_for = None
 
-    def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002 (asyncio's signature)
+    def connection_lost(self, exc: Exception | None) -> None:
         """End the attempt that the connection carries, if there is one."""
         self._advance(ConnectionEvent.LOST)
         self.stop_timer()
--- a/hollybay/proxy/upstream/endpoint.py
+++ b/hollybay/proxy/upstream/endpoint.py
@@ -7,7 +7,7 @@
 
 from hollybay.balancing import interface as api
 
-from ..config import Names
+from ..name_table import NameTable
 from .attempt import Attempt
 from .connection_wait import HoldAccount
 
@@ -50,15 +50,15 @@
     def __init__(self, server: api.ServerId, address: tuple[str, int]) -> None:
         self.id = server
         self.address = address
-        self.draining: asyncio.TimerHandle | None = None
+        self.draining: asyncio.TimerHandle | None = None  # not None: it drains, also after the timer fired
         self.closes = 0.0  # while it drains: from when on nothing is written to it (s, the loop's clock)
         self.idle: list[PooledConnection] = []  # the last one rested shortest and is taken first
         self.unsent: dict[Attempt, None] = {}  # in the order in which they were begun
         self.holds = HoldAccount()
         self.last_report: tuple[bytes, tuple[float, ...]] = (b"", ())
 
-    def load_report(self, text: bytes, names: Names) -> tuple[float, ...]:
+    def load_report(self, text: bytes, names: NameTable) -> tuple[float, ...]:
         """Return the values of its load report, which it renews less often than it answers."""
         if text != self.last_report[0]:
-            self.last_report = (text, names.load_report(text.decode("latin-1")))
+            self.last_report = (text, names.parse_load_report(text.decode("latin-1")))
         return self.last_report[1]
--- a/hollybay/proxy/upstream/health_check.py
+++ b/hollybay/proxy/upstream/health_check.py
@@ -7,8 +7,9 @@
 from hollybay.balancing import interface as api
 
 from .. import system
-from ..config import SECOND, Names
 from ..http_messages import Answer, Message
+from ..name_table import NameTable
+from ..units import SECOND
 from .attempt import Attempt
 
 __all__ = ["HEALTH_CHECK_LIMIT_NS", "health_check"]
@@ -19,7 +20,7 @@
 
 
 def health_check(
-    server: api.ServerId, host: bytes, reports: bool, names: Names, feed: Callable[[api.Event], None]
+    server: api.ServerId, host: bytes, reports: bool, names: NameTable, feed: Callable[[api.Event], None]
 ) -> Attempt:
     """Make the attempt that checks a server; its result goes to `feed` as an `api.ProbeResult`.
 
@@ -43,20 +44,20 @@
 class _HealthCheckObserver:
     """Takes the result of a health check."""
 
-    def __init__(self, names: Names, feed: Callable[[api.Event], None]) -> None:
+    def __init__(self, names: NameTable, feed: Callable[[api.Event], None]) -> None:
         self.names = names
         self.feed = feed
 
-    def wanted(self, attempt: Attempt) -> bool:  # noqa: ARG002 (nobody can leave)
+    def wanted(self, attempt: Attempt) -> bool:
         return True
 
-    def started(self, attempt: Attempt, answer: Answer) -> None:  # noqa: ARG002 (never streamed)
+    def started(self, attempt: Attempt, answer: Answer) -> None:
         return None
 
     def ended(self, attempt: Attempt, answer: Answer | None) -> None:
         assert attempt.result is not None
         report = attempt.report
         if answer is not None and answer.body and not report:
-            report = self.names.load_report(b"".join(answer.body).decode("latin-1"))
+            report = self.names.parse_load_report(b"".join(answer.body).decode("latin-1"))
         round_trip = system.monotonic_ns() - attempt.sent
         self.feed(api.ProbeResult(attempt.server, attempt.result, round_trip, report))
--- a/hollybay/proxy/upstream/pools.py
+++ b/hollybay/proxy/upstream/pools.py
@@ -11,8 +11,9 @@
 from hollybay.balancing import interface as api
 
 from .. import system
-from ..config import SECOND, Listing, Names
 from ..http_messages import not_passed_on
+from ..name_table import DiscoveryUpdate, NameTable
+from ..units import SECOND
 from .attempt import Attempt
 from .connection import ServerConnection, connection_price
 from .connector import Establish, connect, establish
@@ -22,7 +23,7 @@
 
 __all__ = ["DRAIN_GRACE_PART", "MAX_UNSETTLED", "UpstreamPools"]
 
-log = logging.getLogger("elderscale")
+log = logging.getLogger("hollybay.proxy")
 
 # Of one server's resting connections: where none of so many has settled, no further one is opened, and a
 # request waits for the one that rested longest, which takes a part of SETTLE_SECONDS.
@@ -45,7 +46,7 @@
         How many connections to servers there may be at once.
     """
 
-    def __init__(self, settings: api.Settings, names: Names, limit: int) -> None:
+    def __init__(self, settings: api.Settings, names: NameTable, limit: int) -> None:
         self.settings = settings
         self.written = 0  # attempts that the kernel has taken whole, since the start
         self.names = names
@@ -61,7 +62,7 @@
         self.sweeper: asyncio.TimerHandle | None = None
         self.opening: set[Attempt] = set()  # attempts whose connection is not yet among the others
 
-    def apply(self, listing: Listing) -> None:
+    def apply(self, listing: DiscoveryUpdate) -> None:
         """Take a list over: addresses, and no rest for connections to what drains or is gone."""
         if listing.servers.kind != api.ListKind.CHANGES:
             for server in [s for s in self.endpoints if s not in listing.addresses]:
@@ -194,7 +195,7 @@
     def _sweep(self) -> None:
         """Close what has rested for nearly as long as its server lets it; one timer for all of them."""
         self.sweeper = None
-        before = self.loop.time() + SWEEP_SECONDS - api.IDLE_PART * self.settings.idle_timeout / SECOND
+        before = self.loop.time() + SWEEP_SECONDS - api.IDLE_CLOSE_SHARE * self.settings.idle_timeout / SECOND
         for connection in list(
             takewhile(lambda connection: self.resting[connection] <= before, self.resting)
         ):
--- a/hollybay/proxy/upstream/states.py
+++ b/hollybay/proxy/upstream/states.py
@@ -17,6 +17,8 @@
 
 from enum import Enum, auto
 
+from ..state_machine import InvalidTransitionError
+
 __all__ = ["TRANSITIONS", "ConnectionEvent", "ConnectionState", "InvalidTransitionError", "next_state"]
 
 
@@ -48,10 +50,6 @@
     LOST = auto()  # the transport ended
 
 
-class InvalidTransitionError(Exception):
-    """An event came in a state in which it must not: a fault of this program, never of a peer."""
-
-
 _S = ConnectionState
 _E = ConnectionEvent
 
@@ -89,4 +87,4 @@
     try:
         return TRANSITIONS[state, event]
     except KeyError:
-        raise InvalidTransitionError(f"{event.name} while {state.name}") from None
+        raise InvalidTransitionError(state, event) from None
--- a/hollybay/resources/batch.py
+++ b/hollybay/resources/batch.py
@@ -1,4 +1,4 @@
-"""The changes of one revision: how proposals become a batch, and how a batch is followed."""
+"""Batches: the changes of one revision, assembled from proposals and applied to a state."""
 
 from __future__ import annotations
 
@@ -9,18 +9,39 @@
 import msgspec
 
 from .digest import DIGEST_BYTES
-from .model import Change, ChangeRefused
+from .model import Change, ChangeRejectedError
 from .state import ResourceState
 
-__all__ = ["MAX_BATCH_CHANGES", "Accept", "Assembled", "Batch", "BatchMismatch", "assemble", "follow"]
+__all__ = [
+    "MAX_BATCH_CHANGES",
+    "Assembled",
+    "Batch",
+    "BatchMismatchError",
+    "ChangeCheck",
+    "apply_batch",
+    "assemble",
+]
 
 MAX_BATCH_CHANGES = 4096
-Accept = Callable[[ResourceState, Change], None]
+# Raises ChangeRejectedError if the state that a change would lead to is not acceptable.
+ChangeCheck = Callable[[ResourceState, Change], None]
 Digest = Annotated[bytes, msgspec.Meta(min_length=DIGEST_BYTES, max_length=DIGEST_BYTES)]
 
 
 class Batch(msgspec.Struct, frozen=True, array_like=True):
-    """The changes that make `revision`. before, after: the digests of the states on its two sides."""
+    """The changes of one revision.
+
+    Encoded as an array: the order of the fields is fixed.
+
+    Parameters
+    ----------
+    revision
+        The revision that the batch makes.
+    before, after
+        Digests of the states before and after it.
+    changes
+        In the order in which they are applied.
+    """
 
     revision: Annotated[int, msgspec.Meta(ge=1)]
     before: Digest
@@ -28,52 +49,65 @@
     after: Digest
 
 
-class BatchMismatch(ValueError):
-    """A batch does not follow the state at hand: a gap, another state before it, or another result."""
+class BatchMismatchError(ValueError):
+    """A batch does not follow a state: a gap, another state before it, or another result."""
 
 
 @dataclass(frozen=True, slots=True)
 class Assembled:
-    """A batch, the state after it, and the changes that were left out of it, each with the reason."""
+    """A batch, the state after it, and the changes that were left out, each with the reason."""
 
     batch: Batch
     state: ResourceState
-    refused: tuple[tuple[Change, ChangeRefused], ...]
+    rejected: tuple[tuple[Change, ChangeRejectedError], ...]
 
 
-def assemble(state: ResourceState, changes: Iterable[Change], accept: Accept | None = None) -> Assembled:
-    """Take all changes that fit, one after another; one that does not is refused alone.
+def assemble(state: ResourceState, changes: Iterable[Change], check: ChangeCheck | None = None) -> Assembled:
+    """Form a batch of all changes that fit one after another; the others are left out one by one.
 
-    accept: called with the state that a change would lead to, and the change; it refuses by ChangeRefused.
+    Parameters
+    ----------
+    state
+        The state before the batch.
+    check
+        Called with the state that a change would lead to and the change; raises ChangeRejectedError to
+        reject it.
     """
     revision = state.revision + 1
     after = state
-    taken: list[Change] = []
-    refused: list[tuple[Change, ChangeRefused]] = []
+    accepted: list[Change] = []
+    rejected: list[tuple[Change, ChangeRejectedError]] = []
     for change in changes:
         try:
             candidate = after.with_change(change, revision)
-            if accept is not None:
-                accept(candidate, change)
-        except ChangeRefused as error:
-            refused.append((change, error))
+            if check is not None:
+                check(candidate, change)
+        except ChangeRejectedError as error:
+            rejected.append((change, error))
         else:
             after = candidate
-            taken.append(change)
-    after = after.sealed(tuple(change.id for change in taken), revision)
-    return Assembled(Batch(revision, state.digest, tuple(taken), after.digest), after, tuple(refused))
+            accepted.append(change)
+    after = after.with_revision(tuple(change.id for change in accepted), revision)
+    batch = Batch(revision, state.digest, tuple(accepted), after.digest)
+    return Assembled(batch, after, tuple(rejected))
+
 
+def apply_batch(state: ResourceState, batch: Batch) -> ResourceState:
+    """The state after a batch.
 
-def follow(state: ResourceState, batch: Batch) -> ResourceState:
-    """The state after a batch. BatchMismatch: it does not follow this state; nothing was changed."""
+    Raises
+    ------
+    BatchMismatchError
+        The batch does not follow this state.
+    """
     if batch.revision != state.revision + 1:
-        raise BatchMismatch(f"revision: {batch.revision} does not follow {state.revision}")
+        raise BatchMismatchError(f"revision: {batch.revision} does not follow {state.revision}")
     if batch.before != state.digest:
-        raise BatchMismatch(f"before: {batch.before.hex()[:12]} is not {state.digest.hex()[:12]}")
+        raise BatchMismatchError(f"before: {batch.before.hex()[:12]} is not {state.digest.hex()[:12]}")
     try:
-        after = state.applied(batch.changes, batch.revision)
-    except ChangeRefused as error:
-        raise BatchMismatch(f"changes: {error}") from None
+        after = state.with_batch(batch.changes, batch.revision)
+    except ChangeRejectedError as error:
+        raise BatchMismatchError(f"changes: {error}") from None
     if after.digest != batch.after:
-        raise BatchMismatch(f"after: {batch.after.hex()[:12]} is not {after.digest.hex()[:12]}")
+        raise BatchMismatchError(f"after: {batch.after.hex()[:12]} is not {after.digest.hex()[:12]}")
     return after
--- a/hollybay/resources/model.py
+++ b/hollybay/resources/model.py
@@ -1,4 +1,4 @@
-"""Resources, operations on them, changes, and the reasons for which a change is refused."""
+"""Resources, operations on them, changes, and why a change is rejected."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
     "MAX_OPERATIONS",
     "MAX_TEXT_LENGTH",
     "Change",
-    "ChangeRefused",
+    "ChangeRejectedError",
     "Delete",
     "Key",
     "Kind",
@@ -29,19 +29,19 @@
 MAX_NAME_LENGTH = 253
 MAX_BODY_BYTES = 16 << 10
 MAX_TEXT_LENGTH = 400
-# Operations that one change may hold: a whole operator file of the present largest size is one change.
+# Operations of one change: an operator file of the largest supported size is one change.
 MAX_OPERATIONS = 500_000
 
 
 class Kind(str, Enum):
     """What a resource describes."""
 
-    DEFAULTS = "defaults"  # limits for everything; a single resource with an empty name
-    PATHS = "paths"  # how paths are read; a single resource with an empty name
-    CLASS = "class"  # what is said of a request class, and its limits
+    DEFAULTS = "defaults"  # limits for all requests; one resource with an empty name
+    PATHS = "paths"  # how paths are matched; one resource with an empty name
+    CLASS = "class"  # the properties and limits of a request class
     TENANT = "tenant"  # a tenant's limits over all its requests at a node
     ROUTE = "route"
-    SERVER_OUT = "server-out"  # a server that operators have taken out of service; its body is empty
+    DRAINED_SERVER = "server-out"  # a server that operators have taken out of service; its body is empty
 
 
 SINGLETONS = frozenset((Kind.DEFAULTS, Kind.PATHS))
@@ -72,11 +72,11 @@
 
 
 class Upsert(msgspec.Struct, frozen=True, array_like=True, tag="upsert"):
-    """Create a resource (base 0) or replace the version `base` of it."""
+    """Create a resource (base_version 0) or replace the version `base_version` of it."""
 
     kind: Kind
     name: Annotated[str, msgspec.Meta(max_length=MAX_NAME_LENGTH)]
-    base: Annotated[int, msgspec.Meta(ge=0)]
+    base_version: Annotated[int, msgspec.Meta(ge=0)]
     body: Annotated[bytes, msgspec.Meta(max_length=MAX_BODY_BYTES)]
 
     @property
@@ -86,11 +86,11 @@
 
 
 class Delete(msgspec.Struct, frozen=True, array_like=True, tag="delete"):
-    """Remove the version `base` of a resource."""
+    """Remove the version `base_version` of a resource."""
 
     kind: Kind
     name: Annotated[str, msgspec.Meta(max_length=MAX_NAME_LENGTH)]
-    base: Annotated[int, msgspec.Meta(ge=1)]
+    base_version: Annotated[int, msgspec.Meta(ge=1)]
 
     @property
     def key(self) -> Key:
@@ -105,19 +105,29 @@
 class Change(msgspec.Struct, frozen=True, array_like=True):
     """An atomic set of operations.
 
-    id: chosen at random by whoever proposes it; a proposal that is repeated carries the same one and has one
-    effect. made_on: the revision of the state that its author saw.
+    Encoded as an array: the order of the fields is fixed.
+
+    Parameters
+    ----------
+    id
+        Chosen by the proposer; a repeated proposal carries the same id and takes effect once.
+    base_revision
+        The revision of the state that its author saw.
+    reason, author
+        Shown in the history.
+    operations
+        At most one for each resource.
     """
 
     id: Annotated[bytes, msgspec.Meta(min_length=CHANGE_ID_BYTES, max_length=CHANGE_ID_BYTES)]
-    made_on: Annotated[int, msgspec.Meta(ge=0)]
+    base_revision: Annotated[int, msgspec.Meta(ge=0)]
     reason: Text
     author: Text
     operations: Annotated[tuple[Operation, ...], msgspec.Meta(min_length=1, max_length=MAX_OPERATIONS)]
 
 
 class Problem(msgspec.Struct, frozen=True, array_like=True):
-    """Why a change is refused: the resource, its field ("": the whole of it) and the reason."""
+    """Why a change is rejected: the resource, its field ("": all of it) and the reason."""
 
     resource: str
     field: str
@@ -127,8 +137,8 @@
         return ": ".join(part for part in (self.resource, self.field, self.reason) if part)
 
 
-class ChangeRefused(ValueError):
-    """A change may not be applied; nothing of it was. problems: all reasons that were found."""
+class ChangeRejectedError(ValueError):
+    """A change may not be applied; none of it was. problems: all reasons that were found."""
 
     def __init__(self, problems: tuple[Problem, ...]) -> None:
         super().__init__("; ".join(str(problem) for problem in problems))
@@ -136,24 +146,37 @@
 
 
 def check_change(change: Change) -> None:
-    """What can be said of a change without a state. ChangeRefused: it does not hold."""
+    """Check what does not depend on a state.
+
+    Raises
+    ------
+    ChangeRejectedError
+        An operation or a text is malformed, or a resource stands twice.
+    """
     problems: list[Problem] = []
     seen: set[Key] = set()
     for operation in change.operations:
-        key = operation.key
-        if key in seen:
-            problems.append(Problem(str(key), "", "stands twice in one change"))
-        seen.add(key)
-        if bool(key.name) == (key.kind in SINGLETONS):
-            problems.append(Problem(str(key), "name", "is missing" if not key.name else "must be empty"))
-        if not key.name.isprintable():
-            problems.append(Problem(str(key.kind.value), "name", "is no plain text"))
-        if isinstance(operation, Upsert) and key.kind is Kind.SERVER_OUT and operation.body:
-            problems.append(Problem(str(key), "body", "must be empty"))
-    for field in ("reason", "author"):
-        if not str(getattr(change, field)).isprintable():
+        if operation.key in seen:
+            problems.append(Problem(str(operation.key), "", "stands twice in one change"))
+        seen.add(operation.key)
+        problems += _operation_problems(operation)
+    for field, text in (("reason", change.reason), ("author", change.author)):
+        if not text.isprintable():
             problems.append(Problem("change", field, "is no plain text"))
     if not change.reason.strip():
         problems.append(Problem("change", "reason", "is missing"))
     if problems:
-        raise ChangeRefused(tuple(problems))
+        raise ChangeRejectedError(tuple(problems))
+
+
+def _operation_problems(operation: Operation) -> list[Problem]:
+    """What is wrong with one operation by itself."""
+    problems: list[Problem] = []
+    key = operation.key
+    if bool(key.name) == (key.kind in SINGLETONS):
+        problems.append(Problem(str(key), "name", "is missing" if not key.name else "must be empty"))
+    if not key.name.isprintable():
+        problems.append(Problem(key.kind.value, "name", "is no plain text"))
+    if isinstance(operation, Upsert) and key.kind is Kind.DRAINED_SERVER and operation.body:
+        problems.append(Problem(str(key), "body", "must be empty"))
+    return problems
--- a/hollybay/resources/wire.py
+++ b/hollybay/resources/wire.py
@@ -1,7 +1,7 @@
-"""The MessagePack form of changes, batches and snapshots, bounded in size; strict in both directions.
+"""The MessagePack encoding of changes, batches and snapshots, bounded in size.
 
-Batches and snapshots end with a checksum of all their bytes: the digests in them cover the resources, but no
-reason, author or revision.
+Batches and snapshots end with a checksum of all their bytes: the digests in them cover the resources, but not
+reasons, authors and revisions.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from .batch import Batch, Digest
 from .digest import DIGEST_BYTES
 from .model import CHANGE_ID_BYTES, Change, Key, Kind, Resource
-from .state import ResourceState, restored
+from .state import ResourceState, restore_state
 
 __all__ = [
     "CHECKSUM_BYTES",
@@ -31,7 +31,8 @@
     "encode_snapshot",
 ]
 
-FORM = 1  # the form of a snapshot; another one is refused
+# Format of a snapshot; another one is rejected.
+FORM = 1
 MAX_BATCH_BYTES = 64 << 20
 MAX_SNAPSHOT_BYTES = 512 << 20
 CHECKSUM_BYTES = 16
@@ -40,11 +41,11 @@
 
 
 class WireError(ValueError):
-    """The bytes are none of these messages; the text says what does not hold."""
+    """The bytes are not a valid message; the text says why."""
 
 
 class _Snapshot(msgspec.Struct, frozen=True, array_like=True):
-    """A whole state. digest: of the state, so that a damaged or invented snapshot is told apart."""
+    """A whole state with its digest, by which a damaged or forged snapshot is detected."""
 
     form: int
     revision: Annotated[int, msgspec.Meta(ge=0)]
@@ -109,7 +110,7 @@
         FORM,
         state.revision,
         list(_in_order(state)),
-        sorted(state.ids_at.items()),
+        sorted(state.change_ids_by_revision.items()),
         state.digest,
     )
     return _with_checksum(msgspec.msgpack.encode(snapshot))
@@ -118,8 +119,7 @@
 def _in_order(state: ResourceState) -> Iterator[Resource]:
     """All resources by kind and name.
 
-    Names are sorted kind by kind, as plain strings: sorting all keys at once holds up every other thread of a
-    process for some 0.2 s at 110,000 resources.
+    Names are sorted kind by kind, as plain strings, so that no sort holds the interpreter lock for long.
     """
     names: dict[Kind, list[str]] = {}
     for key in state.resources:
@@ -130,15 +130,23 @@
 
 
 def decode_snapshot(data: bytes, expected: bytes | None = None) -> ResourceState:
-    """A state from its bytes. expected: the digest that it must have.
-
-    WireError: it is no snapshot, is of another form, or its digest is not that of its resources, or not the
-    expected one.
+    """A state from its bytes.
+
+    Parameters
+    ----------
+    expected
+        The digest that it must have; None: any.
+
+    Raises
+    ------
+    WireError
+        The bytes are no snapshot or of another format, or the digest is not that of the resources, or not the
+        expected one.
     """
     snapshot = _decoded(_checked(data, MAX_SNAPSHOT_BYTES), _Snapshot, MAX_SNAPSHOT_BYTES)
     if snapshot.form != FORM:
         raise WireError(f"form: {snapshot.form}, and this build reads {FORM}")
-    state = restored(snapshot.revision, snapshot.resources, snapshot.ids_at)
+    state = restore_state(snapshot.revision, snapshot.resources, snapshot.ids_at)
     if len(state.resources) != len(snapshot.resources):
         raise WireError("resources: one stands twice")
     if state.digest != snapshot.digest or (expected is not None and state.digest != expected):
--- a/hollybay/routing/__init__.py
+++ b/hollybay/routing/__init__.py
@@ -1,20 +1,37 @@
-"""Routes and limits from the operator file: pure, no I/O, no clock, no global random source.
+"""Routes and limits of the operator file: pure, no I/O, no clock, no global random source.
 
-problems   what is wrong with a file, each with table, key, value and reason
-schema     the file's form: typed tables, every error of a file at once
-paths      a request's path as segments, and the patterns of routes
-tree       the tree of path segments in which routes stand, as persistent values
-matcher    the compiled matcher, and the overlaps that it cannot decide
-limits     the limits of a route for one class, and where each comes from
-checks     limits against the four rules and against each other
-tenants    limits over all requests of a tenant
-plan       the whole file, compiled for one set of settings
-narrow     the narrower of two plans, while one gives way to the other
-gate       admission: rates, requests in flight, and what outlives a reload
+Reading the file
+    problems            what is not valid, each with table, key, value and reason
+    typed_tables        typed TOML tables, read with all errors at once
+    schema              the tables of the operator file
 
-resource_tables  the tables as the bodies of resources, and a file's difference to a state of them
-resource_plan    the plan of a state of resources, which takes a change in without being compiled anew
+Matching requests
+    paths               request paths as segments, and the patterns of routes
+    persistent_map      maps as persistent values
+    route_groups        the routes at one path of one host
+    tree                the tree of path segments that holds the routes of a host
+    matcher             precedence: which route a request matches, and which routes overlap
 
-Which server, whether to repeat and what to refuse for want of room stays with `lynxrouter`, which hears a
-request's limits through `hollybay.balancing.interface.Limits`.
+Limits
+    limits              limits of a route for one class, and the table that states each
+    checks              limits against the four rules, the platform's caps and each other
+    tenants             limits over all requests of a tenant
+    token_bucket        rate limiting
+    admission_control   admits or rejects requests under the policy in force
+
+Policies
+    class_declarations  classes as the file declares them, against the settings
+    route_compiler      routes and inherited limits
+    compiled_policy     resolves the head of a request to its limits
+    policy_compiler     compiles a whole file
+    policy_intersection two policies in force together, while one replaces the other
+    explain             what a policy decides for one request
+
+Configuration as resources
+    resource_tables     the tables as bodies of resources, and the difference between a file and a state
+    incremental_policy  a policy with the indexes that a change needs
+    policy_update       derives the policy of a changed state
+
+Server selection, retries and load shedding are decided in `hollybay.balancing`, which gets the limits of a
+request as `hollybay.balancing.interface.Limits`.
 """
--- a/hollybay/routing/admission_control.py
+++ b/hollybay/routing/admission_control.py
@@ -1,7 +1,7 @@
-"""Admission under a plan: token buckets and requests in flight. Time and chance come from the caller.
+"""Admission control: rate limits and limits on requests in flight. Time and random seed come from the caller.
 
-Buckets and counts go by a route's name and outlive a reload; what a request began under is told back when it
-is over, so that a plan that has changed meanwhile takes nothing from it.
+Counters are kept by scope (a route's, class's or tenant's name) and outlive a change of the policy. A request
+is released under the limits that it was admitted under, whatever policy is in force by then.
 """
 
 from __future__ import annotations
@@ -10,223 +10,253 @@
 from collections.abc import Mapping
 from dataclasses import replace
 
-from .limits import Effective, Rate
-from .policy_intersection import Narrow
-from .route_table import Plan
+from hollybay.routing.policy_intersection import PolicyIntersection
 
-__all__ = ["Gate"]
+from .compiled_policy import CompiledPolicy
+from .limits import EffectiveLimits, Rate
+from .token_bucket import TokenBucket
 
-SECOND = 1_000_000_000
-MS = 1_000_000
-# Buckets that are looked at for one that may be forgotten, each time that a new key finds no room.
-LOOKED_AT = 4
+__all__ = ["AdmissionControl"]
 
+NS_PER_SECOND = 1_000_000_000
+NS_PER_MS = 1_000_000
+# Buckets inspected in search of one to evict, each time that a new key finds the table full.
+EVICTION_CANDIDATES = 4
 
-class _Bucket:
-    """Tokens as of a time (ns)."""
 
-    __slots__ = ("at", "tokens")
+class _ScopeCounters:
+    """Requests in flight in one scope, and its token buckets by key."""
 
-    def __init__(self, tokens: float, at: int) -> None:
-        self.tokens = tokens
-        self.at = at
-
-    def take(self, rate: Rate, now: int) -> int:
-        """Take a token: 0, or the time (ns) until there is one."""
-        elapsed = max(0, now - self.at)
-        tokens = min(float(rate.burst), self.tokens + elapsed * rate.per_second / SECOND)
-        self.at = max(now, self.at)
-        if tokens >= 1.0:
-            self.tokens = tokens - 1.0
-            return 0
-        self.tokens = tokens
-        return max(1, int((1.0 - tokens) * SECOND / rate.per_second))
-
-    def full(self, rate: Rate, now: int) -> bool:
-        """Whether it has forgotten all: a new one would be the same."""
-        return self.tokens + max(0, now - self.at) * rate.per_second / SECOND >= rate.burst
-
-
-class _State:
-    """What is known of one scope: requests in flight, and its buckets by key."""
-
-    __slots__ = ("buckets", "by", "in_flight", "others")
+    __slots__ = ("buckets", "in_flight", "key_kind", "overflow_bucket")
 
     def __init__(self) -> None:
         self.in_flight = 0
-        self.buckets: dict[int, _Bucket] = {}
-        # For keys beyond the most that are kept apart: they share one, or who makes up keys would be free.
-        self.others: _Bucket | None = None
-        self.by: tuple[bytes, bool] = (b"", False)
-
-
-def _gone(before: Plan | Narrow, after: Plan | Narrow) -> set[str] | None:
-    """Scopes of one that the other may not have; None: that is not known, and all must be looked at."""
-    gone: set[str] = set()
-    for old in before.plans():
-        known = [new.gone_since(old) for new in after.plans()]
-        found = next((scopes for scopes in known if scopes is not None), None)
-        if found is None:
-            return None
-        gone.update(found)
-    return gone
+        self.buckets: dict[int, TokenBucket] = {}
+        # Shared by all keys beyond the limit on buckets: otherwise invented keys would evade the rate.
+        self.overflow_bucket: TokenBucket | None = None
+        # What the buckets are keyed by: the header's name (b"": none), and whether it is the tenant.
+        self.key_kind: tuple[bytes, bool] = (b"", False)
+
+    def bucket(self, rate: Rate, tenant: int, headers: Mapping[bytes, bytes], now: int) -> TokenBucket:
+        """Return the bucket that a request draws from."""
+        key_kind = (rate.header, rate.tenant)
+        if self.key_kind != key_kind:
+            self._reset(key_kind)
+        key = _bucket_key(rate, tenant, headers)
+        bucket = self.buckets.get(key)
+        if bucket is not None:
+            return bucket
+        if len(self.buckets) >= rate.most_keys:
+            self._evict(rate, now)
+        if len(self.buckets) >= rate.most_keys:
+            if self.overflow_bucket is None:
+                self.overflow_bucket = TokenBucket.full(rate, now)
+            return self.overflow_bucket
+        bucket = self.buckets[key] = TokenBucket.full(rate, now)
+        return bucket
 
+    def _reset(self, key_kind: tuple[bytes, bool]) -> None:
+        """Drop all buckets: tokens saved under keys of one kind mean nothing for another."""
+        self.key_kind = key_kind
+        self.buckets.clear()
+        self.overflow_bucket = None
 
-class Gate:
-    """The plan in force and what counts under it."""
+    def _evict(self, rate: Rate, now: int) -> None:
+        """Make room for a key by dropping full buckets.
 
-    def __init__(self, plan: Plan | Narrow, seed: int, max_retry_after: int) -> None:
-        self.plan: Plan | Narrow = plan
-        self.tenanted = plan.tenanted  # whether any tenant has limits
-        # Scopes that are counted and that the plan has not: those of requests that began under an older one.
-        self.strays: set[str] = set()
+        Looks at the few that were inspected longest ago, and moves those that are not full to the end.
+        """
+        buckets = self.buckets
+        for _ in range(EVICTION_CANDIDATES):
+            oldest = next(iter(buckets))
+            candidate = buckets.pop(oldest)
+            if not candidate.is_full(rate, now):
+                buckets[oldest] = candidate
+            elif len(buckets) < rate.most_keys:
+                break
+
+
+def _bucket_key(rate: Rate, tenant: int, headers: Mapping[bytes, bytes]) -> int:
+    if rate.tenant:
+        return tenant
+    # The hash alone: a header's value may be as long as a request's head.
+    return hash(headers.get(rate.header)) if rate.header else 0
+
+
+class AdmissionControl:
+    """Admits or rejects requests under the policy in force.
+
+    Parameters
+    ----------
+    policy
+        The policy in force.
+    seed
+        Seed of the jitter in Retry-After.
+    max_retry_after
+        The longest Retry-After (ns); 0: no Retry-After is sent.
+    """
+
+    def __init__(self, policy: CompiledPolicy | PolicyIntersection, seed: int, max_retry_after: int) -> None:
+        self.policy: CompiledPolicy | PolicyIntersection = policy
+        self.has_tenant_limits = policy.has_tenant_limits
+        # Scopes with counters that the policy does not have: those of requests admitted under an earlier one.
+        self.orphaned_scopes: set[str] = set()
         self.random = random.Random(seed)
         self.max_retry_after = max_retry_after
-        self.states: dict[str, _State] = {}
-        self.turned_away: dict[str, int] = {}
+        self.counters: dict[str, _ScopeCounters] = {}
+        self.rejected: dict[str, int] = {}
 
-    def admit(self, limits: Effective, tenant: int, given: Mapping[bytes, bytes], now: int) -> int | None:
-        """Let a request in (None, and done() is owed), or tell the Retry-After (ns, 0: none) that it is
-        turned away with.
-
-        Under the narrower of two policies a request counts under both, or under neither.
+    def admit(
+        self, limits: EffectiveLimits, tenant: int, headers: Mapping[bytes, bytes], now: int
+    ) -> int | None:
+        """Admit or reject a request. Limits with components admit it under all of them, or under none.
+
+        Parameters
+        ----------
+        limits
+            The limits in force for the request.
+        tenant
+            The tenant's index, -1 if it is not known.
+        headers
+            The request's headers, names in lower case.
+        now
+            Monotonic time (ns).
+
+        Returns
+        -------
+        int or None
+            None: admitted, and `release` is owed. Otherwise the Retry-After (ns, 0: none) of the rejection.
         """
-        if limits.parts:
-            return self._admit_all(limits.parts, tenant, given, now)
+        if limits.components:
+            return self._admit_all(limits.components, tenant, headers, now)
         rate = limits.rate
-        if rate is None and not limits.in_flight:
+        if rate is None and not limits.max_in_flight:
             return None
-        state = self.states.get(limits.scope)
-        if state is None:
-            state = self._begun(limits.scope)
-        if limits.in_flight and state.in_flight >= limits.in_flight:
-            return self._away(limits, 0)
+        counters = self.counters.get(limits.scope)
+        if counters is None:
+            counters = self._add_counters(limits.scope)
+        if limits.max_in_flight and counters.in_flight >= limits.max_in_flight:
+            return self._reject(limits, 0)
         if rate is not None:
-            wait = self._bucket(state, rate, tenant, given, now).take(rate, now)
+            wait = counters.bucket(rate, tenant, headers, now).take(rate, now)
             if wait:
-                return self._away(limits, wait)
-        if limits.in_flight:
-            state.in_flight += 1
+                return self._reject(limits, wait)
+        if limits.max_in_flight:
+            counters.in_flight += 1
         return None
 
-    def with_tenant(self, limits: Effective, name: str) -> Effective:
-        """Limits of a request, and those of its tenant beside them; to be asked for only where `tenanted`.
+    def with_tenant_limits(self, limits: EffectiveLimits, name: str) -> EffectiveLimits:
+        """Combine a request's limits with those of its tenant; call only where `has_tenant_limits`.
 
-        The tenant's come first: who is over them takes nothing from what others share with it.
+        The tenant's come first: a tenant over its own limits takes nothing from what others share with it.
         """
-        tenant = self.plan.tenant(name)
+        tenant = self.policy.tenant_limits(name)
         if not tenant:
             return limits
-        in_flight = limits.in_flight or max(one.in_flight for one in tenant)
-        return replace(limits, in_flight=in_flight, parts=(*tenant, *(limits.parts or (limits,))))
+        max_in_flight = limits.max_in_flight or max(own.max_in_flight for own in tenant)
+        components = (*tenant, *(limits.components or (limits,)))
+        return replace(limits, max_in_flight=max_in_flight, components=components)
+
+    def release(self, limits: EffectiveLimits) -> None:
+        """End a request that was admitted under these limits."""
+        if limits.components:
+            for component in limits.components:
+                self.release(component)
+            return
+        if not limits.max_in_flight:
+            return
+        counters = self.counters[limits.scope]
+        counters.in_flight -= 1
+        if not counters.in_flight and not self.policy.has_scope(limits.scope):
+            del self.counters[limits.scope]
+
+    def replace_policy(self, policy: CompiledPolicy | PolicyIntersection) -> None:
+        """Put another policy in force; counters of scopes that it still has are kept.
 
-    def _begun(self, scope: str) -> _State:
-        """Count from now on under a scope."""
-        state = self.states[scope] = _State()
-        if not self.plan.has_scope(scope):
-            self.strays.add(scope)
-        return state
+        Where it was derived from the one in force, only the scopes removed since are looked at.
+        """
+        removed = _removed_scopes(self.policy, policy)
+        if removed is None:
+            removed = {*self.counters, *self.rejected}
+        self.policy = policy
+        self.has_tenant_limits = policy.has_tenant_limits
+        for scope in removed | self.orphaned_scopes:
+            if policy.has_scope(scope):
+                self.orphaned_scopes.discard(scope)
+            else:
+                self._drop_scope(scope)
 
     def _admit_all(
-        self, parts: tuple[Effective, ...], tenant: int, given: Mapping[bytes, bytes], now: int
+        self,
+        components: tuple[EffectiveLimits, ...],
+        tenant: int,
+        headers: Mapping[bytes, bytes],
+        now: int,
     ) -> int | None:
-        for n, one in enumerate(parts):
-            wait = self.admit(one, tenant, given, now)
+        """Admit a request under all of several limits, or under none."""
+        for position, component in enumerate(components):
+            wait = self.admit(component, tenant, headers, now)
             if wait is not None:
-                for before in parts[:n]:
-                    self._take_back(before, tenant, given, now)
+                for admitted in components[:position]:
+                    self._undo(admitted, tenant, headers, now)
                 return wait
         return None
 
-    def _take_back(self, limits: Effective, tenant: int, given: Mapping[bytes, bytes], now: int) -> None:
-        """A request that was let in under these limits is turned away by others: it never was."""
+    def _undo(self, limits: EffectiveLimits, tenant: int, headers: Mapping[bytes, bytes], now: int) -> None:
+        """Revert an admission under these limits, because others reject the request."""
         rate = limits.rate
         if rate is not None:
-            bucket = self._bucket(self.states[limits.scope], rate, tenant, given, now)
-            bucket.tokens = min(float(rate.burst), bucket.tokens + 1.0)
-        self.done(limits)
-
-    def done(self, limits: Effective) -> None:
-        """A request that was let in under these limits is over."""
-        if limits.parts:
-            for one in limits.parts:
-                self.done(one)
-            return
-        if not limits.in_flight:
-            return
-        state = self.states[limits.scope]
-        state.in_flight -= 1
-        if not state.in_flight and not self.plan.has_scope(limits.scope):
-            del self.states[limits.scope]
-
-    def take_over(self, plan: Plan | Narrow) -> None:
-        """Put another plan in force; buckets and counts of what it still names go on.
-
-        Where the plan came from the one in force, by changes, only what these took away is looked at.
+            self.counters[limits.scope].bucket(rate, tenant, headers, now).put_back(rate)
+        self.release(limits)
+
+    def _add_counters(self, scope: str) -> _ScopeCounters:
+        counters = self.counters[scope] = _ScopeCounters()
+        if not self.policy.has_scope(scope):
+            self.orphaned_scopes.add(scope)
+        return counters
+
+    def _drop_scope(self, scope: str) -> None:
+        """Drop the counters of a scope, unless requests are still in flight under it."""
+        self.orphaned_scopes.discard(scope)
+        self.rejected.pop(scope, None)
+        counters = self.counters.get(scope)
+        if counters is not None and not counters.in_flight:
+            del self.counters[scope]
+
+    def _reject(self, limits: EffectiveLimits, wait: int) -> int:
+        """Count a rejection and return its Retry-After (ns, 0: none), with jitter against retry storms.
+
+        Parameters
+        ----------
+        limits
+            The limits that reject the request.
+        wait
+            The time (ns) until a token is available; 0 where no rate was exceeded.
         """
-        gone = _gone(self.plan, plan)
-        if gone is None:
-            gone = {*self.states, *self.turned_away}
-        self.plan = plan
-        self.tenanted = plan.tenanted
-        for scope in gone | self.strays:
-            if plan.has_scope(scope):
-                self.strays.discard(scope)
-            else:
-                self._forget(scope)
-
-    def _forget(self, scope: str) -> None:
-        """Count no longer under a scope, but for requests that are still in flight under it."""
-        self.strays.discard(scope)
-        self.turned_away.pop(scope, None)
-        state = self.states.get(scope)
-        if state is not None and not state.in_flight:
-            del self.states[scope]
-
-    def _bucket(
-        self, state: _State, rate: Rate, tenant: int, given: Mapping[bytes, bytes], now: int
-    ) -> _Bucket:
-        by = (rate.header, rate.tenant)
-        if state.by != by:
-            # Keys of another kind: what was saved up under them tells nothing of these.
-            state.by = by
-            state.buckets.clear()
-            state.others = None
-        # By hash: a value may be as long as a head.
-        key = tenant if rate.tenant else hash(given.get(rate.header)) if rate.header else 0
-        buckets = state.buckets
-        bucket = buckets.get(key)
-        if bucket is not None:
-            return bucket
-        if len(buckets) >= rate.most_keys:
-            # Only what has filled up again may be forgotten. It is looked for among those that were looked at
-            # longest ago, a few for each new key: a key that is known costs no bookkeeping.
-            for _ in range(LOOKED_AT):
-                old = next(iter(buckets))
-                one = buckets.pop(old)
-                if not one.full(rate, now):
-                    buckets[old] = one
-                elif len(buckets) < rate.most_keys:
-                    break
-            if len(buckets) >= rate.most_keys:
-                if state.others is None:
-                    state.others = _Bucket(float(rate.burst), now)
-                return state.others
-        bucket = buckets[key] = _Bucket(float(rate.burst), now)
-        return bucket
-
-    def _away(self, limits: Effective, wait: int) -> int:
-        """Count one that is turned away; when it may come back, spread out so that not all come together."""
-        count = self.turned_away.get(limits.scope, 0)
-        if not count and not self.plan.has_scope(limits.scope):
-            self.strays.add(limits.scope)
-        self.turned_away[limits.scope] = count + 1
+        count = self.rejected.get(limits.scope, 0)
+        if not count and not self.policy.has_scope(limits.scope):
+            self.orphaned_scopes.add(limits.scope)
+        self.rejected[limits.scope] = count + 1
         if not self.max_retry_after:
             return 0
         if limits.retry_after is not None:
             least, most = limits.retry_after
         else:
             least, most = 0, self.max_retry_after
-            most = min(most, max(2 * wait, wait + SECOND))
-        begin = min(max(least, wait), most)
-        return max(MS, begin + int(self.random.random() * (most - begin)))
+            most = min(most, max(2 * wait, wait + NS_PER_SECOND))
+        earliest = min(max(least, wait), most)
+        return max(NS_PER_MS, earliest + int(self.random.random() * (most - earliest)))
+
+
+def _removed_scopes(
+    before: CompiledPolicy | PolicyIntersection, after: CompiledPolicy | PolicyIntersection
+) -> set[str] | None:
+    """Return scopes that may be missing after a change of policy; None: unknown, all must be looked at."""
+    removed: set[str] = set()
+    for old in before.policies():
+        known = [new.scopes_removed_since(old) for new in after.policies()]
+        found = next((scopes for scopes in known if scopes is not None), None)
+        if found is None:
+            return None
+        removed.update(found)
+    return removed
--- a/hollybay/routing/checks.py
+++ b/hollybay/routing/checks.py
@@ -1,8 +1,8 @@
-"""Limits against the four rules, the platform's caps and each other: what may not take effect, and why.
+"""Checks limits against the four rules, the platform's caps and each other.
 
 Rule 1 (no request is lost): no time-out past the promised answer time or the deadline. Rule 2 (no effect
-twice): no repeat or copy of an unsafe class, none of a keyed one outside its group or window. The platform:
-attempts, copies, Retry-After and body sizes within what the settings and the node allow.
+twice): no repeat or copy of an unsafe class, none of a keyed class outside its deduplication scope or window.
+The platform: attempts, copies, Retry-After and body sizes within what the settings and the node allow.
 """
 
 from __future__ import annotations
@@ -12,176 +12,214 @@
 
 from hollybay.balancing import interface as api
 
-from .limits import GROUPS, Sourced
+from .limits import DEDUPLICATION_SCOPES, LimitSettings
 from .problems import Problem
 
-__all__ = ["DURATIONS", "MAX_BODY", "REACH", "Checked", "faults", "shown"]
-
-MS = 1_000_000
+__all__ = [
+    "DURATION_LIMITS",
+    "MAX_BODY_BYTES",
+    "SCOPE_WIDTH",
+    "CheckedLimits",
+    "check_limits",
+    "format_duration",
+]
+
+NS_PER_SECOND = 1_000_000_000
+NS_PER_MS = 1_000_000
 # The longest body that a file may allow, bytes; the node itself takes a little more.
-MAX_BODY = 32 << 20
+MAX_BODY_BYTES = 32 << 20
 # The limits that are durations, in ns.
-DURATIONS = frozenset(("attempt_timeout", "request_timeout", "copy_delay", "repeat_window"))
-# How far a repeat may go: a larger number reaches more servers.
-REACH = {api.DeduplicationScope.CELL: 0, api.DeduplicationScope.ZONE: 1, api.DeduplicationScope.ALL: 2}
+DURATION_LIMITS = frozenset(("attempt_timeout", "request_timeout", "copy_delay", "repeat_window"))
+# How many servers a repeat may reach, in order: cell, zone, all.
+SCOPE_WIDTH = {
+    api.DeduplicationScope.CELL: 0,
+    api.DeduplicationScope.ZONE: 1,
+    api.DeduplicationScope.ALL: 2,
+}
 
 
-def shown(ns: int) -> str:
-    """A duration in the file's words."""
-    return f"{ns / 1e9:g}s" if ns >= 1_000_000_000 else f"{ns / 1e6:g}ms"
+def format_duration(ns: int) -> str:
+    """Return a duration (ns) as the operator file writes it."""
+    return f"{ns / NS_PER_SECOND:g}s" if ns >= NS_PER_SECOND else f"{ns / NS_PER_MS:g}ms"
 
 
 @dataclass(frozen=True, slots=True)
-class Checked:
-    """One pair of route and class whose limits are checked; table: the route's or class's table."""
+class CheckedLimits:
+    """Limits to check: those of a route or class for requests of a class.
+
+    Attributes
+    ----------
+    table
+        The route's or class's table in the operator file.
+    """
 
     table: str
-    cls: api.RequestClass
-    words: Sourced
-
-
-def faults(pair: Checked, settings: api.Settings) -> Iterator[Problem]:
-    """Everything in these limits that may not take effect."""
-    yield from _rule_two(pair)
-    yield from _rule_one(pair)
-    yield from _platform(pair, settings)
-    yield from _contradictions(pair, settings)
-
-
-def _problem(pair: Checked, key: str, reason: str) -> Problem:
-    """A problem at the table that states the value, with the pair that it meets where that is another."""
-    value = getattr(pair.words, key)
-    table = pair.words.source[key]
-    if table != pair.table:
-        reason = f"{reason} (in force for [{pair.table}])"
-    if key in DURATIONS:
-        value = shown(value)
-    return Problem(table, key, value, reason)
-
-
-def _own(pair: Checked, key: str) -> bool:
-    """Whether a value is stated for this class or route, and not for all."""
-    return pair.words.source.get(key, "defaults") != "defaults"
-
-
-def _rule_two(pair: Checked) -> Iterator[Problem]:
-    words, cls = pair.words, pair.cls
-    if cls.effect == api.Effect.UNSAFE:
-        why = f"class {cls.name!r} must never run twice, and what seems lost may have run (rule 2)"
-        if words.attempts is not None and words.attempts > 1:
-            yield _problem(
-                pair,
-                "attempts",
-                f"permits a repeat: {why}; leave it out: the node tries again only where nothing ran",
-            )
-        if words.copies:
-            yield _problem(pair, "copies", f"permits a second copy: {why}")
-        for key in ("repeat_window", "repeat_group"):
-            if getattr(words, key) is not None and _own(pair, key):
-                yield _problem(pair, key, f"permits a repeat: {why}")
-        return
-    if cls.effect == api.Effect.SAFE:
-        for key in ("repeat_window", "repeat_group"):
-            if getattr(words, key) is not None and _own(pair, key):
-                yield _problem(pair, key, f"class {cls.name!r} is safe to repeat anywhere: nothing to narrow")
-        return
-    if words.repeat_window is not None and words.repeat_window > cls.deduplication_window:
-        yield _problem(
-            pair,
-            "repeat_window",
-            f"repeats of {cls.name!r} past its window of {shown(cls.deduplication_window)} "
-            "run a second time (rule 2)",
-        )
-    if words.repeat_group is not None and REACH[GROUPS[words.repeat_group]] > REACH[cls.deduplication_scope]:
-        yield _problem(
-            pair,
-            "repeat_group",
-            f"repeats of {cls.name!r} outside its {cls.deduplication_scope.name.lower()} "
-            "run a second time (rule 2)",
-        )
-    window = min(cls.deduplication_window, words.repeat_window or cls.deduplication_window)
-    if words.attempts is not None and words.attempts > 1 and words.attempt_timeout is not None:
-        last = (words.attempts - 1) * words.attempt_timeout
-        if last >= window:
-            yield _problem(
-                pair,
-                "attempts",
-                f"the last would begin after {shown(last)}, past the window of {shown(window)} in which a "
-                f"repeat of {cls.name!r} is dropped (rule 2)",
+    request_class: api.RequestClass
+    limits: LimitSettings
+
+    def problem(self, key: str, reason: str) -> Problem:
+        """Return a problem at the table that states a value, naming this one where that is another."""
+        value = getattr(self.limits, key)
+        table = self.limits.sources[key]
+        if table != self.table:
+            reason = f"{reason} (in force for [{self.table}])"
+        if key in DURATION_LIMITS:
+            value = format_duration(value)
+        return Problem(table, key, value, reason)
+
+    def is_specific(self, key: str) -> bool:
+        """Tell whether a value is stated for the class or route, and not inherited from [defaults]."""
+        return self.limits.sources.get(key, "defaults") != "defaults"
+
+    def in_one_table(self, first: str, second: str) -> bool:
+        """Tell whether two values are stated in the same table."""
+        return self.limits.sources.get(first) == self.limits.sources.get(second)
+
+
+def check_limits(checked: CheckedLimits, settings: api.Settings) -> Iterator[Problem]:
+    """Yield everything in these limits that may not take effect."""
+    yield from _check_repeated_effects(checked)
+    yield from _check_lost_requests(checked)
+    yield from _check_platform_caps(checked, settings)
+    yield from _check_contradictions(checked)
+    yield from _check_copy_delay(checked, settings)
+    yield from _check_attempts_within_budget(checked)
+
+
+def _check_repeated_effects(checked: CheckedLimits) -> Iterator[Problem]:
+    """Rule 2, by the effect that requests of the class have."""
+    effect = checked.request_class.effect
+    if effect == api.Effect.UNSAFE:
+        yield from _check_unsafe(checked)
+    elif effect == api.Effect.SAFE:
+        yield from _check_safe(checked)
+    else:
+        yield from _check_keyed(checked)
+
+
+def _check_unsafe(checked: CheckedLimits) -> Iterator[Problem]:
+    """An unsafe request is never repeated."""
+    limits = checked.limits
+    name = checked.request_class.name
+    why = f"class {name!r} must never run twice, and what seems lost may have run (rule 2)"
+    if limits.attempts is not None and limits.attempts > 1:
+        reason = f"permits a repeat: {why}; leave it out: the node tries again only where nothing ran"
+        yield checked.problem("attempts", reason)
+    if limits.copies:
+        yield checked.problem("copies", f"permits a second copy: {why}")
+    for key in ("repeat_window", "repeat_group"):
+        if getattr(limits, key) is not None and checked.is_specific(key):
+            yield checked.problem(key, f"permits a repeat: {why}")
+
+
+def _check_safe(checked: CheckedLimits) -> Iterator[Problem]:
+    """A safe request may be repeated anywhere, so that bounds on where are a mistake."""
+    reason = f"class {checked.request_class.name!r} is safe to repeat anywhere: nothing to narrow"
+    for key in ("repeat_window", "repeat_group"):
+        if getattr(checked.limits, key) is not None and checked.is_specific(key):
+            yield checked.problem(key, reason)
+
+
+def _check_keyed(checked: CheckedLimits) -> Iterator[Problem]:
+    """A keyed request is repeated only where, and while, servers drop its repeats."""
+    limits, request_class = checked.limits, checked.request_class
+    name = request_class.name
+    own_window, own_scope = request_class.deduplication_window, request_class.deduplication_scope
+    if limits.repeat_window is not None and limits.repeat_window > own_window:
+        past = f"past its window of {format_duration(own_window)}"
+        yield checked.problem("repeat_window", f"repeats of {name!r} {past} run a second time (rule 2)")
+    if limits.repeat_group is not None:
+        scope = DEDUPLICATION_SCOPES[limits.repeat_group]
+        if SCOPE_WIDTH[scope] > SCOPE_WIDTH[own_scope]:
+            outside = f"outside its {own_scope.name.lower()}"
+            yield checked.problem("repeat_group", f"repeats of {name!r} {outside} run a second time (rule 2)")
+    window = min(own_window, limits.repeat_window or own_window)
+    if limits.attempts is not None and limits.attempts > 1 and limits.attempt_timeout is not None:
+        last_begins = (limits.attempts - 1) * limits.attempt_timeout
+        if last_begins >= window:
+            reason = (
+                f"the last would begin after {format_duration(last_begins)}, past the window of "
+                f"{format_duration(window)} in which a repeat of {name!r} is dropped (rule 2)"
             )
-    if words.copies and words.copy_delay is not None and words.copy_delay >= window:
-        yield _problem(
-            pair,
-            "copy_delay",
-            f"a copy of {cls.name!r} past its window of {shown(window)} runs a second time (rule 2)",
-        )
-
-
-def _rule_one(pair: Checked) -> Iterator[Problem]:
-    words, cls = pair.words, pair.cls
-    if words.attempt_timeout is not None and words.attempt_timeout > cls.latency_objective:
-        yield _problem(
-            pair,
-            "attempt_timeout",
-            f"longer than the {shown(cls.latency_objective)} within which an answer of {cls.name!r} "
-            "is promised (rule 1)",
+            yield checked.problem("attempts", reason)
+    if limits.copies and limits.copy_delay is not None and limits.copy_delay >= window:
+        past = f"past its window of {format_duration(window)}"
+        yield checked.problem("copy_delay", f"a copy of {name!r} {past} runs a second time (rule 2)")
+
+
+def _check_lost_requests(checked: CheckedLimits) -> Iterator[Problem]:
+    """Rule 1: no answer is given up before its promised time, none comes after the deadline."""
+    limits, request_class = checked.limits, checked.request_class
+    objective, deadline = request_class.latency_objective, request_class.deadline
+    if limits.attempt_timeout is not None and limits.attempt_timeout > objective:
+        reason = (
+            f"longer than the {format_duration(objective)} within which an answer of "
+            f"{request_class.name!r} is promised (rule 1)"
         )
-    if words.request_timeout is not None and words.request_timeout > cls.deadline:
-        yield _problem(
-            pair,
-            "request_timeout",
-            f"longer than the {shown(cls.deadline)} that clients of {cls.name!r} wait: "
-            "such an answer is lost (rule 1)",
+        yield checked.problem("attempt_timeout", reason)
+    if limits.request_timeout is not None and limits.request_timeout > deadline:
+        reason = (
+            f"longer than the {format_duration(deadline)} that clients of {request_class.name!r} wait: "
+            "such an answer is lost (rule 1)"
         )
-
-
-def _platform(pair: Checked, settings: api.Settings) -> Iterator[Problem]:
-    words = pair.words
-    if words.attempts is not None and words.attempts > settings.max_attempts:
-        yield _problem(pair, "attempts", f"the platform allows {settings.max_attempts}")
-    if words.copies and not settings.hedging_allowed:
-        yield _problem(pair, "copies", "the platform allows no second copies")
-    if words.body is not None and words.body > MAX_BODY:
-        yield _problem(pair, "body", f"the node takes bodies of {MAX_BODY} bytes at most")
-    if words.retry_after is not None:
-        least, most = words.retry_after
+        yield checked.problem("request_timeout", reason)
+
+
+def _check_platform_caps(checked: CheckedLimits, settings: api.Settings) -> Iterator[Problem]:
+    """What the settings and the node allow."""
+    limits = checked.limits
+    if limits.attempts is not None and limits.attempts > settings.max_attempts:
+        yield checked.problem("attempts", f"the platform allows {settings.max_attempts}")
+    if limits.copies and not settings.hedging_allowed:
+        yield checked.problem("copies", "the platform allows no second copies")
+    if limits.body is not None and limits.body > MAX_BODY_BYTES:
+        yield checked.problem("body", f"the node takes bodies of {MAX_BODY_BYTES} bytes at most")
+    if limits.retry_after is not None:
+        least, most = limits.retry_after
         if not settings.max_retry_after:
-            yield _problem(pair, "retry_after", "the platform allows no Retry-After")
+            yield checked.problem("retry_after", "the platform allows no Retry-After")
         elif most > settings.max_retry_after:
-            yield _problem(
-                pair, "retry_after", f"most: the platform allows {shown(settings.max_retry_after)} at most"
-            )
+            allowed = format_duration(settings.max_retry_after)
+            yield checked.problem("retry_after", f"most: the platform allows {allowed} at most")
         if least > most:
-            yield _problem(pair, "retry_after", "least is more than most")
-
-
-def _contradictions(pair: Checked, settings: api.Settings) -> Iterator[Problem]:
-    words, cls = pair.words, pair.cls
-    whole = words.request_timeout
-    if words.attempt_timeout is not None and whole is not None and words.attempt_timeout > whole:
-        yield _problem(
-            pair, "attempt_timeout", f"longer than the request_timeout of {shown(whole)} for all attempts"
-        )
-    if words.copies:
-        if words.attempts is not None and words.attempts < 2:
-            yield _problem(pair, "copies", "a second copy is an attempt, and only one is allowed")
-        if words.retry_budget == 0:
-            yield _problem(pair, "copies", "a retry_budget of 0 allows none")
-    if words.copy_delay is not None:
-        if words.copies == 0 and _same(words, "copies", "copy_delay"):
-            yield _problem(pair, "copy_delay", "there is no copy to delay: copies is 0")
-        if not settings.hedging_allowed and _own(pair, "copy_delay"):
-            yield _problem(pair, "copy_delay", "there is no copy to delay: the platform allows none")
-        if cls.effect == api.Effect.UNSAFE and _own(pair, "copy_delay"):
-            yield _problem(pair, "copy_delay", f"there is no copy to delay: {cls.name!r} is unsafe")
-        first = min(words.attempt_timeout or cls.deadline, whole or cls.deadline)
-        if words.copies != 0 and cls.effect != api.Effect.UNSAFE and words.copy_delay >= first:
-            yield _problem(
-                pair, "copy_delay", f"the first attempt ends after {shown(first)}: no copy would go"
-            )
-    if words.attempts is not None and words.attempts > 1 and words.retry_budget == 0:
-        yield _problem(pair, "attempts", "a retry_budget of 0 allows one")
-
-
-def _same(words: Sourced, first: str, second: str) -> bool:
-    return words.source.get(first) == words.source.get(second)
+            yield checked.problem("retry_after", "least is more than most")
+
+
+def _check_contradictions(checked: CheckedLimits) -> Iterator[Problem]:
+    """Time-outs and copies against the limits beside them."""
+    limits = checked.limits
+    total = limits.request_timeout
+    if limits.attempt_timeout is not None and total is not None and limits.attempt_timeout > total:
+        reason = f"longer than the request_timeout of {format_duration(total)} for all attempts"
+        yield checked.problem("attempt_timeout", reason)
+    if limits.copies:
+        if limits.attempts is not None and limits.attempts < 2:
+            yield checked.problem("copies", "a second copy is an attempt, and only one is allowed")
+        if limits.retry_budget == 0:
+            yield checked.problem("copies", "a retry_budget of 0 allows none")
+
+
+def _check_copy_delay(checked: CheckedLimits, settings: api.Settings) -> Iterator[Problem]:
+    """A delay of copies needs copies, and time for one."""
+    limits, request_class = checked.limits, checked.request_class
+    if limits.copy_delay is None:
+        return
+    is_unsafe = request_class.effect == api.Effect.UNSAFE
+    if limits.copies == 0 and checked.in_one_table("copies", "copy_delay"):
+        yield checked.problem("copy_delay", "there is no copy to delay: copies is 0")
+    if not settings.hedging_allowed and checked.is_specific("copy_delay"):
+        yield checked.problem("copy_delay", "there is no copy to delay: the platform allows none")
+    if is_unsafe and checked.is_specific("copy_delay"):
+        yield checked.problem("copy_delay", f"there is no copy to delay: {request_class.name!r} is unsafe")
+    deadline = request_class.deadline
+    first_attempt = min(limits.attempt_timeout or deadline, limits.request_timeout or deadline)
+    if limits.copies != 0 and not is_unsafe and limits.copy_delay >= first_attempt:
+        reason = f"the first attempt ends after {format_duration(first_attempt)}: no copy would go"
+        yield checked.problem("copy_delay", reason)
+
+
+def _check_attempts_within_budget(checked: CheckedLimits) -> Iterator[Problem]:
+    """More than one attempt needs a retry budget."""
+    limits = checked.limits
+    if limits.attempts is not None and limits.attempts > 1 and limits.retry_budget == 0:
+        yield checked.problem("attempts", "a retry_budget of 0 allows one")
--- /dev/null
+++ b/hollybay/routing/class_declarations.py
@@ -0,0 +1,87 @@
+"""The operator file's declarations of request classes, and how they agree with the node's settings."""
+
+from __future__ import annotations
+
+from collections.abc import Iterator, Mapping
+
+from hollybay.balancing import interface as api
+
+from .checks import format_duration
+from .limits import DEDUPLICATION_SCOPES
+from .problems import Problem
+from .schema import ClassTable, OperatorFile
+
+__all__ = ["declaration_problems", "declared_settings", "quoted_names"]
+
+EFFECTS = {"safe": api.Effect.SAFE, "keyed": api.Effect.KEYED, "unsafe": api.Effect.UNSAFE}
+NS_PER_DAY = 86_400 * 1_000_000_000
+DEFAULT_MAX_ATTEMPTS = 3  # where only the file says what there is
+
+
+def declared_settings(tables: OperatorFile) -> api.Settings:
+    """Derive settings from a file alone; a class whose effect it does not declare counts as unsafe."""
+    classes = tuple(_declared_class(name, table) for name, table in tables.classes.items())
+    return api.Settings(
+        classes, max_attempts=DEFAULT_MAX_ATTEMPTS, hedging_allowed=True, max_retry_after=NS_PER_DAY
+    )
+
+
+def _declared_class(name: str, table: ClassTable) -> api.RequestClass:
+    deadline = table.deadline or NS_PER_DAY
+    return api.RequestClass(
+        name,
+        EFFECTS[table.effect or "unsafe"],
+        1.0,
+        table.promised or deadline,
+        deadline,
+        deduplication_scope=DEDUPLICATION_SCOPES[table.group or "cell"],
+        deduplication_window=table.window or 1,
+    )
+
+
+def declaration_problems(tables: Mapping[str, ClassTable], settings: api.Settings) -> list[Problem]:
+    """Return where the declarations of classes differ from the settings.
+
+    Parameters
+    ----------
+    tables
+        The tables of classes, by the class's name.
+    """
+    problems: list[Problem] = []
+    classes = {request_class.name: request_class for request_class in settings.classes}
+    for name, table in tables.items():
+        request_class = classes.get(name)
+        if request_class is None:
+            reason = f"no such class; the settings have {quoted_names(classes)}"
+            problems.append(Problem(f"class.{name}", "", None, reason))
+        else:
+            problems += _differences(f"class.{name}", table, request_class)
+    return problems
+
+
+def _differences(at: str, table: ClassTable, request_class: api.RequestClass) -> Iterator[Problem]:
+    """Yield the fields in which a declaration differs from a class of the settings."""
+    effect, scope = request_class.effect, request_class.deduplication_scope
+    if table.effect is not None and EFFECTS[table.effect] != effect:
+        yield _differs(at, "effect", table.effect, effect.name.lower())
+    durations = (
+        ("promised", table.promised, request_class.latency_objective),
+        ("deadline", table.deadline, request_class.deadline),
+    )
+    for key, declared, actual in durations:
+        if declared is not None and declared != actual:
+            yield _differs(at, key, declared, format_duration(actual))
+    if table.group is not None and DEDUPLICATION_SCOPES[table.group] != scope:
+        yield _differs(at, "group", table.group, scope.name.lower())
+    window = request_class.deduplication_window
+    if table.window is not None and table.window != window:
+        yield _differs(at, "window", table.window, format_duration(window))
+
+
+def _differs(at: str, key: str, declared: object, actual: str) -> Problem:
+    return Problem(at, key, declared, f"the settings say {actual}")
+
+
+def quoted_names(names: Mapping[str, object]) -> str:
+    """Return names as problems list them."""
+    return ", ".join(repr(name) for name in names)
--- a/hollybay/routing/explain.py
+++ b/hollybay/routing/explain.py
@@ -1,21 +1,22 @@
-"""What becomes of one request under a plan, in words: for the command line and for the operators' page."""
+"""Explains what a policy decides for one request: its route, its limits, and the table of each."""
 
 from __future__ import annotations
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from .checks import DURATIONS, shown
-from .limits import Rate, Sourced
-from .paths import BadPath
-from .route_table import Denied, Plan
+from .checks import DURATION_LIMITS, format_duration
+from .compiled_policy import CompiledPolicy, Rejection
+from .limits import LimitSettings, Rate
 
-__all__ = ["Explained", "Line", "explain"]
+__all__ = ["Explanation", "LimitLine", "explain_request"]
+
+UNKNOWN_CLASS = Rejection(404, "the path names no class, and no route takes it")
 
 
 @dataclass(frozen=True, slots=True)
-class Line:
-    """One limit: its name, its value in the file's words, and the table that it comes from."""
+class LimitLine:
+    """One limit: its name, its value as the operator file writes it, and the table that states it."""
 
     name: str
     value: str
@@ -23,48 +24,77 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Explained:
-    """The route that takes a request (None: none), its class, variables and limits; or why none may."""
+class Explanation:
+    """What a policy decides for a request.
+
+    Attributes
+    ----------
+    route
+        The route that matches; None: none.
+    class_name
+        The request's class; empty if it is rejected.
+    variables
+        Values of the variables of the route's path.
+    limits
+        Limits in force, by name.
+    rejection
+        Why the request is rejected; None: it is not.
+    """
 
     route: str | None
-    cls: str
+    class_name: str
     variables: Mapping[str, str] = field(default_factory=dict)
-    limits: tuple[Line, ...] = ()
-    denied: Denied | None = None
-
-
-def explain(plan: Plan, method: bytes, target: bytes, given: Mapping[bytes, bytes]) -> Explained:
-    """Tell it for a request; given: headers, names in lower case."""
-    applied = plan.apply(method, target, given)
-    if applied is None:
-        applied = Denied(404, "the path names no class, and no route takes it")
-    if isinstance(applied, Denied):
-        return Explained(None, "", denied=applied)
-    try:
-        route, segments = plan.route_of(method, target, given)
-    except BadPath:  # apply() would have said so
-        raise AssertionError("an ambiguous path was taken") from None
+    limits: tuple[LimitLine, ...] = ()
+    rejection: Rejection | None = None
+
+
+def explain_request(
+    policy: CompiledPolicy, method: bytes, target: bytes, headers: Mapping[bytes, bytes]
+) -> Explanation:
+    """Explain a request.
+
+    Parameters
+    ----------
+    headers
+        The request's headers, names in lower case.
+    """
+    resolved = policy.resolve(method, target, headers)
+    if resolved is None:
+        resolved = UNKNOWN_CLASS
+    if isinstance(resolved, Rejection):
+        return Explanation(None, "", rejection=resolved)
+    route, segments = policy.find_route(method, target, headers)
     variables = {}
     if route is not None and segments is not None:
-        at = [n for n, part in enumerate(route.pattern.segments) if part is None]
-        variables = {name: segments[n] for name, n in zip(route.pattern.names, at, strict=True)}
-    cls = next(name for name, number in plan.classes.items() if number == applied.cls)
-    return Explained(route.name if route is not None else None, cls, variables, _lines(applied.words))
+        positions = [at for at, part in enumerate(route.pattern.segments) if part is None]
+        names = route.pattern.variable_names
+        variables = {name: segments[at] for name, at in zip(names, positions, strict=True)}
+    class_name = next(name for name, index in policy.class_indexes.items() if index == resolved.class_index)
+    route_name = route.name if route is not None else None
+    return Explanation(route_name, class_name, variables, _limit_lines(resolved.limit_settings))
 
 
-def _lines(words: Sourced) -> tuple[Line, ...]:
+def _limit_lines(settings: LimitSettings) -> tuple[LimitLine, ...]:
     return tuple(
-        Line(name, _text(name, getattr(words, name)), source) for name, source in sorted(words.source.items())
+        LimitLine(name, _format_limit(name, getattr(settings, name)), source)
+        for name, source in sorted(settings.sources.items())
     )
 
 
-def _text(name: str, value: object) -> str:
+def _format_limit(name: str, value: object) -> str:
     if isinstance(value, Rate):
-        by = "tenant" if value.tenant else f"header {value.header.decode()}" if value.header else "route"
-        return f"{value.per_second:g}/s, burst {value.burst}, by {by}, {value.most_keys} keys at most"
+        key = _bucket_key(value)
+        return f"{value.per_second:g}/s, burst {value.burst}, by {key}, {value.most_keys} keys at most"
     if isinstance(value, tuple):
-        return " to ".join(shown(part) for part in value)
-    if name in DURATIONS:
+        return " to ".join(format_duration(part) for part in value)
+    if name in DURATION_LIMITS:
         assert isinstance(value, int)
-        return shown(value)
+        return format_duration(value)
     return str(value)
+
+
+def _bucket_key(rate: Rate) -> str:
+    """Return what requests share a bucket of a rate by."""
+    if rate.tenant:
+        return "tenant"
+    return f"header {rate.header.decode()}" if rate.header else "route"
--- a/hollybay/routing/limits.py
+++ b/hollybay/routing/limits.py
@@ -1,28 +1,47 @@
-"""The limits of a route for one class: inherited field by field, each with the table that it comes from."""
+"""Limits of a route for one class: inherited field by field, each with the table that states it."""
 
 from __future__ import annotations
 
 from collections.abc import Mapping
-from dataclasses import dataclass, fields
+from dataclasses import dataclass, field, fields
 
 from hollybay.balancing import interface as api
 
-from .schema import LimitsTable
+from .schema import LimitsTable, RateTable, RetryAfterTable
 
-__all__ = ["GROUPS", "Effective", "Rate", "Sourced", "effective", "inherit"]
+__all__ = [
+    "DEDUPLICATION_SCOPES",
+    "EffectiveLimits",
+    "LimitSettings",
+    "Rate",
+    "effective_limits",
+    "inherit_limits",
+]
 
-GROUPS = {
+DEDUPLICATION_SCOPES = {
     "all": api.DeduplicationScope.ALL,
     "zone": api.DeduplicationScope.ZONE,
     "cell": api.DeduplicationScope.CELL,
 }
+_HEADER_KEY = "header:"  # before the header's name in a rate's `by`
 
 
 @dataclass(frozen=True, slots=True)
 class Rate:
-    """A token bucket: requests a second, the most that are saved up, and whose requests share a bucket.
-
-    header: the lower-case name where buckets go by a header's value; tenant: they go by tenant.
+    """A rate limit by token buckets.
+
+    Attributes
+    ----------
+    per_second
+        Tokens added a second; a request takes one.
+    burst
+        The most tokens that a bucket holds.
+    header
+        The header (lower case) whose value requests share a bucket by; empty: none.
+    tenant
+        Whether requests share a bucket by tenant.
+    most_keys
+        Buckets held at most; further keys share one.
     """
 
     per_second: float
@@ -33,8 +52,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Sourced:
-    """Limits as they stand in the file, durations in ns, and by field the table that each comes from."""
+class LimitSettings:
+    """Limits as the operator file states them; None: not stated.
+
+    Durations are in ns, sizes in bytes; the fields are the file's keys (docs/OPERATORS-routes.md).
+
+    Attributes
+    ----------
+    sources
+        By field, the table that states the value.
+    """
 
     attempt_timeout: int | None = None
     request_timeout: int | None = None
@@ -48,85 +75,108 @@
     in_flight: int | None = None
     rate: Rate | None = None
     retry_after: tuple[int, int] | None = None
-    source: Mapping[str, str] = ()  # type: ignore[assignment]
+    sources: Mapping[str, str] = field(default_factory=dict)
 
 
-_FIELDS = tuple(field.name for field in fields(Sourced) if field.name != "source")
+_LIMITS = tuple(limit.name for limit in fields(LimitSettings) if limit.name != "sources")
 
 
 @dataclass(frozen=True, slots=True)
-class Effective:
-    """What is in force for a route and a class, for the edge and for the module.
-
-    scope: the route's name, or `class:NAME` where no route takes the request; buckets and budgets go by it.
-    request_timeout (ns), body (bytes), in_flight: 0 means not limited here. retry_after: ns, or None.
+class EffectiveLimits:
+    """Limits in force for a route and a class.
+
+    Attributes
+    ----------
+    scope
+        Under which requests are counted and retry budgets accrue: the route's name, or `class:NAME` where
+        no route matches.
+    class_index
+        Index of the class in the settings; -1: limits of a tenant, which are of no class.
+    request_timeout
+        ns; 0: not limited.
+    max_body
+        Bytes; -1: not limited.
+    max_in_flight
+        Requests; 0: not limited.
+    retry_after
+        Bounds (ns) of Retry-After; None: derived from when a token is available.
+    balancer_limits
+        The part that the balancer enforces; None: nothing is stated.
+    limit_settings
+        What the file states.
+    components
+        Limits under each of which a request is counted, in place of this scope.
     """
 
     scope: str
-    cls: int
+    class_index: int
     request_timeout: int
-    body: int
-    in_flight: int
+    max_body: int
+    max_in_flight: int
     rate: Rate | None
     retry_after: tuple[int, int] | None
-    module: api.Limits | None
-    words: Sourced
-    parts: tuple[Effective, ...] = ()  # of the narrower of two policies: those of each, to count under
+    balancer_limits: api.Limits | None
+    limit_settings: LimitSettings
+    components: tuple[EffectiveLimits, ...] = ()
+
 
+def inherit_limits(levels: list[tuple[str, LimitsTable]]) -> LimitSettings:
+    """Take each limit from the first level that states it.
 
-def inherit(levels: list[tuple[str, LimitsTable]]) -> Sourced:
-    """Limits from the most specific level that states each; levels: table name and table, route first."""
+    Parameters
+    ----------
+    levels
+        Tables with their names, the most specific first.
+    """
     values: dict[str, object] = {}
-    source: dict[str, str] = {}
-    for name in _FIELDS:
+    sources: dict[str, str] = {}
+    for name in _LIMITS:
         for table, limits in levels:
             value = getattr(limits, name)
             if value is not None:
-                values[name] = _plain(name, value)
-                source[name] = table
+                values[name] = _without_table_types(value)
+                sources[name] = table
                 break
-    return Sourced(source=source, **values)  # type: ignore[arg-type]
+    return LimitSettings(sources=sources, **values)  # type: ignore[arg-type]
 
 
-def _plain(name: str, value: object) -> object:
-    """A field's value without the file's own types."""
-    if name == "rate":
-        by = value.by  # type: ignore[attr-defined]
-        per_second = value.per_second  # type: ignore[attr-defined]
+def _without_table_types(value: object) -> object:
+    """Return a limit's value without the types of the operator file."""
+    if isinstance(value, RateTable):
+        by = value.by
         return Rate(
-            per_second=float(per_second),
-            burst=value.burst or max(1, round(per_second)),  # type: ignore[attr-defined]
-            header=by[7:].lower().encode() if by.startswith("header:") else b"",
+            per_second=float(value.per_second),
+            burst=value.burst or max(1, round(value.per_second)),
+            header=by.removeprefix(_HEADER_KEY).lower().encode() if by.startswith(_HEADER_KEY) else b"",
             tenant=by == "tenant",
-            most_keys=value.most_keys,  # type: ignore[attr-defined]
+            most_keys=value.most_keys,
         )
-    if name == "retry_after":
-        return (value.least, value.most)  # type: ignore[attr-defined]
+    if isinstance(value, RetryAfterTable):
+        return (value.least, value.most)
     return value
 
 
-def effective(scope: str, cls: int, words: Sourced) -> Effective:
-    """What these words mean for the edge and the module; they have been checked."""
-    module = api.Limits(
-        attempts=words.attempts or 0,
-        attempt_timeout=words.attempt_timeout or 0,
-        hedges=-1 if words.copies is None else words.copies,
-        hedge_delay=words.copy_delay or 0,
-        retry_window=words.repeat_window or 0,
-        retry_scope=None if words.repeat_group is None else GROUPS[words.repeat_group],
-        retry_share=-1.0 if words.retry_budget is None else words.retry_budget,
+def effective_limits(scope: str, class_index: int, settings: LimitSettings) -> EffectiveLimits:
+    """Return what checked settings mean for admission and for the balancer."""
+    balancer_limits = api.Limits(
+        attempts=settings.attempts or 0,
+        attempt_timeout=settings.attempt_timeout or 0,
+        hedges=-1 if settings.copies is None else settings.copies,
+        hedge_delay=settings.copy_delay or 0,
+        retry_window=settings.repeat_window or 0,
+        retry_scope=None if settings.repeat_group is None else DEDUPLICATION_SCOPES[settings.repeat_group],
+        retry_share=-1.0 if settings.retry_budget is None else settings.retry_budget,
         budget=scope,
-        retry_after=words.retry_after or (0, 0),
+        retry_after=settings.retry_after or (0, 0),
     )
-    return Effective(
+    return EffectiveLimits(
         scope,
-        cls,
-        words.request_timeout or 0,
-        -1 if words.body is None else words.body,
-        words.in_flight or 0,
-        words.rate,
-        words.retry_after,
-        # Where nothing is said the module need not look.
-        None if module == api.Limits(budget=scope) else module,
-        words,
+        class_index,
+        settings.request_timeout or 0,
+        -1 if settings.body is None else settings.body,
+        settings.in_flight or 0,
+        settings.rate,
+        settings.retry_after,
+        None if balancer_limits == api.Limits(budget=scope) else balancer_limits,
+        settings,
     )
--- a/hollybay/routing/matcher.py
+++ b/hollybay/routing/matcher.py
@@ -1,14 +1,14 @@
-"""The compiled matcher: which route a request takes, at a cost that does not grow with their number.
+"""The compiled matcher: which route a request matches, at a cost that does not grow with their number.
 
 Precedence is by specificity, as in the Kubernetes Gateway API, never by order in the file:
 
 1. the host: an exact one, then the longest wildcard, then none;
-2. the path: whole ones (the leftmost segment in which they differ decides, a literal before a variable), then
-   the longest prefix, by segments;
+2. the path: full patterns (the leftmost segment in which they differ decides, a literal before a variable),
+   then the longest prefix, by segments;
 3. a method before none;
 4. more headers before fewer, and of as many the one with more exact values.
 
-Of two routes that take one request and are equal in all of this none wins: they are refused, see overlaps().
+Two routes of equal precedence that match one request overlap, and are refused: see `find_overlaps`.
 """
 
 from __future__ import annotations
@@ -17,41 +17,30 @@
 from dataclasses import dataclass
 from typing import Generic, TypeVar
 
-from .paths import Kind, Pattern
-from .tree import HeaderRule, Node, Rows, Rule, Table, rows_at, with_entry, with_rows, without_entry
+from .paths import Pattern, PatternKind
+from .persistent_map import PersistentMap, with_entry, without_entry
+from .route_groups import HeaderMatch, PathRoutes, RouteMatch
+from .tree import SegmentNode, routes_at, with_routes
 
-__all__ = ["HeaderRule", "Matcher", "Overlap", "Rule", "best", "overlaps", "takes"]
+__all__ = ["HeaderMatch", "Matcher", "Overlap", "RouteMatch", "find_overlaps", "matches", "most_specific"]
 
-
-# Overlaps that are looked for in one file: they can be as many as there are pairs.
+# Overlaps reported of one file: they can be as many as there are pairs of routes.
 MAX_OVERLAPS = 1000
+WILDCARD = "*."
 
-R = TypeVar("R", bound=Rule)
+R = TypeVar("R", bound=RouteMatch)
 
 
 @dataclass(frozen=True, slots=True)
 class Overlap(Generic[R]):
-    """Two routes that take one request, and no rule of precedence decides between them."""
+    """Two routes of equal precedence that match one request."""
 
     first: R
     second: R
 
 
-def _hosts(route: Rule) -> tuple[str | None, ...]:
-    return tuple(dict.fromkeys(route.hosts)) or (None,)
-
-
-def _with_root(
-    roots: Table[str, Node[R]], host: str, pattern: Pattern, rows: Rows[R] | None
-) -> Table[str, Node[R]]:
-    root = with_rows(roots.get(host), pattern, rows)
-    if root is not None:
-        return with_entry(roots, host, root)
-    return without_entry(roots, host) if host in roots else roots
-
-
-class _Clashes(Generic[R]):
-    """Overlaps, each pair once."""
+class _OverlapCollector(Generic[R]):
+    """Collects overlaps, each pair once."""
 
     def __init__(self, found: list[Overlap[R]]) -> None:
         self.found = found
@@ -65,159 +54,215 @@
 
 
 class Matcher(Generic[R]):
-    """All routes, compiled: a persistent value. No method changes it or has a side effect."""
+    """All routes, compiled: a persistent value. No method changes it or has a side effect.
 
-    __slots__ = ("any", "exact", "undecided", "wild")
+    Parameters
+    ----------
+    routes
+        The routes; pairs that overlap are listed in `overlaps`. Cost: linear in their number.
+
+    Attributes
+    ----------
+    exact_hosts, wildcard_hosts
+        The tree of routes of each host; wildcards without their `*.`.
+    any_host
+        The tree of routes that state no host.
+    """
+
+    __slots__ = ("any_host", "exact_hosts", "overlaps", "wildcard_hosts")
 
     def __init__(self, routes: Iterable[R] = ()) -> None:
-        """Compile routes; pairs that no rule decides are in `undecided`, by looking at all of them."""
-        self.exact: Table[str, Node[R]] = {}
-        self.wild: Table[str, Node[R]] = {}
-        self.any: Node[R] | None = None
-        self.undecided: list[Overlap[R]] = []
-        clashes = _Clashes(self.undecided)
+        self.exact_hosts: PersistentMap[str, SegmentNode[R]] = {}
+        self.wildcard_hosts: PersistentMap[str, SegmentNode[R]] = {}
+        self.any_host: SegmentNode[R] | None = None
+        self.overlaps: list[Overlap[R]] = []
+        collector = _OverlapCollector(self.overlaps)
         for route in routes:
-            for host in _hosts(route):
-                rows = self._rows(host, route) or Rows()
-                for there in rows.in_place_of(route):
-                    clashes.add(there, route)
-                self._put(host, route, rows.with_route(route))
+            for host in _stated_hosts(route):
+                there = self._routes_at(host, route) or PathRoutes()
+                for other in there.duplicates_of(route):
+                    collector.add(other, route)
+                self._put(host, route, there.with_route(route))
         for root in self._roots():
-            for rows in root.all_rows():
-                for first, second in rows.undecided():
-                    clashes.add(first, second)
-                    if len(self.undecided) >= MAX_OVERLAPS:
+            for there in root.all_routes():
+                for first, second in there.ambiguous_pairs():
+                    collector.add(first, second)
+                    if len(self.overlaps) >= MAX_OVERLAPS:
                         return
 
+    def find(
+        self, method: bytes, host: str, segments: Sequence[str], headers: Mapping[bytes, bytes]
+    ) -> R | None:
+        """Return the most specific route that matches a request.
+
+        Parameters
+        ----------
+        host
+            In lower case, without a port.
+        headers
+            Names in lower case.
+        """
+        if self.exact_hosts or self.wildcard_hosts:
+            root = self.exact_hosts.get(host)
+            if root is not None:
+                route = root.find(method, segments, headers)
+                if route is not None:
+                    return route
+            if self.wildcard_hosts:
+                route = self._find_by_wildcard(method, host, segments, headers)
+                if route is not None:
+                    return route
+        return self.any_host.find(method, segments, headers) if self.any_host is not None else None
+
     def with_route(self, route: R) -> Matcher[R]:
-        """This matcher with one more route, which must not be undecided with any that is there."""
+        """Return a matcher with one more route, which must overlap with none that is there."""
         after = self._copy()
-        for host in _hosts(route):
-            after._put(host, route, (after._rows(host, route) or Rows()).with_route(route))
+        for host in _stated_hosts(route):
+            there = after._routes_at(host, route) or PathRoutes()
+            after._put(host, route, there.with_route(route))
         return after
 
     def without_route(self, route: R) -> Matcher[R]:
-        """This matcher without one of its routes."""
+        """Return a matcher without one of its routes."""
         after = self._copy()
-        for host in _hosts(route):
-            rows = after._rows(host, route)
-            if rows is not None:
-                after._put(host, route, rows.without_route(route))
+        for host in _stated_hosts(route):
+            there = after._routes_at(host, route)
+            if there is not None:
+                after._put(host, route, there.without_route(route))
         return after
 
-    def undecided_with(self, route: R) -> Iterator[R]:
-        """Routes that take a request of this one, and no rule of precedence decides between them.
+    def ambiguous_with(self, route: R) -> Iterator[R]:
+        """Yield each route that overlaps with this one, once.
 
-        Looks at the routes of the places at which this one would stand alone; each is told once.
+        Looks only at the routes of the hosts and the path of this one.
         """
         seen: set[int] = set()
-        for host in _hosts(route):
-            rows = self._rows(host, route)
-            for other in rows.undecided_with(route) if rows is not None else ():
+        for host in _stated_hosts(route):
+            there = self._routes_at(host, route)
+            for other in there.ambiguous_with(route) if there is not None else ():
                 if id(other) not in seen:
                     seen.add(id(other))
                     yield other
 
+    def _find_by_wildcard(
+        self, method: bytes, host: str, segments: Sequence[str], headers: Mapping[bytes, bytes]
+    ) -> R | None:
+        """Return the route of the longest wildcard that has one."""
+        dot = host.find(".")
+        while dot >= 0:
+            root = self.wildcard_hosts.get(host[dot + 1 :])
+            if root is not None:
+                route = root.find(method, segments, headers)
+                if route is not None:
+                    return route
+            dot = host.find(".", dot + 1)
+        return None
+
     def _copy(self) -> Matcher[R]:
         copy: Matcher[R] = Matcher()
-        copy.exact, copy.wild, copy.any = self.exact, self.wild, self.any
+        copy.exact_hosts = self.exact_hosts
+        copy.wildcard_hosts = self.wildcard_hosts
+        copy.any_host = self.any_host
         return copy
 
-    def _rows(self, host: str | None, route: R) -> Rows[R] | None:
-        """What stands at a route's place under a host."""
+    def _routes_at(self, host: str | None, route: R) -> PathRoutes[R] | None:
+        """Return the routes of a host at a route's path."""
         if host is None:
-            return rows_at(self.any, route.pattern)
-        if host.startswith("*."):
-            return rows_at(self.wild.get(host[2:]), route.pattern)
-        return rows_at(self.exact.get(host), route.pattern)
+            return routes_at(self.any_host, route.pattern)
+        if host.startswith(WILDCARD):
+            return routes_at(self.wildcard_hosts.get(host.removeprefix(WILDCARD)), route.pattern)
+        return routes_at(self.exact_hosts.get(host), route.pattern)
 
-    def _put(self, host: str | None, route: R, rows: Rows[R] | None) -> None:
-        """Put other routes at a route's place under a host; while the matcher is made."""
+    def _put(self, host: str | None, route: R, routes: PathRoutes[R] | None) -> None:
+        """Replace the routes of a host at a route's path, while the matcher is being made."""
         if host is None:
-            self.any = with_rows(self.any, route.pattern, rows)
-        elif host.startswith("*."):
-            self.wild = _with_root(self.wild, host[2:], route.pattern, rows)
+            self.any_host = with_routes(self.any_host, route.pattern, routes)
+        elif host.startswith(WILDCARD):
+            suffix = host.removeprefix(WILDCARD)
+            self.wildcard_hosts = _with_root(self.wildcard_hosts, suffix, route.pattern, routes)
         else:
-            self.exact = _with_root(self.exact, host, route.pattern, rows)
+            self.exact_hosts = _with_root(self.exact_hosts, host, route.pattern, routes)
 
-    def _roots(self) -> Iterator[Node[R]]:
-        yield from self.exact.values()
-        yield from self.wild.values()
-        if self.any is not None:
-            yield self.any
+    def _roots(self) -> Iterator[SegmentNode[R]]:
+        yield from self.exact_hosts.values()
+        yield from self.wildcard_hosts.values()
+        if self.any_host is not None:
+            yield self.any_host
 
-    def find(
-        self, method: bytes, host: str, segments: Sequence[str], given: Mapping[bytes, bytes]
-    ) -> R | None:
-        """The route of a request; host in lower case without a port, header names in lower case."""
-        if self.exact or self.wild:
-            root = self.exact.get(host)
-            if root is not None:
-                route = root.find(method, segments, given)
-                if route is not None:
-                    return route
-            if self.wild:
-                at = host.find(".")
-                while at >= 0:
-                    root = self.wild.get(host[at + 1 :])
-                    if root is not None:
-                        route = root.find(method, segments, given)
-                        if route is not None:
-                            return route
-                    at = host.find(".", at + 1)
-        return self.any.find(method, segments, given) if self.any is not None else None
+
+def _stated_hosts(route: RouteMatch) -> tuple[str | None, ...]:
+    """Return the hosts of a route, each once; None: it states none."""
+    return tuple(dict.fromkeys(route.hosts)) or (None,)
+
+
+def _with_root(
+    roots: PersistentMap[str, SegmentNode[R]], host: str, pattern: Pattern, routes: PathRoutes[R] | None
+) -> PersistentMap[str, SegmentNode[R]]:
+    """Return the trees of hosts with other routes at a pattern of one host."""
+    root = with_routes(roots.get(host), pattern, routes)
+    if root is not None:
+        return with_entry(roots, host, root)
+    return without_entry(roots, host) if host in roots else roots
 
 
-def overlaps(routes: Iterable[R]) -> list[Overlap[R]]:
-    """The pairs of routes between which no rule decides."""
-    return Matcher(routes).undecided
+def find_overlaps(routes: Iterable[R]) -> list[Overlap[R]]:
+    """Return the pairs of routes that overlap."""
+    return Matcher(routes).overlaps
 
 
-# The reference: what the matcher must find, by looking at every route.
+# The reference that tests compare the matcher with: the same precedence, by looking at every route.
 
 
-def takes(
-    route: Rule, method: bytes, host: str, segments: Sequence[str], given: Mapping[bytes, bytes]
+def matches(
+    route: RouteMatch, method: bytes, host: str, segments: Sequence[str], headers: Mapping[bytes, bytes]
 ) -> bool:
-    """Whether a route takes a request, by its words alone."""
-    if route.hosts and not any(_host_takes(pattern, host) for pattern in route.hosts):
+    """Tell whether a route matches a request, whatever other routes there are."""
+    if route.hosts and not any(_host_matches(pattern, host) for pattern in route.hosts):
         return False
     if route.methods and method not in route.methods:
         return False
-    for rule in route.headers:
-        if rule.name not in given or (rule.value is not None and given[rule.name] != rule.value):
+    for header in route.headers:
+        if header.name not in headers:
+            return False
+        if header.value is not None and headers[header.name] != header.value:
             return False
-    return _path_takes(route.pattern, segments)
+    return _path_matches(route.pattern, segments)
+
+
+def most_specific(
+    routes: Iterable[R], method: bytes, host: str, segments: Sequence[str], headers: Mapping[bytes, bytes]
+) -> R | None:
+    """Return the most specific of the routes that match a request."""
+    found = [route for route in routes if matches(route, method, host, segments, headers)]
+    return max(found, key=lambda route: _rank(route, host)) if found else None
 
 
-def _host_takes(pattern: str, host: str) -> bool:
-    return host.endswith(pattern[1:]) and host != pattern[2:] if pattern[:2] == "*." else host == pattern
+def _host_matches(pattern: str, host: str) -> bool:
+    if pattern.startswith(WILDCARD):
+        suffix = pattern.removeprefix(WILDCARD)
+        return host.endswith(f".{suffix}") and host != suffix
+    return host == pattern
 
 
-def _path_takes(pattern: Pattern, segments: Sequence[str]) -> bool:
-    if len(segments) < len(pattern.segments) or (
-        pattern.kind is Kind.WHOLE and len(segments) != len(pattern.segments)
-    ):
+def _path_matches(pattern: Pattern, segments: Sequence[str]) -> bool:
+    if len(segments) < len(pattern.segments):
+        return False
+    if pattern.kind is PatternKind.FULL and len(segments) != len(pattern.segments):
         return False
     return all(
-        segment == part if part is not None else bool(segment)
-        for part, segment in zip(pattern.segments, segments, strict=False)
+        segment == literal if literal is not None else bool(segment)
+        for literal, segment in zip(pattern.segments, segments, strict=False)
     )
 
 
-def best(
-    routes: Iterable[R], method: bytes, host: str, segments: Sequence[str], given: Mapping[bytes, bytes]
-) -> R | None:
-    """The most specific of the routes that take a request, found the slow way."""
-    found = [route for route in routes if takes(route, method, host, segments, given)]
-    return max(found, key=lambda route: _rank(route, host)) if found else None
-
-
-def _rank(route: Rule, host: str) -> tuple[object, ...]:
-    hosts = [pattern for pattern in route.hosts if _host_takes(pattern, host)]
-    by_host = max(((pattern[:2] != "*.", len(pattern)) for pattern in hosts), default=(False, 0))
+def _rank(route: RouteMatch, host: str) -> tuple[object, ...]:
+    """Return the precedence of a route that matches a host; the higher, the more specific."""
+    hosts = [pattern for pattern in route.hosts if _host_matches(pattern, host)]
+    host_ranks = ((not pattern.startswith(WILDCARD), len(pattern)) for pattern in hosts)
+    by_host = max(host_ranks, default=(False, 0))
     pattern = route.pattern
-    shape = tuple(segment is not None for segment in pattern.segments)
-    values = sum(rule.value is not None for rule in route.headers)
-    by_path = (1, shape, 0) if pattern.kind is Kind.WHOLE else (0, (), len(pattern.segments))
-    return (by_host, by_path, bool(route.methods), len(route.headers), values)
+    literals = tuple(segment is not None for segment in pattern.segments)
+    is_full = pattern.kind is PatternKind.FULL
+    by_path = (1, literals, 0) if is_full else (0, (), len(pattern.segments))
+    exact_headers = sum(header.value is not None for header in route.headers)
+    return (by_host, by_path, bool(route.methods), len(route.headers), exact_headers)
--- a/hollybay/routing/paths.py
+++ b/hollybay/routing/paths.py
@@ -1,7 +1,7 @@
-"""A request's path as segments, and the patterns of routes over them.
+"""Request paths as segments, and the patterns of routes over them.
 
-What two readers could take for two different paths is no path here (see Reading): a route that a request is
-matched to must be the one that the server would have it under, and the path goes on to it unchanged.
+A path that servers may read in different ways is refused (see `PathOptions`): the server must serve a request
+under the path that its route was matched by, and the path is forwarded unchanged.
 """
 
 from __future__ import annotations
@@ -10,7 +10,14 @@
 from dataclasses import dataclass
 from enum import IntEnum
 
-__all__ = ["BadPath", "Kind", "Pattern", "Reading", "parse_pattern", "segments_of"]
+__all__ = [
+    "AmbiguousPathError",
+    "PathOptions",
+    "Pattern",
+    "PatternKind",
+    "parse_pattern",
+    "segments_of",
+]
 
 MAX_SEGMENTS = 64  # of a pattern
 MAX_VARIABLES = 8
@@ -21,92 +28,139 @@
 _CONTROL = re.compile(r"[\x00-\x1f\x7f]")
 
 
-class BadPath(ValueError):
-    """A path that two readers could take for two things."""
+class AmbiguousPathError(ValueError):
+    """A path that servers may read in different ways."""
 
 
-class Kind(IntEnum):
-    """How a pattern matches; the higher number is the more specific."""
+class PatternKind(IntEnum):
+    """How a pattern matches; the higher value is the more specific."""
 
     PREFIX = 0
-    WHOLE = 1
+    FULL = 1
 
 
 @dataclass(frozen=True, slots=True)
-class Reading:
-    """What of an ambiguous path is kept as it stands instead of being refused.
-
-    encoded_slash: %2F and %5C stay what they are, part of a segment. empty_segments: `//` has an empty one,
-    which no variable matches. Dot segments, plain or escaped, are always refused.
+class PathOptions:
+    """What of an ambiguous path is accepted, and kept as it is. Dot segments are always refused.
+
+    Attributes
+    ----------
+    encoded_slash
+        Accept %2F and %5C, as part of a segment.
+    empty_segments
+        Accept `//`, which has an empty segment; no variable matches it.
     """
 
     encoded_slash: bool = False
     empty_segments: bool = False
 
 
-STRICT = Reading()
+STRICT = PathOptions()
 
 
 @dataclass(frozen=True, slots=True)
 class Pattern:
-    """Segments of a route's path; None stands for a variable, which takes one segment that is not empty."""
+    """The path pattern of a route.
+
+    Attributes
+    ----------
+    segments
+        None stands for a variable, which matches one segment that is not empty.
+    variable_names
+        Names of the variables, in order.
+    text
+        The pattern as the operator file states it.
+    """
 
-    kind: Kind
+    kind: PatternKind
     segments: tuple[str | None, ...]
-    names: tuple[str, ...] = ()
+    variable_names: tuple[str, ...] = ()
     text: str = ""
 
 
-def segments_of(path: str, reading: Reading = STRICT) -> tuple[str, ...] | None:
-    """The segments of a path (latin-1 text up to the query), escapes resolved; None where it has no path.
+def segments_of(path: str, options: PathOptions = STRICT) -> tuple[str, ...] | None:
+    """Return the segments of a path, with escapes decoded; None: the target has no path.
+
+    `/a/b` has two segments, `/a/` has `a` and an empty one, `/` has an empty one.
 
-    `/a/b` has two, `/a/` has `a` and an empty last one, `/` an empty one. BadPath: it is ambiguous.
+    Parameters
+    ----------
+    path
+        The target up to the query, as latin-1 text.
+
+    Raises
+    ------
+    AmbiguousPathError
+        Servers may read the path in different ways.
     """
     if path[:1] != "/":
         return None
     if "%" not in path and "//" not in path and "/." not in path and "\\" not in path and ";" not in path:
         return tuple(path[1:].split("/"))
-    return _slow(path, reading)
+    return _checked_segments(path, options)
 
 
-def _slow(path: str, reading: Reading) -> tuple[str, ...]:
+def _checked_segments(path: str, options: PathOptions) -> tuple[str, ...]:
+    """Return the segments of a path that has any character to look at closely."""
     if _BAD_ESCAPE.search(path):
-        raise BadPath("an escape in the path that is none")
+        raise AmbiguousPathError("an escape in the path that is none")
     if "\\" in path:
-        raise BadPath("a backslash in the path")
+        raise AmbiguousPathError("a backslash in the path")
     segments = path[1:].split("/")
-    if not reading.empty_segments and "" in segments[:-1]:
-        raise BadPath("an empty segment in the path")
+    if not options.empty_segments and "" in segments[:-1]:
+        raise AmbiguousPathError("an empty segment in the path")
     if "%" in path:
-        segments = [_resolved(segment, reading) for segment in segments]
+        segments = [_decode_segment(segment, options) for segment in segments]
     for segment in segments:
-        # Some servers cut parameters off (`..;x`) before they resolve dots.
+        # Some servers remove parameters (`..;x`) before they resolve dot segments.
         if segment.split(";", 1)[0] in (".", ".."):
-            raise BadPath("a dot segment in the path")
+            raise AmbiguousPathError("a dot segment in the path")
     return tuple(segments)
 
 
-def _resolved(segment: str, reading: Reading) -> str:
-    """A segment with its escapes resolved, once; those of slashes stay, in one spelling."""
+def _decode_segment(segment: str, options: PathOptions) -> str:
+    """Decode the escapes of a segment once; those of slashes are kept, in one spelling."""
 
-    def resolve(found: re.Match[str]) -> str:
+    def decode(found: re.Match[str]) -> str:
         char = chr(int(found[1], 16))
         if char in "/\\":
-            if not reading.encoded_slash:
-                raise BadPath("an escaped slash in the path")
+            if not options.encoded_slash:
+                raise AmbiguousPathError("an escaped slash in the path")
             return found[0].upper()
         if char == "%":
-            # Resolved it could be read as the beginning of another escape.
+            # Decoded, it could be read as the beginning of another escape.
             return "%25"
         if _CONTROL.match(char):
-            raise BadPath("a control character in the path")
+            raise AmbiguousPathError("a control character in the path")
         return char
 
-    return _ESCAPE.sub(resolve, segment)
+    return _ESCAPE.sub(decode, segment)
 
 
 def parse_pattern(kind: str, text: str) -> Pattern:
-    """A pattern of the operator file, kind one of exact, prefix, template; ValueError says what is wrong."""
+    """Parse a path pattern of the operator file.
+
+    Parameters
+    ----------
+    kind
+        One of "exact", "prefix" and "template".
+
+    Raises
+    ------
+    ValueError
+        The pattern is not valid; the message is for the operator.
+    """
+    segments = _pattern_segments(text)
+    if kind == "prefix":
+        if segments[-1] == "":
+            segments = segments[:-1]
+        return Pattern(PatternKind.PREFIX, segments, (), text)
+    if kind == "exact":
+        return Pattern(PatternKind.FULL, segments, (), text)
+    return _parse_template(segments, text)
+
+
+def _pattern_segments(text: str) -> tuple[str, ...]:
     if not text.startswith("/"):
         raise ValueError("a path begins with /")
     if any(mark in text for mark in "?#"):
@@ -114,24 +168,22 @@
     if not text.isascii() or _CONTROL.search(text) or " " in text:
         raise ValueError("a path is of printable ASCII; escape what is not")
     try:
-        segments = segments_of(text, Reading(encoded_slash=True))
-    except BadPath as error:
+        segments = segments_of(text, PathOptions(encoded_slash=True))
+    except AmbiguousPathError as error:
         raise ValueError(f"{error}: no request with it is taken") from None
     assert segments is not None
     if len(segments) > MAX_SEGMENTS:
         raise ValueError(f"more than {MAX_SEGMENTS} segments")
-    if kind == "prefix":
-        if segments[-1] == "":
-            segments = segments[:-1]
-        return Pattern(Kind.PREFIX, segments, (), text)
-    if kind == "exact":
-        return Pattern(Kind.WHOLE, segments, (), text)
+    return segments
+
+
+def _parse_template(segments: tuple[str, ...], text: str) -> Pattern:
     pattern: list[str | None] = []
-    names = []
+    names: list[str] = []
     for segment in segments:
-        found = _VARIABLE.fullmatch(segment)
-        if found is not None:
-            names.append(found[1])
+        variable = _VARIABLE.fullmatch(segment)
+        if variable is not None:
+            names.append(variable[1])
             pattern.append(None)
         elif "{" in segment or "}" in segment:
             raise ValueError(f"{segment!r}: a variable is a whole segment such as {{id}}")
@@ -143,4 +195,4 @@
         raise ValueError("no variable: such a path is an exact one")
     if len(names) > MAX_VARIABLES:
         raise ValueError(f"more than {MAX_VARIABLES} variables")
-    return Pattern(Kind.WHOLE, tuple(pattern), tuple(names), text)
+    return Pattern(PatternKind.FULL, tuple(pattern), tuple(names), text)
--- a/hollybay/routing/policy_intersection.py
+++ b/hollybay/routing/policy_intersection.py
@@ -1,194 +1,263 @@
-"""The narrower of two policies, while one gives way to the other: what both allow, and nothing else.
+"""The intersection of two policies, in force while one replaces the other: only what both allow.
 
-Each request is resolved under both. It is turned away if either turns it away, or if they take it for two
-classes; else the lesser of every limit holds, and it counts under the limits of both. Pure. What two sound
-policies allow never breaks one of the four rules here: their limits are brought into one that `checks.faults`
-finds nothing in.
+Each request is resolved under both policies. It is rejected if either rejects it, or if they give it two
+classes; otherwise the stricter of each pair of limits holds, and it is counted under the limits of both. The
+combined limits of two valid policies are valid: `checks.check_limits` finds no problem in them.
 """
 
 from __future__ import annotations
 
-from collections.abc import Callable, Mapping
-from dataclasses import replace
+from collections.abc import Mapping
+from dataclasses import dataclass, replace
+from typing import TypeVar
 
 from hollybay.balancing import interface as api
 
-from .checks import REACH
-from .limits import GROUPS, Effective, Sourced, effective
-from .route_table import Denied, Plan
+from .checks import SCOPE_WIDTH
+from .compiled_policy import CompiledPolicy, Rejection
+from .limits import DEDUPLICATION_SCOPES, EffectiveLimits, LimitSettings, Rate, effective_limits
 
-__all__ = ["Narrow", "apart", "narrower"]
+__all__ = ["PolicyIntersection", "intersect_limits", "separate_scopes"]
 
-# A request that two policies take for two classes: which of them it is will be known in a moment.
-BETWEEN = 503
+# The status of a request that the two policies give different classes: the change will be over in a moment.
+CLASS_CONFLICT_STATUS = 503
+# More than any retry budget: stands for the balancer's own, where none is stated.
+UNSTATED_RETRY_BUDGET = 2.0
 
+T = TypeVar("T", int, float)
 
-def _lesser(one: int | None, other: int | None, least: Callable[[int, int], int] = min) -> int | None:
-    """The lesser of two limits; one that nothing is said of does not bound."""
-    if one is None or other is None:
-        return one if other is None else other
-    return least(one, other)
 
+class PolicyIntersection:
+    """Two policies that apply together; offers the methods of `CompiledPolicy` that requests need.
 
-def _copies(words: Sourced) -> int:
-    """The second copies that these words allow: without a word on copies or their delay, none."""
-    return words.copies if words.copies is not None else int(words.copy_delay is not None)
+    Parameters
+    ----------
+    first, second
+        The policies; where both reject a request, the answer is that of the first.
+    settings
+        The settings that both were compiled for.
+    """
+
+    def __init__(self, first: CompiledPolicy, second: CompiledPolicy, settings: api.Settings) -> None:
+        self.first, self.second = first, second
+        self.settings = settings
+        # Cost: linear in the number of headers, which are few, and not in the number of routes.
+        self.inspected_headers = (
+            first.inspected_headers
+            if first.inspected_headers is second.inspected_headers
+            else first.inspected_headers | second.inspected_headers
+        )
+        self.peers = first.peers  # a change of [peers] takes a restart
+        self.has_tenant_limits = first.has_tenant_limits or second.has_tenant_limits
+        # Combined limits by the identity of both parts, which live as long as their policies.
+        self._combined: dict[tuple[int, int], EffectiveLimits] = {}
+
+    def resolve(
+        self, method: bytes, target: bytes, headers: Mapping[bytes, bytes]
+    ) -> EffectiveLimits | Rejection | None:
+        """Return the limits that both allow a request, or its rejection; None: it names no class."""
+        first = self.first.resolve(method, target, headers)
+        second = self.second.resolve(method, target, headers)
+        if isinstance(first, Rejection):
+            return first
+        if isinstance(second, Rejection):
+            return second
+        if first is None or second is None:
+            return None
+        if first is second:
+            return first  # the change of policy does not concern it
+        if first.class_index != second.class_index:
+            return Rejection(
+                CLASS_CONFLICT_STATUS, "two policies take it for two classes, and one gives way now"
+            )
+        key = (id(first), id(second))
+        combined = self._combined.get(key)
+        if combined is None:
+            request_class = self.settings.classes[first.class_index]
+            combined = self._combined[key] = intersect_limits(first, second, request_class)
+        return combined
+
+    def scopes(self) -> frozenset[str]:
+        """Return all scopes in which either counts requests. Cost: linear in the number of routes."""
+        return self.first.scopes() | self.second.scopes()
+
+    def has_scope(self, scope: str) -> bool:
+        """Tell whether either counts requests in a scope."""
+        return self.first.has_scope(scope) or self.second.has_scope(scope)
+
+    def tenant_limits(self, name: str) -> tuple[EffectiveLimits, ...]:
+        """Return the limits of both over all requests of a tenant, so that a request counts once in each."""
+        found = (*self.first.tenant_limits(name), *self.second.tenant_limits(name))
+        return separate_scopes(found[0], found[1]) if len(found) > 1 else found
 
+    def policies(self) -> tuple[CompiledPolicy, ...]:
+        """Return the policies that apply together."""
+        return (self.first, self.second)
 
-def _words(one: Sourced, other: Sourced, cls: api.RequestClass) -> Sourced:
-    """The words of the lesser of both, without contradiction."""
-    whole = _lesser(one.request_timeout, other.request_timeout)
-    # An attempt that would outlast the whole ends with it.
-    attempt = _lesser(one.attempt_timeout, other.attempt_timeout)
-    attempt = attempt if attempt is None or whole is None else min(attempt, whole)
-    attempts = _lesser(one.attempts, other.attempts)
-    share = (
-        other.retry_budget
-        if one.retry_budget is None
-        else one.retry_budget
-        if other.retry_budget is None
-        else min(one.retry_budget, other.retry_budget)
+
+def intersect_limits(
+    first: EffectiveLimits, second: EffectiveLimits, request_class: api.RequestClass
+) -> EffectiveLimits:
+    """Return what both limits allow a request of a class.
+
+    Raises
+    ------
+    ValueError
+        The limits are of different classes.
+    """
+    if first.class_index != second.class_index:
+        raise ValueError(f"limits of class {first.class_index} and of class {second.class_index}")
+    settings = _intersect_settings(first.limit_settings, second.limit_settings, request_class)
+    # Retry budgets accrue by scope, and the stricter one goes on to accrue in its own.
+    scope = first.scope if _retry_budget(first) <= _retry_budget(second) else second.scope
+    combined = effective_limits(scope, first.class_index, settings)
+    return replace(combined, components=separate_scopes(first, second))
+
+
+def separate_scopes(first: EffectiveLimits, second: EffectiveLimits) -> tuple[EffectiveLimits, ...]:
+    """Return limits in force together, each with a scope of its own, so that a request counts once in each.
+
+    Limits of one scope are merged: the fewer in flight, the lower rate. Rates whose buckets have different
+    keys cannot be compared, and the second is counted in a scope of its own.
+    """
+    if first.scope != second.scope:
+        return (first, second)
+    counts = [limits.max_in_flight for limits in (first, second) if limits.max_in_flight]
+    max_in_flight = min(counts, default=0)
+    rate, other_rate = first.rate, second.rate
+    if rate is None or other_rate is None:
+        return (replace(first, rate=rate or other_rate, max_in_flight=max_in_flight),)
+    if (rate.header, rate.tenant) == (other_rate.header, other_rate.tenant):
+        return (replace(first, rate=_lower_rate(rate, other_rate), max_in_flight=max_in_flight),)
+    return (
+        replace(first, max_in_flight=max_in_flight),
+        replace(second, scope=f"{second.scope} (its successor)", max_in_flight=0),
     )
-    window = _lesser(one.repeat_window, other.repeat_window)
-    groups = [g for g in (one.repeat_group, other.repeat_group) if g is not None]
-    group = min(groups, key=lambda g: REACH[GROUPS[g]]) if groups else None
-    if share == 0 and attempts is not None:
-        attempts = 1
-    if cls.effect == api.Effect.KEYED and attempts is not None and attempts > 1 and attempt:
-        # The last must begin within the window in which a repeat is dropped; both together may ask for more
-        # attempts, in shorter time, than either alone.
-        within = min(cls.deduplication_window, window or cls.deduplication_window)
-        attempts = max(1, min(attempts, 1 + (within - 1) // attempt))
-    copies = min(_copies(one), _copies(other))
-    delay = _lesser(one.copy_delay, other.copy_delay, max)  # the later, the less
-    if copies:
-        first = min(attempt or cls.deadline, whole or cls.deadline)
-        within = (
-            min(cls.deduplication_window, window or cls.deduplication_window)
-            if cls.effect == api.Effect.KEYED
-            else cls.deadline
-        )
-        late = delay is not None and (delay >= first or delay >= within)
-        if late or share == 0 or (attempts is not None and attempts < 2):
-            copies = 0
-    if not copies:
-        delay = None
-    if one.retry_after is None or other.retry_after is None:
-        after = other.retry_after if one.retry_after is None else one.retry_after
-    else:  # the later, as that is the lesser right to come back
-        after = max(one.retry_after[0], other.retry_after[0]), max(one.retry_after[1], other.retry_after[1])
-    said = copies or one.copies is not None or other.copies is not None
-    return Sourced(
-        attempt_timeout=attempt,
-        request_timeout=whole,
-        attempts=attempts,
-        # Where neither says anything of copies, nothing is said.
-        copies=copies if said or one.copy_delay is not None or other.copy_delay is not None else None,
-        copy_delay=delay,
-        repeat_window=window,
-        repeat_group=group,
-        retry_budget=share,
-        body=_lesser(one.body, other.body),
-        in_flight=_lesser(one.in_flight, other.in_flight),
-        rate=None,  # each counts under its own, see Effective.parts
-        retry_after=after,
-        source={**one.source, **other.source},
+
+
+def _lower_rate(first: Rate, second: Rate) -> Rate:
+    """Return the lower of two rates whose buckets have the same keys."""
+    return replace(
+        first,
+        per_second=min(first.per_second, second.per_second),
+        burst=min(first.burst, second.burst),
+        most_keys=min(first.most_keys, second.most_keys),
     )
 
 
-def apart(parts: tuple[Effective, ...]) -> tuple[Effective, ...]:
-    """Limits of two policies, each under a name of its own, so that a request counts once under each.
+def _retry_budget(limits: EffectiveLimits) -> float:
+    stated = limits.limit_settings.retry_budget
+    return UNSTATED_RETRY_BUDGET if stated is None else stated
 
-    Under one name they become one: the fewer in flight, the lower rate. Rates that share their buckets in
-    different ways cannot be compared, and the second goes under another name.
-    """
-    one, other = parts
-    if one.scope != other.scope:
-        return parts
-    counts = [part.in_flight for part in parts if part.in_flight]
-    rate, second = one.rate, other.rate
-    rest: tuple[Effective, ...] = ()
-    if rate is None or second is None:
-        rate = rate or second
-    elif (rate.header, rate.tenant) == (second.header, second.tenant):
-        rate = replace(
-            rate,
-            per_second=min(rate.per_second, second.per_second),
-            burst=min(rate.burst, second.burst),
-            most_keys=min(rate.most_keys, second.most_keys),
-        )
-    else:
-        rest = (replace(other, scope=f"{other.scope} (its successor)", in_flight=0),)
-    return (replace(one, rate=rate, in_flight=min(counts, default=0)), *rest)
-
-
-def narrower(one: Effective, other: Effective, cls: api.RequestClass) -> Effective:
-    """What both limits allow a request of a class. ValueError: they are of two classes."""
-    if one.cls != other.cls:
-        raise ValueError(f"limits of class {one.cls} and of class {other.cls}")
-    words = _words(one.words, other.words, cls)
-    # Repeats are saved up under a name, and go on to be under that of the lesser share.
-    shares = [2.0 if e.words.retry_budget is None else e.words.retry_budget for e in (one, other)]
-    scope = one.scope if shares[0] <= shares[1] else other.scope
-    both = effective(scope, one.cls, words)
-    return Effective(
-        scope,
-        one.cls,
-        both.request_timeout,
-        both.body,
-        both.in_flight,
-        None,
-        both.retry_after,
-        both.module,
-        words,
-        apart((one, other)),
+
+@dataclass(frozen=True, slots=True)
+class _Attempts:
+    """The stricter limits on attempts of two policies: durations in ns, None: not stated."""
+
+    request_timeout: int | None
+    attempt_timeout: int | None
+    attempts: int | None
+    retry_budget: float | None
+    deduplication_window: int  # in which a repeat of a keyed request is dropped
+
+
+def _intersect_settings(
+    first: LimitSettings, second: LimitSettings, request_class: api.RequestClass
+) -> LimitSettings:
+    """Return the stricter settings of both, without contradictions between them."""
+    repeat_window = _lesser(first.repeat_window, second.repeat_window)
+    limits = _intersect_attempts(first, second, request_class, repeat_window)
+    copy_delay = _greater(first.copy_delay, second.copy_delay)
+    copies = min(_allowed_copies(first), _allowed_copies(second))
+    if copies and not _allows_copy(limits, copy_delay, request_class):
+        copies = 0
+    return LimitSettings(
+        attempt_timeout=limits.attempt_timeout,
+        request_timeout=limits.request_timeout,
+        attempts=limits.attempts,
+        copies=copies if copies or _states_copies(first) or _states_copies(second) else None,
+        copy_delay=copy_delay if copies else None,
+        repeat_window=repeat_window,
+        repeat_group=_narrower_group(first.repeat_group, second.repeat_group),
+        retry_budget=limits.retry_budget,
+        body=_lesser(first.body, second.body),
+        in_flight=_lesser(first.in_flight, second.in_flight),
+        rate=None,  # each is counted by itself, see EffectiveLimits.components
+        retry_after=_later_retry_after(first.retry_after, second.retry_after),
+        sources={**first.sources, **second.sources},
     )
 
 
-class Narrow:
-    """Two plans at once, as one; it resolves requests as a Plan does."""
+def _intersect_attempts(
+    first: LimitSettings,
+    second: LimitSettings,
+    request_class: api.RequestClass,
+    repeat_window: int | None,
+) -> _Attempts:
+    request_timeout = _lesser(first.request_timeout, second.request_timeout)
+    attempt_timeout = _lesser(first.attempt_timeout, second.attempt_timeout)
+    if attempt_timeout is not None and request_timeout is not None:
+        attempt_timeout = min(attempt_timeout, request_timeout)
+    attempts = _lesser(first.attempts, second.attempts)
+    retry_budget = _lesser(first.retry_budget, second.retry_budget)
+    if retry_budget == 0 and attempts is not None:
+        attempts = 1
+    window = request_class.deduplication_window
+    window = min(window, repeat_window or window)
+    is_keyed = request_class.effect == api.Effect.KEYED
+    if is_keyed and attempts is not None and attempts > 1 and attempt_timeout:
+        # The last attempt must begin within the window. The two policies together may state more attempts
+        # of longer time-outs than either alone.
+        attempts = max(1, min(attempts, 1 + (window - 1) // attempt_timeout))
+    return _Attempts(request_timeout, attempt_timeout, attempts, retry_budget, window)
 
-    def __init__(self, one: Plan, other: Plan, settings: api.Settings) -> None:
-        self.one, self.other = one, other
-        self.settings = settings
-        # Few names: the cost goes with those on which anything decides, not with the routes.
-        self.headers = one.headers if one.headers is other.headers else one.headers | other.headers
-        self.peers = one.peers  # which takes a restart in any case
-        self.tenanted = one.tenanted or other.tenanted
-        self._known: dict[tuple[int, int], Effective] = {}
-
-    def apply(self, method: bytes, target: bytes, given: Mapping[bytes, bytes]) -> Effective | Denied | None:
-        """What both allow the request; turned away if either does. None: it names no class."""
-        one = self.one.apply(method, target, given)
-        other = self.other.apply(method, target, given)
-        if isinstance(one, Denied) or isinstance(other, Denied):
-            return one if isinstance(one, Denied) else other
-        if one is None or other is None:
-            return None
-        if one is other:
-            return one  # what lies between the two plans does not touch it
-        if one.cls != other.cls:
-            return Denied(BETWEEN, "two policies take it for two classes, and one gives way now")
-        # Limits are as many as routes and classes, and live as long as their plans.
-        key = (id(one), id(other))
-        found = self._known.get(key)
-        if found is None:
-            found = self._known[key] = narrower(one, other, self.settings.classes[one.cls])
-        return found
 
-    def scopes(self) -> frozenset[str]:
-        """The names under which limits are counted, of both; looks at all of them."""
-        return self.one.scopes() | self.other.scopes()
+def _allows_copy(limits: _Attempts, copy_delay: int | None, request_class: api.RequestClass) -> bool:
+    """Tell whether a second copy could be sent under these limits."""
+    if limits.retry_budget == 0 or (limits.attempts is not None and limits.attempts < 2):
+        return False
+    if copy_delay is None:
+        return True
+    deadline = request_class.deadline
+    first_attempt = min(limits.attempt_timeout or deadline, limits.request_timeout or deadline)
+    is_keyed = request_class.effect == api.Effect.KEYED
+    window = limits.deduplication_window if is_keyed else deadline
+    return copy_delay < first_attempt and copy_delay < window
 
-    def has_scope(self, scope: str) -> bool:
-        """Whether limits are counted under a name, by either."""
-        return self.one.has_scope(scope) or self.other.has_scope(scope)
 
-    def tenant(self, name: str) -> tuple[Effective, ...]:
-        """The limits over all requests of a tenant, of both, so that a request counts once under each."""
-        found = (*self.one.tenant(name), *self.other.tenant(name))
-        return apart((found[0], found[1])) if len(found) > 1 else found
+def _allowed_copies(settings: LimitSettings) -> int:
+    """Return the second copies that settings allow: none unless copies or their delay are stated."""
+    return settings.copies if settings.copies is not None else int(settings.copy_delay is not None)
+
+
+def _states_copies(settings: LimitSettings) -> bool:
+    return settings.copies is not None or settings.copy_delay is not None
+
+
+def _narrower_group(first: str | None, second: str | None) -> str | None:
+    """Return the group that reaches fewer servers; one that is not stated does not bind."""
+    groups = [group for group in (first, second) if group is not None]
+    return min(groups, key=lambda group: SCOPE_WIDTH[DEDUPLICATION_SCOPES[group]]) if groups else None
+
+
+def _later_retry_after(
+    first: tuple[int, int] | None, second: tuple[int, int] | None
+) -> tuple[int, int] | None:
+    """Return the later bounds (ns) of Retry-After; bounds that are not stated do not bind."""
+    if first is None or second is None:
+        return second if first is None else first
+    return max(first[0], second[0]), max(first[1], second[1])
+
+
+def _lesser(first: T | None, second: T | None) -> T | None:
+    """Return the lesser of two limits; one that is not stated does not bind."""
+    if first is None or second is None:
+        return second if first is None else first
+    return min(first, second)
+
 
-    def plans(self) -> tuple[Plan, ...]:
-        """Both."""
-        return (self.one, self.other)
+def _greater(first: T | None, second: T | None) -> T | None:
+    """Return the greater of two delays; one that is not stated does not bind."""
+    if first is None or second is None:
+        return second if first is None else first
+    return max(first, second)
--- a/hollybay/routing/problems.py
+++ b/hollybay/routing/problems.py
@@ -7,14 +7,26 @@
 
 __all__ = ["OperatorError", "Problem"]
 
-# Problems that are told of one file; more would be read by nobody.
+# Problems reported of one file.
 MAX_PROBLEMS = 200
-_SHOWN = 80  # characters of a value that are shown
+MAX_SHOWN_VALUE = 80  # characters
 
 
 @dataclass(frozen=True, slots=True)
 class Problem:
-    """One thing that does not hold: the table as it stands in the file, the key, its value and the reason."""
+    """One thing that is not valid.
+
+    Attributes
+    ----------
+    table
+        The table as it stands in the file; empty: the file itself.
+    key
+        The key in the table; empty: the table itself.
+    value
+        The value stated; None: not shown.
+    reason
+        Why it is not valid, for the operator.
+    """
 
     table: str
     key: str
@@ -23,28 +35,37 @@
 
     @property
     def reason_with_value(self) -> str:
-        """The reason, and the value that it is about."""
-        return self.reason if self.value is None else f"{self.reason} (= {_shown_value(self.value)})"
+        """The reason, followed by the value."""
+        return self.reason if self.value is None else f"{self.reason} (= {_format_value(self.value)})"
 
     def __str__(self) -> str:
-        shown = "" if self.value is None else f" = {_shown_value(self.value)}"
+        value = "" if self.value is None else f" = {_format_value(self.value)}"
         at = ": ".join(part for part in (self.table and f"[{self.table}]", self.key) if part)
-        return f"{at}{shown}: {self.reason}" if at else self.reason
+        return f"{at}{value}: {self.reason}" if at else self.reason
 
 
-def _shown_value(value: object) -> str:
-    """A value as problems show it, shortened."""
+def _format_value(value: object) -> str:
+    """Return a value as problems show it, shortened."""
     text = repr(value)
-    return text if len(text) <= _SHOWN else text[:_SHOWN] + "..."
+    return text if len(text) <= MAX_SHOWN_VALUE else text[:MAX_SHOWN_VALUE] + "..."
 
 
 class OperatorError(ValueError):
-    """The file does not hold; nothing of it was taken over. problems: all that was found."""
+    """The file is not valid; nothing of it took effect.
+
+    Parameters
+    ----------
+    file
+        The file's name.
+    problems
+        All problems found; the first `MAX_PROBLEMS` are reported.
+    """
 
     def __init__(self, file: str, problems: Sequence[Problem]) -> None:
         self.file = file
-        told = problems[:MAX_PROBLEMS]
+        reported = problems[:MAX_PROBLEMS]
         if len(problems) > MAX_PROBLEMS:
-            told = [*told, Problem("", "", None, f"{len(problems) - MAX_PROBLEMS} further problems")]
-        self.problems = tuple(told)
+            more = Problem("", "", None, f"{len(problems) - MAX_PROBLEMS} further problems")
+            reported = [*reported, more]
+        self.problems = tuple(reported)
         super().__init__("\n".join(f"{file}: {problem}" for problem in self.problems))
--- a/hollybay/routing/resource_tables.py
+++ b/hollybay/routing/resource_tables.py
@@ -1,22 +1,22 @@
-"""The tables of the operator file as resources: what a body holds, and a file's difference to a state.
+"""The tables of the operator file as resources: bodies, and the difference between a file and a state.
 
 A body is the MessagePack map of its typed table (`schema`), in canonical form: fields in the order of the
-table, those that have their default left out, durations in ns and sizes in bytes. Any other spelling is
-refused, so that equal tables have equal bytes and digests.
+table, those with their default left out, durations in ns and sizes in bytes. Any other encoding is refused:
+equal tables have equal bytes and digests.
 """
 
 from __future__ import annotations
 
-from collections.abc import Callable, Mapping
+from collections.abc import Callable, Iterator, Mapping
 from functools import cache
-from typing import Any, TypeVar
+from typing import Any, NamedTuple, TypeVar
 
 import msgspec
 
 from hollybay.resources.model import (
     MAX_BODY_BYTES,
     MAX_NAME_LENGTH,
-    ChangeRefused,
+    ChangeRejectedError,
     Delete,
     Key,
     Kind,
@@ -26,8 +26,8 @@
 )
 from hollybay.resources.state import ResourceState
 
-from .forms import Table, read_plain
 from .schema import ClassTable, LimitsTable, OperatorFile, PathsTable, RouteTable, TenantTable
+from .typed_tables import Table, read_plain
 
 __all__ = [
     "DEFAULTS",
@@ -42,7 +42,7 @@
 
 DEFAULTS = Key(Kind.DEFAULTS, "")
 PATHS = Key(Kind.PATHS, "")
-# Problems of one body that are told; more would be read by nobody.
+# Problems reported of one body.
 MAX_PROBLEMS = 50
 
 TABLES: Mapping[Kind, type[Table]] = {
@@ -55,106 +55,133 @@
 T = TypeVar("T", bound=Table)
 
 
-def _constant(value: object) -> Callable[[], object]:
-    return lambda: value
+class _Field(NamedTuple):
+    """A field of a table: its attribute, its name in the body, and what makes its default.
 
+    A field without a default is always encoded: no value equals its default.
+    """
 
-@cache
-def _fields(kind: type[Table]) -> tuple[tuple[str, str, Callable[[], Any]], ...]:
-    """Of each field of a table: its name, its name in the body, and what makes its default.
+    name: str
+    encoded_name: str
+    default: Callable[[], Any]
 
-    A field without a default is always written: no value equals its default.
-    """
+
+@cache
+def _fields(table_type: type[Table]) -> tuple[_Field, ...]:
     return tuple(
-        (
+        _Field(
             field.name,
             field.encode_name,
             field.default_factory
             if field.default_factory is not msgspec.NODEFAULT
             else _constant(field.default),
         )
-        for field in msgspec.structs.fields(kind)
+        for field in msgspec.structs.fields(table_type)
     )
 
 
-def _plain(value: Any) -> Any:
-    """A value without the tables' types."""
+def _constant(value: object) -> Callable[[], object]:
+    return lambda: value
+
+
+def _to_plain(value: Any) -> Any:
+    """Return a value with maps in place of tables."""
     if isinstance(value, Table):
         fields: dict[str, Any] = {}
-        for name, encoded, default in _fields(type(value)):
-            one = getattr(value, name)
-            if one != default():
-                fields[encoded] = _plain(one)
+        for name, encoded_name, default in _fields(type(value)):
+            stated = getattr(value, name)
+            if stated != default():
+                fields[encoded_name] = _to_plain(stated)
         return fields
     if isinstance(value, list):
-        return [_plain(one) for one in value]
+        return [_to_plain(item) for item in value]
     return value
 
 
 def encode_table(table: Table) -> bytes:
-    """A table as the canonical body of its resource."""
-    return msgspec.msgpack.encode(_plain(table))
+    """Return a table as the canonical body of its resource."""
+    return msgspec.msgpack.encode(_to_plain(table))
 
 
 def decode_body(key: Key, body: bytes) -> Table | None:
-    """The table of a resource; None: it is of a kind whose body is empty.
+    """Return the table of a resource; None: it is of a kind whose body is empty.
 
-    ChangeRefused: the body holds no such table; all that does not hold is told.
+    Raises
+    ------
+    ChangeRejectedError
+        The body is no such table; lists the problems.
     """
-    kind = TABLES.get(key.kind)
-    if kind is None:
-        if body:
-            raise ChangeRefused((Problem(str(key), "body", "must be empty"),))
-        return None
-    return decode_table(key, body, kind)
-
+    table_type = TABLES.get(key.kind)
+    if table_type is not None:
+        return decode_table(key, body, table_type)
+    if body:
+        raise _refused(key, "body", "must be empty")
+    return None
 
-def decode_table(key: Key, body: bytes, kind: type[T]) -> T:
-    """The table, of this type, of a resource. ChangeRefused: the body holds none."""
 
-    def refused(field: str, reason: str) -> ChangeRefused:
-        return ChangeRefused((Problem(str(key), field, reason),))
+def decode_table(key: Key, body: bytes, table_type: type[T]) -> T:
+    """Return the table, of this type, of a resource.
 
+    Raises
+    ------
+    ChangeRejectedError
+        The body is no such table, or is not in canonical form; lists the problems.
+    """
     if len(body) > MAX_BODY_BYTES:
-        raise refused("body", f"{len(body)} bytes, {MAX_BODY_BYTES} at most")
+        raise _refused(key, "body", f"{len(body)} bytes, {MAX_BODY_BYTES} at most")
     try:
-        table: T = _decoder(kind).decode(body)
+        table: T = _decoder(table_type).decode(body)
     except (msgspec.DecodeError, RecursionError):
-        table = _read_slowly(key, body, kind)
+        table = _decode_by_field(key, body, table_type)
     if isinstance(table, RouteTable) and table.name != key.name:
-        raise refused("name", f"is {table.name!r}, and the resource's is {key.name!r}")
+        raise _refused(key, "name", f"is {table.name!r}, and the resource's is {key.name!r}")
     if encode_table(table) != body:
-        _read_slowly(key, body, kind)  # perhaps it tells the field, such as one that is nil
-        raise refused("body", "is not in canonical form")
+        _decode_by_field(key, body, table_type)  # may name the field, such as one that is nil
+        raise _refused(key, "body", "is not in canonical form")
     return table
 
 
+def _refused(key: Key, field: str, reason: str) -> ChangeRejectedError:
+    return ChangeRejectedError((Problem(str(key), field, reason),))
+
+
 @cache
-def _decoder(kind: type[T]) -> msgspec.msgpack.Decoder[T]:
-    """Reads a sound body at once; of one that is not it tells the first error alone."""
-    return msgspec.msgpack.Decoder(kind)
+def _decoder(table_type: type[T]) -> msgspec.msgpack.Decoder[T]:
+    """Return a decoder of valid bodies, which reports only the first error of others."""
+    return msgspec.msgpack.Decoder(table_type)
+
 
+def _decode_by_field(key: Key, body: bytes, table_type: type[T]) -> T:
+    """Return the table of a resource, read field by field.
 
-def _read_slowly(key: Key, body: bytes, kind: type[T]) -> T:
-    """A table, field by field. ChangeRefused: all that does not hold is told."""
+    Raises
+    ------
+    ChangeRejectedError
+        The body is not valid; lists all problems.
+    """
     try:
         data = msgspec.msgpack.decode(body)
     except (msgspec.DecodeError, RecursionError, TypeError, ValueError) as error:
-        raise ChangeRefused((Problem(str(key), "body", f"is no MessagePack: {error}"),)) from None
-    table, problems = read_plain(kind, data)
+        raise _refused(key, "body", f"is no MessagePack: {error}") from None
+    table, problems = read_plain(table_type, data)
     if problems or table is None:
-        told = tuple(
-            Problem(str(key), ".".join(part for part in (one.table, one.key) if part) or "body", one.reason)
-            for one in problems[:MAX_PROBLEMS]
+        reported = problems[:MAX_PROBLEMS]
+        raise ChangeRejectedError(
+            tuple(
+                Problem(str(key), ".".join(filter(None, (found.table, found.key))) or "body", found.reason)
+                for found in reported
+            )
         )
-        raise ChangeRefused(told)
     return table
 
 
 def resources_of(tables: OperatorFile) -> dict[Key, bytes]:
-    """The resources that a file says, by their identity; what a file says of its own node is not among them.
+    """Return the bodies of a file's resources, without what concerns the node itself ([peers], [accord]).
 
-    ChangeRefused: two routes have one name, a name is too long, or a table is too large for a resource.
+    Raises
+    ------
+    ChangeRejectedError
+        Two routes have one name, or a name or table is too long for a resource.
     """
     found: dict[Key, bytes] = {}
     problems: list[Problem] = []
@@ -162,8 +189,8 @@
         found[DEFAULTS] = encode_table(tables.defaults)
     if tables.paths != PathsTable():
         found[PATHS] = encode_table(tables.paths)
-    for name, cls in tables.classes.items():
-        found[Key(Kind.CLASS, name)] = encode_table(cls)
+    for name, request_class in tables.classes.items():
+        found[Key(Kind.CLASS, name)] = encode_table(request_class)
     for name, tenant in tables.tenants.items():
         found[Key(Kind.TENANT, name)] = encode_table(tenant)
     for route in tables.routes:
@@ -171,18 +198,29 @@
         if key in found:
             problems.append(Problem(str(key), "name", "another route has it"))
         found[key] = encode_table(route)
-    for key, body in found.items():
-        if len(body) > MAX_BODY_BYTES:
-            problems.append(Problem(str(key), "body", f"{len(body)} bytes, {MAX_BODY_BYTES} at most"))
-        if key not in (DEFAULTS, PATHS) and not 0 < len(key.name) <= MAX_NAME_LENGTH:
-            problems.append(Problem(str(key), "name", f"must have 1 to {MAX_NAME_LENGTH} characters"))
+    problems += _size_problems(found)
     if problems:
-        raise ChangeRefused(tuple(problems))
+        raise ChangeRejectedError(tuple(problems))
     return found
 
 
+def _size_problems(bodies: Mapping[Key, bytes]) -> Iterator[Problem]:
+    """Yield bodies and names that are too long for a resource."""
+    for key, body in bodies.items():
+        if len(body) > MAX_BODY_BYTES:
+            yield Problem(str(key), "body", f"{len(body)} bytes, {MAX_BODY_BYTES} at most")
+        if key not in (DEFAULTS, PATHS) and not 0 < len(key.name) <= MAX_NAME_LENGTH:
+            yield Problem(str(key), "name", f"must have 1 to {MAX_NAME_LENGTH} characters")
+
+
 def tables_of(state: ResourceState) -> OperatorFile:
-    """What a file with these resources would say, routes by name. ChangeRefused: a body holds no table."""
+    """Return the tables of the file that has these resources, routes sorted by name.
+
+    Raises
+    ------
+    ChangeRejectedError
+        A body is not valid.
+    """
     classes: dict[str, ClassTable] = {}
     tenants: dict[str, TenantTable] = {}
     routes: list[RouteTable] = []
@@ -203,16 +241,17 @@
 
 
 def operations_between(state: ResourceState, wanted: Mapping[Key, bytes]) -> tuple[Operation, ...]:
-    """What turns a state into the resources that a file says, by identity.
+    """Return the operations that turn a state into the wanted resources.
 
-    Servers that are out are no part of a file, and stay as they are unless they are wanted.
+    Drained servers are no part of a file, and stay as they are unless they are wanted.
     """
     found: list[Operation] = []
     for key, resource in state.resources.items():
-        if key not in wanted and key.kind is not Kind.SERVER_OUT:
+        if key not in wanted and key.kind is not Kind.DRAINED_SERVER:
             found.append(Delete(key.kind, key.name, resource.version))
     for key, body in wanted.items():
-        there = state.resources.get(key)
-        if there is None or there.body != body:
-            found.append(Upsert(key.kind, key.name, 0 if there is None else there.version, body))
+        existing = state.resources.get(key)
+        if existing is None or existing.body != body:
+            version = 0 if existing is None else existing.version
+            found.append(Upsert(key.kind, key.name, version, body))
     return tuple(sorted(found, key=lambda operation: operation.key))
--- a/hollybay/routing/schema.py
+++ b/hollybay/routing/schema.py
@@ -1,7 +1,4 @@
-"""The operator file's form: typed tables, read with all errors at once.
-
-How a table is read: forms.py. Source of the form: docs/OPERATORS-routes.md.
-"""
+"""The tables of the operator file. Their fields are its keys; docs/OPERATORS-routes.md is the reference."""
 
 from __future__ import annotations
 
@@ -9,10 +6,10 @@
 
 import msgspec
 
-from .forms import Duration, Size, Table, duration, read_tables, size
 from .problems import OperatorError, Problem
+from .typed_tables import Duration, Size, Table, parse_duration, parse_size, read_tables
 
-MS = 1_000_000
+NS_PER_MS = 1_000_000
 
 __all__ = [
     "AccordTable",
@@ -29,10 +26,10 @@
     "TenantLimitsTable",
     "TenantRateTable",
     "TenantTable",
-    "duration",
+    "parse_duration",
+    "parse_size",
     "read",
     "read_all",
-    "size",
 ]
 
 Name = Annotated[str, msgspec.Meta(pattern=r"^[A-Za-z0-9._-]{1,64}$")]
@@ -44,26 +41,26 @@
         pattern=r"^(\*\.)?[a-z0-9_]([a-z0-9_-]{0,62})(\.[a-z0-9_][a-z0-9_-]{0,62}){0,30}$", max_length=253
     ),
 ]
-By = Annotated[str, msgspec.Meta(pattern=r"^(route|tenant|header:[A-Za-z0-9!#$%&'*+.^_`|~-]{1,64})$")]
-# A header's value as it may stand in a request: no control characters, no space at its ends.
+RateKey = Annotated[str, msgspec.Meta(pattern=r"^(route|tenant|header:[A-Za-z0-9!#$%&'*+.^_`|~-]{1,64})$")]
+# The value of a header in a request: no control characters, no space at either end.
 HeaderValue = Annotated[
     str, msgspec.Meta(pattern=r"^[\x21-\x7e\xa0-\xff]([\x20-\x7e\xa0-\xff]*[\x21-\x7e\xa0-\xff])?$")
 ]
 
 
 class RateTable(Table, frozen=True):
-    """A token bucket: so many requests a second on the long run, so many at once."""
+    """A rate limit: requests a second in the long run, and the burst that is admitted at once."""
 
     all_or_nothing = True
 
     per_second: Annotated[float, msgspec.Meta(gt=0, le=1e7)]
     burst: Annotated[int, msgspec.Meta(ge=1, le=10_000_000)] | None = None
-    by: By = "route"
+    by: RateKey = "route"
     most_keys: Annotated[int, msgspec.Meta(ge=1, le=1_000_000)] = 10_000
 
 
 class RetryAfterTable(Table, frozen=True):
-    """Between which bounds Retry-After is drawn."""
+    """Bounds between which Retry-After is chosen at random."""
 
     all_or_nothing = True
 
@@ -72,7 +69,7 @@
 
 
 class LimitsTable(Table, frozen=True):
-    """Limits; what is absent is inherited."""
+    """Limits of requests; those that are absent are inherited."""
 
     attempt_timeout: Duration | None = None
     request_timeout: Duration | None = None
@@ -89,7 +86,7 @@
 
 
 class ClassTable(Table, frozen=True):
-    """A class: what the operator takes it for (compared with the settings), and its limits."""
+    """A request class: what the operator declares of it, compared with the settings, and its limits."""
 
     effect: Literal["safe", "keyed", "unsafe"] | None = None
     promised: Duration | None = None
@@ -100,7 +97,7 @@
 
 
 class TenantRateTable(Table, frozen=True):
-    """A token bucket for all requests of one tenant."""
+    """A rate limit over all requests of one tenant."""
 
     all_or_nothing = True
 
@@ -109,20 +106,20 @@
 
 
 class TenantLimitsTable(Table, frozen=True):
-    """Limits over all of a tenant's requests at a node."""
+    """Limits over all requests of a tenant at a node."""
 
     in_flight: Annotated[int, msgspec.Meta(ge=1, le=1_000_000)] | None = None
     rate: TenantRateTable | None = None
 
 
 class TenantTable(Table, frozen=True):
-    """A tenant, by the name that it has in the node's configuration."""
+    """A tenant, named as in the node's configuration."""
 
     limits: TenantLimitsTable = TenantLimitsTable()
 
 
 class PathTable(Table, frozen=True):
-    """How a route's path is matched: one of the three."""
+    """How a route matches paths: exactly one of the three is stated."""
 
     all_or_nothing = True
 
@@ -132,7 +129,7 @@
 
 
 class HeaderTable(Table, frozen=True):
-    """A header that a request must have, with this value or any."""
+    """A header that a request must have, with an exact value or any: one of the two is stated."""
 
     all_or_nothing = True
 
@@ -142,7 +139,7 @@
 
 
 class RouteTable(Table, frozen=True):
-    """A route: which requests it takes, the class that they are of, and their limits."""
+    """A route: the requests that it matches, their class, and their limits."""
 
     all_or_nothing = True
 
@@ -156,35 +153,39 @@
 
 
 class PathsTable(Table, frozen=True):
-    """What two readers of a path could take for two things: refused, or kept as it stands."""
+    """What of an ambiguous path is rejected, or kept as it is."""
 
     encoded_slash: Literal["reject", "keep"] = "reject"
     empty_segments: Literal["reject", "keep"] = "reject"
 
 
 class PeersTable(Table, frozen=True):
-    """What nodes tell one another of their load, where their network has datagrams between them."""
+    """How nodes exchange load reports, in datagrams."""
 
-    every: Duration = 500 * MS  # so often a node says its load though nothing has changed
-    forget: Duration = 1500 * MS  # for so long what a node said counts
+    every: Duration = 500 * NS_PER_MS  # interval of reports while nothing changes
+    forget: Duration = 1500 * NS_PER_MS  # validity of a report
 
 
-Door = Annotated[
+Address = Annotated[
     str, msgspec.Meta(max_length=100, pattern=r"^(\[[0-9a-fA-F:.]+\]|[A-Za-z0-9._-]+):[0-9]{1,5}$")
 ]
 
 
 class AccordTable(Table, frozen=True):
-    """How nodes agree on a policy: who decides, for how long a node is sure, what it does when it is not."""
+    """How nodes agree on a policy: the voters, leases, and what a node does after its lease has expired."""
 
     all_or_nothing = True
 
-    keepers: Annotated[list[Door], msgspec.Meta(min_length=1, max_length=5)]  # their doors for operators
-    folder: Annotated[str, msgspec.Meta(min_length=1, max_length=400)]  # for what must outlive a process
-    door: Door | None = None  # where others call this node, if not at its own address for operators
-    lease: Duration = 5000 * MS
+    keepers: Annotated[
+        list[Address], msgspec.Meta(min_length=1, max_length=5)
+    ]  # admin addresses of the voters
+    folder: Annotated[str, msgspec.Meta(min_length=1, max_length=400)]  # directory of durable state
+    door: Address | None = None  # where voters reach this node, if not at its own admin address
+    lease: Duration = 5000 * NS_PER_MS
     when_unsure: Literal["leave", "narrow"] = "leave"
-    narrow_for: Duration = 60_000 * MS  # so long after its lease a node may serve under the narrower
+    narrow_for: Duration = (
+        60_000 * NS_PER_MS
+    )  # grace after lease expiry, under the intersection of both policies
 
 
 class OperatorFile(Table, frozen=True):
@@ -192,7 +193,6 @@
 
     peers: PeersTable | None = None
     accord: AccordTable | None = None
-
     paths: PathsTable = PathsTable()
     defaults: LimitsTable = LimitsTable()
     classes: dict[str, ClassTable] = msgspec.field(default_factory=dict, name="class")
@@ -201,7 +201,18 @@
 
 
 def read(text: str | bytes, file: str = "operator file") -> OperatorFile:
-    """The file's tables; OperatorError tells all that does not hold."""
+    """Read a file.
+
+    Parameters
+    ----------
+    file
+        The file's name in errors.
+
+    Raises
+    ------
+    OperatorError
+        The file is not valid; lists all problems.
+    """
     tables, problems = read_all(text, file)
     if problems:
         raise OperatorError(file, problems)
@@ -209,9 +220,18 @@
 
 
 def read_all(text: str | bytes, file: str = "operator file") -> tuple[OperatorFile, list[Problem]]:
-    """The tables as far as they hold, and all that does not: what holds can still be checked for its meaning.
+    """Read a file as far as it is valid, so that the rest can still be checked for its meaning.
+
+    A route is left out where what it matches is not valid; elsewhere an invalid value counts as absent.
+
+    Returns
+    -------
+    tuple
+        The tables, and all problems.
 
-    A route is left out where what it matches does not hold; elsewhere a bad value counts as absent.
-    OperatorError: it is no TOML at all.
+    Raises
+    ------
+    OperatorError
+        The file is no TOML at all.
     """
     return read_tables(OperatorFile, text, file)
--- a/hollybay/simulation/accord_rehearsal.py
+++ b/hollybay/simulation/accord_rehearsal.py
@@ -26,13 +26,14 @@
 from typing import Any
 
 from hollybay.consensus import messages
-from hollybay.consensus.change_tracker import ChangeTracker, Verdict
+from hollybay.consensus.change_tracker import ChangeTracker
 from hollybay.consensus.interfaces import FileRead, MemberSettings
-from hollybay.consensus.log import Entry
+from hollybay.consensus.log_entry import Entry
 from hollybay.consensus.oracle import Begun, Fault, Outcome, Said, check
 from hollybay.consensus.policy import version_of
 from hollybay.consensus.requests import UnreachableError
 from hollybay.consensus.service import Service
+from hollybay.consensus.verdict import ExitStatus, Verdict
 from hollybay.resources.model import Change, Delete, Key, Kind, Operation, Upsert
 from hollybay.resources.state import EMPTY, ResourceState
 from hollybay.testbed.scratch import in_memory
@@ -157,7 +158,7 @@
         await asyncio.sleep(self.stage.chance.uniform(0.001, 0.03))
         assert entry.state is not None
         # What came into force while this node was away is served by it; only what is new is refused.
-        keys = {*(entry.changed or ()), Key(Kind.ROUTE, FILE)}
+        keys = {*(entry.changed_keys or ()), Key(Kind.ROUTE, FILE)}
         there = [one for key in sorted(keys) if (one := entry.state.resources.get(key)) is not None]
         return [reason for one in there if (reason := self._refuses(one.body))]
 
@@ -276,7 +277,7 @@
                 service = seat.service
                 if service is None or seat.process is None or seat.process.stopped:
                     continue
-                if service.look():
+                if service.may_begin_request():
                     self.events.append(Begun(self.clock(), seat.name, seat.under))
 
     # Faults
@@ -377,11 +378,11 @@
 
     def _other_board(self) -> list[str] | None:
         for seat in self.seats:
-            keeping = seat.service.keeping if seat.service is not None else None
-            if keeping is not None and keeping.keeper is not None:
-                policy = keeping.log.get(keeping.keeper.decided.policy)
+            keeping = seat.service.acceptor if seat.service is not None else None
+            if keeping is not None and keeping.state is not None:
+                policy = keeping.log.policy(keeping.state.decided.policy)
                 if policy is not None:
-                    board = list(policy.keepers)
+                    board = list(policy.voters)
                     strangers = [one.door for one in self.seats if one.door not in board]
                     if strangers:
                         board.remove(self.chance.choice(board))
@@ -397,9 +398,7 @@
             await asyncio.sleep(self.chance.uniform(0.0, 0.4))
             await follow.drop(verdict.change)
         if verdict.change and verdict.code == 3 and follows:
-            verdict = await follow.follow(
-                verdict.change, verdict.epoch, limit=self.chance.choice((5.0, 20.0))
-            )
+            verdict = await follow.track(verdict.change, verdict.epoch, limit=self.chance.choice((5.0, 20.0)))
         self._note(verdict)
 
     # Changes of single resources
@@ -436,7 +435,7 @@
         proposed_at = self.keepers[-1:] if self.chance.random() < 0.1 else ()
         for door in proposed_at:  # its proposer does not wait for the answer
             self.loop.create_task(self._posted(door, change))
-        verdict = await follow.change(change, limit, proposed_at)
+        verdict = await follow.submit(change, limit, proposed_at)
         self.told.append((change, verdict))
 
     async def _posted(self, door: str, change: Change) -> None:
@@ -514,7 +513,7 @@
                 seat.start()
         self.cut.clear()
         await asyncio.sleep(12.0 + 4 * (self.shape.lease + self.shape.late))
-        verdict = Verdict(3)
+        verdict = Verdict(ExitStatus.UNKNOWN)
         for n in range(4):
             follow = ChangeTracker(self.operator_call, [seat.door for seat in self.seats])
             verdict = await follow.propose(b"# the last %d\n" % n, None, None, "the last", "", limit=60.0)
--- a/hollybay/simulation/agent.py
+++ b/hollybay/simulation/agent.py
@@ -22,7 +22,7 @@
     b'HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n{"version',
     b'HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n{"version": 9',
     b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n[]",
-    b'HTTP/1.1 200 OK\r\nContent-Length: 55\r\n\r\n{"version": 99999999, "full": true, "servers": [{"id":3}]}',  # noqa: E501
+    b'HTTP/1.1 200 OK\r\nContent-Length: 55\r\n\r\n{"version": 99999999, "full": true, "servers": [{"id":3}]}',
     b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\nContent-Length: 5\r\n\r\n{}{}{",
     b"\x00\x00\x00",
 )
--- a/hollybay/simulation/machine.py
+++ b/hollybay/simulation/machine.py
@@ -1,4 +1,4 @@
-"""The node's machine under simulation: sockets as `elderscale` uses them, put in place by its seam."""
+"""The node's machine under simulation: sockets as `hollybay.proxy` uses them, put in place by its seam."""
 
 from __future__ import annotations
 
@@ -165,16 +165,24 @@
     @contextmanager
     def installed(self) -> Iterator[None]:
         """Let the node's code run on this machine while the block lasts."""
-        names = ("monotonic_ns", "tcp_socket", "unread", "wall_ahead", "read_bytes", "sleep", "settle")
+        names = (
+            "monotonic_ns",
+            "tcp_socket",
+            "unread_bytes",
+            "wall_clock_offset",
+            "read_bytes",
+            "sleep",
+            "finish_startup",
+        )
         kept = {name: getattr(system, name) for name in names}
         root = self.network.loop
         system.monotonic_ns = lambda: int(root.now * NS)
         system.tcp_socket = lambda host: _here(self).socket()  # type: ignore[assignment,return-value]
-        system.unread = self._unread
-        system.wall_ahead = 0
+        system.unread_bytes = self._unread
+        system.wall_clock_offset = 0
         system.read_bytes = lambda path: _here(self).read(path)
         system.sleep = lambda seconds: None
-        system.settle = lambda: None
+        system.finish_startup = lambda: None
         try:
             yield
         finally:
--- a/hollybay/simulation/nodes.py
+++ b/hollybay/simulation/nodes.py
@@ -1,16 +1,14 @@
-"""Nodes as processes on the simulated loop: `hollybay.proxy.__main__.serve`, with its signals and files."""
+"""Nodes as processes on the simulated loop: `hollybay.proxy.life_cycle.serve`, with its signals and files."""
 
 from __future__ import annotations
 
 import asyncio
 import json
-from typing import Any
 
-from hollybay.proxy.__main__ import serve
+from hollybay.proxy.assembly import NodeParts
 from hollybay.proxy.config import ConfigError, load
-from hollybay.proxy.discovery import Discovery
-from hollybay.proxy.downstream.connections import Clients as NodeClients
-from hollybay.proxy.exchange import Node
+from hollybay.proxy.downstream.listener import ClientListener as NodeClients
+from hollybay.proxy.life_cycle import serve
 from hollybay.proxy.upstream.pools import UpstreamPools
 
 from .loop import Process
@@ -34,7 +32,7 @@
         self.host = f"n{number}"
         self.process: Process | None = None
         self.machine: Machine
-        self.parts: tuple[NodeClients, Node, Discovery] | None = None  # once it has put itself together
+        self.parts: NodeParts | None = None  # once it has put itself together
         self.ended = asyncio.Event()
         self.orderly = False  # it was told to end
         self.files: dict[str, bytes] = {}
@@ -74,7 +72,7 @@
         self._task = self.process.create_task(self._main(environ))
 
     async def _main(self, environ: dict[str, str]) -> None:
-        def assembled(*parts: Any) -> None:
+        def assembled(parts: NodeParts) -> None:
             self.parts = parts
 
         world = self.world
@@ -166,9 +164,9 @@
 
     def plan_in_force(self) -> object:
         """The plan of its operator file, None where it has none."""
-        if self.parts is None or self.parts[0].gate is None:
+        if self.parts is None or self.parts[0].admission is None:
             return None
-        return self.parts[0].gate.plan
+        return self.parts[0].admission.policy
 
     def at_rest(self) -> dict[str, int]:
         """What it holds once nobody has asked for anything for long."""
@@ -181,7 +179,7 @@
             "requests": len(node.requests),
             "requests owed": node.owed,
             "requests that the module knows": len(balancer.requests),
-            "attempts that the module counts": sum(s.held for s in balancer.servers.values()),
+            "attempts that the module counts": sum(s.in_flight for s in balancer.servers.values()),
             "client connections": len(clients.connections),
             "connections to servers": len(node.servers.connections) + len(node.servers.opening),
             "bytes of the bodies' budget": clients.budget.used,
@@ -205,7 +203,11 @@
 
 
 def _in_flight(clients: NodeClients) -> int:
-    return sum(state.in_flight for state in clients.gate.states.values()) if clients.gate is not None else 0
+    return (
+        sum(state.in_flight for state in clients.admission.counters.values())
+        if clients.admission is not None
+        else 0
+    )
 
 
 def operator_file(plan: Plan) -> bytes:
--- a/hollybay/simulation/shrink.py
+++ b/hollybay/simulation/shrink.py
@@ -66,9 +66,9 @@
     before = -1
     while before != events(plan):
         before = events(plan)
-        faults = minimal(plan.faults, lambda part: holds(replace(plan, faults=tuple(part))))  # noqa: B023
+        faults = minimal(plan.faults, lambda part: holds(replace(plan, faults=tuple(part))))
         plan = replace(plan, faults=tuple(faults))
-        asks = minimal(plan.asks, lambda part: holds(replace(plan, asks=tuple(part))))  # noqa: B023
+        asks = minimal(plan.asks, lambda part: holds(replace(plan, asks=tuple(part))))
         plan = replace(plan, asks=tuple(asks))
         for changes in _PLAINER:
             plainer = replace(plan, **changes)
--- a/hollybay/simulation/watch.py
+++ b/hollybay/simulation/watch.py
@@ -1,7 +1,7 @@
 """Checks after every step: the ledger's rules as they are broken, and the oracles beside them.
 
 Each oracle is a small function over plain values that says what is wrong or None; the models call them with
-what they saw. `Watch` is the ledger of a run: it decides at once, where the ledger of `standins` decides at
+what they saw. `Watch` is the ledger of a run: it decides at once, where that of `testbed` decides at
 the end.
 """
 
--- a/hollybay/simulation/world.py
+++ b/hollybay/simulation/world.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from hollybay.proxy.config import settings_of
+from hollybay.proxy.config import settings_from_json
 from hollybay.testbed.ledger import Fault, Final, Limits
 
 from .agent import Agent
@@ -62,7 +62,7 @@
         self.loop = loop
         self.plan = plan
         self.net = Network(loop, Link(plan.delay, plan.jitter, plan.split, plan.window))
-        self.settings = settings_of(settings(plan, 0))
+        self.settings = settings_from_json(settings(plan, 0))
         self.ledger = Watch(Limits.of(self.settings), self.now)
         self.ledger.say = loop.note
         self.asks: dict[str, Ask] = {}
@@ -243,7 +243,7 @@
 
         loop.after_step = check
         heard = _Heard(world)
-        log = logging.getLogger("elderscale")
+        log = logging.getLogger("hollybay.proxy")
         kept = log.handlers, log.propagate, log.level
         log.handlers, log.propagate = [heard], False
         log.setLevel(logging.WARNING)
--- a/hollybay/testbed/ledger.py
+++ b/hollybay/testbed/ledger.py
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """The figures of the rules, durations in ns; see Settings in lynxrouter.interface."""
+    """The figures of the rules, durations in ns; see Settings in hollybay.balancing.settings."""
 
     classes: tuple[api.RequestClass, ...]
     drain_grace: int
--- a/hollybay/testbed/loopback.py
+++ b/hollybay/testbed/loopback.py
@@ -11,10 +11,10 @@
 from pathlib import Path
 from typing import Any
 
-from hollybay.proxy.__main__ import assemble
+from hollybay.proxy.assembly import assemble
 from hollybay.proxy.config import Config, load
-from hollybay.proxy.discovery import Discovery
-from hollybay.proxy.downstream.connections import Clients
+from hollybay.proxy.discovery import DiscoveryClient
+from hollybay.proxy.downstream.listener import ClientListener
 from hollybay.proxy.exchange import Node
 
 from .listener import LIMIT, OK, Listener, read_message
@@ -138,7 +138,9 @@
 class Running:
     """A node that runs, with its parts in reach."""
 
-    def __init__(self, clients: Clients, node: Node, discovery: Discovery, port: int, path: Path) -> None:
+    def __init__(
+        self, clients: ClientListener, node: Node, discovery: DiscoveryClient, port: int, path: Path
+    ) -> None:
         self.clients = clients
         self.node = node
         self.discovery = discovery
@@ -247,7 +249,7 @@
     port = await clients.listen()
     discovery.start()
     async with asyncio.timeout(LIMIT):
-        await discovery.heard.wait()
+        await discovery.list_available.wait()
     try:
         yield Running(clients, node, discovery, port, path)
     finally:
--- a/hollybay/testbed/process.py
+++ b/hollybay/testbed/process.py
@@ -85,14 +85,14 @@
     """Run the node that BALANCER_CONFIG names on a free port; 2 where a configuration does not hold."""
     import uvloop
 
-    from hollybay.proxy.__main__ import serve
     from hollybay.proxy.config import ConfigError, load
+    from hollybay.proxy.life_cycle import serve
 
     logging.basicConfig(stream=sys.stderr, level=logging.INFO, format="%(levelname)s %(message)s")
     try:
         config = load(os.environ)
     except ConfigError as error:
-        print(f"elderscale: {error}", file=sys.stderr)
+        print(f"hollybay: {error}", file=sys.stderr)
         return 2
 
     def started(port: int) -> None:
--- a/hollybay/testbed/scene.py
+++ b/hollybay/testbed/scene.py
@@ -8,7 +8,7 @@
 from itertools import accumulate
 from typing import Any
 
-from hollybay.proxy.config import settings_of
+from hollybay.proxy.config import settings_from_json
 
 from .agent import Agent
 from .callers import Mix
@@ -112,7 +112,7 @@
     sockets: int = 1024
 
     def __post_init__(self) -> None:
-        self.settings = settings_of(self.words)
+        self.settings = settings_from_json(self.words)
         self.ledger = Ledger(Limits.of(self.settings))
         chance = random.Random(self.seed)
         kinds = usual_kinds(self.count)
