--- a/tests/golden/build.py
+++ b/tests/golden/build.py
@@ -22,15 +22,12 @@
 import click
 import msgspec
 
-from hollybay.admin.administrative_drains import BansError
-from hollybay.admin.administrative_drains import pack as pack_bans
-from hollybay.admin.administrative_drains import unpack as unpack_bans
+from hollybay.admin.administrative_drains import DrainFileError, decode_drains, encode_drains
 from hollybay.admin.metrics import CONTENT_TYPE as METRICS_TYPE
-from hollybay.admin.metrics import Exposition, Figures
-from hollybay.admin.requests import Denied
-from hollybay.admin.requests import parse as parse_call
+from hollybay.admin.metrics import MetricsCollector, NodeMetrics
+from hollybay.admin.requests import RejectedRequest, parse_request
 from hollybay.balancing import interface as module
-from hollybay.balancing.bench_adapter import Link
+from hollybay.balancing.bench_codec import encode_action
 from hollybay.balancing.bench_settings import FIELDS as REPORT_FIELDS
 from hollybay.balancing.bench_settings import parse_settings
 from hollybay.cli.main import main as command_line
@@ -45,19 +42,19 @@
     Promise,
     Stage,
 )
+from hollybay.consensus.grace_memory import RememberedGrace
 from hollybay.consensus.interfaces import FileRead, InvalidFileError, MemberSettings
-from hollybay.consensus.log import Entry, PolicyLog
-from hollybay.consensus.policy import Policy, RejectedError, first, successor
+from hollybay.consensus.log import PolicyLog
+from hollybay.consensus.log_entry import Entry
+from hollybay.consensus.policy import Policy, RejectedError, first_policy, successor_policy
 from hollybay.consensus.requests import UnreachableError
-from hollybay.consensus.service import Service, _Remembered
+from hollybay.consensus.service import Service
 from hollybay.consensus.store import Store, StoreError
-from hollybay.consensus.transfer import Uploads, piece_of, pieces_up
-from hollybay.gossip.load_report import mark as report_mark
-from hollybay.gossip.load_report import parse as parse_load_report
-from hollybay.gossip.load_report import word as load_reports
+from hollybay.consensus.transfer import Uploads, chunk_at, upload_calls
+from hollybay.gossip.load_report import decode_report, encode_reports, server_hash
 from hollybay.proxy import consensus_member as calling
-from hollybay.proxy.__main__ import assemble
-from hollybay.proxy.admin_service import Desk
+from hollybay.proxy.admin_service import AdminService
+from hollybay.proxy.assembly import assemble
 from hollybay.proxy.config import load
 from hollybay.resources.model import Change, Delete, Kind, Problem, Upsert
 from hollybay.resources.state import EMPTY, ResourceState
@@ -90,7 +87,7 @@
 UPLOAD_ID = "000102030405060708090a0b0c0d0e0f"
 SETTLED = EpochState(4, Stage.SETTLED, OLD)
 PREPARE = EpochState(5, Stage.PREPARE, OLD, NEW)
-NARROW = EpochState(6, Stage.NARROW, OLD, NEW)
+NARROW = EpochState(6, Stage.JOINT, OLD, NEW)
 BALLOT = (3, NODE)
 
 
@@ -98,7 +95,7 @@
     operations = (
         Upsert(Kind.ROUTE, "hall-slots", 0, b'{"class":"view-schedule"}'),
         Upsert(Kind.TENANT, "north", 0, b"{}"),
-        Upsert(Kind.SERVER_OUT, "10.1.0.5:9000", 0, b""),
+        Upsert(Kind.DRAINED_SERVER, "10.1.0.5:9000", 0, b""),
     )
     return Change(CHANGE_ID, 0, "begin", "ann", operations)
 
@@ -113,9 +110,9 @@
 
 def _policies() -> tuple[Policy, Policy, ResourceState]:
     """Two entries of a log, and the resources after the second."""
-    one = first((_first_change(),), DOORS)
-    state = EMPTY.applied(one.changes or (), 1)
-    two, after = successor(one, state, (_second_change(),))
+    one = first_policy((_first_change(),), DOORS)
+    state = EMPTY.with_batch(one.changes or (), 1)
+    two, after = successor_policy(one, state, (_second_change(),))
     return one, two, after
 
 
@@ -144,12 +141,12 @@
             w.FORM, LeaseRequest(NODE, 1, None, -1, True), "n-1", DOOR, 2_000_000_000, 0
         ),
         "granting": w.LeaseReply(grant=LeaseGrant(NODE, 9, 5)),
-        "granting.know": w.LeaseReply(know=NARROW),
+        "granting.know": w.LeaseReply(decided=NARROW),
         "granting.neither": w.LeaseReply(),
         "preparing": w.PrepareCall(w.FORM, Prepare(BALLOT, 5)),
         "promising": w.PrepareReply(Promise(NODE, BALLOT, 5, ((2, 7), NARROW)), None, 5, 0),
         "promising.unbound": w.PrepareReply(Promise(NODE, BALLOT, 5, None), None, 5, 0),
-        "promising.know": w.PrepareReply(know=SETTLED, epoch=4, above=8),
+        "promising.know": w.PrepareReply(decided=SETTLED, decided_epoch=4, promised_number=8),
         "accepting": w.AcceptCall(w.FORM, Accept(BALLOT, NARROW), DOOR),
         "voting": w.AcceptReply(Accepted(NODE, BALLOT, NARROW), None, 5),
         "voting.waits": w.AcceptReply(
@@ -167,7 +164,7 @@
         "telling.nothing": w.KnowledgeReply(False),
         "founding": w.BootstrapCall(file="Zm91bmQ="),
         "founding.uploaded": w.BootstrapCall(upload=UPLOAD_ID),
-        "founding.passed": w.BootstrapCall(policy=one.name, entry=w.packed(one), by=DOOR),
+        "founding.passed": w.BootstrapCall(policy=one.name, entry=w.packed(one), source=DOOR),
         "proposing": w.ProposeCall(
             "Zm91bmQ=", two.parent.hex(), "why", "ann", ["10.1.0.5:9000"], list(DOORS), UPLOAD_ID, OLD
         ),
@@ -185,8 +182,8 @@
             )
             for outcome in w.ChangeOutcome
         },
-        "uploading": pieces_up(UPLOAD_ID, b"an operator file")[0],
-        "piece": piece_of(NEW, b"a snapshot", 0),
+        "uploading": upload_calls(UPLOAD_ID, b"an operator file")[0],
+        "piece": chunk_at(NEW, b"a snapshot", 0),
         "changed": w.ProposeReply(NEW, 5),
         "dropping": w.DropCall(NEW),
         "dropping.passed": w.DropCall(NEW, True),
@@ -341,7 +338,7 @@
 
 def uploads_refused() -> bytes:
     """What uploads and pieces refuse, in words."""
-    good = pieces_up(UPLOAD_ID, b"12345678")[0]
+    good = upload_calls(UPLOAD_ID, b"12345678")[0]
     other = msgspec.structs.replace
     pieces = {
         "no_id": other(good, id=""),
@@ -350,10 +347,10 @@
         "too_long": other(good, total=(64 << 20) + 1),
         "gap": words.UploadCall(UPLOAD_ID, 262152, 262144, "MTIzNDU2Nzg="),
     }
-    found = {name: _refused(partial(Uploads().take, piece, 0)) for name, piece in pieces.items()}
-    found["not_whole"] = _refused(lambda: Uploads().whole(UPLOAD_ID))
-    found["piece_at_odd_offset"] = _refused(lambda: piece_of(NEW, b"12345678", 3))
-    found["piece_past_the_end"] = _refused(lambda: piece_of(NEW, b"12345678", 262144))
+    found = {name: _refused(partial(Uploads().add, piece, 0)) for name, piece in pieces.items()}
+    found["not_whole"] = _refused(lambda: Uploads().content(UPLOAD_ID))
+    found["piece_at_odd_offset"] = _refused(lambda: chunk_at(NEW, b"12345678", 3))
+    found["piece_past_the_end"] = _refused(lambda: chunk_at(NEW, b"12345678", 262144))
     return joined({name: text.encode() for name, text in found.items()})
 
 
@@ -426,8 +423,8 @@
         random.Random(7),
         "boot",
     )
-    service.opened = True
-    service.become_keeper()
+    service.voter.log_is_open = True
+    service.voter.become_voter()
     return service
 
 
@@ -463,7 +460,7 @@
         ("found", e(w.BootstrapCall(bad))),
         ("found", e(w.BootstrapCall("?"))),
         ("found", e(w.BootstrapCall(founding))),
-        ("found", e(w.BootstrapCall(policy=OLD, by=DOOR))),
+        ("found", e(w.BootstrapCall(policy=OLD, source=DOOR))),
         ("", None),
         ("tell", None),
         ("history", None),
@@ -493,13 +490,13 @@
         ("change", e(w.ChangeCall("?"))),
         ("change", e(w.ChangeCall("", UPLOAD_ID))),
         (f"change/{CHANGE_ID.hex()}", None),
-        ("draft", e(w.DraftCall("a draft", "ann", file, out=["10.1.0.5:9000"]))),
+        ("draft", e(w.DraftCall("a draft", "ann", file, servers_out=["10.1.0.5:9000"]))),
         ("draft", e(w.DraftCall("nothing"))),
         ("draft", e(w.DraftCall("a draft", file=bad))),
         ("draft", e(w.DraftCall("a draft", delete=["route/none"]))),
-        ("draft", e(w.DraftCall("a draft", like=OLD))),
+        ("draft", e(w.DraftCall("a draft", like_policy=OLD))),
         ("propose", e(w.ProposeCall(file, "", "why"))),
-        ("upload", e(pieces_up(UPLOAD_ID, b"12345678")[0])),
+        ("upload", e(upload_calls(UPLOAD_ID, b"12345678")[0])),
         ("upload", e(w.UploadCall("", 8, 0, "MTIzNDU2Nzg="))),
         ("know", e(w.DecidedNotice(w.FORM, found, DOOR))),
         ("join", e(w.DecidedNotice(w.FORM, found, DOOR))),
@@ -546,7 +543,7 @@
 
 
 def _calls_of(seed: int, shape: rehearsal.Shape) -> set[str]:
-    """Method, first part of the path and fields of each call that is made in one run."""
+    """Method, first_policy part of the path and fields of each call that is made in one run."""
     seen: set[str] = set()
     with tempfile.TemporaryDirectory() as folder:
         stage = rehearsal._Stage(seed, shape, Path(folder))
@@ -596,15 +593,15 @@
 
 
 @asynccontextmanager
-async def _desk(folder: Path) -> AsyncIterator[Desk]:
+async def _desk(folder: Path) -> AsyncIterator[AdminService]:
     """The operators' door of a node that serves nobody; its calls are answered as by a running one."""
     path = folder / "node.json"
     path.write_text(json.dumps(NODE_FILE))
     scratch = folder / "scratch"
     scratch.mkdir(exist_ok=True)
     config = load({"BALANCER_CONFIG": str(path), "TMPDIR": str(scratch)})
-    clients, node, _ = assemble(config)
-    desk = Desk(replace(config, admin=("127.0.0.1", 0)), clients, node)
+    clients, node, *_ = assemble(config)
+    desk = AdminService(replace(config, admin=("127.0.0.1", 0)), clients, node)
     await desk.open()
     try:
         yield desk
@@ -613,9 +610,9 @@
         clients.close()
 
 
-async def _spoken(desk: Desk, sent: bytes) -> bytes:
+async def _spoken(desk: AdminService, sent: bytes) -> bytes:
     """All that a caller at the door hears until it is closed."""
-    reader, writer = await asyncio.open_connection("127.0.0.1", desk.door.port)
+    reader, writer = await asyncio.open_connection("127.0.0.1", desk.server.port)
     writer.write(sent)
     heard = await asyncio.wait_for(reader.read(), 10)
     writer.close()
@@ -648,7 +645,7 @@
 )
 
 
-async def _wrong_methods(desk: Desk) -> list[tuple[bytes, bytes]]:
+async def _wrong_methods(desk: AdminService) -> list[tuple[bytes, bytes]]:
     """Each path under each method that it does not take."""
     found = []
     for path in PATHS:
@@ -661,10 +658,10 @@
 
 
 def _denied(method: str, path: str) -> bool:
-    return isinstance(parse_call(method, path), Denied)
+    return isinstance(parse_request(method, path), RejectedRequest)
 
 
-async def _operators(desk: Desk, sent: Sequence[bytes]) -> list[tuple[bytes, bytes]]:
+async def _operators(desk: AdminService, sent: Sequence[bytes]) -> list[tuple[bytes, bytes]]:
     return [(one, await _spoken(desk, one)) for one in sent]
 
 
@@ -722,8 +719,8 @@
     async with _desk(folder) as desk:
         accord = calling.Accord.__new__(calling.Accord)
         accord.service = _service(folder / "accord")
-        desk.accord = accord
-        desk.door.most = words.MOST_CALL
+        desk.policy_handler = accord
+        desk.server.max_policy_request_bytes = words.MOST_CALL
         sent = (
             _call_bytes("POST /-/servers/s-1/disable"),
             _call_bytes("GET /-/policy"),
@@ -766,13 +763,13 @@
     """Write entries 1 to 3 and a snapshot of 2, by which 1 is let go; the policies 2 and 3."""
     one, two, after = _policies()
     change = Change(UPLOAD_ID[:16].encode(), 2, "", "", (Upsert(Kind.DEFAULTS, "", 0, b"\x80"),))
-    three, _ = successor(two, after, (msgspec.structs.replace(change, reason="why", author="cy"),))
-    log = PolicyLog(folder, kept_states=1, snapshot_floor=0)
+    three, _ = successor_policy(two, after, (msgspec.structs.replace(change, reason="why", author="cy"),))
+    log = PolicyLog(folder, kept_states=1, snapshot_floor_bytes=0)
     log.open()
     for policy in (one, two):
-        log.put(policy)
+        log.append(policy)
     log.prune({two.name})
-    log.put(three)
+    log.append(three)
     return two, three
 
 
@@ -782,8 +779,8 @@
     clock = _Clock()
     service = _service(folder, clock)
     service.log.open()
-    assert service.keeping is not None
-    await service.keeping.learn_all([(EpochState(4, Stage.SETTLED, two.name), None)])
+    assert service.acceptor is not None
+    await service.acceptor.recover([(EpochState(4, Stage.SETTLED, two.name), None)])
     clock.now += 60_000_000_000  # until then it may not vote
     vote = Accept(BALLOT, EpochState(7, Stage.PREPARE, two.name, three.name))
     calls: tuple[tuple[str, object], ...] = (
@@ -793,12 +790,14 @@
     )
     for path, value in calls:
         await service.answer(path, words.encode(value))
-        await asyncio.gather(*service.tasks)
+        await asyncio.gather(*service.tasks.running)
     for epoch, until in ((4, 160_000_000_000), (6, 170_000_000_000)):
         at = EpochState(epoch, Stage.SETTLED, two.name)
-        service.node = service.node._replace(at=at, late=until)
-        service._remember()
-        await asyncio.gather(*service.tasks)
+        service.lease_client.leaseholder = service.lease_client.leaseholder._replace(
+            effective_epoch=at, grace_end=until
+        )
+        service.lease_client.remember()
+        await asyncio.gather(*service.tasks.running)
 
 
 async def _take_out(folder: Path) -> bytes:
@@ -826,20 +825,22 @@
 
 async def _read_disk(folder: Path) -> bytes:
     service = _service(folder)
-    service.keeping = None
+    service.voter.acceptor = None
     service.log.open()
-    service.become_keeper()
-    remembered: _Remembered = msgspec.msgpack.decode(service.memory.open() or b"", type=_Remembered)
+    service.voter.become_voter()
+    remembered: RememberedGrace = msgspec.msgpack.decode(
+        service.lease_client.memory.store.open() or b"", type=RememberedGrace
+    )
     names = service.log.names()
     paths = ["", "tell", "history", *(f"entry/{name}" for name in names)]
     paths += [f"since/{n}/{names[-1]}" for n in (0, 1, 2)] + [f"snapshot/{names[-1]}"]
     found = {path: await service.answer(path, None) for path in [*paths, f"diff/{names[0]}/{names[-1]}"]}
     samples = {f"/{path}": b"%d %s" % (answer.status, answer.body) for path, answer in found.items()}
     samples["node"] = msgspec.json.encode(remembered)
-    assert service.keeping is not None and service.keeping.keeper is not None
-    samples["keeper"] = msgspec.json.encode(tuple(service.keeping.keeper))
-    samples["counts"] = b"%d %d" % (service.keeping.store.count, service.memory.count)
-    samples["set_aside"] = msgspec.json.encode(service.log.aside)
+    assert service.acceptor is not None and service.acceptor.state is not None
+    samples["keeper"] = msgspec.json.encode(tuple(service.acceptor.state))
+    samples["counts"] = b"%d %d" % (service.acceptor.store.count, service.lease_client.memory.store.count)
+    samples["set_aside"] = msgspec.json.encode(service.log.quarantined)
     for name in names:
         state = service.log.state(name)
         rows = [] if state is None else [f"{one.key} {one.version}" for one in state.resources.values()]
@@ -888,7 +889,7 @@
 def _log_opened(folder: Path) -> bytes:
     log = PolicyLog(folder)
     log.open()
-    return msgspec.json.encode({"names": log.names(), "set_aside": log.aside})
+    return msgspec.json.encode({"names": log.names(), "set_aside": log.quarantined})
 
 
 def read_damaged(folder: Path) -> bytes:
@@ -929,10 +930,10 @@
 
 def servers_out_refused() -> bytes:
     """Files of servers out by hand, and how they are refused."""
-    sound = pack_bans(["s-1", "s-2"])
+    sound = encode_drains(["s-1", "s-2"])
     cases = {
         "sound": sound,
-        "none_out": pack_bans([]),
+        "none_out": encode_drains([]),
         "cut": sound[:-1],
         "version_2": sound.replace(b'"version": 1', b'"version": 2'),
         "not_a_list": sound.replace(b'["s-1", "s-2"]', b'"s-1"'),
@@ -942,8 +943,8 @@
     found = {}
     for case, data in cases.items():
         try:
-            found[case] = f"{sorted(unpack_bans(data))} <- ".encode() + data
-        except BansError as error:
+            found[case] = f"{sorted(decode_drains(data))} <- ".encode() + data
+        except DrainFileError as error:
             found[case] = str(error).partition(": ")[0].encode() + b" <- " + data
     return joined(found)
 
@@ -953,12 +954,12 @@
 
 def _load_reports() -> dict[str, list[bytes]]:
     many = {n * 7919: n % 255 + 1 for n in range(120)}
-    held = {report_mark(server): n for n, server in enumerate(("s-1", "10.1.0.5:9000", b"\x0a\0\0\1#)"), 1)}
+    held = {server_hash(server): n for n, server in enumerate(("s-1", "10.1.0.5:9000", b"\x0a\0\0\1#)"), 1)}
     return {
-        "nothing_held": load_reports(0, 1, 1, {}),
-        "three_servers": load_reports(3, 0xFFFF_FFFF, 77, held),
-        "more_than_a_byte": load_reports(65535, 0, 0xFFFF_FFFF, {1: 300, 2: 0}),
-        "three_datagrams": load_reports(1, 2, 3, many),
+        "nothing_held": encode_reports(0, 1, 1, {}),
+        "three_servers": encode_reports(3, 0xFFFF_FFFF, 77, held),
+        "more_than_a_byte": encode_reports(65535, 0, 0xFFFF_FFFF, {1: 300, 2: 0}),
+        "three_datagrams": encode_reports(1, 2, 3, many),
     }
 
 
@@ -975,7 +976,7 @@
 
 def load_report_read(data: bytes) -> str:
     """What a datagram says: six values in order, the last by server; empty: it is none."""
-    found = parse_load_report(data)
+    found = decode_report(data)
     if found is None:
         return ""
     *head, held = found
@@ -1030,7 +1031,7 @@
     found = {}
     for name, action in actions.items():
         tail = bytearray()
-        record = Link._action(3, action, tail)
+        record = encode_action(3, action, tail)
         found[name] = record.hex().encode() + b" " + bytes(tail)
     return joined(found)
 
@@ -1113,10 +1114,10 @@
 
 def metrics() -> bytes:
     """The figures as the endpoint prints them, each with a value of its own."""
-    figures = Figures(
+    snapshot = NodeMetrics(
         classes=("view", "send"),
         served=(1, 2),
-        refused=(3, 4),
+        rejected=(3, 4),
         failed=(5, 6),
         attempts=7,
         in_flight=8,
@@ -1125,14 +1126,14 @@
         reloads_ok=11,
         reloads_failed=12,
     )
-    return f"{METRICS_TYPE}\n".encode() + Exposition(lambda: figures).text()
+    return f"{METRICS_TYPE}\n".encode() + MetricsCollector(lambda: snapshot).render()
 
 
 async def _metrics_of_node(folder: Path) -> bytes:
     async with _desk(folder) as desk:
-        tally = desk.node.tally
-        tally.served[:], tally.refused[:], tally.failed[:] = [1, 2], [3, 4], [5, 6]
-        tally.reloads_ok, tally.reloads_failed = 11, 12
+        counters = desk.node.counters
+        counters.served[:], counters.rejected[:], counters.failed[:] = [1, 2], [3, 4], [5, 6]
+        counters.reloads_ok, counters.reloads_failed = 11, 12
         desk.node.servers.written = 7
         desk.node.owed = 8
         return await _spoken(desk, _call_bytes("GET /-/metrics"))
--- a/tests/record_decisions.py
+++ b/tests/record_decisions.py
@@ -34,7 +34,7 @@
 class RecordedBalancer(recorded.Balancer):
     """A balancer that keeps what it was given and what it answered."""
 
-    made: list[RecordedBalancer] = []  # noqa: RUF012
+    made: list[RecordedBalancer] = []
 
     def __init__(self, settings: Any, seed: int, now: int) -> None:
         self.head = (recorded.encode_settings(settings), seed, now)
--- a/tests/recorded_decisions.py
+++ b/tests/recorded_decisions.py
@@ -244,7 +244,7 @@
     lacking = [cls.__name__ for cls in (*api.Event.__args__, *api.Action.__args__) if cls not in known]
     for shape in _SHAPES:
         in_files = {name for name, _ in shape.fields}
-        fields = getattr(shape.cls, "__dataclass_fields__")  # noqa: B009
+        fields = getattr(shape.cls, "__dataclass_fields__")
         lacking += [f"{shape.cls.__name__}.{name}" for name in fields if name not in in_files]
     return lacking
 
--- a/tests/test_accord_fetch.py
+++ b/tests/test_accord_fetch.py
@@ -12,19 +12,20 @@
 import pytest
 
 from hollybay.consensus import messages
-from hollybay.consensus.log import NotReached, PolicyLog, Snapshot
-from hollybay.consensus.log_fetch import NOT_REACHED, Fetcher, FetchResult
-from hollybay.consensus.policy import Policy, RejectedError, successor
+from hollybay.consensus.log import LogTruncatedError, PolicyLog
+from hollybay.consensus.log_entry import Snapshot
+from hollybay.consensus.log_fetch import LOG_TRUNCATED_STATUS, Fetcher, FetchResult
+from hollybay.consensus.policy import Policy, RejectedError, successor_policy
 from hollybay.consensus.requests import UnreachableError
 from hollybay.consensus.store import StoreError
 from hollybay.consensus.transfer import (
     MAX_UPLOAD_BYTES,
     MAX_UPLOADS,
-    UPLOAD_IDLE,
+    UPLOAD_IDLE_NS,
     Uploads,
+    chunk_at,
     download,
-    piece_of,
-    pieces_up,
+    upload_calls,
 )
 from hollybay.resources.wire import encode_snapshot
 
@@ -47,14 +48,14 @@
         kind, *parts = path.split("/")
         try:
             if kind == "since":
-                name, whole = parts[1], log.since(int(parts[0]), parts[1])
+                name, whole = parts[1], log.encoded_delta(int(parts[0]), parts[1])
             else:
-                name, whole = log.snapshot(parts[0])
-        except NotReached as error:
-            raise UnreachableError(str(error), NOT_REACHED) from None
+                name, whole = log.newest_snapshot(parts[0])
+        except LogTruncatedError as error:
+            raise UnreachableError(str(error), LOG_TRUNCATED_STATUS) from None
         offset = int(parts[2 if kind == "since" else 1]) if len(parts) > (2 if kind == "since" else 1) else 0
         whole = self.spoil.get(door, lambda path, data: data)(path, whole)
-        return messages.encode(piece_of(name, whole, offset))
+        return messages.encode(chunk_at(name, whole, offset))
 
 
 def bring(log: PolicyLog, others: Others, name: str, *doors: str) -> tuple[FetchResult, Fetcher]:
@@ -64,7 +65,7 @@
 
         fetcher = Fetcher(log, others.call, disk, asyncio.get_running_loop().create_task)
         async with asyncio.timeout(10):
-            return await fetcher.bring(name, doors), fetcher
+            return await fetcher.fetch(name, doors), fetcher
 
     return asyncio.run(play())
 
@@ -76,7 +77,7 @@
 def test_a_delta_comes_where_the_log_reaches_and_a_snapshot_where_it_does_not(tmp_path: Path) -> None:
     policies = chain(30)
     last = policies[-1].name
-    others = Others(k=filled(tmp_path / "k", policies, kept_states=4, snapshot_floor=400))
+    others = Others(k=filled(tmp_path / "k", policies, kept_states=4, snapshot_floor_bytes=400))
     near = filled(tmp_path / "near", policies[:28])
     found, _ = bring(near, others, last, "k")
     assert found.policy == policies[-1].without_changes() and near.state(last) == state_of(policies)
@@ -97,8 +98,8 @@
     last = policies[-1].name
     log = filled(tmp_path / "n", others_chain)
     state = state_of(others_chain)
-    dropped, _ = successor(others_chain[-1], state, [change(state, "dropped", b"x")])
-    log.put(dropped)
+    dropped, _ = successor_policy(others_chain[-1], state, [change(state, "dropped", b"x")])
+    log.append(dropped)
     found, _ = bring(log, Others(k=filled(tmp_path / "k", policies)), last, "k")
     assert found.policy is not None and log.state(last) == state_of(policies)
 
@@ -137,17 +138,17 @@
     log = filled(tmp_path / "n", policies[:3])
     before = files(tmp_path / "n")
     found, fetcher = bring(log, others, last, "bad")
-    assert found == FetchResult(None) and fetcher.reasons["bad"]
+    assert found == FetchResult(None) and fetcher.failures["bad"]
     assert files(tmp_path / "n") == before and log.names() == [one.name for one in policies[:3]]
     found, fetcher = bring(log, others, last, "nobody", "bad", "good")
     assert found.policy is not None and log.state(last) == state_of(policies)
-    assert set(fetcher.reasons) == {"nobody", "bad"}
+    assert set(fetcher.failures) == {"nobody", "bad"}
 
 
 def test_a_false_snapshot_is_refused_and_another_keeper_is_asked(tmp_path: Path) -> None:
     policies, foreign = chain(30), chain(30, b"foreign")
     last = policies[-1].name
-    good = filled(tmp_path / "good", policies, kept_states=4, snapshot_floor=400)
+    good = filled(tmp_path / "good", policies, kept_states=4, snapshot_floor_bytes=400)
     others = Others(bad=good, good=good)
 
     def spoil(path: str, data: bytes) -> bytes:
@@ -162,7 +163,7 @@
     others.spoil["bad"] = spoil
     log = opened(tmp_path / "n")
     found, fetcher = bring(log, others, last, "bad")
-    assert found == FetchResult(None) and "a gap" in fetcher.reasons["bad"] and not files(tmp_path / "n")
+    assert found == FetchResult(None) and "a gap" in fetcher.failures["bad"] and not files(tmp_path / "n")
     found, _ = bring(log, others, last, "bad", "good")
     assert found.policy is not None and log.state(last) == state_of(policies)
 
@@ -171,7 +172,7 @@
     policies = chain(4)
 
     class Full(PolicyLog):
-        def put(self, policy: Policy) -> Any:
+        def append(self, policy: Policy) -> Any:
             raise StoreError("No space left on device")
 
     log = Full(tmp_path / "n")
@@ -201,7 +202,7 @@
 
         def answer(path: str, data: bytes = data) -> messages.Chunk:
             parts = path.split("/")
-            return piece_of("n", data, int(parts[2]) if len(parts) > 2 else 0)
+            return chunk_at("n", data, int(parts[2]) if len(parts) > 2 else 0)
 
         assert run_download(answer, len(data)) == ("n", data)
         if data:
@@ -237,12 +238,12 @@
     uploads = Uploads()
     whole = bytes(messages.PIECE_BYTES) + b"the end"
     ids = [f"{n:032x}" for n in range(1, MAX_UPLOADS + 2)]
-    first, second = pieces_up(ids[0], whole)
+    first, second = upload_calls(ids[0], whole)
     for piece in (first, first, second, first, second):
-        uploads.take(piece, 1)
-    assert uploads.whole(ids[0]) == whole
+        uploads.add(piece, 1)
+    assert uploads.content(ids[0]) == whole
     with pytest.raises(RejectedError, match="not whole"):
-        uploads.whole(ids[1])
+        uploads.content(ids[1])
     for piece, why in (
         (msgspec.structs.replace(second, id=ids[1]), "and 0 of"),
         (messages.UploadCall(ids[1], MAX_UPLOAD_BYTES + 1, 0, ""), "at most"),
@@ -251,11 +252,11 @@
         (msgspec.structs.replace(first, id=""), "id"),
     ):
         with pytest.raises(RejectedError, match=why):
-            uploads.take(piece, 2)
-        assert uploads.whole(ids[0]) == whole
+            uploads.add(piece, 2)
+        assert uploads.content(ids[0]) == whole
     for one in ids[1:MAX_UPLOADS]:
-        uploads.take(msgspec.structs.replace(first, id=one), 3)
+        uploads.add(msgspec.structs.replace(first, id=one), 3)
     with pytest.raises(RejectedError, match="come again later"):
-        uploads.take(msgspec.structs.replace(first, id=ids[-1]), 4)
-    uploads.take(msgspec.structs.replace(first, id=ids[-1]), 5 + UPLOAD_IDLE)
-    uploads.done(ids[-1])
+        uploads.add(msgspec.structs.replace(first, id=ids[-1]), 4)
+    uploads.add(msgspec.structs.replace(first, id=ids[-1]), 5 + UPLOAD_IDLE_NS)
+    uploads.discard(ids[-1])
--- a/tests/test_accord_log.py
+++ b/tests/test_accord_log.py
@@ -14,7 +14,8 @@
 from hypothesis import strategies as st
 
 from hollybay.consensus import policy
-from hollybay.consensus.log import NotReached, PolicyLog, Snapshot, is_name
+from hollybay.consensus.log import LogTruncatedError, PolicyLog
+from hollybay.consensus.log_entry import Snapshot, is_name
 from hollybay.consensus.log_fetch import check_links, parse_delta
 from hollybay.consensus.policy import Policy, RejectedError
 from hollybay.consensus.record import pack
@@ -39,10 +40,10 @@
 
 def chain(length: int, tag: bytes = b"") -> list[Policy]:
     """So many policies, one after another, each with one change of a few routes."""
-    found = [policy.first([change(EMPTY, "r0", tag)], ["a:1"])]
-    state = EMPTY.applied(found[0].changes or (), 1)
+    found = [policy.first_policy([change(EMPTY, "r0", tag)], ["a:1"])]
+    state = EMPTY.with_batch(found[0].changes or (), 1)
     for n in range(1, length):
-        made, state = policy.successor(found[-1], state, [change(state, f"r{n % 5}", tag + b"%d" % n)])
+        made, state = policy.successor_policy(found[-1], state, [change(state, f"r{n % 5}", tag + b"%d" % n)])
         found.append(made)
     return found
 
@@ -51,7 +52,7 @@
     """The resources after policies, one after another."""
     state = EMPTY
     for one in policies:
-        state = state.applied(one.changes or (), one.version)
+        state = state.with_batch(one.changes or (), one.version)
     return state
 
 
@@ -64,7 +65,7 @@
 def filled(folder: Path, policies: list[Policy], **words: int) -> PolicyLog:
     log = opened(folder, **words)
     for one in policies:
-        log.put(one)
+        log.append(one)
         log.prune([one.name])
     return log
 
@@ -76,12 +77,16 @@
     for one in (log, again):
         assert one.names() == [policy.name for policy in policies]
         assert one.state(policies[-1].name) == state_of(policies)
-        assert one.get(policies[2].name) == policies[2].without_changes()
-        assert one.read(policies[2].name) == policies[2]
+        assert one.policy(policies[2].name) == policies[2].without_changes()
+        assert one.read_entry(policies[2].name) == policies[2]
         entry = one.entry(policies[3].name)
-        assert entry is not None and entry.changed == policy.changed_keys(policies[3].changes or ())
-    assert again.get("../o.toml") is None and again.read("../o.toml") is None and not is_name("../o.toml")
-    assert again.get("9-00000000000a") is None and not again.aside
+        assert entry is not None and entry.changed_keys == policy.changed_keys(policies[3].changes or ())
+    assert (
+        again.policy("../o.toml") is None
+        and again.read_entry("../o.toml") is None
+        and not is_name("../o.toml")
+    )
+    assert again.policy("9-00000000000a") is None and not again.quarantined
 
 
 def test_a_gap_and_another_result_are_refused_and_nothing_is_changed(tmp_path: Path) -> None:
@@ -96,21 +101,21 @@
         (policies[2].without_changes(), "are not at hand"),
     ):
         with pytest.raises(RejectedError, match=why):
-            log.put(one)
+            log.append(one)
     assert log.names() == [one.name for one in policies[:2]]
     assert before == sorted(path.name for path in (tmp_path / "log").iterdir())
-    log.put(policies[2])
+    log.append(policies[2])
 
 
 def test_two_proposals_of_one_version_stand_side_by_side(tmp_path: Path) -> None:
     policies = chain(2)
     state = state_of(policies)
-    one, _ = policy.successor(policies[-1], state, [change(state, "one", b"1")])
-    other, after = policy.successor(policies[-1], state, [change(state, "other", b"2")])
-    last, _ = policy.successor(other, after, [change(after, "last", b"3")])
+    one, _ = policy.successor_policy(policies[-1], state, [change(state, "one", b"1")])
+    other, after = policy.successor_policy(policies[-1], state, [change(state, "other", b"2")])
+    last, _ = policy.successor_policy(other, after, [change(after, "last", b"3")])
     log = filled(tmp_path / "log", [*policies, one, other, last])
     assert {one.name, other.name} <= set(log.names())
-    delta = parse_delta(log.since(1, last.name))
+    delta = parse_delta(log.encoded_delta(1, last.name))
     assert [entry.name for entry in delta] == [policies[1].name, other.name, last.name]
     check_links(delta, last.name)
 
@@ -122,21 +127,21 @@
     policies = chain(12)
     with tempfile.TemporaryDirectory() as temporary:
         folder = Path(temporary) / "log"
-        filled(folder, policies, kept_states=4, snapshot_floor=1)
+        filled(folder, policies, kept_states=4, snapshot_floor_bytes=1)
         path = chance.choice(sorted(folder.iterdir()))
         data = path.read_bytes()
         at = chance.randrange(len(data))
         path.write_bytes(
             data[:at] if cut else data[:at] + bytes([data[at] ^ 1 << chance.randrange(8)]) + data[at + 1 :]
         )
-        log = opened(folder, kept_states=4, snapshot_floor=1)
-        assert path.name in log.aside and not path.exists() and log.aside[path.name]
+        log = opened(folder, kept_states=4, snapshot_floor_bytes=1)
+        assert path.name in log.quarantined and not path.exists() and log.quarantined[path.name]
         assert any(one.name.startswith(f"{path.name}.") for one in folder.iterdir())
         # What is there is what was written; an entry whose resources cannot be made is not there.
         for name in log.names():
             number = next(n for n, one in enumerate(policies) if one.name == name)
             assert log.state(name) == state_of(policies[: number + 1])
-            assert log.get(name) == policies[number].without_changes()
+            assert log.policy(name) == policies[number].without_changes()
 
 
 def test_foreign_newer_and_exchanged_files_are_told_apart(tmp_path: Path) -> None:
@@ -150,12 +155,12 @@
     (folder / policies[1].name).write_bytes(pack(0, msgspec.msgpack.encode(policies[0])))
     log = opened(folder)
     assert log.names() == [policies[0].name]
-    reasons = {name: log.aside[name] for name in (one.name for one in policies[1:])}
+    reasons = {name: log.quarantined[name] for name in (one.name for one in policies[1:])}
     assert "is newer" in reasons[policies[3].name] and "is foreign" in reasons[policies[2].name]
     assert f"it is {policies[0].name}" in reasons[policies[1].name]
     # Fetched anew, they are there again.
     for one in policies[1:]:
-        log.put(one)
+        log.append(one)
     assert opened(folder).state(policies[3].name) == state_of(policies)
 
 
@@ -168,21 +173,21 @@
             raise OSError(28, "No space left on device")
 
     policies = chain(8)
-    log = PolicyLog(tmp_path / "log", step, kept_states=2, snapshot_floor=1)
+    log = PolicyLog(tmp_path / "log", step, kept_states=2, snapshot_floor_bytes=1)
     log.open()
     for one in policies[:6]:
-        log.put(one)
+        log.append(one)
     full = True
     with pytest.raises(StoreError, match="No space left"):
-        log.put(policies[6])
-    assert log.get(policies[6].name) is None
+        log.append(policies[6])
+    assert log.policy(policies[6].name) is None
     with pytest.raises(StoreError, match="No space left"):
         log.prune([policies[5].name])
     assert log.state(policies[5].name) == state_of(policies[:6])
     assert opened(tmp_path / "log").names() == [one.name for one in policies[:6]]
     full = False
     log.prune([policies[5].name])
-    log.put(policies[6])
+    log.append(policies[6])
     assert opened(tmp_path / "log").state(policies[6].name) == state_of(policies[:7])
 
 
@@ -204,28 +209,28 @@
     for ends_at in range(1, 14):
         folder = tmp_path / f"log{ends_at}"
         steps = 0
-        log = PolicyLog(folder, step, kept_states=2, snapshot_floor=1)
+        log = PolicyLog(folder, step, kept_states=2, snapshot_floor_bytes=1)
         log.open()
         there = 0
         try:
             for one in policies:
-                log.put(one)
+                log.append(one)
                 there += 1
                 log.prune([one.name])
         except Ended:
             pass
-        again = opened(folder, kept_states=2, snapshot_floor=1)
-        assert not again.aside
+        again = opened(folder, kept_states=2, snapshot_floor_bytes=1)
+        assert not again.quarantined
         assert there == 0 or again.state(policies[there - 1].name) == state_of(policies[:there])
-        again = filled(folder, policies[there:], kept_states=2, snapshot_floor=1)
+        again = filled(folder, policies[there:], kept_states=2, snapshot_floor_bytes=1)
         assert again.state(policies[-1].name) == state_of(policies)
 
 
 def test_older_entries_give_way_to_a_snapshot_and_a_start_reads_it(tmp_path: Path) -> None:
     policies = chain(30)
     folder = tmp_path / "log"
-    log = filled(folder, policies, kept_states=4, snapshot_floor=400)
-    again = opened(folder, kept_states=4, snapshot_floor=400)
+    log = filled(folder, policies, kept_states=4, snapshot_floor_bytes=400)
+    again = opened(folder, kept_states=4, snapshot_floor_bytes=400)
     names = [one.name for one in policies]
     for one in (log, again):
         there = one.names()
@@ -236,31 +241,31 @@
     snapshots = [path.name for path in folder.iterdir() if path.name.endswith(".snapshot")]
     assert len(snapshots) == 1
     # What is needed stays, with its resources, however old it is.
-    needed = PolicyLog(tmp_path / "other", kept_states=2, snapshot_floor=1)
+    needed = PolicyLog(tmp_path / "other", kept_states=2, snapshot_floor_bytes=1)
     for one in policies[:12]:
-        needed.put(one)
+        needed.append(one)
         needed.prune([names[2], one.name] if one.version > 2 else [one.name])
     assert needed.state(names[2]) == state_of(policies[:3])
 
 
 def test_what_a_reader_lacks_is_a_delta_or_a_snapshot_where_the_log_does_not_reach(tmp_path: Path) -> None:
     policies = chain(30)
-    log = filled(tmp_path / "log", policies, kept_states=4, snapshot_floor=400)
+    log = filled(tmp_path / "log", policies, kept_states=4, snapshot_floor_bytes=400)
     last = policies[-1].name
-    delta = parse_delta(log.since(28, last))
+    delta = parse_delta(log.encoded_delta(28, last))
     assert delta == policies[28:]
-    with pytest.raises(NotReached, match="does not reach"):
-        log.since(1, last)
-    with pytest.raises(NotReached, match="does not reach"):
-        log.since(1, "99-00000000000a")
-    name, data = log.snapshot(last)
-    found, state = Snapshot.parse(data)
+    with pytest.raises(LogTruncatedError, match="does not reach"):
+        log.encoded_delta(1, last)
+    with pytest.raises(LogTruncatedError, match="does not reach"):
+        log.encoded_delta(1, "99-00000000000a")
+    name, data = log.newest_snapshot(last)
+    found, state = Snapshot.decode(data)
     assert found.name == name and state == state_of(policies[: found.version])
     # A process with an empty disk takes it, and what follows.
     fresh = opened(tmp_path / "fresh")
-    fresh.install(data)
-    for one in parse_delta(log.since(found.version, last)):
-        fresh.put(one)
+    fresh.install_snapshot(data)
+    for one in parse_delta(log.encoded_delta(found.version, last)):
+        fresh.append(one)
     assert fresh.state(last) == log.state(last) == opened(tmp_path / "fresh").state(last)
 
 
@@ -278,9 +283,9 @@
         (msgspec.msgpack.encode(Snapshot(header, encode_snapshot(replace(state, revision=9)))), "revision 9"),
     ):
         with pytest.raises(RejectedError, match=why):
-            log.install(data)
+            log.install_snapshot(data)
     assert not log.names() and not (tmp_path / "log").exists()
-    log.install(msgspec.msgpack.encode(Snapshot(header, encode_snapshot(state))))
+    log.install_snapshot(msgspec.msgpack.encode(Snapshot(header, encode_snapshot(state))))
     assert log.state(header.name) == state
 
 
@@ -289,7 +294,7 @@
 ) -> None:
     monkeypatch.setattr("hollybay.consensus.log.MAX_LOG_ENTRIES", 8)
     policies = chain(40)
-    log = filled(tmp_path / "log", policies, kept_states=4, snapshot_floor=1 << 20)
+    log = filled(tmp_path / "log", policies, kept_states=4, snapshot_floor_bytes=1 << 20)
     assert len(log.names()) <= 8 + 4 + 1
     assert len(list((tmp_path / "log").iterdir())) <= 8 + 4 + 2
     assert opened(tmp_path / "log").state(policies[-1].name) == state_of(policies)
--- a/tests/test_accord_node.py
+++ b/tests/test_accord_node.py
@@ -27,14 +27,14 @@
 from hollybay.consensus.core import EpochState, LeaseRequest, Prepare, Stage
 from hollybay.consensus.interfaces import MemberSettings
 from hollybay.consensus.log import PolicyLog
-from hollybay.consensus.policy import first
-from hollybay.proxy.admin_service import Desk
+from hollybay.consensus.policy import first_policy
+from hollybay.proxy.admin_service import AdminService
 from hollybay.proxy.config import ConfigError
 from hollybay.proxy.consensus_member import Accord, call, join
-from hollybay.proxy.operator_file import Operator
+from hollybay.proxy.operator_file import OperatorFile
 from hollybay.resources.model import Change, Kind, Upsert
+from hollybay.routing.policy_compiler import compile_file
 from hollybay.routing.problems import OperatorError
-from hollybay.routing.route_table import compile_file
 from hollybay.testbed.loopback import LIMIT, Backend, Registry, Running, request, running, settings
 from hollybay.testbed.world import make_settings
 
@@ -54,31 +54,31 @@
         path = tmp_path / f"{name}.toml"
         path.write_text(START)
         config = replace(node.clients.config, admin=("127.0.0.1", 0), name=name)
-        operator = Operator(str(path), config.settings, 1, pause=lambda: None)
-        node.clients.gate = operator.gate
+        operator = OperatorFile(str(path), config.settings, 1, settle_pause=lambda: None)
+        node.clients.admission = operator.admission
         node.clients.ready = True
-        desk = Desk(config, node.clients, node.node)
-        door = f"127.0.0.1:{await desk.open()}"
+        service = AdminService(config, node.clients, node.node)
+        door = f"127.0.0.1:{await service.open()}"
         terms = MemberSettings(name, door, keepers or (door,), 800 * MS, 0, tmp_path / "accord")
-        accord = await join(terms, config, operator, node.clients, desk)
+        accord = await join(terms, config, operator, node.clients, service)
         await accord.start()
         try:
             yield node, accord
         finally:
             accord.close()
-            desk.close()
+            service.close()
 
 
 async def founded(accord: Accord, file: bytes = b"") -> None:
     body = messages.encode(messages.BootstrapCall(file=base64.b64encode(file).decode()))
-    await call(accord.terms.door, "found", body, LIMIT)
+    await call(accord.terms.address, "found", body, LIMIT)
     async with asyncio.timeout(LIMIT):
         while not accord.sure():
             await asyncio.sleep(0.01)
 
 
 async def raw(accord: Accord, head: str, body: bytes = b"") -> tuple[int, bytes]:
-    host, _, port = accord.terms.door.rpartition(":")
+    host, _, port = accord.terms.address.rpartition(":")
     reader, writer = await asyncio.open_connection(host, int(port))
     async with asyncio.timeout(LIMIT):
         writer.write(f"{head} HTTP/1.1\r\nHost: h\r\nContent-Length: {len(body)}\r\n\r\n".encode() + body)
@@ -107,7 +107,7 @@
             await founded(accord)
             assert (await raw(accord, "GET /-/ready"))[0] == 200 and not began
             assert b" 200 " in await node.ask(request(rid="r-2"))
-            assert began == [(first((), [accord.terms.door]).name,)]
+            assert began == [(first_policy((), [accord.terms.address]).name,)]
             # Nobody renews its lease any more: it is over within its time.
             accord.service.close()
             async with asyncio.timeout(LIMIT):
@@ -122,23 +122,23 @@
     async def play() -> None:
         async with agreeing(tmp_path) as (_, accord):
             await founded(accord)
-            keeping = accord.service.keeping
-            assert keeping is not None and keeping.keeper is not None
-            state = keeping.keeper.decided
-            before = keeping.keeper
-            here = accord.terms.door
+            keeping = accord.service.acceptor
+            assert keeping is not None and keeping.state is not None
+            state = keeping.state.decided
+            before = keeping.state
+            here = accord.terms.address
             odd = EpochState(7, Stage.SETTLED, "7-00000000000a", "8-00000000000b")
             ask = messages.LeaseCall(
                 messages.FORM, LeaseRequest(1, 1, state, -1, True), "x", here, 900 * MS, 0
             )
-            policy = first([route_change("other")], [here])
+            policy = first_policy([route_change("other")], [here])
 
             def proposal(**words: Any) -> bytes:
                 whole = {"file": base64.b64encode(ROUTE).decode(), "parent": "", "reason": "why"} | words
                 return json.dumps(whole).encode()
 
             digest = policy.digest.hex()
-            now = first((), [here]).digest.hex()
+            now = first_policy((), [here]).digest.hex()
             for head, body, status, reason in (
                 ("POST /-/policy/ask", b"", 400, "no such words"),
                 ("POST /-/policy/ask", b"[" * 5000, 400, "no such words"),
@@ -152,7 +152,7 @@
                 ("POST /-/policy/ask", messages.encode(ask), 400, "at most are granted here"),
                 (
                     "POST /-/policy/ask",
-                    messages.encode(msgspec.structs.replace(ask, ask=ask.ask._replace(state=odd))),
+                    messages.encode(msgspec.structs.replace(ask, request=ask.request._replace(state=odd))),
                     400,
                     "state",
                 ),
@@ -171,7 +171,7 @@
                 ),
                 (
                     "POST /-/policy/found",
-                    messages.encode(messages.BootstrapCall(policy=policy.name, by=here)),
+                    messages.encode(messages.BootstrapCall(policy=policy.name, source=here)),
                     409,
                     "founded already",
                 ),
@@ -196,7 +196,7 @@
             ):
                 got, answer = await raw(accord, head, body)
                 assert got == status and reason in answer.decode(), (head, body[:80], got, answer[:200])
-            assert keeping.keeper._replace(leases=()) == before._replace(leases=())
+            assert keeping.state._replace(leases=()) == before._replace(leases=())
             status_ = json.loads((await raw(accord, "GET /-/policy"))[1])
             assert status_["keeper"]["epoch"] == 0 and status_["serves"] == [state.policy]
             prepare = messages.encode(messages.PrepareCall(messages.FORM, Prepare((1, 1), 5)))
@@ -206,7 +206,7 @@
 
 
 def run(accord: Accord, *words: str) -> Result:
-    return CliRunner().invoke(main, ["policy", *words, "--door", accord.terms.door])
+    return CliRunner().invoke(main, ["policy", *words, "--door", accord.terms.address])
 
 
 def test_the_command_and_its_exit_statuses(tmp_path: Path) -> None:
@@ -228,7 +228,7 @@
             done = await did("propose", str(good), "--reason", "a route", "--author", "me")
             assert done.exit_code == 0 and "in force everywhere" in done.output, done.output
             assert b" 200 " in await node.ask(request(rid="r-1"))
-            assert [route.name for route in accord.gate.plan.routes] == ["x"]  # type: ignore[union-attr]
+            assert [route.name for route in accord.admission.policy.routes] == ["x"]  # type: ignore[union-attr]
             refused = await did("propose", str(bad), "--reason", "a class")
             assert refused.exit_code == 1 and "nobody" in refused.output, refused.output
             same = await did("propose", str(good), "--reason", "again")
@@ -238,9 +238,9 @@
             old = await did("propose", "--out", "s-1", "--reason", "r", "--parent", "1-0123456789ab")
             assert old.exit_code == 1 and "in force is 2-" in old.output
             out = await did("propose", "--out", "s-1", "--reason", "it is ill", "--json")
-            assert json.loads(out.output)["code"] == 0 and accord.desk.bans.out == {"s-1"}
+            assert json.loads(out.output)["code"] == 0 and accord.desk.drains.drained == {"s-1"}
             assert (await did("back", "--reason", "it is well")).exit_code == 0
-            assert not accord.desk.bans.out
+            assert not accord.desk.drains.drained
             nothing = await did("drop")
             assert nothing.exit_code == 2 and "no change is under way" in nothing.output
             told = await did("status")
@@ -276,7 +276,7 @@
                 return await asyncio.to_thread(run, accord, *words)
 
             def routes() -> list[str]:
-                return sorted(route.name for route in accord.gate.plan.routes)  # type: ignore[union-attr]
+                return sorted(route.name for route in accord.admission.policy.routes)  # type: ignore[union-attr]
 
             await founded(accord, first_file.read_bytes())
             assert routes() == ["x", "y"]
@@ -328,9 +328,9 @@
                 assert told[one.id].outcome is messages.ChangeOutcome.REFUSED
                 reasons = " ".join(str(problem) for problem in told[one.id].problems)
                 assert own in reasons and other not in reasons.replace(own, "")
-            keeping = accord.service.keeping
-            assert keeping is not None and keeping.keeper is not None
-            state = accord.service.log.state(keeping.keeper.decided.policy)
+            keeping = accord.service.acceptor
+            assert keeping is not None and keeping.state is not None
+            state = accord.service.log.state(keeping.state.decided.policy)
             # Two batches were enough, as the one was found before anything was proposed.
             assert state is not None and len(state.resources) == 20 and state.revision < 6
             for one in many:
@@ -338,7 +338,7 @@
             # Proposed again, it is the same change and has no second effect.
             again = await raw(accord, "POST /-/policy/change", changing(many[3]))
             assert again[0] == 202 and json.loads(again[1])["outcome"] == "in force"
-            assert keeping.keeper.decided.policy == accord.service.under[0]
+            assert keeping.state.decided.policy == accord.service.policies_in_force[0]
             for path, status in ((f"change/{'0' * 32}", 200), ("change/xyz", 400), ("change/00", 400)):
                 assert (await raw(accord, f"GET /-/policy/{path}"))[0] == status
             for body in (b"{}", b'{"change": "!!"}', b'{"change": "AAAA"}', changing(odd)[:-9] + b'"}'):
@@ -371,7 +371,7 @@
 
 
 def test_what_is_longer_than_a_call_goes_in_pieces(tmp_path: Path) -> None:
-    """An operator file, the change that it makes, and the first policy, each of some MiB."""
+    """An operator file, the change that it makes, and the first_policy policy, each of some MiB."""
     text = "".join(
         f'[[route]]\nname = "r{n}"\nhosts = ["h{n}.example.org"]\npath = {{ prefix = "/view/{n}" }}\n'
         for n in range(9000)
@@ -388,17 +388,17 @@
             async with asyncio.timeout(LIMIT):
                 while not accord.sure():
                     await asyncio.sleep(0.01)
-            assert len(accord.gate.plan.routes) == 9000  # type: ignore[union-attr]
+            assert len(accord.admission.policy.routes) == 9000  # type: ignore[union-attr]
             done = await asyncio.to_thread(run, accord, "propose", str(fewer), "--reason", "fewer")
             assert done.exit_code == 0, done.output
-            assert len(accord.gate.plan.routes) == 6000  # type: ignore[union-attr]
+            assert len(accord.admission.policy.routes) == 6000  # type: ignore[union-attr]
             # Another node, with nothing on its disk, fetches all that in pieces.
-            async with agreeing(tmp_path, name="n1", keepers=(accord.terms.door,)) as (_, other):
+            async with agreeing(tmp_path, name="n1", keepers=(accord.terms.address,)) as (_, other):
                 async with asyncio.timeout(LIMIT):
                     while not other.sure():
                         await asyncio.sleep(0.02)
                 mine, its = accord.service, other.service
-                assert its.log.state(its.under[0]) == mine.log.state(mine.under[0])
+                assert its.log.state(its.policies_in_force[0]) == mine.log.state(mine.policies_in_force[0])
 
     asyncio.run(play())
 
@@ -409,12 +409,12 @@
     async def play() -> None:
         path = tmp_path / "operator.toml"
         path.write_text(START)
-        operator = Operator(str(path), make_settings(), 1, pause=lambda: None)
-        plan = operator.gate.plan
+        operator = OperatorFile(str(path), make_settings(), 1, settle_pause=lambda: None)
+        plan = operator.admission.policy
         path.write_bytes(ROUTE)
         with caplog.at_level(logging.ERROR):
             operator.reload()
-        assert operator.done == 1 and operator.gate.plan is plan
+        assert operator.reloads_finished == 1 and operator.admission.policy is plan
         assert "hollybay policy propose" in caplog.text
 
     asyncio.run(play())
@@ -424,8 +424,8 @@
     async def play() -> None:
         async with agreeing(tmp_path) as (_, one):
             await founded(one)
-            async with agreeing(tmp_path, keepers=(one.terms.door,)) as (_, other):
-                assert not other._keeps() and other.service.keeping is None
+            async with agreeing(tmp_path, keepers=(one.terms.address,)) as (_, other):
+                assert not other._keeps() and other.service.acceptor is None
                 async with asyncio.timeout(LIMIT):
                     while not other.sure():  # as a node it holds a lease of its own
                         await asyncio.sleep(0.01)
@@ -453,7 +453,7 @@
     both = tmp_path / "both.toml"
     both.write_bytes(START.encode() + ROUTE.replace(b"/view", b"/read"))
     with pytest.raises(ConfigError, match="hollybay policy propose"):
-        Operator(str(both), make_settings(), 1, pause=lambda: None)
+        OperatorFile(str(both), make_settings(), 1, settle_pause=lambda: None)
 
 
 def started(tmp_path: Path, **changes: object) -> str:
@@ -493,7 +493,7 @@
 def test_without_the_table_nothing_of_it_is_imported() -> None:
     code = (
         "import sys, hollybay.proxy.__main__, hollybay.proxy.operator_file, hollybay.proxy.admin_service\n"
-        "from hollybay.routing.route_table import compile_file\n"
+        "from hollybay.routing.policy_compiler import compile_file\n"
         "from hollybay.testbed.world import make_settings\n"
         "assert compile_file(b'', make_settings()).accord is None\n"
         "mine = ('hollybay.consensus', 'structlog', 'hollybay.proxy.consensus_member')\n"
@@ -511,10 +511,10 @@
         with contextlib.suppress(BrokenBarrierError):
             both.wait(0.2)
 
-    log, policy = PolicyLog(tmp_path / "policies", step), first([route_change("one")])
+    log, policy = PolicyLog(tmp_path / "policies", step), first_policy([route_change("one")])
     with ThreadPoolExecutor(2) as pool:
-        for done in [pool.submit(log.put, policy) for _ in range(2)]:
+        for done in [pool.submit(log.append, policy) for _ in range(2)]:
             done.result()
     again = PolicyLog(tmp_path / "policies")
     again.open()
-    assert both.broken and again.get(policy.name) == policy.without_changes()
+    assert both.broken and again.policy(policy.name) == policy.without_changes()
--- a/tests/test_accord_rehearsal.py
+++ b/tests/test_accord_rehearsal.py
@@ -7,8 +7,9 @@
 
 import pytest
 
-from hollybay.consensus.change_tracker import ClusterView, judge
+from hollybay.consensus.cluster_view import ClusterView, EpochRecord, parse_status
 from hollybay.consensus.oracle import Begun, Outcome, Said, check
+from hollybay.consensus.verdict import judge
 from hollybay.simulation.accord_rehearsal import Played, Shape, play, shape_of, stream_shape_of
 
 SEEDS = range(50)
@@ -96,9 +97,9 @@
 
 
 def known(*keepers: dict[str, object], **epochs: tuple[str, str, str]) -> ClusterView:
-    found = ClusterView({f"k{n}": {"keeper": one} for n, one in enumerate(keepers)})
-    found.epochs = {int(epoch[1:]): one for epoch, one in epochs.items()}
-    found.boards = {NEW: ["k0", "k1", "k2"]}
+    found = ClusterView({f"k{n}": parse_status({"keeper": one}) for n, one in enumerate(keepers)})
+    found.epochs = {int(epoch[1:]): EpochRecord(int(epoch[1:]), *one) for epoch, one in epochs.items()}
+    found.voters_by_policy = {NEW: ["k0", "k1", "k2"]}
     return found
 
 
--- a/tests/test_accord_store.py
+++ b/tests/test_accord_store.py
@@ -146,12 +146,14 @@
 
 @given(NAMES, st.binary(max_size=60), TEXTS, TEXTS)
 def test_a_policy_is_known_by_all_that_it_holds(name: str, body: bytes, reason: str, author: str) -> None:
-    old = policy.FIRST
-    new, state = policy.successor(old, EMPTY.sealed((), 1), [route(name, body)], None, reason, author)
+    old = policy.FIRST_POLICY
+    new, state = policy.successor_policy(
+        old, EMPTY.with_revision((), 1), [route(name, body)], None, reason, author
+    )
     assert new.version == 2 and new.parent == old.digest and state.revision == 2
     assert new.before == old.after and new.after == state.digest
-    assert policy.parse(msgspec.msgpack.encode(new)) == new
-    assert policy.parse(msgspec.msgpack.encode(new.without_changes())).digest == new.digest
+    assert policy.decode_policy(msgspec.msgpack.encode(new)) == new
+    assert policy.decode_policy(msgspec.msgpack.encode(new.without_changes())).digest == new.digest
     others = [
         msgspec.structs.replace(new, **change)
         for change in (
@@ -159,8 +161,8 @@
             {"parent": bytes(32)},
             {"before": b"\1" * 32},
             {"after": bytes(32)},
-            {"content": bytes(32)},
-            {"keepers": ("h:1",)},
+            {"changes_digest": bytes(32)},
+            {"voters": ("h:1",)},
             {"reason": author + "x", "author": reason},
             {"author": author + "x"},
         )
@@ -168,12 +170,12 @@
     assert len({one.digest for one in (new, old, *others)}) == 10
     # Other changes than those that its digest is about are refused.
     with pytest.raises(policy.RejectedError, match="content"):
-        policy.parse(msgspec.msgpack.encode(msgspec.structs.replace(new, changes=())))
+        policy.decode_policy(msgspec.msgpack.encode(msgspec.structs.replace(new, changes=())))
 
 
 def test_a_change_that_does_not_follow_or_of_nothing_is_refused() -> None:
-    old = policy.first([route("x", b"1")], ["a:1", "b:1", "c:1"])
-    state = EMPTY.applied(old.changes or (), 1)
+    old = policy.first_policy([route("x", b"1")], ["a:1", "b:1", "c:1"])
+    state = EMPTY.with_batch(old.changes or (), 1)
     for words, why in (
         (([route("x", b"2", 7)], None, "why", "who"), "route 'x': version: was made on version 7"),
         (([route("x", b"2", 1, 9)], None, "why", "who"), "change: made_on: 9 is after 1"),
@@ -188,29 +190,29 @@
         (([], [], "why", "who"), "keepers: 0 come and 3 go"),
     ):
         with pytest.raises(policy.RejectedError) as caught:
-            policy.successor(old, state, *words)  # type: ignore[arg-type]
+            policy.successor_policy(old, state, *words)  # type: ignore[arg-type]
         assert str(caught.value).startswith(why), caught.value
 
 
 def test_a_policy_with_fields_out_of_bounds_is_refused() -> None:
-    good = policy.first([route("x")], ["a:1"])
+    good = policy.first_policy([route("x")], ["a:1"])
     for change, why in (
         ({"version": 0}, "version: 0"),
         ({"version": 2}, "parent: 0 bytes"),
         ({"parent": b"x"}, "parent: 1 bytes"),
         ({"after": b"x"}, "after: 1 bytes"),
         ({"before": bytes(32) if any(good.before) else b"\1" * 32}, "before: the first entry"),
-        ({"keepers": ("b:1", "a:1", "c:1")}, "keepers: not in order"),
+        ({"voters": ("b:1", "a:1", "c:1")}, "keepers: not in order"),
         ({"reason": "x" * 401}, "reason: "),
     ):
         with pytest.raises(policy.RejectedError) as caught:
-            policy.parse(msgspec.msgpack.encode(msgspec.structs.replace(good, **change)))
+            policy.decode_policy(msgspec.msgpack.encode(msgspec.structs.replace(good, **change)))
         assert str(caught.value).startswith(why), caught.value
 
 
 @given(st.binary(max_size=200))
 def test_any_bytes_are_a_policy_or_refused(data: bytes) -> None:
     try:
-        assert isinstance(policy.parse(data), policy.Policy)
+        assert isinstance(policy.decode_policy(data), policy.Policy)
     except policy.RejectedError as error:
         assert str(error)
--- a/tests/test_desk.py
+++ b/tests/test_admin_service.py
@@ -1,4 +1,4 @@
-"""The operators' door on a running node: calls, servers out, the node emptied, figures, slow callers."""
+"""The admin server of a running node: requests, drained servers, the drained node, metrics, slow clients."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 import pytest
 from prometheus_client.parser import text_string_to_metric_families
 
-from hollybay.proxy import admin_server as door_module
-from hollybay.proxy.__main__ import operated as operated_parts
-from hollybay.proxy.admin_service import Desk
+from hollybay.proxy import admin_server
+from hollybay.proxy.admin_service import AdminService
+from hollybay.proxy.assembly import start_admin
 from hollybay.proxy.config import ConfigError, load
 from hollybay.testbed.loopback import (
     LIMIT,
@@ -33,28 +33,28 @@
 @asynccontextmanager
 async def operated(
     tmp_path: Path, *backends: Backend, scratch: str = ""
-) -> AsyncIterator[tuple[Running, Desk, Registry]]:
+) -> AsyncIterator[tuple[Running, AdminService, Registry]]:
     registry = Registry()
     async with running(tmp_path / "c.json", registry, *backends) as node:
-        config = replace(node.clients.config, admin=("127.0.0.1", 0), scratch=scratch)
-        desk = Desk(config, node.clients, node.node)
-        await desk.open()
+        config = replace(node.clients.config, admin=("127.0.0.1", 0), scratch_folder=scratch)
+        service = AdminService(config, node.clients, node.node)
+        await service.open()
         registry.tell(*backends)
         async with asyncio.timeout(LIMIT):
-            while len(desk.bans.lines) < len(backends):
+            while len(service.drains.discovered) < len(backends):
                 await asyncio.sleep(0)
         node.clients.ready = True
         try:
-            yield node, desk, registry
+            yield node, service, registry
         finally:
-            desk.close()
+            service.close()
 
 
-async def ask(desk: Desk, call: str) -> tuple[int, bytes]:
-    """One call; its status and body."""
-    reader, writer = await asyncio.open_connection("127.0.0.1", desk.door.port)
+async def ask(service: AdminService, line: str) -> tuple[int, bytes]:
+    """Send an admin request; return the status and body of its response."""
+    reader, writer = await asyncio.open_connection("127.0.0.1", service.server.port)
     async with asyncio.timeout(LIMIT):
-        writer.write(f"{call} HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n".encode())
+        writer.write(f"{line} HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n".encode())
         head, body = await read_message(reader)
         assert b"connection: close" in head.lower()
         assert await reader.read() == b""
@@ -62,7 +62,7 @@
     return int(head.split()[1]), body
 
 
-def figures(text: bytes) -> dict[tuple[str, str], float]:
+def metrics(text: bytes) -> dict[tuple[str, str], float]:
     return {
         (sample.name.removeprefix("edge_balancer_"), sample.labels.get("class", "")): sample.value
         for family in text_string_to_metric_families(text.decode())
@@ -70,85 +70,85 @@
     }
 
 
-def test_a_server_that_is_out_gets_nothing_until_it_is_back(tmp_path: Path) -> None:
+def test_a_drained_server_gets_no_requests_until_it_is_enabled(tmp_path: Path) -> None:
     async def play() -> None:
         one, two = Backend("s-1"), Backend("s-2")
-        async with operated(tmp_path, one, two) as (node, desk, registry):
+        async with operated(tmp_path, one, two) as (node, service, registry):
             for n in range(20):
                 assert b" 200 " in await node.ask(request(rid=f"a-{n}"))
             assert one.heads and two.heads
-            assert await ask(desk, "POST /-/servers/s-1/disable") == (200, b"out\n")
-            assert (await ask(desk, "POST /-/servers/s-1/disable"))[0] == 200
+            assert await ask(service, "POST /-/servers/s-1/disable") == (200, b"out\n")
+            assert (await ask(service, "POST /-/servers/s-1/disable"))[0] == 200
             before = len(one.heads)
             registry.tell(one, two)  # discovery still says that it serves
             await registry.until(lambda: registry.calls > 2)
             for n in range(20):
                 assert b" 200 " in await node.ask(request(rid=f"b-{n}"))
             assert len(one.heads) == before
-            shown = figures((await ask(desk, "GET /-/metrics"))[1])
+            shown = metrics((await ask(service, "GET /-/metrics"))[1])
             assert shown["servers_known", ""] == 2 and shown["servers_excluded", ""] == 1
             # Two calls out take one call back.
-            assert (await ask(desk, "POST /-/servers/s-1/enable"))[0] == 200
+            assert (await ask(service, "POST /-/servers/s-1/enable"))[0] == 200
             for n in range(200):
                 assert b" 200 " in await node.ask(request(rid=f"c-{n}"))
                 if len(one.heads) > before:
                     break
             assert len(one.heads) > before
-            assert (await ask(desk, "POST /-/servers/s-9/disable"))[0] == 404
-            assert (await ask(desk, "POST /-/servers/s-9/enable"))[0] == 404
+            assert (await ask(service, "POST /-/servers/s-9/disable"))[0] == 404
+            assert (await ask(service, "POST /-/servers/s-9/enable"))[0] == 404
 
     asyncio.run(play())
 
 
-def test_what_is_out_holds_for_the_next_process_and_for_one_beside(tmp_path: Path) -> None:
+def test_drains_hold_for_the_next_process_and_for_one_beside(tmp_path: Path) -> None:
     async def play() -> None:
         first, second = tmp_path / "1", tmp_path / "2"
         first.mkdir()
         second.mkdir()
         shared = str(tmp_path)
         one, two = Backend("s-1"), Backend("s-2")
-        async with operated(first, one, two, scratch=shared) as (_, desk, _registry):
-            await ask(desk, "POST /-/servers/s-1/disable")
+        async with operated(first, one, two, scratch=shared) as (_, service, _registry):
+            await ask(service, "POST /-/servers/s-1/disable")
             three, four = Backend("s-1"), Backend("s-2")
             async with operated(second, three, four, scratch=shared) as (node, beside, _):
                 # Names and addresses of the two are one in truth; here they tell the folders apart.
-                assert beside.bans.out == {"s-1"}
+                assert beside.drains.drained == {"s-1"}
                 for n in range(20):
                     assert b" 200 " in await node.ask(request(rid=f"a-{n}"))
                 assert not three.heads and four.heads
-                await ask(desk, "POST /-/servers/s-2/disable")
+                await ask(service, "POST /-/servers/s-2/disable")
                 async with asyncio.timeout(LIMIT):
-                    while beside.bans.out != {"s-1", "s-2"}:
+                    while beside.drains.drained != {"s-1", "s-2"}:
                         await asyncio.sleep(0.01)
                 # A file that does not hold changes nothing.
-                path = beside._file
+                path = beside.drain_file.path
                 assert path is not None
                 path.write_bytes(b"{")
-                beside._read()
-                assert beside.bans.out == {"s-1", "s-2"}
+                beside._read_drain_file()
+                assert beside.drains.drained == {"s-1", "s-2"}
 
     asyncio.run(play())
 
 
 def test_a_drained_node_sends_clients_away_and_comes_back(tmp_path: Path) -> None:
     async def play() -> None:
-        async with operated(tmp_path, Backend("s-1")) as (node, desk, _):
+        async with operated(tmp_path, Backend("s-1")) as (node, service, _):
             resting, resting_writer = await node.connect()
             busy, writer = await node.connect()
             async with asyncio.timeout(LIMIT):
                 writer.write(request(rid="r-1"))
                 assert b" 200 " in (await read_message(busy))[0]
-                assert (await ask(desk, "GET /-/ready"))[0] == 200
-                assert (await ask(desk, "POST /-/drain"))[0] == 200
-                assert (await ask(desk, "GET /-/ready"))[0] == 503
+                assert (await ask(service, "GET /-/ready"))[0] == 200
+                assert (await ask(service, "POST /-/drain"))[0] == 200
+                assert (await ask(service, "GET /-/ready"))[0] == 503
                 writer.write(b"GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n")
                 assert b" 503 " in (await read_message(busy))[0]
                 # Connections end, used or not; a request that comes before that is served.
                 assert await resting.read() == b""
                 assert await busy.read() == b""
                 assert b"connection: close" in await node.ask(request(rid="r-2"))
-                assert (await ask(desk, "POST /-/resume"))[0] == 200
-                assert (await ask(desk, "GET /-/ready"))[0] == 200
+                assert (await ask(service, "POST /-/resume"))[0] == 200
+                assert (await ask(service, "GET /-/ready"))[0] == 200
                 head = await node.ask(request(rid="r-3"))
                 assert b" 200 " in head and b"close" not in head
             resting_writer.close()
@@ -157,7 +157,7 @@
     asyncio.run(play())
 
 
-def test_figures_are_what_clients_and_servers_saw(tmp_path: Path) -> None:
+def test_metrics_are_what_clients_and_servers_saw(tmp_path: Path) -> None:
     async def play() -> None:
         async def script(head: bytes, writer: asyncio.StreamWriter) -> None:
             if b"/send" in head:
@@ -168,12 +168,12 @@
                 writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 
         server = Backend("s-1", script)
-        async with operated(tmp_path, server) as (node, desk, _):
+        async with operated(tmp_path, server) as (node, service, _):
             for n in range(5):
                 assert b" 200 " in await node.ask(request(rid=f"r-{n}"))
             assert b" 502 " in await node.ask(request("send", rid="r-s"))
             assert b" 503 " in await node.ask(request(rid="r-away"))
-            shown = figures((await ask(desk, "GET /-/metrics"))[1])
+            shown = metrics((await ask(service, "GET /-/metrics"))[1])
             assert shown["served_total", "view"] == 5 and shown["served_total", "book"] == 0
             assert shown["failed_total", "send"] == 1 and shown["refused_total", "view"] == 1
             assert shown["attempts_total", ""] == len(server.heads)
@@ -182,56 +182,74 @@
     asyncio.run(play())
 
 
-def test_silent_callers_keep_nobody_waiting(tmp_path: Path) -> None:
+def test_silent_clients_keep_nobody_waiting(tmp_path: Path) -> None:
     async def play() -> None:
-        async with operated(tmp_path, Backend("s-1")) as (_, desk, _registry):
+        async with operated(tmp_path, Backend("s-1")) as (_, service, _registry):
             silent = []
-            for n in range(3 * door_module.CALLERS):
-                _, writer = await asyncio.open_connection("127.0.0.1", desk.door.port)
+            for n in range(3 * admin_server.MAX_CONNECTIONS):
+                _, writer = await asyncio.open_connection("127.0.0.1", service.server.port)
                 writer.write(b"GET /-/ready HTTP/1.1\r\n" if n % 2 else b"")
                 silent.append(writer)
-            assert (await ask(desk, "GET /-/ready"))[0] == 200
-            assert len(desk.door.callers) <= door_module.CALLERS
+            assert (await ask(service, "GET /-/ready"))[0] == 200
+            assert len(service.server.connections) <= admin_server.MAX_CONNECTIONS
             for writer in silent:
                 writer.close()
 
     asyncio.run(play())
 
 
-def test_what_is_no_call_is_told_so_and_the_door_stays_open(tmp_path: Path) -> None:
+def test_an_invalid_request_is_rejected_and_the_server_stays_open(tmp_path: Path) -> None:
     async def play() -> None:
-        async with operated(tmp_path, Backend("s-1")) as (_, desk, _registry):
-            assert (await ask(desk, "GET /-/drain"))[0] == 405
-            assert (await ask(desk, "GET /nothing"))[0] == 404
+        async with operated(tmp_path, Backend("s-1")) as (_, service, _registry):
+            assert (await ask(service, "GET /-/drain"))[0] == 405
+            assert (await ask(service, "GET /nothing"))[0] == 404
             for noise in (b"\x00\xff\r\n\r\n", b"GET / HTTP/1.1\r\n" + b"A: " + b"x" * 20_000 + b"\r\n\r\n"):
-                reader, writer = await asyncio.open_connection("127.0.0.1", desk.door.port)
+                reader, writer = await asyncio.open_connection("127.0.0.1", service.server.port)
                 writer.write(noise)
                 async with asyncio.timeout(LIMIT):
                     assert (await reader.read()).startswith(
                         (b"HTTP/1.1 400", b"HTTP/1.1 413", b"HTTP/1.1 431")
                     )
                 writer.close()
-            assert (await ask(desk, "GET /-/ready"))[0] == 200
+            assert (await ask(service, "GET /-/ready"))[0] == 200
 
     asyncio.run(play())
 
 
-def test_the_desk_says_what_is_out(tmp_path: Path) -> None:
+@pytest.mark.parametrize("target", ["/-/ready", "/-/metrics", "/-/none"])
+def test_a_head_request_gets_the_head_of_a_response(target: str, tmp_path: Path) -> None:
     async def play() -> None:
-        async with operated(tmp_path, Backend("s-1")) as (_, desk, _registry):
-            await ask(desk, "POST /-/servers/s-1/disable")
-            status, body = await ask(desk, "GET /-/servers")
+        async with operated(tmp_path, Backend("s-1")) as (_, service, _):
+            answers = []
+            for method in ("HEAD", "GET"):
+                reader, writer = await asyncio.open_connection("127.0.0.1", service.server.port)
+                async with asyncio.timeout(LIMIT):
+                    writer.write(f"{method} {target} HTTP/1.1\r\nHost: h\r\n\r\n".encode())
+                    answers.append(await reader.read())
+                writer.close()
+            head, _, body = answers[0].partition(b"\r\n\r\n")
+            assert head.startswith(b"HTTP/1.1 ") and b"connection: close" in head.lower()
+            assert body == b"" and answers[1].partition(b"\r\n\r\n")[2] != b""
+
+    asyncio.run(play())
+
+
+def test_the_server_list_shows_drained_servers(tmp_path: Path) -> None:
+    async def play() -> None:
+        async with operated(tmp_path, Backend("s-1")) as (_, service, _registry):
+            await ask(service, "POST /-/servers/s-1/disable")
+            status, body = await ask(service, "GET /-/servers")
             assert status == 200 and b'"id": "s-1"' in body and b'"disabled": true' in body
 
     asyncio.run(play())
 
 
-def test_without_an_address_for_operators_none_of_it_is_loaded(tmp_path: Path) -> None:
+def test_without_an_admin_address_none_of_it_is_loaded(tmp_path: Path) -> None:
     async def play() -> None:
         async with running(tmp_path / "c.json", Registry(), Backend("s-1")) as node:
             config = node.clients.config
             assert config.admin is None and node.node.overlay is None
-            assert await operated_parts(config, node.clients, node.node) == (None, None)
+            assert await start_admin(config, node.clients, node.node) is None
             assert not node.clients.listener or not node.clients.listener.getsockopt(
                 socket.SOL_SOCKET, socket.SO_REUSEPORT
             )
@@ -246,7 +264,7 @@
     assert done.stdout.strip() == "[]"
 
 
-def test_an_address_that_is_none_is_refused_by_field(tmp_path: Path) -> None:
+def test_an_invalid_admin_address_is_rejected_by_field(tmp_path: Path) -> None:
     path = tmp_path / "c.json"
     registry = Registry()
     registry.address = "127.0.0.1:1"
@@ -255,5 +273,5 @@
         with pytest.raises(ConfigError, match="^admin: "):
             load({"BALANCER_CONFIG": str(path)})
     write_config(path, registry)
-    told = load({"BALANCER_CONFIG": str(path), "BALANCER_ADMIN": "127.0.0.1:19000", "TMPDIR": "/t"})
-    assert told.admin == ("127.0.0.1", 19000) and told.scratch == "/t"
+    config = load({"BALANCER_CONFIG": str(path), "BALANCER_ADMIN": "127.0.0.1:19000", "TMPDIR": "/t"})
+    assert config.admin == ("127.0.0.1", 19000) and config.scratch_folder == "/t"
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -45,7 +45,7 @@
             assert answer.startswith(b"HTTP/1.1 502" if cls == "send" else b"HTTP/1.1 200")
             assert len(heads) == (1 if cls == "send" else 2)
             assert not node.node.requests and not node.node.balancer.requests
-            assert all(s.held == 0 for s in node.node.balancer.servers.values())
+            assert all(s.in_flight == 0 for s in node.node.balancer.servers.values())
 
     asyncio.run(play())
 
@@ -130,8 +130,8 @@
                 for n in range(2):
                     writer.write(request(cls, rid=f"r-{n}"))
                     assert await read_answer(reader) == LONG
-            assert node.node.tally.served[["view", "send", "book"].index(cls)] == 2
-            assert all(s.held == 0 for s in node.node.balancer.servers.values())
+            assert node.node.counters.served[["view", "send", "book"].index(cls)] == 2
+            assert all(s.in_flight == 0 for s in node.node.balancer.servers.values())
             writer.transport.abort()
 
     asyncio.run(play())
@@ -151,7 +151,7 @@
                 writer.write(request("send"))
                 with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
                     await read_answer(reader)
-            assert node.node.tally.failed[1] == 1 and not node.node.requests
+            assert node.node.counters.failed[1] == 1 and not node.node.requests
             writer.transport.abort()
 
     asyncio.run(play())
@@ -178,7 +178,7 @@
                 head = await reader.readuntil(b"\r\n\r\n")
                 begun = await reader.readexactly(64 << 10)
                 (known,) = node.node.balancer.servers.values()
-                assert known.held == 0 and node.node.owed == 1
+                assert known.in_flight == 0 and node.node.owed == 1
                 assert b" 200 " in await node.ask(request(rid="r-2"))
                 go.set()
                 assert begun + await reader.readexactly(len(LONG) - len(begun)) == LONG and b" 200 " in head
--- a/tests/test_batch_culprits.py
+++ b/tests/test_batch_culprits.py
@@ -4,10 +4,10 @@
 
 import asyncio
 
-from hollybay.consensus.log import Entry
-from hollybay.consensus.policy import FIRST
-from hollybay.proxy.compiled_policies import PolicyPlans
-from hollybay.proxy.config import settings_of
+from hollybay.consensus.log_entry import Entry
+from hollybay.consensus.policy import FIRST_POLICY
+from hollybay.proxy.compiled_policies import CompiledPolicies
+from hollybay.proxy.config import settings_from_json
 from hollybay.resources.model import Change, Kind, Upsert
 from hollybay.resources.state import EMPTY
 from hollybay.routing.resource_tables import encode_table
@@ -24,9 +24,9 @@
 
 def culprits(*changes: Change) -> dict[bytes, list[str]]:
     """What a node names of a batch on no resources."""
-    plans = PolicyPlans(settings_of(settings(1)), lambda: ())
-    sealed = EMPTY.sealed((), 1)
-    return asyncio.run(plans.culprits(Entry(FIRST, sealed, None, 0), changes))
+    plans = CompiledPolicies(settings_from_json(settings(1)), lambda: ())
+    sealed = EMPTY.with_revision((), 1)
+    return asyncio.run(plans.culprits(Entry(FIRST_POLICY, sealed, None, 0), changes))
 
 
 GOOD = change_of(1, "/view-schedule/a")
--- a/tests/test_batch_model.py
+++ b/tests/test_batch_model.py
@@ -6,7 +6,8 @@
 
 import pytest
 
-from hollybay.consensus.batch_model_check import WEIGHTS, Bounds, Parts, walk
+from hollybay.consensus.batch_model import Bounds, Parts
+from hollybay.consensus.batch_model_check import WEIGHTS, walk
 from hollybay.consensus.planted_batch_defects import DEFECTS
 
 WALKS = 250
@@ -45,7 +46,7 @@
 
 @pytest.mark.parametrize(
     "bounds",
-    [Bounds(keepers=2), Bounds(bad=0.0), Bounds(bad=1.0), Bounds(changes=24, steps=300, crashes=0)],
+    [Bounds(voters=2), Bounds(bad=0.0), Bounds(bad=1.0), Bounds(changes=24, steps=300, crashes=0)],
     ids=["two keepers", "none bad", "all bad", "many changes"],
 )
 def test_the_real_parts_pass_under_other_bounds(bounds: Bounds) -> None:
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -60,7 +60,7 @@
     )
     node.tell(servers([1.0] * 40))
     opened = steady(node, 72, 50 * MS, 5 * MS)
-    assert not any(s.pos >= 0 for s in node.balancer.servers.values())
+    assert not any(s.idle_position >= 0 for s in node.balancer.servers.values())
     assert len(opened) <= 24  # 33 of 40 were each draw taken as it comes
     # All are closed when they have rested for too long, and none of them is better than another.
     node.run_to(node.now + 5 * SECOND)
@@ -114,18 +114,18 @@
     on_it = [rid for _, rid, sid in node.sent if sid == b"s0"]
     for rid in on_it[:2]:
         node.answer(rid, 0, api.Result.RESET)
-    assert not server.paused_until
+    assert not server.ejected_until
     for rid in on_it[2:4]:
         node.answer(rid, 0, api.Result.ERROR)
-    until = server.paused_until
+    until = server.ejected_until
     assert until > node.now
     # What was out already says nothing new when it fails, and takes the server back when it is answered.
     node.run_to(node.now + 10 * MS)
     node.answer(on_it[4], 0, api.Result.ERROR)
-    assert server.paused_until == until
+    assert server.ejected_until == until
     for rid in on_it[5:10]:
         node.answer(rid, 0)
-    assert server.paused_until <= node.now
+    assert server.ejected_until <= node.now
 
 
 def test_within_a_class_the_choice_is_uniform() -> None:
@@ -164,7 +164,7 @@
             if a.result is None:
                 node.answer(rid, n, api.Result.ERROR)
         node.run_to(node.now + 20 * MS)
-    near = [s for s in node.balancer.servers.values() if s.group is not None]
+    near = [s for s in node.balancer.servers.values() if s.speed_class is not None]
     assert len(near) >= 2, "at least half of the fleet stays in use"
     before = len(node.sent)
     node.run_to(node.now + 10 * SECOND)
@@ -188,7 +188,7 @@
                 ok = node.now - last.get(a.server, 0) > 500 * MS
                 last[a.server] = node.now if ok else last.get(a.server, 0)
                 node.answer(rid, n, api.Result.OK if ok else api.Result.TIMEOUT)
-    assert all(s.paused_until == 0 for s in node.balancer.servers.values())
+    assert all(s.ejected_until == 0 for s in node.balancer.servers.values())
 
 
 def test_a_silent_server_is_paused_and_tried_again() -> None:
@@ -227,10 +227,10 @@
     node.tell(servers([1.0] * 6), api.ListKind.CACHED)
     steady(node, 50, 20 * MS, 5 * MS)
     node.tell(servers([1.0] * 3 + [0.1] * 3))
-    loads = [s.load for s in node.balancer.servers.values()]
+    loads = [s.reported_load for s in node.balancer.servers.values()]
     assert max(loads) > 5.0
     node.run_to(node.now + 15 * SECOND)
-    assert max(s.load for s in node.balancer.servers.values()) < 0.5
+    assert max(s.reported_load for s in node.balancer.servers.values()) < 0.5
 
 
 def test_an_overloaded_zone_spills_and_near_servers_come_first_otherwise() -> None:
@@ -351,7 +351,7 @@
     for number in range(40):
         node = Node(make_settings(classes=ONE, zones=1, kinds=1, nodes=40, node=number), seed=number)
         node.tell(servers([1.0] * 50))
-        listed.update(s.id for s in node.balancer.servers.values() if s.pos >= 0)
+        listed.update(s.id for s in node.balancer.servers.values() if s.idle_position >= 0)
     assert sum(listed.values()) / 50 < 5
     assert len(listed) > 40, "nearly every server is on some list"
 
@@ -395,15 +395,18 @@
     balancer = node.balancer
     for rid in range(20):
         node.answer(rid, 0)
-    balancer.learned.count = [1.0, 1.0, 1.0]
-    balancer.learned.work, balancer.learned.work_seen = [10.0 * MS, 50.0 * MS, 40.0 * MS], [9, 9, 9]
-    balancer.choice.rebuild(node.now)
+    balancer.estimates.offered = [1.0, 1.0, 1.0]
+    balancer.estimates.service_times, balancer.estimates.service_time_samples = (
+        [10.0 * MS, 50.0 * MS, 40.0 * MS],
+        [9, 9, 9],
+    )
+    balancer.selector.rebuild(node.now)
     told = {cls: 0 for cls in range(3)}  # how many were ahead when each class was first refused
     (s,) = balancer.servers.values()
     for rid in range(100, 400, 3):
         for cls in (1, 2, 0):
             if refused(cls, rid + cls) and not told[cls]:
-                told[cls] = s.held
+                told[cls] = s.in_flight
     # 33 ms each, three in a row: 200 ms for the worst, four times that for the next, no end for the best.
     assert (told[1], told[2], told[0]) == (9, 25, 0)
 
@@ -425,11 +428,11 @@
     node.tell(servers([1.0]))
     (s,) = node.balancer.servers.values()
     node.balancer.handle(node.now, api.Request(1, 0, 2 * SECOND, body_pending=True))
-    assert s.held == 0
+    assert s.in_flight == 0
     node.balancer.handle(node.now, api.RequestCompleted(1))
     node.balancer.handle(node.now, api.RequestCompleted(1))  # told twice it counts once
-    assert s.held == 1
+    assert s.in_flight == 1
     node.balancer.handle(node.now, api.ResponseStarted(1, 0, b"s0", MS))
-    assert s.held == 0
+    assert s.in_flight == 0
     node.balancer.handle(node.now, api.AttemptFinished(1, 0, b"s0", api.Result.OK, MS, final=True))
-    assert s.held == 0 and not node.balancer.requests
+    assert s.in_flight == 0 and not node.balancer.requests
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from hollybay.proxy.downstream.connections import RecentIds
+from hollybay.proxy.downstream.recent_request_ids import RecentRequestIds
 from hollybay.testbed.loopback import LIMIT, Backend, Held, Registry, read_message, request, running
 
 HEAD = b"POST /send HTTP/1.1\r\nHost: h\r\nX-Correlation-Id: r-1\r\n"
@@ -78,23 +78,23 @@
 
 
 def test_ids_are_forgotten_by_age_and_by_number() -> None:
-    ids = RecentIds()
-    assert not ids.known(b"a", 100.0)
-    assert ids.known(b"a", 109.0)
-    assert not ids.known(b"b", 111.0)
-    assert ids.known(b"a", 112.0)
-    assert not ids.known(b"c", 122.0)
-    assert not ids.known(b"a", 122.0)
+    ids = RecentRequestIds()
+    assert not ids.check_and_add(b"a", 100.0)
+    assert ids.check_and_add(b"a", 109.0)
+    assert not ids.check_and_add(b"b", 111.0)
+    assert ids.check_and_add(b"a", 112.0)
+    assert not ids.check_and_add(b"c", 122.0)
+    assert not ids.check_and_add(b"a", 122.0)
     for n in range(100_000):
-        ids.known(b"%d" % n, 123.0)
-    assert len(ids.new) + len(ids.old) <= 40_000
+        ids.check_and_add(b"%d" % n, 123.0)
+    assert len(ids.current) + len(ids.previous) <= 40_000
 
 
 @pytest.mark.parametrize("sent", [b"", b"GET /vi", HEAD + b"Content-Length: 9\r\n\r\nhalf"])
 def test_silence_and_half_requests_end_at_their_phase_s_deadline(sent: bytes, tmp_path: Path) -> None:
     async def play() -> None:
         async with running(tmp_path / "c.json", Registry(), Backend("s-1")) as node:
-            node.clients.limits.update(silent=0.0, unfinished=0.0)
+            node.clients.limits.silent = node.clients.limits.unfinished = 0.0
             answer = await node.ask(sent)
             assert answer.startswith(b"HTTP/1.1 408") if sent else answer == b""
 
@@ -111,7 +111,7 @@
                     await asyncio.sleep(0)
                 (conn, since), *_ = node.clients.unfinished.items()
                 writer.write(b"X-More: 1\r\nContent-Length: 9\r\n\r\nabc")
-                while not conn.size:
+                while conn.request is None or not conn.request.size:
                     await asyncio.sleep(0)
             assert node.clients.unfinished[conn] == since
             writer.transport.abort()
@@ -122,7 +122,7 @@
 def test_a_kept_connection_is_closed_after_its_rest(tmp_path: Path) -> None:
     async def play() -> None:
         async with running(tmp_path / "c.json", Registry(), Backend("s-1")) as node:
-            node.clients.limits["idle"] = 0.0
+            node.clients.limits.idle = 0.0
             reader, writer = await node.connect()
             writer.write(request())
             async with asyncio.timeout(LIMIT):
@@ -155,7 +155,7 @@
 def test_those_who_ask_once_and_stay_leave_room_for_the_next(tmp_path: Path) -> None:
     async def play() -> None:
         async with running(tmp_path / "c.json", Registry(), Backend("s-1")) as node:
-            node.clients.limits["thin"] = 0.0
+            node.clients.limits.idle_when_crowded = 0.0
             stay = []
             async with asyncio.timeout(LIMIT):
                 for n in range(100):
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -12,7 +12,7 @@
 import pytest
 
 from hollybay.balancing import interface as api
-from hollybay.proxy.downstream.connections import HIDING, ClientConnection
+from hollybay.proxy.downstream.connection import HIDING, ClientConnection
 from hollybay.proxy.exchange import LOOK
 from hollybay.proxy.http_messages import SMALL_BODY
 from hollybay.proxy.upstream import connection as connection_module
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -1,4 +1,4 @@
-"""A discovery that says nonsense or does not wait: the list that is held stays, and the watch goes on."""
+"""Discovery that answers nonsense or does not wait: the list in force stays, and the watch goes on."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 import pytest
 
-from hollybay.proxy.discovery import NOTHING_NEW_PAUSE
+from hollybay.proxy.discovery import NO_CHANGE_PAUSE_S
 from hollybay.testbed.loopback import Backend, Registry, read_message, request, running, settings
 
 
@@ -68,26 +68,26 @@
     asyncio.run(play())
 
 
-def test_a_discovery_that_does_not_wait_is_not_asked_without_a_pause(tmp_path: Path) -> None:
+def test_a_discovery_that_does_not_wait_is_not_polled_without_a_pause(tmp_path: Path) -> None:
     async def play() -> None:
         registry = Scripted()
         async with running(tmp_path / "c.json", registry, Backend("s-1")):
             loop = asyncio.get_running_loop()
             seen, began = registry.calls, loop.time()
             await registry.until(lambda: registry.calls >= seen + 4)
-            assert loop.time() - began >= 2 * NOTHING_NEW_PAUSE
+            assert loop.time() - began >= 2 * NO_CHANGE_PAUSE_S
 
     asyncio.run(play())
 
 
-def test_a_node_without_any_list_asks_until_one_comes(tmp_path: Path) -> None:
-    """Where discovery is asked the module asks once it has a list: with none from before it never did."""
+def test_a_node_without_any_list_polls_until_one_arrives(tmp_path: Path) -> None:
+    """On demand the balancer watches once it has a list: with none from before it never would."""
 
     async def play() -> None:
         registry = Scripted(NONSENSE["an error"])
         registry.calls = 1  # the first call meets the script
-        asked = settings(**{"membership-mode": "subscribe"})
-        async with running(tmp_path / "c.json", registry, Backend("s-1"), settings=asked) as node:
+        on_demand = settings(**{"membership-mode": "subscribe"})
+        async with running(tmp_path / "c.json", registry, Backend("s-1"), settings=on_demand) as node:
             assert registry.calls >= 3
             assert b" 200 " in await node.ask(request())
 
--- a/tests/test_discovery_orders.py
+++ b/tests/test_discovery_orders.py
@@ -1,4 +1,4 @@
-"""Discovery that falls silent, is away, counts anew or closes: what it has to tell is heard in time."""
+"""Discovery that falls silent, is down, restarts its versions or closes: its changes are received in time."""
 
 from __future__ import annotations
 
@@ -76,8 +76,10 @@
 
 
 @pytest.mark.parametrize("begun", BEGUN, ids=["connected", "in a head", "in a body"])
-def test_an_agent_that_was_silent_is_heard_by_one_of_the_next_calls(begun: bytes, tmp_path: Path) -> None:
-    """Calls that it got while it was away are never answered, and a drain counts from the agent's return."""
+def test_an_agent_that_was_silent_is_reached_by_one_of_the_next_requests(
+    begun: bytes, tmp_path: Path
+) -> None:
+    """Requests that it got while down are never answered, and a drain counts from the agent's return."""
 
     async def play() -> None:
         agent, server = Agent(), Backend("s-1")
@@ -97,25 +99,30 @@
     asyncio.run(play())
 
 
-def test_the_next_call_to_a_silent_agent_comes_well_within_the_grace() -> None:
+def test_the_next_request_to_a_silent_agent_follows_well_within_the_grace() -> None:
     """The sums of the worst cases, from the constants."""
     for grace in (0.25, 0.4, 1.0, 2.0):
-        quick = max(module.QUICK_LEAST, min(module.QUICK_PART * grace, module.QUICK_MOST))
+        quick = max(
+            module.MIN_QUICK_TIMEOUT_S,
+            min(module.QUICK_TIMEOUT_GRACE_FRACTION * grace, module.MAX_QUICK_TIMEOUT_S),
+        )
         assert 1.5 * quick < 0.61 * grace
-    slowest = 1.5 * module.QUICK_MOST
-    watch = module.WATCH_MS / 1000 + module.OVERDUE + module.NOTHING_NEW_PAUSE
+    slowest = 1.5 * module.MAX_QUICK_TIMEOUT_S
+    watch = module.WATCH_WAIT_MS / 1000 + module.WATCH_OVERDUE_S + module.NO_CHANGE_PAUSE_S
     assert watch + 4 * slowest <= TOLD - 1.0  # silent four more times in a row
-    assert module.OVERDUE + module.NOTHING_NEW_PAUSE + 3 * slowest <= MOVED - 1.0  # at a new address
-    asked = module.WATCH_ASKED_MS / 1000
-    assert asked + module.OVERDUE_ASKED <= max(TOLD, asked + 2.0) - 1.0  # the next call goes at once
+    assert module.WATCH_OVERDUE_S + module.NO_CHANGE_PAUSE_S + 3 * slowest <= MOVED - 1.0  # at a new address
+    asked = module.ON_DEMAND_WATCH_WAIT_MS / 1000
+    assert (
+        asked + module.ON_DEMAND_WATCH_OVERDUE_S <= max(TOLD, asked + 2.0) - 1.0
+    )  # the next call goes at once
 
 
-def test_a_silent_watch_of_a_discovery_that_is_asked_is_opened_anew_at_once(
+def test_a_silent_watch_on_demand_is_repeated_at_once(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The module, which would wait for the node's turn among all, does not hear of it."""
-    monkeypatch.setattr(module, "WATCH_ASKED_MS", 100)
-    monkeypatch.setattr(module, "OVERDUE_ASKED", 0.1)
+    """The balancer, which would wait for the node's turn among all, is not told."""
+    monkeypatch.setattr(module, "ON_DEMAND_WATCH_WAIT_MS", 100)
+    monkeypatch.setattr(module, "ON_DEMAND_WATCH_OVERDUE_S", 0.1)
 
     async def play() -> None:
         agent, server = Agent(), Backend("s-1")
@@ -136,8 +143,8 @@
 
 
 @pytest.mark.parametrize("silences", [1, 2, 3])
-def test_a_move_by_sighup_while_the_watch_is_silent(silences: int, tmp_path: Path) -> None:
-    """The new address leaves its first calls unanswered, too."""
+def test_an_address_change_by_sighup_while_the_watch_is_silent(silences: int, tmp_path: Path) -> None:
+    """The new address leaves its first requests unanswered, too."""
 
     async def play() -> None:
         old, new = Agent(version=900), Agent(version=3)
@@ -150,7 +157,7 @@
             await second.start()
             new.tell(second)
             host, _, port = new.address.partition(":")
-            node.discovery.move((host, int(port)))
+            node.discovery.change_address((host, int(port)))
             await new.until(lambda: new.calls >= silences)
             new.silent = False
             await known(node, lambda servers: list(servers) == ["s-2"])
@@ -160,25 +167,25 @@
     asyncio.run(play())
 
 
-class CountsAnew(Agent):
-    """After its restart it has a smaller number, and nothing newer than that to tell."""
+class RestartsVersions(Agent):
+    """After its restart its version is smaller, and it has no change since then."""
 
     restarted = False
 
     def answer(self) -> bytes:
-        if self.restarted and self.targets[-1] != module.LIST:
+        if self.restarted and self.targets[-1] != module.LIST_PATH:
             body = b'{"version":%d,"full":false,"servers":[]}' % self.version
             return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
         return super().answer()
 
 
-@pytest.mark.parametrize("asked", [False, True])
-def test_a_discovery_that_counts_anew_is_asked_for_the_whole_list(asked: bool, tmp_path: Path) -> None:
+@pytest.mark.parametrize("on_demand", [False, True])
+def test_the_complete_list_is_requested_after_versions_restart(on_demand: bool, tmp_path: Path) -> None:
     async def play() -> None:
-        agent = CountsAnew(version=40)
+        agent = RestartsVersions(version=40)
         first, second = Backend("s-1"), Backend("s-2")
         await second.start()
-        mode = {"membership-mode": "subscribe"} if asked else {}
+        mode = {"membership-mode": "subscribe"} if on_demand else {}
         async with running(tmp_path / "c.json", agent, first, settings=settings(**mode)) as node:
             await agent.until(lambda: "wait=" in agent.targets[-1])
             agent.restarted = True
@@ -191,19 +198,21 @@
     asyncio.run(play())
 
 
-def test_an_older_answer_that_comes_last_changes_nothing(tmp_path: Path) -> None:
-    """Two calls are out, and the one that began first is answered last, with what was true then."""
+def test_an_older_response_that_arrives_last_changes_nothing(tmp_path: Path) -> None:
+    """Two requests are in flight, and the first one is answered last, with the list of its time."""
 
     async def play() -> None:
         agent, server = Agent(version=5), Backend("s-1")
         async with running(tmp_path / "c.json", agent, server) as node:
             held = node.discovery.version
-            new = node.discovery.names.listing(
+            new = node.discovery.names.parse_update(
                 {"version": held + 2, "full": True, "servers": [{**agent.lines[0], "state": "DRAINING"}]}
             )
-            old = node.discovery.names.listing({"version": held + 1, "full": True, "servers": agent.lines})
-            node.discovery._take(new, held)
-            node.discovery._take(old, held)
+            old = node.discovery.names.parse_update(
+                {"version": held + 1, "full": True, "servers": agent.lines}
+            )
+            node.discovery._apply(new, held)
+            node.discovery._apply(old, held)
             assert node.node.balancer.servers["s-1"].state == api.ServerState.DRAINING
             assert node.discovery.version == held + 2
 
@@ -211,7 +220,7 @@
 
 
 class Closing(Agent):
-    """It ends each connection after one answer, without a word of it."""
+    """It closes each connection after one response without announcing it."""
 
     async def talk(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         head, _ = await read_message(reader)
@@ -221,7 +230,7 @@
         writer.write(self.answer())
 
 
-def test_a_kept_connection_that_discovery_closed_is_no_news_lost(tmp_path: Path) -> None:
+def test_no_change_is_lost_on_an_idle_connection_that_discovery_closed(tmp_path: Path) -> None:
     async def play() -> None:
         agent, server = Closing(), Backend("s-1")
         async with running(tmp_path / "c.json", agent, server) as node:
@@ -233,7 +242,7 @@
     asyncio.run(play())
 
 
-def test_no_call_waits_for_an_acknowledgement(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_no_request_waits_for_an_acknowledgement(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     """TCP_NODELAY on the sockets to discovery; tests/test_lag.py has the others'."""
     seen: list[int] = []
     get: Callable[..., Awaitable[tuple[bytes, bool]]] = module._get
--- a/tests/test_fleet_shares.py
+++ b/tests/test_fleet_shares.py
@@ -13,13 +13,22 @@
 from hypothesis import strategies as st
 
 from hollybay.balancing import interface as api
-from hollybay.balancing.discovery_polling import CALL_MOST, EACH, PAUSE_MOST, QUEUED, TOLD, Calls, first_call
-from hollybay.balancing.fair_shares import heed, place
-from hollybay.balancing.queueing_delay import Pressure
-from hollybay.balancing.reported_failures import Failures
-from hollybay.balancing.traffic_share import Census
-from hollybay.balancing.zone_reachability import Reach
-from hollybay.proxy.config import Names
+from hollybay.balancing.discovery_polling import (
+    MAX_BACKOFF_NS,
+    MAX_POLL_WAIT_NS,
+    MAX_STALENESS_NS,
+    POLL_SERVICE_TIME_NS,
+    QUEUED_FAILURE_NS,
+    PollSchedule,
+    first_poll_delay,
+)
+from hollybay.balancing.estimates import answer_weight
+from hollybay.balancing.queueing_delay import QueueingDelay
+from hollybay.balancing.rendezvous import rendezvous_rank
+from hollybay.balancing.reported_failures import ReportedFailures
+from hollybay.balancing.traffic_share import TrafficShare
+from hollybay.balancing.zone_reachability import ZoneReachability
+from hollybay.proxy.name_table import NameTable
 from hollybay.testbed.world import MS, SECOND, UNSAFE, Node, make_settings
 
 ONE = (api.RequestClass("w", api.Effect.SAFE, 1.0, SECOND, 3 * SECOND),)
@@ -62,14 +71,14 @@
 
 @given(st.integers(1, 60), st.integers(1, 60), st.text(max_size=12))
 def test_every_part_of_the_nodes_is_the_same_number_at_each_server(nodes: int, part: int, name: str) -> None:
-    held = sum(place(name, n, nodes) < part / nodes for n in range(nodes))
+    held = sum(rendezvous_rank(name, n, nodes) < part / nodes for n in range(nodes))
     assert held == min(part, nodes)
 
 
 @given(st.integers(1, 50), st.text(max_size=12))
 def test_one_node_more_moves_a_place_by_one_at_most(nodes: int, name: str) -> None:
-    before = [round(place(name, n, nodes) * nodes - 0.5) for n in range(nodes)]
-    after = [round(place(name, n, nodes + 1) * (nodes + 1) - 0.5) for n in range(nodes)]
+    before = [round(rendezvous_rank(name, n, nodes) * nodes - 0.5) for n in range(nodes)]
+    after = [round(rendezvous_rank(name, n, nodes + 1) * (nodes + 1) - 0.5) for n in range(nodes)]
     assert all(b - a in (0, 1) for a, b in zip(before, after, strict=True))
 
 
@@ -122,21 +131,21 @@
 
 
 def test_nothing_crosses_into_a_zone_that_is_lost() -> None:
-    reach = Reach()
+    reach = ZoneReachability()
     for _ in range(40):
-        reach.note(near=False, failed=True, weight=0.1)
-    assert reach.far_lost and reach.away(0.8) < 0.1
-    reach.note(near=False, failed=False, weight=0.1)
+        reach.observe_connect(local=False, failed=True, weight=0.1)
+    assert reach.remote_unreachable and reach.remote_first_share(0.8) < 0.1
+    reach.observe_connect(local=False, failed=False, weight=0.1)
     for _ in range(8):
-        reach.note(near=False, failed=False, weight=0.1)
-    assert reach.away(0.8) == 0.8
+        reach.observe_connect(local=False, failed=False, weight=0.1)
+    assert reach.remote_first_share(0.8) == 0.8
 
 
 def test_a_fifth_of_a_zone_down_is_no_lost_zone() -> None:
-    reach = Reach()
+    reach = ZoneReachability()
     for n in range(500):
-        reach.note(near=True, failed=n % 5 == 0, weight=0.1)
-        assert reach.away(0.0) == 0.0
+        reach.observe_connect(local=True, failed=n % 5 == 0, weight=0.1)
+        assert reach.remote_first_share(0.0) == 0.0
 
 
 def test_a_server_that_is_there_again_is_cold_before_a_list_tells() -> None:
@@ -188,15 +197,15 @@
     "report", [(), (1.0,), (float("nan"), 1.0, 0.0), (-1.0, 9.0, 0.0), (0.5, float("nan"), 1.0)]
 )
 def test_a_report_that_says_nothing_is_none(report: api.Report) -> None:
-    assert Failures(("errors", "rate", "queued")).share(report) is None
-    assert Failures(("queued",)).share((3.0,)) is None
+    assert ReportedFailures(("errors", "rate", "queued")).failure_rate(report) is None
+    assert ReportedFailures(("queued",)).failure_rate((3.0,)) is None
 
 
 def test_reports_are_read_in_the_words_of_the_settings_and_of_the_protocol() -> None:
-    names = Names({}, {}, {}, {}, ("fail_rate", "rate", "q"))
-    assert names.load_report("TEXT fail_rate=0.5, rate=11.04, q=2") == (0.5, 11.04, 2.0)
-    assert names.load_report("TEXT eps=0.5, qps=11.04, queue=2") == (0.5, 11.04, 2.0)
-    assert names.load_report("TEXT eps=0.5, queue=2") == ()
+    names = NameTable({}, {}, {}, {}, ("fail_rate", "rate", "q"))
+    assert names.parse_load_report("TEXT fail_rate=0.5, rate=11.04, q=2") == (0.5, 11.04, 2.0)
+    assert names.parse_load_report("TEXT eps=0.5, qps=11.04, queue=2") == (0.5, 11.04, 2.0)
+    assert names.parse_load_report("TEXT eps=0.5, queue=2") == ()
 
 
 def test_shedding_ends_when_lists_tell_that_nothing_waits() -> None:
@@ -211,7 +220,7 @@
             for n, tried in enumerate(node.books[rid - 50].attempts):
                 if tried.result is None:
                     node.answer(rid - 50, n)
-    assert node.balancer.admission.shed > 0.3
+    assert node.balancer.load_shedder.shed_share > 0.3
     settle(node)
     node.tell(lines(8, zones=1))
     play(node, node.now + 1500 * MS, 40 * MS, first=1000)
@@ -221,9 +230,9 @@
 
 
 def test_the_weight_of_an_answer_follows_the_rate() -> None:
-    assert heed(300.0) == pytest.approx(0.02)
-    assert heed(25.0) == pytest.approx(0.08)
-    assert heed(0.0) == pytest.approx(0.1)
+    assert answer_weight(300.0) == pytest.approx(0.02)
+    assert answer_weight(25.0) == pytest.approx(0.08)
+    assert answer_weight(0.0) == pytest.approx(0.1)
 
 
 def test_the_work_of_a_request_is_not_what_others_make_it_wait() -> None:
@@ -235,82 +244,82 @@
         node.ask(rid)
         node.run_to(node.now + 2 * WORK)  # one of another node is ahead of each
         node.answer(rid, 0)
-    assert node.balancer.learned.work[0] == pytest.approx(WORK, rel=0.1)
+    assert node.balancer.estimates.service_times[0] == pytest.approx(WORK, rel=0.1)
 
 
 def test_the_wait_is_what_is_out_by_what_is_sent() -> None:
-    pressure = Pressure(0)
-    assert pressure.wait(0) == 0.0
+    pressure = QueueingDelay(0)
+    assert pressure.estimate(0) == 0.0
     for n in range(200):  # 40 a second, each out for 50 ms
         now = n * 25 * MS
-        pressure.begin(now)
+        pressure.attempt_started(now)
         if n >= 2:
-            pressure.end(now)
-        pressure.wait(now)
-    assert pressure.wait(now) == pytest.approx(50 * MS, rel=0.1)
+            pressure.attempt_ended(now)
+        pressure.estimate(now)
+    assert pressure.estimate(now) == pytest.approx(50 * MS, rel=0.1)
     for _ in range(8):  # a stall: nothing comes back, and no answer tells of it
-        pressure.begin(now)
-    assert pressure.wait(now) == pytest.approx(250 * MS, rel=0.1)
-    assert pressure.refuses(now, 300 * MS) == 0.0
-    assert 0.0 < pressure.refuses(now, 120 * MS) < 1.0
-    assert pressure.refuses(now, 80 * MS) == 1.0
-    assert pressure.refuses(now, float("inf")) == 0.0
+        pressure.attempt_started(now)
+    assert pressure.estimate(now) == pytest.approx(250 * MS, rel=0.1)
+    assert pressure.rejection_share(now, 300 * MS) == 0.0
+    assert 0.0 < pressure.rejection_share(now, 120 * MS) < 1.0
+    assert pressure.rejection_share(now, 80 * MS) == 1.0
+    assert pressure.rejection_share(now, float("inf")) == 0.0
     for _ in range(30):
-        pressure.end(now)
-    assert pressure.out == 0
+        pressure.attempt_ended(now)
+    assert pressure.in_flight == 0
 
 
 def test_at_few_requests_one_that_is_out_is_no_queue_but_several_are() -> None:
-    pressure = Pressure(0)
+    pressure = QueueingDelay(0)
     now = 0
     for n in range(40):  # 1.25 a second, each out for 80 ms
         now = n * 800 * MS
-        pressure.begin(now)
-        pressure.wait(now)
-        pressure.end(now + 80 * MS)
-    pressure.begin(now + 800 * MS)
-    assert pressure.out * SECOND / pressure.rate > 700 * MS  # which by itself would be a jam
-    assert pressure.wait(now + 800 * MS) < 200 * MS
+        pressure.attempt_started(now)
+        pressure.estimate(now)
+        pressure.attempt_ended(now + 80 * MS)
+    pressure.attempt_started(now + 800 * MS)
+    assert pressure.in_flight * SECOND / pressure.rate > 700 * MS  # which by itself would be a jam
+    assert pressure.estimate(now + 800 * MS) < 200 * MS
     for _ in range(3):
-        pressure.begin(now + 810 * MS)
-    assert pressure.wait(now + 810 * MS) > 300 * MS
+        pressure.attempt_started(now + 810 * MS)
+    assert pressure.estimate(now + 810 * MS) > 300 * MS
 
 
 RATES = ("errors", "rate")
 
 
-def census_of(nodes: int, own: float, seconds: int, total: float = 200.0) -> Census:
+def census_of(nodes: int, own: float, seconds: int, total: float = 200.0) -> TrafficShare:
     """One that sent so many attempts a second, while ten servers of size 1 tell of so many in all."""
-    census = Census(nodes, RATES, 0)
+    census = TrafficShare(nodes, RATES, 0)
     due = 0.0
     for half in range(1, 2 * seconds + 1):
         due += own / 2
         while due >= 1.0:
             due -= 1.0
-            census.sent()
-            census.hear((0.0, total / 10), 1.0)
-        census.others(half * SECOND // 2, 10.0)
+            census.record_attempt()
+            census.observe_report((0.0, total / 10), 1.0)
+        census.effective_nodes(half * SECOND // 2, 10.0)
     return census
 
 
 @pytest.mark.parametrize("nodes", [13, 40, 120])
 def test_a_share_is_what_a_node_sends_of_all_whatever_number_is_told(nodes: int) -> None:
     census = census_of(nodes, 5.0, 30)
-    found = census.others(30 * SECOND + 1, 10.0)
+    found = census.effective_nodes(30 * SECOND + 1, 10.0)
     assert found == nodes if nodes == 40 else abs(found - 40.0) < 14.0
-    assert census.for_cold(found) >= max(found, nodes / 3)
+    assert census.slow_start_nodes(found) >= max(found, nodes / 3)
 
 
 def test_without_reports_or_with_senseless_ones_the_number_told_stands() -> None:
-    census = Census(40, ("queue",), 0)
+    census = TrafficShare(40, ("queue",), 0)
     for _ in range(100):
-        census.sent()
-        census.hear((5.0,), 1.0)
-    assert census.others(30 * SECOND, 10.0) == 40.0
-    census = Census(40, RATES, 0)
+        census.record_attempt()
+        census.observe_report((5.0,), 1.0)
+    assert census.effective_nodes(30 * SECOND, 10.0) == 40.0
+    census = TrafficShare(40, RATES, 0)
     for n in range(100):
-        census.hear(((), (1.0,), (0.0, -3.0), (0.0, float("nan")))[n % 4], 1.0)
-    assert census.others(30 * SECOND, 10.0) == 40.0
+        census.observe_report(((), (1.0,), (0.0, -3.0), (0.0, float("nan")))[n % 4], 1.0)
+    assert census.effective_nodes(30 * SECOND, 10.0) == 40.0
 
 
 @given(
@@ -323,16 +332,16 @@
 def test_a_share_is_within_its_bounds_whatever_servers_tell(
     nodes: int, steps: list[tuple[int, int, float, float]]
 ) -> None:
-    census = Census(nodes, RATES, 0)
+    census = TrafficShare(nodes, RATES, 0)
     now = 0
     for span, sent, rate, size in steps:
         now += span
         for _ in range(sent):
-            census.sent()
-        census.hear((0.0, rate), size)
-        found = census.others(now, 10.0)
+            census.record_attempt()
+        census.observe_report((0.0, rate), size)
+        found = census.effective_nodes(now, 10.0)
         assert max(1.0, nodes / 31) <= found <= max(1.0, nodes * 31)
-        assert census.for_cold(found) >= nodes / 3
+        assert census.slow_start_nodes(found) >= nodes / 3
 
 
 VIEW = api.RequestClass("view", api.Effect.SAFE, 3.0, 120 * MS, 400 * MS, 0.25)
@@ -419,16 +428,18 @@
     far = frozenset(s.id for s in lines(40) if s.zone == 1)
     near = frozenset(s.id for s in lines(40) if s.zone == 0)
     play(node, node.now + 4 * SECOND, 50 * MS, down=near | far)
-    assert node.balancer.learned.far_late == 0.0 and node.balancer.learned.near_late == 0.0
+    assert node.balancer.estimates.remote_lateness == 0.0 and node.balancer.estimates.local_lateness == 0.0
 
 
 def test_calls_for_lists_do_not_meet_when_all_nodes_start_at_once() -> None:
     nodes = 40
-    at = sorted(first_call(place("calls", n, nodes), nodes, 10 * SECOND) for n in range(nodes))
+    at = sorted(
+        first_poll_delay(rendezvous_rank("calls", n, nodes), nodes, 10 * SECOND) for n in range(nodes)
+    )
     assert at[0] == 0
-    assert min(b - a for a, b in pairwise(at)) >= EACH * 0.99
+    assert min(b - a for a, b in pairwise(at)) >= POLL_SERVICE_TIME_NS * 0.99
     assert at[-1] < 7 * SECOND  # well within what the rules allow
-    assert first_call(0.5, 1, 10 * SECOND) == 0
+    assert first_poll_delay(0.5, 1, 10 * SECOND) == 0
 
 
 def asking(node: int) -> Node:
@@ -474,27 +485,35 @@
 def test_calls_after_a_watch_that_broke_for_all_are_apart() -> None:
     """By what discovery needs for each, as far as that is within what the rules allow."""
     for nodes in (2, 10, 25):
-        at = sorted(Calls(place("calls", n, nodes), nodes, 10 * SECOND).failed(0, 0.5) for n in range(nodes))
-        assert min(b - a for a, b in pairwise(at)) >= 0.99 * EACH
-    at = [Calls(place("calls", n, 200), 200, 10 * SECOND).failed(0, 0.5) for n in range(200)]
-    assert 0.9 * (TOLD - CALL_MOST) < max(at) <= TOLD - CALL_MOST
+        at = sorted(
+            PollSchedule(rendezvous_rank("calls", n, nodes), nodes, 10 * SECOND).poll_failed(0, 0.5)
+            for n in range(nodes)
+        )
+        assert min(b - a for a, b in pairwise(at)) >= 0.99 * POLL_SERVICE_TIME_NS
+    at = [
+        PollSchedule(rendezvous_rank("calls", n, 200), 200, 10 * SECOND).poll_failed(0, 0.5)
+        for n in range(200)
+    ]
+    assert 0.9 * (MAX_STALENESS_NS - MAX_POLL_WAIT_NS) < max(at) <= MAX_STALENESS_NS - MAX_POLL_WAIT_NS
 
 
 @pytest.mark.parametrize("nodes", [1, 40, 200])
-@pytest.mark.parametrize("took", [0, SECOND, CALL_MOST])
+@pytest.mark.parametrize("took", [0, SECOND, MAX_POLL_WAIT_NS])
 def test_a_call_that_fails_is_followed_by_one_that_is_answered_in_time(nodes: int, took: int) -> None:
     """Discovery comes back at worst just after a call has begun that is not answered any more."""
-    calls = Calls(place("calls", 0, nodes), nodes, 10 * SECOND)
+    calls = PollSchedule(rendezvous_rank("calls", 0, nodes), nodes, 10 * SECOND)
     now = 0
     pauses = []
     for _ in range(20):
-        calls.began(now)
-        pauses.append(calls.failed(now + took, 1.0))
-        if took < QUEUED:
-            assert took + pauses[-1] + CALL_MOST <= TOLD
+        calls.poll_started(now)
+        pauses.append(calls.poll_failed(now + took, 1.0))
+        if took < QUEUED_FAILURE_NS:
+            assert took + pauses[-1] + MAX_POLL_WAIT_NS <= MAX_STALENESS_NS
         now += took + pauses[-1]
-    assert took + pauses[0] + CALL_MOST <= TOLD  # also where calls wait in the queue, at first
-    assert max(pauses) <= PAUSE_MOST
+    assert (
+        took + pauses[0] + MAX_POLL_WAIT_NS <= MAX_STALENESS_NS
+    )  # also where calls wait in the queue, at first
+    assert max(pauses) <= MAX_BACKOFF_NS
     assert pauses[0] < pauses[-1] or nodes >= 25
 
 
@@ -523,20 +542,20 @@
     chance = random.Random(seed)
     back = 8 * SECOND
     turns = Turns(int(min(all_calls / nodes, 0.5) * SECOND), back)
-    tier = [Calls(place("calls", n, nodes), nodes, 10 * SECOND) for n in range(nodes)]
-    due = [(calls.failed(0, chance.random()), n, False, False) for n, calls in enumerate(tier)]
+    tier = [PollSchedule(rendezvous_rank("calls", n, nodes), nodes, 10 * SECOND) for n in range(nodes)]
+    due = [(calls.poll_failed(0, chance.random()), n, False, False) for n, calls in enumerate(tier)]
     heapify(due)
     told: list[float] = []
     while due and len(told) < nodes and due[0][0] < back + 60 * SECOND:
         now, n, ended, whole = heappop(due)
         if not ended:
-            tier[n].began(now)
+            tier[n].poll_started(now)
             end, whole = turns.call(now)
             heappush(due, (end, n, True, whole))
         elif whole:
             told.append((now - back) / SECOND)
         else:
-            heappush(due, (now + tier[n].failed(now, chance.random()), n, False, False))
+            heappush(due, (now + tier[n].poll_failed(now, chance.random()), n, False, False))
     return told, turns.calls
 
 
@@ -545,7 +564,7 @@
 def test_all_nodes_hear_of_a_discovery_that_is_back_in_time(nodes: int, all_calls: float) -> None:
     for seed in range(10):
         told, _ = told_after(nodes, all_calls, seed)
-        assert len(told) == nodes and max(told) <= TOLD / SECOND
+        assert len(told) == nodes and max(told) <= MAX_STALENESS_NS / SECOND
 
 
 @pytest.mark.parametrize("nodes", [40, 200])
@@ -555,7 +574,7 @@
     for seed in range(10):
         told, calls = told_after(nodes, 8.0, seed)
         assert len(told) == nodes and max(told) <= 40.0
-        assert sorted(told)[nodes // 3] <= TOLD / SECOND
+        assert sorted(told)[nodes // 3] <= MAX_STALENESS_NS / SECOND
         assert calls <= 8 * nodes
 
 
@@ -565,7 +584,7 @@
     node.tell(lines(40))
     near = frozenset(s.id for s in lines(40) if s.zone == 0)
     play(node, node.now + 2 * SECOND, 50 * MS, down=near)
-    share = node.balancer.learned.reach.near
+    share = node.balancer.estimates.zone_reachability.local_failure_rate
     assert share > 0.25
     rid, silent = 1000, None
     while silent is None:
@@ -573,5 +592,5 @@
         node.ask(rid)
         silent = next((n for n, a in enumerate(node.books[rid].attempts) if a.server in near), None)
     node.answer(rid, silent, api.Result.TIMEOUT)
-    assert node.balancer.learned.reach.near == share
-    assert all(s.since == 0 for s in node.balancer.servers.values())
+    assert node.balancer.estimates.zone_reachability.local_failure_rate == share
+    assert all(s.up_since == 0 for s in node.balancer.servers.values())
--- a/tests/test_found_by_seeds.py
+++ b/tests/test_found_by_seeds.py
@@ -10,8 +10,8 @@
 import pytest
 
 from hollybay.balancing import interface as api
-from hollybay.balancing.estimates import REVIEW
-from hollybay.balancing.load_shedding import LAG_SPAN
+from hollybay.balancing.estimates import REVIEW_INTERVAL_NS
+from hollybay.balancing.event_loop_delay import WINDOW_NS
 from hollybay.proxy import system
 from hollybay.testbed.loopback import CLASSES, Backend, Registry, request, running, settings
 from hollybay.testbed.world import MS, SAFE, SECOND, Node, fleet, make_settings
@@ -70,49 +70,49 @@
 def test_what_was_shed_is_served_again_after_a_calm_in_which_nothing_was_heard() -> None:
     node = Node(make_settings(classes=(SAFE,)))
     shedding(node)
-    node.balancer.admission.shed = 0.98
-    node.balancer.learned.missing = 0.9
-    node.balancer.learned.worth_lost = 0.9 * node.balancer.learned.worth_asked
+    node.balancer.load_shedder.shed_share = 0.98
+    node.balancer.estimates.loss_share = 0.9
+    node.balancer.estimates.lost_weight = 0.9 * node.balancer.estimates.offered_weight
     node.run_to(node.now + 12 * SECOND)
-    assert node.balancer.learned.missing < 0.15 and node.balancer.admission.shed == 0.0
+    assert node.balancer.estimates.loss_share < 0.15 and node.balancer.load_shedder.shed_share == 0.0
     assert any(isinstance(action, api.Send) for action in node.ask(1000))
 
 
 def test_evidence_does_not_fade_while_it_is_heard() -> None:
     node = Node(make_settings(classes=(SAFE,)))
     shedding(node)
-    before = node.balancer.learned.missing
+    before = node.balancer.estimates.loss_share
     assert before > 0.3
-    node.balancer.learned.heard = 8
-    node.run_to(node.now + REVIEW)
-    assert node.balancer.learned.missing == pytest.approx(before)
+    node.balancer.estimates.load_outcomes = 8
+    node.run_to(node.now + REVIEW_INTERVAL_NS)
+    assert node.balancer.estimates.loss_share == pytest.approx(before)
 
 
 def test_lateness_is_as_old_as_the_time_without_requests() -> None:
     node = Node(make_settings(classes=(SAFE,)))
     node.tell(fleet(4))
     balancer = node.balancer
-    balancer.admission.lag_shed = 0.9
-    node.run_to(node.now + 20 * LAG_SPAN)
+    balancer.load_shedder.event_loop_delay.shed_share = 0.9
+    node.run_to(node.now + 20 * WINDOW_NS)
     node.ask(1)
-    assert balancer.admission.lag_shed == 0.0
-    balancer.admission.lag_shed = 0.9
-    balancer.admission.lag_since = node.now
-    node.run_to(node.now + LAG_SPAN)
+    assert balancer.load_shedder.event_loop_delay.shed_share == 0.0
+    balancer.load_shedder.event_loop_delay.shed_share = 0.9
+    balancer.load_shedder.event_loop_delay.window_start = node.now
+    node.run_to(node.now + WINDOW_NS)
     node.ask(2)
-    assert balancer.admission.lag_shed == pytest.approx(0.54)
+    assert balancer.load_shedder.event_loop_delay.shed_share == pytest.approx(0.54)
 
 
 def test_a_class_without_an_answer_does_not_free_the_cold_budget() -> None:
     node = Node(make_settings())
     balancer = node.balancer
     longest = max(c.latency_objective for c in balancer.settings.classes)
-    balancer.learned.count = [5.0, 9.0, 0.0, 0.0, 0.0]
-    balancer.learned.renew_work()
-    assert balancer.learned.mean_work == longest
-    balancer.learned.work[0] = 40 * MS
-    balancer.learned.renew_work()
-    assert balancer.learned.mean_work == 40 * MS
+    balancer.estimates.offered = [5.0, 9.0, 0.0, 0.0, 0.0]
+    balancer.estimates.update_mean_service_time()
+    assert balancer.estimates.mean_service_time == longest
+    balancer.estimates.service_times[0] = 40 * MS
+    balancer.estimates.update_mean_service_time()
+    assert balancer.estimates.mean_service_time == 40 * MS
 
 
 def test_a_jam_does_not_teach_what_a_request_adds() -> None:
@@ -120,18 +120,18 @@
     node.tell(fleet(4))
     balancer = node.balancer
     s = next(iter(balancer.servers.values()))
-    balancer.learned.learn_work(s, 0, 90 * MS, beside=0, stale=False)
-    assert balancer.learned.work[0] == pytest.approx(90 * MS * s.size)
+    balancer.estimates.observe_service_time(s, 0, 90 * MS, in_flight=0, stale=False)
+    assert balancer.estimates.service_times[0] == pytest.approx(90 * MS * s.size)
     for _ in range(50):  # idle servers answer faster: the first was chance
-        balancer.learned.learn_work(s, 0, 30 * MS, beside=0, stale=False)
-    learned = balancer.learned.work[0]
+        balancer.estimates.observe_service_time(s, 0, 30 * MS, in_flight=0, stale=False)
+    learned = balancer.estimates.service_times[0]
     assert learned < 35 * MS * s.size
     for _ in range(50):  # as many wait before it
-        balancer.learned.learn_work(s, 0, 900 * MS, beside=9, stale=False)
-    s.load = 8.0
+        balancer.estimates.observe_service_time(s, 0, 900 * MS, in_flight=9, stale=False)
+    s.reported_load = 8.0
     for _ in range(50):  # the list tells of a queue of others
-        balancer.learned.learn_work(s, 0, 900 * MS, beside=0, stale=False)
-    assert balancer.learned.work[0] == learned
+        balancer.estimates.observe_service_time(s, 0, 900 * MS, in_flight=0, stale=False)
+    assert balancer.estimates.service_times[0] == learned
 
 
 def test_a_gap_that_shrinks_frees_a_cold_server_at_once() -> None:
@@ -139,8 +139,10 @@
     node.tell(fleet(4, up_since=node.now))
     balancer = node.balancer
     cold = list(balancer.servers.values())
-    assert all(s.cold_gap > SECOND // 4 for s in cold)  # nothing is known yet
-    balancer.learned.count = [9.0] * len(balancer.learned.count)
-    balancer.learned.work = [10.0 * MS] * len(balancer.learned.work)
-    balancer.choice.rebuild(node.now)
-    assert all(s.cold_at <= node.now + s.cold_gap < node.now + SECOND // 4 for s in cold)
+    assert all(s.slow_start_interval > SECOND // 4 for s in cold)  # nothing is known yet
+    balancer.estimates.offered = [9.0] * len(balancer.estimates.offered)
+    balancer.estimates.service_times = [10.0 * MS] * len(balancer.estimates.service_times)
+    balancer.selector.rebuild(node.now)
+    assert all(
+        s.slow_start_send_at <= node.now + s.slow_start_interval < node.now + SECOND // 4 for s in cold
+    )
--- a/tests/test_group_commit.py
+++ b/tests/test_group_commit.py
@@ -9,24 +9,22 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from hollybay.consensus.group_commit import (
-    MILLISECOND,
-    SECOND,
+from hollybay.consensus.group_commit import ProposalQueue
+from hollybay.consensus.proposal_outcomes import (
     AlreadyDecided,
     AlreadyQueued,
     Busy,
     InForce,
     Pending,
-    ProposalQueue,
     Queued,
-    QueueSettings,
     Rejected,
     RejectedNow,
     UnderWay,
     Unknown,
-    combined,
+    combined_outcome,
 )
-from hollybay.resources.batch import Assembled, assemble, follow
+from hollybay.consensus.queue_settings import MILLISECOND_NS, SECOND_NS, QueueSettings
+from hollybay.resources.batch import Assembled, apply_batch, assemble
 from hollybay.resources.model import Change, Delete, Kind, Operation, Problem, Upsert
 from hollybay.resources.state import EMPTY, ResourceState
 from hollybay.resources.wire import encode_change
@@ -43,7 +41,7 @@
 
 def taken(queue: ProposalQueue, state: ResourceState, now: int = 0) -> Assembled:
     """The next batch, which must be there."""
-    assembled = queue.take(state, now)
+    assembled = queue.next_batch(state, now)
     assert assembled is not None
     return assembled
 
@@ -53,27 +51,27 @@
     first, second, third = (change_of(n) for n in range(3))
     assert isinstance(queue.offer(first, EMPTY, 0), Queued)
     one = taken(queue, EMPTY)
-    assert queue.under_way == one.batch and one.batch.changes == (first,)
+    assert queue.batch_in_progress == one.batch and one.batch.changes == (first,)
     queued = queue.offer(second, EMPTY, 0)
     assert isinstance(queued, Queued) and queued.position == 0
     queued = queue.offer(third, EMPTY, 0)
     assert isinstance(queued, Queued) and queued.position == 1
-    assert queue.take(EMPTY, 0) is None  # one batch at a time
+    assert queue.next_batch(EMPTY, 0) is None  # one batch at a time
     assert queue.outcome(first.id, 0) == UnderWay(1)
     pending = queue.outcome(third.id, 0)
     assert isinstance(pending, Pending) and pending.position == 1
-    queue.decided(one.batch, 0)
+    queue.batch_decided(one.batch, 0)
     assert queue.outcome(first.id, 0) == InForce(1)
     two = taken(queue, one.state)
     assert two.batch.changes == (second, third)
-    queue.decided(two.batch, 0)
+    queue.batch_decided(two.batch, 0)
     assert [queue.outcome(one.id, 0) for one in (first, second, third)] == [
         InForce(1),
         InForce(2),
         InForce(2),
     ]
     assert queue.outcome(change_of(9).id, 0) == Unknown()
-    assert queue.take(two.state, 0) is None and queue.next_take_ns(0) is None
+    assert queue.next_batch(two.state, 0) is None and queue.next_batch_delay_ns(0) is None
 
 
 def test_a_proposal_that_is_repeated_has_one_effect() -> None:
@@ -83,7 +81,7 @@
     assert queue.offer(change, EMPTY, 0) == AlreadyQueued()
     one = taken(queue, EMPTY)
     assert queue.offer(change, EMPTY, 0) == AlreadyQueued()
-    queue.decided(one.batch, 0)
+    queue.batch_decided(one.batch, 0)
     assert queue.offer(change, EMPTY, 0) == AlreadyDecided(1)  # this keeper remembers it
     assert ProposalQueue().offer(change, one.state, 0) == AlreadyDecided(1)  # another one has it in its state
 
@@ -115,11 +113,11 @@
     good = change_of(4)
     queue.offer(good, EMPTY, 0)
     assembled = taken(queue, EMPTY)
-    assert assembled.batch.changes == (same[0], good) and not assembled.refused
+    assert assembled.batch.changes == (same[0], good) and not assembled.rejected
     # The first of the two is not decided yet: until then the second is not refused.
     assert isinstance(queue.outcome(same[1].id, 0), Pending)
-    queue.decided(assembled.batch, 0)
-    assert queue.take(assembled.state, 0) is None
+    queue.batch_decided(assembled.batch, 0)
+    assert queue.next_batch(assembled.state, 0) is None
     outcome = queue.outcome(same[1].id, 0)
     assert isinstance(outcome, Rejected) and "version 1 is there" in outcome.problems[0].reason
     assert queue.offer(same[1], assembled.state, 0) == RejectedNow(outcome.problems)
@@ -134,7 +132,7 @@
     batch = taken(queue, EMPTY).batch
     assert batch.changes == (same[0], *changes[2:])
     winner = assemble(EMPTY, (change_of(9),))
-    queue.lost(batch, winner.state, 0)
+    queue.batch_superseded(batch, winner.state, 0)
     assert taken(queue, winner.state).batch.changes == batch.changes
     pending = queue.outcome(same[1].id, 0)
     assert isinstance(pending, Pending) and pending.position == 0
@@ -147,7 +145,7 @@
         queue.offer(one, EMPTY, 0)
     batch = taken(queue, EMPTY).batch
     assert batch.changes == (same[0],)
-    queue.dropped(batch, {same[0].id: CANNOT}, 0)
+    queue.batch_dropped(batch, {same[0].id: CANNOT}, 0)
     assert queue.outcome(same[0].id, 0) == Rejected(CANNOT)
     assert taken(queue, EMPTY).batch.changes == (same[1],)
 
@@ -161,7 +159,7 @@
     later = change_of(8)
     queue.offer(later, EMPTY, 0)
     stranger = change_of(99).id
-    queue.dropped(batch, {changes[1].id: CANNOT, changes[3].id: (), stranger: CANNOT}, 0)
+    queue.batch_dropped(batch, {changes[1].id: CANNOT, changes[3].id: (), stranger: CANNOT}, 0)
     assert queue.outcome(changes[1].id, 0) == Rejected(CANNOT)
     assert isinstance(queue.outcome(changes[3].id, 0), Rejected)
     assert queue.outcome(stranger, 0) == Unknown()
@@ -173,8 +171,8 @@
     changes = [change_of(n) for n in range(3)]
     for one in changes:
         queue.offer(one, EMPTY, 0)
-    queue.dropped(assemble(EMPTY, changes).batch, {changes[0].id: CANNOT}, 0)
-    queue.dropped(assemble(EMPTY, changes[1:2]).batch, {}, 0, CANNOT)
+    queue.batch_dropped(assemble(EMPTY, changes).batch, {changes[0].id: CANNOT}, 0)
+    queue.batch_dropped(assemble(EMPTY, changes[1:2]).batch, {}, 0, CANNOT)
     assert queue.outcome(changes[0].id, 0) == Rejected(CANNOT) == queue.outcome(changes[1].id, 0)
     assert taken(queue, EMPTY).batch.changes == (changes[2],)
 
@@ -187,16 +185,16 @@
     batch = taken(queue, EMPTY).batch
     queue.offer(change_of(5), EMPTY, 0)
     winner = assemble(EMPTY, (mine[1], change_of(7)))
-    queue.lost(batch, winner.state, 0)
+    queue.batch_superseded(batch, winner.state, 0)
     assert queue.outcome(mine[1].id, 0) == InForce(1)
     again = taken(queue, winner.state)
     assert again.batch.changes == (mine[0], mine[2], change_of(5))
-    assert follow(winner.state, again.batch) == again.state
+    assert apply_batch(winner.state, again.batch) == again.state
     # The same by the batch itself; of another batch than the one that is under way nothing is lost.
-    queue.lost(batch, winner.state, 0)
-    assert queue.under_way == again.batch
-    queue.decided(assemble(winner.state, (change_of(8),)).batch, 0)
-    assert queue.under_way is None and len(queue) == 3
+    queue.batch_superseded(batch, winner.state, 0)
+    assert queue.batch_in_progress == again.batch
+    queue.batch_decided(assemble(winner.state, (change_of(8),)).batch, 0)
+    assert queue.batch_in_progress is None and len(queue) == 3
 
 
 @pytest.mark.parametrize("count", [1, 2, 7, 64])
@@ -213,9 +211,9 @@
             rounds += 1
             assert rounds <= most, bad
             if changes[bad] in assembled.batch.changes:
-                queue.dropped(assembled.batch, {}, 0, CANNOT)
+                queue.batch_dropped(assembled.batch, {}, 0, CANNOT)
             else:
-                queue.decided(assembled.batch, 0)
+                queue.batch_decided(assembled.batch, 0)
                 state = assembled.state
         assert queue.outcome(changes[bad].id, 0) == Rejected(CANNOT)
         good = [one for n, one in enumerate(changes) if n != bad]
@@ -224,15 +222,15 @@
 
 def test_the_first_change_waits_for_others_for_a_moment() -> None:
     queue = ProposalQueue(QueueSettings(linger_ns=100, max_batch_changes=3))
-    assert queue.next_take_ns(0) is None
+    assert queue.next_batch_delay_ns(0) is None
     queue.offer(change_of(1), EMPTY, 1000)
-    assert queue.next_take_ns(1040) == 60 and queue.take(EMPTY, 1040) is None
+    assert queue.next_batch_delay_ns(1040) == 60 and queue.next_batch(EMPTY, 1040) is None
     queue.offer(change_of(2), EMPTY, 1050)
     assert len(taken(queue, EMPTY, 1100).batch.changes) == 2
     full = ProposalQueue(QueueSettings(linger_ns=100, max_batch_changes=3))
     for n in range(4):
         full.offer(change_of(n), EMPTY, 0)
-    assert full.next_take_ns(0) == 0
+    assert full.next_batch_delay_ns(0) == 0
     assert len(taken(full, EMPTY).batch.changes) == 3
 
 
@@ -246,7 +244,7 @@
     while len(queue):
         assembled = taken(queue, state)
         batches.append(len(assembled.batch.changes))
-        queue.decided(assembled.batch, 0)
+        queue.batch_decided(assembled.batch, 0)
         state = assembled.state
     assert batches == [2, 1, 1, 1] and queue.bytes == 0
     too_large = change_of(6, Upsert(Kind.ROUTE, "larger", 0, b"x" * 8 * size))
@@ -267,45 +265,47 @@
     while isinstance(by_bytes.offer(change_of(len(by_bytes) + 1), EMPTY, 0), Queued):
         assert by_bytes.bytes <= 150
     slow = ProposalQueue(
-        QueueSettings(linger_ns=0, max_batch_changes=1, max_wait_ns=3 * SECOND, initial_batch_ns=SECOND)
+        QueueSettings(linger_ns=0, max_batch_changes=1, max_wait_ns=3 * SECOND_NS, initial_batch_ns=SECOND_NS)
     )
     answers = [slow.offer(change_of(n), EMPTY, 0) for n in range(5)]
     assert [type(one) for one in answers] == [Queued, Queued, Queued, Busy, Busy]
-    assert answers[3] == Busy(SECOND)
+    assert answers[3] == Busy(SECOND_NS)
 
 
 def test_the_bytes_that_wait_are_part_of_the_estimate() -> None:
     size = len(encode_change(change_of(10)))
     queue = ProposalQueue(
-        QueueSettings(linger_ns=0, max_batch_bytes=size, max_wait_ns=2 * SECOND, initial_batch_ns=SECOND)
+        QueueSettings(
+            linger_ns=0, max_batch_bytes=size, max_wait_ns=2 * SECOND_NS, initial_batch_ns=SECOND_NS
+        )
     )
     state = EMPTY
     for n in range(10):  # one batch after another leaves nothing behind
-        assert queue.offer(change_of(n), state, 0) == Queued(0, SECOND)
+        assert queue.offer(change_of(n), state, 0) == Queued(0, SECOND_NS)
         assembled = taken(queue, state)
-        queue.decided(assembled.batch, 0)
-        queue.batch_ns = SECOND  # as if it had taken so long
+        queue.batch_decided(assembled.batch, 0)
+        queue.average_batch_ns = SECOND_NS  # as if it had taken so long
         state = assembled.state
     assert isinstance(queue.offer(change_of(10), state, 0), Queued)
-    assert queue.offer(change_of(11), state, 0) == Queued(1, 2 * SECOND)
-    assert queue.offer(change_of(12), state, 0) == Busy(SECOND)
+    assert queue.offer(change_of(11), state, 0) == Queued(1, 2 * SECOND_NS)
+    assert queue.offer(change_of(12), state, 0) == Busy(SECOND_NS)
 
 
 def test_the_time_that_batches_take_is_measured_and_one_that_hangs_counts_at_once() -> None:
-    settings = QueueSettings(linger_ns=0, max_wait_ns=3 * SECOND, initial_batch_ns=100 * MILLISECOND)
+    settings = QueueSettings(linger_ns=0, max_wait_ns=3 * SECOND_NS, initial_batch_ns=100 * MILLISECOND_NS)
     queue = ProposalQueue(settings)
     state, now = EMPTY, 0
     for n in range(30):
         assert isinstance(queue.offer(change_of(n, made_on=state.revision), state, now), Queued)
         assembled = taken(queue, state, now)
-        now += SECOND
-        queue.decided(assembled.batch, now)
+        now += SECOND_NS
+        queue.batch_decided(assembled.batch, now)
         state = assembled.state
-    assert 0.95 * SECOND < queue.batch_ns <= SECOND
+    assert 0.95 * SECOND_NS < queue.average_batch_ns <= SECOND_NS
     queue.offer(change_of(50), state, now)
     taken(queue, state, now)
     assert isinstance(queue.offer(change_of(51), state, now), Queued)
-    now += 4 * SECOND  # nothing is decided meanwhile
+    now += 4 * SECOND_NS  # nothing is decided meanwhile
     assert isinstance(queue.offer(change_of(52), state, now), Busy)
     # What was accepted is told that it is late, not dropped.
     pending = queue.outcome(change_of(51).id, now)
@@ -316,19 +316,19 @@
     queue = ProposalQueue(QueueSettings(linger_ns=0, max_outcomes=2, outcome_ns=100))
     for n in range(3):
         queue.offer(change_of(n), EMPTY, 0)
-    queue.decided(taken(queue, EMPTY).batch, 0)
+    queue.batch_decided(taken(queue, EMPTY).batch, 0)
     assert [type(queue.outcome(change_of(n).id, 100)) for n in range(3)] == [Unknown, InForce, InForce]
     assert queue.outcome(change_of(2).id, 101) == Unknown()
 
 
 def test_a_refusal_is_final_only_when_all_keepers_that_were_asked_refused_it() -> None:
     refused = Rejected(CANNOT)
-    assert combined([]) == Unknown()
-    assert combined([refused, refused]) == refused
-    assert combined([refused, Unknown()]) == Unknown()
-    assert combined([refused, Pending(3, 5)]) == Pending(3, 5)
-    assert combined([Pending(3, 5), UnderWay(4), refused]) == UnderWay(4)
-    assert combined([refused, Unknown(), InForce(2), UnderWay(4)]) == InForce(2)
+    assert combined_outcome([]) == Unknown()
+    assert combined_outcome([refused, refused]) == refused
+    assert combined_outcome([refused, Unknown()]) == Unknown()
+    assert combined_outcome([refused, Pending(3, 5)]) == Pending(3, 5)
+    assert combined_outcome([Pending(3, 5), UnderWay(4), refused]) == UnderWay(4)
+    assert combined_outcome([refused, Unknown(), InForce(2), UnderWay(4)]) == InForce(2)
 
 
 @pytest.mark.parametrize(
@@ -376,7 +376,7 @@
 
     def decide(self, assembled: Assembled) -> None:
         """A batch is decided: by the followers' rules, and no change a second time."""
-        self.state = follow(self.state, assembled.batch)
+        self.state = apply_batch(self.state, assembled.batch)
         assert self.state == assembled.state
         for one in assembled.batch.changes:
             assert one.id not in self.seen
@@ -425,7 +425,7 @@
 
     @rule()
     def take(self) -> None:
-        assembled = self.queue.take(self.state, self.now)
+        assembled = self.queue.next_batch(self.state, self.now)
         if assembled is None:
             return
         assert self.assembled is None
@@ -444,10 +444,10 @@
         bad = [one.id for one in assembled.batch.changes if one.id in self.bad]
         if not bad:
             self.decide(assembled)
-            self.queue.decided(assembled.batch, self.now)
+            self.queue.batch_decided(assembled.batch, self.now)
             return
         reasons = {bad[0]: CANNOT} if named else {}
-        self.queue.dropped(assembled.batch, reasons, self.now, CANNOT)
+        self.queue.batch_dropped(assembled.batch, reasons, self.now, CANNOT)
 
     @rule(data=st.data(), told=st.booleans())
     def another_keeper_is_first(self, data: st.DataObject, told: bool) -> None:
@@ -458,9 +458,9 @@
         theirs = assemble(self.state, (*some, change_of(self.number, made_on=self.state.revision)))
         self.decide(theirs)
         if told:
-            self.queue.decided(theirs.batch, self.now)
+            self.queue.batch_decided(theirs.batch, self.now)
         elif self.assembled is not None:
-            self.queue.lost(self.assembled.batch, self.state, self.now)
+            self.queue.batch_superseded(self.assembled.batch, self.state, self.now)
         # Else this keeper heard of it by a snapshot: only the state tells.
         self.assembled = None
 
--- a/tests/test_guard.py
+++ b/tests/test_guard.py
@@ -7,20 +7,20 @@
 import pytest
 
 from hollybay.balancing import interface as api
-from hollybay.balancing.retries import may_refuse, resend_scope
-from hollybay.balancing.state import Server, Try
+from hollybay.balancing.retries import allowed_scope, may_reject
+from hollybay.balancing.state import Attempt, Server
 from hollybay.testbed.world import MS, NEVER_RAN, SECOND
 
 WINDOW = 2 * SECOND
 RESULTS = [None, *api.Result]
 
 
-def tries_of(results: tuple[api.Result | None, ...]) -> list[Try]:
+def tries_of(results: tuple[api.Result | None, ...]) -> list[Attempt]:
     tries = []
     for n, result in enumerate(results):
-        server = Server(b"%d" % n, pause=SECOND)
+        server = Server(b"%d" % n, first_ejection=SECOND)
         server.zone, server.cell = 1, 7
-        t = Try(server, n * MS)
+        t = Attempt(server, n * MS)
         t.result = result
         tries.append(t)
     return tries
@@ -35,7 +35,7 @@
     for count in range(3):
         for results in itertools.product(RESULTS, repeat=count):
             tries = tries_of(results)
-            scope = resend_scope(cls, tries, age, copies, 3, 4 * MS)
+            scope = allowed_scope(cls, tries, age, copies, 3, 4 * MS)
             ran = [n for n, r in enumerate(results) if r not in NEVER_RAN]
             allowed = copies or None not in results
             if ran and effect == api.Effect.UNSAFE:
@@ -50,11 +50,11 @@
             harmless = effect == api.Effect.SAFE or (
                 effect == api.Effect.KEYED and group == api.DeduplicationScope.ALL
             )
-            assert may_refuse(cls, tries) == (harmless or not ran)
+            assert may_reject(cls, tries) == (harmless or not ran)
 
 
 def test_no_more_attempts_than_allowed() -> None:
     cls = api.RequestClass("c", api.Effect.SAFE, 1.0, SECOND, 3 * SECOND)
     rejected = tries_of((api.Result.REJECTED,) * 3)
-    assert resend_scope(cls, rejected, MS, True, 3) is None
-    assert resend_scope(cls, rejected, MS, True, 4) is not None
+    assert allowed_scope(cls, rejected, MS, True, 3) is None
+    assert allowed_scope(cls, rejected, MS, True, 4) is not None
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -9,13 +9,13 @@
 import sys
 from collections import Counter
 from collections.abc import Iterator
-from contextlib import ExitStack, contextmanager
+from contextlib import contextmanager
 from dataclasses import replace
 from pathlib import Path
 
-from hollybay.proxy.__main__ import drain
 from hollybay.proxy.config import Config
-from hollybay.proxy.handover import Place
+from hollybay.proxy.handover import ListenerGroup
+from hollybay.proxy.shutdown import drain
 from hollybay.testbed.loopback import (
     LIMIT,
     Backend,
@@ -29,30 +29,30 @@
 
 
 def test_files_that_dead_processes_left_do_not_count(tmp_path: Path) -> None:
-    one, two, three = (Place(tmp_path, "node") for _ in range(3))
-    assert one.others() == 0
+    one, two, three = (ListenerGroup(tmp_path, "node") for _ in range(3))
+    assert one.count_others() == 0
     one.join()
     two.join()
-    assert (one.others(), two.others(), three.others()) == (1, 1, 2)
-    assert Place(tmp_path, "another").others() == 0
-    assert two._held is not None
-    os.close(two._held)  # as at the end of a process that was killed
-    two._held = None
-    assert one.others() == 0 and len(list(tmp_path.iterdir())) == 1
+    assert (one.count_others(), two.count_others(), three.count_others()) == (1, 1, 2)
+    assert ListenerGroup(tmp_path, "another").count_others() == 0
+    assert two._lock is not None
+    os.close(two._lock)  # as at the end of a process that was killed
+    two._lock = None
+    assert one.count_others() == 0 and len(list(tmp_path.iterdir())) == 1
     one.leave()
-    assert three.others() == 0 and not list(tmp_path.iterdir())
+    assert three.count_others() == 0 and not list(tmp_path.iterdir())
 
 
 def test_without_a_folder_a_process_is_alone() -> None:
-    place = Place(None, "node")
-    place.join()
-    assert place.others() == 0
-    place.leave()
+    group = ListenerGroup(None, "node")
+    group.join()
+    assert group.count_others() == 0
+    group.leave()
 
 
 def test_the_new_process_gets_all_new_connections_and_the_old_one_loses_none(tmp_path: Path) -> None:
     async def play() -> None:
-        old_place, new_place = Place(tmp_path, "node"), Place(tmp_path, "node")
+        old_group, new_group = ListenerGroup(tmp_path, "node"), ListenerGroup(tmp_path, "node")
         first, second = Backend("s-1"), Backend("s-1")
         (tmp_path / "1").mkdir()
         (tmp_path / "2").mkdir()
@@ -61,18 +61,20 @@
             return replace(config, admin=("127.0.0.1", 0))
 
         async with running(tmp_path / "1" / "c.json", Registry(), first, adjust=shared) as old:
-            old_place.join()
+            old_group.join()
             old.clients.ready = True
             kept_reader, kept = await old.connect()
             kept.write(request(rid="k-1"))
             assert b" 200 " in (await read_message(kept_reader))[0]
-            new_config = lambda config: replace(shared(config), listen=("127.0.0.1", old.port))  # noqa: E731
+            new_config = lambda config: replace(shared(config), listen=("127.0.0.1", old.port))
             async with running(tmp_path / "2" / "c.json", Registry(), second, adjust=new_config) as new:
                 assert new.port == old.port
                 assert new.clients.listener is not None
-                assert new_place.claim(new.clients.listener, new_place.others())
-                new_place.join()
-                draining = asyncio.ensure_future(drain(old.clients, old.node, accept_on=0.0, place=old_place))
+                assert new_group.take_new_connections(new.clients.listener, new_group.count_others())
+                new_group.join()
+                draining = asyncio.ensure_future(
+                    drain(old.clients, old.node, accept_period_s=0.0, listener_group=old_group)
+                )
                 async with asyncio.timeout(LIMIT):
                     while not old.clients.closing:
                         await asyncio.sleep(0)
@@ -104,39 +106,39 @@
 class NodeProcess:
     """`python -m hollybay.proxy`, as the platform starts it."""
 
-    def __init__(self, config: Path, scratch: Path) -> None:
-        self.environ = {**os.environ, "BALANCER_CONFIG": str(config), "TMPDIR": str(scratch)}
-        self.said: list[str] = []
+    def __init__(self, config: Path, folder: Path) -> None:
+        self.environ = {**os.environ, "BALANCER_CONFIG": str(config), "TMPDIR": str(folder)}
+        self.log_lines: list[str] = []
 
     async def start(self, *until: str) -> bool:
-        """Run it until it says one of these, or ends: False."""
+        """Run it until it logs one of these texts; False if it ends before that."""
         self.process = await asyncio.create_subprocess_exec(
             sys.executable, "-m", "hollybay.proxy", env=self.environ, stderr=asyncio.subprocess.PIPE
         )
         assert self.process.stderr is not None
         async with asyncio.timeout(LIMIT):
             while line := (await self.process.stderr.readline()).decode():
-                self.said.append(line)
-                if any(word in line for word in until):
+                self.log_lines.append(line)
+                if any(text in line for text in until):
                     return True
         return False
 
     async def end(self, number: signal.Signals) -> int:
         self.process.send_signal(number)
         async with asyncio.timeout(LIMIT):
-            _, said = await self.process.communicate()
-        self.said += said.decode().splitlines()
+            _, rest = await self.process.communicate()
+        self.log_lines += rest.decode().splitlines()
         assert self.process.returncode is not None
         return self.process.returncode
 
 
-class Caller:
+class LoadClient:
     """A client that keeps its connection, sends one unsafe request after another and counts what it gets."""
 
     def __init__(self, port: int, name: str) -> None:
         self.port = port
         self.name = name
-        self.ends: Counter[int] = Counter()
+        self.statuses: Counter[int] = Counter()
         self.number = 0
         self.stop = False
 
@@ -158,7 +160,7 @@
                     streams = None
                     continue
                 break
-            self.ends[int(head.split()[1])] += 1
+            self.statuses[int(head.split()[1])] += 1
             if b"connection: close" in head.lower():
                 streams[1].close()
                 streams = None
@@ -166,7 +168,7 @@
             streams[1].close()
 
 
-async def ready(admin: int) -> bool:
+async def is_ready(admin: int) -> bool:
     reader, writer = await asyncio.open_connection("127.0.0.1", admin)
     writer.write(b"GET /-/ready HTTP/1.1\r\nHost: h\r\n\r\n")
     head = await reader.readuntil(b"\r\n\r\n")
@@ -193,36 +195,36 @@
 
         old = NodeProcess(config(0), tmp_path)
         assert await old.start("listens on")
-        callers = [Caller(port, f"c{n}") for n in range(8)]
-        load = [asyncio.ensure_future(caller.run()) for caller in callers]
+        clients = [LoadClient(port, f"c{n}") for n in range(8)]
+        load = [asyncio.ensure_future(client.run()) for client in clients]
         seen = 0
 
-        async def more(count: int) -> None:
+        async def served_more(count: int) -> None:
             nonlocal seen
             seen = len(servers[0].heads)
             await servers[0].until(lambda: len(servers[0].heads) >= seen + count)
 
-        await more(50)
+        await served_more(50)
         broken = NodeProcess(config(1, seed="no number"), tmp_path)
         assert not await broken.start("listens on")
-        await more(50)
+        await served_more(50)
         for n in (2, 3, 4):
             new = NodeProcess(config(n), tmp_path)
             assert await new.start("listens on")
             if n == 3:
                 # It has claimed all new connections, and is gone: they go to the old one again.
                 await new.end(signal.SIGKILL)
-                await more(50)
+                await served_more(50)
                 continue
             async with asyncio.timeout(LIMIT):
-                while not await ready(admins[n]):
+                while not await is_ready(admins[n]):
                     await asyncio.sleep(0)
             assert await old.end(signal.SIGTERM) == 0
-            assert any("0 connections left" in line for line in old.said)
+            assert any("0 connections left" in line for line in old.log_lines)
             old = new
-            await more(50)
-        for caller in callers:
-            caller.stop = True
+            await served_more(50)
+        for client in clients:
+            client.stop = True
         await asyncio.gather(*load)
         assert await old.end(signal.SIGTERM) == 0
         for listener in listeners:
@@ -234,16 +236,16 @@
             for line in head.lower().split(b"\r\n")
             if line.startswith(b"x-correlation-id")
         )
-        asked = sum(caller.number for caller in callers)
-        served = sum(caller.ends[200] for caller in callers)
-        assert asked == sum(sum(caller.ends.values()) for caller in callers)
+        asked = sum(client.number for client in clients)
+        served = sum(client.statuses[200] for client in clients)
+        assert asked == sum(sum(client.statuses.values()) for client in clients)
         # No effect twice, and each one that was answered with 200 has happened.
         assert set(ids.values()) == {1} and served <= len(ids) <= asked
         # A process that is killed takes with it what it holds; an upgrade in order does not.
-        assert asked - served <= len(callers)
+        assert asked - served <= len(clients)
 
-    with ExitStack() as held:
-        port = held.enter_context(reserved())
-        # One door for each process; they are held so that no other test is given them meanwhile.
-        admins = [held.enter_context(reserved(socket.SO_REUSEADDR)) for _ in range(5)]
+    with reserved() as port:
+        # An admin address for each process; they are held so that no other test is given them meanwhile.
+        with reserved() as a, reserved() as b, reserved() as c, reserved() as d, reserved() as e:
+            admins = [a, b, c, d, e]
         asyncio.run(play(port, admins))
--- a/tests/test_hollow.py
+++ b/tests/test_hollow.py
@@ -20,13 +20,13 @@
 import msgspec
 import pytest
 
-from hollybay.admin.requests import Call
+from hollybay.admin.requests import AdminRequest
 from hollybay.consensus import messages
 from hollybay.hollow.fleet import FleetFailed, fleet
 from hollybay.hollow.messages import Report, ReportNow, Reset, decode_command
 from hollybay.hollow.node import HollowNode
 from hollybay.hollow.wire import Conversation, MeteredLoop
-from hollybay.proxy.admin_server import Reply
+from hollybay.proxy.admin_server import AdminResponse
 from hollybay.proxy.consensus_member import call
 from hollybay.testbed.loopback import LIMIT, Registry, settings
 
@@ -100,8 +100,12 @@
 class NoNews(HollowNode):
     """Planted: does not take news from keepers, and hears of a change when it renews."""
 
-    def _answer(self, one: Call) -> Reply | Awaitable[Reply]:
-        return Reply(404, "no such call") if one.rest == "know" else super()._answer(one)
+    def _answer(self, request: AdminRequest) -> AdminResponse | Awaitable[AdminResponse]:
+        return (
+            AdminResponse.text(404, "no such call")
+            if request.policy_path == "know"
+            else super()._answer(request)
+        )
 
 
 class NoFetch(HollowNode):
@@ -174,9 +178,9 @@
         while True:
             serving = []
             for keeper in keepers:
-                assert keeper.service is not None and keeper.service.keeping is not None
-                members = keeper.service.keeping.members.values()
-                serving.append({one.name for one in members if one.serving >= epoch})
+                assert keeper.service is not None and keeper.service.acceptor is not None
+                members = keeper.service.acceptor.reports.members.values()
+                serving.append({one.name for one in members if one.serving_epoch >= epoch})
             if all(names <= one for one in serving):
                 return
             await asyncio.sleep(0.02)
--- a/tests/test_lag.py
+++ b/tests/test_lag.py
@@ -10,7 +10,7 @@
 
 from hollybay.balancing import Balancer
 from hollybay.balancing import interface as api
-from hollybay.proxy.downstream.connections import ACCEPT_BATCH
+from hollybay.proxy.downstream.client_context import ACCEPT_BATCH
 from hollybay.testbed.loopback import (
     LIMIT,
     OK,
@@ -96,7 +96,7 @@
                 pass  # the answer is there, the loop is busy with something else
             conn.read_on(True)
             assert b" 200 " in await asking
-            assert 0 < node.node.balancer.learned.base[0] < 100 * MS
+            assert 0 < node.node.balancer.estimates.response_times[0] < 100 * MS
             go.set()
 
     asyncio.run(play())
@@ -185,8 +185,8 @@
         async with running(tmp_path / "c.json", Registry(), server, settings=settings(caps=CAPS)) as node:
             third = node.clients.config.sockets // 3
             asking = [asyncio.ensure_future(node.ask(request("book", rid=f"r-{n}"))) for n in range(third)]
-            await server.until(lambda: len(server.heads) + node.node.tally.refused[2] == third)
-            assert node.node.tally.refused[2]
+            await server.until(lambda: len(server.heads) + node.node.counters.rejected[2] == third)
+            assert node.node.counters.rejected[2]
             # A third of the descriptors is what clients hold: one is always left to hear a request on.
             assert node.node.owed < third
             assert b" 503 " in await node.ask(request("view", rid="v-1"))
--- a/tests/test_learning_in_a_jam.py
+++ b/tests/test_learning_in_a_jam.py
@@ -7,7 +7,7 @@
 import pytest
 
 from hollybay.balancing import interface as api
-from hollybay.balancing.estimates import WORK_FEW
+from hollybay.balancing.estimates import MIN_SERVICE_TIME_SAMPLES
 from hollybay.balancing.state import Server
 from hollybay.testbed.world import MS, SECOND, Node, make_settings
 
@@ -52,23 +52,25 @@
     for node in (calm, jammed):
         play(node, range(200), WORK, WORK)
     play(jammed, range(200, 600), JAM, JAM)
-    assert start_cold(jammed).cold_gap == pytest.approx(start_cold(calm).cold_gap, rel=0.25)
+    assert start_cold(jammed).slow_start_interval == pytest.approx(
+        start_cold(calm).slow_start_interval, rel=0.25
+    )
 
 
 def test_a_queue_at_one_kind_of_machine_does_not_make_it_slow() -> None:
     node = node_of()
     play(node, range(200), WORK, WORK)
-    before = list(node.balancer.learned.slow_of_kind)
+    before = list(node.balancer.estimates.slowdown_by_kind)
     play(node, range(200, 500), JAM, WORK)
-    assert node.balancer.learned.slow_of_kind == pytest.approx(before, rel=0.35)
+    assert node.balancer.estimates.slowdown_by_kind == pytest.approx(before, rel=0.35)
 
 
 def test_the_first_answers_are_learned_in_a_jam_too() -> None:
     """Too much rather than too little: few answers must not set a cold server's budget for long."""
     node = node_of()
     play(node, range(100), JAM, JAM)
-    assert node.balancer.learned.work_seen[0] >= WORK_FEW
-    assert node.balancer.learned.work[0] > 5 * WORK
+    assert node.balancer.estimates.service_time_samples[0] >= MIN_SERVICE_TIME_SAMPLES
+    assert node.balancer.estimates.service_times[0] > 5 * WORK
 
 
 def test_what_a_request_takes_at_a_cold_server_is_learned_in_a_jam() -> None:
@@ -76,14 +78,16 @@
     node = node_of()
     play(node, range(200), WORK, WORK)
     play(node, range(200, 300), JAM, JAM)
-    learned = node.balancer.learned
-    cold, before = start_cold(node), learned.work[0]
+    learned = node.balancer.estimates
+    cold, before = start_cold(node), learned.service_times[0]
     for _ in range(20):
-        learned.learn_work(cold, 0, int(3 * WORK / cold.warmth), beside=0, stale=False)
-    assert learned.work[0] > 1.3 * before
+        learned.observe_service_time(
+            cold, 0, int(3 * WORK / cold.slow_start_factor), in_flight=0, stale=False
+        )
+    assert learned.service_times[0] > 1.3 * before
 
 
 def test_where_lists_tell_loads_they_alone_are_asked() -> None:
     node = node_of(api.WeightMode.LIVE)
     play(node, range(100), JAM, JAM)
-    assert node.balancer.learned.queue == 0.0
+    assert node.balancer.estimates.mean_server_load == 0.0
--- a/tests/test_limits_module.py
+++ b/tests/test_limits_module.py
@@ -126,15 +126,15 @@
 
 def test_budgets_of_routes_that_are_gone_are_forgotten() -> None:
     node = node_of()
-    for n in range(budgets.BUDGETS + 50):
+    for n in range(budgets.MAX_BUDGETS + 50):
         node.ask(n, READ, limits=api.Limits(retry_share=0.5, budget=f"r{n}"))
-    assert len(node.balancer.repeats.routes.saved) == budgets.BUDGETS
-    assert "r0" not in node.balancer.repeats.routes.saved
+    assert len(node.balancer.retry_policy.route_budgets.tokens) == budgets.MAX_BUDGETS
+    assert "r0" not in node.balancer.retry_policy.route_budgets.tokens
 
 
 def test_a_refusal_tells_a_time_within_the_routes_range() -> None:
     node = node_of(max_retry_after=9 * SECOND)
-    node.balancer.admission.shed_class = [1.0] * len(node.balancer.admission.shed_class)
+    node.balancer.load_shedder.shed_by_class = [1.0] * len(node.balancer.load_shedder.shed_by_class)
     told = set()
     for n in range(100):
         (refusal,) = node.ask(n, READ, limits=api.Limits(retry_after=(SECOND, 3 * SECOND)))
--- a/tests/test_other_customers.py
+++ b/tests/test_other_customers.py
@@ -11,7 +11,8 @@
 from hypothesis import strategies as st
 
 from hollybay.balancing import interface as api
-from hollybay.proxy.config import SECOND, settings_of
+from hollybay.proxy.config import settings_from_json
+from hollybay.proxy.units import SECOND
 from hollybay.proxy.upstream.pools import DRAIN_GRACE_PART
 from hollybay.testbed.loopback import Backend, Registry, request, running
 from hollybay.testbed.world import MS
@@ -90,7 +91,7 @@
 @given(deployments())
 @settings(max_examples=60)
 def test_each_figure_of_the_settings_is_in_force(given_: dict[str, Any]) -> None:
-    taken = settings_of(given_)
+    taken = settings_from_json(given_)
     caps, rules = given_["caps"], given_["rules"]
     assert [c.name for c in taken.classes] == [c["name"] for c in given_["categories"]]
     for cls, line in zip(taken.classes, given_["categories"], strict=True):
@@ -121,7 +122,7 @@
 def test_the_rules_hold_and_names_decide_nothing(given_: dict[str, Any], seed: int) -> None:
     """The walk asserts the four rules with the figures of these settings at every step; under other names the
     same events lead to the same actions."""
-    taken = replace(settings_of(given_), zones=2, kinds=3, answer_grace=16 * MS)
+    taken = replace(settings_from_json(given_), zones=2, kinds=3, answer_grace=16 * MS)
     renamed = replace(
         taken,
         classes=tuple(replace(c, name=f"class {n}") for n, c in enumerate(taken.classes)),
@@ -135,7 +136,7 @@
 def test_further_attempts_of_keyed_requests_carry_the_end_of_their_own_window(
     given_: dict[str, Any], seed: int
 ) -> None:
-    taken = replace(settings_of(given_), zones=2, kinds=3, answer_grace=16 * MS, max_attempts=4)
+    taken = replace(settings_from_json(given_), zones=2, kinds=3, answer_grace=16 * MS, max_attempts=4)
     node = walk(seed, taken, steps=60)
     sends = [action for action in node.actions if isinstance(action, api.Send)]
     for send in sends:
--- a/tests/test_outliers.py
+++ b/tests/test_outliers.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from hollybay.balancing.outlier_shares import LEAST_SHARE, Shares
+from hollybay.balancing.outlier_shares import MIN_SHARE, OutlierShares
 
 WEIGHT = 0.05
 MOVES = st.lists(st.tuples(st.integers(0, 8), st.booleans()), max_size=200)
@@ -14,24 +14,24 @@
 
 @given(st.integers(1, 9), MOVES)
 def test_the_median_is_that_of_all_others(count: int, moves: list[tuple[int, bool]]) -> None:
-    shares, plain = Shares(count), [0.0] * count
+    shares, plain = OutlierShares(count), [0.0] * count
     for drawn, rejected in moves:
         member = drawn % count
         plain[member] += WEIGHT * (float(rejected) - plain[member])
-        assert shares.move(member, float(rejected), WEIGHT) == pytest.approx(plain[member], abs=LEAST_SHARE)
+        assert shares.update(member, float(rejected), WEIGHT) == pytest.approx(plain[member], abs=MIN_SHARE)
         for one in range(count):
             others = sorted(share for other, share in enumerate(plain) if other != one)
             middle = others[len(others) // 2] if others else 0.0
-            assert shares.median_of_others(one) == pytest.approx(middle, abs=LEAST_SHARE)
+            assert shares.median_of_others(one) == pytest.approx(middle, abs=MIN_SHARE)
 
 
 def test_only_members_with_a_share_are_kept_and_one_that_has_faded_is_forgotten() -> None:
-    shares = Shares(300_000)
+    shares = OutlierShares(300_000)
     for member in range(300_000):
-        assert shares.move(member, 0.0, WEIGHT) == 0.0
-    assert not shares._above
-    shares.move(7, 1.0, WEIGHT)
-    assert list(shares._above) == [7] and shares.median_of_others(8) == 0.0
+        assert shares.update(member, 0.0, WEIGHT) == 0.0
+    assert not shares._nonzero
+    shares.update(7, 1.0, WEIGHT)
+    assert list(shares._nonzero) == [7] and shares.median_of_others(8) == 0.0
     for _ in range(300):
-        shares.move(7, 0.0, WEIGHT)
-    assert not shares._above
+        shares.update(7, 0.0, WEIGHT)
+    assert not shares._nonzero
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -7,12 +7,12 @@
 import signal
 from pathlib import Path
 
-from hollybay.proxy.__main__ import serve
 from hollybay.proxy.config import load
+from hollybay.proxy.life_cycle import serve
 from hollybay.testbed.loopback import LIMIT, Backend, Registry, request, running, write_config
 
 
-def test_the_watch_moves_to_the_new_discovery(tmp_path: Path) -> None:
+def test_the_watch_continues_at_the_new_discovery(tmp_path: Path) -> None:
     async def play() -> None:
         old, new = Registry(version=900), Registry(version=3)
         first, second = Backend("s-1"), Backend("s-2")
@@ -22,7 +22,7 @@
             await second.start()
             new.tell(second)
             write_config(node.path, new)
-            node.discovery.move(load({"BALANCER_CONFIG": str(node.path)}).discovery)
+            node.discovery.change_address(load({"BALANCER_CONFIG": str(node.path)}).discovery)
             # The versions of the two do not count alike: the first call must ask for the whole list.
             await new.until(lambda: new.calls >= 2)
             assert list(node.node.balancer.servers) == ["s-2"]
--- a/tests/test_resource_plan.py
+++ b/tests/test_resource_plan.py
@@ -14,22 +14,27 @@
 
 from hollybay.balancing import interface as api
 from hollybay.resources.batch import assemble
-from hollybay.resources.model import Change, ChangeRefused, Delete, Key, Kind, Operation, Problem, Upsert
+from hollybay.resources.model import (
+    Change,
+    ChangeRejectedError,
+    Delete,
+    Key,
+    Kind,
+    Operation,
+    Problem,
+    Upsert,
+)
 from hollybay.resources.state import EMPTY, ResourceState
-from hollybay.routing import tree
-from hollybay.routing.admission_control import Gate
-from hollybay.routing.limits import Effective
-from hollybay.routing.policy_intersection import Narrow
+from hollybay.routing import persistent_map
+from hollybay.routing.admission_control import AdmissionControl
+from hollybay.routing.compiled_policy import CompiledPolicy, Rejection
+from hollybay.routing.incremental_policy import IncrementalPolicy
+from hollybay.routing.limits import EffectiveLimits
+from hollybay.routing.policy_compiler import compile_tables
+from hollybay.routing.policy_intersection import PolicyIntersection
+from hollybay.routing.policy_update import MAX_PROBLEMS, Validator, compile_state, update_policy
 from hollybay.routing.problems import OperatorError
-from hollybay.routing.resource_route_table import (
-    MAX_PROBLEMS,
-    ResourcePlan,
-    Validator,
-    plan_after,
-    plan_of_state,
-)
 from hollybay.routing.resource_tables import DEFAULTS, PATHS, encode_table, tables_of
-from hollybay.routing.route_table import Denied, Plan, compile_plan
 from hollybay.routing.schema import (
     ClassTable,
     HeaderTable,
@@ -163,7 +168,7 @@
     for _ in range(draw(st.integers(1, 4))):
         kind = draw(
             st.sampled_from(
-                [Kind.ROUTE] * 6 + [Kind.CLASS, Kind.TENANT, Kind.DEFAULTS, Kind.PATHS, Kind.SERVER_OUT]
+                [Kind.ROUTE] * 6 + [Kind.CLASS, Kind.TENANT, Kind.DEFAULTS, Kind.PATHS, Kind.DRAINED_SERVER]
             )
         )
         body: bytes | None
@@ -185,7 +190,7 @@
         fate = draw(st.integers(0, 39))
         if fate < 9:
             body = None
-        elif fate == 9 and kind is not Kind.SERVER_OUT:
+        elif fate == 9 and kind is not Kind.DRAINED_SERVER:
             body = draw(st.sampled_from([b"", b"\x81\xa3foo\x01", b"\x90", b"\xc1"]))
         wanted[key] = body
     return wanted
@@ -245,17 +250,17 @@
     return Change(b"%016d" % number, state.revision, "test", "somebody", ops) if ops else None
 
 
-def answers(plan: Plan, questions: list[Ask]) -> list[Effective | Denied | None]:
-    return [plan.apply(ask.method, ask.path, ask.given) for ask in questions]
+def answers(plan: CompiledPolicy, questions: list[Ask]) -> list[EffectiveLimits | Rejection | None]:
+    return [plan.resolve(ask.method, ask.path, ask.given) for ask in questions]
 
 
-def fresh(state: ResourceState) -> Plan | list[tuple[str, str]] | None:
+def fresh(state: ResourceState) -> CompiledPolicy | list[tuple[str, str]] | None:
     """The whole compile of a state; where it is refused, what it tells; None: a body holds no table."""
     try:
-        return compile_plan(tables_of(state), SETTINGS)
+        return compile_tables(tables_of(state), SETTINGS)
     except OperatorError as error:
         return [(problem.table, problem.reason_with_value) for problem in error.problems]
-    except ChangeRefused:
+    except ChangeRejectedError:
         return None
 
 
@@ -272,16 +277,22 @@
     return table
 
 
-def same(plan: ResourcePlan, whole: Plan, questions: list[Ask]) -> None:
+def same(plan: IncrementalPolicy, whole: CompiledPolicy, questions: list[Ask]) -> None:
     assert answers(plan, questions) == answers(whole, questions)
-    assert {r.name: r for r in plan.routes} == {r.name: r for r in whole.routes} == dict(plan.by_name.items())
-    assert plan.headers == whole.headers and plan.reading == whole.reading
-    assert plan.by_class == whole.by_class and plan.bare == whole.bare
-    assert plan.scopes() == whole.scopes() and plan.tenanted == whole.tenanted
+    assert (
+        {r.name: r for r in plan.routes}
+        == {r.name: r for r in whole.routes}
+        == dict(plan.routes_by_name.items())
+    )
+    assert plan.inspected_headers == whole.inspected_headers and plan.path_options == whole.path_options
+    assert plan.class_limits == whole.class_limits and plan.is_empty == whole.is_empty
+    assert plan.scopes() == whole.scopes() and plan.has_tenant_limits == whole.has_tenant_limits
     assert all(plan.has_scope(scope) and whole.has_scope(scope) for scope in whole.scopes())
-    assert [plan.tenant(name) for name in TENANTS] == [whole.tenant(name) for name in TENANTS]
+    assert [plan.tenant_limits(name) for name in TENANTS] == [whole.tenant_limits(name) for name in TENANTS]
     for number in range(len(CLASSES)):
-        assert set(plan.dependents[number]) == {r.name for r in whole.routes if number in r.limits}
+        assert set(plan.route_names_by_class[number]) == {
+            r.name for r in whole.routes if number in r.limits_by_class
+        }
 
 
 def refused_alike(problems: tuple[Problem, ...], told: list[tuple[str, str]], changed: set[str]) -> None:
@@ -315,45 +326,45 @@
 def test_a_plan_after_changes_is_that_of_a_whole_compile(copied: int) -> None:
     """copied: entries of the largest container that is a dict."""
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(tree, "MAX_COPIED", copied)
+        patch.setattr(persistent_map, "MAX_COPIED", copied)
         _play_changes()
 
 
 @settings(max_examples=100)
 @given(st.lists(edits(), min_size=1, max_size=12), asks)
 def _play_changes(steps: list[dict[Key, bytes | None]], questions: list[Ask]) -> None:
-    state, plan = EMPTY, plan_of_state(EMPTY, SETTINGS)
+    state, plan = EMPTY, compile_state(EMPTY, SETTINGS)
     for number, wanted in enumerate(steps):
         made = change(state, number, wanted)
         if made is None:
             continue
-        after = state.applied([made], state.revision + 1)
+        after = state.with_batch([made], state.revision + 1)
         changed = [operation.key for operation in made.operations]
         whole = fresh(after)
         before = answers(plan, questions)
-        kept = {route.name: dict(route.limits) for route in plan.routes}
+        kept = {route.name: dict(route.limits_by_class) for route in plan.routes}
         try:
-            new = plan_after(plan, after, changed, SETTINGS)
-        except ChangeRefused as error:
-            assert not isinstance(whole, Plan)
+            new = update_policy(plan, after, changed, SETTINGS)
+        except ChangeRejectedError as error:
+            assert not isinstance(whole, CompiledPolicy)
             names = {str(key) for key in changed}
             if whole is None:
                 assert {problem.resource for problem in error.problems} & names
             else:
                 refused_alike(error.problems, whole, names)
-            with pytest.raises(ChangeRefused):
-                plan_of_state(after, SETTINGS)
+            with pytest.raises(ChangeRejectedError):
+                compile_state(after, SETTINGS)
         else:
-            assert isinstance(whole, Plan), whole
+            assert isinstance(whole, CompiledPolicy), whole
             same(new, whole, questions)
-            same(plan_of_state(after, SETTINGS), whole, questions)
+            same(compile_state(after, SETTINGS), whole, questions)
             for route in new.routes:
-                for cls, one in route.limits.items():
+                for cls, one in route.limits_by_class.items():
                     old = kept.get(route.name, {}).get(cls)
                     assert one is old or one != old  # what did not change is the same object
             # The old plan goes on as it was.
             assert all(one is two for one, two in zip(before, answers(plan, questions), strict=True)) or any(
-                isinstance(one, Denied) for one in before
+                isinstance(one, Rejection) for one in before
             )
             same(plan, fresh(state), questions)  # type: ignore[arg-type]
             state, plan = after, new
@@ -384,14 +395,14 @@
 )
 
 
-def counted(gate: Gate) -> dict[str, object]:
+def counted(gate: AdmissionControl) -> dict[str, object]:
     return {
         scope: (
             state.in_flight,
-            state.by,
-            {key: (bucket.tokens, bucket.at) for key, bucket in state.buckets.items()},
+            state.key_kind,
+            {key: (bucket.tokens, bucket.updated_at) for key, bucket in state.buckets.items()},
         )
-        for scope, state in gate.states.items()
+        for scope, state in gate.counters.items()
     }
 
 
@@ -399,9 +410,9 @@
 class Held:
     """A request in flight: its limits at each gate, and what they were when it began."""
 
-    one: Effective
-    other: Effective
-    at_first: Effective
+    one: EffectiveLimits
+    other: EffectiveLimits
+    at_first: EffectiveLimits
 
 
 @settings(max_examples=120)
@@ -411,9 +422,9 @@
     limits = LimitsTable(in_flight=2, rate=RateTable(per_second=1.0, burst=4))
     tenant = (Key(Kind.TENANT, "t0"), TenantTable(limits=TenantLimitsTable(in_flight=3)))
     state = state_of(tenant, *(route(name, path=path, limits=limits) for name, path in FIRST))
-    plan = plan_of_state(state, SETTINGS)
-    whole = compile_plan(tables_of(state), SETTINGS)
-    one, other = Gate(plan, 1, SECOND), Gate(whole, 1, SECOND)
+    plan = compile_state(state, SETTINGS)
+    whole = compile_tables(tables_of(state), SETTINGS)
+    one, other = AdmissionControl(plan, 1, SECOND), AdmissionControl(whole, 1, SECOND)
     held: list[Held] = []
     now = SECOND
     for number, step in enumerate(steps):
@@ -422,18 +433,18 @@
             made = change(state, number + 1, step if isinstance(step, dict) else step[1])  # type: ignore[index]
             if made is None:
                 continue
-            after = state.applied([made], state.revision + 1)
+            after = state.with_batch([made], state.revision + 1)
             try:
-                new = plan_after(plan, after, [o.key for o in made.operations], SETTINGS)
-            except ChangeRefused:
+                new = update_policy(plan, after, [o.key for o in made.operations], SETTINGS)
+            except ChangeRejectedError:
                 continue
-            new_whole = compile_plan(tables_of(after), SETTINGS)
+            new_whole = compile_tables(tables_of(after), SETTINGS)
             if isinstance(step, dict):
-                one.take_over(new)
-                other.take_over(new_whole)
+                one.replace_policy(new)
+                other.replace_policy(new_whole)
             else:
-                one.take_over(Narrow(plan, new, SETTINGS))
-                other.take_over(Narrow(whole, new_whole, SETTINGS))
+                one.replace_policy(PolicyIntersection(plan, new, SETTINGS))
+                other.replace_policy(PolicyIntersection(whole, new_whole, SETTINGS))
             state, plan, whole = after, new, new_whole
         elif step[0] == "begin":  # type: ignore[index]
             _, ask, tenant = step  # type: ignore[misc]
@@ -441,29 +452,31 @@
         elif held:
             request = held.pop(step[1] % len(held))  # type: ignore[index]
             assert request.one == request.at_first
-            one.done(request.one)
-            other.done(request.other)
-        assert counted(one) == counted(other) and one.turned_away == other.turned_away
+            one.release(request.one)
+            other.release(request.other)
+        assert counted(one) == counted(other) and one.rejected == other.rejected
     for request in held:
-        one.done(request.one)
-        other.done(request.other)
-    one.take_over(plan)
-    other.take_over(whole)
-    assert counted(one) == counted(other) and one.turned_away == other.turned_away
-    assert all(plan.has_scope(scope) for scope in {*one.states, *one.turned_away}) and not one.strays
-
-
-def _begin(one: Gate, other: Gate, ask: Ask, tenant: int, now: int, held: list[Held]) -> None:
-    found = [gate.plan.apply(ask.method, ask.path, ask.given) for gate in (one, other)]
+        one.release(request.one)
+        other.release(request.other)
+    one.replace_policy(plan)
+    other.replace_policy(whole)
+    assert counted(one) == counted(other) and one.rejected == other.rejected
+    assert all(plan.has_scope(scope) for scope in {*one.counters, *one.rejected}) and not one.orphaned_scopes
+
+
+def _begin(
+    one: AdmissionControl, other: AdmissionControl, ask: Ask, tenant: int, now: int, held: list[Held]
+) -> None:
+    found = [gate.policy.resolve(ask.method, ask.path, ask.given) for gate in (one, other)]
     assert type(found[0]) is type(found[1])
-    if not isinstance(found[0], Effective) or not isinstance(found[1], Effective):
+    if not isinstance(found[0], EffectiveLimits) or not isinstance(found[1], EffectiveLimits):
         assert found[0] == found[1]
         return
     under = []
     for gate, answer in zip((one, other), found, strict=True):
-        assert isinstance(answer, Effective)
-        if gate.tenanted and tenant >= 0:
-            answer = gate.with_tenant(answer, TENANTS[tenant])
+        assert isinstance(answer, EffectiveLimits)
+        if gate.has_tenant_limits and tenant >= 0:
+            answer = gate.with_tenant_limits(answer, TENANTS[tenant])
         under.append(answer)
     waits = [
         gate.admit(answer, tenant, ask.given, now) for gate, answer in zip((one, other), under, strict=True)
@@ -475,7 +488,7 @@
 
 def state_of(*tables: tuple[Key, object]) -> ResourceState:
     ops = tuple(Upsert(key.kind, key.name, 0, encode_table(table)) for key, table in tables)  # type: ignore[arg-type]
-    return EMPTY.applied([Change(b"0" * 16, 0, "test", "somebody", ops)], 1)
+    return EMPTY.with_batch([Change(b"0" * 16, 0, "test", "somebody", ops)], 1)
 
 
 def route(name: str, **fields: object) -> tuple[Key, RouteTable]:
@@ -485,7 +498,7 @@
 def test_a_bad_change_is_refused_alone_in_a_batch_by_what_its_tables_say() -> None:
     key, table = route("a", path=PathTable(prefix="/view/a"))
     state = state_of((key, table))
-    validator = Validator(plan_of_state(state, SETTINGS), SETTINGS)
+    validator = Validator(compile_state(state, SETTINGS), SETTINGS)
     good = change(
         state, 1, {Key(Kind.ROUTE, "b"): encode_table(route("b", path=PathTable(prefix="/view/b"))[1])}
     )
@@ -503,21 +516,21 @@
     found = assemble(state, [good, bad, first, late], validator)
     assert [one.id for one in found.batch.changes] == [good.id, first.id]
     assert [
-        (one.id, error.problems[0].resource, error.problems[0].field) for one, error in found.refused
+        (one.id, error.problems[0].resource, error.problems[0].field) for one, error in found.rejected
     ] == [
         (bad.id, "route 'c'", "path"),
         (late.id, "route 'e'", "path"),
     ]
-    assert "overlaps route 'a'" in found.refused[0][1].problems[0].reason
-    assert set(validator.plan.by_name) == {"a", "b", "d"}
-    assert validator.plan.scopes() == plan_of_state(found.state, SETTINGS).scopes()
+    assert "overlaps route 'a'" in found.rejected[0][1].problems[0].reason
+    assert set(validator.policy.routes_by_name) == {"a", "b", "d"}
+    assert validator.policy.scopes() == compile_state(found.state, SETTINGS).scopes()
 
 
 def test_a_change_that_is_wrong_all_over_is_refused_with_so_many_problems_and_no_more() -> None:
     bad = [route(f"r{n}", path=PathTable(prefix="/view/a")) for n in range(3000)]
     bad += [route(f"s{n}", path=PathTable(prefix=f"/else/{n}")) for n in range(300)]
-    with pytest.raises(ChangeRefused) as caught:
-        plan_of_state(state_of(*bad), SETTINGS)
+    with pytest.raises(ChangeRejectedError) as caught:
+        compile_state(state_of(*bad), SETTINGS)
     assert len(caught.value.problems) == MAX_PROBLEMS + 1
     assert "further problems" in caught.value.problems[-1].reason
 
@@ -526,7 +539,7 @@
     state = state_of(
         route("a", path=PathTable(prefix="/view/a")), route("b", path=PathTable(prefix="/view/b"))
     )
-    plan = plan_of_state(state, SETTINGS)
+    plan = compile_state(state, SETTINGS)
     swap = change(
         state,
         1,
@@ -536,8 +549,8 @@
         },
     )
     assert swap is not None
-    after = plan_after(plan, state.applied([swap], 2), [o.key for o in swap.operations], SETTINGS)
-    assert [p.apply(b"GET", b"/view/a", {}).scope for p in (plan, after)] == ["a", "b"]  # type: ignore[union-attr]
+    after = update_policy(plan, state.with_batch([swap], 2), [o.key for o in swap.operations], SETTINGS)
+    assert [p.resolve(b"GET", b"/view/a", {}).scope for p in (plan, after)] == ["a", "b"]  # type: ignore[union-attr]
 
 
 def test_a_change_of_a_class_or_of_the_defaults_meets_the_routes_that_inherit_it() -> None:
@@ -547,80 +560,80 @@
         route("none", path=PathTable(prefix="/view/none")),
         route("other", path=PathTable(prefix="/send/x")),
     )
-    plan = plan_of_state(state, SETTINGS)
+    plan = compile_state(state, SETTINGS)
     table = ClassTable(limits=LimitsTable(attempt_timeout=150 * MS))
     wanted = change(state, 1, {Key(Kind.CLASS, "view"): encode_table(table)})
     assert wanted is not None
-    with pytest.raises(ChangeRefused) as caught:
-        plan_after(plan, state.applied([wanted], 2), [Key(Kind.CLASS, "view")], SETTINGS)
+    with pytest.raises(ChangeRejectedError) as caught:
+        update_policy(plan, state.with_batch([wanted], 2), [Key(Kind.CLASS, "view")], SETTINGS)
     (problem,) = caught.value.problems
     assert (problem.resource, problem.field) == ("class 'view'", "limits.attempt_timeout")
     assert "in force for [route 'own'.limits]" in problem.reason
     good = change(state, 1, {DEFAULTS: encode_table(LimitsTable(in_flight=3))})
     assert good is not None
-    after = plan_after(plan, state.applied([good], 2), [DEFAULTS], SETTINGS)
-    assert [after.by_name[name].limits[0].in_flight for name in ("own", "none")] == [3, 3]
-    assert after.by_class[1].in_flight == 3 and plan.by_class[1].in_flight == 0
+    after = update_policy(plan, state.with_batch([good], 2), [DEFAULTS], SETTINGS)
+    assert [after.routes_by_name[name].limits_by_class[0].max_in_flight for name in ("own", "none")] == [3, 3]
+    assert after.class_limits[1].max_in_flight == 3 and plan.class_limits[1].max_in_flight == 0
 
 
 @pytest.mark.parametrize("count", [200, 2000])
 def test_one_changed_route_makes_few_new_nodes(count: int) -> None:
     """The cost is told by what is shared, not by time: all routes but one are the same objects."""
     state = state_of(*(route(f"r{n}", path=PathTable(exact=f"/view/x/{n}")) for n in range(count)))
-    plan = plan_of_state(state, SETTINGS)
+    plan = compile_state(state, SETTINGS)
     key, table = route("r7", path=PathTable(exact="/view/x/7"), limits=LimitsTable(in_flight=2))
     made = change(state, 1, {key: encode_table(table)})
     assert made is not None
-    after = plan_after(plan, state.applied([made], 2), [key], SETTINGS)
-    assert plan.matcher.any is not None and after.matcher.any is not None
-    old, new = (p.matcher.any.literal["view"].literal["x"].literal for p in (plan, after))  # type: ignore[union-attr]
+    after = update_policy(plan, state.with_batch([made], 2), [key], SETTINGS)
+    assert plan.matcher.any_host is not None and after.matcher.any_host is not None
+    old, new = (p.matcher.any_host.literals["view"].literals["x"].literals for p in (plan, after))  # type: ignore[union-attr]
     assert isinstance(new, dict) is (count <= 256)
     assert [name for name in new if new[name] is not old[name]] == ["7"]
-    assert list(after.gone_since(plan) or ()) == [] and plan.gone_since(after) is None
+    assert list(after.scopes_removed_since(plan) or ()) == [] and plan.scopes_removed_since(after) is None
 
 
 def test_counts_of_a_route_that_went_end_with_its_last_request() -> None:
     limits = LimitsTable(in_flight=2, rate=RateTable(per_second=1.0, burst=4))
     state = state_of(route("r", path=PathTable(prefix="/view/r"), limits=limits))
-    plan = plan_of_state(state, SETTINGS)
-    gate = Gate(plan, 1, 0)
-    begun = plan.apply(b"GET", b"/view/r", {})
-    assert isinstance(begun, Effective) and gate.admit(begun, 0, {}, SECOND) is None
+    plan = compile_state(state, SETTINGS)
+    gate = AdmissionControl(plan, 1, 0)
+    begun = plan.resolve(b"GET", b"/view/r", {})
+    assert isinstance(begun, EffectiveLimits) and gate.admit(begun, 0, {}, SECOND) is None
     gone = change(state, 1, {Key(Kind.ROUTE, "r"): None})
     assert gone is not None
-    state = state.applied([gone], 2)
-    without = plan_after(plan, state, [Key(Kind.ROUTE, "r")], SETTINGS)
-    gate.take_over(without)
-    assert gate.states["r"].in_flight == 1
-    gate.done(begun)
-    assert not gate.states
+    state = state.with_batch([gone], 2)
+    without = update_policy(plan, state, [Key(Kind.ROUTE, "r")], SETTINGS)
+    gate.replace_policy(without)
+    assert gate.counters["r"].in_flight == 1
+    gate.release(begun)
+    assert not gate.counters
     # One whose head came before the change, and whose body came after it, counts until it is over, and what
     # it leaves goes with the next change.
-    assert gate.admit(begun, 0, {}, SECOND) is None and gate.states["r"].in_flight == 1
+    assert gate.admit(begun, 0, {}, SECOND) is None and gate.counters["r"].in_flight == 1
     other = change(state, 2, {Key(Kind.TENANT, "t"): encode_table(TenantTable())})
     assert other is not None
-    later = plan_after(without, state.applied([other], 3), [Key(Kind.TENANT, "t")], SETTINGS)
-    gate.take_over(later)
-    gate.done(begun)
-    assert not gate.states
-    rate_only = replace(begun, in_flight=0)
-    assert gate.admit(rate_only, 0, {}, SECOND) is None and list(gate.states) == ["r"]
-    gate.take_over(plan_after(later, state.applied([other], 3), [], SETTINGS))
-    assert not gate.states and not gate.strays
+    later = update_policy(without, state.with_batch([other], 3), [Key(Kind.TENANT, "t")], SETTINGS)
+    gate.replace_policy(later)
+    gate.release(begun)
+    assert not gate.counters
+    rate_only = replace(begun, max_in_flight=0)
+    assert gate.admit(rate_only, 0, {}, SECOND) is None and list(gate.counters) == ["r"]
+    gate.replace_policy(update_policy(later, state.with_batch([other], 3), [], SETTINGS))
+    assert not gate.counters and not gate.orphaned_scopes
 
 
 def test_a_plan_knows_what_went_away_since_the_last_ones() -> None:
     state = state_of(*(route(f"r{n}", path=PathTable(exact=f"/view/{n}")) for n in range(70)))
-    plans = [plan_of_state(state, SETTINGS)]
+    plans = [compile_state(state, SETTINGS)]
     for n in range(70):
         key = Key(Kind.ROUTE, f"r{n}")
         made = change(state, n + 1, {key: None})
         assert made is not None
-        state = state.applied([made], state.revision + 1)
-        plans.append(plan_after(plans[-1], state, [key], SETTINGS))
-    assert sorted(plans[-1].gone_since(plans[-4]) or ()) == ["r67", "r68", "r69"]
-    assert plans[-1].gone_since(plans[0]) is None  # so long ago that nobody knows
-    assert plans[-1].gone_since(compile_plan(tables_of(state), SETTINGS)) is None
+        state = state.with_batch([made], state.revision + 1)
+        plans.append(update_policy(plans[-1], state, [key], SETTINGS))
+    assert sorted(plans[-1].scopes_removed_since(plans[-4]) or ()) == ["r67", "r68", "r69"]
+    assert plans[-1].scopes_removed_since(plans[0]) is None  # so long ago that nobody knows
+    assert plans[-1].scopes_removed_since(compile_tables(tables_of(state), SETTINGS)) is None
 
 
 def test_tables_are_msgspec_structs_all_the_way() -> None:
--- a/tests/test_resource_tables.py
+++ b/tests/test_resource_tables.py
@@ -10,7 +10,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from hollybay.resources.model import Change, ChangeRefused, Delete, Key, Kind, Upsert
+from hollybay.resources.model import Change, ChangeRejectedError, Delete, Key, Kind, Upsert
 from hollybay.resources.state import EMPTY, ResourceState
 from hollybay.routing.resource_tables import (
     decode_body,
@@ -35,7 +35,7 @@
 def problems(key: Key, data: Any) -> list[tuple[str, str]]:
     """Field and reason of all that is wrong with a body of these plain values."""
     body = data if isinstance(data, bytes) else msgspec.msgpack.encode(data)
-    with pytest.raises(ChangeRefused) as caught:
+    with pytest.raises(ChangeRejectedError) as caught:
         decode_body(key, body)
     assert all(problem.resource == str(key) for problem in caught.value.problems)
     return [(problem.field, problem.reason) for problem in caught.value.problems]
@@ -104,7 +104,7 @@
         (ROUTE, {"name": "a", "\n": 1}, "'\\n'"),
         (KINDS[Kind.TENANT], {"limits": {"body": 1}}, "limits.body"),
         (KINDS[Kind.PATHS], {"encoded_slash": "yes"}, "encoded_slash"),
-        (Key(Kind.SERVER_OUT, "s"), b"\x80", "body"),
+        (Key(Kind.DRAINED_SERVER, "s"), b"\x80", "body"),
         (ROUTE, b"\x80" * (17 << 10), "body"),
     ],
 )
@@ -117,7 +117,7 @@
 def test_no_bytes_raise_anything_else(key: Key, body: bytes) -> None:
     try:
         table = decode_body(key, body)
-    except ChangeRefused:
+    except ChangeRejectedError:
         return
     assert table is not None and encode_table(table) == body
 
@@ -147,7 +147,7 @@
     if not ops:
         return state
     change = Change(b"%016d" % state.revision, state.revision, "test", "somebody", ops)
-    return state.applied([change], state.revision + 1)
+    return state.with_batch([change], state.revision + 1)
 
 
 FILE = """
@@ -182,7 +182,7 @@
 
 
 def test_the_difference_to_a_file_touches_what_differs_and_no_server() -> None:
-    state = applied(EMPTY, {**resources_of(read(FILE)), Key(Kind.SERVER_OUT, "s-1"): b""})
+    state = applied(EMPTY, {**resources_of(read(FILE)), Key(Kind.DRAINED_SERVER, "s-1"): b""})
     new = FILE.replace('"200ms"', '"100ms"').replace('[paths]\nempty_segments = "keep"\n', "")
     new = new.replace('name = "a"', 'name = "c"')
     wanted = resources_of(read(new))
@@ -194,10 +194,10 @@
         (Upsert, "route 'c'"),
     ]
     after = applied(state, wanted)
-    assert resources_of(tables_of(after)) == wanted and after.get(Kind.SERVER_OUT, "s-1") is not None
+    assert resources_of(tables_of(after)) == wanted and after.get(Kind.DRAINED_SERVER, "s-1") is not None
 
 
 def test_a_file_with_one_name_twice_makes_no_resources() -> None:
     tables = read('[[route]]\nname = "a"\n[[route]]\nname = "a"\npath.prefix = "/x"\n')
-    with pytest.raises(ChangeRefused, match="another route has it"):
+    with pytest.raises(ChangeRejectedError, match="another route has it"):
         resources_of(tables)
--- a/tests/test_resource_wire.py
+++ b/tests/test_resource_wire.py
@@ -29,7 +29,7 @@
     random.Random(seed).shuffle(keys)
     operations = tuple(Upsert(kind, name, 0, bodies[kind, name]) for kind, name in keys)
     change = Change(blake2b(digest_size=16).digest(), 0, "why", "who", operations)
-    return EMPTY.applied([change], 1)
+    return EMPTY.with_batch([change], 1)
 
 
 @given(NAMES, st.integers(0, 99))
@@ -57,5 +57,9 @@
     except WireError:
         return
     # The revision alone is not part of the digest; the accord's log compares it with its entry's version.
-    assert (found.resources, found.decided, found.ids_at) == (state.resources, state.decided, state.ids_at)
+    assert (found.resources, found.revision_by_change_id, found.change_ids_by_revision) == (
+        state.resources,
+        state.revision_by_change_id,
+        state.change_ids_by_revision,
+    )
     assert found.revision != state.revision
