--- a/tests/test_tier_scenes.py
+++ b/tests/test_tier_scenes.py
@@ -229,6 +229,8 @@
         cwd=ROOT,
         stdout=subprocess.DEVNULL,
         stderr=subprocess.DEVNULL,
+        # A shell starts what runs in its background with SIGINT ignored, and that is inherited.
+        preexec_fn=lambda: signal.signal(signal.SIGINT, signal.SIG_DFL),
     )
     limit = time.monotonic() + 60.0
     mine: set[int] = set()
