--- a/hollybay/mutation/planted.py
+++ b/hollybay/mutation/planted.py
@@ -28,7 +28,7 @@
 POOL_BUILDER = "hollybay/balancing/pool_builder.py"
 RETRIES = "hollybay/balancing/retries.py"
 SLOW_START = "hollybay/balancing/slow_start.py"
-NODE = "hollybay/proxy/exchange.py"
+REQUEST_DISPATCHER = "hollybay/proxy/request_dispatcher.py"
 POOLS = "hollybay/proxy/upstream/pools.py"
 ATTEMPT = "hollybay/proxy/upstream/attempt.py"
 SERVER_CONNECTION = "hollybay/proxy/upstream/connection.py"
@@ -130,28 +130,33 @@
     # The node
     Defect(
         "expires-late",
-        NODE,
-        "request.timer = self.loop.call_later(time_left / 1e9, self._expire, request)",
-        "request.timer = self.loop.call_later(time_left / 1e9 + 2, self._expire, request)",
+        REQUEST_DISPATCHER,
+        "request.timer = self.loop.call_later(time_left / SECOND, self._expire, request)",
+        "request.timer = self.loop.call_later(time_left / SECOND + 2, self._expire, request)",
     ),
     Defect(
         "forgets-nothing",
-        NODE,
-        "        if request.done and not request.out:\n            self._stop_timer(request)",
-        "        if request.done and request.out:\n            self._stop_timer(request)",
+        REQUEST_DISPATCHER,
+        "        if request.is_finished and not request.in_flight:\n            request.stop_timer()",
+        "        if request.is_finished and request.in_flight:\n            request.stop_timer()",
+    ),
+    Defect(
+        "client-left-not-told",
+        REQUEST_DISPATCHER,
+        "        self.feed(api.ClientDisconnected(request_id))",
+        "        pass",
     ),
-    Defect("client-left-not-told", NODE, "        self.feed(api.ClientDisconnected(rid))", "        pass"),
     Defect(
         "broken-stream-seems-whole",
-        NODE,
-        "client.finish if whole else client.cut",
-        "client.finish",
+        REQUEST_DISPATCHER,
+        "client.finish_response if is_complete else client.break_off",
+        "client.finish_response",
     ),
     Defect(
         "nothing-at-the-end",
-        NODE,
-        "            if not request.done:\n                if request.stream is not None:",
-        "            if request.done:\n                if request.stream is not None:",
+        REQUEST_DISPATCHER,
+        "            if not request.is_finished:\n                if request.streamed_attempt is not None:",
+        "            if request.is_finished:\n                if request.streamed_attempt is not None:",
     ),
     # Connections to servers
     Defect(
@@ -262,8 +267,8 @@
     Defect(
         "client-left-unnoticed",
         CONNECTION,
-        "        if rid:\n            self.clients.node.gone(rid)",
-        "        if rid < 0:\n            self.clients.node.gone(rid)",
+        "        if rid:\n            self.clients.node.disconnect(rid)",
+        "        if rid < 0:\n            self.clients.node.disconnect(rid)",
     ),
     Defect(
         "headers-of-the-hop-passed",
--- a/hollybay/proxy/admin_service.py
+++ b/hollybay/proxy/admin_service.py
@@ -24,8 +24,8 @@
 from .config import Config
 from .consensus_port import PolicyRequestHandler
 from .drain_file import DrainFile
-from .exchange import Node
 from .name_table import DiscoveryUpdate
+from .request_dispatcher import RequestDispatcher
 
 __all__ = ["AdminService"]
 
@@ -61,7 +61,7 @@
         Name and folder of the files that the processes of this node share; no folder if None.
     """
 
-    def __init__(self, config: Config, clients: ClientListener, node: Node) -> None:
+    def __init__(self, config: Config, clients: ClientListener, node: RequestDispatcher) -> None:
         self.config = config
         self.clients = clients
         self.node = node
@@ -204,7 +204,7 @@
         changed = self.drains.set_drained(drained, system.monotonic_ns())
         if changed:
             addresses = {str(server.id): self._addresses[str(server.id)] for server in changed}
-            self.node.apply(DiscoveryUpdate(ServerList(ListKind.CHANGES, changed), addresses))
+            self.node.apply_update(DiscoveryUpdate(ServerList(ListKind.CHANGES, changed), addresses))
 
     def _read_drain_file(self) -> None:
         """Apply the drain file if it changed; an invalid file is logged and changes nothing."""
@@ -229,7 +229,7 @@
         """Report the node as not ready at once, and close its connections after a grace period."""
         if self.clients.draining:
             return
-        log.info("node drained by an operator: requests in flight=%d", self.node.owed)
+        log.info("node drained by an operator: requests in flight=%d", self.node.unanswered)
         self.clients.draining = True
         self._node_drain_timer = self.loop.call_later(DRAIN_GRACE_S, self._close_connections)
 
@@ -257,8 +257,8 @@
             served=counters.served,
             rejected=counters.rejected,
             failed=counters.failed,
-            attempts=self.node.servers.written,
-            in_flight=self.node.owed,
+            attempts=self.node.pools.written,
+            in_flight=self.node.unanswered,
             servers_known=len(self.drains.discovered),
             servers_excluded=self.drains.count_excluded(self.node.balancer.avoids),
             reloads_ok=counters.reloads_ok,
--- a/hollybay/proxy/assembly.py
+++ b/hollybay/proxy/assembly.py
@@ -13,7 +13,7 @@
 
 from .config import Config, ConfigError
 from .discovery import NO_VERSION, DiscoveryClient
-from .exchange import Node
+from .request_dispatcher import RequestDispatcher
 from .upstream.pools import UpstreamPools
 
 if TYPE_CHECKING:
@@ -52,7 +52,7 @@
     """The parts of a node that every configuration has."""
 
     clients: ClientListener
-    node: Node
+    node: RequestDispatcher
     discovery: DiscoveryClient
 
 
@@ -94,7 +94,7 @@
     if config.admin is not None:
         spare -= ADMIN_DESCRIPTORS
     servers = UpstreamPools(config.settings, config.names, limit=spare * UPSTREAM_NINTHS // 9)
-    node = Node(config.settings, config.seed, servers)
+    node = RequestDispatcher(config.settings, config.seed, servers)
     clients = ClientListener(config, node, limit=spare * DOWNSTREAM_NINTHS // 9)
     known_servers = config.known_servers
     discovery = DiscoveryClient(
@@ -104,9 +104,9 @@
         on_demand=config.settings.must_poll,
         version=known_servers.servers.version if known_servers is not None else NO_VERSION,
     )
-    node.lists = discovery
+    node.discovery = discovery
     if known_servers is not None:
-        node.listing(known_servers)
+        node.receive_update(known_servers)
         discovery.list_available.set()
     return NodeParts(clients, node, discovery)
 
@@ -153,7 +153,7 @@
 
 
 def start_load_reports(
-    config: Config, operator_file: OperatorFile | None, node: Node
+    config: Config, operator_file: OperatorFile | None, node: RequestDispatcher
 ) -> LoadReportExchange | None:
     """Start the exchange of load reports if the operator file has a [peers] table.
 
@@ -169,13 +169,16 @@
 
     addresses = parse_peer_addresses(config.peers, config.settings.nodes)
     exchange = LoadReportExchange(node, addresses, table.every, table.forget)
-    node.peers = exchange
+    node.load_reporter = exchange
     exchange.servers_changed(node.balancer.servers)
     return exchange
 
 
 async def start_admin(
-    config: Config, clients: ClientListener, node: Node, operator_file: OperatorFile | None = None
+    config: Config,
+    clients: ClientListener,
+    node: RequestDispatcher,
+    operator_file: OperatorFile | None = None,
 ) -> AdminParts | None:
     """Start the admin service, and consensus if the operator file has an [accord] table.
 
--- a/hollybay/proxy/consensus_member.py
+++ b/hollybay/proxy/consensus_member.py
@@ -155,7 +155,7 @@
 
     # Requests
 
-    def look(self) -> bool:
+    def begin_request(self) -> bool:
         """Whether a request may begin now; what is in force then is in admission
         control."""
         sure = self.service.may_begin_request()
@@ -163,7 +163,7 @@
             self.began(clock(), self.service.policies_in_force)
         return sure
 
-    def sure(self) -> bool:
+    def may_begin_request(self) -> bool:
         """Whether a request might begin now."""
         return self.service.may_begin_request()
 
--- a/hollybay/proxy/discovery.py
+++ b/hollybay/proxy/discovery.py
@@ -18,9 +18,9 @@
 import h11
 
 from .addresses import Address
-from .exchange import Node
 from .http_messages import MAX_HEAD, READ_SIZE
 from .name_table import DiscoveryUpdate, NameTable
+from .request_dispatcher import RequestDispatcher
 from .units import SECOND
 
 __all__ = ["DiscoveryClient", "DiscoveryError", "DiscoveryTimeoutError"]
@@ -100,7 +100,9 @@
         Set once discovery itself has answered this process.
     """
 
-    def __init__(self, address: Address, names: NameTable, node: Node, on_demand: bool, version: int) -> None:
+    def __init__(
+        self, address: Address, names: NameTable, node: RequestDispatcher, on_demand: bool, version: int
+    ) -> None:
         self.address = address
         self.names = names
         self.node = node
@@ -237,14 +239,14 @@
                     wait_ms = 0
         except DiscoveryError as error:
             log.info("discovery: %s", error)
-            self.node.asking_failed()
+            self.node.discovery_failed()
 
     async def _fetch(self) -> None:
         try:
             await self._request(LIST_PATH, REQUEST_TIMEOUT_S, shared=False)
         except DiscoveryError as error:
             log.info("discovery: %s", error)
-            self.node.asking_failed()
+            self.node.discovery_failed()
 
     # One request
 
@@ -309,7 +311,7 @@
         self.list_available.set()
         self.answered.set()
         if servers.servers or servers.kind or self.on_demand:
-            self.node.listing(update)
+            self.node.receive_update(update)
 
 
 async def _get(connection: _Connection, host: str, path: str) -> _Response:
--- a/hollybay/proxy/downstream/client_context.py
+++ b/hollybay/proxy/downstream/client_context.py
@@ -6,8 +6,8 @@
 from typing import TYPE_CHECKING, Protocol, TypeVar
 
 from ..config import Config
-from ..exchange import Node
-from ..ports import Agreed
+from ..ports import PolicyAgreement
+from ..request_dispatcher import RequestDispatcher
 from ..streaming_body import Room
 from .body_budget import BodyBudget
 from .connection_table import ConnectionTable, TrackedConnection
@@ -104,7 +104,7 @@
         The node can serve requests.
     """
 
-    def __init__(self, config: Config, node: Node, limit: int) -> None:
+    def __init__(self, config: Config, node: RequestDispatcher, limit: int) -> None:
         super().__init__()
         self.config = config
         self.node = node
@@ -117,7 +117,7 @@
         self.recent_ids = RecentRequestIds()
         self.limits = PhaseLimits()
         self.admission: AdmissionControl | None = None
-        self.accord: Agreed | None = None
+        self.accord: PolicyAgreement | None = None
         self.draining = False
         self.leaving = False
         self.closing = False
@@ -127,17 +127,17 @@
     @property
     def is_healthy(self) -> bool:
         """Whether the load balancer in front may send clients here."""
-        return self.ready and not self.draining and (self.accord is None or self.accord.sure())
+        return self.ready and not self.draining and (self.accord is None or self.accord.may_begin_request())
 
     @property
     def is_full(self) -> bool:
         """Whether one more pending request would leave no connection to accept others on."""
-        return self.node.owed >= self.places
+        return self.node.unanswered >= self.places
 
     @property
     def free_share(self) -> float:
         """The free part (0 to 1) of the places for requests."""
-        return max(0.0, 1.0 - self.node.owed / self.places)
+        return max(0.0, 1.0 - self.node.unanswered / self.places)
 
     def admit(self, conn: C) -> None:
         """Add a new connection, closing others if there are too many."""
@@ -160,7 +160,7 @@
         Otherwise clients that send one request and stay would hold all connections that clients may have. A
         client that comes back to a closed one opens a new one, which costs it a round trip.
         """
-        excess = len(self.idle) + self.node.owed - self.share
+        excess = len(self.idle) + self.node.unanswered - self.share
         if excess > 0:
             before = self.loop.time() - self.limits.idle_when_crowded
             for conn in self.overdue(self.idle, before)[:excess]:
--- a/hollybay/proxy/downstream/connection.py
+++ b/hollybay/proxy/downstream/connection.py
@@ -22,7 +22,7 @@
     Headers,
     Peer,
 )
-from ..ports import Presence
+from ..ports import ClientPresence
 from ..streaming_body import Upload
 from ..units import MS
 from .client_context import ClientContext
@@ -123,15 +123,15 @@
         self.transport.abort()
         return True
 
-    def presence(self) -> Presence:
+    def presence(self) -> ClientPresence:
         """Tell whether the client waits for its answer; a close is not seen while reading is paused."""
         if not self.connected():
-            return Presence.GONE
+            return ClientPresence.GONE
         if not self.reading and self.ahead > SMALL_BODY and self.unread() >= HIDING:
-            return Presence.UNKNOWN
-        return Presence.HERE
+            return ClientPresence.UNKNOWN
+        return ClientPresence.CONNECTED
 
-    def depart(self) -> None:
+    def abandon(self) -> None:
         """Close a connection whose client has gone, as the kernel tells."""
         self.eof_received()
 
@@ -161,7 +161,7 @@
 
     def give_up(self) -> None:
         """Reject a request that is not complete in time."""
-        self._reject(RequestProblem(408, "the request is not whole in time"))
+        self._reject_invalid(RequestProblem(408, "the request is not whole in time"))
 
     def resume_writing(self) -> None:
         """Go on: the kernel has taken all that was written."""
@@ -187,7 +187,7 @@
         upload, self.upload = self.upload, None
         rid, self.rid = self.rid, 0
         if rid:
-            self.clients.node.gone(rid)
+            self.clients.node.disconnect(rid)
         if upload is not None:
             upload.close()
 
@@ -235,7 +235,7 @@
                 else:  # paused or closed: nothing more can come on this connection
                     self._linger()
         except h11.RemoteProtocolError as error:
-            self._reject(RequestProblem(error.error_status_hint, str(error)))
+            self._reject_invalid(RequestProblem(error.error_status_hint, str(error)))
 
     def _note_unfinished(self) -> None:
         """Note that part of a request is here, from its first byte on, however slowly the rest comes."""
@@ -248,14 +248,14 @@
         request = self.request = ClientRequest(event)
         problem = request.resolve(clients.config, clients.admission, clients.accord)
         if problem is not None:
-            self._reject(problem)
+            self._reject_invalid(problem)
 
     def _handle_data(self, data: bytes, just_read: bool) -> None:
         request = self.request
         assert request is not None
         request.size += len(data)
         if request.size > request.max_body:
-            self._reject(RequestProblem(413, f"the body is longer than {request.max_body} bytes"))
+            self._reject_invalid(RequestProblem(413, f"the body is longer than {request.max_body} bytes"))
             return
         if self.upload is not None:
             self.upload.put(data)
@@ -301,7 +301,7 @@
             is_well = path == b"/health/live" or self.clients.is_healthy
             self._respond(200 if is_well else 503, [], (b"ok\n" if is_well else b"not ready\n",))
         elif self.upload is not None:
-            self.clients.node.whole(self.rid, request.time_left - self.waited()[1] * MS)
+            self.clients.node.complete_body(self.rid, request.time_left - self.waited()[1] * MS)
             self.upload.end()
         else:
             self._submit(request, None, just_read)
@@ -315,11 +315,11 @@
             return
         clients = self.clients
         if clients.recent_ids.check_and_add(request.values[b"x-correlation-id"], clients.loop.time()):
-            self._reject(RequestProblem(409, "X-Correlation-Id: another request has it"))
+            self._reject_invalid(RequestProblem(409, "X-Correlation-Id: another request has it"))
             return
         if clients.is_full or clients.forwarding_stopped or not request.is_policy_certain:
             clients.node.counters.rejected[request.class_index] += 1
-            self.refuse(clients.config.settings.max_retry_after)
+            self.reject(clients.config.settings.max_retry_after)
             return
         account = request.account
         tenant = clients.config.names.tenants.get(account)
@@ -361,23 +361,23 @@
             tenant=tenant,
             key=request.session_hash,
             cost=request.cost,
-            repeat=request.is_repeat,
+            is_retry=request.is_repeat,
             # A request that came behind another waited for its answer, not for the loop.
-            waited=waited if just_read else 0,
+            queued_time=waited if just_read else 0,
             limits=request.limits.balancer_limits if request.limits is not None else None,
-            room=self.clients.free_share,
-            sending=upload is not None,
+            free_slot_share=self.clients.free_share,
+            body_pending=upload is not None,
         )
         if self.rid:  # it was not answered at once
             self.rid = rid
 
     # Answers
 
-    def answer(self, answer: Answer) -> None:
+    def respond(self, answer: Answer) -> None:
         """Write an answer that is complete."""
         self._respond(answer.status, answer.headers, list(answer.body or ()))
 
-    def refuse(self, retry_after: int) -> None:
+    def reject(self, retry_after: int) -> None:
         """Answer 503: a retry is harmless. Retry-After in ns, 0: none."""
         self._respond(503, retry_after_header(retry_after), (b"refused\n",))
 
@@ -385,7 +385,7 @@
         """Answer that the request failed."""
         self._respond(status, [], (b"failed\n",))
 
-    def start(self, answer: Answer, source: Source) -> None:
+    def start_response(self, answer: Answer, source: Source) -> None:
         """Begin to write an answer whose body is streamed."""
         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER)
         headers = answer.headers
@@ -403,12 +403,12 @@
         elif self.source is not None:
             self.source.read_on(False)
 
-    def finish(self) -> None:
+    def finish_response(self) -> None:
         """End a streamed answer."""
         self._write(h11.EndOfMessage())
         self._answer_completed()
 
-    def cut(self) -> None:
+    def break_off(self) -> None:
         """Break off a streamed answer so that the client can tell, whatever the framing."""
         self.rid = 0
         self.source = None
@@ -436,7 +436,7 @@
             return [*headers, (b"connection", b"close")]
         return headers
 
-    def _reject(self, problem: RequestProblem) -> None:
+    def _reject_invalid(self, problem: RequestProblem) -> None:
         """Answer what is no valid request, and close."""
         if self.http.our_state in (h11.IDLE, h11.SEND_RESPONSE):
             self._write(*rejection_events(problem))
--- a/hollybay/proxy/downstream/listener.py
+++ b/hollybay/proxy/downstream/listener.py
@@ -8,7 +8,7 @@
 
 from .. import system
 from ..config import Config
-from ..exchange import Node
+from ..request_dispatcher import RequestDispatcher
 from .client_context import ACCEPT_BATCH, ClientContext
 from .connection import ClientConnection
 
@@ -36,7 +36,7 @@
         Tasks of connections that are accepted and not yet in the table.
     """
 
-    def __init__(self, config: Config, node: Node, limit: int) -> None:
+    def __init__(self, config: Config, node: RequestDispatcher, limit: int) -> None:
         super().__init__(config, node, limit)
         self.listener: socket.socket | None = None
         self.pending_accepts: set[asyncio.Task[None]] = set()
--- a/hollybay/proxy/downstream/request.py
+++ b/hollybay/proxy/downstream/request.py
@@ -9,7 +9,7 @@
 
 from ..config import Config
 from ..http_messages import LONG_BODY, MAX_BODY, Message, end_to_end, not_passed_on, pairs
-from ..ports import Agreed
+from ..ports import PolicyAgreement
 from ..streaming_body import Upload
 from ..units import MS, SECOND
 from .request_validation import RequestProblem, class_index_of, is_health_check, validate_head
@@ -99,7 +99,7 @@
         self.is_policy_certain = True
 
     def resolve(
-        self, config: Config, admission: AdmissionControl | None, accord: Agreed | None
+        self, config: Config, admission: AdmissionControl | None, accord: PolicyAgreement | None
     ) -> RequestProblem | None:
         """Find the class and limits of the request, and validate its head.
 
@@ -119,7 +119,7 @@
             class_index = class_index_of(self.event.target, config.names)
             problem = validate_head(self.event, self.headers, self.values, config, class_index, LONG_BODY)
         else:
-            self.is_policy_certain = accord is None or accord.look()
+            self.is_policy_certain = accord is None or accord.begin_request()
             class_index, problem = self._resolve_with_policy(config, admission)
         if problem is None and class_index is not None:
             self.class_index = class_index
--- a/hollybay/proxy/downstream/states.py
+++ b/hollybay/proxy/downstream/states.py
@@ -17,7 +17,7 @@
 from collections.abc import Mapping
 from enum import IntEnum
 
-from ..state_machine import InvalidTransitionError
+from ..state_machine import InvalidTransitionError, transition_function
 
 __all__ = [
     "ANSWERING_STATES",
@@ -133,16 +133,4 @@
 ANSWERING_STATES = frozenset((_S.ANSWERING, _S.ANSWERING_LAST, _S.DISCARDING))
 LINGERING_STATES = frozenset((_S.LINGERING, _S.LINGERING_UPLOAD))
 
-
-def next_state(state: ConnectionState, event: ConnectionEvent) -> ConnectionState:
-    """Return the state that follows an event.
-
-    Raises
-    ------
-    InvalidTransitionError
-        The event may not happen in this state.
-    """
-    try:
-        return TRANSITIONS[state][event]
-    except KeyError:
-        raise InvalidTransitionError(state, event) from None
+next_state = transition_function(TRANSITIONS)
--- a/hollybay/proxy/load_reports.py
+++ b/hollybay/proxy/load_reports.py
@@ -20,7 +20,7 @@
 from . import system
 from .addresses import Address, parse_address
 from .config import ConfigError, PeerFields
-from .exchange import Node
+from .request_dispatcher import RequestDispatcher
 from .units import SECOND
 
 __all__ = ["LoadReportExchange", "PeerAddresses", "parse_peer_addresses"]
@@ -107,7 +107,9 @@
         The address to listen on cannot be bound.
     """
 
-    def __init__(self, node: Node, addresses: PeerAddresses, interval_ns: int, expiry_ns: int) -> None:
+    def __init__(
+        self, node: RequestDispatcher, addresses: PeerAddresses, interval_ns: int, expiry_ns: int
+    ) -> None:
         self.node = node
         self.node_number = node.settings.node
         self.interval_ns = interval_ns
--- /dev/null
+++ b/hollybay/proxy/request_dispatcher.py
@@ -0,0 +1,447 @@
+"""Dispatches requests: tells the balancer, sends the attempts that it asks for, gives one final answer each.
+
+The balancer decides; the pools carry attempts to servers; the client's connection writes the answer. What
+connects the three is here, together with what no decision may override: a request is answered once, and
+before its deadline.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+from collections.abc import Callable
+
+from hollybay.balancing import Balancer
+from hollybay.balancing import interface as api
+
+from . import system
+from .balancer_driver import ActionHandlers, BalancerDriver
+from .http_messages import Answer, Message
+from .name_table import DiscoveryUpdate
+from .pending_request import PENDING, UNANSWERED_STATES, PendingRequest, RequestEvent
+from .ports import Client, ClientPresence, DiscoveryPort, LoadReporter
+from .request_counters import RequestCounters
+from .units import MS, SECOND
+from .upstream.attempt import Attempt
+from .upstream.pools import UpstreamPools
+
+__all__ = ["PRESENCE_VALID_NS", "RequestDispatcher"]
+
+log = logging.getLogger("hollybay.proxy")
+
+# A final answer leaves this long before the client's deadline, so that it is there in time.
+ANSWER_MARGIN_NS = 4 * MS
+# For so long it is believed that a client is there; then the kernel is asked again before a byte is sent on
+# for it. What a connection has not read yet, or does not read while a request is pending, only the kernel
+# tells.
+PRESENCE_VALID_NS = 10 * MS
+BAD_GATEWAY = 502
+GATEWAY_TIMEOUT = 504
+
+_CONCLUDED = RequestEvent.CONCLUDED
+
+
+class RequestDispatcher:
+    """The requests of one node, and the balancer that decides on them.
+
+    Parameters
+    ----------
+    settings, seed
+        Of the balancer.
+    pools
+        The connections to servers.
+
+    Attributes
+    ----------
+    counters
+        Final answers since the start.
+    requests
+        Requests by number that have no final answer, or attempts in flight.
+    unanswered
+        How many requests have no final answer.
+    discovery
+        What watches and fetches the server list on demand of the balancer, if anything does.
+    overlay
+        What lays drains by operators over an update of discovery; None: they can drain nothing.
+    load_reporter
+        What exchanges load reports with other nodes; None: nothing does.
+    """
+
+    def __init__(self, settings: api.Settings, seed: int, pools: UpstreamPools) -> None:
+        self.settings = settings
+        self.pools = pools
+        self.counters = RequestCounters(len(settings.classes))
+        self.discovery: DiscoveryPort | None = None
+        self.overlay: Callable[[DiscoveryUpdate], DiscoveryUpdate] | None = None
+        self.load_reporter: LoadReporter | None = None
+        self.requests: dict[int, PendingRequest] = {}
+        self.unanswered = 0
+        self.loop = asyncio.get_running_loop()
+        self._next_id = 1
+        handlers: ActionHandlers = {
+            api.Send: self._send,
+            api.Reject: self._reject,
+            api.Fail: self._fail,
+            api.Cancel: self._cancel,
+            api.CloseIdle: self._close_idle,
+            api.Probe: self._probe,
+            api.WatchServers: self._watch_servers,
+            api.FetchServers: self._fetch_servers,
+        }
+        self.driver = BalancerDriver(settings, seed, handlers, self._event_failed)
+        self.feed = self.driver.feed
+
+    @property
+    def balancer(self) -> Balancer:
+        """The balancer that decides."""
+        return self.driver.balancer
+
+    # The server list
+
+    def receive_update(self, update: DiscoveryUpdate) -> None:
+        """Put an update of discovery in force, under the drains of operators."""
+        self.apply_update(update if self.overlay is None else self.overlay(update))
+
+    def apply_update(self, update: DiscoveryUpdate) -> None:
+        """Put an update of the server list in force, for the pools and for the balancer."""
+        self.pools.apply(update)
+        self.feed(update.servers)
+        if self.load_reporter is not None:
+            self.load_reporter.servers_changed(self.balancer.servers)
+
+    def discovery_failed(self) -> None:
+        """Tell the balancer that a watch or a fetch that it asked for has failed."""
+        self.feed(api.ServerList(api.ListKind.FAILED))
+
+    # Clients
+
+    def submit(
+        self,
+        client: Client,
+        message: Message,
+        class_index: int,
+        time_left: int,
+        *,
+        tenant: int = 0,
+        key: int = 0,
+        cost: int = 0,
+        is_retry: bool = False,
+        queued_time: int = 0,
+        limits: api.Limits | None = None,
+        free_slot_share: float = 1.0,
+        body_pending: bool = False,
+    ) -> int:
+        """Accept a request, which may be answered before this returns.
+
+        Parameters
+        ----------
+        client
+            Where its answer goes.
+        message
+            What is sent to a server.
+        class_index
+            Index of its class in the settings.
+        time_left
+            How long (ns) its client waits.
+        tenant, key, cost, is_retry, queued_time, limits, free_slot_share, body_pending
+            As in `api.Request`.
+
+        Returns
+        -------
+        int
+            Its number.
+        """
+        request_id = self._next_id
+        self._next_id += 1
+        time_left = max(1, time_left - ANSWER_MARGIN_NS)
+        request = PendingRequest(request_id, client, message, class_index)
+        self.requests[request_id] = request
+        self.unanswered += 1
+        request.client_seen = system.monotonic_ns()
+        self._start_timer(request, time_left)
+        if self.load_reporter is not None:
+            self.load_reporter.poll()
+        self.feed(
+            api.Request(
+                request_id,
+                class_index,
+                time_left,
+                tenant,
+                key,
+                cost,
+                is_retry,
+                queued_time,
+                limits,
+                free_slot_share,
+                body_pending,
+            )
+        )
+        return request_id
+
+    def _start_timer(self, request: PendingRequest, time_left: int) -> None:
+        request.deadline = system.monotonic_ns() + time_left
+        request.timer = self.loop.call_later(time_left / SECOND, self._expire, request)
+
+    def complete_body(self, request_id: int, time_left: int) -> None:
+        """Take note that the last byte of a streamed body has come, from which on its client waits (ns)."""
+        request = self.requests.get(request_id)
+        if request is None or request.state not in UNANSWERED_STATES:
+            return
+        request.stop_timer()
+        self._start_timer(request, max(1, time_left - ANSWER_MARGIN_NS))
+        self.feed(api.RequestCompleted(request_id))
+
+    def disconnect(self, request_id: int) -> None:
+        """End a request whose client has gone."""
+        request = self.requests.get(request_id)
+        if request is None or request.is_finished:
+            return
+        self._conclude(request)
+        if request.streamed_attempt is not None:
+            request.streamed_attempt.cancel()
+        # What no server can have begun ends here, also where the settings allow no cancel.
+        for attempt in list(request.attempts):
+            if attempt is not None and not attempt.written:
+                attempt.cancel()
+        self.feed(api.ClientDisconnected(request_id))
+
+    def _is_client_there(self, request: PendingRequest) -> bool:
+        """Tell whether a request's client is there, as far as can be told; one that has gone is abandoned."""
+        now = system.monotonic_ns()
+        if now - request.client_seen < PRESENCE_VALID_NS:
+            return True
+        presence = request.client.presence()
+        if presence is ClientPresence.CONNECTED:
+            request.client_seen = now
+        elif presence is ClientPresence.GONE:
+            request.client.abandon()
+        return presence is ClientPresence.CONNECTED
+
+    def end_all_requests(self) -> None:
+        """Give every request that has none its final answer now: the node is about to exit."""
+        for request in list(self.requests.values()):
+            if not request.is_finished:
+                if request.streamed_attempt is not None:
+                    request.streamed_attempt.end(api.Result.TIMEOUT)
+                else:
+                    self._expire(request)
+
+    # Actions of the balancer
+
+    def _send(self, action: api.Send) -> None:
+        request = self.requests.get(action.id)
+        if request is None:
+            log.error("the module sent a request that is over")
+            return
+        number = len(request.attempts)
+        message = request.message
+        if message is None or not self._may_send(request, message):
+            request.attempts.append(None)
+            result = api.Result.NOT_SENT
+            self.feed(
+                api.AttemptFinished(action.id, number, action.server, result, 0, final=request.is_finished)
+            )
+            return
+        attempt = self._new_attempt(request, message, number, action)
+        request.attempts.append(attempt)
+        request.in_flight += 1
+        if action.timeout:
+            attempt.timer = self.loop.call_later(action.timeout / SECOND, attempt.end, api.Result.TIMEOUT)
+        if self.load_reporter is not None:
+            self.load_reporter.attempt_started(attempt.server)
+        self.pools.send(attempt)
+
+    def _may_send(self, request: PendingRequest, message: Message) -> bool:
+        """Tell whether another attempt may begin. The client is looked at, which may end the request."""
+        if request.state is not PENDING:
+            return False
+        if not self._is_client_there(request):
+            return False
+        if len(request.attempts) >= self.settings.max_attempts:
+            return False
+        if message.upload is None:
+            return True
+        # A streamed body is here for one attempt at a time, and may be gone with the last one.
+        return not request.in_flight and not message.upload.taken
+
+    def _new_attempt(
+        self, request: PendingRequest, message: Message, number: int, action: api.Send
+    ) -> Attempt:
+        request_class = self.settings.classes[request.class_index]
+        deadline = request.deadline
+        if action.timeout:
+            deadline = min(deadline, system.monotonic_ns() + action.timeout)
+        return Attempt(
+            message,
+            action.server,
+            deadline,
+            observer=self,
+            repeatable=request_class.effect == api.Effect.SAFE,
+            streamed=request_class.streamed,
+            owner=request,
+            number=number,
+            write_deadline=action.until,
+        )
+
+    def _cancel(self, action: api.Cancel) -> None:
+        request = self.requests.get(action.id)
+        if request is None or action.attempt >= len(request.attempts):
+            return
+        attempt = request.attempts[action.attempt]
+        # A response that has begun to be passed on belongs to the client, as long as there is one.
+        if attempt is not None and (attempt is not request.streamed_attempt or request.is_finished):
+            attempt.cancel()
+
+    def _reject(self, action: api.Reject) -> None:
+        client = self._take_unanswered(action.id, self.counters.rejected)
+        if client is not None:
+            self._write(client, lambda: client.reject(action.retry_after))
+
+    def _fail(self, action: api.Fail) -> None:
+        client = self._take_unanswered(action.id, self.counters.failed)
+        if client is not None:
+            self._write(client, lambda: client.fail(BAD_GATEWAY))
+
+    def _close_idle(self, action: api.CloseIdle) -> None:
+        self.pools.close_idle(action.server)
+
+    def _probe(self, action: api.Probe) -> None:
+        self.pools.probe(action.server, self.feed)
+
+    def _watch_servers(self, action: api.WatchServers) -> None:
+        if self.discovery is not None:
+            self.discovery.watch(action.active)
+
+    def _fetch_servers(self, _: api.FetchServers) -> None:
+        if self.discovery is not None:
+            self.discovery.fetch()
+
+    # Final answers
+
+    def _take_unanswered(self, request_id: int, counts: list[int]) -> Client | None:
+        """Conclude and count a request; return its client, None: an answer has begun."""
+        request = self.requests.get(request_id)
+        if request is None or request.state not in UNANSWERED_STATES:
+            return None
+        counts[request.class_index] += 1
+        self._conclude(request)
+        return request.client
+
+    @staticmethod
+    def _write(client: Client, write: Callable[[], None]) -> None:
+        """Write a final answer; one that cannot be written costs its connection.
+
+        The balancer still hears of the end, or it would count the attempt as in flight for ever.
+        """
+        try:
+            write()
+        except Exception:
+            log.exception("an answer cannot be worded")
+            client.break_off()
+
+    def _event_failed(self, event: api.Event) -> None:
+        """End the request that an event concerns on which the balancer, or one of its actions, failed."""
+        request_id = getattr(event, "id", None)
+        request = self.requests.get(request_id) if request_id is not None else None
+        if request is not None and not request.in_flight:
+            self._time_out(request)
+
+    def _time_out(self, request: PendingRequest) -> None:
+        """Answer in place of the balancer, which did not in time or cannot, and tell it so."""
+        if request.is_finished:
+            return
+        client = self._take_unanswered(request.id, self.counters.failed)
+        if client is not None:
+            self._write(client, lambda: client.fail(GATEWAY_TIMEOUT))
+        self.feed(api.ClientDisconnected(request.id))
+
+    def _expire(self, request: PendingRequest) -> None:
+        """End the attempts at the deadline; what the balancer answers to that is still in time."""
+        request.advance(RequestEvent.DEADLINE_PASSED)
+        for attempt in request.attempts:
+            if attempt is not None and attempt is not request.streamed_attempt:
+                attempt.end(api.Result.TIMEOUT)
+        if request.streamed_attempt is None:
+            self._time_out(request)
+
+    def _conclude(self, request: PendingRequest) -> None:
+        request.advance(_CONCLUDED)
+        request.message = None
+        self.unanswered -= 1
+        self._forget_if_over(request)
+
+    def _forget_if_over(self, request: PendingRequest) -> None:
+        """Drop a request that is over; while attempts are in flight its timer bounds them."""
+        if request.is_finished and not request.in_flight:
+            request.stop_timer()
+            self.requests.pop(request.id, None)
+            # Attempts know their request: without this each request would be a cycle for the collector.
+            request.attempts = []
+
+    # Observer of the attempts
+
+    def is_awaited(self, attempt: Attempt) -> bool:
+        """Tell whether the client of an attempt is there: nothing is sent on for one that has gone."""
+        request: PendingRequest = attempt.owner
+        return not request.is_finished and self._is_client_there(request)
+
+    def response_started(self, attempt: Attempt, answer: Answer) -> Client | None:
+        """Tie a request to the response that begins to come; return where it goes, None: nowhere."""
+        request: PendingRequest = attempt.owner
+        if request.state not in UNANSWERED_STATES:
+            return None
+        request.advance(RequestEvent.RESPONSE_STARTED)
+        request.streamed_attempt = attempt
+        request.stop_timer()
+        if attempt.timer is not None:
+            attempt.timer.cancel()
+        round_trip = system.monotonic_ns() - attempt.sent
+        self.feed(api.ResponseStarted(request.id, attempt.number, attempt.server, round_trip))
+        # What another attempt brings could not be used any more.
+        for other in request.attempts:
+            if other is not None and other is not attempt:
+                other.cancel()
+        request.client.start_response(answer, attempt)
+        return request.client
+
+    def attempt_finished(self, attempt: Attempt, answer: Answer | None) -> None:
+        """Answer the client if the attempt succeeded, and tell the balancer of its end."""
+        request: PendingRequest = attempt.owner
+        result = attempt.result
+        assert result is not None
+        request.in_flight -= 1
+        if self.load_reporter is not None:
+            self.load_reporter.attempt_finished(attempt.server)
+        if not request.is_finished:
+            self._answer_with(request, attempt, answer)
+        self._forget_if_over(request)
+        self.feed(
+            api.AttemptFinished(
+                request.id,
+                attempt.number,
+                attempt.server,
+                result,
+                _response_time(attempt),
+                request.is_finished,
+                attempt.report,
+            )
+        )
+
+    def _answer_with(self, request: PendingRequest, attempt: Attempt, answer: Answer | None) -> None:
+        """Give the final answer if an attempt that has ended brings it."""
+        client = request.client
+        is_complete = attempt.result == api.Result.OK
+        if request.streamed_attempt is attempt:
+            self._conclude(request)
+            (self.counters.served if is_complete else self.counters.failed)[request.class_index] += 1
+            self._write(client, client.finish_response if is_complete else client.break_off)
+        elif is_complete and answer is not None:
+            self.counters.served[request.class_index] += 1
+            self._conclude(request)
+            self._write(client, lambda: client.respond(answer))
+
+
+def _response_time(attempt: Attempt) -> int:
+    """Return the time (ns) to the first bytes of a streamed response, else to the last ones."""
+    ended = attempt.response_started or system.monotonic_ns() - attempt.read_delay
+    return max(0, ended - attempt.sent)
--- a/hollybay/proxy/shutdown.py
+++ b/hollybay/proxy/shutdown.py
@@ -8,7 +8,7 @@
 
 from hollybay.proxy.downstream.listener import ClientListener
 
-from .exchange import Node
+from .request_dispatcher import RequestDispatcher
 from .units import SECOND
 
 if TYPE_CHECKING:
@@ -35,7 +35,7 @@
 
 async def drain(
     clients: ClientListener,
-    node: Node,
+    node: RequestDispatcher,
     accept_period_s: float = ACCEPT_PERIOD_S,
     final_period_s: float = FINAL_PERIOD_S,
     listener_group: ListenerGroup | None = None,
@@ -60,7 +60,7 @@
     longest_deadline_s = max(request_class.deadline for request_class in node.settings.classes) / SECOND
     end = started_at + min(longest_deadline_s, MAX_DEADLINE_S) + KILL_DELAY_S - KILL_MARGIN_S
     final_period_start = end - final_period_s
-    log.info("draining: %d requests open, %d connections", node.owed, len(clients.connections))
+    log.info("draining: %d requests open, %d connections", node.unanswered, len(clients.connections))
     if has_successor:
         clients.closing = True
     else:
@@ -77,6 +77,6 @@
         clients.close_idle()
         await asyncio.sleep(DRAIN_POLL_INTERVAL_S)
     clients.forwarding_stopped = True  # requests that are complete only now are rejected
-    node.end_all()
+    node.end_all_requests()
     await asyncio.sleep(LAST_ANSWERS_S if clients.any_left() else 0)
     log.info("drained in %.2f s, %d connections left", loop.time() - started_at, len(clients.connections))
--- a/hollybay/proxy/upstream/attempt.py
+++ b/hollybay/proxy/upstream/attempt.py
@@ -17,13 +17,13 @@
 class AttemptObserver(Protocol):
     """Who is notified of how attempts go."""
 
-    def wanted(self, attempt: Attempt) -> bool:
+    def is_awaited(self, attempt: Attempt) -> bool:
         """Tell whether anybody still waits for it; asked before its first byte, and before its last."""
 
-    def started(self, attempt: Attempt, answer: Answer) -> Client | None:
+    def response_started(self, attempt: Attempt, answer: Answer) -> Client | None:
         """Take note that a streamed response begins; return where it goes, None to give the attempt up."""
 
-    def ended(self, attempt: Attempt, answer: Answer | None) -> None:
+    def attempt_finished(self, attempt: Attempt, answer: Answer | None) -> None:
         """Take the result of an attempt, and its response where that was kept until it was whole."""
 
 
@@ -152,4 +152,4 @@
             self.connection = None
         if self.unsent is not None:
             self.unsent.pop(self, None)
-        self.observer.ended(self, answer)
+        self.observer.attempt_finished(self, answer)
--- a/hollybay/proxy/upstream/connection.py
+++ b/hollybay/proxy/upstream/connection.py
@@ -192,7 +192,7 @@
             self.close()
             attempt.end(api.Result.CONNECT_FAILED)
             return
-        if not attempt.observer.wanted(attempt):
+        if not attempt.observer.is_awaited(attempt):
             # Its client left while the connection came up, which is as good for the next one.
             self.rest(attempt)
             return
@@ -321,7 +321,7 @@
         attempt = self.attempt
         if attempt is None:
             return
-        if not attempt.observer.wanted(attempt) or 0 < attempt.write_deadline <= system.monotonic_ns():
+        if not attempt.observer.is_awaited(attempt) or 0 < attempt.write_deadline <= system.monotonic_ns():
             attempt.end(api.Result.NOT_SENT)
             return
         # The kernel may take the byte and the loop tell of it a turn later: whatever ends the attempt in
@@ -449,7 +449,7 @@
         assert self.head is not None
         self.after(STREAM_STALL_SECONDS, self._check_stall)
         attempt.response_started = system.monotonic_ns()
-        self.client = attempt.observer.started(attempt, self.head)
+        self.client = attempt.observer.response_started(attempt, self.head)
         if self.client is None:
             attempt.cancel()
             return
--- a/hollybay/proxy/upstream/health_check.py
+++ b/hollybay/proxy/upstream/health_check.py
@@ -48,13 +48,13 @@
         self.names = names
         self.feed = feed
 
-    def wanted(self, attempt: Attempt) -> bool:
+    def is_awaited(self, attempt: Attempt) -> bool:
         return True
 
-    def started(self, attempt: Attempt, answer: Answer) -> None:
+    def response_started(self, attempt: Attempt, answer: Answer) -> None:
         return None
 
-    def ended(self, attempt: Attempt, answer: Answer | None) -> None:
+    def attempt_finished(self, attempt: Attempt, answer: Answer | None) -> None:
         assert attempt.result is not None
         report = attempt.report
         if answer is not None and answer.body and not report:
--- a/hollybay/proxy/upstream/states.py
+++ b/hollybay/proxy/upstream/states.py
@@ -15,14 +15,15 @@
 
 from __future__ import annotations
 
-from enum import Enum, auto
+from collections.abc import Mapping
+from enum import IntEnum, auto
 
-from ..state_machine import InvalidTransitionError
+from ..state_machine import InvalidTransitionError, transition_function
 
 __all__ = ["TRANSITIONS", "ConnectionEvent", "ConnectionState", "InvalidTransitionError", "next_state"]
 
 
-class ConnectionState(Enum):
+class ConnectionState(IntEnum):
     """What a connection to a server is doing."""
 
     CONNECTING = auto()  # the transport is not up yet
@@ -36,7 +37,7 @@
     CLOSED = auto()  # the transport is gone
 
 
-class ConnectionEvent(Enum):
+class ConnectionEvent(IntEnum):
     """What happens to a connection to a server."""
 
     CONNECTED = auto()  # the transport is up
@@ -53,38 +54,24 @@
 _S = ConnectionState
 _E = ConnectionEvent
 
-_OPEN_TRANSITIONS: dict[tuple[ConnectionState, ConnectionEvent], ConnectionState] = {
-    (_S.CONNECTING, _E.CONNECTED): _S.IDLE,
-    (_S.IDLE, _E.REQUEST_STARTED): _S.SENDING,
-    (_S.SENDING, _E.LAST_PIECE_LEFT): _S.HOLDING,
-    (_S.HOLDING, _E.LAST_PIECE_LEFT): _S.HOLDING,
-    (_S.HOLDING, _E.REQUEST_SENT): _S.AWAITING,
-    (_S.AWAITING, _E.RESPONSE_STARTED): _S.RECEIVING,
-    (_S.RECEIVING, _E.STREAM_STARTED): _S.STREAMING,
-    # A response with another status than 200 is judged by its head alone and may be whole at once.
-    (_S.AWAITING, _E.RESPONSE_COMPLETED): _S.IDLE,
-    (_S.RECEIVING, _E.RESPONSE_COMPLETED): _S.IDLE,
-    (_S.STREAMING, _E.RESPONSE_COMPLETED): _S.IDLE,
+# From every state in which the connection is open.
+_ENDINGS = {_E.CLOSE_REQUESTED: _S.CLOSING, _E.LOST: _S.CLOSED}
+
+TRANSITIONS: Mapping[ConnectionState, Mapping[ConnectionEvent, ConnectionState]] = {
+    _S.CONNECTING: {_E.CONNECTED: _S.IDLE, **_ENDINGS},
+    _S.IDLE: {_E.REQUEST_STARTED: _S.SENDING, **_ENDINGS},
+    _S.SENDING: {_E.LAST_PIECE_LEFT: _S.HOLDING, **_ENDINGS},
+    _S.HOLDING: {_E.LAST_PIECE_LEFT: _S.HOLDING, _E.REQUEST_SENT: _S.AWAITING, **_ENDINGS},
+    _S.AWAITING: {
+        _E.RESPONSE_STARTED: _S.RECEIVING,
+        # A response with another status than 200 is judged by its head alone and may be whole at once.
+        _E.RESPONSE_COMPLETED: _S.IDLE,
+        **_ENDINGS,
+    },
+    _S.RECEIVING: {_E.STREAM_STARTED: _S.STREAMING, _E.RESPONSE_COMPLETED: _S.IDLE, **_ENDINGS},
+    _S.STREAMING: {_E.RESPONSE_COMPLETED: _S.IDLE, **_ENDINGS},
+    _S.CLOSING: {**dict.fromkeys(_E, _S.CLOSING), _E.LOST: _S.CLOSED},
+    _S.CLOSED: dict.fromkeys(_E, _S.CLOSED),
 }
 
-TRANSITIONS: dict[tuple[ConnectionState, ConnectionEvent], ConnectionState] = {
-    **_OPEN_TRANSITIONS,
-    **{(state, _E.CLOSE_REQUESTED): _S.CLOSING for state in _S if state is not _S.CLOSED},
-    **{(state, _E.LOST): _S.CLOSED for state in _S},
-    **{(_S.CLOSING, event): _S.CLOSING for event in _E if event is not _E.LOST},
-    **{(_S.CLOSED, event): _S.CLOSED for event in _E},
-}
-
-
-def next_state(state: ConnectionState, event: ConnectionEvent) -> ConnectionState:
-    """Look up the state after an event.
-
-    Raises
-    ------
-    InvalidTransitionError
-        The table has no entry for the event in that state.
-    """
-    try:
-        return TRANSITIONS[state, event]
-    except KeyError:
-        raise InvalidTransitionError(state, event) from None
+next_state = transition_function(TRANSITIONS)
--- a/hollybay/simulation/nodes.py
+++ b/hollybay/simulation/nodes.py
@@ -144,14 +144,14 @@
         if self.process is not None and self.process.errors:
             self.check_errors(self.process)
         clients, node, _ = self.parts
-        servers = node.servers
+        servers = node.pools
         reason = budget_fault(
             {
                 "bytes of bodies": (clients.budget.used, clients.budget.total + (1 << 20)),
                 "bytes of long bodies": (clients.bodies.used, clients.bodies.total),
                 "connections to servers": (_open(servers), servers.limit + 1),
                 "client connections": (len(clients.connections), clients.limit + 1),
-                "requests owed": (node.owed, len(node.requests)),
+                "requests owed": (node.unanswered, len(node.requests)),
                 "descriptors": (len(self.machine.sockets), self.machine.descriptors),
             }
         )
@@ -177,11 +177,11 @@
         balancer = node.balancer
         held = {
             "requests": len(node.requests),
-            "requests owed": node.owed,
+            "requests owed": node.unanswered,
             "requests that the module knows": len(balancer.requests),
             "attempts that the module counts": sum(s.in_flight for s in balancer.servers.values()),
             "client connections": len(clients.connections),
-            "connections to servers": len(node.servers.connections) + len(node.servers.opening),
+            "connections to servers": len(node.pools.connections) + len(node.pools.opening),
             "bytes of the bodies' budget": clients.budget.used,
             "bodies that wait": len(clients.budget.held) + len(clients.budget.waiting),
             "bytes of long bodies": clients.bodies.used,
--- a/hollybay/testbed/loopback.py
+++ b/hollybay/testbed/loopback.py
@@ -15,7 +15,7 @@
 from hollybay.proxy.config import Config, load
 from hollybay.proxy.discovery import DiscoveryClient
 from hollybay.proxy.downstream.listener import ClientListener
-from hollybay.proxy.exchange import Node
+from hollybay.proxy.request_dispatcher import RequestDispatcher
 
 from .listener import LIMIT, OK, Listener, read_message
 
@@ -139,7 +139,12 @@
     """A node that runs, with its parts in reach."""
 
     def __init__(
-        self, clients: ClientListener, node: Node, discovery: DiscoveryClient, port: int, path: Path
+        self,
+        clients: ClientListener,
+        node: RequestDispatcher,
+        discovery: DiscoveryClient,
+        port: int,
+        path: Path,
     ) -> None:
         self.clients = clients
         self.node = node
@@ -177,7 +182,7 @@
     def __init__(self, node: Running, free: int = 0) -> None:
         self.open = asyncio.Event()
         self.waiting = 0
-        servers = node.node.servers
+        servers = node.node.pools
         establish = servers.establish
         seen = 0
 
--- a/tests/golden/build.py
+++ b/tests/golden/build.py
@@ -1134,8 +1134,8 @@
         counters = desk.node.counters
         counters.served[:], counters.rejected[:], counters.failed[:] = [1, 2], [3, 4], [5, 6]
         counters.reloads_ok, counters.reloads_failed = 11, 12
-        desk.node.servers.written = 7
-        desk.node.owed = 8
+        desk.node.pools.written = 7
+        desk.node.unanswered = 8
         return await _spoken(desk, _call_bytes("GET /-/metrics"))
 
 
--- a/tests/groups.py
+++ b/tests/groups.py
@@ -46,6 +46,7 @@
         "test_learning_in_a_jam",
         "test_limits_module",
         "test_outliers",
+        "test_pending_request",
         "test_resource_plan",
         "test_resource_tables",
         "test_resource_wire",
--- a/tests/record_decisions.py
+++ b/tests/record_decisions.py
@@ -16,7 +16,7 @@
 from types import ModuleType
 from typing import Any
 
-import hollybay.proxy.exchange
+import hollybay.proxy.balancer_driver
 from hollybay.simulation.world import play_seed
 
 from . import recorded_decisions as recorded
@@ -70,7 +70,7 @@
 
 
 def simulated(seed: int) -> dict[str, recorded.Stream]:
-    with recording(hollybay.proxy.exchange) as made:
+    with recording(hollybay.proxy.balancer_driver) as made:
         play_seed(seed)
     return {f"seed-{seed}-{n}": made[n].stream for n in SIMULATED[seed]}
 
@@ -82,7 +82,7 @@
 
 
 def on_loopback() -> dict[str, recorded.Stream]:
-    with recording(hollybay.proxy.exchange) as made, TemporaryDirectory() as folder:
+    with recording(hollybay.proxy.balancer_driver) as made, TemporaryDirectory() as folder:
         asyncio.run(loopback_day(Path(folder) / "config.json"))
     return {"loopback": made[0].stream}
 
--- a/tests/test_accord_node.py
+++ b/tests/test_accord_node.py
@@ -73,7 +73,7 @@
     body = messages.encode(messages.BootstrapCall(file=base64.b64encode(file).decode()))
     await call(accord.terms.address, "found", body, LIMIT)
     async with asyncio.timeout(LIMIT):
-        while not accord.sure():
+        while not accord.may_begin_request():
             await asyncio.sleep(0.01)
 
 
@@ -111,7 +111,7 @@
             # Nobody renews its lease any more: it is over within its time.
             accord.service.close()
             async with asyncio.timeout(LIMIT):
-                while accord.sure():
+                while accord.may_begin_request():
                     await asyncio.sleep(0.02)
             assert (await node.ask(request(rid="r-3"))).startswith(b"HTTP/1.1 503")
 
@@ -297,7 +297,7 @@
             ):
                 refused = await did("change", *words, "--reason", "r")
                 assert refused.exit_code == code and why in refused.output, (words, refused.output)
-            assert routes() == ["x", "z"] and accord.sure()
+            assert routes() == ["x", "z"] and accord.may_begin_request()
 
     asyncio.run(play())
 
@@ -386,7 +386,7 @@
             found = await asyncio.to_thread(run, accord, "found", str(whole))
             assert found.exit_code == 0, found.output
             async with asyncio.timeout(LIMIT):
-                while not accord.sure():
+                while not accord.may_begin_request():
                     await asyncio.sleep(0.01)
             assert len(accord.admission.policy.routes) == 9000  # type: ignore[union-attr]
             done = await asyncio.to_thread(run, accord, "propose", str(fewer), "--reason", "fewer")
@@ -395,7 +395,7 @@
             # Another node, with nothing on its disk, fetches all that in pieces.
             async with agreeing(tmp_path, name="n1", keepers=(accord.terms.address,)) as (_, other):
                 async with asyncio.timeout(LIMIT):
-                    while not other.sure():
+                    while not other.may_begin_request():
                         await asyncio.sleep(0.02)
                 mine, its = accord.service, other.service
                 assert its.log.state(its.policies_in_force[0]) == mine.log.state(mine.policies_in_force[0])
@@ -427,7 +427,7 @@
             async with agreeing(tmp_path, keepers=(one.terms.address,)) as (_, other):
                 assert not other._keeps() and other.service.acceptor is None
                 async with asyncio.timeout(LIMIT):
-                    while not other.sure():  # as a node it holds a lease of its own
+                    while not other.may_begin_request():  # as a node it holds a lease of its own
                         await asyncio.sleep(0.01)
                 status: Any = one.service.status()
                 assert [m["twice"] for m in status["keeper"]["members"]] == [True, True]
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -71,12 +71,12 @@
                 assert await read_message(reader) == (await _head(b"2"), b"1!")
                 # Behind the answer, once it has been passed on: the loop sees it at once, or the next request
                 # finds it unread in the kernel.
-                (conn,) = node.node.servers.connections
+                (conn,) = node.node.pools.connections
                 if not seen:
                     conn.transport.pause_reading()
                 server.writers[0].write(EXTRA[kind])
                 if seen:
-                    while conn in node.node.servers.connections:
+                    while conn in node.node.pools.connections:
                         await asyncio.sleep(0)
                 writer.write(request(cls, rid="r-2"))
                 assert (await read_message(reader))[1] == b"2!"
@@ -178,7 +178,7 @@
                 head = await reader.readuntil(b"\r\n\r\n")
                 begun = await reader.readexactly(64 << 10)
                 (known,) = node.node.balancer.servers.values()
-                assert known.in_flight == 0 and node.node.owed == 1
+                assert known.in_flight == 0 and node.node.unanswered == 1
                 assert b" 200 " in await node.ask(request(rid="r-2"))
                 go.set()
                 assert begun + await reader.readexactly(len(LONG) - len(begun)) == LONG and b" 200 " in head
@@ -205,7 +205,7 @@
             async with asyncio.timeout(LIMIT):
                 writer.write(request())
                 await reader.readuntil(b"\r\n\r\n")
-                while not (held := [c for c in node.node.servers.connections if not c.reading]):
+                while not (held := [c for c in node.node.pools.connections if not c.reading]):
                     await asyncio.sleep(0)
                 (conn,) = node.clients.connections
                 assert len(held) == 1 and conn.transport.get_write_buffer_size() <= 128 << 10
@@ -246,7 +246,7 @@
     async def play() -> None:
         server = Held("s-1")
         async with running(tmp_path / "c.json", Registry(), server) as node:
-            servers = node.node.servers
+            servers = node.node.pools
             servers.limit = 30
             asking = [asyncio.ensure_future(node.ask(request(rid=f"r-{n}"))) for n in range(30)]
             await server.until(lambda: len(server.heads) == 30)
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -152,7 +152,7 @@
             asked = request(cls, rid="r-1", extra=b"X-Time-Left-Ms: 500\r\n")
             asking = asyncio.ensure_future(node.ask(asked))
             await node.until(lambda: gate.waiting > 0)
-            (backend,) = node.node.servers.endpoints.values()
+            (backend,) = node.node.pools.endpoints.values()
             if change == "draining":
                 registry.tell(server, state="DRAINING")
             elif change == "gone":
@@ -223,8 +223,8 @@
             async with asyncio.timeout(LIMIT):
                 writer.write(request(cls, rid="r-1"))
                 await read_message(reader)
-                (conn,) = node.node.servers.connections
-                send = node.node.servers.send
+                (conn,) = node.node.pools.connections
+                send = node.node.pools.send
 
                 def late(attempt: Attempt) -> None:
                     if conn.state is not ConnectionState.CLOSED and not conn.unread():
@@ -234,7 +234,7 @@
                             pass
                     send(attempt)
 
-                node.node.servers.send = late  # type: ignore[method-assign]
+                node.node.pools.send = late  # type: ignore[method-assign]
                 writer.write(request(cls, rid="r-2"))
                 head, body = await read_message(reader)
             assert b" 200 " in head and body == b"ok"
@@ -337,7 +337,7 @@
     async def play() -> None:
         server = Backend("s-1")
         async with running(tmp_path / "c.json", Registry(), server) as node:
-            node.node.servers.limit = 1
+            node.node.pools.limit = 1
             for n in range(10):
                 assert b" 200 " in await node.ask(request(rid=f"r-{n}"))
             assert server.accepted == 1
@@ -353,7 +353,7 @@
             await server.until(lambda: len(server.heads) == 3)
             server.go.set()
             await asyncio.gather(*asking)
-            servers = node.node.servers
+            servers = node.node.pools
             idle = next(iter(servers.endpoints.values())).idle
             now = servers.loop.time()
             for conn, rest in zip(idle, (3.0, 2.0, 0.0), strict=True):
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -13,8 +13,8 @@
 
 from hollybay.balancing import interface as api
 from hollybay.proxy.downstream.connection import HIDING, ClientConnection
-from hollybay.proxy.exchange import LOOK
 from hollybay.proxy.http_messages import SMALL_BODY
+from hollybay.proxy.request_dispatcher import PRESENCE_VALID_NS
 from hollybay.proxy.upstream import connection as connection_module
 from hollybay.proxy.upstream.attempt import Attempt
 from hollybay.testbed.loopback import (
@@ -63,7 +63,7 @@
     """The kernel knows that the client has gone, and the last look at it is old."""
     busy_until(lambda: not conn.connected())
     (open_,) = node.node.requests.values()
-    busy_until(lambda: time.monotonic_ns() - open_.seen > LOOK)
+    busy_until(lambda: time.monotonic_ns() - open_.client_seen > PRESENCE_VALID_NS)
 
 
 class Breaking(Held):
@@ -148,7 +148,7 @@
                 sock.send(b"p" * 2 * HIDING)
             busy_until(lambda: conn.unread() >= HIDING)
             (open_,) = node.node.requests.values()
-            busy_until(lambda: time.monotonic_ns() - open_.seen > LOOK)
+            busy_until(lambda: time.monotonic_ns() - open_.client_seen > PRESENCE_VALID_NS)
             for backend in backends:
                 backend.go.set()
             async with asyncio.timeout(LIMIT):
@@ -176,13 +176,13 @@
             registry.tell(server)
             await node.until(lambda: bool(node.node.balancer.servers))
             begun: list[int] = []
-            send = node.node.servers.send
+            send = node.node.pools.send
 
             def note(attempt: Attempt) -> None:
                 begun.append(attempt.owner.id)
                 send(attempt)
 
-            node.node.servers.send = note  # type: ignore[method-assign]
+            node.node.pools.send = note  # type: ignore[method-assign]
             (rid,) = node.node.requests
             loop, (wakes, wake) = asyncio.get_running_loop(), socket.socketpair()
 
@@ -246,7 +246,7 @@
         monkeypatch.setattr(connection_module, "LAST_BYTE_HOLD_SECONDS", 0.05)
         async with running(tmp_path / "c.json", Registry(), server) as node:
             sock = call(node, request(cls, rid="r-1"))
-            await node.until(lambda: any(conn.timer for conn in node.node.servers.connections))
+            await node.until(lambda: any(conn.timer for conn in node.node.pools.connections))
             conn = await paused(node, sock)
             sock.close()
             left(node, conn)
@@ -287,7 +287,7 @@
             await server.until(lambda: len(server.heads) == 1)
             (open_,) = node.node.requests.values()
             sock.close()
-            await node.until(lambda: not (node.node.owed or node.node.servers.connections))
+            await node.until(lambda: not (node.node.unanswered or node.node.pools.connections))
             assert time.monotonic_ns() < open_.deadline - 5 * 10**9
             server.go.set()
 
--- a/tests/test_discovery_orders.py
+++ b/tests/test_discovery_orders.py
@@ -129,7 +129,7 @@
         many = short(balancers=200, **{"membership-mode": "subscribe"})
         async with running(tmp_path / "c.json", agent, server, settings=many) as node:
             told: list[object] = []
-            node.node.asking_failed = lambda: told.append(1)  # type: ignore[method-assign]
+            node.node.discovery_failed = lambda: told.append(1)  # type: ignore[method-assign]
             await agent.until(lambda: "wait=100" in agent.targets[-1])
             agent.silent = True
             agent.note()
--- a/tests/test_lag.py
+++ b/tests/test_lag.py
@@ -88,7 +88,7 @@
         async with running(tmp_path / "c.json", Registry(), server) as node:
             asking = asyncio.ensure_future(node.ask(request()))
             await server.until(lambda: len(server.heads) == 1)
-            (conn,) = node.node.servers.connections
+            (conn,) = node.node.pools.connections
             conn.read_on(False)
             time.sleep(0.03)  # the server's own time, as the kernel tells lateness in whole ms
             server.writers[0].write(OK)
@@ -120,7 +120,7 @@
             async with asyncio.timeout(LIMIT):
                 writer.write(request())
                 await read_message(reader)
-            peers = [*node.clients.connections, *node.node.servers.connections]
+            peers = [*node.clients.connections, *node.node.pools.connections]
             assert len(peers) == 2
             assert all(peer.sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY) for peer in peers)
             writer.transport.abort()
@@ -188,7 +188,7 @@
             await server.until(lambda: len(server.heads) + node.node.counters.rejected[2] == third)
             assert node.node.counters.rejected[2]
             # A third of the descriptors is what clients hold: one is always left to hear a request on.
-            assert node.node.owed < third
+            assert node.node.unanswered < third
             assert b" 503 " in await node.ask(request("view", rid="v-1"))
             server.go.set()
             await asyncio.gather(*asking)
--- /dev/null
+++ b/tests/test_pending_request.py
@@ -0,0 +1,72 @@
+"""The state machine of a pending request: every pair of state and event has an entry or is refused."""
+
+from __future__ import annotations
+
+import itertools
+from typing import Any
+
+import pytest
+
+from hollybay.proxy.pending_request import (
+    TRANSITIONS,
+    UNANSWERED_STATES,
+    PendingRequest,
+    RequestEvent,
+    RequestState,
+    next_state,
+)
+from hollybay.proxy.state_machine import InvalidTransitionError
+
+PAIRS = list(itertools.product(RequestState, RequestEvent))
+
+
+def pending_request() -> PendingRequest:
+    unused: Any = None
+    return PendingRequest(1, unused, unused, 0)
+
+
+@pytest.mark.parametrize(("state", "event"), PAIRS)
+def test_every_pair_has_an_entry_or_is_refused(state: RequestState, event: RequestEvent) -> None:
+    if event in TRANSITIONS[state]:
+        assert next_state(state, event) is TRANSITIONS[state][event]
+        return
+    with pytest.raises(InvalidTransitionError) as caught:
+        next_state(state, event)
+    assert (caught.value.state, caught.value.event) == (state, event)
+    assert str(caught.value) == f"{event.name} while {state.name}"
+
+
+def test_exactly_these_pairs_are_refused() -> None:
+    refused = {(state, event) for state, event in PAIRS if event not in TRANSITIONS[state]}
+    assert refused == {
+        (RequestState.STREAMING, RequestEvent.RESPONSE_STARTED),
+        (RequestState.FINISHED, RequestEvent.RESPONSE_STARTED),
+        (RequestState.FINISHED, RequestEvent.CONCLUDED),
+    }
+
+
+def test_a_request_is_concluded_from_every_state_but_the_last_and_stays_so() -> None:
+    for state in set(RequestState) - {RequestState.FINISHED}:
+        assert next_state(state, RequestEvent.CONCLUDED) is RequestState.FINISHED
+    assert set(TRANSITIONS[RequestState.FINISHED].values()) == {RequestState.FINISHED}
+
+
+def test_only_a_request_without_a_response_begins_one() -> None:
+    begins = {state for state in RequestState if RequestEvent.RESPONSE_STARTED in TRANSITIONS[state]}
+    assert begins == UNANSWERED_STATES == {RequestState.PENDING, RequestState.EXPIRED}
+
+
+def test_every_state_is_reached_and_none_leads_back_to_pending() -> None:
+    following = {state for entries in TRANSITIONS.values() for state in entries.values()}
+    assert following == set(RequestState) - {RequestState.PENDING}
+
+
+def test_a_request_is_finished_in_its_last_state_only() -> None:
+    request = pending_request()
+    assert request.state is RequestState.PENDING and not request.is_finished
+    request.advance(RequestEvent.DEADLINE_PASSED)
+    assert request.state is RequestState.EXPIRED and not request.is_finished
+    request.advance(RequestEvent.RESPONSE_STARTED)
+    assert request.state is RequestState.STREAMING and not request.is_finished
+    request.advance(RequestEvent.CONCLUDED)
+    assert request.state is RequestState.FINISHED and request.is_finished
--- a/tests/test_planted.py
+++ b/tests/test_planted.py
@@ -25,7 +25,7 @@
     names = [defect.name for defect in DEFECTS]
     assert len(set(names)) == len(names) >= 40 and set(NOTED) <= set(names)
     with pytest.raises(NoSuchPlace):
-        found_by_seeds("hollybay/proxy/exchange.py", "no such text", "", [0])
+        found_by_seeds("hollybay/proxy/request_dispatcher.py", "no such text", "", [0])
 
 
 def test_each_noted_defect_is_found_by_its_seed_and_oracle() -> None:
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -157,13 +157,13 @@
             writer.write(data[:-1])
             async with asyncio.timeout(LIMIT):
                 await node.until(lambda: bool(node.clients.unfinished))
-                end_all = node.node.end_all
+                end_all = node.node.end_all_requests
 
                 def ends() -> None:
                     end_all()
                     writer.write(data[-1:])
 
-                node.node.end_all = ends  # type: ignore[method-assign]
+                node.node.end_all_requests = ends  # type: ignore[method-assign]
                 await drain(node.clients, node.node, accept_period_s=0.0, final_period_s=0.2)
                 head, _ = await read_message(reader)
             assert b" 503 " in head
@@ -181,16 +181,16 @@
         backends = Held("s-1"), Held("s-2")
         async with running(tmp_path / "c.json", Registry(), *backends) as node:
             begun: list[Attempt] = []
-            send = node.node.servers.send
+            send = node.node.pools.send
 
             def note(attempt: Attempt) -> None:
                 begun.append(attempt)
                 send(attempt)
 
-            node.node.servers.send = note  # type: ignore[method-assign]
+            node.node.pools.send = note  # type: ignore[method-assign]
             asking = asyncio.ensure_future(node.ask(request(cls)))
             await node.until(lambda: any(backend.heads for backend in backends))
-            node.node.end_all()
+            node.node.end_all_requests()
             answer = await asking
             assert status in answer and (cls == "view" or b" 503 " not in answer)
             assert len(begun) == 1
--- a/tests/test_upstream_states.py
+++ b/tests/test_upstream_states.py
@@ -23,8 +23,8 @@
 
 @pytest.mark.parametrize(("state", "event"), PAIRS)
 def test_each_pair_has_an_entry_or_is_refused(state: ConnectionState, event: ConnectionEvent) -> None:
-    if (state, event) in TRANSITIONS:
-        assert next_state(state, event) is TRANSITIONS[state, event]
+    if event in TRANSITIONS[state]:
+        assert next_state(state, event) is TRANSITIONS[state][event]
     else:
         with pytest.raises(InvalidTransitionError, match=f"{event.name} while {state.name}"):
             next_state(state, event)
@@ -40,7 +40,7 @@
         (ConnectionEvent.RESPONSE_STARTED, {ConnectionState.AWAITING}),
         (ConnectionEvent.STREAM_STARTED, {ConnectionState.RECEIVING}),
     ):
-        assert {state for state in open_states if (state, event) in TRANSITIONS} == sources
+        assert {state for state in open_states if event in TRANSITIONS[state]} == sources
 
 
 def test_a_closed_connection_stays_closed() -> None:
@@ -69,10 +69,10 @@
                     writer.write(request(cls, rid=f"r-{cls}"))
                     head, body = await read_message(reader)
                     assert b" 200 " in head and len(body) == 200_000
-                (connection,) = node.node.servers.connections
+                (connection,) = node.node.pools.connections
                 assert connection.state is ConnectionState.IDLE
                 connection.close()
-                while node.node.servers.connections:
+                while node.node.pools.connections:
                     await asyncio.sleep(0)
             writer.transport.abort()
 
