--- a/hollybay/mutation/planted.py
+++ b/hollybay/mutation/planted.py
@@ -137,8 +137,8 @@
     Defect(
         "forgets-nothing",
         REQUEST_DISPATCHER,
-        "        if request.is_finished and not request.in_flight:\n            request.stop_timer()",
-        "        if request.is_finished and request.in_flight:\n            request.stop_timer()",
+        "        if request.state is FINISHED and not request.in_flight:\n            request.stop_timer()",
+        "        if request.state is FINISHED and request.in_flight:\n            request.stop_timer()",
     ),
     Defect(
         "client-left-not-told",
@@ -155,8 +155,10 @@
     Defect(
         "nothing-at-the-end",
         REQUEST_DISPATCHER,
-        "            if not request.is_finished:\n                if request.streamed_attempt is not None:",
-        "            if request.is_finished:\n                if request.streamed_attempt is not None:",
+        "            if request.state is not FINISHED:\n"
+        "                if request.streamed_attempt is not None:",
+        "            if request.state is FINISHED:\n"
+        "                if request.streamed_attempt is not None:",
     ),
     # Connections to servers
     Defect(
--- a/hollybay/proxy/pending_request.py
+++ b/hollybay/proxy/pending_request.py
@@ -3,8 +3,8 @@
 `TRANSITIONS` is the whole machine: for each state, the events that may happen in it and the state that
 follows. An event without an entry is a fault of this node.
 
-Dispatch compares states for each request, and looking a member up on its enum class takes longer than the
-rest of such a comparison: hence the sets of states, and the module's own names for members.
+Dispatch compares states several times for each request, and in Python 3.11 the look-up of a member on its
+enum class takes longer than the rest of such a comparison: hence the module's own names for members.
 """
 
 from __future__ import annotations
@@ -19,6 +19,7 @@
 from .upstream.attempt import Attempt
 
 __all__ = [
+    "FINISHED",
     "PENDING",
     "TRANSITIONS",
     "UNANSWERED_STATES",
@@ -84,7 +85,7 @@
 }
 
 PENDING = _S.PENDING
-_FINISHED = _S.FINISHED
+FINISHED = _S.FINISHED
 UNANSWERED_STATES = frozenset((_S.PENDING, _S.EXPIRED))
 
 next_state = transition_function(TRANSITIONS)
@@ -151,15 +152,6 @@
         self.streamed_attempt: Attempt | None = None
         self.timer: asyncio.TimerHandle | None = None
 
-    @property
-    def is_finished(self) -> bool:
-        """Whether no answer is owed any more."""
-        return self.state is _FINISHED
-
-    def advance(self, event: RequestEvent) -> None:
-        """Go to the state that follows an event."""
-        self.state = next_state(self.state, event)
-
     def stop_timer(self) -> None:
         """Cancel the timer of the deadline, if it runs."""
         if self.timer is not None:
--- a/hollybay/proxy/request_dispatcher.py
+++ b/hollybay/proxy/request_dispatcher.py
@@ -18,7 +18,7 @@
 from .balancer_driver import ActionHandlers, BalancerDriver
 from .http_messages import Answer, Message
 from .name_table import DiscoveryUpdate
-from .pending_request import PENDING, UNANSWERED_STATES, PendingRequest, RequestEvent
+from .pending_request import FINISHED, PENDING, UNANSWERED_STATES, PendingRequest, RequestEvent, next_state
 from .ports import Client, ClientPresence, DiscoveryPort, LoadReporter
 from .request_counters import RequestCounters
 from .units import MS, SECOND
@@ -194,7 +194,7 @@
     def disconnect(self, request_id: int) -> None:
         """End a request whose client has gone."""
         request = self.requests.get(request_id)
-        if request is None or request.is_finished:
+        if request is None or request.state is FINISHED:
             return
         self._conclude(request)
         if request.streamed_attempt is not None:
@@ -220,7 +220,7 @@
     def end_all_requests(self) -> None:
         """Give every request that has none its final answer now: the node is about to exit."""
         for request in list(self.requests.values()):
-            if not request.is_finished:
+            if request.state is not FINISHED:
                 if request.streamed_attempt is not None:
                     request.streamed_attempt.end(api.Result.TIMEOUT)
                 else:
@@ -239,7 +239,9 @@
             request.attempts.append(None)
             result = api.Result.NOT_SENT
             self.feed(
-                api.AttemptFinished(action.id, number, action.server, result, 0, final=request.is_finished)
+                api.AttemptFinished(
+                    action.id, number, action.server, result, 0, final=request.state is FINISHED
+                )
             )
             return
         attempt = self._new_attempt(request, message, number, action)
@@ -289,7 +291,7 @@
             return
         attempt = request.attempts[action.attempt]
         # A response that has begun to be passed on belongs to the client, as long as there is one.
-        if attempt is not None and (attempt is not request.streamed_attempt or request.is_finished):
+        if attempt is not None and (attempt is not request.streamed_attempt or request.state is FINISHED):
             attempt.cancel()
 
     def _reject(self, action: api.Reject) -> None:
@@ -348,7 +350,7 @@
 
     def _time_out(self, request: PendingRequest) -> None:
         """Answer in place of the balancer, which did not in time or cannot, and tell it so."""
-        if request.is_finished:
+        if request.state is FINISHED:
             return
         client = self._take_unanswered(request.id, self.counters.failed)
         if client is not None:
@@ -357,7 +359,7 @@
 
     def _expire(self, request: PendingRequest) -> None:
         """End the attempts at the deadline; what the balancer answers to that is still in time."""
-        request.advance(RequestEvent.DEADLINE_PASSED)
+        request.state = next_state(request.state, RequestEvent.DEADLINE_PASSED)
         for attempt in request.attempts:
             if attempt is not None and attempt is not request.streamed_attempt:
                 attempt.end(api.Result.TIMEOUT)
@@ -365,14 +367,14 @@
             self._time_out(request)
 
     def _conclude(self, request: PendingRequest) -> None:
-        request.advance(_CONCLUDED)
+        request.state = next_state(request.state, _CONCLUDED)
         request.message = None
         self.unanswered -= 1
         self._forget_if_over(request)
 
     def _forget_if_over(self, request: PendingRequest) -> None:
         """Drop a request that is over; while attempts are in flight its timer bounds them."""
-        if request.is_finished and not request.in_flight:
+        if request.state is FINISHED and not request.in_flight:
             request.stop_timer()
             self.requests.pop(request.id, None)
             # Attempts know their request: without this each request would be a cycle for the collector.
@@ -383,14 +385,14 @@
     def is_awaited(self, attempt: Attempt) -> bool:
         """Tell whether the client of an attempt is there: nothing is sent on for one that has gone."""
         request: PendingRequest = attempt.owner
-        return not request.is_finished and self._is_client_there(request)
+        return request.state is not FINISHED and self._is_client_there(request)
 
     def response_started(self, attempt: Attempt, answer: Answer) -> Client | None:
         """Tie a request to the response that begins to come; return where it goes, None: nowhere."""
         request: PendingRequest = attempt.owner
         if request.state not in UNANSWERED_STATES:
             return None
-        request.advance(RequestEvent.RESPONSE_STARTED)
+        request.state = next_state(request.state, RequestEvent.RESPONSE_STARTED)
         request.streamed_attempt = attempt
         request.stop_timer()
         if attempt.timer is not None:
@@ -412,7 +414,7 @@
         request.in_flight -= 1
         if self.load_reporter is not None:
             self.load_reporter.attempt_finished(attempt.server)
-        if not request.is_finished:
+        if request.state is not FINISHED:
             self._answer_with(request, attempt, answer)
         self._forget_if_over(request)
         self.feed(
@@ -422,7 +424,7 @@
                 attempt.server,
                 result,
                 _response_time(attempt),
-                request.is_finished,
+                request.state is FINISHED,
                 attempt.report,
             )
         )
--- a/tests/test_pending_request.py
+++ b/tests/test_pending_request.py
@@ -20,11 +20,6 @@
 PAIRS = list(itertools.product(RequestState, RequestEvent))
 
 
-def pending_request() -> PendingRequest:
-    unused: Any = None
-    return PendingRequest(1, unused, unused, 0)
-
-
 @pytest.mark.parametrize(("state", "event"), PAIRS)
 def test_every_pair_has_an_entry_or_is_refused(state: RequestState, event: RequestEvent) -> None:
     if event in TRANSITIONS[state]:
@@ -61,12 +56,6 @@
     assert following == set(RequestState) - {RequestState.PENDING}
 
 
-def test_a_request_is_finished_in_its_last_state_only() -> None:
-    request = pending_request()
-    assert request.state is RequestState.PENDING and not request.is_finished
-    request.advance(RequestEvent.DEADLINE_PASSED)
-    assert request.state is RequestState.EXPIRED and not request.is_finished
-    request.advance(RequestEvent.RESPONSE_STARTED)
-    assert request.state is RequestState.STREAMING and not request.is_finished
-    request.advance(RequestEvent.CONCLUDED)
-    assert request.state is RequestState.FINISHED and request.is_finished
+def test_a_new_request_is_pending() -> None:
+    unused: Any = None
+    assert PendingRequest(1, unused, unused, 0).state is RequestState.PENDING
