--- a/hollybay/consensus/acceptor.py
+++ b/hollybay/consensus/acceptor.py
@@ -144,7 +144,7 @@
             or (lease.grace_end > now and in_force.isdisjoint(lease.policies))
         )
 
-    def refusing_nodes(self, now: int) -> tuple[int, ...]:
+    def nodes_unable_to_serve(self, now: int) -> tuple[int, ...]:
         """The holders of a lease on the decided epoch that cannot serve its new policy."""
         return tuple(
             lease.node
@@ -191,7 +191,7 @@
             and now >= self.no_vote_before
             and state.epoch > self.last_barred_epoch
             and not self.blocking_leases(now, state)
-            and not (state.stage is Stage.JOINT and self.refusing_nodes(now))
+            and not (state.stage is Stage.JOINT and self.nodes_unable_to_serve(now))
         )
 
     def on_accept(self, now: int, message: Accept) -> tuple[Acceptor, Accepted | Decided | None]:
--- a/hollybay/consensus/bootstrap.py
+++ b/hollybay/consensus/bootstrap.py
@@ -15,6 +15,7 @@
 from .log_replica import LogReplica
 from .outgoing_requests import CALL_LIMIT, PeerClient
 from .policy import Policy, RejectedError, first_policy
+from .reasons import texts_of
 from .replies import ok
 from .request_content import RequestContent
 from .serviceability import Serviceability
@@ -66,9 +67,9 @@
         read = await self.content.read_file(call.file, call.upload, EMPTY)
         changes = (bootstrap_change(read.operations),) if read.operations else ()
         policy = first_policy(changes, addresses)
-        problems = await self.serviceability.prepare(await self.replica.store(policy))
-        if problems:
-            raise RejectedError("file: " + "; ".join(problems))
+        reasons = await self.serviceability.prepare(await self.replica.store(policy))
+        if reasons:
+            raise RejectedError("file: " + "; ".join(texts_of(reasons)))
         await self.voter.bootstrap(acceptor, policy)
         reached = await self._pass_on(policy, others)
         self.content.uploads.discard(call.upload)
@@ -135,8 +136,8 @@
         if call.entry:
             await self.replica.store(messages.unpacked(call.entry, call.policy))
         fetched = await self.replica.fetcher.fetch(call.policy, [source])
-        if fetched.problem:
-            raise StoreError(fetched.problem)
+        if fetched.problem is not None:
+            raise StoreError(str(fetched.problem))
         if fetched.policy is None:
             reason = self.replica.fetcher.failures.get(source)
             raise RejectedError(f"policy: {call.policy} is not to be had: {reason}")
--- a/hollybay/consensus/change_requests.py
+++ b/hollybay/consensus/change_requests.py
@@ -189,11 +189,11 @@
         except StoreError:
             self.proposals.storage_failed()
             raise
-        problems = await self.serviceability.prepare(entry)
-        if problems:
+        reasons = await self.serviceability.prepare(entry)
+        if reasons:
             why = self.serviceability.unserviceable[policy.name]
             self.serviceability.clear(policy.name)  # proposed again it is another policy, or holds
-            self.proposals.reject_batch(batch, why.culprits, problems)
+            self.proposals.reject_batch(batch, why.culprits, reasons)
             return True
         if acceptor.state.decided != decided or self.coordinator.pending is not None:
             self.proposals.batch_superseded(batch, acceptor.state.decided.policy)
--- a/hollybay/consensus/cluster_view.py
+++ b/hollybay/consensus/cluster_view.py
@@ -7,6 +7,8 @@
 
 import msgspec
 
+from .reasons import ReportedReason
+
 __all__ = [
     "ClusterView",
     "EpochRecord",
@@ -117,7 +119,7 @@
     older_leases: tuple[OlderLease, ...] = ()
     blocking_leases: tuple[OlderLease, ...] = ()
     members: tuple[MemberStatus, ...] = ()
-    reasons: dict[str, dict[str, list[str]]] = {}
+    reasons: dict[str, dict[str, list[ReportedReason]]] = {}
     quiet_s: float = 0.0
     grace_s: float = 0.0
 
@@ -203,9 +205,9 @@
         voters = list(self.voters.values())
         return max(voters, key=lambda voter: voter.epoch) if voters else None
 
-    def reasons(self, change: str) -> dict[str, list[str]]:
+    def reasons(self, change: str) -> dict[str, list[ReportedReason]]:
         """Why nodes cannot serve a policy, by node."""
-        reasons: dict[str, list[str]] = {}
+        reasons: dict[str, list[ReportedReason]] = {}
         for voter in self.voters.values():
             reasons |= voter.reasons.get(change, {})
         return reasons
--- a/hollybay/consensus/coordinator.py
+++ b/hollybay/consensus/coordinator.py
@@ -21,6 +21,7 @@
 from .outgoing_requests import PeerClient
 from .policy import Policy, RejectedError
 from .proposals import Proposals
+from .reasons import Reason, Superseded, SupersededOrDropped
 from .status import ChangeProgress
 from .store import StoreError
 from .waiting import wait_at_most
@@ -110,7 +111,7 @@
         self.pending: PendingChange | None = None
         self.dropping: set[str] = set()  # policies to be given up, by name
         self.coordinating = ""  # the policy that is coordinated here
-        self.refused: dict[str, str] = {}  # policies that never began: why
+        self.rejected: dict[str, Reason] = {}  # policies that never began: why
         self.wakeup = asyncio.Event()
         self._failed_ballots = 0  # one after another
 
@@ -151,7 +152,7 @@
         return ChangeProgress(
             queued=len(self.proposals),
             pending=self.pending.policy.name if self.pending is not None else "",
-            refused=self.refused,
+            rejected=self.rejected,
             coordinating=self.coordinating,
             blocking_leases=self.ballots.blocking_leases,
         )
@@ -226,14 +227,14 @@
         self.pending = None
         name = pending.policy.name
         if name != state.policy and not self.proposals.is_proposing(name):
-            self.refused.setdefault(name, "another change came first, or it was dropped")
+            self.rejected.setdefault(name, SupersededOrDropped())
 
     def _join_change(self, state: EpochState) -> None:
         """A change is under way: the pending one, which is coordinated here, or another."""
         if self.pending is None:
             return
         if self.pending.policy.name != state.new:
-            self.refused[self.pending.policy.name] = f"{state.new} came first"
+            self.rejected[self.pending.policy.name] = Superseded(state.new)
         else:
             self.coordinating = state.new
         self.pending = None
@@ -246,10 +247,10 @@
         if state.stage is Stage.SETTLED:
             assert self.pending is not None
             return EpochState(epoch, Stage.PREPARE, state.policy, self.pending.policy.name)
-        is_refused = any(lease.refuses for lease in self.ballots.blocking_leases) or bool(
-            self._acceptor().reports.refusals.get(state.new)
+        is_unserviceable = any(lease.cannot_serve for lease in self.ballots.blocking_leases) or bool(
+            self._acceptor().reports.unserviceable.get(state.new)
         )
-        if state.new in self.dropping or (state.stage is Stage.PREPARE and is_refused):
+        if state.new in self.dropping or (state.stage is Stage.PREPARE and is_unserviceable):
             return EpochState(epoch, Stage.SETTLED, state.policy)
         if state.stage is Stage.PREPARE:
             return EpochState(epoch, Stage.JOINT, state.policy, state.new)
--- a/hollybay/consensus/durable_acceptor.py
+++ b/hollybay/consensus/durable_acceptor.py
@@ -37,6 +37,7 @@
     PrepareReply,
 )
 from .policy import Policy, RejectedError
+from .reasons import Barred, KnowsNothing, LacksPolicies
 from .store import Store, StoreError
 
 __all__ = ["Disk", "DurableAcceptor", "clock_margin"]
@@ -280,10 +281,10 @@
         """Answer a proposer that asks for a vote; the policies of the epoch must be on disk."""
         state = self.state
         if state is None:
-            return AcceptReply(reason="it knows nothing yet")
+            return AcceptReply(withheld_because=str(KnowsNothing()))
         if not self.has_policies(message.state):
-            names = " and ".join(policies_named(message.state))
-            return AcceptReply(decided_epoch=state.decided.epoch, reason=f"it has not all of {names}")
+            reason = LacksPolicies(policies_named(message.state))
+            return AcceptReply(decided_epoch=state.decided.epoch, withheld_because=str(reason))
         now = self.clock()
         self.last_coordinated = now
         after, answer = state.on_accept(now, message)
@@ -297,7 +298,7 @@
             promised_number=state.promised[0],
             blocking_leases=self.blocking_leases(now, message.state),
             no_vote_for=max(0, state.no_vote_before - now),
-            reason=f"mute up to epoch {state.last_barred_epoch}" if is_barred else "",
+            withheld_because=str(Barred(state.last_barred_epoch)) if is_barred else "",
         )
 
     # Leases
@@ -308,11 +309,11 @@
             return []
         found = [self._shown(now, lease) for lease in self.state.blocking_leases(now, state)]
         if state.stage is Stage.JOINT:
-            refusing = set(self.state.refusing_nodes(now))
+            unable = set(self.state.nodes_unable_to_serve(now))
             found += [
-                self._shown(now, lease._replace(grace_end=0), refuses=True)
+                self._shown(now, lease._replace(grace_end=0), cannot_serve=True)
                 for lease in self.state.leases
-                if lease.node in refusing
+                if lease.node in unable
             ]
         return found
 
@@ -326,11 +327,11 @@
             if lease.epoch < self.state.decided.epoch and max(lease.lease_end, lease.grace_end) > now
         ]
 
-    def _shown(self, now: int, lease: Lease, refuses: bool = False) -> BlockingLease:
+    def _shown(self, now: int, lease: Lease, cannot_serve: bool = False) -> BlockingLease:
         member = self.reports.members.get(lease.node)
         name = member.name if member is not None else "?"
         remaining = max(lease.lease_end, lease.grace_end) - now
-        return BlockingLease(name, lease.node, lease.epoch, remaining, refuses)
+        return BlockingLease(name, lease.node, lease.epoch, remaining, cannot_serve)
 
     def promised_number(self) -> int:
         """The number of the ballot that it has promised."""
--- a/hollybay/consensus/lease_client.py
+++ b/hollybay/consensus/lease_client.py
@@ -16,6 +16,7 @@
 from .messages import number_of, stage_label
 from .outgoing_requests import CALL_LIMIT, PeerClient
 from .policy import RejectedError
+from .reasons import GoneSinceFetch, texts_of
 from .requests import UnreachableError
 from .serviceability import Serviceability, Unserviceable, bounded_reasons
 from .store import StoreError
@@ -203,7 +204,7 @@
             news.cancel()
 
     def _lease_call(self, request: LeaseRequest) -> messages.LeaseCall:
-        why = Unserviceable([])
+        why = Unserviceable(())
         if request.state is not None and request.state.new:
             why = self.serviceability.unserviceable.get(request.state.new, why)
         return messages.LeaseCall(
@@ -213,8 +214,8 @@
             self.settings.address,
             self.settings.lease,
             self.settings.grace,
-            why.reasons,
-            dict(why.culprits),
+            texts_of(why.reasons),
+            {change: texts_of(reasons) for change, reasons in why.culprits.items()},
             why.whatever_it_holds,
         )
 
@@ -283,6 +284,6 @@
                 await self.serviceability.prepare(entry)
             else:
                 # It is not on this disk: the node cannot serve it now, and may later.
-                reasons = bounded_reasons([fetched.problem])
+                reasons = bounded_reasons([fetched.problem or GoneSinceFetch()])
                 self.serviceability.mark(name, Unserviceable(reasons, whatever_it_holds=True))
         return tuple(voter_sets)
--- a/hollybay/consensus/log_fetch.py
+++ b/hollybay/consensus/log_fetch.py
@@ -22,6 +22,7 @@
 from .log import PolicyLog
 from .log_entry import Snapshot
 from .policy import Policy, RejectedError, decode_policy, version_of
+from .reasons import NotPersisted
 from .requests import UnreachableError
 from .store import StoreError
 from .transfer import download
@@ -52,11 +53,11 @@
     policy
         The requested entry; None: nobody had it.
     problem
-        Why the entry is not on this disk.
+        Why the entry is not on this disk; None: it is, or nobody had it.
     """
 
     policy: Policy | None
-    problem: str = ""
+    problem: NotPersisted | None = None
 
 
 @dataclass(frozen=True, slots=True)
@@ -162,7 +163,7 @@
                 chain = await self._fetch_chain(address, name)
                 await self.run_blocking(partial(chain.store, self.log))
             except StoreError as error:
-                return FetchResult(chain.last.without_changes(), f"cannot be kept: {error}")
+                return FetchResult(chain.last.without_changes(), NotPersisted(str(error)))
             except (UnreachableError, RejectedError) as error:
                 self._record_failure(address, f"{name}: {error}")
                 continue
--- a/hollybay/consensus/log_replica.py
+++ b/hollybay/consensus/log_replica.py
@@ -87,8 +87,8 @@
         """
         for name in policies_named(state):
             fetched = await self.fetch(name, source)
-            if fetched.problem:
-                raise StoreError(fetched.problem)
+            if fetched.problem is not None:
+                raise StoreError(str(fetched.problem))
             if fetched.policy is None:
                 return False
         return True
--- a/hollybay/consensus/long_requests.py
+++ b/hollybay/consensus/long_requests.py
@@ -34,7 +34,7 @@
             self._forget_done()
             if len(self._under_way) >= MAX_LONG_REQUESTS:
                 return busy("others are worked on", RETRY_AFTER)
-            # All of these are operators' requests for a change, and their refusals the same.
+            # All of these are operators' requests for a change, and their rejections the same.
             task = self._under_way[key] = self.tasks.spawn(answered("found", work()))
         await asyncio.wait({task}, timeout=RESPONSE_LIMIT)
         if not task.done():
--- a/hollybay/consensus/member_reports.py
+++ b/hollybay/consensus/member_reports.py
@@ -6,6 +6,7 @@
 from typing import TypeVar
 
 from .messages import LeaseCall
+from .reasons import MemberReason, ReportedReason
 
 __all__ = ["KnownMember", "MemberReports"]
 
@@ -32,8 +33,6 @@
         The epoch that it served under; -1: none.
     can_serve_new : bool
         Whether it could serve the new policy.
-    reasons : list of str
-        Why it could not.
     """
 
     name: str
@@ -42,7 +41,6 @@
     epoch: int
     serving_epoch: int
     can_serve_new: bool
-    reasons: list[str]
 
 
 class MemberReports:
@@ -52,7 +50,7 @@
     ----------
     members : dict
         By the number of the process.
-    refusals : dict
+    unserviceable : dict
         By policy and name of a process: why it cannot serve the policy.
     culprits : dict
         By policy and id of a change: why a process cannot serve the change.
@@ -62,9 +60,9 @@
 
     def __init__(self) -> None:
         self.members: dict[int, KnownMember] = {}
-        self.refusals: dict[str, dict[str, list[str]]] = {}
-        self.culprits: dict[str, dict[str, list[str]]] = {}
-        self.cannot_serve_any: dict[str, list[str]] = {}
+        self.unserviceable: dict[str, dict[str, list[ReportedReason]]] = {}
+        self.culprits: dict[str, dict[str, list[MemberReason]]] = {}
+        self.cannot_serve_any: dict[str, list[MemberReason]] = {}
         self._swept_at = 0  # ns
 
     def take(self, now: int, call: LeaseCall) -> None:
@@ -78,32 +76,32 @@
             epoch,
             request.serving_epoch,
             request.can_serve_new,
-            list(call.reasons),
         )
         if request.state is not None and request.state.new and not request.can_serve_new:
-            self._take_refusal(request.state.new, call)
+            self._take_unserviceable(request.state.new, call)
         if now - self._swept_at > SWEEP_INTERVAL:
             self._swept_at = now
             self._forget_members(now)
 
     def forget(self, policy: str) -> None:
         """A policy is proposed again: what was reported of it before counts no more."""
-        self.refusals.pop(policy, None)
+        self.unserviceable.pop(policy, None)
         self.culprits.pop(policy, None)
         self.cannot_serve_any.pop(policy, None)
 
-    def _take_refusal(self, policy: str, call: LeaseCall) -> None:
+    def _take_unserviceable(self, policy: str, call: LeaseCall) -> None:
         """Note why a process cannot serve a policy, and which changes of the batch it names."""
-        self.refusals.setdefault(policy, {})[call.name] = list(call.reasons)
-        for change, reasons in call.culprits.items():
-            own = [f"{call.name}: {reason}" for reason in reasons]
-            self.culprits.setdefault(policy, {}).setdefault(change, own)
+        reported = [ReportedReason(text) for text in call.reasons]
+        self.unserviceable.setdefault(policy, {})[call.name] = reported
+        for change, texts in call.culprits.items():
+            reasons = [MemberReason(call.name, ReportedReason(text)) for text in texts]
+            self.culprits.setdefault(policy, {}).setdefault(change, reasons)
         if call.cannot_serve_any:
-            reasons_of_all = [f"{call.name}: {reason}" for reason in call.reasons]
-            self.cannot_serve_any.setdefault(policy, reasons_of_all)
+            reasons_for_all = [MemberReason(call.name, reason) for reason in reported]
+            self.cannot_serve_any.setdefault(policy, reasons_for_all)
         _drop_oldest(self.culprits)
         _drop_oldest(self.cannot_serve_any)
-        _drop_oldest(self.refusals)
+        _drop_oldest(self.unserviceable)
 
     def _forget_members(self, now: int) -> None:
         """Forget processes that have not been in contact for long."""
--- a/hollybay/consensus/message_fields.py
+++ b/hollybay/consensus/message_fields.py
@@ -29,7 +29,7 @@
     "UploadId",
 ]
 
-FORM = 2  # the version of these messages; a request of another one is refused
+FORM = 2  # the version of these messages; a request of another one is rejected
 # What is longer than one request (deltas, snapshots, operator files, large changes) is sent in pieces of so
 # many bytes.
 PIECE_BYTES = 256 << 10
--- a/hollybay/consensus/messages.py
+++ b/hollybay/consensus/messages.py
@@ -174,7 +174,7 @@
     source: Address
 
 
-class BlockingLease(Message, frozen=True, rename={"remaining": "left", "refuses": "no"}):
+class BlockingLease(Message, frozen=True, rename={"remaining": "left", "cannot_serve": "no"}):
     """A lease that must end before a voter may vote.
 
     Attributes
@@ -186,7 +186,7 @@
     epoch : int
     remaining : int
         Until it ends, ns.
-    refuses : bool
+    cannot_serve : bool
         Whether it blocks because its holder cannot serve the new policy.
     """
 
@@ -194,7 +194,7 @@
     process: int
     epoch: int
     remaining: int
-    refuses: bool
+    cannot_serve: bool
 
 
 class AcceptReply(
@@ -207,7 +207,7 @@
         "promised_number": "above",
         "blocking_leases": "waits",
         "no_vote_for": "quiet",
-        "reason": "why",
+        "withheld_because": "why",
     },
 ):
     """The reply.
@@ -222,7 +222,7 @@
         The leases that must end before it may vote.
     no_vote_for : int
         For how long it may vote for nothing, as it has restarted, ns.
-    reason : str
+    withheld_because : str
         Why it does not vote, for people.
     """
 
@@ -232,7 +232,7 @@
     promised_number: int = 0
     blocking_leases: list[BlockingLease] = msgspec.field(default_factory=list)
     no_vote_for: int = 0
-    reason: str = ""
+    withheld_because: str = ""
 
 
 # Knowledge
@@ -354,7 +354,7 @@
 
 
 def _shown(state: EpochState) -> str:
-    """An epoch in the text of a refusal."""
+    """An epoch in the text of a rejection."""
     stage = f"<Stage.{stage_label(state.stage)}: {state.stage.value}>"
     return f"EpochState(epoch={state.epoch}, stage={stage}, policy={state.policy!r}, new={state.new!r})"
 
--- a/hollybay/consensus/planted_defects.py
+++ b/hollybay/consensus/planted_defects.py
@@ -54,11 +54,11 @@
     """It votes though a silent node may still serve under an epoch before the decided one."""
 
     def may_vote(self, now: int, state: EpochState) -> bool:
-        is_refused = state.stage is Stage.JOINT and bool(self.refusing_nodes(now))
+        is_unserviceable = state.stage is Stage.JOINT and bool(self.nodes_unable_to_serve(now))
         return (
             is_valid_successor(self.decided, state)
             and now >= self.no_vote_before
-            and not is_refused
+            and not is_unserviceable
             and state.epoch > self.last_barred_epoch
         )
 
@@ -79,7 +79,7 @@
 class _IgnoresRefusals(Acceptor):
     """It votes for JOINT though a node cannot serve the new policy."""
 
-    def refusing_nodes(self, now: int) -> tuple[int, ...]:
+    def nodes_unable_to_serve(self, now: int) -> tuple[int, ...]:
         return ()
 
 
--- a/hollybay/consensus/policy_requests.py
+++ b/hollybay/consensus/policy_requests.py
@@ -20,7 +20,8 @@
 from .log_replica import LogReplica
 from .outgoing_requests import PeerClient
 from .policy import Policy, RejectedError, successor_policy
-from .replies import ACCEPTED, UNPROCESSABLE, ok, refused_for
+from .reasons import texts_of
+from .replies import ACCEPTED, UNPROCESSABLE, ok, rejected
 from .request_content import RequestContent
 from .requests import UnreachableError
 from .serviceability import Serviceability
@@ -71,9 +72,9 @@
         if other:
             raise RejectedError(f"{other} is about to begin")
         await self._add_voters(acceptor, state, base.policy, policy)
-        problems = await self.serviceability.prepare(await self.replica.store(policy))
-        if problems:
-            return refused_for(UNPROCESSABLE, f"{policy.name} does not hold here", problems)
+        reasons = await self.serviceability.prepare(await self.replica.store(policy))
+        if reasons:
+            return rejected(UNPROCESSABLE, f"{policy.name} does not hold here", texts_of(reasons))
         if acceptor.state.decided != state or self.coordinator.other_pending(policy.name):
             raise RejectedError("another change came first")
         self._begin(policy, state.epoch + 1)
@@ -81,7 +82,7 @@
 
     def _begin(self, policy: Policy, epoch: int) -> None:
         self.coordinator.begin(policy, epoch)
-        self.coordinator.refused.pop(policy.name, None)
+        self.coordinator.rejected.pop(policy.name, None)
         self.environment.data_plane.say(
             "proposed", change=policy.name, reason=policy.reason, author=policy.author
         )
--- a/hollybay/consensus/proposals.py
+++ b/hollybay/consensus/proposals.py
@@ -21,6 +21,7 @@
 from .policy import RejectedError, version_of
 from .proposal_outcomes import InForce, OfferReply, Outcome, Pending, Rejected, UnderWay
 from .queue_settings import MILLISECOND_NS, SECOND_NS
+from .reasons import MemberReason, Reason
 
 __all__ = ["Proposals", "problems_of"]
 
@@ -29,9 +30,9 @@
 DROPPED_BY_OPERATOR = (Problem("change", "", "given up by an operator"),)
 
 
-def problems_of(reasons: Sequence[str]) -> tuple[Problem, ...]:
-    """Reasons that nodes gave, as problems of a change."""
-    return tuple(Problem("change", "", reason) for reason in reasons[:MOST_REASONS])
+def problems_of(reasons: Sequence[Reason]) -> tuple[Problem, ...]:
+    """Reasons why nodes cannot serve a change, as problems of it."""
+    return tuple(Problem("change", "", str(reason)) for reason in reasons[:MOST_REASONS])
 
 
 @dataclass(slots=True)
@@ -112,7 +113,7 @@
         self._storage_full_until = self.clock() + STORAGE_RETRY_NS
 
     def reject_batch(
-        self, batch: Batch, named_changes: Mapping[str, Sequence[str]], reasons: Sequence[str]
+        self, batch: Batch, named_changes: Mapping[str, Sequence[Reason]], reasons: Sequence[Reason]
     ) -> None:
         """The batch cannot be served: the changes that were named are rejected, the others wait again.
 
@@ -123,7 +124,7 @@
         reasons
             What nodes reported without naming a change.
         """
-        by_id = {bytes.fromhex(change_id): problems_of(texts) for change_id, texts in named_changes.items()}
+        by_id = {bytes.fromhex(change_id): problems_of(named) for change_id, named in named_changes.items()}
         self.queue.batch_dropped(batch, by_id, self.clock(), problems_of(reasons))
 
     def batch_superseded(self, batch: Batch, policy: str) -> None:
@@ -173,8 +174,8 @@
         reasons_for_all = acceptor.reports.cannot_serve_any.get(name)
         if reasons_for_all is not None:
             named_changes = {change.id.hex(): reasons_for_all for change in batch.changes}
-        refusals = acceptor.reports.refusals.get(name, {})
-        reasons = [f"{node}: {reason}" for node, texts in refusals.items() for reason in texts]
+        reported = acceptor.reports.unserviceable.get(name, {})
+        reasons = [MemberReason(node, reason) for node, given in reported.items() for reason in given]
         self.reject_batch(batch, named_changes, reasons)
 
     # Status of a change
--- a/hollybay/consensus/queries.py
+++ b/hollybay/consensus/queries.py
@@ -15,7 +15,7 @@
 from .log_server import LogServer
 from .messages import stage_label
 from .proposals import Proposals
-from .replies import NOT_FOUND, OK, ok, refused
+from .replies import NOT_FOUND, OK, ok, rejected
 from .voter import Voter
 
 __all__ = ["Queries"]
@@ -71,20 +71,20 @@
             return await self._difference(name)
         if kind in PIECEWISE_KINDS:
             return await self._piece(path)
-        return refused(NOT_FOUND, "no such call")
+        return rejected(NOT_FOUND, "no such call")
 
     def _entry(self, name: str) -> Response:
         policy = self.log.policy(name)
         if policy is None:
-            return refused(NOT_FOUND, f"no policy {name} here")
+            return rejected(NOT_FOUND, f"no policy {name} here")
         return Response(OK, messages.packed(policy).encode())
 
     async def _piece(self, path: str) -> Response:
         try:
             piece = await self.log_server.chunk(path)
         except LogTruncatedError as error:
-            return refused(LOG_TRUNCATED_STATUS, str(error))
-        return ok(piece) if piece is not None else refused(NOT_FOUND, "no such call")
+            return rejected(LOG_TRUNCATED_STATUS, str(error))
+        return ok(piece) if piece is not None else rejected(NOT_FOUND, "no such call")
 
     async def _difference(self, names: str) -> Response:
         """How two policies differ (diff/NAME/NAME), as lines for people."""
@@ -92,7 +92,7 @@
         before, after = self.log.state(old_name), self.log.state(new_name)
         old, new = self.log.policy(old_name), self.log.policy(new_name)
         if before is None or after is None or old is None or new is None:
-            return refused(NOT_FOUND, f"not both of {old_name} and {new_name} are kept here")
+            return rejected(NOT_FOUND, f"not both of {old_name} and {new_name} are kept here")
         lines = await run_on_disk(
             self.environment.disk, lambda: format_operations(before, operations_to_match(before, after))
         )
--- /dev/null
+++ b/hollybay/consensus/reasons.py
@@ -0,0 +1,200 @@
+"""Why something is not done: a policy is not served, a vote is withheld, a proposal does not begin.
+
+Each kind of reason is a class. Its text, `str(reason)`, is published: it goes over the wire, into logs and to
+the command line. The texts stand here and nowhere else, and tests/golden holds their bytes.
+
+What another process says is a `ReportedReason`, a text alone: it may come from another version of this code.
+Why a change of resources is rejected is a `hollybay.resources.model.Problem`: a resource, a field and a text.
+"""
+
+from __future__ import annotations
+
+from abc import ABC, abstractmethod
+from collections.abc import Iterable
+from dataclasses import dataclass
+from typing import NewType
+
+__all__ = [
+    "Barred",
+    "DoesNotCompile",
+    "GoneSinceFetch",
+    "KnowsNothing",
+    "LacksPolicies",
+    "MemberReason",
+    "NotPersisted",
+    "Reason",
+    "ReportedReason",
+    "Superseded",
+    "SupersededOrDropped",
+    "bounded",
+    "texts_of",
+]
+
+# A reason as another process gave it.
+ReportedReason = NewType("ReportedReason", str)
+
+
+class Reason(ABC):
+    """A reason; `str` gives its published text."""
+
+    __slots__ = ()
+
+    @abstractmethod
+    def __str__(self) -> str: ...
+
+    def shortened(self, max_length: int) -> Reason:
+        """The reason with a text of at most `max_length` characters."""
+        text = str(self)
+        return self if len(text) <= max_length else _Shortened(text[:max_length])
+
+
+@dataclass(frozen=True, slots=True)
+class _Shortened(Reason):
+    """A reason whose text was longer than a message may hold."""
+
+    text: str
+
+    def __str__(self) -> str:
+        return self.text
+
+
+# Why a node cannot serve a policy
+
+
+@dataclass(frozen=True, slots=True)
+class DoesNotCompile(Reason):
+    """The data plane cannot compile the policy.
+
+    Parameters
+    ----------
+    problem
+        One problem, as the data plane describes it.
+    """
+
+    problem: str
+
+    def __str__(self) -> str:
+        return self.problem
+
+
+@dataclass(frozen=True, slots=True)
+class NotPersisted(Reason):
+    """The disk does not take a record.
+
+    Parameters
+    ----------
+    error
+        The error of the store.
+    """
+
+    error: str
+
+    def __str__(self) -> str:
+        return f"cannot be kept: {self.error}"
+
+
+@dataclass(frozen=True, slots=True)
+class GoneSinceFetch(Reason):
+    """The log was pruned after the policy was fetched. Published without a text."""
+
+    def __str__(self) -> str:
+        return ""
+
+
+@dataclass(frozen=True, slots=True)
+class MemberReason(Reason):
+    """A reason that a node gave a voter with its request for a lease.
+
+    Parameters
+    ----------
+    member
+        The name of the node.
+    reason
+        What it reported.
+    """
+
+    member: str
+    reason: ReportedReason
+
+    def __str__(self) -> str:
+        return f"{self.member}: {self.reason}"
+
+
+# Why a voter withholds its vote
+
+
+@dataclass(frozen=True, slots=True)
+class KnowsNothing(Reason):
+    """The voter has not begun, or lost its disk and has not recovered from the others."""
+
+    def __str__(self) -> str:
+        return "it knows nothing yet"
+
+
+@dataclass(frozen=True, slots=True)
+class LacksPolicies(Reason):
+    """The voter does not have all policies that the epoch names.
+
+    Parameters
+    ----------
+    policies
+        The names of those that the epoch names.
+    """
+
+    policies: tuple[str, ...]
+
+    def __str__(self) -> str:
+        return f"it has not all of {' and '.join(self.policies)}"
+
+
+@dataclass(frozen=True, slots=True)
+class Barred(Reason):
+    """The voter lost its disk and may have voted for the epoch before.
+
+    Parameters
+    ----------
+    last_barred_epoch
+        The last epoch that it must not vote for.
+    """
+
+    last_barred_epoch: int
+
+    def __str__(self) -> str:
+        return f"mute up to epoch {self.last_barred_epoch}"
+
+
+# Why a proposed policy never began
+
+
+@dataclass(frozen=True, slots=True)
+class Superseded(Reason):
+    """Another policy was proposed first.
+
+    Parameters
+    ----------
+    policy
+        The name of the other policy.
+    """
+
+    policy: str
+
+    def __str__(self) -> str:
+        return f"{self.policy} came first"
+
+
+@dataclass(frozen=True, slots=True)
+class SupersededOrDropped(Reason):
+    """A later epoch is decided that does not name the policy."""
+
+    def __str__(self) -> str:
+        return "another change came first, or it was dropped"
+
+
+def bounded(reasons: Iterable[Reason], max_reasons: int, max_length: int) -> tuple[Reason, ...]:
+    """At most `max_reasons` reasons, each with a text of at most `max_length` characters."""
+    return tuple(reason.shortened(max_length) for reason in reasons)[:max_reasons]
+
+
+def texts_of(reasons: Iterable[Reason]) -> list[str]:
+    """The published texts of reasons."""
+    return [str(reason) for reason in reasons]
--- a/hollybay/consensus/replies.py
+++ b/hollybay/consensus/replies.py
@@ -2,13 +2,14 @@
 
 from __future__ import annotations
 
-from collections.abc import Awaitable
+from collections.abc import Awaitable, Sequence
 
 from hollybay.resources.model import ChangeRejectedError
 
 from . import messages
 from .interfaces import InvalidFileError, Response
 from .policy import RejectedError
+from .reasons import NotPersisted
 from .store import StoreError
 
 __all__ = [
@@ -19,8 +20,7 @@
     "answered",
     "busy",
     "ok",
-    "refused",
-    "refused_for",
+    "rejected",
 ]
 
 OK = 200
@@ -31,7 +31,7 @@
 UNPROCESSABLE = 422
 UNAVAILABLE = 503
 INSUFFICIENT_STORAGE = 507
-# The requests of operators that ask for a change: a refusal is a conflict with what is in force.
+# The requests of operators that ask for a change: a rejection is a conflict with what is in force.
 CHANGING_PATHS = frozenset({"found", "propose", "drop", "draft"})
 
 
@@ -40,13 +40,10 @@
     return Response(status, messages.encode(message))
 
 
-def refused(status: int, reason: str) -> Response:
-    """A response that refuses a request."""
-    return ok({"refused": reason}, status)
-
-
-def refused_for(status: int, reason: str, problems: object) -> Response:
-    """A response that refuses a request for a list of problems."""
+def rejected(status: int, reason: str, problems: Sequence[str] | None = None) -> Response:
+    """A response that rejects a request; problems: all that was found, if there is a list of them."""
+    if problems is None:
+        return ok({"refused": reason}, status)
     return ok({"refused": reason, "problems": problems}, status)
 
 
@@ -60,10 +57,10 @@
     try:
         return await work
     except InvalidFileError as error:
-        return refused_for(UNPROCESSABLE, "the file does not hold", error.problems)
+        return rejected(UNPROCESSABLE, "the file does not hold", error.problems)
     except ChangeRejectedError as error:
-        return refused_for(CONFLICT, str(error), [str(problem) for problem in error.problems])
+        return rejected(CONFLICT, str(error), [str(problem) for problem in error.problems])
     except RejectedError as error:
-        return refused(CONFLICT if path in CHANGING_PATHS else BAD_REQUEST, str(error))
+        return rejected(CONFLICT if path in CHANGING_PATHS else BAD_REQUEST, str(error))
     except StoreError as error:
-        return refused(INSUFFICIENT_STORAGE, f"cannot be kept: {error}")
+        return rejected(INSUFFICIENT_STORAGE, str(NotPersisted(str(error))))
--- a/hollybay/consensus/service.py
+++ b/hollybay/consensus/service.py
@@ -37,7 +37,7 @@
 from .policy_requests import PolicyRequests
 from .proposals import Proposals
 from .queries import Queries
-from .replies import NOT_FOUND, OK, answered, refused
+from .replies import NOT_FOUND, OK, answered, rejected
 from .request_content import RequestContent
 from .requests import Transport
 from .status import keeper_status, node_status
@@ -246,7 +246,7 @@
             return await self.queries.answer(path)
         route = self._routes.get(path)
         if route is None:
-            return refused(NOT_FOUND, "no such call")
+            return rejected(NOT_FOUND, "no such call")
         if route.of_voter:
             self.voter.require_acceptor()
         message: Any = messages.decode(body, route.message)
@@ -301,7 +301,7 @@
             process=self.process,
             voters=self.replica.voter_addresses(holder.latest_epoch),
             unserviceable={name: why.reasons for name, why in unserviceable.items()},
-            refused_fetches=self.replica.fetcher.failures,
+            failed_fetches=self.replica.fetcher.failures,
             requests_in=self.requests_in,
             requests_out=self.peers.calls,
         )
--- a/hollybay/consensus/serviceability.py
+++ b/hollybay/consensus/serviceability.py
@@ -2,13 +2,14 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable, Mapping, Sequence
+from collections.abc import Callable, Iterable, Mapping
 from dataclasses import dataclass, field
 
 from . import messages
 from .interfaces import DataPlane
 from .log_entry import Entry
 from .log_replica import LogReplica
+from .reasons import DoesNotCompile, Reason, bounded
 
 __all__ = ["Serviceability", "Unserviceable", "bounded_reasons"]
 
@@ -22,21 +23,21 @@
 
     Attributes
     ----------
-    reasons : list of str
+    reasons : tuple of Reason
     culprits : mapping
         The reasons by the ids of the changes at fault, as far as these are known.
     whatever_it_holds : bool
         Whether the node could serve no new policy now, whatever it holds.
     """
 
-    reasons: list[str]
-    culprits: Mapping[str, list[str]] = field(default_factory=dict)
+    reasons: tuple[Reason, ...]
+    culprits: Mapping[str, tuple[Reason, ...]] = field(default_factory=dict)
     whatever_it_holds: bool = False
 
 
-def bounded_reasons(reasons: Sequence[str]) -> list[str]:
+def bounded_reasons(reasons: Iterable[Reason]) -> tuple[Reason, ...]:
     """Reasons within the bounds of a message."""
-    return [text[:MAX_REASON_LENGTH] for text in reasons[: messages.MOST_REASONS]]
+    return bounded(reasons, messages.MOST_REASONS, MAX_REASON_LENGTH)
 
 
 class Serviceability:
@@ -63,15 +64,15 @@
         self._on_marked = on_marked
         self._on_cleared = on_cleared
 
-    async def prepare(self, entry: Entry) -> list[str]:
+    async def prepare(self, entry: Entry) -> tuple[Reason, ...]:
         """Make a policy that is on disk ready to be served; the reasons why it cannot be, if any."""
         name = entry.policy.name
         known = self.unserviceable.get(name)
         if known is not None:
             return known.reasons
-        reasons = await self.data_plane.compile(entry)
+        problems = await self.data_plane.compile(entry)
+        reasons = bounded_reasons(map(DoesNotCompile, problems))
         if reasons:
-            reasons = bounded_reasons(reasons)
             self.mark(name, Unserviceable(reasons, await self._culprits(entry, reasons)))
         return reasons
 
@@ -87,7 +88,7 @@
         self.unserviceable.pop(name, None)
         self._on_cleared(name)
 
-    async def _culprits(self, entry: Entry, reasons: list[str]) -> dict[str, list[str]]:
+    async def _culprits(self, entry: Entry, reasons: tuple[Reason, ...]) -> dict[str, tuple[Reason, ...]]:
         """The changes of a batch by which it cannot be served; empty: they are not known."""
         policy = await self.replica.read(entry.policy.name)
         base = self.replica.log.entry(entry.policy.parent_name)
@@ -98,5 +99,8 @@
         found = await self.data_plane.culprits(base, policy.changes)
         culprits = list(found.items())[: messages.MAX_CULPRITS]
         return {
-            change.hex(): bounded_reasons(texts)[: messages.MAX_CULPRIT_REASONS] for change, texts in culprits
+            change.hex(): bounded(
+                map(DoesNotCompile, problems), messages.MAX_CULPRIT_REASONS, MAX_REASON_LENGTH
+            )
+            for change, problems in culprits
         }
--- a/hollybay/consensus/status.py
+++ b/hollybay/consensus/status.py
@@ -17,6 +17,7 @@
 from .leaseholder import Leaseholder
 from .log import PolicyLog
 from .messages import BlockingLease, stage_label
+from .reasons import KnowsNothing, Reason, texts_of
 
 __all__ = ["ChangeProgress", "keeper_status", "members", "node_status"]
 
@@ -34,7 +35,7 @@
         Changes that wait for the next batch.
     pending : str
         The policy that is about to begin; empty: none.
-    refused : mapping
+    rejected : mapping
         Policies that never began, and why.
     coordinating : str
         The policy that this voter coordinates; empty: none.
@@ -44,7 +45,7 @@
 
     queued: int
     pending: str
-    refused: Mapping[str, str]
+    rejected: Mapping[str, Reason]
     coordinating: str
     blocking_leases: Sequence[BlockingLease]
 
@@ -56,8 +57,8 @@
     *,
     process: int,
     voters: Sequence[str],
-    unserviceable: Mapping[str, Sequence[str]],
-    refused_fetches: Mapping[str, str],
+    unserviceable: Mapping[str, Sequence[Reason]],
+    failed_fetches: Mapping[str, str],
     requests_in: int,
     requests_out: int,
 ) -> dict[str, object]:
@@ -75,7 +76,7 @@
         The addresses of those whose leases it needs.
     unserviceable : mapping
         Policies that it cannot serve, and why.
-    refused_fetches : mapping
+    failed_fetches : mapping
         Addresses that did not give what was fetched from them, and why.
     requests_in, requests_out : int
         Requests that were received, and sent.
@@ -94,8 +95,8 @@
         "stage": stage_label(state.stage) if state is not None else "",
         "late": not has_lease and bool(policies),
         "left_s": _seconds_until(end, now),
-        "unfit": unserviceable,
-        "refused_fetches": refused_fetches,
+        "unfit": {name: texts_of(reasons) for name, reasons in unserviceable.items()},
+        "refused_fetches": failed_fetches,
         "calls_in": requests_in,
         "calls_out": requests_out,
     }
@@ -119,7 +120,7 @@
     if acceptor is None:
         return {"keeper": None}
     if acceptor.state is None:
-        return {"keeper": None, "keeper_waits": acceptor.storage_failure or "it knows nothing yet"}
+        return {"keeper": None, "keeper_waits": acceptor.storage_failure or str(KnowsNothing())}
     return {"keeper": _voter_status(acceptor, acceptor.state, log, changes, grace, now)}
 
 
@@ -149,8 +150,8 @@
         "older": [msgspec.to_builtins(lease) for lease in acceptor.older_leases(now)],
         "new": decided.new,
         "pending": changes.pending,
-        "refused": changes.refused,
-        "reasons": acceptor.reports.refusals,
+        "refused": {name: str(reason) for name, reason in changes.rejected.items()},
+        "reasons": acceptor.reports.unserviceable,
         "driving": changes.coordinating,
         "waits": [msgspec.to_builtins(lease) for lease in changes.blocking_leases],
         "quiet_s": _seconds_until(state.no_vote_before, now),
--- a/hollybay/consensus/submission.py
+++ b/hollybay/consensus/submission.py
@@ -13,6 +13,7 @@
 from .cluster_view import ClusterView
 from .messages import ChangeCall, ChangeOutcome, ChangeReply, decode, encode
 from .policy import RejectedError
+from .reasons import ReportedReason
 from .requests import UnreachableError
 from .verdict import ExitStatus, Verdict, judge_settled
 from .voter_client import (
@@ -62,7 +63,7 @@
         self.change = change
         self.id = change.id.hex()
         self._offered_to = set(offered_to)
-        self._rejections: dict[str, list[str]] = {}  # the problems, by address
+        self._rejections: dict[str, list[ReportedReason]] = {}  # the problems, by address
         self._retry_after_s = 0.0
         self._settled_epoch = 0  # the epoch since which it is in force; 0: none is known
 
@@ -122,7 +123,7 @@
                 return Verdict(ExitStatus.UNKNOWN, name, reply.epoch, reply.outcome.value)
         for address, reply in replies.items():
             if reply.outcome is ChangeOutcome.REFUSED:
-                self._rejections[address] = [str(problem) for problem in reply.problems]
+                self._rejections[address] = [ReportedReason(str(problem)) for problem in reply.problems]
         return self._rejection()
 
     async def _verdict_in_force(self, view: ClusterView, reply: ChangeReply) -> Verdict:
--- a/hollybay/consensus/verdict.py
+++ b/hollybay/consensus/verdict.py
@@ -10,6 +10,7 @@
 from enum import IntEnum
 
 from .cluster_view import ClusterView
+from .reasons import ReportedReason
 
 __all__ = ["ExitStatus", "InvalidInputError", "Verdict", "judge", "judge_settled"]
 
@@ -49,7 +50,7 @@
     change: str = ""
     epoch: int = 0
     text: str = ""
-    reasons: dict[str, list[str]] = field(default_factory=dict)
+    reasons: dict[str, list[ReportedReason]] = field(default_factory=dict)
 
     @property
     def code(self) -> int:
@@ -82,7 +83,8 @@
 
     def verdict(self) -> Verdict:
         """The verdict on a change that was never proposed."""
-        reasons = {"the keeper": self.problems} if self.problems else {}
+        reported = [ReportedReason(problem) for problem in self.problems]
+        reasons = {"the keeper": reported} if reported else {}
         return Verdict(self.status, text=str(self), reasons=reasons)
 
 
--- a/hollybay/consensus/voter_client.py
+++ b/hollybay/consensus/voter_client.py
@@ -14,6 +14,7 @@
 from .cluster_view import ClusterView, parse_history, parse_status
 from .messages import PIECE_BYTES, encode
 from .policy import Policy
+from .reasons import ReportedReason
 from .requests import UnreachableError, policy_from
 from .transfer import upload_calls
 from .verdict import ExitStatus, InvalidInputError
@@ -199,19 +200,19 @@
     return min(MAX_RETRY_AFTER_S, max(0.0, wait_ms / 1000))
 
 
-def problems_in(error: UnreachableError) -> list[str]:
+def problems_in(error: UnreachableError) -> list[ReportedReason]:
     """The problems that a voter listed with an error, or the text of the error."""
     problems = _details(error).get("problems")
     if not isinstance(problems, list):
-        return [str(error)]
-    return [_problem_text(problem) for problem in problems]
+        return [ReportedReason(str(error))]
+    return [_reported(problem) for problem in problems]
 
 
-def _problem_text(problem: object) -> str:
+def _reported(problem: object) -> ReportedReason:
     """A problem as it stands in JSON: an array of resource, field and reason, or a text."""
     if isinstance(problem, list):
-        return ": ".join(str(part) for part in problem if part)
-    return str(problem)
+        return ReportedReason(": ".join(str(part) for part in problem if part))
+    return ReportedReason(str(problem))
 
 
 def invalid_input(error: UnreachableError) -> InvalidInputError:
--- a/tests/test_accord_core.py
+++ b/tests/test_accord_core.py
@@ -206,7 +206,7 @@
 def test_a_no_holds_while_its_node_may_serve_and_comes_too_late_after_the_vote() -> None:
     no = LeaseRequest(1, 1, PREPARE, 0, False)
     told, grant = Acceptor(0, PREPARE).grant_lease(0, no, 50)
-    assert grant is not None and told.refusing_nodes(49) == (1,)
+    assert grant is not None and told.nodes_unable_to_serve(49) == (1,)
     assert told.on_accept(49, Accept((1, 1), NARROW))[1] is None
     assert told.on_accept(49, Accept((1, 1), EpochState(2, Stage.SETTLED, "p0")))[1] is not None
     assert told.on_accept(50, Accept((1, 1), NARROW))[1] is not None
--- a/tests/test_accord_fetch.py
+++ b/tests/test_accord_fetch.py
@@ -16,6 +16,7 @@
 from hollybay.consensus.log_entry import Snapshot
 from hollybay.consensus.log_fetch import LOG_TRUNCATED_STATUS, Fetcher, FetchResult
 from hollybay.consensus.policy import Policy, RejectedError, successor_policy
+from hollybay.consensus.reasons import NotPersisted
 from hollybay.consensus.requests import UnreachableError
 from hollybay.consensus.store import StoreError
 from hollybay.consensus.transfer import (
@@ -177,7 +178,8 @@
 
     log = Full(tmp_path / "n")
     found, _ = bring(log, Others(k=filled(tmp_path / "k", policies)), policies[-1].name, "k")
-    assert found.policy == policies[-1].without_changes() and "No space left" in found.problem
+    assert found.policy == policies[-1].without_changes()
+    assert found.problem == NotPersisted("No space left on device")
     assert not log.names()
 
 
