--- a/benchmarks/capacity/control.py
+++ b/benchmarks/capacity/control.py
@@ -16,6 +16,7 @@
 from hollybay.hollow.fleet import Fleet, FleetFailed, fleet
 from hollybay.hollow.messages import Report
 from hollybay.hollow.meter import Spent
+from hollybay.units import SECOND
 
 from . import samples
 from .measurement import Figures, RunFailed
@@ -40,7 +41,6 @@
 LOOKS = 50
 # An IPv4 and a TCP header with its time stamps, for each segment.
 SEGMENT_HEADER_BYTES = 52
-SECOND = 1_000_000_000
 
 
 def renewals(size: int) -> Figures:
--- a/benchmarks/capacity/requests.py
+++ b/benchmarks/capacity/requests.py
@@ -8,6 +8,7 @@
 from hollybay.balancing import interface as api
 from hollybay.hollow.meter import metered
 from hollybay.routing.policy_compiler import compile_file
+from hollybay.units import MS, SECOND
 
 from .. import matcher
 from . import samples
@@ -16,7 +17,6 @@
 
 __all__ = ["looked_up", "routed", "turned_away"]
 
-MS, SECOND = 1_000_000, 1_000_000_000
 LOOKUPS = 5_000
 ROUNDS = 5
 REJECTIONS = 40
--- a/benchmarks/capacity/samples.py
+++ b/benchmarks/capacity/samples.py
@@ -17,6 +17,7 @@
     TenantRateTable,
     TenantTable,
 )
+from hollybay.units import MS
 
 from ..files import many_routes
 from . import target
@@ -34,7 +35,6 @@
     "tenants",
 ]
 
-MS = 1_000_000
 CLASS = "view-schedule"
 ZONES, KINDS, SERVERS_IN_A_CELL = 17, 4, 40
 
--- a/benchmarks/capacity/servers.py
+++ b/benchmarks/capacity/servers.py
@@ -13,6 +13,7 @@
 from hollybay.hollow.meter import metered
 from hollybay.proxy.discovery import MAX_LIST_BYTES
 from hollybay.proxy.name_table import NameTable
+from hollybay.units import MS, SECOND
 
 from . import samples, target
 from .measurement import Figures
@@ -27,7 +28,7 @@
     "whole_list_few_nodes",
 ]
 
-MS, SECOND, MIB = 1_000_000, 1_000_000_000, 1 << 20
+MIB = 1 << 20
 CHANGES = 20
 REVIEWS = 10
 # How many nodes are told where that does not matter: each server that is new costs a walk over all of them.
--- a/benchmarks/capacity/streams.py
+++ b/benchmarks/capacity/streams.py
@@ -17,6 +17,7 @@
 from hollybay.hollow.messages import Report
 from hollybay.proxy.consensus_member import clock
 from hollybay.resources.model import CHANGE_ID_BYTES, Change, Kind, Upsert
+from hollybay.units import SECOND
 
 from . import control
 from .measurement import Figures
@@ -31,7 +32,6 @@
     "stream_with_silent",
 ]
 
-SECOND = 1_000_000_000
 # The mean of the expected changes, for so long; and how many come within one second.
 RATE_A_SECOND = 0.9
 STREAM_S = 30.0
--- a/benchmarks/capacity/tenants.py
+++ b/benchmarks/capacity/tenants.py
@@ -8,13 +8,13 @@
 from hollybay.routing.admission_control import AdmissionControl
 from hollybay.routing.limits import EffectiveLimits
 from hollybay.routing.policy_compiler import compile_file
+from hollybay.units import SECOND
 
 from . import samples
 from .measurement import Figures
 
 __all__ = ["buckets", "named"]
 
-SECOND = 1_000_000_000
 # As many keys as a bucket may keep apart, at the most.
 LIMITS = "limits = { rate = { per_second = 10, burst = 10, by = 'tenant', most_keys = 1000000 } }\n"
 
--- a/benchmarks/flood.py
+++ b/benchmarks/flood.py
@@ -14,6 +14,7 @@
 from hollybay.testbed.ledger import Final
 from hollybay.testbed.process import NodeProcess
 from hollybay.testbed.scene import Scene
+from hollybay.units import MS
 
 SERVERS, SECONDS, FLOOD, USUAL = 20, 8.0, 1500.0, 100.0
 LIMITS = """
@@ -24,7 +25,6 @@
 rate = { per_second = 100, burst = 50, by = "tenant" }
 retry_after = { least = "1s", most = "4s" }
 """
-MS = 1_000_000
 
 
 async def play(text: str) -> str:
--- a/benchmarks/matcher.py
+++ b/benchmarks/matcher.py
@@ -9,10 +9,10 @@
 from hollybay.balancing import interface as api
 from hollybay.routing.compiled_policy import CompiledPolicy
 from hollybay.routing.policy_compiler import compile_file
+from hollybay.units import MS
 
 from .files import many_routes
 
-MS = 1_000_000
 SETTINGS = api.Settings(
     (api.RequestClass("view-schedule", api.Effect.SAFE, 3.0, 200 * MS, 500 * MS),), hedging_allowed=True
 )
--- a/benchmarks/route_changes.py
+++ b/benchmarks/route_changes.py
@@ -26,10 +26,10 @@
     TenantRateTable,
     TenantTable,
 )
+from hollybay.units import MS
 
 from .capacity.samples import route_resources
 
-MS = 1_000_000
 SETTINGS = api.Settings(
     (api.RequestClass("view-schedule", api.Effect.SAFE, 3.0, 200 * MS, 500 * MS),), hedging_allowed=True
 )
--- a/hollybay/balancing/balancer.py
+++ b/hollybay/balancing/balancer.py
@@ -45,7 +45,8 @@
 from .server_pool import remove_from_idle
 from .server_selection import ServerSelector
 from .slow_start import SlowStart
-from .state import MILLISECOND_NS, Attempt, PendingRequest, RequestPhase, Server
+from .state import Attempt, PendingRequest, RequestPhase, Server
+from .units import MS
 from .wakeups import WakeupKind, WakeupQueue
 
 __all__ = ["Balancer"]
@@ -54,7 +55,7 @@
 TIMER_TOKEN = 1
 # A request without a server is tried again after this many ticks of the clock, and at least this time (ns).
 SERVER_WAIT_TICKS = 4
-MIN_SERVER_WAIT_NS = 20 * MILLISECOND_NS
+MIN_SERVER_WAIT_NS = 20 * MS
 # It is given up where less than this many such waits are left.
 MIN_WAITS_LEFT = 2
 # A retry needs more than this many ticks before the deadline.
--- a/hollybay/balancing/endpoints.py
+++ b/hollybay/balancing/endpoints.py
@@ -8,13 +8,14 @@
 from .interface import Server as ServerEntry
 from .outlier_ejection import FIRST_EJECTION_NS
 from .rendezvous import rendezvous_rank
-from .state import SECOND_NS, Server
+from .state import Server
+from .units import SECOND
 
 __all__ = ["Endpoints"]
 
 # The weight of one gap between two lists in the usual one, and the longest gap (ns) that is counted.
 INTERVAL_WEIGHT = 0.2
-MAX_INTERVAL_NS = 2 * SECOND_NS
+MAX_INTERVAL_NS = 2 * SECOND
 # A list is overdue after this many usual intervals; each further one leaves this share of reported loads.
 OVERDUE_INTERVALS = 2.0
 OVERDUE_DECAY = 0.5
@@ -49,7 +50,7 @@
         self.servers: dict[ServerId, Server] = {}
         self.returned: list[ServerId] = []
         self.listed_at = now
-        self.list_interval = float(SECOND_NS)
+        self.list_interval = float(SECOND)
         self.stale = False
         self.size_of_kind = [0.0] * settings.kinds
 
--- a/hollybay/balancing/estimates.py
+++ b/hollybay/balancing/estimates.py
@@ -6,16 +6,17 @@
 from .interface import AttemptFinished, Result, Settings
 from .outlier_ejection import OutlierEjector
 from .reported_failures import REPORT_LIFETIME_NS, ReportedFailures
-from .state import SECOND_NS, PendingRequest, Server
+from .state import PendingRequest, Server
 from .tenant_rejections import TENANT_EXCLUSION_NS, TenantRejections
 from .traffic_share import TrafficShare
+from .units import SECOND
 from .zone_reachability import ZoneReachability
 
 __all__ = ["MIN_SERVICE_TIME_SAMPLES", "REVIEW_INTERVAL_NS", "Estimates", "answer_weight"]
 
 # The time (ns) between reviews, which renew estimates, send intervals and the selection tables: short against
 # troubles of seconds, long for the CPU.
-REVIEW_INTERVAL_NS = SECOND_NS // 2
+REVIEW_INTERVAL_NS = SECOND // 2
 # With fewer outcomes than MIN_REVIEW_OUTCOMES between two reviews, earlier losses are no evidence of the
 # present and decay: else a share that leaves no request to learn from would be shed for ever.
 MIN_REVIEW_OUTCOMES = 8
@@ -122,7 +123,7 @@
         span = now - self.reviewed_at
         if span <= 0:
             return False
-        rate = self.arrivals * SECOND_NS / span
+        rate = self.arrivals * SECOND / span
         if self.request_rate == 0.0:
             self.request_rate = rate
         else:
--- a/hollybay/balancing/outlier_ejection.py
+++ b/hollybay/balancing/outlier_ejection.py
@@ -7,13 +7,14 @@
 from __future__ import annotations
 
 from .interface import Result
-from .state import SECOND_NS, Attempt, Server
+from .state import Attempt, Server
+from .units import SECOND
 
 __all__ = ["FIRST_EJECTION_NS", "OutlierEjector"]
 
 # The duration (ns) of a server's first ejection; it doubles up to the longest.
-FIRST_EJECTION_NS = SECOND_NS
-MAX_EJECTION_NS = 8 * SECOND_NS
+FIRST_EJECTION_NS = SECOND
+MAX_EJECTION_NS = 8 * SECOND
 # The weight of one result in a server's failure rate, and in that of all servers.
 FAILURE_WEIGHT = 0.2
 OVERALL_FAILURE_WEIGHT = 0.01
--- a/hollybay/balancing/pool_builder.py
+++ b/hollybay/balancing/pool_builder.py
@@ -15,7 +15,8 @@
 from .reported_failures import EXCLUSION_FAILURE_RATE, EXPIRED_REPORT_DECAY
 from .server_pool import ServerPool
 from .slow_start import SlowStart
-from .state import SECOND_NS, Server, SpeedClass
+from .state import Server, SpeedClass
+from .units import SECOND
 
 __all__ = ["PoolBuilder", "Pools"]
 
@@ -199,7 +200,7 @@
         # Requests that a server gets while a list is on its way, were all nodes like this one. What it holds
         # above the mean is worked off over that time; a stronger response would oscillate.
         rate = estimates.effective_nodes * estimates.request_rate / len(endpoints.servers)
-        turnover = max(1.0, rate * (SECOND_NS + endpoints.list_interval) / SECOND_NS)
+        turnover = max(1.0, rate * (SECOND + endpoints.list_interval) / SECOND)
         for server in servers:
             relative = 1.0 + (mean_load - server.reported_load) / turnover
             factor = max(MIN_LOAD_FACTOR, min(MAX_LOAD_FACTOR, relative))
--- a/hollybay/balancing/queueing_delay.py
+++ b/hollybay/balancing/queueing_delay.py
@@ -6,9 +6,10 @@
 
 from __future__ import annotations
 
+from .units import SECOND
+
 __all__ = ["QueueingDelay"]
 
-NS_PER_SECOND = 1e9
 # The window (ns) over which attempts are counted, and the weight of one window in the moving send rate.
 WINDOW_NS = 250_000_000
 WINDOW_WEIGHT = 0.3
@@ -91,15 +92,15 @@
             if self.baseline_attempts >= MIN_BASELINE_ATTEMPTS
             else 0.0
         )
-        prior = PRIOR_IN_FLIGHT * max(0.0, 1.0 - self.rate * usual / NS_PER_SECOND) if usual > 0.0 else 0.0
-        prior_rate = prior * NS_PER_SECOND / usual if prior else 0.0
-        return (self.in_flight + prior) * NS_PER_SECOND / (self.rate + prior_rate)
+        prior = PRIOR_IN_FLIGHT * max(0.0, 1.0 - self.rate * usual / SECOND) if usual > 0.0 else 0.0
+        prior_rate = prior * SECOND / usual if prior else 0.0
+        return (self.in_flight + prior) * SECOND / (self.rate + prior_rate)
 
     def _close_window(self, now: int) -> None:
         """Take the window that ends now into the moving rate, and decay the baseline."""
         span = now - self.window_start
         weight = 1.0 - (1.0 - WINDOW_WEIGHT) ** (span / WINDOW_NS)
-        self.rate += weight * (self.window_attempts * NS_PER_SECOND / span - self.rate)
+        self.rate += weight * (self.window_attempts * SECOND / span - self.rate)
         self.window_attempts = 0
         self.window_start = now
         keep = BASELINE_DECAY ** (span / WINDOW_NS)
--- a/hollybay/balancing/state.py
+++ b/hollybay/balancing/state.py
@@ -11,8 +11,6 @@
 from .interface import Limits, Request, Result, ServerId, ServerState
 
 __all__ = [
-    "MILLISECOND_NS",
-    "SECOND_NS",
     "Attempt",
     "PendingRequest",
     "RequestPhase",
@@ -20,9 +18,6 @@
     "SpeedClass",
 ]
 
-MILLISECOND_NS = 1_000_000
-SECOND_NS = 1_000_000_000
-
 
 class Server:
     """What this node knows of a server.
--- a/hollybay/balancing/tenant_rejections.py
+++ b/hollybay/balancing/tenant_rejections.py
@@ -8,7 +8,7 @@
 from __future__ import annotations
 
 from .outlier_shares import OutlierShares
-from .state import SECOND_NS
+from .units import SECOND
 
 __all__ = ["TENANT_EXCLUSION_NS", "TenantRejections"]
 
@@ -19,7 +19,7 @@
 MIN_REJECTION_RATE = 0.2
 MIN_REJECTION_RATIO = 3.0
 # How long (ns) a server that rejects a tenant is left out for it.
-TENANT_EXCLUSION_NS = 4 * SECOND_NS
+TENANT_EXCLUSION_NS = 4 * SECOND
 
 
 class TenantRejections:
--- a/hollybay/balancing/traffic_share.py
+++ b/hollybay/balancing/traffic_share.py
@@ -4,12 +4,13 @@
 
 from collections.abc import Sequence
 
+from .units import SECOND
+
 __all__ = ["TrafficShare"]
 
-SECOND_NS = 1_000_000_000
 # The time (ns) over which own attempts and reports are counted: long against chance at a few requests a
 # second, short against the loss of most nodes.
-HORIZON_NS = 6 * SECOND_NS
+HORIZON_NS = 6 * SECOND
 # The configured share (one of all nodes) counts as this many attempts, as a prior.
 PRIOR_ATTEMPTS = 4.0
 # Before this many reports the configured number of nodes is used, and a report is not limited.
@@ -19,7 +20,7 @@
 # while reports begin, the estimate is off for less time.
 DEVIATION_FACTOR = 2.0
 RETURN_FACTOR = 1.4
-DEVIATION_HOLD_NS = 3 * SECOND_NS
+DEVIATION_HOLD_NS = 3 * SECOND
 # The estimate is at most this many times the configured number of nodes, and at least that part of it.
 MAX_FACTOR = 30.0
 # One report counts as at most this many times the mean of those before, or of the least mean (requests a
@@ -111,7 +112,7 @@
         span = max(0, now - self.updated_at)
         self.updated_at = now
         keep = max(0.0, 1.0 - span / HORIZON_NS)
-        self.observed_seconds = self.observed_seconds * keep + span / SECOND_NS
+        self.observed_seconds = self.observed_seconds * keep + span / SECOND
         self.attempts *= keep
         configured = self.configured_nodes
         if self.reports < MIN_REPORTS:
--- a/hollybay/cli/demo.py
+++ b/hollybay/cli/demo.py
@@ -15,10 +15,10 @@
 from hollybay.testbed.ledger import Final, Ledger, Verdict
 from hollybay.testbed.process import NodeProcess
 from hollybay.testbed.scene import KINDS, Scene
+from hollybay.units import MS
 
 __all__ = ["ClassRow", "KindRow", "Progress", "Report", "percentile", "play", "rows_of"]
 
-MS = 1_000_000
 # The fault, as parts of the run: a fifth dies half way, is back cold an eighth later; the list follows late.
 KILLED_PART, KILLED_AT, BACK_AFTER = 0.2, 0.5, 0.125
 LIST_LATE = 0.6  # seconds until the list tells of a death or a return
--- a/hollybay/cli/policy_output.py
+++ b/hollybay/cli/policy_output.py
@@ -9,6 +9,7 @@
 
 from hollybay.consensus.cluster_view import ClusterView, MemberStatus, OlderLease, VoterStatus
 from hollybay.consensus.verdict import ExitStatus, Verdict
+from hollybay.units import SECOND
 
 __all__ = [
     "Progress",
@@ -20,7 +21,6 @@
 ]
 
 MAX_NAMES_SHOWN = 6
-NS_PER_S = 1e9
 TEXTS = {
     ExitStatus.IN_FORCE: "in force everywhere",
     ExitStatus.NOWHERE: "nowhere",
@@ -62,7 +62,7 @@
     lines = []
     for name, lease in sorted(leases.items(), key=lambda item: item[0]):
         state = "cannot serve it" if lease.cannot_serve else "silent"
-        lines.append(f"  {state}: {name}, lease ends in {lease.left_ns / NS_PER_S:.0f} s")
+        lines.append(f"  {state}: {name}, lease ends in {lease.left_ns / SECOND:.0f} s")
     return lines
 
 
--- a/hollybay/cluster/change_stream.py
+++ b/hollybay/cluster/change_stream.py
@@ -37,6 +37,7 @@
 from hollybay.routing.resource_tables import encode_table
 from hollybay.routing.schema import PathTable, RouteTable
 from hollybay.testbed.scratch import in_memory
+from hollybay.units import SECOND
 
 from .plan import Plan
 from .planted import FULL_DISK
@@ -45,7 +46,6 @@
 
 __all__ = ["Burst", "FullDisk", "Proposal", "Sort", "Stream", "Told", "Tracked", "check", "play", "proposals"]
 
-SECOND = 1_000_000_000
 CALL_LIMIT = 2.0  # s for one call of an operator
 NO_SPACE = "No space left"
 ROUTE_NAME = r"'(n\d{3}-)?r\d{3}'"
--- a/hollybay/cluster/evenness.py
+++ b/hollybay/cluster/evenness.py
@@ -13,6 +13,8 @@
 from itertools import pairwise
 from math import exp, log, sqrt
 
+from hollybay.units import SECOND
+
 __all__ = [
     "FIGURES",
     "Evenness",
@@ -29,7 +31,6 @@
     "unused",
 ]
 
-SECOND = 1_000_000_000
 STEP = 50_000_000
 
 # The figures that a plan may bound, and what they say; all are better when smaller.
--- a/hollybay/cluster/plan.py
+++ b/hollybay/cluster/plan.py
@@ -20,13 +20,13 @@
 
 from hollybay.routing.problems import OperatorError, Problem
 from hollybay.routing.typed_tables import Duration, Table, read_tables
+from hollybay.units import SECOND
 
 from .evenness import FIGURES
 from .links import State
 
 __all__ = ["Fault", "Plan", "compile_plan", "members", "pairs", "refuse_too_large"]
 
-SECOND = 1_000_000_000
 Count = Annotated[int, msgspec.Meta(ge=1, le=2000)]
 Part = Annotated[float, msgspec.Meta(ge=0, le=1)]
 Moment = Annotated[int, msgspec.Meta(ge=0, le=3600 * SECOND, extra={"parse": "duration"})]
--- a/hollybay/cluster/report.py
+++ b/hollybay/cluster/report.py
@@ -11,6 +11,7 @@
 from rich.table import Table
 
 from hollybay.testbed.ledger import Final
+from hollybay.units import SECOND
 
 from .books import Books
 from .evenness import FIGURES, evenness, idle_series, settle_time, share_time
@@ -19,9 +20,6 @@
 
 __all__ = ["ClassFigures", "Report", "plot", "report_of", "tables"]
 
-SECOND = 1_000_000_000
-MS = 1_000_000
-
 
 @dataclass(frozen=True, slots=True)
 class ClassFigures:
--- a/hollybay/cluster/rig.py
+++ b/hollybay/cluster/rig.py
@@ -23,6 +23,7 @@
 from hollybay.testbed.fleet import Kind
 from hollybay.testbed.scene import MEAN_WORK, usual_kinds
 from hollybay.testbed.scratch import in_memory
+from hollybay.units import SECOND
 
 from .books import Books, Excuse, books_of
 from .control import CallFailed, Far, Hub, happens
@@ -34,7 +35,6 @@
 
 __all__ = ["Outcome", "RigFailed", "Tick", "play"]
 
-SECOND = 1_000_000_000
 # Limits in seconds: until all of a sort have started, and until a node that was told to end has ended.
 START_LIMIT, END_LIMIT = 60.0, 15.0
 # How long after a run nodes may take to serve under the same policy (s).
--- a/hollybay/cluster/roles.py
+++ b/hollybay/cluster/roles.py
@@ -32,6 +32,7 @@
 from hollybay.testbed.fleet import Answering, Kind, ModelServer
 from hollybay.testbed.ledger import Asked, Final, Ledger, Limits, Start
 from hollybay.testbed.scene import CLASSES, SHARES, TENANTS, WORK, settings
+from hollybay.units import SECOND
 
 from . import planted
 from .control import answer_calls
@@ -57,7 +58,6 @@
 
 __all__ = ["BEAT", "CONTROL", "limits_of_tier", "play", "words_of"]
 
-SECOND = 1_000_000_000
 CONTROL = "control.sock"
 # Seconds between two beats of a process.
 BEAT = 0.02
--- a/hollybay/cluster/trust.py
+++ b/hollybay/cluster/trust.py
@@ -6,12 +6,12 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
 
+from hollybay.units import SECOND
+
 from .records import Beat
 
 __all__ = ["Carried", "Trust", "judge"]
 
-SECOND = 1_000_000_000
-
 
 @dataclass(frozen=True, slots=True)
 class Carried:
--- a/hollybay/consensus/change_requests.py
+++ b/hollybay/consensus/change_requests.py
@@ -7,6 +7,7 @@
 from hollybay.resources.model import CHANGE_ID_BYTES, Change, Operation, Upsert
 from hollybay.resources.state import ResourceState
 from hollybay.resources.wire import encode_change
+from hollybay.units import SECOND
 
 from . import messages
 from .change_builder import delete_operations, drain_operations, drained_servers, format_operations
@@ -29,7 +30,6 @@
 
 __all__ = ["ChangeRequests"]
 
-SECOND = 1_000_000_000  # ns
 MAX_DRAFT_BYTES = 64 << 10  # bytes of a change that a reply holds; a longer one is fetched in pieces
 MAX_LINES_BYTES = 128 << 10  # bytes of lines for people in a reply
 JSON_QUOTES_BYTES = 4  # that a line takes beside its characters
--- a/hollybay/consensus/coordinator.py
+++ b/hollybay/consensus/coordinator.py
@@ -11,6 +11,8 @@
 from dataclasses import dataclass
 from typing import Any, Protocol
 
+from hollybay.units import SECOND
+
 from .announcer import Announcer
 from .ballots import BallotOutcome, BallotRunner, Learner
 from .core import EpochState, Stage, policies_named
@@ -27,7 +29,6 @@
 
 __all__ = ["IDLE_INTERVAL", "ChangeCoordinator", "CoordinatorHost", "PendingChange"]
 
-SECOND = 1_000_000_000  # ns
 # Seconds after which a voter takes over a change that nobody coordinates, and more for each place among the
 # voters, so that they do not start at once.
 TAKE_OVER_AFTER, TAKE_OVER_STAGGER = 1.0, 0.4
--- a/hollybay/consensus/lease_client.py
+++ b/hollybay/consensus/lease_client.py
@@ -6,6 +6,8 @@
 from collections.abc import Callable
 from typing import Any
 
+from hollybay.units import SECOND
+
 from . import messages
 from .background_tasks import BackgroundTasks
 from .core import Decided, EpochState, LeaseGrant, LeaseRequest, Stage, has_quorum, policies_named
@@ -23,7 +25,6 @@
 
 __all__ = ["LeaseClient"]
 
-SECOND = 1_000_000_000  # ns
 # Renewal periods in the length of a lease; a period is shortened by a random factor.
 PERIODS_PER_LEASE = 2
 RENEWAL_JITTER = (0.85, 1.0)
--- a/hollybay/consensus/member_reports.py
+++ b/hollybay/consensus/member_reports.py
@@ -5,11 +5,12 @@
 from dataclasses import dataclass
 from typing import TypeVar
 
+from hollybay.units import SECOND
+
 from .messages import LeaseCall
 
 __all__ = ["KnownMember", "MemberReports"]
 
-SECOND = 1_000_000_000  # ns
 FORGET_AFTER = 600 * SECOND  # ns after which a process that requests no more is not shown any longer
 SWEEP_INTERVAL = SECOND  # ns
 MAX_POLICIES = 16  # whose reports are kept
--- a/hollybay/consensus/proposals.py
+++ b/hollybay/consensus/proposals.py
@@ -12,6 +12,7 @@
 from hollybay.resources.batch import Batch
 from hollybay.resources.model import CHANGE_ID_BYTES, Change, Problem
 from hollybay.resources.state import EMPTY, ResourceState
+from hollybay.units import MS, SECOND
 
 from .core import EpochState, policies_named
 from .durable_acceptor import DurableAcceptor
@@ -20,12 +21,11 @@
 from .messages import MOST_REASONS, ChangeOutcome, ChangeReply
 from .policy import RejectedError, version_of
 from .proposal_outcomes import InForce, OfferReply, Outcome, Pending, Rejected, UnderWay
-from .queue_settings import MILLISECOND_NS, SECOND_NS
 
 __all__ = ["Proposals", "problems_of"]
 
 # How long a voter accepts no change after its disk could not store an entry.
-STORAGE_RETRY_NS = 2 * SECOND_NS
+STORAGE_RETRY_NS = 2 * SECOND
 DROPPED_BY_OPERATOR = (Problem("change", "", "given up by an operator"),)
 
 
@@ -248,7 +248,7 @@
     if isinstance(outcome, Rejected):
         return ChangeReply(change, ChangeOutcome.REFUSED, problems=list(outcome.problems))
     if isinstance(outcome, Pending):
-        return ChangeReply(change, ChangeOutcome.QUEUED, wait_ms=outcome.wait_ns // MILLISECOND_NS)
+        return ChangeReply(change, ChangeOutcome.QUEUED, wait_ms=outcome.wait_ns // MS)
     if isinstance(outcome, UnderWay):
         # As far as this voter knows no epoch names it yet.
         return ChangeReply(change, ChangeOutcome.QUEUED)
--- a/hollybay/consensus/queue_settings.py
+++ b/hollybay/consensus/queue_settings.py
@@ -6,11 +6,10 @@
 
 from hollybay.resources.batch import MAX_BATCH_CHANGES
 from hollybay.resources.wire import MAX_BATCH_BYTES
+from hollybay.units import MS, SECOND
 
-__all__ = ["MILLISECOND_NS", "SECOND_NS", "QueueSettings"]
+__all__ = ["QueueSettings"]
 
-MILLISECOND_NS = 1_000_000
-SECOND_NS = 1_000_000_000
 
 # The most that an encoded batch needs beside its changes, in bytes.
 BATCH_OVERHEAD_BYTES = 1024
@@ -42,15 +41,15 @@
 
     max_changes: int = 4096
     max_bytes: int = 64 << 20
-    max_wait_ns: int = 10 * SECOND_NS
+    max_wait_ns: int = 10 * SECOND
     max_batch_changes: int = 512
     max_batch_bytes: int = 1 << 20
     max_change_bytes: int = 32 << 20
-    linger_ns: int = 5 * MILLISECOND_NS
-    initial_batch_ns: int = 500 * MILLISECOND_NS
-    max_retry_after_ns: int = 60 * SECOND_NS
+    linger_ns: int = 5 * MS
+    initial_batch_ns: int = 500 * MS
+    max_retry_after_ns: int = 60 * SECOND
     max_outcomes: int = 16_384
-    outcome_ns: int = 600 * SECOND_NS
+    outcome_ns: int = 600 * SECOND
 
     def __post_init__(self) -> None:
         """Check that the bounds agree with each other.
--- a/hollybay/consensus/status.py
+++ b/hollybay/consensus/status.py
@@ -11,6 +11,8 @@
 
 import msgspec
 
+from hollybay.units import SECOND
+
 from .acceptor import Acceptor
 from .durable_acceptor import DurableAcceptor
 from .interfaces import MemberSettings
@@ -20,7 +22,6 @@
 
 __all__ = ["ChangeProgress", "keeper_status", "members", "node_status"]
 
-SECOND = 1_000_000_000  # ns
 SECONDS_DIGITS = 3  # after the point
 
 
--- a/hollybay/hollow/meter.py
+++ b/hollybay/hollow/meter.py
@@ -15,9 +15,10 @@
 from dataclasses import dataclass
 from pathlib import Path
 
+from hollybay.units import SECOND
+
 __all__ = ["LatenessProbe", "Limits", "Meter", "Spent", "late_reason", "memory_bytes", "metered"]
 
-SECOND = 1_000_000_000
 PROBE_EVERY_S = 0.01
 
 
--- a/hollybay/hollow/node.py
+++ b/hollybay/hollow/node.py
@@ -22,11 +22,10 @@
 from hollybay.proxy.consensus_member import BACKLOG, MOST_CALLERS, call, clock
 from hollybay.resources.model import Change
 from hollybay.resources.state import ResourceState
+from hollybay.units import MS
 
 __all__ = ["HollowNode"]
 
-MS = 1_000_000
-
 
 class HollowNode:
     """See above. settings: a policy is compiled for these, as a real node does; None: it is taken as it is.
--- a/hollybay/hollow/process.py
+++ b/hollybay/hollow/process.py
@@ -12,6 +12,7 @@
 import msgspec
 
 from hollybay.balancing.interface import Effect, RequestClass, Settings
+from hollybay.units import MS
 
 from .messages import Listening, Report, ReportNow, Reset, Silence, Start, decode_command
 from .meter import LatenessProbe, Meter, Spent, memory_bytes
@@ -20,7 +21,6 @@
 
 __all__ = ["COMPILED_FOR", "Process", "main"]
 
-MS = 1_000_000
 # Between the starts of two nodes: their first calls would else all come at once.
 START_PAUSE_S = 0.005
 MOST_PROBLEMS = 5
--- a/hollybay/mutation/planted.py
+++ b/hollybay/mutation/planted.py
@@ -307,8 +307,8 @@
     Defect(
         "comes-back-too-late",
         "hollybay/routing/admission_control.py",
-        "return max(NS_PER_MS, earliest + int(self.random.random() * (most - earliest)))",
-        "return max(NS_PER_MS, earliest + 100 * NS_PER_SECOND)",
+        "return max(MS, earliest + int(self.random.random() * (most - earliest)))",
+        "return max(MS, earliest + 100 * SECOND)",
     ),
     Defect(
         "attempts-of-a-route-ignored",
--- a/hollybay/proxy/discovery.py
+++ b/hollybay/proxy/discovery.py
@@ -17,11 +17,12 @@
 
 import h11
 
+from hollybay.units import SECOND
+
 from .addresses import Address
 from .exchange import Node
 from .http_messages import MAX_HEAD, READ_SIZE
 from .name_table import DiscoveryUpdate, NameTable
-from .units import SECOND
 
 __all__ = ["DiscoveryClient", "DiscoveryError", "DiscoveryTimeoutError"]
 
--- a/hollybay/proxy/downstream/connection.py
+++ b/hollybay/proxy/downstream/connection.py
@@ -12,6 +12,8 @@
 
 import h11
 
+from hollybay.units import MS
+
 from .. import system
 from ..flow_control import Source
 from ..http_messages import (
@@ -24,7 +26,6 @@
 )
 from ..ports import Presence
 from ..streaming_body import Upload
-from ..units import MS
 from .client_context import ClientContext
 from .request import MIN_BODY_RATE, ClientRequest
 from .request_validation import HEALTH_PATHS, RequestProblem
--- a/hollybay/proxy/downstream/request.py
+++ b/hollybay/proxy/downstream/request.py
@@ -7,11 +7,12 @@
 
 import h11
 
+from hollybay.units import MS, SECOND
+
 from ..config import Config
 from ..http_messages import LONG_BODY, MAX_BODY, Message, end_to_end, not_passed_on, pairs
 from ..ports import Agreed
 from ..streaming_body import Upload
-from ..units import MS, SECOND
 from .request_validation import RequestProblem, class_index_of, is_health_check, validate_head
 
 if TYPE_CHECKING:
--- a/hollybay/proxy/downstream/responses.py
+++ b/hollybay/proxy/downstream/responses.py
@@ -4,8 +4,9 @@
 
 import h11
 
+from hollybay.units import SECOND
+
 from ..http_messages import Headers, head
-from ..units import SECOND
 from .request_validation import RequestProblem
 
 __all__ = ["rejection_events", "response_bytes", "retry_after_header"]
--- a/hollybay/proxy/exchange.py
+++ b/hollybay/proxy/exchange.py
@@ -10,13 +10,13 @@
 
 from hollybay.balancing import Balancer
 from hollybay.balancing import interface as api
+from hollybay.units import MS
 
 from . import system
 from .http_messages import Answer, Message
 from .name_table import DiscoveryUpdate
 from .ports import Client, Presence
 from .request_counters import RequestCounters
-from .units import MS
 from .upstream.attempt import Attempt
 from .upstream.pools import UpstreamPools
 
--- a/hollybay/proxy/load_reports.py
+++ b/hollybay/proxy/load_reports.py
@@ -16,12 +16,12 @@
 from hollybay.balancing import interface as api
 from hollybay.gossip import LocalLoad, RemoteLoad, decode_report, encode_reports
 from hollybay.gossip.load_report import MAX_DATAGRAM_BYTES
+from hollybay.units import SECOND
 
 from . import system
 from .addresses import Address, parse_address
 from .config import ConfigError, PeerFields
 from .exchange import Node
-from .units import SECOND
 
 __all__ = ["LoadReportExchange", "PeerAddresses", "parse_peer_addresses"]
 
--- a/hollybay/proxy/name_table.py
+++ b/hollybay/proxy/name_table.py
@@ -11,10 +11,10 @@
 from typing import Any
 
 from hollybay.balancing.interface import ListKind, Server, ServerList, ServerState
+from hollybay.units import MS
 
 from . import system
 from .addresses import Address, parse_address
-from .units import MS
 
 __all__ = ["DiscoveryUpdate", "NameTable"]
 
--- a/hollybay/proxy/shutdown.py
+++ b/hollybay/proxy/shutdown.py
@@ -7,9 +7,9 @@
 from typing import TYPE_CHECKING
 
 from hollybay.proxy.downstream.listener import ClientListener
+from hollybay.units import SECOND
 
 from .exchange import Node
-from .units import SECOND
 
 if TYPE_CHECKING:
     from .handover import ListenerGroup
--- a/hollybay/proxy/upstream/connection.py
+++ b/hollybay/proxy/upstream/connection.py
@@ -15,6 +15,7 @@
 import h11
 
 from hollybay.balancing import interface as api
+from hollybay.units import MS
 
 from .. import system
 from ..http_messages import (
@@ -32,7 +33,6 @@
 from ..name_table import NameTable
 from ..ports import Client
 from ..streaming_body import Upload
-from ..units import MS
 from .attempt import Attempt
 from .endpoint import Endpoint, PooledConnection
 from .response_head import STATUS_OK, check_framing, read_head, result_of_failure
--- a/hollybay/proxy/upstream/health_check.py
+++ b/hollybay/proxy/upstream/health_check.py
@@ -5,11 +5,11 @@
 from collections.abc import Callable
 
 from hollybay.balancing import interface as api
+from hollybay.units import SECOND
 
 from .. import system
 from ..http_messages import Answer, Message
 from ..name_table import NameTable
-from ..units import SECOND
 from .attempt import Attempt
 
 __all__ = ["HEALTH_CHECK_LIMIT_NS", "health_check"]
--- a/hollybay/proxy/upstream/pools.py
+++ b/hollybay/proxy/upstream/pools.py
@@ -9,11 +9,11 @@
 from itertools import takewhile
 
 from hollybay.balancing import interface as api
+from hollybay.units import SECOND
 
 from .. import system
 from ..http_messages import not_passed_on
 from ..name_table import DiscoveryUpdate, NameTable
-from ..units import SECOND
 from .attempt import Attempt
 from .connection import ServerConnection, connection_price
 from .connector import Establish, connect, establish
--- a/hollybay/routing/admission_control.py
+++ b/hollybay/routing/admission_control.py
@@ -11,6 +11,7 @@
 from dataclasses import replace
 
 from hollybay.routing.policy_intersection import PolicyIntersection
+from hollybay.units import MS, SECOND
 
 from .compiled_policy import CompiledPolicy
 from .limits import EffectiveLimits, Rate
@@ -18,8 +19,6 @@
 
 __all__ = ["AdmissionControl"]
 
-NS_PER_SECOND = 1_000_000_000
-NS_PER_MS = 1_000_000
 # Buckets inspected in search of one to evict, each time that a new key finds the table full.
 EVICTION_CANDIDATES = 4
 
@@ -243,9 +242,9 @@
             least, most = limits.retry_after
         else:
             least, most = 0, self.max_retry_after
-            most = min(most, max(2 * wait, wait + NS_PER_SECOND))
+            most = min(most, max(2 * wait, wait + SECOND))
         earliest = min(max(least, wait), most)
-        return max(NS_PER_MS, earliest + int(self.random.random() * (most - earliest)))
+        return max(MS, earliest + int(self.random.random() * (most - earliest)))
 
 
 def _removed_scopes(
--- a/hollybay/routing/checks.py
+++ b/hollybay/routing/checks.py
@@ -11,6 +11,7 @@
 from dataclasses import dataclass
 
 from hollybay.balancing import interface as api
+from hollybay.units import MS, SECOND
 
 from .limits import DEDUPLICATION_SCOPES, LimitSettings
 from .problems import Problem
@@ -24,8 +25,6 @@
     "format_duration",
 ]
 
-NS_PER_SECOND = 1_000_000_000
-NS_PER_MS = 1_000_000
 # The longest body that a file may allow, bytes; the node itself takes a little more.
 MAX_BODY_BYTES = 32 << 20
 # The limits that are durations, in ns.
@@ -40,7 +39,7 @@
 
 def format_duration(ns: int) -> str:
     """Return a duration (ns) as the operator file writes it."""
-    return f"{ns / NS_PER_SECOND:g}s" if ns >= NS_PER_SECOND else f"{ns / NS_PER_MS:g}ms"
+    return f"{ns / SECOND:g}s" if ns >= SECOND else f"{ns / MS:g}ms"
 
 
 @dataclass(frozen=True, slots=True)
--- a/hollybay/routing/class_declarations.py
+++ b/hollybay/routing/class_declarations.py
@@ -5,6 +5,7 @@
 from collections.abc import Iterator, Mapping
 
 from hollybay.balancing import interface as api
+from hollybay.units import SECOND
 
 from .checks import format_duration
 from .limits import DEDUPLICATION_SCOPES
@@ -14,20 +15,18 @@
 __all__ = ["declaration_problems", "declared_settings", "quoted_names"]
 
 EFFECTS = {"safe": api.Effect.SAFE, "keyed": api.Effect.KEYED, "unsafe": api.Effect.UNSAFE}
-NS_PER_DAY = 86_400 * 1_000_000_000
+DAY = 86_400 * SECOND
 DEFAULT_MAX_ATTEMPTS = 3  # where only the file says what there is
 
 
 def declared_settings(tables: OperatorFile) -> api.Settings:
     """Derive settings from a file alone; a class whose effect it does not declare counts as unsafe."""
     classes = tuple(_declared_class(name, table) for name, table in tables.classes.items())
-    return api.Settings(
-        classes, max_attempts=DEFAULT_MAX_ATTEMPTS, hedging_allowed=True, max_retry_after=NS_PER_DAY
-    )
+    return api.Settings(classes, max_attempts=DEFAULT_MAX_ATTEMPTS, hedging_allowed=True, max_retry_after=DAY)
 
 
 def _declared_class(name: str, table: ClassTable) -> api.RequestClass:
-    deadline = table.deadline or NS_PER_DAY
+    deadline = table.deadline or DAY
     return api.RequestClass(
         name,
         EFFECTS[table.effect or "unsafe"],
--- a/hollybay/routing/policy_compiler.py
+++ b/hollybay/routing/policy_compiler.py
@@ -7,6 +7,7 @@
 import msgspec
 
 from hollybay.balancing import interface as api
+from hollybay.units import MS
 
 from .class_declarations import declaration_problems, declared_settings
 from .compiled_policy import CompiledPolicy, Route
@@ -26,11 +27,10 @@
 
 __all__ = ["compile_file", "compile_tables", "overlap_problem", "path_options", "unique_problems"]
 
-NS_PER_MS = 1_000_000
 MAX_TENANT_NAME = 253  # characters
 SHOWN_TENANT_NAME = 64  # characters of an invalid name that are shown
-LEASE_BOUNDS = (500 * NS_PER_MS, 60_000 * NS_PER_MS)
-NARROW_FOR_BOUNDS = (1000 * NS_PER_MS, 86_400_000 * NS_PER_MS)
+LEASE_BOUNDS = (500 * MS, 60_000 * MS)
+NARROW_FOR_BOUNDS = (1000 * MS, 86_400_000 * MS)
 
 
 def compile_file(
@@ -180,7 +180,7 @@
         ("narrow_for", table.narrow_for, NARROW_FOR_BOUNDS),
     ):
         if not least <= value <= most:
-            reason = f"must be from {least // NS_PER_MS} ms to {most // NS_PER_MS} ms"
+            reason = f"must be from {least // MS} ms to {most // MS} ms"
             yield Problem("accord", key, value, reason)
 
 
--- a/hollybay/routing/schema.py
+++ b/hollybay/routing/schema.py
@@ -6,11 +6,11 @@
 
 import msgspec
 
+from hollybay.units import MS
+
 from .problems import OperatorError, Problem
 from .typed_tables import Duration, Size, Table, parse_duration, parse_size, read_tables
 
-NS_PER_MS = 1_000_000
-
 __all__ = [
     "AccordTable",
     "ClassTable",
@@ -162,8 +162,8 @@
 class PeersTable(Table, frozen=True):
     """How nodes exchange load reports, in datagrams."""
 
-    every: Duration = 500 * NS_PER_MS  # interval of reports while nothing changes
-    forget: Duration = 1500 * NS_PER_MS  # validity of a report
+    every: Duration = 500 * MS  # interval of reports while nothing changes
+    forget: Duration = 1500 * MS  # validity of a report
 
 
 Address = Annotated[
@@ -181,11 +181,9 @@
     ]  # admin addresses of the voters
     folder: Annotated[str, msgspec.Meta(min_length=1, max_length=400)]  # directory of durable state
     door: Address | None = None  # where voters reach this node, if not at its own admin address
-    lease: Duration = 5000 * NS_PER_MS
+    lease: Duration = 5000 * MS
     when_unsure: Literal["leave", "narrow"] = "leave"
-    narrow_for: Duration = (
-        60_000 * NS_PER_MS
-    )  # grace after lease expiry, under the intersection of both policies
+    narrow_for: Duration = 60_000 * MS  # grace after lease expiry, under the intersection of both policies
 
 
 class OperatorFile(Table, frozen=True):
--- a/hollybay/routing/token_bucket.py
+++ b/hollybay/routing/token_bucket.py
@@ -2,12 +2,12 @@
 
 from __future__ import annotations
 
+from hollybay.units import SECOND
+
 from .limits import Rate
 
 __all__ = ["TokenBucket"]
 
-NS_PER_SECOND = 1_000_000_000
-
 
 class TokenBucket:
     """Tokens as of a point in time.
@@ -40,13 +40,13 @@
             0 if a token was taken, else the time (ns) until one will be available.
         """
         elapsed = max(0, now - self.updated_at)
-        tokens = min(float(rate.burst), self.tokens + elapsed * rate.per_second / NS_PER_SECOND)
+        tokens = min(float(rate.burst), self.tokens + elapsed * rate.per_second / SECOND)
         self.updated_at = max(now, self.updated_at)
         if tokens >= 1.0:
             self.tokens = tokens - 1.0
             return 0
         self.tokens = tokens
-        return max(1, int((1.0 - tokens) * NS_PER_SECOND / rate.per_second))
+        return max(1, int((1.0 - tokens) * SECOND / rate.per_second))
 
     def put_back(self, rate: Rate) -> None:
         """Return a token that was taken for a request that is not admitted after all."""
@@ -55,4 +55,4 @@
     def is_full(self, rate: Rate, now: int) -> bool:
         """Tell whether the bucket has refilled, so that a new one would behave the same."""
         elapsed = max(0, now - self.updated_at)
-        return self.tokens + elapsed * rate.per_second / NS_PER_SECOND >= rate.burst
+        return self.tokens + elapsed * rate.per_second / SECOND >= rate.burst
--- a/hollybay/routing/typed_tables.py
+++ b/hollybay/routing/typed_tables.py
@@ -16,17 +16,17 @@
 
 import msgspec
 
+from hollybay.units import MS, SECOND
+
 from .problems import OperatorError, Problem
 
 __all__ = ["Duration", "Size", "Table", "parse_duration", "parse_size", "read_plain", "read_tables"]
 
-NS_PER_MS = 1_000_000
-NS_PER_SECOND = 1_000_000_000
 MAX_FILE_BYTES = 16 << 20
 MAX_SHOWN_NAME = 64  # characters of a name that are shown
 
 _DURATION = re.compile(r"(\d{1,9}(?:\.\d{1,6})?)(us|ms|s|min)")
-_DURATION_UNITS = {"us": 1_000, "ms": NS_PER_MS, "s": NS_PER_SECOND, "min": 60 * NS_PER_SECOND}
+_DURATION_UNITS = {"us": 1_000, "ms": MS, "s": SECOND, "min": 60 * SECOND}
 _SIZE = re.compile(r"(\d{1,12})(B|KiB|MiB)")
 _SIZE_UNITS = {"B": 1, "KiB": 1 << 10, "MiB": 1 << 20}
 
@@ -64,7 +64,7 @@
 _PARSERS: dict[str, Callable[[object], int]] = {"duration": parse_duration, "size": parse_size}
 
 # In nanoseconds. A duration of more than a day is taken for a typing error.
-Duration = Annotated[int, msgspec.Meta(ge=NS_PER_MS, le=86_400 * NS_PER_SECOND, extra={"parse": "duration"})]
+Duration = Annotated[int, msgspec.Meta(ge=MS, le=86_400 * SECOND, extra={"parse": "duration"})]
 # In bytes.
 Size = Annotated[int, msgspec.Meta(ge=0, extra={"parse": "size"})]
 
--- a/hollybay/simulation/accord_rehearsal.py
+++ b/hollybay/simulation/accord_rehearsal.py
@@ -37,12 +37,12 @@
 from hollybay.resources.model import Change, Delete, Key, Kind, Operation, Upsert
 from hollybay.resources.state import EMPTY, ResourceState
 from hollybay.testbed.scratch import in_memory
+from hollybay.units import SECOND
 
 from .loop import Process, SimLoop
 
 __all__ = ["Played", "Shape", "play", "shape_of", "stream_shape_of"]
 
-SECOND = 1_000_000_000
 UNFIT = b"# no node with an odd number can serve this\n"
 FILE = "file"  # the route that stands for an operator file here
 RESOURCES = 12  # that the stream of changes is about
--- a/hollybay/simulation/clients.py
+++ b/hollybay/simulation/clients.py
@@ -14,6 +14,7 @@
 import msgspec
 
 from hollybay.testbed.ledger import Final
+from hollybay.units import MS, SECOND
 
 from .http import Malformed, Message, Reader, filler
 from .kinds import WRONG
@@ -25,8 +26,6 @@
 
 __all__ = ["Clients", "worded"]
 
-MS = 1_000_000
-SECOND = 1_000_000_000
 # What an answer must not tell a client.
 NOT_FOR_CLIENTS = frozenset(
     (b"x-backend-load", b"x-unprocessed", b"x-hop", b"x-time-left-ms", b"keep-alive", b"upgrade")
--- a/hollybay/simulation/machine.py
+++ b/hollybay/simulation/machine.py
@@ -12,13 +12,13 @@
 from typing import Any
 
 from hollybay.proxy import system
+from hollybay.units import SECOND
 
 from .loop import AnyLoop
 from .network import Address, Network, SimTransport
 
 __all__ = ["Machine", "SimSocket"]
 
-NS = 1_000_000_000
 _TCP_ESTABLISHED, _TCP_CLOSE_WAIT, _TCP_CLOSE = 1, 8, 7
 
 
@@ -176,7 +176,7 @@
         )
         kept = {name: getattr(system, name) for name in names}
         root = self.network.loop
-        system.monotonic_ns = lambda: int(root.now * NS)
+        system.monotonic_ns = lambda: int(root.now * SECOND)
         system.tcp_socket = lambda host: _here(self).socket()  # type: ignore[assignment,return-value]
         system.unread_bytes = self._unread
         system.wall_clock_offset = 0
--- a/hollybay/simulation/plan.py
+++ b/hollybay/simulation/plan.py
@@ -13,12 +13,12 @@
 
 import msgspec
 
+from hollybay.units import MS
+
 from .kinds import FAULTS, SPOILT, WRONG
 
 __all__ = ["Ask", "ClassPlan", "FaultPlan", "Plan", "ServerPlan", "draw", "events", "settings", "to_json"]
 
-MS = 1_000_000
-
 
 class ClassPlan(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """A class of requests; times in ms. effect, group: as the settings word them; work: mean, at speed 1."""
--- a/hollybay/simulation/servers.py
+++ b/hollybay/simulation/servers.py
@@ -14,6 +14,7 @@
 from typing import cast
 
 from hollybay.testbed.ledger import Start
+from hollybay.units import MS, SECOND
 
 from .http import Malformed, Message, Reader, filler
 from .network import Address, SimTransport
@@ -23,8 +24,6 @@
 
 __all__ = ["LONG", "SimServer"]
 
-SECOND = 1_000_000_000
-MS = 1_000_000
 # Bodies beyond this many bytes are passed on as they come.
 LONG = 64 << 10
 # Of what a client sends for the node alone, or for one connection.
--- a/hollybay/simulation/watch.py
+++ b/hollybay/simulation/watch.py
@@ -12,6 +12,7 @@
 
 from hollybay.testbed import rules
 from hollybay.testbed.ledger import Asked, Fault, Final, Ledger, Limits, Start
+from hollybay.units import MS, SECOND
 
 __all__ = [
     "ORACLES",
@@ -30,8 +31,6 @@
     "time_left_fault",
 ]
 
-MS = 1_000_000
-SECOND = 1_000_000_000
 
 # What each oracle sees, by the name under which it reports. The four rules come first.
 ORACLES = {
--- a/hollybay/simulation/world.py
+++ b/hollybay/simulation/world.py
@@ -15,6 +15,7 @@
 
 from hollybay.proxy.config import settings_from_json
 from hollybay.testbed.ledger import Fault, Final, Limits
+from hollybay.units import SECOND
 
 from .agent import Agent
 from .clients import Clients
@@ -30,8 +31,6 @@
 
 __all__ = ["Outcome", "World", "play", "play_seed"]
 
-NS = 1_000_000_000
-MS = 1_000_000
 # Steps of one run at most, and how long (s of virtual time) it goes on after its faults: pauses, idle limits
 # and the cold budget are over by then.
 MOST_STEPS = 400_000
@@ -82,7 +81,7 @@
 
     def now(self) -> int:
         """The time, ns."""
-        return int(self.loop.now * NS)
+        return int(self.loop.now * SECOND)
 
     def chance_of(self, name: str) -> random.Random:
         """A source of chance for one thing, whatever else happens."""
--- a/hollybay/testbed/callers.py
+++ b/hollybay/testbed/callers.py
@@ -13,14 +13,13 @@
 from typing import cast
 
 from hollybay.balancing import interface as api
+from hollybay.units import MS, SECOND
 
 from .fleet import body_for
 from .ledger import Asked, Final, Ledger
 
 __all__ = ["Call", "Callers", "Line", "Mix", "starved"]
 
-MS = 1_000_000
-SECOND = 1_000_000_000
 _SINCE_LAST = slice(52, 56)  # of struct tcp_info: ms since the last bytes came
 
 
--- a/hollybay/testbed/fleet.py
+++ b/hollybay/testbed/fleet.py
@@ -17,11 +17,12 @@
 from dataclasses import dataclass, replace
 from typing import cast
 
+from hollybay.units import SECOND
+
 from .ledger import Ledger, Start
 
 __all__ = ["Answering", "Kind", "ModelServer", "Served", "body_for"]
 
-SECOND = 1_000_000_000
 MAX_REQUEST = 256 << 10
 
 
--- a/hollybay/testbed/ledger.py
+++ b/hollybay/testbed/ledger.py
@@ -11,12 +11,12 @@
 from enum import Enum
 
 from hollybay.balancing import interface as api
+from hollybay.units import MS
 
 from . import rules
 
 __all__ = ["Asked", "Fault", "Final", "Ledger", "Limits", "Start", "Verdict"]
 
-MS = 1_000_000
 RULES = ("lost", "dup", "drain", "cold")
 
 
--- a/hollybay/testbed/rules.py
+++ b/hollybay/testbed/rules.py
@@ -11,6 +11,7 @@
 from dataclasses import dataclass
 
 from hollybay.balancing import interface as api
+from hollybay.units import SECOND
 
 __all__ = [
     "ColdWindow",
@@ -23,8 +24,6 @@
     "warmth",
 ]
 
-SECOND = 1_000_000_000
-
 
 @dataclass(frozen=True, slots=True)
 class Place:
--- a/hollybay/testbed/scene.py
+++ b/hollybay/testbed/scene.py
@@ -9,6 +9,7 @@
 from typing import Any
 
 from hollybay.proxy.config import settings_from_json
+from hollybay.units import MS, SECOND
 
 from .agent import Agent
 from .callers import Mix
@@ -17,8 +18,6 @@
 
 __all__ = ["CLASSES", "KINDS", "MEAN_WORK", "TENANTS", "Scene", "settings", "usual_kinds"]
 
-MS = 1_000_000
-SECOND = 1_000_000_000
 
 # Class settings as the platform words them, durations in ns.
 CLASSES: list[dict[str, Any]] = [
--- a/hollybay/testbed/world.py
+++ b/hollybay/testbed/world.py
@@ -6,12 +6,10 @@
 
 from hollybay.balancing import Balancer
 from hollybay.balancing import interface as api
+from hollybay.units import MS, SECOND
 
 from . import rules
 
-MS = 1_000_000
-SECOND = 1_000_000_000
-
 SAFE = api.RequestClass("read", api.Effect.SAFE, 3.0, 200 * MS, 500 * MS, 0.25)
 UNSAFE = api.RequestClass("write", api.Effect.UNSAFE, 2.0, 1200 * MS, 5 * SECOND, 0.2)
 CELL = api.RequestClass(
--- a/tests/test_accord_node.py
+++ b/tests/test_accord_node.py
@@ -37,8 +37,8 @@
 from hollybay.routing.problems import OperatorError
 from hollybay.testbed.loopback import LIMIT, Backend, Registry, Running, request, running, settings
 from hollybay.testbed.world import make_settings
+from hollybay.units import MS
 
-MS = 1_000_000
 START = '[accord]\nkeepers = ["127.0.0.1:1"]\nfolder = "unused"\n'
 ROUTE = b'[[route]]\nname = "x"\npath = { prefix = "/view/x" }\n'
 
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -31,8 +31,7 @@
     running,
     settings,
 )
-
-MS = 1_000_000
+from hollybay.units import MS
 
 
 def caps(**changes: object) -> dict[str, object]:
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -10,8 +10,7 @@
 from hollybay.balancing import interface as api
 from hollybay.testbed.callers import Callers, Mix
 from hollybay.testbed.ledger import Final, Ledger, Limits
-
-MS = 1_000_000
+from hollybay.units import MS
 
 
 async def played(deadline: int, closed_after: float) -> tuple[list[int], Final | None]:
--- a/tests/test_group_commit.py
+++ b/tests/test_group_commit.py
@@ -23,11 +23,12 @@
     Unknown,
     combined_outcome,
 )
-from hollybay.consensus.queue_settings import MILLISECOND_NS, SECOND_NS, QueueSettings
+from hollybay.consensus.queue_settings import QueueSettings
 from hollybay.resources.batch import Assembled, apply_batch, assemble
 from hollybay.resources.model import Change, Delete, Kind, Operation, Problem, Upsert
 from hollybay.resources.state import EMPTY, ResourceState
 from hollybay.resources.wire import encode_change
+from hollybay.units import MS, SECOND
 
 NO_LINGER = QueueSettings(linger_ns=0)
 CANNOT = (Problem("route 'r'", "match", "overlaps"),)
@@ -265,47 +266,45 @@
     while isinstance(by_bytes.offer(change_of(len(by_bytes) + 1), EMPTY, 0), Queued):
         assert by_bytes.bytes <= 150
     slow = ProposalQueue(
-        QueueSettings(linger_ns=0, max_batch_changes=1, max_wait_ns=3 * SECOND_NS, initial_batch_ns=SECOND_NS)
+        QueueSettings(linger_ns=0, max_batch_changes=1, max_wait_ns=3 * SECOND, initial_batch_ns=SECOND)
     )
     answers = [slow.offer(change_of(n), EMPTY, 0) for n in range(5)]
     assert [type(one) for one in answers] == [Queued, Queued, Queued, Busy, Busy]
-    assert answers[3] == Busy(SECOND_NS)
+    assert answers[3] == Busy(SECOND)
 
 
 def test_the_bytes_that_wait_are_part_of_the_estimate() -> None:
     size = len(encode_change(change_of(10)))
     queue = ProposalQueue(
-        QueueSettings(
-            linger_ns=0, max_batch_bytes=size, max_wait_ns=2 * SECOND_NS, initial_batch_ns=SECOND_NS
-        )
+        QueueSettings(linger_ns=0, max_batch_bytes=size, max_wait_ns=2 * SECOND, initial_batch_ns=SECOND)
     )
     state = EMPTY
     for n in range(10):  # one batch after another leaves nothing behind
-        assert queue.offer(change_of(n), state, 0) == Queued(0, SECOND_NS)
+        assert queue.offer(change_of(n), state, 0) == Queued(0, SECOND)
         assembled = taken(queue, state)
         queue.batch_decided(assembled.batch, 0)
-        queue.average_batch_ns = SECOND_NS  # as if it had taken so long
+        queue.average_batch_ns = SECOND  # as if it had taken so long
         state = assembled.state
     assert isinstance(queue.offer(change_of(10), state, 0), Queued)
-    assert queue.offer(change_of(11), state, 0) == Queued(1, 2 * SECOND_NS)
-    assert queue.offer(change_of(12), state, 0) == Busy(SECOND_NS)
+    assert queue.offer(change_of(11), state, 0) == Queued(1, 2 * SECOND)
+    assert queue.offer(change_of(12), state, 0) == Busy(SECOND)
 
 
 def test_the_time_that_batches_take_is_measured_and_one_that_hangs_counts_at_once() -> None:
-    settings = QueueSettings(linger_ns=0, max_wait_ns=3 * SECOND_NS, initial_batch_ns=100 * MILLISECOND_NS)
+    settings = QueueSettings(linger_ns=0, max_wait_ns=3 * SECOND, initial_batch_ns=100 * MS)
     queue = ProposalQueue(settings)
     state, now = EMPTY, 0
     for n in range(30):
         assert isinstance(queue.offer(change_of(n, made_on=state.revision), state, now), Queued)
         assembled = taken(queue, state, now)
-        now += SECOND_NS
+        now += SECOND
         queue.batch_decided(assembled.batch, now)
         state = assembled.state
-    assert 0.95 * SECOND_NS < queue.average_batch_ns <= SECOND_NS
+    assert 0.95 * SECOND < queue.average_batch_ns <= SECOND
     queue.offer(change_of(50), state, now)
     taken(queue, state, now)
     assert isinstance(queue.offer(change_of(51), state, now), Queued)
-    now += 4 * SECOND_NS  # nothing is decided meanwhile
+    now += 4 * SECOND  # nothing is decided meanwhile
     assert isinstance(queue.offer(change_of(52), state, now), Busy)
     # What was accepted is told that it is late, not dropped.
     pending = queue.outcome(change_of(51).id, now)
--- a/tests/test_hollow.py
+++ b/tests/test_hollow.py
@@ -29,8 +29,8 @@
 from hollybay.proxy.admin_server import AdminResponse
 from hollybay.proxy.consensus_member import call
 from hollybay.testbed.loopback import LIMIT, Registry, settings
+from hollybay.units import MS
 
-MS = 1_000_000
 LEASE_MS = 3_000
 ROOT = Path(__file__).resolve().parents[1]
 T = TypeVar("T")
--- a/tests/test_import_direction.py
+++ b/tests/test_import_direction.py
@@ -19,12 +19,13 @@
 # A package that is not in the tree yet may stand here; the page names it when it comes.
 MAY_IMPORT: dict[str, tuple[str, ...]] = {
     "hollybay": (),
+    "hollybay.units": (),
     "hollybay.resources": (),
     "hollybay.balancing": (),
-    "hollybay.routing": ("hollybay.balancing.interface", "hollybay.resources"),
+    "hollybay.routing": ("hollybay.balancing.interface", "hollybay.resources", "hollybay.units"),
     "hollybay.gossip": (),
     "hollybay.admin": ("hollybay.balancing.interface",),
-    "hollybay.consensus": ("hollybay.resources",),
+    "hollybay.consensus": ("hollybay.resources", "hollybay.units"),
     "hollybay.proxy": (
         "hollybay.admin",
         "hollybay.balancing",
@@ -32,14 +33,16 @@
         "hollybay.gossip",
         "hollybay.resources",
         "hollybay.routing",
+        "hollybay.units",
     ),
-    "hollybay.testbed": ("hollybay.balancing", "hollybay.proxy"),
+    "hollybay.testbed": ("hollybay.balancing", "hollybay.proxy", "hollybay.units"),
     "hollybay.simulation": (
         "hollybay.balancing",
         "hollybay.consensus",
         "hollybay.proxy",
         "hollybay.resources",
         "hollybay.testbed",
+        "hollybay.units",
     ),
     "hollybay.cluster": (
         "hollybay.balancing",
@@ -49,6 +52,7 @@
         "hollybay.resources",
         "hollybay.routing",
         "hollybay.testbed",
+        "hollybay.units",
     ),
     "hollybay.hollow": (
         "hollybay.admin",
@@ -56,6 +60,7 @@
         "hollybay.consensus",
         "hollybay.proxy",
         "hollybay.resources",
+        "hollybay.units",
     ),
     "hollybay.mutation": (),
     "hollybay.cli": (
@@ -67,6 +72,7 @@
         "hollybay.routing",
         "hollybay.simulation",
         "hollybay.testbed",
+        "hollybay.units",
     ),
     "benchmarks": (
         "hollybay.balancing",
@@ -79,6 +85,7 @@
         "hollybay.routing",
         "hollybay.simulation",
         "hollybay.testbed",
+        "hollybay.units",
     ),
 }
 TESTS = "tests"  # they may import everything, and nothing imports them
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -13,9 +13,8 @@
 from hollybay.testbed.fleet import Answering, Kind, ModelServer
 from hollybay.testbed.ledger import Asked, Final, Ledger, Limits, Start
 from hollybay.testbed.listener import LIMIT, read_message
+from hollybay.units import MS, SECOND
 
-MS = 1_000_000
-SECOND = 1_000_000_000
 SAFE, UNSAFE, CELL, ALL = range(4)
 LIMITS = Limits(
     (
--- a/tests/test_other_customers.py
+++ b/tests/test_other_customers.py
@@ -12,10 +12,10 @@
 
 from hollybay.balancing import interface as api
 from hollybay.proxy.config import settings_from_json
-from hollybay.proxy.units import SECOND
 from hollybay.proxy.upstream.pools import DRAIN_GRACE_PART
 from hollybay.testbed.loopback import Backend, Registry, request, running
 from hollybay.testbed.world import MS
+from hollybay.units import SECOND
 from tests.test_rules import walk
 
 NAME = st.text("abcdefghijklmnopqrstuvwxyz0123456789-", min_size=1, max_size=12)
--- a/tests/test_resource_plan.py
+++ b/tests/test_resource_plan.py
@@ -47,9 +47,8 @@
     TenantRateTable,
     TenantTable,
 )
+from hollybay.units import MS, SECOND
 
-MS = 1_000_000
-SECOND = 1_000_000_000
 SETTINGS = api.Settings(
     (
         api.RequestClass("view", api.Effect.SAFE, 3.0, 200 * MS, 500 * MS),
--- a/tests/test_room.py
+++ b/tests/test_room.py
@@ -6,8 +6,7 @@
 from hypothesis import strategies as st
 
 from hollybay.balancing.connection_capacity import DOUBLING_TIME_NS, REFUSAL_FACTOR, ConnectionCapacity
-
-SECOND = 1_000_000_000
+from hollybay.units import SECOND
 
 
 @given(st.lists(st.tuples(st.integers(0, 20 * SECOND), st.booleans()), max_size=60), st.floats(0.0, 1.0))
--- a/tests/test_routes_node.py
+++ b/tests/test_routes_node.py
@@ -37,9 +37,9 @@
     write_config,
 )
 from hollybay.testbed.scene import Scene
+from hollybay.units import SECOND
 
 ROOT = Path(__file__).resolve().parent.parent
-SECOND = 1_000_000_000
 CAPS = {**settings()["caps"], "retry-after": True, "max-retry-after": 5 * SECOND}
 
 
--- a/tests/test_routing_admission_control.py
+++ b/tests/test_routing_admission_control.py
@@ -11,9 +11,8 @@
 from hollybay.routing.compiled_policy import Rejection
 from hollybay.routing.limits import EffectiveLimits
 from hollybay.routing.policy_compiler import compile_file
+from hollybay.units import MS, SECOND
 
-MS = 1_000_000
-SECOND = 1_000_000_000
 SETTINGS = api.Settings(
     (
         api.RequestClass("view", api.Effect.SAFE, 3.0, 200 * MS, 500 * MS),
--- a/tests/test_routing_file.py
+++ b/tests/test_routing_file.py
@@ -19,10 +19,9 @@
 from hollybay.routing.problems import OperatorError
 from hollybay.routing.schema import parse_duration, parse_size
 from hollybay.testbed.scene import settings as scene_settings
+from hollybay.units import MS, SECOND
 
 ROOT = Path(__file__).resolve().parent.parent
-MS = 1_000_000
-SECOND = 1_000_000_000
 SETTINGS = api.Settings(
     (
         api.RequestClass("view", api.Effect.SAFE, 3.0, 200 * MS, 500 * MS),
--- a/tests/test_shape.py
+++ b/tests/test_shape.py
@@ -12,14 +12,14 @@
 BALANCING = ROOT / "hollybay" / "balancing"
 POLICY = [ROOT / name for name in tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["policy"]]
 # What the decisions may import beside each other: the interface and the state.
-TYPES = {"actions", "events", "interface", "settings", "state"}
+TYPES = {"actions", "events", "interface", "settings", "state", "units"}
 MODULE = {path.stem for path in POLICY} | TYPES
 # The edge of the bench, which decides nothing.
 BENCH = {"bench_adapter", "bench_codec", "bench_settings", "bench_wire"}
 # Parts that know nothing of the interface: numbers in, numbers out.
 ARITHMETIC = {
     "connection_capacity", "discovery_polling", "event_loop_delay", "outlier_shares", "priority_distribution",
-    "queueing_delay", "rendezvous", "reported_failures", "retry_budgets", "traffic_share", "wakeups",
+    "queueing_delay", "rendezvous", "reported_failures", "retry_budgets", "traffic_share", "units", "wakeups",
     "zone_reachability",
 }  # fmt: skip
 
--- a/tests/test_simulation_oracles.py
+++ b/tests/test_simulation_oracles.py
@@ -9,9 +9,7 @@
 from hollybay.simulation.http import Malformed, Reader, filler
 from hollybay.simulation.watch import Watch
 from hollybay.testbed.ledger import Final, Limits
-
-MS = 1_000_000
-SECOND = 1_000_000_000
+from hollybay.units import MS, SECOND
 
 
 @pytest.mark.parametrize(
--- a/tests/test_tenant_limits.py
+++ b/tests/test_tenant_limits.py
@@ -16,11 +16,9 @@
 from hollybay.routing.problems import OperatorError
 from hollybay.routing.resource_tables import encode_table
 from hollybay.routing.schema import TenantLimitsTable, TenantRateTable, TenantTable
+from hollybay.units import SECOND
 from tests.test_resource_plan import SETTINGS
 
-MS = 1_000_000
-SECOND = 1_000_000_000
-
 
 def plan(text: str) -> CompiledPolicy:
     return compile_file(text, SETTINGS)
