--- a/benchmarks/accord.py
+++ b/benchmarks/accord.py
@@ -20,7 +20,7 @@
 from hollybay.cluster.report import Report, report_of
 from hollybay.cluster.rig import RigFailed, play
 from hollybay.consensus.core import EpochState, Stage
-from hollybay.consensus.interfaces import FileRead, MemberSettings
+from hollybay.consensus.interfaces import MemberSettings, OperatorFileChanges
 from hollybay.consensus.leaseholder import Leaseholder
 from hollybay.consensus.log_entry import Entry
 from hollybay.consensus.service import Service
@@ -62,19 +62,19 @@
 
 
 class _Hands:
-    async def compile(self, entry: Entry) -> list[str]:
+    async def compile_policy(self, entry: Entry) -> list[str]:
         return []
 
-    async def culprits(self, base: Entry, changes: tuple[Change, ...]) -> dict[bytes, list[str]]:
+    async def find_invalid_changes(self, base: Entry, changes: tuple[Change, ...]) -> dict[bytes, list[str]]:
         return {}
 
-    async def read(self, file: bytes, state: ResourceState) -> FileRead:
-        return FileRead((), None)
+    async def read_operator_file(self, file: bytes, state: ResourceState) -> OperatorFileChanges:
+        return OperatorFileChanges((), None)
 
-    def put(self, entries: tuple[Entry, ...]) -> None:
+    def apply_policies(self, entries: tuple[Entry, ...]) -> None:
         """Nothing is served here."""
 
-    def say(self, event: str, **words: object) -> None:
+    def log_event(self, event: str, **fields: object) -> None:
         """Nothing is written."""
 
 
--- a/hollybay/cluster/planted.py
+++ b/hollybay/cluster/planted.py
@@ -133,7 +133,7 @@
     from hollybay.proxy.consensus_member import Accord
     from hollybay.resources.model import Change
 
-    compiles, culprits = Accord.compile, Accord.culprits
+    compiles, find_invalid_changes = Accord.compile_policy, Accord.find_invalid_changes
 
     def is_unfit(self: Accord, name: str) -> bool:
         return name.startswith(f"{self.terms.name}-")
@@ -143,14 +143,14 @@
         return [f"route {name!r}: does not hold here" for name in names] or await compiles(self, entry)
 
     async def naming(self: Accord, base: Entry, changes: tuple[Change, ...]) -> dict[bytes, list[str]]:
-        found = await culprits(self, base, changes)
+        found = await find_invalid_changes(self, base, changes)
         for change in changes:
             names = [one.name for one in change.operations if is_unfit(self, one.name)]
             if names:
                 found[change.id] = [f"route {name!r}: does not hold here" for name in names]
         return found
 
-    Accord.compile, Accord.culprits = compiling, naming  # type: ignore[method-assign]
+    Accord.compile_policy, Accord.find_invalid_changes = compiling, naming  # type: ignore[method-assign]
 
 
 def _bad_change_drops_batch() -> None:
--- a/hollybay/cluster/roles.py
+++ b/hollybay/cluster/roles.py
@@ -199,17 +199,17 @@
             journal.flush()
             os.kill(os.getpid(), signal.SIGKILL)
 
-    say, start = Accord.say, Accord.start
+    log_event, start = Accord.log_event, Accord.start
 
     def saying(self: Accord, event: str, **found: object) -> None:
-        say(self, event, **found)
+        log_event(self, event, **found)
         reached(event, **found)
 
     async def starting(self: Accord) -> None:
         self.began = began
         await start(self)
 
-    Accord.say, Accord.start = saying, starting  # type: ignore[method-assign]
+    Accord.log_event, Accord.start = saying, starting  # type: ignore[method-assign]
     put = Store.put
 
     def putting(self: Store, data: bytes) -> None:
@@ -232,13 +232,13 @@
     from hollybay.proxy.consensus_member import Accord
 
     if not full:
-        compiled = Accord.compile
+        compiled = Accord.compile_policy
 
-        async def compile(self: Accord, entry: Entry) -> list[str]:
+        async def compile_policy(self: Accord, entry: Entry) -> list[str]:
             later = entry.policy.version > 1
             return ["[route 1]: does not hold here"] if later else await compiled(self, entry)
 
-        Accord.compile = compile  # type: ignore[method-assign]
+        Accord.compile_policy = compile_policy  # type: ignore[method-assign]
         return
     kept = PolicyLog.append
 
--- a/hollybay/consensus/announcer.py
+++ b/hollybay/consensus/announcer.py
@@ -85,7 +85,7 @@
     ) -> dict[str, None]:
         """Whom to tell, in order: voters, and leaseholders that serve under an epoch before."""
         settings = self.environment.settings
-        recent = self.environment.clock() - RECENT_LEASES * (settings.lease + settings.grace)
+        recent = self.environment.clock() - RECENT_LEASES * (settings.lease_ns + settings.grace_ns)
         members = sorted(acceptor.reports.members.values(), key=lambda member: -member.last_contact)
         addresses = dict.fromkeys(voters or self.replica.voter_addresses(state))
         addresses |= dict.fromkeys(
--- a/hollybay/consensus/ballots.py
+++ b/hollybay/consensus/ballots.py
@@ -256,7 +256,7 @@
     async def _publish(self, acceptor: DurableAcceptor, state: EpochState, voters: list[str]) -> None:
         """An epoch is decided: all are told."""
         self.blocking_leases = []
-        self.environment.data_plane.say(
+        self.environment.data_plane.log_event(
             "decided",
             epoch=state.epoch,
             stage=stage_label(state.stage),
--- a/hollybay/consensus/bootstrap.py
+++ b/hollybay/consensus/bootstrap.py
@@ -72,7 +72,7 @@
         await self.voter.bootstrap(acceptor, policy)
         reached = await self._pass_on(policy, others)
         self.content.uploads.discard(call.upload)
-        self.environment.data_plane.say("founded", policy=policy.name, keepers=addresses)
+        self.environment.data_plane.log_event("founded", policy=policy.name, keepers=addresses)
         return ok({"policy": policy.name, "keepers": [self.settings.address, *reached]})
 
     async def _check_not_begun(self, acceptor: DurableAcceptor, others: list[str]) -> None:
--- a/hollybay/consensus/change_requests.py
+++ b/hollybay/consensus/change_requests.py
@@ -145,7 +145,7 @@
             reply = messages.ChangeReply(change_id, messages.ChangeOutcome.REFUSED, problems=problems)
             return ok(reply, CONFLICT)
         if isinstance(offered, Queued):
-            self.environment.data_plane.say(
+            self.environment.data_plane.log_event(
                 "queued", change=change_id, reason=change.reason, author=change.author
             )
             self.coordinator.wake()
@@ -200,7 +200,7 @@
             return True
         self.coordinator.begin(entry.policy, decided.epoch + 1)
         self.proposals.batch_proposed(policy.name, batch)
-        self.environment.data_plane.say(
+        self.environment.data_plane.log_event(
             "proposed", change=policy.name, reason=policy.reason, author=policy.author
         )
         return True
--- a/hollybay/consensus/coordinator.py
+++ b/hollybay/consensus/coordinator.py
@@ -167,7 +167,7 @@
                 if await self._step():
                     continue
             except StoreError as error:
-                self.data_plane.say("keeper", error=str(error))
+                self.data_plane.log_event("keeper", error=str(error))
                 await asyncio.sleep(IDLE_INTERVAL)
             self.coordinating = ""
             self.ballots.blocking_leases = []
@@ -276,7 +276,7 @@
             return
         if state.stage is not Stage.SETTLED:
             self.announcer.announce(state, acceptor)  # whoever has not heard of it blocks the next one
-        self.data_plane.say(
+        self.data_plane.log_event(
             "drives",
             epoch=proposal.epoch,
             stage=stage_label(proposal.stage),
--- a/hollybay/consensus/grace_memory.py
+++ b/hollybay/consensus/grace_memory.py
@@ -65,7 +65,7 @@
         time has passed.
         """
         state = holder.effective_epoch
-        grace = self.environment.settings.grace
+        grace = self.environment.settings.grace_ns
         if not grace or state is None:
             return None
         recent = self.store.data and self._written_grace_end > holder.grace_end - grace // 2
@@ -84,4 +84,4 @@
         try:
             await self.environment.disk(lambda: self.store.put(record))
         except StoreError as error:
-            self.environment.data_plane.say("memory", error=str(error))
+            self.environment.data_plane.log_event("memory", error=str(error))
--- a/hollybay/consensus/interfaces.py
+++ b/hollybay/consensus/interfaces.py
@@ -1,7 +1,4 @@
-"""What a member of the replicated log is given, and what it gives: settings, its node, files and responses.
-
-The service (hollybay.consensus.service) and those who run it or read files for it share these types.
-"""
+"""Interfaces between the replicated log and the process that runs it: data plane, settings and responses."""
 
 from __future__ import annotations
 
@@ -18,19 +15,33 @@
 from .log_entry import Entry
 from .policy import RejectedError
 
-__all__ = ["DataPlane", "FileRead", "InvalidFileError", "MemberSettings", "Response"]
+__all__ = ["DataPlane", "InvalidFileError", "MemberSettings", "OperatorFileChanges", "Response"]
 
 
 @dataclass(frozen=True, slots=True)
-class FileRead:
-    """What an operator file says: how the resources differ from it, and the keepers; None: it names none."""
+class OperatorFileChanges:
+    """Differences between an operator file and the resources of a policy.
+
+    Attributes
+    ----------
+    operations : tuple of Operation
+        Operations that make the resources what the file declares.
+    voters : list of str, optional
+        Addresses of the voters that the file declares; None if it declares none.
+    """
 
     operations: tuple[Operation, ...]
     voters: list[str] | None
 
 
 class InvalidFileError(RejectedError):
-    """An operator file does not hold; problems: all that was found."""
+    """An operator file is invalid.
+
+    Attributes
+    ----------
+    problems : list of str
+        All problems that were found in it.
+    """
 
     def __init__(self, problems: Sequence[str]) -> None:
         super().__init__("file: " + "; ".join(problems))
@@ -38,43 +49,101 @@
 
 
 class DataPlane(Protocol):
-    """What the replicated log does to its node."""
+    """What the replicated log asks of the node that it configures."""
 
-    def compile(self, entry: Entry) -> Awaitable[list[str]]:
-        """Make a policy ready to be in force; why it cannot be: nothing if it can."""
+    def compile_policy(self, entry: Entry) -> Awaitable[list[str]]:
+        """Compile a policy, so that it can be applied.
+
+        Returns
+        -------
+        list of str
+            Why this node cannot serve the policy; empty if it can.
+        """
         ...
 
-    def culprits(self, base: Entry, changes: tuple[Change, ...]) -> Awaitable[Mapping[bytes, list[str]]]:
-        """The changes of a batch that are invalid by themselves, with reasons; empty: not known."""
+    def find_invalid_changes(
+        self, base: Entry, changes: tuple[Change, ...]
+    ) -> Awaitable[Mapping[bytes, list[str]]]:
+        """Find the changes of a batch that this node cannot serve.
+
+        Parameters
+        ----------
+        base : Entry
+            Entry that the batch was made on.
+        changes : tuple of Change
+            Changes of the batch, in their order.
+
+        Returns
+        -------
+        mapping
+            For the id of each change that is invalid by itself, the reasons; empty if they are not known.
+        """
         ...
 
-    def read(self, file: bytes, state: ResourceState) -> Awaitable[FileRead]:
-        """What an operator file says. InvalidFileError: it is invalid."""
+    def read_operator_file(self, file: bytes, state: ResourceState) -> Awaitable[OperatorFileChanges]:
+        """Compare an operator file with the resources of a policy.
+
+        Raises
+        ------
+        InvalidFileError
+            The file is invalid.
+        """
         ...
 
-    def put(self, entries: tuple[Entry, ...]) -> None:
-        """From now on requests begin under the intersection of these; none: may_begin_request refuses."""
+    def apply_policies(self, entries: tuple[Entry, ...]) -> None:
+        """Serve requests that begin from now on under the policies of some entries.
+
+        Parameters
+        ----------
+        entries : tuple of Entry
+            One entry, or two whose policies apply together (their intersection). Empty if no request may
+            begin; `Service.may_begin_request` then rejects each.
+        """
         ...
 
-    def say(self, event: str, **words: object) -> None:
-        """Log a transition."""
+    def log_event(self, event: str, **fields: object) -> None:
+        """Write an event of the protocol to the node's log."""
         ...
 
 
 @dataclass(frozen=True, slots=True)
 class MemberSettings:
-    """What an operator sets up. address: of this process; voters: whom it asks first; lease, grace: ns."""
+    """Settings of one member of the replicated log.
+
+    Attributes
+    ----------
+    name : str
+        Name of the node, and of its folder.
+    address : str
+        Admin address of this process, at which other members call it.
+    voters : tuple of str
+        Addresses of the voters that it asks first.
+    lease_ns : int
+        Duration of a lease.
+    grace_ns : int
+        How long it serves after its lease has expired; 0 if it stops at once.
+    folder : Path
+        Folder that holds the folders of all members of this machine.
+    """
 
     name: str
     address: str
     voters: tuple[str, ...]
-    lease: int
-    grace: int  # 0: it leaves when its lease is over
+    lease_ns: int
+    grace_ns: int
     folder: Path
 
 
 class Response(msgspec.Struct, frozen=True):
-    """The answer to a call: a status of HTTP, and JSON, or bytes as they are."""
+    """Response to a policy request.
+
+    Attributes
+    ----------
+    status : int
+        Status code of HTTP.
+    body : bytes
+        Encoded message, or bytes of the log as they are.
+    """
 
     status: int
     body: bytes
--- a/hollybay/consensus/lease_client.py
+++ b/hollybay/consensus/lease_client.py
@@ -103,9 +103,9 @@
         if len(entries) < len(policies):
             policies = entries = ()
         self.policies_in_force = policies
-        self.data_plane.put(entries)
+        self.data_plane.apply_policies(entries)
         state = self.leaseholder.effective_epoch
-        self.data_plane.say(
+        self.data_plane.log_event(
             "serves" if policies else "serves nothing",
             epoch=state.epoch if state is not None else -1,
             stage=stage_label(state.stage) if state is not None else "",
@@ -129,7 +129,7 @@
         try:
             remembered = self.memory.read()
         except StoreError as error:
-            self.data_plane.say("memory", error=str(error))
+            self.data_plane.log_event("memory", error=str(error))
             return
         if remembered is None:
             return
@@ -173,7 +173,7 @@
 
     def _interval(self) -> float:
         """The time from the beginning of a round to the next one, seconds."""
-        period = self.settings.lease / SECOND / PERIODS_PER_LEASE
+        period = self.settings.lease_ns / SECOND / PERIODS_PER_LEASE
         holder = self.leaseholder
         granted = holder.effective_epoch is not None and has_quorum(holder.voter_sets, holder.grants)
         if granted or holder.latest_epoch is None:
@@ -185,7 +185,7 @@
         """Request a lease of all voters, until a quorum grants it, all have answered, or there is news."""
         self.leaseholder, request = self.leaseholder.begin_round(self.clock())
         body = messages.encode(self._lease_call(request))
-        limit = min(CALL_LIMIT, self.settings.lease / SECOND / CALLS_PER_LEASE)
+        limit = min(CALL_LIMIT, self.settings.lease_ns / SECOND / CALLS_PER_LEASE)
         calls = {
             self.tasks.spawn(self._request(address, body, limit))
             for address in self.replica.voter_addresses(request.state)
@@ -211,8 +211,8 @@
             request,
             self.settings.name,
             self.settings.address,
-            self.settings.lease,
-            self.settings.grace,
+            self.settings.lease_ns,
+            self.settings.grace_ns,
             why.reasons,
             dict(why.culprits),
             why.whatever_it_holds,
@@ -231,7 +231,7 @@
 
     def _take_grant(self, grant: LeaseGrant) -> None:
         before = self.leaseholder
-        after = before.on_grant(grant, self.settings.lease, self.settings.grace)
+        after = before.on_grant(grant, self.settings.lease_ns, self.settings.grace_ns)
         self.leaseholder = after
         if after.effective_epoch is not before.effective_epoch or after.lease_end != before.lease_end:
             self.apply()
@@ -253,7 +253,7 @@
             if voter_sets is None:
                 return  # it will be sent again
             self.leaseholder = self.leaseholder.on_decided(Decided(state), voter_sets)
-            self.data_plane.say(
+            self.data_plane.log_event(
                 "hears",
                 epoch=state.epoch,
                 stage=stage_label(state.stage),
--- a/hollybay/consensus/log_replica.py
+++ b/hollybay/consensus/log_replica.py
@@ -106,7 +106,7 @@
         try:
             await self.environment.disk(lambda: self.log.prune(needed))
         except StoreError as error:
-            self.environment.data_plane.say("snapshot", error=str(error))
+            self.environment.data_plane.log_event("snapshot", error=str(error))
 
     def base(self, state: EpochState) -> Entry:
         """The entry that the next policy follows, with its resources.
--- a/hollybay/consensus/policy_requests.py
+++ b/hollybay/consensus/policy_requests.py
@@ -15,7 +15,7 @@
 from .core import EpochState, Stage
 from .durable_acceptor import DurableAcceptor
 from .environment import Environment
-from .interfaces import FileRead, Response
+from .interfaces import OperatorFileChanges, Response
 from .log_entry import Entry
 from .log_replica import LogReplica
 from .outgoing_requests import PeerClient
@@ -82,7 +82,7 @@
     def _begin(self, policy: Policy, epoch: int) -> None:
         self.coordinator.begin(policy, epoch)
         self.coordinator.refused.pop(policy.name, None)
-        self.environment.data_plane.say(
+        self.environment.data_plane.log_event(
             "proposed", change=policy.name, reason=policy.reason, author=policy.author
         )
         self.coordinator.wake()
@@ -101,7 +101,7 @@
         policy, _ = successor_policy(old, resources, changes, voters, call.reason, call.author)
         return policy
 
-    async def _wanted(self, call: messages.ProposeCall, state: ResourceState) -> FileRead:
+    async def _wanted(self, call: messages.ProposeCall, state: ResourceState) -> OperatorFileChanges:
         """The operations that a request asks for, and the voters that its file names."""
         operations: tuple[Operation, ...] = ()
         voters = None
@@ -112,7 +112,7 @@
             operations, voters = read.operations, read.voters
         if call.servers_out is not None:
             operations += drain_operations(state, call.servers_out)
-        return FileRead(operations, voters)
+        return OperatorFileChanges(operations, voters)
 
     async def _add_voters(
         self, acceptor: DurableAcceptor, state: EpochState, old: Policy, new: Policy
--- a/hollybay/consensus/request_content.py
+++ b/hollybay/consensus/request_content.py
@@ -10,7 +10,7 @@
 from . import messages
 from .change_builder import operations_to_match
 from .environment import Environment, run_on_disk
-from .interfaces import FileRead
+from .interfaces import OperatorFileChanges
 from .log_replica import LogReplica
 from .policy import RejectedError
 from .transfer import Uploads
@@ -35,9 +35,9 @@
         except ValueError as error:
             raise RejectedError(f"file: {error}") from None
 
-    async def read_file(self, file: str, upload: str, state: ResourceState) -> FileRead:
+    async def read_file(self, file: str, upload: str, state: ResourceState) -> OperatorFileChanges:
         """How such a file differs from the resources. InvalidFileError: it does not hold."""
-        return await self.environment.data_plane.read(self.file(file, upload), state)
+        return await self.environment.data_plane.read_operator_file(self.file(file, upload), state)
 
     async def change(self, change: str, upload: str) -> Change:
         """A change out of a request, in base64, or one that was uploaded before it."""
--- a/hollybay/consensus/service.py
+++ b/hollybay/consensus/service.py
@@ -107,7 +107,7 @@
         self.clock = clock
         self.process = rng.getrandbits(PROCESS_NUMBER_BITS)
         self.requests_in = 0
-        self.tasks = BackgroundTasks(lambda error: data_plane.say("failed", error=repr(error)))
+        self.tasks = BackgroundTasks(lambda error: data_plane.log_event("failed", error=repr(error)))
         self.peers = PeerClient(settings.address, transport, self.answer)
         self.log = PolicyLog(self.environment.folder / "policies", before_disk_step)
         self.log_server = LogServer(self.log, disk)
@@ -196,9 +196,9 @@
         try:
             await self.environment.disk(self.log.open)
         except StoreError as error:
-            data_plane.say("log", error=str(error))
+            data_plane.log_event("log", error=str(error))
         for file, reason in self.log.quarantined.items():
-            data_plane.say("set aside", file=file, reason=reason)
+            data_plane.log_event("set aside", file=file, reason=reason)
         self.voter.log_is_open = True
         self.lease_client.restore()
         self.voter.become_voter()
@@ -306,4 +306,4 @@
             requests_out=self.peers.calls,
         )
         progress = self.coordinator.progress()
-        return found | keeper_status(self.acceptor, self.log, progress, self.settings.grace, now)
+        return found | keeper_status(self.acceptor, self.log, progress, self.settings.grace_ns, now)
--- a/hollybay/consensus/serviceability.py
+++ b/hollybay/consensus/serviceability.py
@@ -69,7 +69,7 @@
         known = self.unserviceable.get(name)
         if known is not None:
             return known.reasons
-        reasons = await self.data_plane.compile(entry)
+        reasons = await self.data_plane.compile_policy(entry)
         if reasons:
             reasons = bounded_reasons(reasons)
             self.mark(name, Unserviceable(reasons, await self._culprits(entry, reasons)))
@@ -95,7 +95,7 @@
             return {}
         if len(policy.changes) == 1:
             return {policy.changes[0].id.hex(): reasons[: messages.MAX_CULPRIT_REASONS]}
-        found = await self.data_plane.culprits(base, policy.changes)
+        found = await self.data_plane.find_invalid_changes(base, policy.changes)
         culprits = list(found.items())[: messages.MAX_CULPRITS]
         return {
             change.hex(): bounded_reasons(texts)[: messages.MAX_CULPRIT_REASONS] for change, texts in culprits
--- a/hollybay/consensus/voter.py
+++ b/hollybay/consensus/voter.py
@@ -83,7 +83,7 @@
             self.replica.log,
             environment.clock,
             environment.wall_clock,
-            settings.lease + settings.grace,
+            settings.lease_ns + settings.grace_ns,
             environment.disk,
         )
         try:
@@ -238,4 +238,4 @@
         return ok(self.require_acceptor().knowledge())
 
     def _log_event(self, event: str, **fields: object) -> None:
-        self.environment.data_plane.say(event, **fields)
+        self.environment.data_plane.log_event(event, **fields)
--- a/hollybay/hollow/node.py
+++ b/hollybay/hollow/node.py
@@ -13,7 +13,7 @@
 
 from hollybay.admin.requests import AdminOperation, AdminRequest
 from hollybay.balancing.interface import Settings
-from hollybay.consensus.interfaces import FileRead, MemberSettings
+from hollybay.consensus.interfaces import MemberSettings, OperatorFileChanges
 from hollybay.consensus.log_entry import Entry
 from hollybay.consensus.messages import MOST_CALL
 from hollybay.consensus.service import Service
@@ -84,27 +84,27 @@
 
     # What a service asks of its node
 
-    async def compile(self, entry: Entry) -> list[str]:
+    async def compile_policy(self, entry: Entry) -> list[str]:
         """Compile a policy as a real node does, where there are settings to compile it for."""
-        return await self.plans.compile(entry) if self.plans is not None else []
+        return await self.plans.compile_policy(entry) if self.plans is not None else []
 
-    async def culprits(self, base: Entry, changes: tuple[Change, ...]) -> dict[bytes, list[str]]:
+    async def find_invalid_changes(self, base: Entry, changes: tuple[Change, ...]) -> dict[bytes, list[str]]:
         """Which changes of a batch do not hold; by their ids."""
-        return await self.plans.culprits(base, changes) if self.plans is not None else {}
+        return await self.plans.find_invalid_changes(base, changes) if self.plans is not None else {}
 
-    async def read(self, file: bytes, state: ResourceState) -> FileRead:
+    async def read_operator_file(self, file: bytes, state: ResourceState) -> OperatorFileChanges:
         """What an operator file says, as differences to a state. BadFile: it does not hold."""
         return await read_file(file, state)
 
-    def put(self, entries: tuple[Entry, ...]) -> None:
+    def apply_policies(self, entries: tuple[Entry, ...]) -> None:
         """Note since when a policy is in force alone."""
         if len(entries) == 1:
             self.in_force.setdefault(entries[0].policy.version, clock())
 
-    def say(self, event: str, **words: object) -> None:
+    def log_event(self, event: str, **fields: object) -> None:
         """Keep what went wrong."""
-        if event == "failed" or "error" in words:
-            self.problems.append(f"{event}: {words.get('error')}")
+        if event == "failed" or "error" in fields:
+            self.problems.append(f"{event}: {fields.get('error')}")
 
     # Calls
 
--- a/hollybay/proxy/compiled_policies.py
+++ b/hollybay/proxy/compiled_policies.py
@@ -11,7 +11,7 @@
 from typing import TypeVar
 
 from hollybay.balancing import interface as api
-from hollybay.consensus.interfaces import FileRead, InvalidFileError
+from hollybay.consensus.interfaces import InvalidFileError, OperatorFileChanges
 from hollybay.consensus.log_entry import Entry
 from hollybay.resources.batch import assemble
 from hollybay.resources.model import Change, ChangeRejectedError
@@ -48,7 +48,7 @@
         self.in_use = in_use
         self.by_name: dict[str, IncrementalPolicy] = {}
 
-    async def compile(self, entry: Entry) -> list[str]:
+    async def compile_policy(self, entry: Entry) -> list[str]:
         """Compile a policy in a thread; why it cannot be compiled, empty: it was."""
         name = entry.policy.name
         if name in self.by_name:
@@ -77,18 +77,18 @@
             return compile_state(entry.state, self.settings)
         return update_policy(parent_plan, entry.state, entry.changed_keys, self.settings)
 
-    async def culprits(self, base: Entry, changes: tuple[Change, ...]) -> dict[bytes, list[str]]:
+    async def find_invalid_changes(self, base: Entry, changes: tuple[Change, ...]) -> dict[bytes, list[str]]:
         """The changes of a batch that do not hold by themselves, by their ids, each with its problems.
 
         A change that fails only beside another one may be rejected once that one is decided. If there are
         only such changes none is named, and the batch is split.
         """
         try:
-            return await _in_thread(lambda: self._culprits(base, changes))
+            return await _in_thread(lambda: self._find_invalid_changes(base, changes))
         except InvalidFileError:
             return {}
 
-    def _culprits(self, base: Entry, changes: tuple[Change, ...]) -> dict[bytes, list[str]]:
+    def _find_invalid_changes(self, base: Entry, changes: tuple[Change, ...]) -> dict[bytes, list[str]]:
         assert base.state is not None
         plan = self.by_name.get(base.policy.name) or self._compiled(base)
         culprits: dict[bytes, list[str]] = {}
@@ -98,7 +98,7 @@
         return culprits
 
 
-async def read_file(file: bytes, state: ResourceState) -> FileRead:
+async def read_file(file: bytes, state: ResourceState) -> OperatorFileChanges:
     """The operations that bring resources to what an operator file says, and the voters that it names.
 
     Raises
@@ -109,12 +109,12 @@
     return await _in_thread(lambda: _read(file, state))
 
 
-def _read(file: bytes, state: ResourceState) -> FileRead:
+def _read(file: bytes, state: ResourceState) -> OperatorFileChanges:
     tables, problems = read_all(file)
     if problems:
         raise OperatorError("operator file", problems)
     voters = sorted(tables.accord.keepers) if tables.accord is not None else None
-    return FileRead(operations_between(state, resources_of(tables)), voters)
+    return OperatorFileChanges(operations_between(state, resources_of(tables)), voters)
 
 
 async def _in_thread(compute: Callable[[], T]) -> T:
--- a/hollybay/proxy/consensus_member.py
+++ b/hollybay/proxy/consensus_member.py
@@ -21,7 +21,7 @@
 import structlog
 
 from hollybay.admin.requests import AdminRequest
-from hollybay.consensus.interfaces import FileRead, MemberSettings
+from hollybay.consensus.interfaces import MemberSettings, OperatorFileChanges
 from hollybay.consensus.log_entry import Entry
 from hollybay.consensus.messages import MOST_CALL
 from hollybay.consensus.policy import RejectedError
@@ -144,7 +144,7 @@
             fcntl.flock(held, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError:
             os.close(held)
-            self.say("another process of this name is its keeper")
+            self.log_event("another process of this name is its keeper")
             return False
         self._lock = held
         return True
@@ -169,19 +169,19 @@
 
     # What the service does to the node
 
-    async def compile(self, entry: Entry) -> list[str]:
+    async def compile_policy(self, entry: Entry) -> list[str]:
         """Compile a policy for this node's settings; why it does not hold."""
-        return await self.plans.compile(entry)
+        return await self.plans.compile_policy(entry)
 
-    async def culprits(self, base: Entry, changes: tuple[Change, ...]) -> dict[bytes, list[str]]:
+    async def find_invalid_changes(self, base: Entry, changes: tuple[Change, ...]) -> dict[bytes, list[str]]:
         """Which changes of a batch do not hold, each on those before it that do; by their ids."""
-        return await self.plans.culprits(base, changes)
+        return await self.plans.find_invalid_changes(base, changes)
 
-    async def read(self, file: bytes, state: ResourceState) -> FileRead:
+    async def read_operator_file(self, file: bytes, state: ResourceState) -> OperatorFileChanges:
         """What an operator file says, as differences to a state. InvalidFileError: it is invalid."""
         return await read_file(file, state)
 
-    def put(self, entries: tuple[Entry, ...]) -> None:
+    def apply_policies(self, entries: tuple[Entry, ...]) -> None:
         """Put the intersection of these in force; requests that have begun go on under what they began
         with.
         """
@@ -192,9 +192,9 @@
         self.admission.replace_policy(both)
         self.desk.set_policy_drains({server for entry in entries for server in entry.drained_servers})
 
-    def say(self, event: str, **words: object) -> None:
+    def log_event(self, event: str, **fields: object) -> None:
         """Log a transition."""
-        self.log.info(event, **words)
+        self.log.info(event, **fields)
 
     # Calls
 
--- a/hollybay/simulation/accord_rehearsal.py
+++ b/hollybay/simulation/accord_rehearsal.py
@@ -27,7 +27,7 @@
 
 from hollybay.consensus import messages
 from hollybay.consensus.change_tracker import ChangeTracker
-from hollybay.consensus.interfaces import FileRead, MemberSettings
+from hollybay.consensus.interfaces import MemberSettings, OperatorFileChanges
 from hollybay.consensus.log_entry import Entry
 from hollybay.consensus.oracle import Begun, Fault, Outcome, Said, check
 from hollybay.consensus.policy import version_of
@@ -154,7 +154,7 @@
 
     # What the service does to its node
 
-    async def compile(self, entry: Entry) -> list[str]:
+    async def compile_policy(self, entry: Entry) -> list[str]:
         await asyncio.sleep(self.stage.chance.uniform(0.001, 0.03))
         assert entry.state is not None
         # What came into force while this node was away is served by it; only what is new is refused.
@@ -162,7 +162,7 @@
         there = [one for key in sorted(keys) if (one := entry.state.resources.get(key)) is not None]
         return [reason for one in there if (reason := self._refuses(one.body))]
 
-    async def culprits(self, base: Entry, changes: tuple[Change, ...]) -> dict[bytes, list[str]]:
+    async def find_invalid_changes(self, base: Entry, changes: tuple[Change, ...]) -> dict[bytes, list[str]]:
         await asyncio.sleep(self.stage.chance.uniform(0.001, 0.03))
         found: dict[bytes, list[str]] = {}
         for change in changes:
@@ -174,23 +174,23 @@
     def _refuses(self, body: bytes) -> str:
         return "route x: does not hold here" if body.startswith(UNFIT) and self.n % 2 else ""
 
-    async def read(self, file: bytes, state: ResourceState) -> FileRead:
+    async def read_operator_file(self, file: bytes, state: ResourceState) -> OperatorFileChanges:
         there = state.get(Kind.ROUTE, FILE)
         if there is not None and there.body == file:
-            return FileRead((), None)
+            return OperatorFileChanges((), None)
         version = there.version if there is not None else 0
-        return FileRead((Upsert(Kind.ROUTE, FILE, version, file),), None)
+        return OperatorFileChanges((Upsert(Kind.ROUTE, FILE, version, file),), None)
 
-    def put(self, entries: tuple[Entry, ...]) -> None:
+    def apply_policies(self, entries: tuple[Entry, ...]) -> None:
         self.under = tuple(entry.policy.name for entry in entries)
         self.state = entries[0].state if len(entries) == 1 and entries[0].state is not None else EMPTY
 
-    def say(self, event: str, **words: object) -> None:
+    def log_event(self, event: str, **fields: object) -> None:
         if event == "failed":
-            self.stage.failed.append(f"{self.name}: {words}")
+            self.stage.failed.append(f"{self.name}: {fields}")
         self.stage.played.rounds += event == "drives"
         self.stage.played.decided += event == "decided"
-        self.stage.loop.note(f"{self.name} {event} {words}")
+        self.stage.loop.note(f"{self.name} {event} {fields}")
 
 
 class _Stage:
--- a/tests/golden/build.py
+++ b/tests/golden/build.py
@@ -43,7 +43,7 @@
     Stage,
 )
 from hollybay.consensus.grace_memory import RememberedGrace
-from hollybay.consensus.interfaces import FileRead, InvalidFileError, MemberSettings
+from hollybay.consensus.interfaces import InvalidFileError, MemberSettings, OperatorFileChanges
 from hollybay.consensus.log import PolicyLog
 from hollybay.consensus.log_entry import Entry
 from hollybay.consensus.policy import Policy, RejectedError, first_policy, successor_policy
@@ -368,13 +368,13 @@
 class _Hands:
     """Does nothing to a node; operator files are maps of routes and their classes."""
 
-    async def compile(self, entry: Entry) -> list[str]:
+    async def compile_policy(self, entry: Entry) -> list[str]:
         return []
 
-    async def culprits(self, base: Entry, changes: tuple[Change, ...]) -> dict[bytes, list[str]]:
+    async def find_invalid_changes(self, base: Entry, changes: tuple[Change, ...]) -> dict[bytes, list[str]]:
         return {}
 
-    async def read(self, file: bytes, state: ResourceState) -> FileRead:
+    async def read_operator_file(self, file: bytes, state: ResourceState) -> OperatorFileChanges:
         if not file.startswith(b"{"):
             raise InvalidFileError(["line 1: no table", "line 2: no value"])
         routes: dict[str, str] = msgspec.json.decode(file)
@@ -383,12 +383,12 @@
             for name, body in routes.items()
             for one in (state.get(Kind.ROUTE, name),)
         )
-        return FileRead(operations, None)
+        return OperatorFileChanges(operations, None)
 
-    def put(self, entries: tuple[Entry, ...]) -> None:
+    def apply_policies(self, entries: tuple[Entry, ...]) -> None:
         """Nothing is served."""
 
-    def say(self, event: str, **words: object) -> None:
+    def log_event(self, event: str, **fields: object) -> None:
         """Nothing is written down."""
 
 
--- a/tests/test_batch_culprits.py
+++ b/tests/test_batch_culprits.py
@@ -26,7 +26,7 @@
     """What a node names of a batch on no resources."""
     plans = CompiledPolicies(settings_from_json(settings(1)), lambda: ())
     sealed = EMPTY.with_revision((), 1)
-    return asyncio.run(plans.culprits(Entry(FIRST_POLICY, sealed, None, 0), changes))
+    return asyncio.run(plans.find_invalid_changes(Entry(FIRST_POLICY, sealed, None, 0), changes))
 
 
 GOOD = change_of(1, "/view-schedule/a")
