--- a/benchmarks/capacity/streams.py
+++ b/benchmarks/capacity/streams.py
@@ -15,7 +15,7 @@
 from hollybay.consensus.messages import ChangeOutcome
 from hollybay.hollow.fleet import Fleet, FleetFailed, fleet, version_of
 from hollybay.hollow.messages import Report
-from hollybay.proxy.consensus_member import clock
+from hollybay.proxy.system import boot_time_ns
 from hollybay.resources.model import CHANGE_ID_BYTES, Change, Kind, Upsert
 from hollybay.units import SECOND
 
@@ -119,7 +119,7 @@
 
 async def _taken(running: Fleet, due: Sequence[float]) -> list[float]:
     """Seconds that each change took; not finite: it was not in force everywhere in time."""
-    began = clock()
+    began = boot_time_ns()
     end = began + int((due[-1] + PATIENCE_S) * SECOND)
     decided = await asyncio.gather(*(_decided(running, n, at, began, end) for n, at in enumerate(due)))
     taken = []
@@ -131,14 +131,14 @@
 
 async def _decided(running: Fleet, number: int, at: float, began: int, end: int) -> int | None:
     """Propose a change when it is due; the version that it is decided with. None: not in time."""
-    await asyncio.sleep(max(0.0, at - (clock() - began) / SECOND))
+    await asyncio.sleep(max(0.0, at - (boot_time_ns() - began) / SECOND))
     operation = Upsert(Kind.DRAINED_SERVER, f"s-{number:06d}", 0, b"")
     change = Change((number + 1).to_bytes(CHANGE_ID_BYTES, "big"), 0, "capacity", "rig", (operation,))
     while not await running.offer(change):
-        if clock() > end:
+        if boot_time_ns() > end:
             return None
         await asyncio.sleep(TRY_AGAIN_S)
-    while clock() < end:
+    while boot_time_ns() < end:
         found = await running.became_of(change)
         if found.outcome is ChangeOutcome.IN_FORCE:
             return version_of(found.policy)
@@ -154,6 +154,6 @@
         reports = await running.reports(version)
         if all(len(report.in_force_ns) == report.nodes for report in reports):
             return max(at for report in reports for at in report.in_force_ns)
-        if clock() > end:
+        if boot_time_ns() > end:
             return math.inf
         await asyncio.sleep(LOOK_S)
--- a/hollybay/cli/policy.py
+++ b/hollybay/cli/policy.py
@@ -48,9 +48,9 @@
 
 
 async def _call(address: str, path: str, body: bytes | None) -> bytes:
-    from hollybay.proxy.consensus_member import call
+    from hollybay.proxy.admin_client import call_policy
 
-    return await call(address, path, body, CALL_LIMIT_S)
+    return await call_policy(address, path, body, CALL_LIMIT_S)
 
 
 def _tracker(
--- a/hollybay/cluster/change_stream.py
+++ b/hollybay/cluster/change_stream.py
@@ -31,7 +31,7 @@
 from hollybay.consensus.log import PolicyLog
 from hollybay.consensus.policy import version_of
 from hollybay.consensus.verdict import Verdict
-from hollybay.proxy.consensus_member import call
+from hollybay.proxy.admin_client import call_policy
 from hollybay.resources.model import CHANGE_ID_BYTES, Change, Delete, Kind, Operation, Upsert
 from hollybay.resources.state import ResourceState
 from hollybay.routing.resource_tables import encode_table
@@ -239,7 +239,7 @@
         self.first = doors[first]
 
     async def _called(self, door: str, path: str, body: bytes | None) -> bytes:
-        return await call(door, path, body, CALL_LIMIT)
+        return await call_policy(door, path, body, CALL_LIMIT)
 
     def voters_in_order(self, view: ClusterView) -> list[str]:
         return sorted(super().voters_in_order(view), key=lambda door: door != self.first)
--- a/hollybay/cluster/planted.py
+++ b/hollybay/cluster/planted.py
@@ -130,19 +130,21 @@
 def _unfit_by_name() -> None:
     """Not a defect but a fault: a node cannot serve routes whose names begin with its own."""
     from hollybay.consensus.log_entry import Entry
-    from hollybay.proxy.consensus_member import Accord
+    from hollybay.proxy.consensus_member import ConsensusMember
     from hollybay.resources.model import Change
 
-    compiles, find_invalid_changes = Accord.compile_policy, Accord.find_invalid_changes
+    compiles, find_invalid_changes = ConsensusMember.compile_policy, ConsensusMember.find_invalid_changes
 
-    def is_unfit(self: Accord, name: str) -> bool:
-        return name.startswith(f"{self.terms.name}-")
+    def is_unfit(self: ConsensusMember, name: str) -> bool:
+        return name.startswith(f"{self.settings.name}-")
 
-    async def compiling(self: Accord, entry: Entry) -> list[str]:
+    async def compiling(self: ConsensusMember, entry: Entry) -> list[str]:
         names = [key.name for key in entry.changed_keys or () if is_unfit(self, key.name)]
         return [f"route {name!r}: does not hold here" for name in names] or await compiles(self, entry)
 
-    async def naming(self: Accord, base: Entry, changes: tuple[Change, ...]) -> dict[bytes, list[str]]:
+    async def naming(
+        self: ConsensusMember, base: Entry, changes: tuple[Change, ...]
+    ) -> dict[bytes, list[str]]:
         found = await find_invalid_changes(self, base, changes)
         for change in changes:
             names = [one.name for one in change.operations if is_unfit(self, one.name)]
@@ -150,7 +152,7 @@
                 found[change.id] = [f"route {name!r}: does not hold here" for name in names]
         return found
 
-    Accord.compile_policy, Accord.find_invalid_changes = compiling, naming  # type: ignore[method-assign]
+    ConsensusMember.compile_policy, ConsensusMember.find_invalid_changes = compiling, naming  # type: ignore[method-assign]
 
 
 def _bad_change_drops_batch() -> None:
--- a/hollybay/cluster/roles.py
+++ b/hollybay/cluster/roles.py
@@ -173,7 +173,7 @@
     """Write down under which policies requests begin here; and end without a word at a step, if one is
     given."""
     from hollybay.consensus.store import Store
-    from hollybay.proxy.consensus_member import Accord
+    from hollybay.proxy.consensus_member import ConsensusMember
 
     # Of the clock that leases are counted on, in that of all other journals.
     ahead = time.clock_gettime_ns(time.CLOCK_BOOTTIME) - time.monotonic_ns()
@@ -199,17 +199,17 @@
             journal.flush()
             os.kill(os.getpid(), signal.SIGKILL)
 
-    log_event, start = Accord.log_event, Accord.start
+    log_event, start = ConsensusMember.log_event, ConsensusMember.start
 
-    def saying(self: Accord, event: str, **found: object) -> None:
+    def saying(self: ConsensusMember, event: str, **found: object) -> None:
         log_event(self, event, **found)
         reached(event, **found)
 
-    async def starting(self: Accord) -> None:
-        self.began = began
+    async def starting(self: ConsensusMember) -> None:
+        self.on_request_begun = began
         await start(self)
 
-    Accord.log_event, Accord.start = saying, starting  # type: ignore[method-assign]
+    ConsensusMember.log_event, ConsensusMember.start = saying, starting  # type: ignore[method-assign]
     put = Store.put
 
     def putting(self: Store, data: bytes) -> None:
@@ -229,16 +229,16 @@
     from hollybay.consensus.log_entry import Entry
     from hollybay.consensus.policy import Policy
     from hollybay.consensus.store import StoreError
-    from hollybay.proxy.consensus_member import Accord
+    from hollybay.proxy.consensus_member import ConsensusMember
 
     if not full:
-        compiled = Accord.compile_policy
+        compiled = ConsensusMember.compile_policy
 
-        async def compile_policy(self: Accord, entry: Entry) -> list[str]:
+        async def compile_policy(self: ConsensusMember, entry: Entry) -> list[str]:
             later = entry.policy.version > 1
             return ["[route 1]: does not hold here"] if later else await compiled(self, entry)
 
-        Accord.compile_policy = compile_policy  # type: ignore[method-assign]
+        ConsensusMember.compile_policy = compile_policy  # type: ignore[method-assign]
         return
     kept = PolicyLog.append
 
@@ -778,9 +778,9 @@
     """They begin the accord and propose changes, by the same steps as `hollybay policy`."""
 
     async def call(self, door: str, path: str, body: bytes | None) -> bytes:
-        from hollybay.proxy.consensus_member import call
+        from hollybay.proxy.admin_client import call_policy
 
-        return await call(door, path, body, 2.0)
+        return await call_policy(door, path, body, 2.0)
 
     async def do_found(self, doors: list[str], file: str) -> None:
         """Begin."""
--- a/hollybay/hollow/__init__.py
+++ b/hollybay/hollow/__init__.py
@@ -1,7 +1,7 @@
 """Hollow nodes: what a node is to its keepers, without clients and servers, many in one process.
 
 Each is the real protocol code (hollybay.consensus.service, the operators' listener of
-hollybay.proxy.admin_server, the calls of hollybay.proxy.consensus_member) with an address of its own on the
+hollybay.proxy.admin_server, the client of hollybay.proxy.admin_client) with an address of its own on the
 loopback. What it leaves out is the data plane: it puts no policy in force at a gate, and compiles one only
 where it is told to.
 
--- a/hollybay/hollow/fleet.py
+++ b/hollybay/hollow/fleet.py
@@ -14,7 +14,8 @@
 from hollybay.consensus import messages
 from hollybay.consensus.change_tracker import ChangeTracker
 from hollybay.consensus.requests import UnreachableError
-from hollybay.proxy.consensus_member import call, clock
+from hollybay.proxy.admin_client import call_policy
+from hollybay.proxy.system import boot_time_ns
 from hollybay.resources.model import Change
 from hollybay.resources.wire import encode_change
 
@@ -190,7 +191,7 @@
         """Propose that these servers are out, alone in a batch; the version, and when that was (ns)."""
         status = msgspec.json.decode(await self.call("", None))
         body = messages.encode(messages.ProposeCall(None, status["keeper"]["digest"], reason, "rig", out))
-        began = clock()
+        began = boot_time_ns()
         changed = messages.decode(await self.call("propose", body), messages.ProposeReply)
         return version_of(changed.change), began
 
@@ -213,7 +214,7 @@
         return messages.decode(await self.call(f"change/{change.id.hex()}", None), messages.ChangeReply)
 
     async def _called(self, address: str, path: str, body: bytes | None) -> bytes:
-        return await call(address, path, body, CALL_LIMIT_S)
+        return await call_policy(address, path, body, CALL_LIMIT_S)
 
     async def end(self) -> None:
         """End all processes."""
--- a/hollybay/hollow/node.py
+++ b/hollybay/hollow/node.py
@@ -17,9 +17,11 @@
 from hollybay.consensus.log_entry import Entry
 from hollybay.consensus.messages import MOST_CALL
 from hollybay.consensus.service import Service
+from hollybay.proxy.admin_client import call_policy
 from hollybay.proxy.admin_server import AdminResponse, AdminServer
-from hollybay.proxy.compiled_policies import CompiledPolicies, read_file
-from hollybay.proxy.consensus_member import BACKLOG, MOST_CALLERS, call, clock
+from hollybay.proxy.compiled_policies import CompiledPolicies, read_operator_file
+from hollybay.proxy.consensus_setup import MAX_POLICY_CONNECTIONS, POLICY_BACKLOG
+from hollybay.proxy.system import boot_time_ns
 from hollybay.resources.model import Change
 from hollybay.resources.state import ResourceState
 from hollybay.units import MS
@@ -31,7 +33,7 @@
     """See above. settings: a policy is compiled for these, as a real node does; None: it is taken as it is.
 
     in_force: by version of the policy, when the node began to serve under it alone (ns of
-    hollybay.proxy.consensus_member.clock).
+    hollybay.proxy.system.boot_time_ns).
     """
 
     def __init__(
@@ -40,7 +42,7 @@
         self.name = name
         self.folder = folder
         self.lease_ns = lease_ns
-        self.plans = CompiledPolicies(settings, self._in_use) if settings is not None else None
+        self.compiled_policies = CompiledPolicies(settings, self._in_use) if settings is not None else None
         self.address = ""
         self.in_force: dict[int, int] = {}
         self.problems: list[str] = []
@@ -49,8 +51,8 @@
         self._loop = asyncio.get_running_loop()
         self._listener = AdminServer(self._answer)
         self._listener.max_policy_request_bytes = MOST_CALL
-        self._listener.max_connections = MOST_CALLERS
-        self._listener.backlog = BACKLOG
+        self._listener.max_connections = MAX_POLICY_CONNECTIONS
+        self._listener.backlog = POLICY_BACKLOG
 
     async def listen(self, host: str, port: int = 0) -> str:
         """Take calls at an address of its own; the address."""
@@ -60,11 +62,20 @@
 
     async def start(self, keepers: tuple[str, ...]) -> None:
         """Take up what is on disk, and begin to ask for leases. StoreFailed, OSError: it cannot be used."""
-        terms = MemberSettings(self.name, self.address, tuple(sorted(keepers)), self.lease_ns, 0, self.folder)
+        settings = MemberSettings(
+            self.name, self.address, tuple(sorted(keepers)), self.lease_ns, 0, self.folder
+        )
         (self.folder / self.name).mkdir(parents=True, exist_ok=True)
         boot = Path("/proc/sys/kernel/random/boot_id").read_text().strip()
         self.service = Service(
-            terms, self._call, self, clock, lambda: time.time_ns() // MS, self._disk, self._random, boot
+            settings,
+            self._call,
+            self,
+            boot_time_ns,
+            lambda: time.time_ns() // MS,
+            self._disk,
+            self._random,
+            boot,
         )
         await self.service.start()
 
@@ -85,20 +96,24 @@
 
     async def compile_policy(self, entry: Entry) -> list[str]:
         """Compile a policy as a real node does, where there are settings to compile it for."""
-        return await self.plans.compile_policy(entry) if self.plans is not None else []
+        if self.compiled_policies is None:
+            return []
+        return await self.compiled_policies.compile_policy(entry)
 
     async def find_invalid_changes(self, base: Entry, changes: tuple[Change, ...]) -> dict[bytes, list[str]]:
         """Which changes of a batch do not hold; by their ids."""
-        return await self.plans.find_invalid_changes(base, changes) if self.plans is not None else {}
+        if self.compiled_policies is None:
+            return {}
+        return await self.compiled_policies.find_invalid_changes(base, changes)
 
     async def read_operator_file(self, file: bytes, state: ResourceState) -> OperatorFileChanges:
         """What an operator file says, as differences to a state. BadFile: it does not hold."""
-        return await read_file(file, state)
+        return await read_operator_file(file, state)
 
     def apply_policies(self, entries: tuple[Entry, ...]) -> None:
         """Note since when a policy is in force alone."""
         if len(entries) == 1:
-            self.in_force.setdefault(entries[0].policy.version, clock())
+            self.in_force.setdefault(entries[0].policy.version, boot_time_ns())
 
     def log_event(self, event: str, **fields: object) -> None:
         """Keep what went wrong."""
@@ -117,7 +132,7 @@
         return AdminResponse(found.status, found.body, "application/json")
 
     async def _call(self, door: str, path: str, body: bytes | None, limit: float) -> bytes:
-        return await call(door, path, body, limit, self.name)
+        return await call_policy(door, path, body, limit, self.name)
 
     def _disk(self, work: Callable[[], None]) -> Awaitable[None]:
         return self._loop.run_in_executor(None, work)
--- a/hollybay/proxy/admin_server.py
+++ b/hollybay/proxy/admin_server.py
@@ -31,7 +31,7 @@
 
 from . import system
 
-__all__ = ["MAX_CONNECTIONS", "AdminResponse", "AdminServer"]
+__all__ = ["JSON_CONTENT_TYPE", "MAX_CONNECTIONS", "AdminResponse", "AdminServer"]
 
 log = logging.getLogger("hollybay.proxy")
 
--- a/hollybay/proxy/assembly.py
+++ b/hollybay/proxy/assembly.py
@@ -20,7 +20,7 @@
     from hollybay.routing.schema import AccordTable
 
     from .admin_service import AdminService
-    from .consensus_member import Accord
+    from .consensus_member import ConsensusMember
     from .handover import ListenerGroup
     from .load_reports import LoadReportExchange
     from .operator_file import OperatorFile
@@ -71,7 +71,7 @@
 
     service: AdminService
     listener_group: ListenerGroup
-    consensus_member: Accord | None
+    consensus_member: ConsensusMember | None
 
     def close(self) -> None:
         """Stop consensus and the admin service."""
@@ -140,11 +140,11 @@
     if table is None:
         return 0
     try:
-        from .consensus_member import descriptors, terms_of
+        from .consensus_setup import member_settings, required_descriptors
     except ModuleNotFoundError as error:
         raise ConfigError(f"[accord]: needs {error.name}, see the extra `accord`") from None
-    terms_of(table, config)
-    needed = descriptors(config.sockets)
+    member_settings(table, config)
+    needed = required_descriptors(config.sockets)
     if config.sockets - BASE_DESCRIPTORS - ADMIN_DESCRIPTORS - needed < MIN_DATA_PLANE_DESCRIPTORS:
         raise ConfigError(
             f"limits.sockets: {config.sockets}, and the operator file's [accord] takes {needed}"
@@ -202,10 +202,10 @@
     service = AdminService(config, clients, node)
     consensus_member = None
     if operator_file is not None and operator_file.consensus_table is not None:
-        from .consensus_member import join, terms_of
+        from .consensus_setup import create_consensus_member, member_settings
 
-        terms = terms_of(operator_file.consensus_table, config)
-        consensus_member = await join(terms, config, operator_file, clients, service)
+        settings = member_settings(operator_file.consensus_table, config)
+        consensus_member = create_consensus_member(settings, config, operator_file, clients, service)
         await consensus_member.start()
     await service.open()
     return AdminParts(service, ListenerGroup(service.folder, service.name), consensus_member)
--- a/hollybay/proxy/compiled_policies.py
+++ b/hollybay/proxy/compiled_policies.py
@@ -25,7 +25,7 @@
 from .gc_pauses import paused
 from .operator_file import COMPILE_SWITCH_INTERVAL_S
 
-__all__ = ["CompiledPolicies", "read_file"]
+__all__ = ["CompiledPolicies", "read_operator_file"]
 
 T = TypeVar("T")
 # How many of the last plans are kept, beside those in use.
@@ -62,7 +62,7 @@
                 del self.by_name[old_name]
         return []
 
-    def plan_of(self, entry: Entry) -> IncrementalPolicy:
+    def policy_of(self, entry: Entry) -> IncrementalPolicy:
         """The plan of a policy that compiles. ChangeRejectedError: it does not."""
         plan = self.by_name.get(entry.policy.name)
         if plan is None:
@@ -98,7 +98,7 @@
         return culprits
 
 
-async def read_file(file: bytes, state: ResourceState) -> OperatorFileChanges:
+async def read_operator_file(file: bytes, state: ResourceState) -> OperatorFileChanges:
     """The operations that bring resources to what an operator file says, and the voters that it names.
 
     Raises
--- a/hollybay/proxy/system.py
+++ b/hollybay/proxy/system.py
@@ -16,6 +16,7 @@
 from pathlib import Path
 
 __all__ = [
+    "boot_time_ns",
     "finish_startup",
     "monotonic_ns",
     "read_bytes",
@@ -28,6 +29,11 @@
 SIZE_OF_INT = 4
 
 
+def boot_time_ns() -> int:
+    """Return the time since the machine started (ns), which also advances while the machine is suspended."""
+    return time.clock_gettime_ns(time.CLOCK_BOOTTIME)
+
+
 def _wall_clock_offset() -> int:
     return time.time_ns() - time.monotonic_ns()
 
--- a/tests/golden/build.py
+++ b/tests/golden/build.py
@@ -52,10 +52,11 @@
 from hollybay.consensus.store import Store, StoreError
 from hollybay.consensus.transfer import Uploads, chunk_at, upload_calls
 from hollybay.gossip.load_report import decode_report, encode_reports, server_hash
-from hollybay.proxy import consensus_member as calling
+from hollybay.proxy import admin_client
 from hollybay.proxy.admin_service import AdminService
 from hollybay.proxy.assembly import assemble
 from hollybay.proxy.config import load
+from hollybay.proxy.consensus_member import ConsensusMember
 from hollybay.resources.model import Change, Delete, Kind, Problem, Upsert
 from hollybay.resources.state import EMPTY, ResourceState
 from hollybay.simulation import accord_rehearsal as rehearsal
@@ -319,7 +320,7 @@
 
 
 async def _outgoing(path: str, body: bytes | None) -> bytes:
-    call = calling._Call(DOOR, path, body, "n-1")
+    call = admin_client._PolicyCall(DOOR, path, body, "n-1")
     sink = _Sink()
     call.connection_made(sink)
     call.close()
@@ -717,7 +718,7 @@
 
 async def _admin_in_accord(folder: Path) -> bytes:
     async with _desk(folder) as desk:
-        accord = calling.Accord.__new__(calling.Accord)
+        accord = ConsensusMember.__new__(ConsensusMember)
         accord.service = _service(folder / "accord")
         desk.policy_handler = accord
         desk.server.max_policy_request_bytes = words.MOST_CALL
--- a/tests/test_accord_node.py
+++ b/tests/test_accord_node.py
@@ -28,9 +28,11 @@
 from hollybay.consensus.interfaces import MemberSettings
 from hollybay.consensus.log import PolicyLog
 from hollybay.consensus.policy import first_policy
+from hollybay.proxy.admin_client import call_policy
 from hollybay.proxy.admin_service import AdminService
 from hollybay.proxy.config import ConfigError
-from hollybay.proxy.consensus_member import Accord, call, join
+from hollybay.proxy.consensus_member import ConsensusMember
+from hollybay.proxy.consensus_setup import create_consensus_member
 from hollybay.proxy.operator_file import OperatorFile
 from hollybay.resources.model import Change, Kind, Upsert
 from hollybay.routing.policy_compiler import compile_file
@@ -46,7 +48,7 @@
 @asynccontextmanager
 async def agreeing(
     tmp_path: Path, *backends: Backend, name: str = "n0", keepers: tuple[str, ...] = ()
-) -> AsyncIterator[tuple[Running, Accord]]:
+) -> AsyncIterator[tuple[Running, ConsensusMember]]:
     """A node with a door, alone in its accord unless it has other keepers."""
     words = settings()
     words["caps"] = words["caps"] | {"retry-after": True, "max-retry-after": 10**9}
@@ -59,8 +61,8 @@
         node.clients.ready = True
         service = AdminService(config, node.clients, node.node)
         door = f"127.0.0.1:{await service.open()}"
-        terms = MemberSettings(name, door, keepers or (door,), 800 * MS, 0, tmp_path / "accord")
-        accord = await join(terms, config, operator, node.clients, service)
+        member_settings = MemberSettings(name, door, keepers or (door,), 800 * MS, 0, tmp_path / "accord")
+        accord = create_consensus_member(member_settings, config, operator, node.clients, service)
         await accord.start()
         try:
             yield node, accord
@@ -69,16 +71,16 @@
             service.close()
 
 
-async def founded(accord: Accord, file: bytes = b"") -> None:
+async def founded(accord: ConsensusMember, file: bytes = b"") -> None:
     body = messages.encode(messages.BootstrapCall(file=base64.b64encode(file).decode()))
-    await call(accord.terms.address, "found", body, LIMIT)
+    await call_policy(accord.settings.address, "found", body, LIMIT)
     async with asyncio.timeout(LIMIT):
         while not accord.sure():
             await asyncio.sleep(0.01)
 
 
-async def raw(accord: Accord, head: str, body: bytes = b"") -> tuple[int, bytes]:
-    host, _, port = accord.terms.address.rpartition(":")
+async def raw(accord: ConsensusMember, head: str, body: bytes = b"") -> tuple[int, bytes]:
+    host, _, port = accord.settings.address.rpartition(":")
     reader, writer = await asyncio.open_connection(host, int(port))
     async with asyncio.timeout(LIMIT):
         writer.write(f"{head} HTTP/1.1\r\nHost: h\r\nContent-Length: {len(body)}\r\n\r\n".encode() + body)
@@ -103,11 +105,11 @@
             assert (await raw(accord, "GET /-/ready"))[0] == 503 and not backend.heads
             assert (await raw(accord, "POST /-/servers/s-1/disable"))[0] == 409
             began: list[tuple[str, ...]] = []
-            accord.began = lambda at, names: began.append(names)
+            accord.on_request_begun = lambda at, names: began.append(names)
             await founded(accord)
             assert (await raw(accord, "GET /-/ready"))[0] == 200 and not began
             assert b" 200 " in await node.ask(request(rid="r-2"))
-            assert began == [(first_policy((), [accord.terms.address]).name,)]
+            assert began == [(first_policy((), [accord.settings.address]).name,)]
             # Nobody renews its lease any more: it is over within its time.
             accord.service.close()
             async with asyncio.timeout(LIMIT):
@@ -126,7 +128,7 @@
             assert keeping is not None and keeping.state is not None
             state = keeping.state.decided
             before = keeping.state
-            here = accord.terms.address
+            here = accord.settings.address
             odd = EpochState(7, Stage.SETTLED, "7-00000000000a", "8-00000000000b")
             ask = messages.LeaseCall(
                 messages.FORM, LeaseRequest(1, 1, state, -1, True), "x", here, 900 * MS, 0
@@ -205,8 +207,8 @@
     asyncio.run(play())
 
 
-def run(accord: Accord, *words: str) -> Result:
-    return CliRunner().invoke(main, ["policy", *words, "--door", accord.terms.address])
+def run(accord: ConsensusMember, *words: str) -> Result:
+    return CliRunner().invoke(main, ["policy", *words, "--door", accord.settings.address])
 
 
 def test_the_command_and_its_exit_statuses(tmp_path: Path) -> None:
@@ -238,9 +240,9 @@
             old = await did("propose", "--out", "s-1", "--reason", "r", "--parent", "1-0123456789ab")
             assert old.exit_code == 1 and "in force is 2-" in old.output
             out = await did("propose", "--out", "s-1", "--reason", "it is ill", "--json")
-            assert json.loads(out.output)["code"] == 0 and accord.desk.drains.drained == {"s-1"}
+            assert json.loads(out.output)["code"] == 0 and accord.admin_service.drains.drained == {"s-1"}
             assert (await did("back", "--reason", "it is well")).exit_code == 0
-            assert not accord.desk.drains.drained
+            assert not accord.admin_service.drains.drained
             nothing = await did("drop")
             assert nothing.exit_code == 2 and "no change is under way" in nothing.output
             told = await did("status")
@@ -358,7 +360,7 @@
     return msgspec.structs.replace(change, operations=(fresh,))
 
 
-async def ended(accord: Accord, change: Change) -> messages.ChangeReply:
+async def ended(accord: ConsensusMember, change: Change) -> messages.ChangeReply:
     """What became of a change, once that is known."""
     async with asyncio.timeout(LIMIT):
         while True:
@@ -393,7 +395,7 @@
             assert done.exit_code == 0, done.output
             assert len(accord.admission.policy.routes) == 6000  # type: ignore[union-attr]
             # Another node, with nothing on its disk, fetches all that in pieces.
-            async with agreeing(tmp_path, name="n1", keepers=(accord.terms.address,)) as (_, other):
+            async with agreeing(tmp_path, name="n1", keepers=(accord.settings.address,)) as (_, other):
                 async with asyncio.timeout(LIMIT):
                     while not other.sure():
                         await asyncio.sleep(0.02)
@@ -424,15 +426,15 @@
     async def play() -> None:
         async with agreeing(tmp_path) as (_, one):
             await founded(one)
-            async with agreeing(tmp_path, keepers=(one.terms.address,)) as (_, other):
-                assert not other._keeps() and other.service.acceptor is None
+            async with agreeing(tmp_path, keepers=(one.settings.address,)) as (_, other):
+                assert not other._may_vote_here() and other.service.acceptor is None
                 async with asyncio.timeout(LIMIT):
                     while not other.sure():  # as a node it holds a lease of its own
                         await asyncio.sleep(0.01)
                 status: Any = one.service.status()
                 assert [m["twice"] for m in status["keeper"]["members"]] == [True, True]
                 one.close()
-                assert other._keeps()
+                assert other._may_vote_here()
 
     asyncio.run(play())
 
@@ -496,7 +498,8 @@
         "from hollybay.routing.policy_compiler import compile_file\n"
         "from hollybay.testbed.world import make_settings\n"
         "assert compile_file(b'', make_settings()).accord is None\n"
-        "mine = ('hollybay.consensus', 'structlog', 'hollybay.proxy.consensus_member')\n"
+        "mine = ('hollybay.consensus', 'structlog', 'hollybay.proxy.consensus_member',\n"
+        "    'hollybay.proxy.consensus_setup', 'hollybay.proxy.admin_client')\n"
         "sys.exit(any(n in mine or n.startswith('hollybay.consensus.') for n in sys.modules))"
     )
     root = Path(__file__).resolve().parent.parent
--- a/tests/test_hollow.py
+++ b/tests/test_hollow.py
@@ -26,8 +26,8 @@
 from hollybay.hollow.messages import Report, ReportNow, Reset, decode_command
 from hollybay.hollow.node import HollowNode
 from hollybay.hollow.wire import Conversation, MeteredLoop
+from hollybay.proxy.admin_client import call_policy
 from hollybay.proxy.admin_server import AdminResponse
-from hollybay.proxy.consensus_member import call
 from hollybay.testbed.loopback import LIMIT, Registry, settings
 from hollybay.units import MS
 
@@ -113,7 +113,7 @@
 
     async def _call(self, door: str, path: str, body: bytes | None, limit: float) -> bytes:
         if path.startswith(("since/", "snapshot/")):
-            return await call(door, path, body, limit, "somebody")
+            return await call_policy(door, path, body, limit, "somebody")
         return await super()._call(door, path, body, limit)
 
 
@@ -187,9 +187,9 @@
 
 
 async def proposed(keeper: HollowNode, out: list[str]) -> None:
-    status = msgspec.json.decode(await call(keeper.address, "", None, LIMIT))
+    status = msgspec.json.decode(await call_policy(keeper.address, "", None, LIMIT))
     body = messages.encode(messages.ProposeCall(None, status["keeper"]["digest"], "why", "me", out))
-    await call(keeper.address, "propose", body, LIMIT)
+    await call_policy(keeper.address, "propose", body, LIMIT)
 
 
 async def one_run(loop: MeteredLoop, folder: Path) -> dict[str, Heard]:
@@ -199,7 +199,7 @@
     addresses = [await keeper.listen("127.0.0.1") for keeper in keepers]
     for keeper in keepers:
         await keeper.start(tuple(addresses))
-    await call(
+    await call_policy(
         addresses[0],
         "found",
         messages.encode(messages.BootstrapCall(file=base64.b64encode(b"").decode())),
