--- a/benchmarks/flood.py
+++ b/benchmarks/flood.py
@@ -9,7 +9,7 @@
 
 import uvloop
 
-from hollybay.cli.demo import percentile
+from hollybay.cli.demo_report import percentile
 from hollybay.testbed.callers import Callers, Mix
 from hollybay.testbed.ledger import Final
 from hollybay.testbed.process import NodeProcess
--- a/hollybay/cli/simulate.py
+++ b/hollybay/cli/simulate.py
@@ -1,11 +1,11 @@
-"""What `hollybay simulate` does: play seeds on several cores, count what was met, shrink and trace a run."""
+"""Simulated runs for `hollybay simulate`: play seeds on several cores, and shrink or trace one run."""
 
 from __future__ import annotations
 
 from collections import Counter
 from collections.abc import Callable, Iterator
 from concurrent.futures import ProcessPoolExecutor
-from dataclasses import dataclass
+from dataclasses import dataclass, field
 from functools import partial
 from itertools import combinations
 from multiprocessing import get_context
@@ -19,153 +19,265 @@
 from hollybay.simulation.shrink import shrink
 from hollybay.simulation.world import Outcome, play
 
-__all__ = ["Choice", "Result", "play_all", "play_one", "shrunk", "traced"]
+__all__ = ["RunResult", "RunSelection", "play_all", "play_one", "shrink_run", "trace_run"]
 
-SHOWN = 5  # of what one run found
+EXIT_CLEAN = 0
+EXIT_FAULT_FOUND = 1
+MAX_FAULTS_SHOWN = 5  # of one run
+RUNS_IN_A_CHUNK = 4  # handed to a process at a time
+SECONDS_PER_MINUTE = 60
+MIN_DURATION_S = 1e-9  # so that no rate is divided by zero
 
 
 @dataclass(frozen=True, slots=True)
-class Choice:
-    """Which runs are asked for: seeds under some kinds of faults, or one plan."""
+class RunSelection:
+    """Which runs are asked for: seeds under some kinds of faults, or one plan.
 
-    numbers: range
+    Attributes
+    ----------
+    seeds
+        The seeds to play; that of the plan, where there is one.
+    faults
+        Kinds of faults that may happen; empty for all.
+    plan
+        A plan that was written before, in place of a drawn one.
+    path
+        The file that holds the plan.
+    """
+
+    seeds: range
     faults: tuple[str, ...]
     plan: Plan | None = None
     path: str = ""
 
     @classmethod
-    def of(cls, seed: int | None, seeds: str | None, path: Path | None, faults: str | None) -> Choice:
-        """From the words of the command line; ValueError says what is wrong with them."""
-        if sum(word is not None for word in (seed, seeds, path)) > 1:
+    def parse(
+        cls, seed: int | None, seeds: str | None, path: Path | None, faults: str | None
+    ) -> RunSelection:
+        """Parse the options of the command line.
+
+        Raises
+        ------
+        ValueError
+            They contradict each other, name an unknown kind of fault, or a plan that cannot be read.
+        """
+        if sum(option is not None for option in (seed, seeds, path)) > 1:
             raise ValueError("one of --seed, --seeds A..B and --plan")
         allowed: tuple[str, ...] = tuple(faults.split(",")) if faults else ()
         if allowed:
-            draw(0, allowed)
+            draw(0, allowed)  # raises where one of them is unknown
         if path is not None:
-            try:
-                plan: Plan = msgspec.json.decode(path.read_bytes(), type=Plan)
-            except (OSError, msgspec.MsgspecError) as error:
-                raise ValueError(f"{path}: {error}") from None
+            plan = _read_plan(path)
             return cls(range(plan.seed, plan.seed + 1), allowed, plan, str(path))
-        first, sep, last = (seeds if seeds is not None else str(seed or 0)).partition("..")
-        numbers = range(int(first), int(last if sep else first) + 1)
-        if not numbers:
-            raise ValueError("--seeds A..B with A up to B")
-        return cls(numbers, allowed)
+        return cls(_parse_seeds(seeds if seeds is not None else str(seed or 0)), allowed)
 
     def __len__(self) -> int:
-        return len(self.numbers)
+        return len(self.seeds)
 
     @property
-    def many(self) -> bool:
+    def has_many(self) -> bool:
         """Whether this is more than one run."""
-        return len(self.numbers) > 1
+        return len(self.seeds) > 1
 
-    def drawn(self, number: int) -> Plan:
+    def plan_of(self, seed: int) -> Plan:
         """The plan of one of its runs."""
         if self.plan is not None:
             return self.plan
-        return draw(number, self.faults) if self.faults else draw(number)
+        return draw(seed, self.faults) if self.faults else draw(seed)
 
-    def again(self, number: int) -> str:
+    def command_of(self, seed: int) -> str:
         """The command that plays one of its runs again."""
         if self.plan is not None:
             return f"hollybay simulate --plan {self.path}"
-        return f"hollybay simulate --seed {number}" + (
-            f" --faults {','.join(self.faults)}" if self.faults else ""
-        )
+        faults = f" --faults {','.join(self.faults)}" if self.faults else ""
+        return f"hollybay simulate --seed {seed}{faults}"
+
+
+def _read_plan(path: Path) -> Plan:
+    """Read a plan from a file. ValueError: it cannot be read, or is no plan."""
+    try:
+        return msgspec.json.decode(path.read_bytes(), type=Plan)
+    except (OSError, msgspec.MsgspecError) as error:
+        raise ValueError(f"{path}: {error}") from None
+
+
+def _parse_seeds(text: str) -> range:
+    """The seeds of `A..B`, or of one number. ValueError: there are none."""
+    first, separator, last = text.partition("..")
+    seeds = range(int(first), int(last if separator else first) + 1)
+    if not seeds:
+        raise ValueError("--seeds A..B with A up to B")
+    return seeds
 
 
 @dataclass(frozen=True, slots=True)
-class Result:
-    """What one run showed, as it comes back from another process."""
+class RunResult:
+    """What one run showed, as it comes back from another process.
 
-    number: int
+    Attributes
+    ----------
+    seed
+        Of the run.
+    kinds
+        Kinds of faults that the run was put under.
+    steps
+        Steps of the simulated loop.
+    node_seconds
+        Virtual time, summed over the nodes.
+    trace
+        Digest of all steps.
+    faults
+        What was found, a line for each.
+    rules
+        Rules and oracles that were broken.
+    """
+
+    seed: int
     kinds: tuple[str, ...]
     steps: int
-    seconds: float
+    node_seconds: float
     trace: str
-    wrong: tuple[str, ...]
+    faults: tuple[str, ...]
     rules: tuple[str, ...]
 
 
-def _lines(outcome: Outcome) -> tuple[str, ...]:
+def _fault_lines(outcome: Outcome) -> tuple[str, ...]:
     return tuple(f"{fault.rule}: {fault.subject}: {fault.reason}" for fault in outcome.wrong)
 
 
-def play_one(choice: Choice, number: int) -> Result:
+def play_one(selection: RunSelection, seed: int) -> RunResult:
     """Play one run."""
-    plan = choice.drawn(number)
+    plan = selection.plan_of(seed)
     outcome = play(plan)
-    kinds = tuple(sorted({fault.kind for fault in plan.faults}))
-    rules = tuple(sorted(outcome.rules))
-    node_seconds = outcome.seconds * plan.nodes
-    return Result(number, kinds, outcome.steps, node_seconds, outcome.trace, _lines(outcome), rules)
+    return RunResult(
+        seed=seed,
+        kinds=tuple(sorted({fault.kind for fault in plan.faults})),
+        steps=outcome.steps,
+        node_seconds=outcome.seconds * plan.nodes,
+        trace=outcome.trace,
+        faults=_fault_lines(outcome),
+        rules=tuple(sorted(outcome.rules)),
+    )
 
 
-def results(choice: Choice, jobs: int) -> Iterator[Result]:
-    """The results of all runs, in order."""
+def _play_each(selection: RunSelection, jobs: int) -> Iterator[RunResult]:
+    """The results of all runs, in order of their seeds."""
+    play_seed = partial(play_one, selection)
     if jobs == 1:
-        yield from map(partial(play_one, choice), choice.numbers)
+        yield from map(play_seed, selection.seeds)
         return
     with ProcessPoolExecutor(jobs, get_context("spawn")) as pool:
-        yield from pool.map(partial(play_one, choice), choice.numbers, chunksize=4)
-
-
-def play_all(choice: Choice, jobs: int, say: Callable[[str], None], advance: Callable[[], None]) -> int:
-    """Play all runs; 1 if one of them found something."""
-    kinds: Counter[str] = Counter()
-    pairs: Counter[tuple[str, ...]] = Counter()
-    found: Counter[str] = Counter()
-    steps = broken = 0
-    seconds = 0.0
-    begun = monotonic()
-    for result in results(choice, jobs):
+        yield from pool.map(play_seed, selection.seeds, chunksize=RUNS_IN_A_CHUNK)
+
+
+@dataclass(slots=True)
+class _Totals:
+    """Counts over all runs: of kinds and of pairs of them by runs, and of broken rules by failed runs."""
+
+    kinds: Counter[str] = field(default_factory=Counter)
+    pairs: Counter[tuple[str, ...]] = field(default_factory=Counter)
+    rules: Counter[str] = field(default_factory=Counter)
+    steps: int = 0
+    failed_runs: int = 0
+    node_seconds: float = 0.0
+
+    def add(self, result: RunResult) -> None:
+        """Count one run."""
+        self.steps += result.steps
+        self.node_seconds += result.node_seconds
+        self.kinds.update(result.kinds)
+        self.pairs.update(combinations(result.kinds, 2))
+        if result.faults:
+            self.failed_runs += 1
+            self.rules.update(result.rules)
+
+    def summary(self, selection: RunSelection, duration_s: float) -> str:
+        """All counts in a line."""
+        allowed = selection.faults or tuple(FAULTS)
+        possible_pairs = len(list(combinations(allowed, 2)))
+        rules = f" ({', '.join(sorted(self.rules))})" if self.rules else ""
+        return (
+            f"{len(selection)} runs, {self.steps} steps, "
+            f"{SECONDS_PER_MINUTE * self.steps / duration_s:.0f} steps a minute, "
+            f"{self.node_seconds / duration_s:.0f} node-seconds a second; "
+            f"kinds {len(self.kinds)} of {len(allowed)}, pairs {len(self.pairs)} of {possible_pairs}; "
+            f"{self.failed_runs} with something wrong{rules}"
+        )
+
+
+def play_all(
+    selection: RunSelection, jobs: int, write_line: Callable[[str], None], advance: Callable[[], None]
+) -> int:
+    """Play all runs and write what they found.
+
+    Parameters
+    ----------
+    selection
+        The runs.
+    jobs
+        How many processes play them.
+    write_line
+        Writes one line of output.
+    advance
+        Called after each run.
+
+    Returns
+    -------
+    int
+        Exit status: 1 if a run found something.
+    """
+    totals = _Totals()
+    began_at = monotonic()
+    for result in _play_each(selection, jobs):
         advance()
-        steps += result.steps
-        seconds += result.seconds
-        kinds.update(result.kinds)
-        pairs.update(combinations(result.kinds, 2))
-        if result.wrong:
-            broken += 1
-            found.update(result.rules)
-            for line in result.wrong[:SHOWN]:
-                say(f"seed {result.number}: {line}")
-            say(f"  {choice.again(result.number)}")
-        elif not choice.many:
-            say(f"seed {result.number}: trace {result.trace}")
-    took = max(1e-9, monotonic() - begun)
-    allowed = choice.faults or tuple(FAULTS)
-    possible = len(list(combinations(allowed, 2)))
-    say(
-        f"{len(choice)} runs, {steps} steps, {60 * steps / took:.0f} steps a minute, {seconds / took:.0f} "
-        f"node-seconds a second; kinds {len(kinds)} of {len(allowed)}, pairs {len(pairs)} of {possible}; "
-        f"{broken} with something wrong" + (f" ({', '.join(sorted(found))})" if found else "")
-    )
-    return 1 if broken else 0
+        totals.add(result)
+        for line in _result_lines(selection, result):
+            write_line(line)
+    write_line(totals.summary(selection, max(MIN_DURATION_S, monotonic() - began_at)))
+    return EXIT_FAULT_FOUND if totals.failed_runs else EXIT_CLEAN
+
 
+def _result_lines(selection: RunSelection, result: RunResult) -> list[str]:
+    """What is said of one run: its faults and how to play it again, or the trace of a single clean run."""
+    if result.faults:
+        lines = [f"seed {result.seed}: {fault}" for fault in result.faults[:MAX_FAULTS_SHOWN]]
+        return [*lines, f"  {selection.command_of(result.seed)}"]
+    return [] if selection.has_many else [f"seed {result.seed}: trace {result.trace}"]
 
-def shrunk(choice: Choice, target: Path, say: Callable[[str], None]) -> int:
-    """Shrink one failing run into a file; 1 once that is done, 0 where nothing fails."""
-    plan = choice.drawn(choice.numbers[0])
+
+def shrink_run(selection: RunSelection, target: Path, write_line: Callable[[str], None]) -> int:
+    """Shrink one failing run to the least plan that still breaks its rule, into a file.
+
+    Returns
+    -------
+    int
+        Exit status: 1 once that is done, 0 where nothing fails.
+    """
+    plan = selection.plan_of(selection.seeds[0])
     outcome = play(plan)
     if not outcome.wrong:
-        say("nothing is wrong here, so there is nothing to shrink")
-        return 0
+        write_line("nothing is wrong here, so there is nothing to shrink")
+        return EXIT_CLEAN
     rule = outcome.wrong[0].rule
-    say(f"{events(plan)} events: {_lines(outcome)[0]}")
+    write_line(f"{events(plan)} events: {_fault_lines(outcome)[0]}")
     least = shrink(plan, lambda smaller: rule in play(smaller).rules)
     target.write_bytes(to_json(least) + b"\n")
-    say(f"{events(least)} events: {_lines(play(least))[0]}")
-    say(f"  hollybay simulate --plan {target}")
-    return 1
+    write_line(f"{events(least)} events: {_fault_lines(play(least))[0]}")
+    write_line(f"  hollybay simulate --plan {target}")
+    return EXIT_FAULT_FOUND
+
 
+def trace_run(selection: RunSelection, target: Path, write_line: Callable[[str], None]) -> int:
+    """Write every step of one run into a file.
 
-def traced(choice: Choice, target: Path, say: Callable[[str], None]) -> int:
-    """Write every step of one run into a file; 1 if something was found."""
+    Returns
+    -------
+    int
+        Exit status: 1 if something was found.
+    """
     with target.open("w") as file:
-        outcome = play(choice.drawn(choice.numbers[0]), lambda line: print(line, file=file))
-    for line in _lines(outcome)[:SHOWN]:
-        say(line)
-    say(f"{outcome.steps} steps in {target}, trace {outcome.trace}")
-    return 1 if outcome.wrong else 0
+        outcome = play(selection.plan_of(selection.seeds[0]), lambda line: print(line, file=file))
+    for line in _fault_lines(outcome)[:MAX_FAULTS_SHOWN]:
+        write_line(line)
+    write_line(f"{outcome.steps} steps in {target}, trace {outcome.trace}")
+    return EXIT_FAULT_FOUND if outcome.wrong else EXIT_CLEAN
--- a/hollybay/cli/tier.py
+++ b/hollybay/cli/tier.py
@@ -1,10 +1,11 @@
-"""`hollybay tier`: play a plan of many processes, and say what came of it."""
+"""Cluster runs for `hollybay tier`: play a plan of many processes, and print what came of it."""
 
 from __future__ import annotations
 
 import asyncio
 import json
-from collections.abc import Callable
+from collections.abc import Iterator
+from dataclasses import dataclass
 from pathlib import Path
 
 from rich.console import Console
@@ -12,101 +13,158 @@
 
 from hollybay.cluster.plan import Plan, compile_plan, refuse_too_large
 from hollybay.cluster.report import Report, plot, report_of, tables
-from hollybay.cluster.rig import RigFailed, Tick, play
+from hollybay.cluster.rig import Outcome, RigFailed, Tick, play
 from hollybay.routing.problems import OperatorError
 
-__all__ = ["run"]
+__all__ = ["RunRequest", "run"]
 
+EXIT_INVALID_PLAN = 2
+EXIT_UNTRUSTED = 3
+MAX_FAULTS_SHOWN = 20
+NS_PER_S = 1e9
 
-def _read(file: Path, seed: int, nodes: int, load: float, say: Callable[[str], None]) -> Plan | None:
-    """The plan, or None after all that does not hold has been said."""
+
+@dataclass(frozen=True, slots=True)
+class RunRequest:
+    """What the command line asks for.
+
+    Attributes
+    ----------
+    file
+        The plan.
+    seed
+        Of all that is drawn by chance.
+    nodes, load
+        Number of nodes and share of all capacity, in place of the plan's own; 0 for these.
+    json_path, plot_path
+        Where the figures and the plot go; None for neither.
+    keep
+        A new folder for logs and journals; None to throw them away.
+    defect
+        A defect to plant in every node, or "".
+    """
+
+    file: Path
+    seed: int
+    nodes: int
+    load: float
+    json_path: Path | None = None
+    plot_path: Path | None = None
+    keep: Path | None = None
+    defect: str = ""
+
+
+class _InvalidPlanError(Exception):
+    """The plan cannot be played; the lines say why."""
+
+    def __init__(self, lines: list[str]) -> None:
+        super().__init__("\n".join(lines))
+        self.lines = lines
+
+
+def run(request: RunRequest) -> int:
+    """Play a plan and print its report.
+
+    Returns
+    -------
+    int
+        Exit status: 0 held, 1 a rule or bound broken, 2 an invalid plan, 3 the run is not to be trusted.
+    """
+    console = Console()
     try:
-        plan = compile_plan(file.read_bytes(), str(file), seed, nodes, load)
+        plan = _read_plan(request)
+    except _InvalidPlanError as error:
+        _write_lines(console, error.lines)
+        return EXIT_INVALID_PLAN
+    try:
+        outcome = _play(plan, request, console)
+    except RigFailed:
+        return EXIT_UNTRUSTED
+    report = report_of(outcome)
+    if request.json_path is not None:
+        request.json_path.write_text(json.dumps(report.as_json(), indent=1) + "\n")
+    _print_report(console, report)
+    if request.plot_path is not None and report.trusted:
+        plot(report, request.plot_path)
+    return report.exit_status
+
+
+def _read_plan(request: RunRequest) -> Plan:
+    """Read and compile the plan. _InvalidPlanError: it does not hold, or is too large for this machine."""
+    file = request.file
+    try:
+        plan = compile_plan(file.read_bytes(), str(file), request.seed, request.nodes, request.load)
     except OSError as error:
-        say(str(error))
-        return None
+        raise _InvalidPlanError([str(error)]) from None
     except OperatorError as error:
-        for problem in error.problems:
-            say(f"{file}: {problem}")
-        return None
+        raise _InvalidPlanError([f"{file}: {problem}" for problem in error.problems]) from None
     reason = refuse_too_large(plan)
     if reason is not None:
-        say(f"{file}: [run]: {reason}")
-        return None
+        raise _InvalidPlanError([f"{file}: [run]: {reason}"])
     return plan
 
 
-def run(
-    file: Path,
-    seed: int,
-    nodes: int,
-    load: float,
-    target: Path | None,
-    picture: Path | None,
-    keep: Path | None,
-    defect: str,
-) -> int:
-    """Play it; the exit status: 0 held, 1 a rule or bound broken, 2 a bad plan, 3 not to be trusted."""
-    console = Console()
-
-    def say(text: str) -> None:
-        console.print(text, markup=False, highlight=False, soft_wrap=True)
-
-    plan = _read(file, seed, nodes, load, say)
-    if plan is None:
-        return 2
+def _play(plan: Plan, request: RunRequest, console: Console) -> Outcome:
+    """Play a plan under a progress bar. RigFailed, after it was printed: the rig could not carry it."""
     bar = Progress(
         TextColumn("[bold]{task.description:<32}"),
         BarColumn(),
         TextColumn("{task.fields[up]} nodes"),
         console=console,
     )
-    with bar:
-        job = bar.add_task("starting", total=plan.run.seconds / 1e9, up=0)
 
-        def show(tick: Tick) -> None:
-            bar.update(
-                job, completed=min(tick.elapsed, tick.seconds), description=tick.phase, up=tick.nodes_up
-            )
+    def show(tick: Tick) -> None:
+        elapsed = min(tick.elapsed, tick.seconds)
+        bar.update(job, completed=elapsed, description=tick.phase, up=tick.nodes_up)
 
+    with bar:
+        job = bar.add_task("starting", total=plan.run.seconds / NS_PER_S, up=0)
         try:
-            outcome = asyncio.run(play(plan, show, defect, keep))
+            return asyncio.run(play(plan, show, request.defect, request.keep))
         except RigFailed as error:
-            say(f"not to be trusted: {error}")
-            return 3
-    report = report_of(outcome)
-    if target is not None:
-        target.write_text(json.dumps(report.as_json(), indent=1) + "\n")
-    _tell(report, console, say)
-    if picture is not None and report.trusted:
-        plot(report, picture)
-    return report.exit_status
+            _write_lines(console, [f"not to be trusted: {error}"])
+            raise
+
 
+def _write_lines(console: Console, lines: list[str]) -> None:
+    """Write lines as they are, without markup or breaks."""
+    for line in lines:
+        console.print(line, markup=False, highlight=False, soft_wrap=True)
 
-def _tell(report: Report, console: Console, say: Callable[[str], None]) -> None:
+
+def _print_report(console: Console, report: Report) -> None:
+    """Print the tables and figures of a run, or why it is not to be trusted."""
     if not report.trusted:
-        for reason in report.reasons:
-            say(f"not to be trusted: {reason}")
+        _write_lines(console, [f"not to be trusted: {reason}" for reason in report.reasons])
         return
     for table in tables(report):
         console.print(table)
-    say(
+    _write_lines(console, [*_summary_lines(report), *_finding_lines(report)])
+
+
+def _summary_lines(report: Report) -> Iterator[str]:
+    """What the run took, and its counts."""
+    yield (
         f"{report.nodes} nodes up in {report.up_seconds:.1f} s; a node takes {100 * report.node_cpu:.2f} % "
         f"of a core and {report.node_memory_mb:.1f} MiB of its own, the rig {report.rig_cpu:.2f} cores"
     )
-    say("rules: " + ", ".join(f"{rule} {count}" for rule, count in report.rules.items()))
+    yield "rules: " + ", ".join(f"{rule} {count}" for rule, count in report.rules.items())
     if report.excused:
-        say("excused: " + ", ".join(f"{why} {count}" for why, count in sorted(report.excused.items())))
+        yield "excused: " + ", ".join(f"{why} {count}" for why, count in sorted(report.excused.items()))
     if report.door:
         calls = ", ".join(f"{status} {count}" for status, count in report.door.items())
-        say(f"operators' calls by status (0: none): {calls}")
-    for fault in report.faults[:20]:
-        say(fault)
+        yield f"operators' calls by status (0: none): {calls}"
+
+
+def _finding_lines(report: Report) -> Iterator[str]:
+    """Broken rules, changes of the policy, and bounds that did not hold."""
+    yield from report.faults[:MAX_FAULTS_SHOWN]
     for code, name, text, seconds in report.changes:
-        say(f"change {name or '(none)'}: {code} after {seconds:.2f} s: {text}")
+        yield f"change {name or '(none)'}: {code} after {seconds:.2f} s: {text}"
     if report.under:
-        say("requests began under " + ", ".join(f"{names}: {count}" for names, count in report.under.items()))
-    for fault in report.torn[:20]:
-        say(f"policy: {fault}")
+        policies = ", ".join(f"{names}: {count}" for names, count in report.under.items())
+        yield f"requests began under {policies}"
+    for fault in report.torn[:MAX_FAULTS_SHOWN]:
+        yield f"policy: {fault}"
     for bound in report.broken:
-        say(f"broken: {bound}")
+        yield f"broken: {bound}"
--- a/tests/test_demo.py
+++ b/tests/test_demo.py
@@ -9,7 +9,7 @@
 import uvloop
 from click.testing import CliRunner
 
-from hollybay.cli import demo
+from hollybay.cli import demo, demo_report
 from hollybay.cli.main import main
 from hollybay.testbed.ledger import Fault, Verdict
 
@@ -41,10 +41,10 @@
 ) -> None:
     faults = (Fault("dup", "r-1", "an unsafe request ran again"),) if broken else ()
 
-    async def play(*args: object) -> demo.Report:
-        row = demo.ClassRow("view", 1, 1, 0, 0, 1.0, 1.0, 1.0)
-        kind = demo.KindRow("fast", 1, 1.0, 1.0, 1)
-        return demo.Report(2.0, 1.0, 5, 1, (row,), (kind,), 1.0, 0.3, 20.0, 0.0, Verdict(faults))
+    async def play(*args: object) -> demo_report.Report:
+        row = demo_report.ClassRow("view", 1, 1, 0, 0, 1.0, 1.0, 1.0)
+        kind = demo_report.KindRow("fast", 1, 1.0, 1.0, 1)
+        return demo_report.Report(2.0, 1.0, 5, 1, (row,), (kind,), 1.0, 0.3, 20.0, 0.0, Verdict(faults))
 
     monkeypatch.setattr(demo, "play", play)
     target = tmp_path / "out.json"
@@ -52,10 +52,20 @@
     assert result.exit_code == (1 if broken else 0), result.output
     dup = 1 if broken else 0
     assert f"rules: lost 0, dup {dup}, drain 0, cold 0" in result.output
-    assert json.loads(target.read_text())["rules"] == {"lost": 0, "dup": dup, "drain": 0, "cold": 0}
+    figures = json.loads(target.read_text())
+    assert figures["rules"] == {"lost": 0, "dup": dup, "drain": 0, "cold": 0}
+    # The file's keys are published.
+    assert list(figures) == [
+        *("seconds", "rate", "servers", "killed", "classes", "kinds", "worth", "cpu_ms_a_request"),
+        *("node_memory_mb", "late_ms", "rules", "faults"),
+    ]
+    assert list(figures["classes"][0]) == [
+        *("name", "asked", "served", "refused", "failed", "p50_ms", "p99_ms", "worth")
+    ]
+    assert list(figures["kinds"][0]) == ["name", "servers", "work_share", "capacity_share", "answers"]
 
 
 def test_percentiles_by_nearest_rank() -> None:
-    assert demo.percentile([], 0.5) == 0.0
-    assert demo.percentile([3.0, 1.0, 2.0], 0.5) == 2.0
-    assert demo.percentile([float(n) for n in range(100)], 0.99) == 99.0
+    assert demo_report.percentile([], 0.5) == 0.0
+    assert demo_report.percentile([3.0, 1.0, 2.0], 0.5) == 2.0
+    assert demo_report.percentile([float(n) for n in range(100)], 0.99) == 99.0
--- a/tests/test_simulation_node.py
+++ b/tests/test_simulation_node.py
@@ -13,7 +13,7 @@
 
 from hollybay.cli import simulate as player
 from hollybay.cli.main import main
-from hollybay.cli.simulate import Choice, Result
+from hollybay.cli.simulate import RunResult, RunSelection
 from hollybay.simulation.kinds import FAULTS, SPOILT, WRONG
 from hollybay.simulation.plan import Ask, FaultPlan, Plan, draw, events, to_json
 from hollybay.simulation.shrink import minimal, shrink
@@ -94,7 +94,7 @@
 def test_the_fixed_seeds_find_nothing() -> None:
     said: list[str] = []
     jobs = min(8, os.cpu_count() or 1)
-    assert player.play_all(Choice(FIXED, ()), jobs, said.append, lambda: None) == 0, "\n".join(said)
+    assert player.play_all(RunSelection(FIXED, ()), jobs, said.append, lambda: None) == 0, "\n".join(said)
     assert f"kinds {len(FAULTS)} of {len(FAULTS)}" in said[-1]
 
 
@@ -152,8 +152,8 @@
 def test_the_command_prints_the_seed_the_rule_and_how_to_play_it_again(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    wrong = Result(7, ("crash",), 10, 1.0, "t", ("dup: r-1: an unsafe request ran again",), ("dup",))
-    monkeypatch.setattr(player, "play_one", lambda choice, number: wrong)
+    wrong = RunResult(7, ("crash",), 10, 1.0, "t", ("dup: r-1: an unsafe request ran again",), ("dup",))
+    monkeypatch.setattr(player, "play_one", lambda selection, seed: wrong)
     code, said = run("--seed", "7", "--faults", "crash")
     assert code == 1 and "seed 7: dup: r-1: an unsafe request ran again" in said
     assert "hollybay simulate --seed 7 --faults crash" in said
