--- a/hollybay/cli/demo_report.py
+++ b/hollybay/cli/demo_report.py
@@ -10,11 +10,10 @@
 from hollybay.testbed.fleet import ModelServer
 from hollybay.testbed.ledger import Asked, Final, Ledger, Verdict
 from hollybay.testbed.scene import KINDS
+from hollybay.units import MS
 
 __all__ = ["ClassRow", "KindRow", "Report", "class_rows", "kind_rows", "on_time_weight", "percentile"]
 
-NS_PER_MS = 1_000_000
-
 
 @dataclass(frozen=True, slots=True)
 class ClassRow:
@@ -144,13 +143,13 @@
 
 def _latencies_ms(entries: Sequence[Asked]) -> list[float]:
     """How long the served requests took."""
-    return [(entry.ended - entry.at) / NS_PER_MS for entry in entries if entry.final is Final.SERVED]
+    return [(entry.ended - entry.at) / MS for entry in entries if entry.final is Final.SERVED]
 
 
 def _count_on_time(ledger: Ledger, number: int, latencies_ms: Sequence[float]) -> int:
     """How many requests of a class were answered within its latency objective."""
     objective_ns = ledger.limits.classes[number].latency_objective
-    return sum(latency * NS_PER_MS <= objective_ns for latency in latencies_ms)
+    return sum(latency * MS <= objective_ns for latency in latencies_ms)
 
 
 def on_time_weight(ledger: Ledger) -> float:
--- a/hollybay/cli/tier.py
+++ b/hollybay/cli/tier.py
@@ -15,13 +15,13 @@
 from hollybay.cluster.report import Report, plot, report_of, tables
 from hollybay.cluster.rig import Outcome, RigFailed, Tick, play
 from hollybay.routing.problems import OperatorError
+from hollybay.units import SECOND
 
 __all__ = ["RunRequest", "run"]
 
 EXIT_INVALID_PLAN = 2
 EXIT_UNTRUSTED = 3
 MAX_FAULTS_SHOWN = 20
-NS_PER_S = 1e9
 
 
 @dataclass(frozen=True, slots=True)
@@ -118,7 +118,7 @@
         bar.update(job, completed=elapsed, description=tick.phase, up=tick.nodes_up)
 
     with bar:
-        job = bar.add_task("starting", total=plan.run.seconds / NS_PER_S, up=0)
+        job = bar.add_task("starting", total=plan.run.seconds / SECOND, up=0)
         try:
             return asyncio.run(play(plan, show, request.defect, request.keep))
         except RigFailed as error:
