--- /dev/null
+++ b/hollybay/cli/policy_options.py
@@ -0,0 +1,132 @@
+"""What the commands of `hollybay policy` share: their options, the addresses of nodes, and how they end."""
+
+from __future__ import annotations
+
+import getpass
+import json
+import os
+import sys
+from collections.abc import Callable, Iterable
+from pathlib import Path
+from typing import NoReturn
+
+import click
+
+from hollybay.consensus.change_tracker import ChangeTracker
+from hollybay.consensus.cluster_view import ClusterView
+from hollybay.consensus.verdict import ExitStatus, Verdict
+
+from .policy_output import verdict_document, verdict_lines
+
+__all__ = [
+    "ADDRESSES",
+    "AUTHOR",
+    "JSON",
+    "LIMIT",
+    "REASON",
+    "call_node",
+    "exit_with",
+    "no_voter_answers",
+    "read_file",
+    "tracker",
+    "unknown",
+    "user_name",
+]
+
+CALL_LIMIT_S = 2.0
+ADDRESSES_VARIABLE = "HOLLYBAY_DOORS"
+MAX_PORT = 65535
+
+ADDRESSES = click.option(
+    "--door",
+    "addresses",
+    multiple=True,
+    metavar="HOST:PORT",
+    help="A node's door for operators (HOLLYBAY_DOORS).",
+)
+AUTHOR = click.option("--author", default=None, help="Who; your user name if not given.")
+JSON = click.option("--json", "as_json", is_flag=True, help="Say it as JSON.")
+LIMIT = click.option(
+    "--limit",
+    type=click.FloatRange(0.0, 3600.0),
+    default=120.0,
+    show_default=True,
+    help="Seconds to follow it.",
+)
+REASON = click.option("--reason", required=True, help="Why; it stands in the history.")
+
+
+def tracker(
+    addresses: Iterable[str], on_update: Callable[[ClusterView], None] = lambda _view: None
+) -> ChangeTracker:
+    """Make a tracker of changes that calls nodes at these addresses.
+
+    Parameters
+    ----------
+    addresses
+        Those of the options; the environment adds to them.
+    on_update
+        Called with each new view of the cluster.
+
+    Raises
+    ------
+    click.UsageError
+        There is no address, or a malformed one.
+    """
+    return ChangeTracker(call_node, _all_addresses(addresses), on_update)
+
+
+def _all_addresses(addresses: Iterable[str]) -> list[str]:
+    """The addresses of the options and of the environment. click.UsageError: none, or a malformed one."""
+    given = [*addresses, *os.environ.get(ADDRESSES_VARIABLE, "").replace(",", " ").split()]
+    if not given:
+        raise click.UsageError("no --door, and HOLLYBAY_DOORS is not set: where is any node called?")
+    for address in given:
+        host, separator, port = address.rpartition(":")
+        if not separator or not host or not port.isdigit() or not 0 < int(port) <= MAX_PORT:
+            raise click.BadParameter(f"{address!r} is no HOST:PORT", param_hint="--door")
+    return given
+
+
+async def call_node(address: str, path: str, body: bytes | None) -> bytes:
+    """Call a node's admin address; the body of its answer."""
+    from hollybay.proxy.consensus_member import call
+
+    return await call(address, path, body, CALL_LIMIT_S)
+
+
+def exit_with(verdict: Verdict, as_json: bool) -> NoReturn:
+    """Print what became of a change, and exit with its status."""
+    if as_json:
+        click.echo(json.dumps(verdict_document(verdict)))
+        sys.exit(verdict.code)
+    for line in verdict_lines(verdict):
+        click.echo(line)
+    sys.exit(verdict.code)
+
+
+def unknown(text: str) -> Verdict:
+    """The verdict on a change whose outcome cannot be told."""
+    return Verdict(ExitStatus.UNKNOWN, text=text)
+
+
+def no_voter_answers() -> Verdict:
+    """The verdict on a change where no voter can be reached."""
+    return unknown("no keeper answers")
+
+
+def read_file(file: str) -> bytes:
+    """Read a file; where that fails, print why and exit with 2."""
+    try:
+        return Path(file).read_bytes()
+    except OSError as error:
+        click.echo(f"{file}: {error.strerror}", err=True)
+        sys.exit(ExitStatus.BAD_INPUT)
+
+
+def user_name() -> str:
+    """The name of the user that runs the command, "" where the system does not know it."""
+    try:
+        return getpass.getuser()
+    except (KeyError, OSError):
+        return ""
