--- a/hollybay/cluster/change_stream.py
+++ b/hollybay/cluster/change_stream.py
@@ -31,12 +31,13 @@
 from hollybay.consensus.log import PolicyLog
 from hollybay.consensus.policy import version_of
 from hollybay.consensus.verdict import Verdict
-from hollybay.proxy.consensus_member import call
+from hollybay.proxy.admin_client import call_policy
 from hollybay.resources.model import CHANGE_ID_BYTES, Change, Delete, Kind, Operation, Upsert
 from hollybay.resources.state import ResourceState
 from hollybay.routing.resource_tables import encode_table
 from hollybay.routing.schema import PathTable, RouteTable
 from hollybay.testbed.scratch import in_memory
+from hollybay.units import SECOND
 
 from .plan import Plan
 from .planted import FULL_DISK
@@ -45,7 +46,6 @@
 
 __all__ = ["Burst", "FullDisk", "Proposal", "Sort", "Stream", "Told", "Tracked", "check", "play", "proposals"]
 
-SECOND = 1_000_000_000
 CALL_LIMIT = 2.0  # s for one call of an operator
 NO_SPACE = "No space left"
 ROUTE_NAME = r"'(n\d{3}-)?r\d{3}'"
@@ -239,7 +239,7 @@
         self.first = doors[first]
 
     async def _called(self, door: str, path: str, body: bytes | None) -> bytes:
-        return await call(door, path, body, CALL_LIMIT)
+        return await call_policy(door, path, body, CALL_LIMIT)
 
     def voters_in_order(self, view: ClusterView) -> list[str]:
         return sorted(super().voters_in_order(view), key=lambda door: door != self.first)
--- a/hollybay/consensus/change_requests.py
+++ b/hollybay/consensus/change_requests.py
@@ -7,6 +7,7 @@
 from hollybay.resources.model import CHANGE_ID_BYTES, Change, Operation, Upsert
 from hollybay.resources.state import ResourceState
 from hollybay.resources.wire import encode_change
+from hollybay.units import SECOND
 
 from . import messages
 from .change_builder import delete_operations, drain_operations, drained_servers, format_operations
@@ -29,7 +30,6 @@
 
 __all__ = ["ChangeRequests"]
 
-SECOND = 1_000_000_000  # ns
 MAX_DRAFT_BYTES = 64 << 10  # bytes of a change that a reply holds; a longer one is fetched in pieces
 MAX_LINES_BYTES = 128 << 10  # bytes of lines for people in a reply
 JSON_QUOTES_BYTES = 4  # that a line takes beside its characters
@@ -145,7 +145,7 @@
             reply = messages.ChangeReply(change_id, messages.ChangeOutcome.REFUSED, problems=problems)
             return ok(reply, CONFLICT)
         if isinstance(offered, Queued):
-            self.environment.data_plane.say(
+            self.environment.data_plane.log_event(
                 "queued", change=change_id, reason=change.reason, author=change.author
             )
             self.coordinator.wake()
@@ -189,18 +189,18 @@
         except StoreError:
             self.proposals.storage_failed()
             raise
-        problems = await self.serviceability.prepare(entry)
-        if problems:
+        reasons = await self.serviceability.prepare(entry)
+        if reasons:
             why = self.serviceability.unserviceable[policy.name]
             self.serviceability.clear(policy.name)  # proposed again it is another policy, or holds
-            self.proposals.reject_batch(batch, why.culprits, problems)
+            self.proposals.reject_batch(batch, why.culprits, reasons)
             return True
         if acceptor.state.decided != decided or self.coordinator.pending is not None:
             self.proposals.batch_superseded(batch, acceptor.state.decided.policy)
             return True
         self.coordinator.begin(entry.policy, decided.epoch + 1)
         self.proposals.batch_proposed(policy.name, batch)
-        self.environment.data_plane.say(
+        self.environment.data_plane.log_event(
             "proposed", change=policy.name, reason=policy.reason, author=policy.author
         )
         return True
--- a/hollybay/consensus/lease_client.py
+++ b/hollybay/consensus/lease_client.py
@@ -6,6 +6,8 @@
 from collections.abc import Callable
 from typing import Any
 
+from hollybay.units import SECOND
+
 from . import messages
 from .background_tasks import BackgroundTasks
 from .core import Decided, EpochState, LeaseGrant, LeaseRequest, Stage, has_quorum, policies_named
@@ -16,6 +18,7 @@
 from .messages import number_of, stage_label
 from .outgoing_requests import CALL_LIMIT, PeerClient
 from .policy import RejectedError
+from .reasons import GoneSinceFetch, texts_of
 from .requests import UnreachableError
 from .serviceability import Serviceability, Unserviceable, bounded_reasons
 from .store import StoreError
@@ -23,7 +26,6 @@
 
 __all__ = ["LeaseClient"]
 
-SECOND = 1_000_000_000  # ns
 # Renewal periods in the length of a lease; a period is shortened by a random factor.
 PERIODS_PER_LEASE = 2
 RENEWAL_JITTER = (0.85, 1.0)
@@ -103,9 +105,9 @@
         if len(entries) < len(policies):
             policies = entries = ()
         self.policies_in_force = policies
-        self.data_plane.put(entries)
+        self.data_plane.apply_policies(entries)
         state = self.leaseholder.effective_epoch
-        self.data_plane.say(
+        self.data_plane.log_event(
             "serves" if policies else "serves nothing",
             epoch=state.epoch if state is not None else -1,
             stage=stage_label(state.stage) if state is not None else "",
@@ -129,7 +131,7 @@
         try:
             remembered = self.memory.read()
         except StoreError as error:
-            self.data_plane.say("memory", error=str(error))
+            self.data_plane.log_event("memory", error=str(error))
             return
         if remembered is None:
             return
@@ -173,7 +175,7 @@
 
     def _interval(self) -> float:
         """The time from the beginning of a round to the next one, seconds."""
-        period = self.settings.lease / SECOND / PERIODS_PER_LEASE
+        period = self.settings.lease_ns / SECOND / PERIODS_PER_LEASE
         holder = self.leaseholder
         granted = holder.effective_epoch is not None and has_quorum(holder.voter_sets, holder.grants)
         if granted or holder.latest_epoch is None:
@@ -185,7 +187,7 @@
         """Request a lease of all voters, until a quorum grants it, all have answered, or there is news."""
         self.leaseholder, request = self.leaseholder.begin_round(self.clock())
         body = messages.encode(self._lease_call(request))
-        limit = min(CALL_LIMIT, self.settings.lease / SECOND / CALLS_PER_LEASE)
+        limit = min(CALL_LIMIT, self.settings.lease_ns / SECOND / CALLS_PER_LEASE)
         calls = {
             self.tasks.spawn(self._request(address, body, limit))
             for address in self.replica.voter_addresses(request.state)
@@ -203,7 +205,7 @@
             news.cancel()
 
     def _lease_call(self, request: LeaseRequest) -> messages.LeaseCall:
-        why = Unserviceable([])
+        why = Unserviceable(())
         if request.state is not None and request.state.new:
             why = self.serviceability.unserviceable.get(request.state.new, why)
         return messages.LeaseCall(
@@ -211,10 +213,10 @@
             request,
             self.settings.name,
             self.settings.address,
-            self.settings.lease,
-            self.settings.grace,
-            why.reasons,
-            dict(why.culprits),
+            self.settings.lease_ns,
+            self.settings.grace_ns,
+            texts_of(why.reasons),
+            {change: texts_of(reasons) for change, reasons in why.culprits.items()},
             why.whatever_it_holds,
         )
 
@@ -231,7 +233,7 @@
 
     def _take_grant(self, grant: LeaseGrant) -> None:
         before = self.leaseholder
-        after = before.on_grant(grant, self.settings.lease, self.settings.grace)
+        after = before.on_grant(grant, self.settings.lease_ns, self.settings.grace_ns)
         self.leaseholder = after
         if after.effective_epoch is not before.effective_epoch or after.lease_end != before.lease_end:
             self.apply()
@@ -253,7 +255,7 @@
             if voter_sets is None:
                 return  # it will be sent again
             self.leaseholder = self.leaseholder.on_decided(Decided(state), voter_sets)
-            self.data_plane.say(
+            self.data_plane.log_event(
                 "hears",
                 epoch=state.epoch,
                 stage=stage_label(state.stage),
@@ -283,6 +285,6 @@
                 await self.serviceability.prepare(entry)
             else:
                 # It is not on this disk: the node cannot serve it now, and may later.
-                reasons = bounded_reasons([fetched.problem])
+                reasons = bounded_reasons([fetched.problem or GoneSinceFetch()])
                 self.serviceability.mark(name, Unserviceable(reasons, whatever_it_holds=True))
         return tuple(voter_sets)
--- a/hollybay/consensus/policy_requests.py
+++ b/hollybay/consensus/policy_requests.py
@@ -15,12 +15,13 @@
 from .core import EpochState, Stage
 from .durable_acceptor import DurableAcceptor
 from .environment import Environment
-from .interfaces import FileRead, Response
+from .interfaces import OperatorFileChanges, Response
 from .log_entry import Entry
 from .log_replica import LogReplica
 from .outgoing_requests import PeerClient
 from .policy import Policy, RejectedError, successor_policy
-from .replies import ACCEPTED, UNPROCESSABLE, ok, refused_for
+from .reasons import texts_of
+from .replies import ACCEPTED, UNPROCESSABLE, ok, rejected
 from .request_content import RequestContent
 from .requests import UnreachableError
 from .serviceability import Serviceability
@@ -71,9 +72,9 @@
         if other:
             raise RejectedError(f"{other} is about to begin")
         await self._add_voters(acceptor, state, base.policy, policy)
-        problems = await self.serviceability.prepare(await self.replica.store(policy))
-        if problems:
-            return refused_for(UNPROCESSABLE, f"{policy.name} does not hold here", problems)
+        reasons = await self.serviceability.prepare(await self.replica.store(policy))
+        if reasons:
+            return rejected(UNPROCESSABLE, f"{policy.name} does not hold here", texts_of(reasons))
         if acceptor.state.decided != state or self.coordinator.other_pending(policy.name):
             raise RejectedError("another change came first")
         self._begin(policy, state.epoch + 1)
@@ -81,8 +82,8 @@
 
     def _begin(self, policy: Policy, epoch: int) -> None:
         self.coordinator.begin(policy, epoch)
-        self.coordinator.refused.pop(policy.name, None)
-        self.environment.data_plane.say(
+        self.coordinator.rejected.pop(policy.name, None)
+        self.environment.data_plane.log_event(
             "proposed", change=policy.name, reason=policy.reason, author=policy.author
         )
         self.coordinator.wake()
@@ -101,7 +102,7 @@
         policy, _ = successor_policy(old, resources, changes, voters, call.reason, call.author)
         return policy
 
-    async def _wanted(self, call: messages.ProposeCall, state: ResourceState) -> FileRead:
+    async def _wanted(self, call: messages.ProposeCall, state: ResourceState) -> OperatorFileChanges:
         """The operations that a request asks for, and the voters that its file names."""
         operations: tuple[Operation, ...] = ()
         voters = None
@@ -112,7 +113,7 @@
             operations, voters = read.operations, read.voters
         if call.servers_out is not None:
             operations += drain_operations(state, call.servers_out)
-        return FileRead(operations, voters)
+        return OperatorFileChanges(operations, voters)
 
     async def _add_voters(
         self, acceptor: DurableAcceptor, state: EpochState, old: Policy, new: Policy
--- a/hollybay/consensus/proposals.py
+++ b/hollybay/consensus/proposals.py
@@ -12,6 +12,7 @@
 from hollybay.resources.batch import Batch
 from hollybay.resources.model import CHANGE_ID_BYTES, Change, Problem
 from hollybay.resources.state import EMPTY, ResourceState
+from hollybay.units import MS, SECOND
 
 from .core import EpochState, policies_named
 from .durable_acceptor import DurableAcceptor
@@ -20,18 +21,18 @@
 from .messages import MOST_REASONS, ChangeOutcome, ChangeReply
 from .policy import RejectedError, version_of
 from .proposal_outcomes import InForce, OfferReply, Outcome, Pending, Rejected, UnderWay
-from .queue_settings import MILLISECOND_NS, SECOND_NS
+from .reasons import MemberReason, Reason
 
 __all__ = ["Proposals", "problems_of"]
 
 # How long a voter accepts no change after its disk could not store an entry.
-STORAGE_RETRY_NS = 2 * SECOND_NS
+STORAGE_RETRY_NS = 2 * SECOND
 DROPPED_BY_OPERATOR = (Problem("change", "", "given up by an operator"),)
 
 
-def problems_of(reasons: Sequence[str]) -> tuple[Problem, ...]:
-    """Reasons that nodes gave, as problems of a change."""
-    return tuple(Problem("change", "", reason) for reason in reasons[:MOST_REASONS])
+def problems_of(reasons: Sequence[Reason]) -> tuple[Problem, ...]:
+    """Reasons why nodes cannot serve a change, as problems of it."""
+    return tuple(Problem("change", "", str(reason)) for reason in reasons[:MOST_REASONS])
 
 
 @dataclass(slots=True)
@@ -112,7 +113,7 @@
         self._storage_full_until = self.clock() + STORAGE_RETRY_NS
 
     def reject_batch(
-        self, batch: Batch, named_changes: Mapping[str, Sequence[str]], reasons: Sequence[str]
+        self, batch: Batch, named_changes: Mapping[str, Sequence[Reason]], reasons: Sequence[Reason]
     ) -> None:
         """The batch cannot be served: the changes that were named are rejected, the others wait again.
 
@@ -123,7 +124,7 @@
         reasons
             What nodes reported without naming a change.
         """
-        by_id = {bytes.fromhex(change_id): problems_of(texts) for change_id, texts in named_changes.items()}
+        by_id = {bytes.fromhex(change_id): problems_of(named) for change_id, named in named_changes.items()}
         self.queue.batch_dropped(batch, by_id, self.clock(), problems_of(reasons))
 
     def batch_superseded(self, batch: Batch, policy: str) -> None:
@@ -173,8 +174,8 @@
         reasons_for_all = acceptor.reports.cannot_serve_any.get(name)
         if reasons_for_all is not None:
             named_changes = {change.id.hex(): reasons_for_all for change in batch.changes}
-        refusals = acceptor.reports.refusals.get(name, {})
-        reasons = [f"{node}: {reason}" for node, texts in refusals.items() for reason in texts]
+        reported = acceptor.reports.unserviceable.get(name, {})
+        reasons = [MemberReason(node, reason) for node, given in reported.items() for reason in given]
         self.reject_batch(batch, named_changes, reasons)
 
     # Status of a change
@@ -248,7 +249,7 @@
     if isinstance(outcome, Rejected):
         return ChangeReply(change, ChangeOutcome.REFUSED, problems=list(outcome.problems))
     if isinstance(outcome, Pending):
-        return ChangeReply(change, ChangeOutcome.QUEUED, wait_ms=outcome.wait_ns // MILLISECOND_NS)
+        return ChangeReply(change, ChangeOutcome.QUEUED, wait_ms=outcome.wait_ns // MS)
     if isinstance(outcome, UnderWay):
         # As far as this voter knows no epoch names it yet.
         return ChangeReply(change, ChangeOutcome.QUEUED)
--- a/hollybay/proxy/balancer_driver.py
+++ b/hollybay/proxy/balancer_driver.py
@@ -10,9 +10,9 @@
 
 from hollybay.balancing import Balancer
 from hollybay.balancing import interface as api
+from hollybay.units import SECOND
 
 from . import system
-from .units import SECOND
 
 __all__ = ["ActionHandlers", "BalancerDriver"]
 
--- a/hollybay/proxy/request_dispatcher.py
+++ b/hollybay/proxy/request_dispatcher.py
@@ -13,6 +13,7 @@
 
 from hollybay.balancing import Balancer
 from hollybay.balancing import interface as api
+from hollybay.units import MS, SECOND
 
 from . import system
 from .balancer_driver import ActionHandlers, BalancerDriver
@@ -21,7 +22,6 @@
 from .pending_request import FINISHED, PENDING, UNANSWERED_STATES, PendingRequest, RequestEvent, next_state
 from .ports import Client, ClientPresence, DiscoveryPort, LoadReporter
 from .request_counters import RequestCounters
-from .units import MS, SECOND
 from .upstream.attempt import Attempt
 from .upstream.pools import UpstreamPools
 
