--- a/hollybay/mutation/planted.py
+++ b/hollybay/mutation/planted.py
@@ -38,7 +38,7 @@
 REQUEST_VALIDATION = "hollybay/proxy/downstream/request_validation.py"
 BODY_BUDGET = "hollybay/proxy/downstream/body_budget.py"
 LISTENER = "hollybay/proxy/downstream/listener.py"
-UPLOAD = "hollybay/proxy/streaming_body.py"
+STREAMING_BODY = "hollybay/proxy/streaming_body.py"
 DISCOVERY = "hollybay/proxy/discovery.py"
 
 
@@ -181,15 +181,15 @@
     ),
     Defect(
         "spent-body-sent-again",
-        UPLOAD,
-        "return self.spent or self.sink is not None",
+        STREAMING_BODY,
+        "return self.is_spent or self.sink is not None",
         "return self.sink is not None",
     ),
     Defect(
         "uploads-make-room",
         CONNECTION,
-        "return self.upload is None and not self.unread()",
-        "return not self.unread()",
+        "return self.streaming_body is None and not self.unread_bytes()",
+        "return not self.unread_bytes()",
     ),
     Defect(
         "last-byte-of-an-upload-early",
@@ -215,9 +215,9 @@
     Defect("rests-too-long", POOLS, "api.IDLE_CLOSE_SHARE * self", "2.0 * self"),
     Defect(
         "room-of-bodies-leaks",
-        UPLOAD,
-        "self._room.used -= self._booked",
-        "self._room.used -= 0",
+        STREAMING_BODY,
+        "self._budget.used -= self._reserved",
+        "self._budget.used -= 0",
     ),
     Defect(
         "descriptor-leaks",
@@ -275,7 +275,7 @@
     Defect(
         "headers-of-the-hop-passed",
         REQUEST,
-        "headers = end_to_end(self.headers, _NOT_FORWARDED)",
+        "headers = end_to_end_headers(self.headers, _NOT_FORWARDED)",
         'headers = [pair for pair in self.headers if pair[0] not in (b"content-length", b"x-time-left-ms")]',
     ),
     Defect("next-request-dropped", CONNECTION, "        if rest:\n", "        if not rest:\n"),
--- a/hollybay/proxy/discovery.py
+++ b/hollybay/proxy/discovery.py
@@ -20,7 +20,7 @@
 from hollybay.units import SECOND
 
 from .addresses import Address
-from .http_messages import MAX_HEAD, READ_SIZE
+from .message_limits import MAX_HEAD_BYTES, READ_SIZE_BYTES
 from .name_table import DiscoveryUpdate, NameTable
 from .request_dispatcher import RequestDispatcher
 
@@ -282,7 +282,9 @@
                     if connection is None or not connection.is_usable():
                         if connection is not None:
                             connection.writer.close()
-                        connection = _Connection(*await asyncio.open_connection(*address, limit=READ_SIZE))
+                        connection = _Connection(
+                            *await asyncio.open_connection(*address, limit=READ_SIZE_BYTES)
+                        )
                     response = await _get(connection, address[0], path)
                 update = self.names.parse_update(json.loads(response.body))
             except TimeoutError:
@@ -318,14 +320,14 @@
 async def _get(connection: _Connection, host: str, path: str) -> _Response:
     """Send a GET request; ValueError if the response is incomplete or too long, or its status is not 200."""
     reader, writer = connection
-    http = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEAD)
+    http = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES)
     writer.write(http.send(h11.Request(method="GET", target=path, headers=[("Host", host)])) or b"")
     http.send(h11.EndOfMessage())
     body = bytearray()
     while True:
         event = http.next_event()
         if event is h11.NEED_DATA:
-            http.receive_data(await reader.read(READ_SIZE))
+            http.receive_data(await reader.read(READ_SIZE_BYTES))
         elif isinstance(event, h11.Response):
             if event.status_code != 200:
                 raise ValueError(f"status {event.status_code}")
--- a/hollybay/proxy/downstream/body_budget.py
+++ b/hollybay/proxy/downstream/body_budget.py
@@ -4,8 +4,8 @@
 
 from collections import OrderedDict
 
-from ..flow_control import Source
-from ..http_messages import MAX_BODY
+from ..flow_control import BodySource
+from ..message_limits import MAX_HELD_BODY_BYTES
 
 __all__ = ["BodyBudget"]
 
@@ -22,10 +22,10 @@
     def __init__(self, total: int) -> None:
         self.total = total
         self.used = 0
-        self.held: OrderedDict[Source, int] = OrderedDict()
-        self.waiting: OrderedDict[Source, None] = OrderedDict()
+        self.held: OrderedDict[BodySource, int] = OrderedDict()
+        self.waiting: OrderedDict[BodySource, None] = OrderedDict()
 
-    def charge(self, reader: Source, size: int) -> bool:
+    def charge(self, reader: BodySource, size: int) -> bool:
         """Account for bytes that were read; False: the reader must read no more for now."""
         self.held[reader] = self.held.get(reader, 0) + size
         self.used += size
@@ -34,19 +34,19 @@
         self.waiting[reader] = None
         return False
 
-    def stop_waiting(self, reader: Source) -> None:
+    def stop_waiting(self, reader: BodySource) -> None:
         """Note that a reader's body is complete; what it holds stays charged."""
         self.waiting.pop(reader, None)
 
-    def release(self, reader: Source) -> None:
+    def release(self, reader: BodySource) -> None:
         """Give back what a reader held, and let others read on."""
         self.waiting.pop(reader, None)
         self.used -= self.held.pop(reader, 0)
         for other in [waiting for waiting in self.waiting if self._has_room(waiting)]:
             del self.waiting[other]
-            other.read_on(True)
+            other.set_reading(True)
 
-    def _has_room(self, reader: Source) -> bool:
+    def _has_room(self, reader: BodySource) -> bool:
         # Room for one whole body is reserved for the oldest reader, which never waits: otherwise half-read
         # bodies could fill the budget, and none would ever be complete.
-        return next(iter(self.held)) is reader or self.used < self.total - MAX_BODY
+        return next(iter(self.held)) is reader or self.used < self.total - MAX_HELD_BODY_BYTES
--- a/hollybay/proxy/downstream/client_context.py
+++ b/hollybay/proxy/downstream/client_context.py
@@ -8,7 +8,7 @@
 from ..config import Config
 from ..ports import PolicyAgreement
 from ..request_dispatcher import RequestDispatcher
-from ..streaming_body import Room
+from ..streaming_body import RetentionBudget
 from .body_budget import BodyBudget
 from .connection_table import ConnectionTable, TrackedConnection
 from .recent_request_ids import RecentRequestIds
@@ -113,7 +113,7 @@
         self.share = config.sockets // KEPT_PART
         self.places = min(limit - 2 * ACCEPT_BATCH, config.sockets // CLIENTS_PART)
         self.budget = BodyBudget(config.body_budget)
-        self.bodies = Room(config.body_budget // 2)
+        self.bodies = RetentionBudget(config.body_budget // 2)
         self.recent_ids = RecentRequestIds()
         self.limits = PhaseLimits()
         self.admission: AdmissionControl | None = None
--- a/hollybay/proxy/downstream/connection.py
+++ b/hollybay/proxy/downstream/connection.py
@@ -1,4 +1,4 @@
-"""One client connection: reads a request, hands it to the node, and writes its answer.
+"""One client connection: reads a request, hands it to the node, and writes its response.
 
 The states and their transitions are in `states`.
 """
@@ -15,17 +15,12 @@
 from hollybay.units import MS
 
 from .. import system
-from ..flow_control import Source
-from ..http_messages import (
-    MAX_BODY,
-    MAX_HEAD,
-    SMALL_BODY,
-    Answer,
-    Headers,
-    Peer,
-)
+from ..flow_control import BodySource
+from ..http_messages import ForwardedResponse, Headers
+from ..message_limits import MAX_HEAD_BYTES, MAX_HELD_BODY_BYTES, SMALL_BODY_BYTES
 from ..ports import ClientPresence
-from ..streaming_body import Upload
+from ..streaming_body import StreamingBody
+from ..tcp_connection import TcpConnection
 from .client_context import ClientContext
 from .request import MIN_BODY_RATE, ClientRequest
 from .request_validation import HEALTH_PATHS, RequestProblem
@@ -60,7 +55,7 @@
 HIDING = 32 << 10
 
 
-class ClientConnection(Peer):
+class ClientConnection(TcpConnection):
     """A connection from a client, which carries one request at a time.
 
     Parameters
@@ -77,7 +72,7 @@
     group
         The phase that lists it in the table.
     request
-        The present request, from its head to the end of its answer.
+        The present request, from its head to the end of its response.
     rid
         The request that the node works on, -1 while it is being submitted, 0: none.
     ahead
@@ -93,15 +88,15 @@
     def __init__(self, clients: ClientContext[ClientConnection], sock: socket.socket) -> None:
         super().__init__(sock)
         self.clients = clients
-        self.http = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEAD)
+        self.http = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEAD_BYTES)
         self.state = ConnectionState.READING
         self.group: OrderedDict[ClientConnection, float] | None = None
         self.request: ClientRequest | None = None
         self.rid = 0
         self.ahead = 0
-        self.upload: Upload | None = None
+        self.streaming_body: StreamingBody | None = None
         self.counted_limits: EffectiveLimits | None = None
-        self.source: Source | None = None
+        self.body_source: BodySource | None = None
         self.linger_timer: asyncio.TimerHandle | None = None
 
     # The connection
@@ -119,16 +114,16 @@
         self._abandon_request()
 
     def eof_received(self) -> bool:
-        """Close: a client that shuts down its sending side does not wait for its answer."""
+        """Close: a client that shuts down its sending side does not wait for its response."""
         self._abandon_request()
         self.transport.abort()
         return True
 
     def presence(self) -> ClientPresence:
         """Tell whether the client waits for its answer; a close is not seen while reading is paused."""
-        if not self.connected():
+        if not self.is_connected():
             return ClientPresence.GONE
-        if not self.reading and self.ahead > SMALL_BODY and self.unread() >= HIDING:
+        if not self.reading and self.ahead > SMALL_BODY_BYTES and self.unread_bytes() >= HIDING:
             return ClientPresence.UNKNOWN
         return ClientPresence.CONNECTED
 
@@ -142,7 +137,7 @@
 
     def is_disposable(self) -> bool:
         """Tell whether a close loses nothing: no request is under way, and no bytes are unread."""
-        return self.upload is None and not self.unread()
+        return self.streaming_body is None and not self.unread_bytes()
 
     def is_slow(self, now: float) -> bool:
         """Tell whether a request comes too slowly by a loop time (s), unless the node leaves it unread."""
@@ -157,7 +152,7 @@
         After a pause of the process, requests may wait in the kernel on connections that seem idle: a close
         would lose them. A request that is still on its way is sent again by its client.
         """
-        if not self.transport.is_closing() and not self.unread():
+        if not self.transport.is_closing() and not self.unread_bytes():
             self._linger()
 
     def give_up(self) -> None:
@@ -168,8 +163,8 @@
         """Go on: the kernel has taken all that was written."""
         super().resume_writing()
         self.clients.touch(self)
-        if self.source is not None:
-            self.source.read_on(True)
+        if self.body_source is not None:
+            self.body_source.set_reading(True)
         elif self.state in ANSWERING_STATES and not self.rid:
             self._answer_taken()
 
@@ -180,17 +175,17 @@
             self.clients.admission.release(limits)
 
     def _abandon_request(self) -> None:
-        """End the request of a client that has gone, or that gets no answer."""
+        """End the request of a client that has gone, or that gets no response."""
         self._release_limits()
         self.clients.budget.release(self)
         if self.request is not None:
             self.request.body = []
-        upload, self.upload = self.upload, None
+        streaming_body, self.streaming_body = self.streaming_body, None
         rid, self.rid = self.rid, 0
         if rid:
             self.clients.node.disconnect(rid)
-        if upload is not None:
-            upload.close()
+        if streaming_body is not None:
+            streaming_body.close()
 
     # Requests
 
@@ -200,14 +195,14 @@
         if state in LINGERING_STATES:
             self.ahead += len(data)
             if self.ahead > LINGER_BYTES and state is not ConnectionState.LINGERING_UPLOAD:
-                self.read_on(False)
+                self.set_reading(False)
             return
         self.http.receive_data(data)
         if state in ANSWERING_STATES:
             # Bytes of the next request: a few may wait here, the others in the kernel.
             self.ahead += len(data)
-            if self.ahead > SMALL_BODY:
-                self.read_on(False)
+            if self.ahead > SMALL_BODY_BYTES:
+                self.set_reading(False)
             return
         self._read_events(just_read=True)
 
@@ -258,35 +253,37 @@
         if request.size > request.max_body:
             self._reject_invalid(RequestProblem(413, f"the body is longer than {request.max_body} bytes"))
             return
-        if self.upload is not None:
-            self.upload.put(data)
+        if self.streaming_body is not None:
+            self.streaming_body.append(data)
             return
         if self.state is ConnectionState.STREAMING:
             return  # its client has gone
         request.body.append(data)
-        if request.size > MAX_BODY:
+        if request.size > MAX_HELD_BODY_BYTES:
             self._start_upload(request, just_read)
         elif self.state is ConnectionState.READING_LARGE:
             self._charge(len(data))
-        elif request.size > SMALL_BODY:
+        elif request.size > SMALL_BODY_BYTES:
             self.state = next_state(self.state, ConnectionEvent.BODY_CHARGED)
             self._charge(request.size)
 
     def _charge(self, size: int) -> None:
         """Charge bytes of a body to the budget, and pause reading while it has no room."""
         if not self.clients.budget.charge(self, size):
-            self.read_on(False)
+            self.set_reading(False)
 
     def _start_upload(self, request: ClientRequest, just_read: bool) -> None:
         """Forward a request whose body is longer than what is held, while the body comes."""
         self.state = next_state(self.state, ConnectionEvent.BODY_STREAMED)
-        upload = self.upload = Upload(request.content_length, self, self.clients.bodies)
+        streaming_body = self.streaming_body = StreamingBody(
+            request.content_length, self, self.clients.bodies
+        )
         for piece in request.body:
-            upload.put(piece)
+            streaming_body.append(piece)
         request.body = []
         self.clients.budget.release(self)
-        self.read_on(True)
-        self._submit(request, upload, just_read)
+        self.set_reading(True)
+        self._submit(request, streaming_body, just_read)
 
     def _handle_end(self, just_read: bool) -> None:
         """The last byte of a request has come."""
@@ -295,21 +292,21 @@
         self.state = next_state(self.state, ConnectionEvent.REQUEST_COMPLETED)
         self.ahead = len(self.http.trailing_data[0])
         self.clients.budget.stop_waiting(self)
-        self.read_on(True)
+        self.set_reading(True)
         self.clients.move(self, None)
         path = request.path
         if path in HEALTH_PATHS:
             is_well = path == b"/health/live" or self.clients.is_healthy
             self._respond(200 if is_well else 503, [], (b"ok\n" if is_well else b"not ready\n",))
-        elif self.upload is not None:
-            self.clients.node.complete_body(self.rid, request.time_left - self.waited()[1] * MS)
-            self.upload.end()
+        elif self.streaming_body is not None:
+            self.clients.node.complete_body(self.rid, request.time_left - self.read_delay()[1] * MS)
+            self.streaming_body.complete()
         else:
             self._submit(request, None, just_read)
 
-    def _submit(self, request: ClientRequest, upload: Upload | None, just_read: bool) -> None:
+    def _submit(self, request: ClientRequest, streaming_body: StreamingBody | None, just_read: bool) -> None:
         """Hand a request to the node, complete or with a long body that is still coming."""
-        is_open, waited_ms = self.waited()
+        is_open, waited_ms = self.read_delay()
         if not is_open:
             # The client has gone while its request waited to be read.
             self.eof_received()
@@ -329,7 +326,7 @@
             clients.node.counters.rejected[request.class_index] += 1
             self._respond(429, retry_after_header(retry_after), (b"refused\n",))
             return
-        self._forward(request, upload, tenant or 0, waited_ms * MS, just_read)
+        self._forward(request, streaming_body, tenant or 0, waited_ms * MS, just_read)
 
     def _admit(self, request: ClientRequest, account: str, tenant: int | None) -> int | None:
         """Admit a request under its limits (None), or return the Retry-After (ns, 0: none) of a rejection."""
@@ -345,14 +342,19 @@
         return retry_after
 
     def _forward(
-        self, request: ClientRequest, upload: Upload | None, tenant: int, waited: int, just_read: bool
+        self,
+        request: ClientRequest,
+        streaming_body: StreamingBody | None,
+        tenant: int,
+        waited: int,
+        just_read: bool,
     ) -> None:
         """Submit an admitted request, whose last bytes have waited (ns) to be read."""
-        message = request.message(self.clients.host, upload)
+        message = request.message(self.clients.host, streaming_body)
         time_left = request.time_left - waited
-        if upload is not None:
-            upload.until = system.monotonic_ns() + time_left
-            time_left += request.upload_time(upload)
+        if streaming_body is not None:
+            streaming_body.client_deadline = system.monotonic_ns() + time_left
+            time_left += request.upload_time(streaming_body)
         self.rid = -1
         rid = self.clients.node.submit(
             self,
@@ -367,16 +369,16 @@
             queued_time=waited if just_read else 0,
             limits=request.limits.balancer_limits if request.limits is not None else None,
             free_slot_share=self.clients.free_share,
-            body_pending=upload is not None,
+            body_pending=streaming_body is not None,
         )
         if self.rid:  # it was not answered at once
             self.rid = rid
 
     # Answers
 
-    def respond(self, answer: Answer) -> None:
+    def respond(self, response: ForwardedResponse) -> None:
         """Write an answer that is complete."""
-        self._respond(answer.status, answer.headers, list(answer.body or ()))
+        self._respond(response.status, response.headers, list(response.body or ()))
 
     def reject(self, retry_after: int) -> None:
         """Answer 503: a retry is harmless. Retry-After in ns, 0: none."""
@@ -386,33 +388,33 @@
         """Answer that the request failed."""
         self._respond(status, [], (b"failed\n",))
 
-    def start_response(self, answer: Answer, source: Source) -> None:
+    def start_response(self, response: ForwardedResponse, body_source: BodySource) -> None:
         """Begin to write an answer whose body is streamed."""
         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER)
-        headers = answer.headers
-        if answer.length is not None:
-            headers = [*headers, (b"content-length", b"%d" % answer.length)]
-        self._write(h11.Response(status_code=answer.status, headers=self._closing_headers(headers)))
-        self.source = source
+        headers = response.headers
+        if response.length is not None:
+            headers = [*headers, (b"content-length", b"%d" % response.length)]
+        self._write(h11.Response(status_code=response.status, headers=self._closing_headers(headers)))
+        self.body_source = body_source
         self.clients.move(self, self.clients.writing)
 
     def write(self, data: bytes) -> None:
         """Write a part of a streamed answer; its source pauses while the client reads nothing."""
         self._write(h11.Data(data=data))
-        if not self.unsent:
+        if not self.is_write_buffered:
             self.clients.touch(self)
-        elif self.source is not None:
-            self.source.read_on(False)
+        elif self.body_source is not None:
+            self.body_source.set_reading(False)
 
     def finish_response(self) -> None:
-        """End a streamed answer."""
+        """End a streamed response."""
         self._write(h11.EndOfMessage())
         self._answer_completed()
 
     def break_off(self) -> None:
         """Break off a streamed answer so that the client can tell, whatever the framing."""
         self.rid = 0
-        self.source = None
+        self.body_source = None
         self._release_limits()
         self.transport.abort()
 
@@ -448,13 +450,13 @@
         self.state = next_state(self.state, ConnectionEvent.ANSWER_COMPLETED)
         self._release_limits()
         self.rid = 0
-        self.source = None
+        self.body_source = None
         self.clients.budget.release(self)
-        if self.upload is not None:
-            self.upload.close()
-            self.upload = None
+        if self.streaming_body is not None:
+            self.streaming_body.close()
+            self.streaming_body = None
         self.request = None
-        if self.unsent:
+        if self.is_write_buffered:
             self.clients.move(self, self.clients.writing)
         else:
             # Not at once: each of several requests that came together would be answered deeper in the stack.
@@ -470,13 +472,13 @@
         self.state = next_state(self.state, ConnectionEvent.ANSWER_TAKEN)
         # A new parser for each message, as answers are not written through it.
         rest, _ = self.http.trailing_data
-        self.http = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEAD)
+        self.http = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEAD_BYTES)
         if rest:
             self.http.receive_data(rest)
         self.clients.move(self, self.clients.idle)
         self.clients.close_excess_idle()
         self.ahead = 0
-        self.read_on(True)
+        self.set_reading(True)
         self._read_events(just_read=False)
 
     def _linger(self) -> None:
@@ -489,7 +491,7 @@
         self.clients.move(self, self.clients.ending)
         wait = LINGER_UPLOAD if self.state is ConnectionState.LINGERING_UPLOAD else LINGER
         self.linger_timer = self.clients.loop.call_later(wait, self.transport.abort)
-        self.read_on(True)
+        self.set_reading(True)
         try:
             self.transport.write_eof()
         except OSError:  # the client has reset the connection, which was not read yet
--- a/hollybay/proxy/downstream/request.py
+++ b/hollybay/proxy/downstream/request.py
@@ -10,9 +10,10 @@
 from hollybay.units import MS, SECOND
 
 from ..config import Config
-from ..http_messages import LONG_BODY, MAX_BODY, Message, end_to_end, not_passed_on, pairs
+from ..http_messages import ForwardedRequest, end_to_end_headers, lowercase_headers, names_not_forwarded
+from ..message_limits import MAX_BODY_BYTES, MAX_HELD_BODY_BYTES
 from ..ports import PolicyAgreement
-from ..streaming_body import Upload
+from ..streaming_body import StreamingBody
 from .request_validation import RequestProblem, class_index_of, is_health_check, validate_head
 
 if TYPE_CHECKING:
@@ -32,7 +33,7 @@
 COST_PER_HINT = 1000
 
 # Not forwarded: they are for the node alone, or it writes its own.
-_NOT_FORWARDED = not_passed_on(
+_NOT_FORWARDED = names_not_forwarded(
     (
         b"x-account",
         b"x-session-key",
@@ -89,14 +90,14 @@
 
     def __init__(self, event: h11.Request) -> None:
         self.event = event
-        self.headers = pairs(event)
+        self.headers = lowercase_headers(event)
         self.values = dict(self.headers)
         self.body: list[bytes] = []
         self.size = 0
         self.class_index = 0
         self.time_left = 0
         self.limits: EffectiveLimits | None = None
-        self.max_body = LONG_BODY
+        self.max_body = MAX_BODY_BYTES
         self.is_policy_certain = True
 
     def resolve(
@@ -118,7 +119,9 @@
         """
         if admission is None:
             class_index = class_index_of(self.event.target, config.names)
-            problem = validate_head(self.event, self.headers, self.values, config, class_index, LONG_BODY)
+            problem = validate_head(
+                self.event, self.headers, self.values, config, class_index, MAX_BODY_BYTES
+            )
         else:
             self.is_policy_certain = accord is None or accord.begin_request()
             class_index, problem = self._resolve_with_policy(config, admission)
@@ -134,14 +137,14 @@
         target, policy = self.event.target, admission.policy
         inspected = policy.inspected_headers
         if is_health_check(target):
-            return None, self._validate(config, None, MAX_BODY, inspected)
+            return None, self._validate(config, None, MAX_HELD_BODY_BYTES, inspected)
         if not self.is_policy_certain:
             # Refused once it is complete, under no policy: nothing is forwarded for it.
             class_index = class_index_of(target, config.names)
-            return class_index, self._validate(config, class_index, LONG_BODY, inspected)
+            return class_index, self._validate(config, class_index, MAX_BODY_BYTES, inspected)
         resolved = policy.resolve(self.event.method, target, self.values)
         if resolved is None:
-            return None, self._validate(config, None, MAX_BODY, inspected)
+            return None, self._validate(config, None, MAX_HELD_BODY_BYTES, inspected)
         if resolved.class_index < 0:
             rejection = cast("Rejection", resolved)
             return None, RequestProblem(rejection.status, rejection.reason)
@@ -207,7 +210,7 @@
         """Whether the client sends it again after a failure."""
         return self.values.get(b"x-repeat", b"").strip() == b"1"
 
-    def message(self, host: bytes, upload: Upload | None) -> Message:
+    def message(self, host: bytes, streaming_body: StreamingBody | None) -> ForwardedRequest:
         """Return the request as it is forwarded.
 
         Parameters
@@ -217,13 +220,15 @@
         upload
             The long body that is still coming, if there is one.
         """
-        headers = end_to_end(self.headers, _NOT_FORWARDED)
+        headers = end_to_end_headers(self.headers, _NOT_FORWARDED)
         if b"host" not in self.values:
             headers.append((b"host", host))
-        return Message(self.event.method, self.event.target, headers, self.body, self.size, upload)
+        return ForwardedRequest(
+            self.event.method, self.event.target, headers, self.body, self.size, streaming_body
+        )
 
-    def upload_time(self, upload: Upload) -> int:
+    def upload_time(self, streaming_body: StreamingBody) -> int:
         """Return how long (ns) the rest of a long body may take; the client waits from its last byte on."""
-        if upload.length is None:
+        if streaming_body.length is None:
             return MAX_UPLOAD_TIME
-        return min(MAX_UPLOAD_TIME, (upload.length - self.size) * SECOND // MIN_BODY_RATE)
+        return min(MAX_UPLOAD_TIME, (streaming_body.length - self.size) * SECOND // MIN_BODY_RATE)
--- a/hollybay/proxy/downstream/request_validation.py
+++ b/hollybay/proxy/downstream/request_validation.py
@@ -17,7 +17,8 @@
 from hollybay.balancing.interface import Effect, RequestClass
 
 from ..config import Config
-from ..http_messages import MAX_BODY, MAX_HEAD, Headers
+from ..http_messages import Headers
+from ..message_limits import MAX_HEAD_BYTES, MAX_HELD_BODY_BYTES
 from ..name_table import NameTable
 
 __all__ = ["HEALTH_PATHS", "RequestProblem", "class_index_of", "is_health_check", "validate_head"]
@@ -56,7 +57,7 @@
     values: dict[bytes, bytes],
     config: Config,
     class_index: int | None,
-    max_body: int = MAX_BODY,
+    max_body: int = MAX_HELD_BODY_BYTES,
     inspected_headers: Collection[bytes] = (),
 ) -> RequestProblem | None:
     """Return what is wrong with the head of a request, or None.
@@ -91,7 +92,7 @@
 ) -> RequestProblem | None:
     if event.http_version[:1] != b"1":
         return RequestProblem(505, "HTTP/1.0 and HTTP/1.1 are spoken here")
-    if sum([len(name) + len(value) + 4 for name, value in headers]) + len(event.target) > MAX_HEAD:
+    if sum([len(name) + len(value) + 4 for name, value in headers]) + len(event.target) > MAX_HEAD_BYTES:
         return RequestProblem(431, "the head is too long")
     if len(values) != len(headers):
         names = [name for name, _ in headers]
--- a/hollybay/proxy/downstream/responses.py
+++ b/hollybay/proxy/downstream/responses.py
@@ -6,7 +6,7 @@
 
 from hollybay.units import SECOND
 
-from ..http_messages import Headers, head
+from ..http_messages import Headers, encode_head
 from .request_validation import RequestProblem
 
 __all__ = ["rejection_events", "response_bytes", "retry_after_header"]
@@ -16,7 +16,7 @@
 
 def response_bytes(status: int, headers: Headers, content: bytes) -> bytes:
     """Return a whole response."""
-    return head(_FIRST_LINES[status], headers) + content
+    return encode_head(_FIRST_LINES[status], headers) + content
 
 
 def rejection_events(problem: RequestProblem) -> tuple[h11.Event, ...]:
--- a/hollybay/proxy/pending_request.py
+++ b/hollybay/proxy/pending_request.py
@@ -13,7 +13,7 @@
 from collections.abc import Mapping
 from enum import IntEnum
 
-from .http_messages import Message
+from .http_messages import ForwardedRequest
 from .ports import Client
 from .state_machine import transition_function
 from .upstream.attempt import Attempt
@@ -139,10 +139,10 @@
         "timer",
     )
 
-    def __init__(self, request_id: int, client: Client, message: Message, class_index: int) -> None:
+    def __init__(self, request_id: int, client: Client, message: ForwardedRequest, class_index: int) -> None:
         self.id = request_id
         self.client = client
-        self.message: Message | None = message
+        self.message: ForwardedRequest | None = message
         self.class_index = class_index
         self.state = PENDING
         self.deadline = 0
--- a/hollybay/proxy/ports.py
+++ b/hollybay/proxy/ports.py
@@ -8,8 +8,8 @@
 
 from hollybay.balancing.interface import ServerId
 
-from .flow_control import Source
-from .http_messages import Answer
+from .flow_control import BodySource
+from .http_messages import ForwardedResponse
 
 __all__ = ["Client", "ClientPresence", "DiscoveryPort", "LoadReporter", "PolicyAgreement"]
 
@@ -37,7 +37,7 @@
         """Close a connection whose client has gone, which its connection has not read yet."""
         ...
 
-    def respond(self, answer: Answer) -> None:
+    def respond(self, response: ForwardedResponse) -> None:
         """Write a server's response, which is complete."""
         ...
 
@@ -49,7 +49,7 @@
         """Answer with an error status that a server may have run the request."""
         ...
 
-    def start_response(self, answer: Answer, source: Source) -> None:
+    def start_response(self, response: ForwardedResponse, source: BodySource) -> None:
         """Begin to write a response that its source brings piece by piece."""
         ...
 
--- a/hollybay/proxy/request_dispatcher.py
+++ b/hollybay/proxy/request_dispatcher.py
@@ -17,7 +17,7 @@
 
 from . import system
 from .balancer_driver import ActionHandlers, BalancerDriver
-from .http_messages import Answer, Message
+from .http_messages import ForwardedRequest, ForwardedResponse
 from .name_table import DiscoveryUpdate
 from .pending_request import FINISHED, PENDING, UNANSWERED_STATES, PendingRequest, RequestEvent, next_state
 from .ports import Client, ClientPresence, DiscoveryPort, LoadReporter
@@ -118,7 +118,7 @@
     def submit(
         self,
         client: Client,
-        message: Message,
+        message: ForwardedRequest,
         class_index: int,
         time_left: int,
         *,
@@ -253,7 +253,7 @@
             self.load_reporter.attempt_started(attempt.server)
         self.pools.send(attempt)
 
-    def _may_send(self, request: PendingRequest, message: Message) -> bool:
+    def _may_send(self, request: PendingRequest, message: ForwardedRequest) -> bool:
         """Tell whether another attempt may begin. The client is looked at, which may end the request."""
         if request.state is not PENDING:
             return False
@@ -261,13 +261,13 @@
             return False
         if len(request.attempts) >= self.settings.max_attempts:
             return False
-        if message.upload is None:
+        if message.streaming_body is None:
             return True
         # A streamed body is here for one attempt at a time, and may be gone with the last one.
-        return not request.in_flight and not message.upload.taken
+        return not request.in_flight and not message.streaming_body.is_taken
 
     def _new_attempt(
-        self, request: PendingRequest, message: Message, number: int, action: api.Send
+        self, request: PendingRequest, message: ForwardedRequest, number: int, action: api.Send
     ) -> Attempt:
         request_class = self.settings.classes[request.class_index]
         deadline = request.deadline
@@ -387,7 +387,7 @@
         request: PendingRequest = attempt.owner
         return request.state is not FINISHED and self._is_client_there(request)
 
-    def response_started(self, attempt: Attempt, answer: Answer) -> Client | None:
+    def response_started(self, attempt: Attempt, response: ForwardedResponse) -> Client | None:
         """Tie a request to the response that begins to come; return where it goes, None: nowhere."""
         request: PendingRequest = attempt.owner
         if request.state not in UNANSWERED_STATES:
@@ -403,10 +403,10 @@
         for other in request.attempts:
             if other is not None and other is not attempt:
                 other.cancel()
-        request.client.start_response(answer, attempt)
+        request.client.start_response(response, attempt)
         return request.client
 
-    def attempt_finished(self, attempt: Attempt, answer: Answer | None) -> None:
+    def attempt_finished(self, attempt: Attempt, response: ForwardedResponse | None) -> None:
         """Answer the client if the attempt succeeded, and tell the balancer of its end."""
         request: PendingRequest = attempt.owner
         result = attempt.result
@@ -415,7 +415,7 @@
         if self.load_reporter is not None:
             self.load_reporter.attempt_finished(attempt.server)
         if request.state is not FINISHED:
-            self._answer_with(request, attempt, answer)
+            self._answer_with(request, attempt, response)
         self._forget_if_over(request)
         self.feed(
             api.AttemptFinished(
@@ -429,7 +429,9 @@
             )
         )
 
-    def _answer_with(self, request: PendingRequest, attempt: Attempt, answer: Answer | None) -> None:
+    def _answer_with(
+        self, request: PendingRequest, attempt: Attempt, response: ForwardedResponse | None
+    ) -> None:
         """Give the final answer if an attempt that has ended brings it."""
         client = request.client
         is_complete = attempt.result == api.Result.OK
@@ -437,10 +439,10 @@
             self._conclude(request)
             (self.counters.served if is_complete else self.counters.failed)[request.class_index] += 1
             self._write(client, client.finish_response if is_complete else client.break_off)
-        elif is_complete and answer is not None:
+        elif is_complete and response is not None:
             self.counters.served[request.class_index] += 1
             self._conclude(request)
-            self._write(client, lambda: client.respond(answer))
+            self._write(client, lambda: client.respond(response))
 
 
 def _response_time(attempt: Attempt) -> int:
--- a/hollybay/proxy/streaming_body.py
+++ b/hollybay/proxy/streaming_body.py
@@ -1,8 +1,8 @@
-"""A long request body on its way from its client to a server: neither side waits for the whole of it.
+"""The body of a request that is forwarded while it comes: neither side waits for the whole of it.
 
-Up to MAX_BODY a body is held whole before anything is sent. A longer one goes on as it comes. As long as
-all its bytes fit the room for such bodies they are kept, and another attempt can begin anew; beyond that
-what a server has taken is dropped, the body is spent, and the client is read at the pace of the server.
+Up to `MAX_HELD_BODY_BYTES` a body is held until it is complete, and only then sent. A longer one is streamed.
+As long as the budget has room for all its bytes they are retained, and another attempt can begin anew. Beyond
+that, what a server has taken is dropped: the body is spent, and the client is read at the pace of the server.
 """
 
 from __future__ import annotations
@@ -10,25 +10,36 @@
 from collections import deque
 from typing import Protocol
 
-from .flow_control import Source
+from .flow_control import BodySource
 
-__all__ = ["KEPT_MOST", "WINDOW", "Room", "Sink", "Upload"]
+__all__ = ["MAX_RETAINED_BYTES", "WINDOW_BYTES", "BodySink", "RetentionBudget", "StreamingBody"]
 
-# Bytes that wait for a server before the client is read no further, once nothing is kept any more.
-WINDOW = 64 << 10
-# The most of one body that is kept for another attempt.
-KEPT_MOST = 2 << 20
+# Bytes that wait for a server before the client is read no further, once nothing is retained any more.
+WINDOW_BYTES = 64 << 10
+# The most of one body that is retained for another attempt.
+MAX_RETAINED_BYTES = 2 << 20
 
 
-class Sink(Protocol):
-    """Where the body goes: one attempt."""
+class BodySink(Protocol):
+    """Where a body goes: the connection of one attempt."""
 
-    def more(self) -> None:
-        """There is more to pull, or the body is whole."""
+    def body_available(self) -> None:
+        """Take note that there is more to pull, or that the body is complete."""
 
 
-class Room:
-    """Memory for kept bodies, all together (bytes)."""
+class RetentionBudget:
+    """Memory for the retained bytes of all streaming bodies together.
+
+    Parameters
+    ----------
+    total
+        Its size (bytes).
+
+    Attributes
+    ----------
+    used
+        How much of it (bytes) is reserved.
+    """
 
     __slots__ = ("total", "used")
 
@@ -36,120 +47,146 @@
         self.total = total
         self.used = 0
 
-    def book(self, size: int) -> bool:
-        """Take so much, if it is there."""
+    def reserve(self, size: int) -> bool:
+        """Reserve some bytes; False: there is no room for them, and none was reserved."""
         if self.used + size > self.total:
             return False
         self.used += size
         return True
 
 
-class Upload:
-    """One body. length: as its client told it, None where it comes in chunks; until: when (ns) its client
-    would go, were it whole already."""
+class StreamingBody:
+    """One body on its way from its client to a server.
+
+    Parameters
+    ----------
+    length
+        Its length (bytes) as its client stated it; None if it comes in chunks.
+    source
+        The client's connection.
+    budget
+        Memory for retained bytes.
+
+    Attributes
+    ----------
+    client_deadline
+        When (ns of the monotonic clock) its client would stop to wait, were the body complete already.
+    is_complete
+        Whether its last byte has come.
+    is_spent
+        Whether a part of it was dropped, so that no attempt can begin anew.
+    sink
+        The attempt that pulls it at present.
+    """
 
     __slots__ = (
-        "_at",
-        "_booked",
-        "_kept",
+        "_budget",
+        "_is_retained",
         "_pieces",
-        "_room",
+        "_position",
+        "_reserved",
         "_source",
         "_waiting",
+        "client_deadline",
+        "is_complete",
+        "is_spent",
         "length",
         "sink",
-        "spent",
-        "until",
-        "whole",
     )
 
-    def __init__(self, length: int | None, source: Source, room: Room) -> None:
+    def __init__(self, length: int | None, source: BodySource, budget: RetentionBudget) -> None:
         self.length = length
-        self.until = 0
-        self.whole = False  # its last byte has come
-        self.spent = False  # a part of it is here no more
-        self.sink: Sink | None = None
+        self.client_deadline = 0
+        self.is_complete = False
+        self.is_spent = False
+        self.sink: BodySink | None = None
         self._source = source
-        self._room = room
-        self._booked = 0
-        self._kept = True
+        self._budget = budget
+        self._reserved = 0  # bytes of the budget
+        self._is_retained = True
         self._pieces: deque[bytes] = deque()
-        self._at = 0  # pieces that the present sink has pulled and that are kept
+        self._position = 0  # how many of the retained pieces the present sink has pulled
         self._waiting = 0  # bytes that no sink has pulled
 
     @property
-    def taken(self) -> bool:
-        """Whether another attempt cannot begin: one is under way, or bytes are gone."""
-        return self.spent or self.sink is not None
+    def is_taken(self) -> bool:
+        """Whether no other attempt can begin: one is under way, or bytes were dropped."""
+        return self.is_spent or self.sink is not None
 
     @property
-    def exhausted(self) -> bool:
+    def is_exhausted(self) -> bool:
         """Whether the sink has pulled all there is, to the end."""
-        return self.whole and self._at >= len(self._pieces)
-
-    def put(self, data: bytes) -> None:
-        """More of it has come."""
-        if self._kept and not (self._booked + len(data) <= KEPT_MOST and self._room.book(len(data))):
-            self._keep_no_more()
-        if self._kept:
-            self._booked += len(data)
+        return self.is_complete and self._position >= len(self._pieces)
+
+    def append(self, data: bytes) -> None:
+        """Add what has come next."""
+        if self._is_retained and not self._reserve(len(data)):
+            self._stop_retaining()
         self._pieces.append(data)
         self._waiting += len(data)
         if self.sink is not None:
-            self.sink.more()
-        if not self._kept and self._waiting > WINDOW:
-            self._source.read_on(False)
+            self.sink.body_available()
+        if not self._is_retained and self._waiting > WINDOW_BYTES:
+            self._source.set_reading(False)
 
-    def end(self) -> None:
-        """Its last byte has come."""
-        self.whole = True
+    def complete(self) -> None:
+        """Take note that the last byte has come."""
+        self.is_complete = True
         if self.sink is not None:
-            self.sink.more()
+            self.sink.body_available()
 
-    def open(self, sink: Sink) -> None:
-        """Begin to pull, from its first byte."""
-        assert not self.taken
+    def attach(self, sink: BodySink) -> None:
+        """Let an attempt pull the body from its first byte on."""
+        assert not self.is_taken
         self.sink = sink
 
     def pull(self) -> bytes:
-        """What comes next, b"" where nothing has come yet."""
-        if self._at >= len(self._pieces):
+        """Return what comes next; empty if nothing has come yet."""
+        if self._position >= len(self._pieces):
             return b""
-        data = self._pieces[self._at]
-        if self._kept:
-            self._at += 1
+        data = self._pieces[self._position]
+        if self._is_retained:
+            self._position += 1
         else:
             self._pieces.popleft()
-            self.spent = True
+            self.is_spent = True
         self._waiting -= len(data)
-        if not self._kept and self._waiting <= WINDOW // 2:
-            self._source.read_on(True)
+        if not self._is_retained and self._waiting <= WINDOW_BYTES // 2:
+            self._source.set_reading(True)
         return data
 
-    def leave(self, sink: Sink) -> None:
-        """That attempt is over."""
+    def detach(self, sink: BodySink) -> None:
+        """End the pulling of an attempt that is over."""
         if self.sink is sink:
             self.sink = None
-            if self._kept:
-                self._at = 0
-                self._waiting = self._booked
+            if self._is_retained:
+                self._position = 0
+                self._waiting = self._reserved
 
     def close(self) -> None:
-        """The request is over: its room is free again."""
+        """Drop all bytes: the request is over."""
         self.sink = None
-        self.spent = True
+        self.is_spent = True
         self._pieces.clear()
-        self._at = 0
-        self._give_back()
+        self._position = 0
+        self._release()
+
+    def _reserve(self, size: int) -> bool:
+        """Reserve memory for some bytes more, if the body may have them."""
+        if self._reserved + size > MAX_RETAINED_BYTES or not self._budget.reserve(size):
+            return False
+        self._reserved += size
+        return True
 
-    def _keep_no_more(self) -> None:
-        self._kept = False
-        for _ in range(self._at):
+    def _stop_retaining(self) -> None:
+        """Drop what the present sink has pulled, and everything that is pulled from here on."""
+        self._is_retained = False
+        for _ in range(self._position):
             self._pieces.popleft()
-            self.spent = True
-        self._at = 0
-        self._give_back()
+            self.is_spent = True
+        self._position = 0
+        self._release()
 
-    def _give_back(self) -> None:
-        self._room.used -= self._booked
-        self._booked = 0
+    def _release(self) -> None:
+        self._budget.used -= self._reserved
+        self._reserved = 0
--- a/hollybay/proxy/upstream/attempt.py
+++ b/hollybay/proxy/upstream/attempt.py
@@ -8,7 +8,7 @@
 from hollybay.balancing import interface as api
 
 from .. import system
-from ..http_messages import Answer, Message
+from ..http_messages import ForwardedRequest, ForwardedResponse
 from ..ports import Client
 
 __all__ = ["Attempt", "AttemptConnection", "AttemptObserver"]
@@ -20,10 +20,10 @@
     def is_awaited(self, attempt: Attempt) -> bool:
         """Tell whether anybody still waits for it; asked before its first byte, and before its last."""
 
-    def response_started(self, attempt: Attempt, answer: Answer) -> Client | None:
+    def response_started(self, attempt: Attempt, response: ForwardedResponse) -> Client | None:
         """Take note that a streamed response begins; return where it goes, None to give the attempt up."""
 
-    def attempt_finished(self, attempt: Attempt, answer: Answer | None) -> None:
+    def attempt_finished(self, attempt: Attempt, response: ForwardedResponse | None) -> None:
         """Take the result of an attempt, and its response where that was kept until it was whole."""
 
 
@@ -32,7 +32,7 @@
 
     attempt: Attempt | None
 
-    def read_on(self, reading: bool) -> None:
+    def set_reading(self, reading: bool) -> None:
         """Read from the socket, or leave to the kernel what comes."""
 
     def close(self) -> None:
@@ -81,14 +81,14 @@
         "server",
         "streamed",
         "timer",
-        "unsent",
+        "unwritten_attempts",
         "write_deadline",
         "written",
     )
 
     def __init__(
         self,
-        message: Message,
+        message: ForwardedRequest,
         server: api.ServerId,
         deadline: int,
         observer: AttemptObserver,
@@ -98,7 +98,7 @@
         number: int = 0,
         write_deadline: int = 0,
     ) -> None:
-        self.message: Message | None = message
+        self.message: ForwardedRequest | None = message
         self.server = server
         self.deadline = deadline
         self.observer = observer
@@ -117,7 +117,7 @@
         self.connecting: asyncio.Task[None] | None = None
         self.timer: asyncio.TimerHandle | None = None
         # The attempts at the same server that are not whole on the wire yet, this one among them.
-        self.unsent: dict[Attempt, None] | None = None
+        self.unwritten_attempts: dict[Attempt, None] | None = None
 
     def cancel(self) -> None:
         """Stop waiting; the connection is closed."""
@@ -127,12 +127,12 @@
         """End because the connection is gone, or because what came on it is no response."""
         self.end(api.Result.CONNECT_FAILED)
 
-    def read_on(self, reading: bool) -> None:
+    def set_reading(self, reading: bool) -> None:
         """Apply the back-pressure of the client that the response is passed on to."""
         if self.connection is not None:
-            self.connection.read_on(reading)
+            self.connection.set_reading(reading)
 
-    def end(self, result: api.Result, answer: Answer | None = None) -> None:
+    def end(self, result: api.Result, response: ForwardedResponse | None = None) -> None:
         """Take the first result, and notify the observer; a connection still in use is closed."""
         if self.result is not None:
             return
@@ -150,6 +150,6 @@
             self.connection.attempt = None
             self.connection.close()
             self.connection = None
-        if self.unsent is not None:
-            self.unsent.pop(self, None)
-        self.observer.attempt_finished(self, answer)
+        if self.unwritten_attempts is not None:
+            self.unwritten_attempts.pop(self, None)
+        self.observer.attempt_finished(self, response)
--- a/hollybay/proxy/upstream/connection.py
+++ b/hollybay/proxy/upstream/connection.py
@@ -18,21 +18,12 @@
 from hollybay.units import MS
 
 from .. import system
-from ..http_messages import (
-    LONG_BODY,
-    MAX_BODY,
-    MAX_HEAD,
-    SMALL_BODY,
-    Answer,
-    Headers,
-    Message,
-    Peer,
-    end_to_end,
-    head,
-)
+from ..http_messages import ForwardedRequest, ForwardedResponse, Headers, encode_head, end_to_end_headers
+from ..message_limits import MAX_BODY_BYTES, MAX_HEAD_BYTES, MAX_HELD_BODY_BYTES, SMALL_BODY_BYTES
 from ..name_table import NameTable
 from ..ports import Client
-from ..streaming_body import Upload
+from ..streaming_body import StreamingBody
+from ..tcp_connection import TcpConnection
 from .attempt import Attempt
 from .endpoint import Endpoint, PooledConnection
 from .response_head import STATUS_OK, check_framing, read_head, result_of_failure
@@ -60,7 +51,7 @@
 RESPONSE_LIMIT_SAFE_SECONDS = 0.05
 # The most that one answer can bring before it is passed on: informational answers ahead, framing and
 # trailers.
-RESPONSE_READ_LIMIT = MAX_BODY + 4 * MAX_HEAD
+RESPONSE_READ_LIMIT = MAX_HELD_BODY_BYTES + 4 * MAX_HEAD_BYTES
 # A stream that brings nothing for this long is taken for left unfinished.
 STREAM_STALL_SECONDS = 8.0
 # What a reader of one answer must know of the request, which is not written through it, before it takes an
@@ -97,7 +88,7 @@
     return SETTLES_PER_CONNECTION * SETTLE_SECONDS
 
 
-class ServerConnection(Peer):
+class ServerConnection(TcpConnection):
     """One connection to a server; it carries one attempt at a time.
 
     Parameters
@@ -121,11 +112,11 @@
         self.owner = owner
         self.endpoint = endpoint
         self.attempt: Attempt | None = None
-        self.http = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEAD)
+        self.http = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES)
         self.pieces: list[bytes] = []
         self.timer: asyncio.TimerHandle | None = None
         self.taken = 0  # bytes of the present answer
-        self.upload: Upload | None = None  # the long body that is on its way
+        self.streaming_body: StreamingBody | None = None  # the long body that is on its way
         self.tail = b""  # the last byte so far, held back until it is known whether it is the last one
         self.answered = 0.0  # when (s, the loop's clock) the last response ended
 
@@ -155,18 +146,18 @@
 
         A close or bytes may have come that the loop has not seen yet.
         """
-        if self.state is ConnectionState.CLOSED or not self.connected():
+        if self.state is ConnectionState.CLOSED or not self.is_connected():
             return False
         # Nothing has been asked in full: bytes that wait to be read belong to no request, and would be taken
         # for the answer to the next one.
-        return not self.unread()
+        return not self.unread_bytes()
 
     def close(self) -> None:
         """Close at once; what is unsent is dropped."""
         self.stop_timer()
-        if self.upload is not None:
-            self.upload.leave(self)
-            self.upload = None
+        if self.streaming_body is not None:
+            self.streaming_body.detach(self)
+            self.streaming_body = None
         self.owner.unpool(self)
         self._advance(ConnectionEvent.CLOSE_REQUESTED)
         if self.state is not ConnectionState.CLOSED:
@@ -201,7 +192,7 @@
         self._advance(ConnectionEvent.REQUEST_STARTED)
         self.attempt = attempt
         attempt.connection = self
-        self.head: Answer | None = None
+        self.head: ForwardedResponse | None = None
         self.verdict: api.Result | None = None
         self.body: list[bytes] = []
         self.size = 0
@@ -209,17 +200,21 @@
         self.taken = 0
         self.moved = self.owner.loop.time()
         self.least_hold = 0.0 if attempt.repeatable else LAST_BYTE_HOLD_SECONDS
-        until = attempt.deadline if message.upload is None else min(attempt.deadline, message.upload.until)
+        until = (
+            attempt.deadline
+            if message.streaming_body is None
+            else min(attempt.deadline, message.streaming_body.client_deadline)
+        )
         left = max(1, (until - system.monotonic_ns()) // MS)
         headers = [*message.headers, (b"x-time-left-ms", b"%d" % left)]
-        self.http = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEAD)
-        if message.upload is not None:
-            self._begin_upload(message, message.upload, headers)
+        self.http = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES)
+        if message.streaming_body is not None:
+            self._begin_upload(message, message.streaming_body, headers)
             return
         if message.method != b"GET" or message.size:
             headers.append((b"content-length", b"%d" % message.size))
-        pieces = [head(b"%s %s HTTP/1.1" % (message.method, message.target), headers), *message.body]
-        if message.size <= SMALL_BODY:
+        pieces = [encode_head(b"%s %s HTTP/1.1" % (message.method, message.target), headers), *message.body]
+        if message.size <= SMALL_BODY_BYTES:
             pieces = [b"".join(pieces)]
         if self._hold_time() > 0.0:
             tail = pieces.pop()
@@ -234,44 +229,46 @@
         self.owner.pool(self)
         attempt.end(api.Result.NOT_SENT)
 
-    def _begin_upload(self, message: Message, upload: Upload, headers: Headers) -> None:
+    def _begin_upload(
+        self, message: ForwardedRequest, streaming_body: StreamingBody, headers: Headers
+    ) -> None:
         assert self.attempt is not None
         framing = (b"transfer-encoding", b"chunked")
-        if upload.length is not None:
-            framing = (b"content-length", b"%d" % upload.length)
-        if upload.taken:
+        if streaming_body.length is not None:
+            framing = (b"content-length", b"%d" % streaming_body.length)
+        if streaming_body.is_taken:
             # A part of it has gone while this connection came up.
             self.attempt.end(api.Result.NOT_SENT)
             return
         self.pieces = []
         self.tail = b""
-        self.upload = upload
-        upload.open(self)
+        self.streaming_body = streaming_body
+        streaming_body.attach(self)
         first = b"%s %s HTTP/1.1" % (message.method, message.target)
-        self.transport.write(head(first, [*headers, framing]))
+        self.transport.write(encode_head(first, [*headers, framing]))
         self._write()
 
-    def more(self) -> None:
+    def body_available(self) -> None:
         """There is more of a long body, or it is whole."""
         self._write()
 
-    def _feed(self, upload: Upload) -> None:
+    def _feed(self, streaming_body: StreamingBody) -> None:
         """Write what has come of a long body, at the pace of the server, but for its last piece."""
-        while not self.unsent and not self.transport.is_closing():
-            data = upload.pull()
+        while not self.is_write_buffered and not self.transport.is_closing():
+            data = streaming_body.pull()
             if not data:
                 break
-            if upload.length is None:
+            if streaming_body.length is None:
                 data = b"%x\r\n%s\r\n" % (len(data), data)
             else:
                 data = self.tail + data
                 data, self.tail = data[:-1], data[-1:]
             if data:
                 self.transport.write(data)
-        if upload.exhausted and not self.unsent:
-            self.pieces = [self.tail if upload.length is not None else b"0\r\n\r\n"]
-            self.upload = None
-            upload.leave(self)
+        if streaming_body.is_exhausted and not self.is_write_buffered:
+            self.pieces = [self.tail if streaming_body.length is not None else b"0\r\n\r\n"]
+            self.streaming_body = None
+            streaming_body.detach(self)
 
     def resume_writing(self) -> None:
         """Go on with the request: the kernel has taken all that was written."""
@@ -282,13 +279,13 @@
         attempt = self.attempt
         if attempt is None:
             return
-        if self.upload is not None:
-            self._feed(self.upload)
-            if self.upload is not None:
+        if self.streaming_body is not None:
+            self._feed(self.streaming_body)
+            if self.streaming_body is not None:
                 return
-        while len(self.pieces) > 1 and not self.unsent and not self.transport.is_closing():
+        while len(self.pieces) > 1 and not self.is_write_buffered and not self.transport.is_closing():
             self.transport.write(self.pieces.pop())
-        if self.unsent or self.timer is not None:
+        if self.is_write_buffered or self.timer is not None:
             return
         if len(self.pieces) == 1:
             self._advance(ConnectionEvent.LAST_PIECE_LEFT)
@@ -332,17 +329,21 @@
         if self.transport.is_closing():
             attempt.written = False  # refused at once
             self._fail()
-        elif not self.unsent:
+        elif not self.is_write_buffered:
             self._note_written()
 
     def _note_written(self) -> None:
         attempt = self.attempt
-        if attempt is not None and attempt in self.endpoint.unsent and not self.transport.is_closing():
-            if attempt.message is not None and attempt.message.upload is not None:
+        if (
+            attempt is not None
+            and attempt in self.endpoint.unwritten_attempts
+            and not self.transport.is_closing()
+        ):
+            if attempt.message is not None and attempt.message.streaming_body is not None:
                 # A server begins with the last byte: how long the body was on its way says nothing of it.
                 attempt.sent = system.monotonic_ns()
             self.owner.written += 1
-            self.endpoint.unsent.pop(attempt)
+            self.endpoint.unwritten_attempts.pop(attempt)
 
     # Reading
 
@@ -379,7 +380,9 @@
         left = limit - (self.owner.loop.time() - self.moved)
         if left <= 0.2 * limit:
             self._fail()
-        elif self.body and self.head is not None and (self.head.length or LONG_BODY) > MAX_BODY:
+        elif (
+            self.body and self.head is not None and (self.head.length or MAX_BODY_BYTES) > MAX_HELD_BODY_BYTES
+        ):
             self._start_stream(attempt)
         else:
             self.after(left, self._check_progress)
@@ -424,8 +427,8 @@
             # Nothing was asked in full yet, so no server can have made this for it.
             raise h11.RemoteProtocolError("an answer before the request")
         check_framing(found)
-        headers = end_to_end(found.headers, self.owner.not_for_clients)
-        self.head = Answer(STATUS_OK, headers, None, found.length)
+        headers = end_to_end_headers(found.headers, self.owner.not_for_clients)
+        self.head = ForwardedResponse(STATUS_OK, headers, None, found.length)
         self._advance(ConnectionEvent.RESPONSE_STARTED)
         if attempt.streamed:
             self._start_stream(attempt)
@@ -434,14 +437,14 @@
         if self.verdict is not None:
             return
         self.size += len(data)
-        if self.size > LONG_BODY:
+        if self.size > MAX_BODY_BYTES:
             raise h11.RemoteProtocolError("too long")
         if self.client is not None:
             self.client.write(data)
             return
         # Held until it is whole: what has been passed on in part can be neither tried again nor taken back.
         self.body.append(data)
-        if self.size > MAX_BODY:
+        if self.size > MAX_HELD_BODY_BYTES:
             self._start_stream(attempt)
 
     def _start_stream(self, attempt: Attempt) -> None:
@@ -472,11 +475,11 @@
 
     def _complete(self, attempt: Attempt) -> None:
         self.stop_timer()
-        attempt.read_delay = self.waited()[1] * MS
+        attempt.read_delay = self.read_delay()[1] * MS
         reusable = attempt.written and self.http.their_state is h11.DONE and not self.http.trailing_data[0]
         answer = None
         if self.head is not None and self.client is None:
-            answer = Answer(200, self.head.headers, self.body)
+            answer = ForwardedResponse(200, self.head.headers, self.body)
         self.body = []
         self.answered = self.owner.loop.time()
         self.attempt = attempt.connection = None
--- a/hollybay/proxy/upstream/connector.py
+++ b/hollybay/proxy/upstream/connector.py
@@ -8,7 +8,7 @@
 import socket
 from collections.abc import Awaitable, Callable
 
-from ..http_messages import TCP_ESTABLISHED
+from ..tcp_connection import TCP_ESTABLISHED
 
 __all__ = ["Establish", "connect", "establish"]
 
--- a/hollybay/proxy/upstream/endpoint.py
+++ b/hollybay/proxy/upstream/endpoint.py
@@ -29,7 +29,7 @@
     def unsettled(self) -> float:
         """Return for how long (s) what comes may still belong to the last response."""
 
-    def read_on(self, reading: bool) -> None:
+    def set_reading(self, reading: bool) -> None:
         """Read from the socket, or leave to the kernel what comes."""
 
     def stop_timer(self) -> None:
@@ -45,7 +45,7 @@
 class Endpoint:
     """A server of the list."""
 
-    __slots__ = ("address", "closes", "draining", "holds", "id", "idle", "last_report", "unsent")
+    __slots__ = ("address", "closes", "draining", "holds", "id", "idle", "last_report", "unwritten_attempts")
 
     def __init__(self, server: api.ServerId, address: tuple[str, int]) -> None:
         self.id = server
@@ -53,7 +53,7 @@
         self.draining: asyncio.TimerHandle | None = None  # not None: it drains, also after the timer fired
         self.closes = 0.0  # while it drains: from when on nothing is written to it (s, the loop's clock)
         self.idle: list[PooledConnection] = []  # the last one rested shortest and is taken first
-        self.unsent: dict[Attempt, None] = {}  # in the order in which they were begun
+        self.unwritten_attempts: dict[Attempt, None] = {}  # in the order in which they were begun
         self.holds = HoldAccount()
         self.last_report: tuple[bytes, tuple[float, ...]] = (b"", ())
 
--- a/hollybay/proxy/upstream/health_check.py
+++ b/hollybay/proxy/upstream/health_check.py
@@ -8,7 +8,7 @@
 from hollybay.units import SECOND
 
 from .. import system
-from ..http_messages import Answer, Message
+from ..http_messages import ForwardedRequest, ForwardedResponse
 from ..name_table import NameTable
 from .attempt import Attempt
 
@@ -36,7 +36,7 @@
         Takes the result.
     """
     path = LOAD_REPORT_PATH if reports else LIVENESS_PATH
-    message = Message(b"GET", path, [(b"host", host)], (), 0)
+    message = ForwardedRequest(b"GET", path, [(b"host", host)], (), 0)
     deadline = system.monotonic_ns() + HEALTH_CHECK_LIMIT_NS
     return Attempt(message, server, deadline, _HealthCheckObserver(names, feed))
 
@@ -51,13 +51,13 @@
     def is_awaited(self, attempt: Attempt) -> bool:
         return True
 
-    def response_started(self, attempt: Attempt, answer: Answer) -> None:
+    def response_started(self, attempt: Attempt, response: ForwardedResponse) -> None:
         return None
 
-    def attempt_finished(self, attempt: Attempt, answer: Answer | None) -> None:
+    def attempt_finished(self, attempt: Attempt, response: ForwardedResponse | None) -> None:
         assert attempt.result is not None
         report = attempt.report
-        if answer is not None and answer.body and not report:
-            report = self.names.parse_load_report(b"".join(answer.body).decode("latin-1"))
+        if response is not None and response.body and not report:
+            report = self.names.parse_load_report(b"".join(response.body).decode("latin-1"))
         round_trip = system.monotonic_ns() - attempt.sent
         self.feed(api.ProbeResult(attempt.server, attempt.result, round_trip, report))
--- a/hollybay/proxy/upstream/pools.py
+++ b/hollybay/proxy/upstream/pools.py
@@ -12,7 +12,7 @@
 from hollybay.units import SECOND
 
 from .. import system
-from ..http_messages import not_passed_on
+from ..http_messages import names_not_forwarded
 from ..name_table import DiscoveryUpdate, NameTable
 from .attempt import Attempt
 from .connection import ServerConnection, connection_price
@@ -52,7 +52,7 @@
         self.names = names
         self.limit = limit
         self.load_header = b"x-backend-load"
-        self.not_for_clients = not_passed_on((self.load_header, b"x-unprocessed"))
+        self.not_for_clients = names_not_forwarded((self.load_header, b"x-unprocessed"))
         self.establish: Establish = establish
         self.loop = asyncio.get_running_loop()
         self.endpoints: dict[api.ServerId, Endpoint] = {}
@@ -95,7 +95,7 @@
 
     def _withdraw(self, endpoint: Endpoint) -> None:
         # A request that is still being written when the grace is over would reach a server that drains.
-        for attempt in list(endpoint.unsent):
+        for attempt in list(endpoint.unwritten_attempts):
             attempt.end(api.Result.CONNECT_FAILED)
 
     def send(self, attempt: Attempt) -> None:
@@ -104,8 +104,8 @@
         if endpoint is None:
             attempt.end(api.Result.NOT_SENT)
             return
-        attempt.unsent = endpoint.unsent
-        endpoint.unsent[attempt] = None
+        attempt.unwritten_attempts = endpoint.unwritten_attempts
+        endpoint.unwritten_attempts[attempt] = None
         connection = self._kept(endpoint)
         if connection is not None:
             self.unpool(connection)
@@ -186,7 +186,7 @@
         if connection.endpoint.draining is not None:
             connection.close()
             return
-        connection.read_on(True)
+        connection.set_reading(True)
         connection.endpoint.idle.append(connection)
         self.resting[connection] = connection.answered
         if self.sweeper is None:
--- a/hollybay/proxy/upstream/response_head.py
+++ b/hollybay/proxy/upstream/response_head.py
@@ -8,7 +8,8 @@
 
 from hollybay.balancing import interface as api
 
-from ..http_messages import LONG_BODY, Headers, pairs
+from ..http_messages import Headers, lowercase_headers
+from ..message_limits import MAX_BODY_BYTES
 
 __all__ = ["STATUS_OK", "ResponseHead", "check_framing", "read_head", "result_of_failure"]
 
@@ -29,7 +30,7 @@
 
 def read_head(event: h11.Response, load_header: bytes) -> ResponseHead:
     """Read what the node needs of a head; load_header: the name of the header with the server's load."""
-    found = ResponseHead(pairs(event))
+    found = ResponseHead(lowercase_headers(event))
     for name, value in found.headers:
         if name == b"content-length":
             found.length = int(value)
@@ -59,6 +60,6 @@
     if found.chunked and found.length is not None:
         # Passed on as it comes it would be told to the client by a length that it does not have.
         raise h11.RemoteProtocolError("two framings")
-    if found.length is not None and found.length > LONG_BODY:
+    if found.length is not None and found.length > MAX_BODY_BYTES:
         # One that says so and goes on coming would be passed on for ever.
         raise h11.RemoteProtocolError("too long")
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -226,10 +226,10 @@
                 send = node.node.pools.send
 
                 def late(attempt: Attempt) -> None:
-                    if conn.state is not ConnectionState.CLOSED and not conn.unread():
+                    if conn.state is not ConnectionState.CLOSED and not conn.unread_bytes():
                         end = server.writers[0].get_extra_info("socket")
                         socket.socket(fileno=os.dup(end.fileno())).send(more)
-                        while not conn.unread():
+                        while not conn.unread_bytes():
                             pass
                     send(attempt)
 
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -185,7 +185,7 @@
                 (conn,) = node.clients.idle
                 conn.transport.pause_reading()
                 writer.write(request(rid="r-2"))
-                while not conn.unread():
+                while not conn.unread_bytes():
                     await asyncio.sleep(0)
                 node.clients.close_idle()  # as at the end of a drain, or after too long a rest
                 conn.transport.resume_reading()
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -13,7 +13,7 @@
 
 from hollybay.balancing import interface as api
 from hollybay.proxy.downstream.connection import HIDING, ClientConnection
-from hollybay.proxy.http_messages import SMALL_BODY
+from hollybay.proxy.message_limits import SMALL_BODY_BYTES
 from hollybay.proxy.request_dispatcher import PRESENCE_VALID_NS
 from hollybay.proxy.upstream import connection as connection_module
 from hollybay.proxy.upstream.attempt import Attempt
@@ -33,7 +33,7 @@
 )
 
 # The beginning of a next request, longer than what the node reads ahead of an answer.
-AHEAD = b"GET /view HTTP/1.1\r\nX-Pad: " + b"p" * (SMALL_BODY + 1000)
+AHEAD = b"GET /view HTTP/1.1\r\nX-Pad: " + b"p" * (SMALL_BODY_BYTES + 1000)
 
 
 def close(sock: socket.socket) -> None:
@@ -61,7 +61,7 @@
 
 def left(node: Running, conn: ClientConnection) -> None:
     """The kernel knows that the client has gone, and the last look at it is old."""
-    busy_until(lambda: not conn.connected())
+    busy_until(lambda: not conn.is_connected())
     (open_,) = node.node.requests.values()
     busy_until(lambda: time.monotonic_ns() - open_.client_seen > PRESENCE_VALID_NS)
 
@@ -146,7 +146,7 @@
                 await node.until(lambda: any(backend.heads for backend in backends))
                 conn = await paused(node, sock)
                 sock.send(b"p" * 2 * HIDING)
-            busy_until(lambda: conn.unread() >= HIDING)
+            busy_until(lambda: conn.unread_bytes() >= HIDING)
             (open_,) = node.node.requests.values()
             busy_until(lambda: time.monotonic_ns() - open_.client_seen > PRESENCE_VALID_NS)
             for backend in backends:
--- a/tests/test_lag.py
+++ b/tests/test_lag.py
@@ -55,7 +55,7 @@
                 assert b" 200 " in (await read_message(reader))[0]
                 (conn,) = node.clients.connections
                 writer.write(request(rid="r-2", extra=b"X-Time-Left-Ms: 20\r\n"))
-                while not conn.unread() or conn.waited()[1] < 40:
+                while not conn.unread_bytes() or conn.read_delay()[1] < 40:
                     pass  # the loop is busy with something else
                 head, _ = await read_message(reader)
             assert b" 503 " in head and b"retry-after: 2.000" in head
@@ -89,12 +89,12 @@
             asking = asyncio.ensure_future(node.ask(request()))
             await server.until(lambda: len(server.heads) == 1)
             (conn,) = node.node.pools.connections
-            conn.read_on(False)
+            conn.set_reading(False)
             time.sleep(0.03)  # the server's own time, as the kernel tells lateness in whole ms
             server.writers[0].write(OK)
-            while not conn.unread() or conn.waited()[1] < 200:
+            while not conn.unread_bytes() or conn.read_delay()[1] < 200:
                 pass  # the answer is there, the loop is busy with something else
-            conn.read_on(True)
+            conn.set_reading(True)
             assert b" 200 " in await asking
             assert 0 < node.node.balancer.estimates.response_times[0] < 100 * MS
             go.set()
--- a/tests/test_upload.py
+++ b/tests/test_upload.py
@@ -9,8 +9,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from hollybay.proxy.http_messages import MAX_BODY
-from hollybay.proxy.streaming_body import KEPT_MOST, WINDOW, Room, Upload
+from hollybay.proxy.message_limits import MAX_HELD_BODY_BYTES
+from hollybay.proxy.streaming_body import MAX_RETAINED_BYTES, WINDOW_BYTES, RetentionBudget, StreamingBody
 from hollybay.proxy.upstream import connection as connection_module
 from hollybay.testbed.loopback import LIMIT, OK, Backend, Listener, Registry, read_message, request, running
 
@@ -22,14 +22,14 @@
         self.reading = True
         self.calls = 0
 
-    def read_on(self, reading: bool) -> None:
+    def set_reading(self, reading: bool) -> None:
         self.reading = reading
 
-    def more(self) -> None:
+    def body_available(self) -> None:
         self.calls += 1
 
 
-def pulled(upload: Upload) -> bytes:
+def pulled(upload: StreamingBody) -> bytes:
     got = b""
     while piece := upload.pull():
         got += piece
@@ -44,54 +44,56 @@
 def test_every_attempt_gets_the_whole_body_or_none_can_begin(
     pieces: list[bytes], total: int, data: st.DataObject
 ) -> None:
-    ends, room = Ends(), Room(total)
-    upload = Upload(None, ends, room)
+    ends, room = Ends(), RetentionBudget(total)
+    upload = StreamingBody(None, ends, room)
     got = b""
     for n, piece in enumerate(pieces):
-        upload.put(piece)
+        upload.append(piece)
         assert 0 <= room.used <= room.total
-        if upload.sink is None and not upload.taken and data.draw(st.booleans()):
-            upload.open(ends)
+        if upload.sink is None and not upload.is_taken and data.draw(st.booleans()):
+            upload.attach(ends)
             got = b""
         if upload.sink is not None and data.draw(st.booleans()):
             got += pulled(upload)
             assert got == b"".join(pieces[: n + 1])
             assert ends.reading
             if data.draw(st.booleans()):
-                upload.leave(ends)
-    upload.end()
+                upload.detach(ends)
+    upload.complete()
     if upload.sink is None:
-        if upload.taken:
-            assert upload.spent
+        if upload.is_taken:
+            assert upload.is_spent
             return
-        upload.open(ends)
+        upload.attach(ends)
         got = b""
     got += pulled(upload)
-    assert got == b"".join(pieces) and upload.exhausted
+    assert got == b"".join(pieces) and upload.is_exhausted
     upload.close()
-    assert room.used == 0 and upload.taken
+    assert room.used == 0 and upload.is_taken
 
 
 def test_nothing_kept_the_client_waits_for_the_server() -> None:
     ends = Ends()
-    upload = Upload(None, ends, Room(0))
-    upload.open(ends)
-    for _ in range(WINDOW // 4096 + 1):
+    upload = StreamingBody(None, ends, RetentionBudget(0))
+    upload.attach(ends)
+    for _ in range(WINDOW_BYTES // 4096 + 1):
         assert ends.reading
-        upload.put(b"x" * 4096)
+        upload.append(b"x" * 4096)
     assert not ends.reading
     pulled(upload)
-    assert ends.reading and upload.spent
+    assert ends.reading and upload.is_spent
 
 
 def test_one_body_keeps_no_more_than_its_part_of_the_room() -> None:
-    room = Room(10 * KEPT_MOST)
-    upload = Upload(None, Ends(), room)
-    for _ in range(KEPT_MOST // 4096):
-        upload.put(b"x" * 4096)
-    assert room.used == KEPT_MOST
-    upload.put(b"x")
-    assert room.used == 0 and not upload.spent  # nothing has been pulled: the first attempt can still begin
+    room = RetentionBudget(10 * MAX_RETAINED_BYTES)
+    upload = StreamingBody(None, Ends(), room)
+    for _ in range(MAX_RETAINED_BYTES // 4096):
+        upload.append(b"x" * 4096)
+    assert room.used == MAX_RETAINED_BYTES
+    upload.append(b"x")
+    assert (
+        room.used == 0 and not upload.is_spent
+    )  # nothing has been pulled: the first attempt can still begin
 
 
 class Taker(Listener):
@@ -160,7 +162,7 @@
                     writer.write(data[:300_000])
                     if not chunked:
                         # The server has some of it before the client has sent the rest.
-                        await server.until(lambda: server.got > MAX_BODY)
+                        await server.until(lambda: server.got > MAX_HELD_BODY_BYTES)
                         assert len(server.bodies) == n
                     server.got = 0
                     writer.write(data[300_000:])
@@ -226,7 +228,7 @@
         async with running(tmp_path / "c.json", Registry(), server) as node:  # type: ignore[arg-type]
             _, writer = await node.connect()
             writer.write(request("send", body=BODY)[:200_000])
-            await server.until(lambda: server.got > MAX_BODY)
+            await server.until(lambda: server.got > MAX_HELD_BODY_BYTES)
             writer.transport.abort()
             async with asyncio.timeout(LIMIT):
                 while node.node.requests or node.clients.connections:
@@ -246,7 +248,7 @@
             writer.write(
                 request("send", body=BODY)[:100_000]
             )  # as long as two seconds' worth of the least rate
-            await server.until(lambda: server.got > MAX_BODY)
+            await server.until(lambda: server.got > MAX_HELD_BODY_BYTES)
             (conn,) = node.clients.connections
             began = node.clients.unfinished[conn]
             assert not conn.is_slow(began + 1.9) and conn.is_slow(began + 2.2)
