--- a/hollybay/balancing/slow_start.py
+++ b/hollybay/balancing/slow_start.py
@@ -65,7 +65,7 @@
         """
         warm_up = self.settings.warm_up
         age = now - server.up_since
-        if not server.up_since or age >= warm_up:
+        if not warm_up or not server.up_since or age >= warm_up:
             return 1.0
         cold_share = self.settings.cold_share
         return cold_share + (1.0 - cold_share) * max(0, age) / warm_up
--- a/tests/groups.py
+++ b/tests/groups.py
@@ -58,6 +58,7 @@
         "test_routing_policy_intersection",
         "test_rules",
         "test_simulation_oracles",
+        "test_slow_start",
         "test_tenant_limits",
         "test_tier_evenness",
         "test_tier_records",
