--- a/hollybay/admin/requests.py
+++ b/hollybay/admin/requests.py
@@ -16,10 +16,10 @@
     READY = "ready"
     METRICS = "metrics"
     SERVERS = "servers"
-    DISABLE = "disable"
-    ENABLE = "enable"
-    DRAIN = "drain"
-    RESUME = "resume"
+    DRAIN_SERVER = "disable"
+    ENABLE_SERVER = "enable"
+    DRAIN_NODE = "drain"
+    RESUME_NODE = "resume"
     POLICY = "policy"
 
 
@@ -75,12 +75,12 @@
     "/-/ready": _Endpoint("GET", AdminOperation.READY),
     "/-/metrics": _Endpoint("GET", AdminOperation.METRICS),
     "/-/servers": _Endpoint("GET", AdminOperation.SERVERS),
-    "/-/drain": _Endpoint("POST", AdminOperation.DRAIN),
-    "/-/resume": _Endpoint("POST", AdminOperation.RESUME),
+    "/-/drain": _Endpoint("POST", AdminOperation.DRAIN_NODE),
+    "/-/resume": _Endpoint("POST", AdminOperation.RESUME_NODE),
 }
 _SERVER_ENDPOINTS = {
-    "disable": _Endpoint("POST", AdminOperation.DISABLE),
-    "enable": _Endpoint("POST", AdminOperation.ENABLE),
+    "disable": _Endpoint("POST", AdminOperation.DRAIN_SERVER),
+    "enable": _Endpoint("POST", AdminOperation.ENABLE_SERVER),
 }
 _SERVERS_PREFIX = "/-/servers/"
 _POLICY_PATH = "/-/policy"
--- a/hollybay/proxy/admin_server.py
+++ b/hollybay/proxy/admin_server.py
@@ -96,7 +96,7 @@
         self.timer = self.server.loop.call_later(REQUEST_TIMEOUT_S, self._on_request_timeout)
         self.server.add_connection(self)
 
-    def connection_lost(self, exc: Exception | None) -> None:
+    def connection_lost(self, _exc: Exception | None) -> None:
         self._stop_timer()
         self.server.connections.pop(self, None)
         if self.handler_task is not None:
--- a/hollybay/proxy/admin_service.py
+++ b/hollybay/proxy/admin_service.py
@@ -1,7 +1,7 @@
 """Admin service: carries out admin requests on a running node.
 
-Requests drain and enable servers, drain the node and put it back into service, and read its state and
-metrics. Imported only where the configuration has an admin address.
+Requests drain servers and end these administrative drains, drain the node and put it back into service, and
+read its state and metrics. Imported only where the configuration has an admin address.
 """
 
 from __future__ import annotations
@@ -26,6 +26,7 @@
 from .drain_file import DrainFile
 from .exchange import Node
 from .name_table import DiscoveryUpdate
+from .node_drain import NodeDrain
 
 __all__ = ["AdminService"]
 
@@ -33,22 +34,18 @@
 
 # Interval at which a process reads the drains that another process of its node has written.
 DRAIN_FILE_POLL_INTERVAL_S = 0.2
-# Time from the drain of the node until connections are closed. Load balancers in front check readiness ten
-# times a second and send new connections for another 0.2 s after a failed check.
-DRAIN_GRACE_S = 0.6
-IDLE_CLOSE_INTERVAL_S = 0.05  # between two closes of idle connections of a drained node
 NODE_TAG_BYTES = 6
 
 
 class AdminService:
-    """Admin server of a node, its administrative drains, and the drain of the node itself.
+    """Admin server of a node, the administrative drains of servers, and the drain of the node itself.
 
     Parameters
     ----------
     config
         Configuration of the node; `admin` is the address to listen on.
     clients
-        Downstream side of the node, whose readiness and connections the drain controls.
+        Downstream side of the node, whose readiness and connections the drain of the node controls.
     node
         Data plane of the node, which gets the drains and is read for metrics.
 
@@ -67,6 +64,7 @@
         self.node = node
         self.loop = asyncio.get_running_loop()
         self.drains = AdministrativeDrains()
+        self.node_drain = NodeDrain(clients, node)
         self.server = AdminServer(self.handle)
         self.metrics = MetricsCollector(self.take_metrics)
         self.policy_handler: PolicyRequestHandler | None = None
@@ -75,17 +73,16 @@
         self.drain_file = DrainFile(self.folder, self.name)
         self._addresses: dict[str, Address] = {}  # of the discovered servers, by id
         self._poll_timer: asyncio.TimerHandle | None = None
-        self._node_drain_timer: asyncio.TimerHandle | None = None  # set while the node is drained
         self._handlers: dict[
             AdminOperation, Callable[[AdminRequest], AdminResponse | Awaitable[AdminResponse]]
         ] = {
             AdminOperation.READY: self._handle_ready,
             AdminOperation.METRICS: self._handle_metrics,
             AdminOperation.SERVERS: self._handle_servers,
-            AdminOperation.DISABLE: self._handle_disable,
-            AdminOperation.ENABLE: self._handle_enable,
-            AdminOperation.DRAIN: self._handle_drain,
-            AdminOperation.RESUME: self._handle_resume,
+            AdminOperation.DRAIN_SERVER: self._handle_drain_server,
+            AdminOperation.ENABLE_SERVER: self._handle_enable_server,
+            AdminOperation.DRAIN_NODE: self._handle_drain_node,
+            AdminOperation.RESUME_NODE: self._handle_resume_node,
             AdminOperation.POLICY: self._handle_policy,
         }
         node.overlay = self.apply_drains
@@ -104,9 +101,9 @@
     def close(self) -> None:
         """Close the admin server and stop all timers."""
         self.server.close()
-        for timer in (self._poll_timer, self._node_drain_timer):
-            if timer is not None:
-                timer.cancel()
+        self.node_drain.close()
+        if self._poll_timer is not None:
+            self._poll_timer.cancel()
 
     # Admin requests
 
@@ -114,31 +111,31 @@
         """Carry out a request and return its response, or an awaitable of it for policy requests."""
         return self._handlers[request.operation](request)
 
-    def _handle_ready(self, request: AdminRequest) -> AdminResponse:
+    def _handle_ready(self, _request: AdminRequest) -> AdminResponse:
         if self.clients.is_healthy:
             return AdminResponse.text(200, "ready")
         return AdminResponse.text(503, "not ready")
 
-    def _handle_metrics(self, request: AdminRequest) -> AdminResponse:
+    def _handle_metrics(self, _request: AdminRequest) -> AdminResponse:
         return AdminResponse(200, self.metrics.render(), CONTENT_TYPE)
 
-    def _handle_servers(self, request: AdminRequest) -> AdminResponse:
+    def _handle_servers(self, _request: AdminRequest) -> AdminResponse:
         return AdminResponse.json(200, self.describe_servers())
 
-    def _handle_disable(self, request: AdminRequest) -> AdminResponse:
+    def _handle_drain_server(self, request: AdminRequest) -> AdminResponse:
         return self._change_drain(request.server, drained=True)
 
-    def _handle_enable(self, request: AdminRequest) -> AdminResponse:
+    def _handle_enable_server(self, request: AdminRequest) -> AdminResponse:
         return self._change_drain(request.server, drained=False)
 
-    def _handle_drain(self, request: AdminRequest) -> AdminResponse:
-        self.drain_node()
+    def _handle_drain_node(self, _request: AdminRequest) -> AdminResponse:
+        self.node_drain.begin()
         return AdminResponse.text(200, "draining")
 
-    def _handle_resume(self, request: AdminRequest) -> AdminResponse:
+    def _handle_resume_node(self, _request: AdminRequest) -> AdminResponse:
         if self.clients.leaving:
             return AdminResponse.text(409, "the process ends")
-        self.resume_node()
+        self.node_drain.end()
         return AdminResponse.text(200, "in service")
 
     def _handle_policy(self, request: AdminRequest) -> AdminResponse | Awaitable[AdminResponse]:
@@ -161,7 +158,7 @@
             "avoided": drained or self.node.balancer.avoids(server_id),
         }
 
-    # Administrative drains
+    # Administrative drains of servers
 
     def apply_drains(self, update: DiscoveryUpdate) -> DiscoveryUpdate:
         """Record an update of discovery and return it with the drains applied."""
@@ -223,30 +220,6 @@
         if self.folder is not None:
             self._poll_timer = self.loop.call_later(DRAIN_FILE_POLL_INTERVAL_S, self._poll_drain_file)
 
-    # Drain of the node
-
-    def drain_node(self) -> None:
-        """Report the node as not ready at once, and close its connections after a grace period."""
-        if self.clients.draining:
-            return
-        log.info("node drained by an operator: requests in flight=%d", self.node.owed)
-        self.clients.draining = True
-        self._node_drain_timer = self.loop.call_later(DRAIN_GRACE_S, self._close_connections)
-
-    def _close_connections(self) -> None:
-        self.clients.closing = True
-        self.clients.close_idle()
-        self._node_drain_timer = self.loop.call_later(IDLE_CLOSE_INTERVAL_S, self._close_connections)
-
-    def resume_node(self) -> None:
-        """Put a drained node back into service."""
-        if self._node_drain_timer is None:
-            return
-        self._node_drain_timer.cancel()
-        self._node_drain_timer = None
-        self.clients.draining = self.clients.closing = False
-        log.info("node resumed by an operator")
-
     # Metrics
 
     def take_metrics(self) -> NodeMetrics:
--- a/hollybay/proxy/life_cycle.py
+++ b/hollybay/proxy/life_cycle.py
@@ -1,4 +1,4 @@
-"""Life cycle of a node's process: start, serve until SIGTERM, drain, stop; reload at SIGHUP."""
+"""Life cycle of a node's process: start, serve until SIGTERM, shut down gracefully; reload at SIGHUP."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 )
 from .config import Config, ConfigError, load
 from .discovery import DiscoveryClient
-from .shutdown import drain
+from .shutdown import shut_down_gracefully
 
 if TYPE_CHECKING:
     from .handover import ListenerGroup
@@ -48,7 +48,7 @@
 
     STARTING = auto()  # until it listens and handles all signals
     SERVING = auto()  # until it is told to stop
-    DRAINING = auto()  # until every request has its final answer
+    SHUTTING_DOWN = auto()  # until every request has its final answer
     STOPPED = auto()
 
 
@@ -76,7 +76,7 @@
             self.parts.clients.admission = self.operator_file.admission
 
     async def run(self, started: Callable[[int], None], port: int | None) -> None:
-        """Run the node until it has drained.
+        """Run the node until it has shut down gracefully.
 
         Parameters
         ----------
@@ -91,7 +91,7 @@
         listener_group = admin.listener_group if admin is not None else None
         port = await self._listen(port, listener_group)
         await self._serve(started, port)
-        await drain(clients, node, listener_group=listener_group)
+        await shut_down_gracefully(clients, node, listener_group=listener_group)
         self.state = State.STOPPED
         if admin is not None:
             admin.close()
@@ -123,7 +123,7 @@
         started(port)
         system.finish_startup()
         await self._stop_requested.wait()
-        self.state = State.DRAINING
+        self.state = State.SHUTTING_DOWN
         readiness.cancel()
         clients.leaving = True
 
@@ -189,7 +189,7 @@
     port: int | None = None,
     assembled: Callable[[NodeParts], None] = lambda _parts: None,
 ) -> None:
-    """Run a node until it has drained after SIGTERM or SIGINT.
+    """Run a node until it has shut down gracefully after SIGTERM or SIGINT.
 
     Parameters
     ----------
--- /dev/null
+++ b/hollybay/proxy/node_drain.py
@@ -0,0 +1,68 @@
+"""Drain of the whole node by an operator: it takes no new clients, but its process goes on.
+
+Not to be confused with the drain of a server (`hollybay.admin.administrative_drains`) or with the graceful
+shutdown of the node's process (`shutdown`).
+"""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+
+from hollybay.proxy.downstream.listener import ClientListener
+
+from .exchange import Node
+
+__all__ = ["NodeDrain"]
+
+log = logging.getLogger("hollybay.proxy")
+
+# Time from the drain of the node until connections are closed. Load balancers in front check readiness ten
+# times a second and send new connections for another 0.2 s after a failed check.
+NODE_DRAIN_GRACE_S = 0.6
+IDLE_CLOSE_INTERVAL_S = 0.05  # between two closes of idle connections of a drained node
+
+
+class NodeDrain:
+    """Drains the node and puts it back into service.
+
+    Parameters
+    ----------
+    clients
+        Downstream side of the node, whose readiness and connections the drain controls.
+    node
+        Data plane of the node.
+    """
+
+    def __init__(self, clients: ClientListener, node: Node) -> None:
+        self.clients = clients
+        self.node = node
+        self._loop = asyncio.get_running_loop()
+        self._timer: asyncio.TimerHandle | None = None  # set while the node is drained
+
+    def begin(self) -> None:
+        """Report the node as not ready at once, and close its connections after a grace period."""
+        if self.clients.draining:
+            return
+        log.info("node drained by an operator: requests in flight=%d", self.node.owed)
+        self.clients.draining = True
+        self._timer = self._loop.call_later(NODE_DRAIN_GRACE_S, self._close_connections)
+
+    def _close_connections(self) -> None:
+        self.clients.closing = True
+        self.clients.close_idle()
+        self._timer = self._loop.call_later(IDLE_CLOSE_INTERVAL_S, self._close_connections)
+
+    def end(self) -> None:
+        """Put a drained node back into service; nothing happens if it is not drained."""
+        if self._timer is None:
+            return
+        self._timer.cancel()
+        self._timer = None
+        self.clients.draining = self.clients.closing = False
+        log.info("node resumed by an operator")
+
+    def close(self) -> None:
+        """Stop the timer; the node stays as it is."""
+        if self._timer is not None:
+            self._timer.cancel()
--- a/hollybay/proxy/shutdown.py
+++ b/hollybay/proxy/shutdown.py
@@ -14,7 +14,7 @@
 if TYPE_CHECKING:
     from .handover import ListenerGroup
 
-__all__ = ["drain"]
+__all__ = ["shut_down_gracefully"]
 
 log = logging.getLogger("hollybay.proxy")
 
@@ -30,17 +30,17 @@
 LAST_ANSWERS_S = 0.1  # at the very end, for answers to requests that ran out of time
 
 ACCEPT_POLL_INTERVAL_S = 0.01
-DRAIN_POLL_INTERVAL_S = 0.02
+CLIENTS_POLL_INTERVAL_S = 0.02
 
 
-async def drain(
+async def shut_down_gracefully(
     clients: ClientListener,
     node: Node,
     accept_period_s: float = ACCEPT_PERIOD_S,
     final_period_s: float = FINAL_PERIOD_S,
     listener_group: ListenerGroup | None = None,
 ) -> None:
-    """Drain the node, and answer everything that is then left.
+    """Serve what still comes until the process must end, and answer everything that is then left.
 
     Parameters
     ----------
@@ -57,8 +57,7 @@
     has_successor = listener_group is not None and listener_group.count_others() > 0
     loop = asyncio.get_running_loop()
     started_at = loop.time()
-    longest_deadline_s = max(request_class.deadline for request_class in node.settings.classes) / SECOND
-    end = started_at + min(longest_deadline_s, MAX_DEADLINE_S) + KILL_DELAY_S - KILL_MARGIN_S
+    end = started_at + _longest_deadline_s(node) + KILL_DELAY_S - KILL_MARGIN_S
     final_period_start = end - final_period_s
     log.info("draining: %d requests open, %d connections", node.owed, len(clients.connections))
     if has_successor:
@@ -66,17 +65,35 @@
     else:
         clients.draining = True
     await asyncio.sleep(accept_period_s)
-    while not clients.stop_listening(anyway=loop.time() >= final_period_start):
-        await asyncio.sleep(ACCEPT_POLL_INTERVAL_S)
+    await _stop_listening(clients, final_period_start)
     if listener_group is not None:
         listener_group.leave()
     while clients.any_left() and loop.time() < final_period_start:
-        await asyncio.sleep(DRAIN_POLL_INTERVAL_S)
-    clients.closing = True
-    while clients.any_left() and loop.time() < end - LAST_ANSWERS_S:
-        clients.close_idle()
-        await asyncio.sleep(DRAIN_POLL_INTERVAL_S)
+        await asyncio.sleep(CLIENTS_POLL_INTERVAL_S)
+    await _close_connections(clients, until=end - LAST_ANSWERS_S)
     clients.forwarding_stopped = True  # requests that are complete only now are rejected
     node.end_all()
     await asyncio.sleep(LAST_ANSWERS_S if clients.any_left() else 0)
     log.info("drained in %.2f s, %d connections left", loop.time() - started_at, len(clients.connections))
+
+
+def _longest_deadline_s(node: Node) -> float:
+    """Return the longest deadline of a request (s), as far as the process waits for it."""
+    longest_deadline_s = max(request_class.deadline for request_class in node.settings.classes) / SECOND
+    return min(longest_deadline_s, MAX_DEADLINE_S)
+
+
+async def _stop_listening(clients: ClientListener, final_period_start: float) -> None:
+    """Stop listening once no connection waits to be accepted; from a time of the loop on, in any case."""
+    loop = asyncio.get_running_loop()
+    while not clients.stop_listening(anyway=loop.time() >= final_period_start):
+        await asyncio.sleep(ACCEPT_POLL_INTERVAL_S)
+
+
+async def _close_connections(clients: ClientListener, until: float) -> None:
+    """Close connections with their next answer, until none is left or a time of the loop is reached."""
+    clients.closing = True
+    loop = asyncio.get_running_loop()
+    while clients.any_left() and loop.time() < until:
+        clients.close_idle()
+        await asyncio.sleep(CLIENTS_POLL_INTERVAL_S)
--- a/tests/test_admin_requests.py
+++ b/tests/test_admin_requests.py
@@ -13,10 +13,10 @@
         ("GET", "/-/ready", AdminRequest(AdminOperation.READY)),
         ("GET", "/-/metrics?x=1", AdminRequest(AdminOperation.METRICS)),
         ("GET", "/-/servers", AdminRequest(AdminOperation.SERVERS)),
-        ("POST", "/-/drain", AdminRequest(AdminOperation.DRAIN)),
-        ("POST", "/-/resume", AdminRequest(AdminOperation.RESUME)),
-        ("POST", "/-/servers/s-1/disable", AdminRequest(AdminOperation.DISABLE, "s-1")),
-        ("POST", "/-/servers/a%2Fb/enable", AdminRequest(AdminOperation.ENABLE, "a/b")),
+        ("POST", "/-/drain", AdminRequest(AdminOperation.DRAIN_NODE)),
+        ("POST", "/-/resume", AdminRequest(AdminOperation.RESUME_NODE)),
+        ("POST", "/-/servers/s-1/disable", AdminRequest(AdminOperation.DRAIN_SERVER, "s-1")),
+        ("POST", "/-/servers/a%2Fb/enable", AdminRequest(AdminOperation.ENABLE_SERVER, "a/b")),
     ],
 )
 def test_calls(method: str, target: str, expected: AdminRequest) -> None:
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -15,7 +15,7 @@
 
 from hollybay.proxy.config import Config
 from hollybay.proxy.handover import ListenerGroup
-from hollybay.proxy.shutdown import drain
+from hollybay.proxy.shutdown import shut_down_gracefully
 from hollybay.testbed.loopback import (
     LIMIT,
     Backend,
@@ -73,7 +73,7 @@
                 assert new_group.take_new_connections(new.clients.listener, new_group.count_others())
                 new_group.join()
                 draining = asyncio.ensure_future(
-                    drain(old.clients, old.node, accept_period_s=0.0, listener_group=old_group)
+                    shut_down_gracefully(old.clients, old.node, accept_period_s=0.0, listener_group=old_group)
                 )
                 async with asyncio.timeout(LIMIT):
                     while not old.clients.closing:
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -15,7 +15,7 @@
 from hollybay.proxy.downstream.client_context import ACCEPT_BATCH
 from hollybay.proxy.downstream.connection import ClientConnection
 from hollybay.proxy.downstream.connection_table import SUSPECT
-from hollybay.proxy.shutdown import drain
+from hollybay.proxy.shutdown import shut_down_gracefully
 from hollybay.proxy.upstream.attempt import Attempt
 from hollybay.testbed.loopback import (
     CLASSES,
@@ -54,7 +54,9 @@
             tmp_path / "c.json", Registry(), server, adjust=lambda c: replace(c, sockets=FEW)
         ) as node:
             crowd = [call(node, request(rid=f"r-{n}")) for n in range(2 * node.clients.limit)]
-            draining = asyncio.ensure_future(drain(node.clients, node.node, accept_period_s=0.0))
+            draining = asyncio.ensure_future(
+                shut_down_gracefully(node.clients, node.node, accept_period_s=0.0)
+            )
             answers = await asyncio.gather(*map(answer_of, crowd))
             assert all(answer.startswith((b"HTTP/1.1 200 ", b"HTTP/1.1 503 ")) for answer in answers)
             for sock in crowd:
@@ -164,7 +166,7 @@
                     writer.write(data[-1:])
 
                 node.node.end_all = ends  # type: ignore[method-assign]
-                await drain(node.clients, node.node, accept_period_s=0.0, final_period_s=0.2)
+                await shut_down_gracefully(node.clients, node.node, accept_period_s=0.0, final_period_s=0.2)
                 head, _ = await read_message(reader)
             assert b" 503 " in head
             assert not server.heads
