--- a/hollybay/routing/class_declarations.py
+++ b/hollybay/routing/class_declarations.py
@@ -10,7 +10,7 @@
 from .checks import format_duration
 from .limits import DEDUPLICATION_SCOPES
 from .problems import Problem
-from .schema import ClassTable, OperatorFile
+from .schema import ClassTable, OperatorTables
 
 __all__ = ["declaration_problems", "declared_settings", "quoted_names"]
 
@@ -19,7 +19,7 @@
 DEFAULT_MAX_ATTEMPTS = 3  # where only the file says what there is
 
 
-def declared_settings(tables: OperatorFile) -> api.Settings:
+def declared_settings(tables: OperatorTables) -> api.Settings:
     """Derive settings from a file alone; a class whose effect it does not declare counts as unsafe."""
     classes = tuple(_declared_class(name, table) for name, table in tables.classes.items())
     return api.Settings(classes, max_attempts=DEFAULT_MAX_ATTEMPTS, hedging_allowed=True, max_retry_after=DAY)
--- a/hollybay/routing/policy_compiler.py
+++ b/hollybay/routing/policy_compiler.py
@@ -22,7 +22,7 @@
     rate_headers,
     route_headers,
 )
-from .schema import AccordTable, OperatorFile, PathsTable, PeersTable, TenantTable, read_all
+from .schema import AccordTable, OperatorTables, PathsTable, PeersTable, TenantTable, read_all
 from .tenants import compile_tenant_limits
 
 __all__ = ["compile_file", "compile_tables", "overlap_problem", "path_options", "unique_problems"]
@@ -55,7 +55,7 @@
 
 
 def compile_tables(
-    tables: OperatorFile,
+    tables: OperatorTables,
     settings: api.Settings | None,
     file: str = "operator file",
     known: Sequence[Problem] = (),
@@ -100,7 +100,7 @@
         _inspected_headers(routes, class_limits),
         tables.peers,
         tables.accord,
-        msgspec.structs.replace(tables, peers=None, accord=None) == OperatorFile(),
+        msgspec.structs.replace(tables, peers=None, accord=None) == OperatorTables(),
         {route.name: route for route in routes},
         {name: compile_tenant_limits(name, table) for name, table in tables.tenants.items()},
     )
@@ -131,14 +131,14 @@
     return list(seen.values())
 
 
-def _settings_of_file(tables: OperatorFile, file: str, known: Sequence[Problem]) -> api.Settings:
+def _settings_of_file(tables: OperatorTables, file: str, known: Sequence[Problem]) -> api.Settings:
     if not tables.classes:
         no_classes = Problem("", "class", None, "declares no class, and no settings say what there is")
         raise OperatorError(file, [*known, no_classes])
     return declared_settings(tables)
 
 
-def _compile_routes(tables: OperatorFile, context: LimitsContext, problems: list[Problem]) -> list[Route]:
+def _compile_routes(tables: OperatorTables, context: LimitsContext, problems: list[Problem]) -> list[Route]:
     routes: list[Route] = []
     names: set[str] = set()
     for table in tables.routes:
--- a/hollybay/routing/resource_tables.py
+++ b/hollybay/routing/resource_tables.py
@@ -26,7 +26,7 @@
 )
 from hollybay.resources.state import ResourceState
 
-from .schema import ClassTable, LimitsTable, OperatorFile, PathsTable, RouteTable, TenantTable
+from .schema import ClassTable, LimitsTable, OperatorTables, PathsTable, RouteTable, TenantTable
 from .typed_tables import Table, read_plain
 
 __all__ = [
@@ -175,7 +175,7 @@
     return table
 
 
-def resources_of(tables: OperatorFile) -> dict[Key, bytes]:
+def resources_of(tables: OperatorTables) -> dict[Key, bytes]:
     """Return the bodies of a file's resources, without what concerns the node itself ([peers], [accord]).
 
     Raises
@@ -213,7 +213,7 @@
             yield Problem(str(key), "name", f"must have 1 to {MAX_NAME_LENGTH} characters")
 
 
-def tables_of(state: ResourceState) -> OperatorFile:
+def tables_of(state: ResourceState) -> OperatorTables:
     """Return the tables of the file that has these resources, routes sorted by name.
 
     Raises
@@ -237,7 +237,7 @@
             defaults = table
         elif isinstance(table, PathsTable):
             paths = table
-    return OperatorFile(paths=paths, defaults=defaults, classes=classes, tenants=tenants, routes=routes)
+    return OperatorTables(paths=paths, defaults=defaults, classes=classes, tenants=tenants, routes=routes)
 
 
 def operations_between(state: ResourceState, wanted: Mapping[Key, bytes]) -> tuple[Operation, ...]:
--- a/hollybay/routing/schema.py
+++ b/hollybay/routing/schema.py
@@ -16,7 +16,7 @@
     "ClassTable",
     "HeaderTable",
     "LimitsTable",
-    "OperatorFile",
+    "OperatorTables",
     "PathTable",
     "PathsTable",
     "PeersTable",
@@ -186,8 +186,8 @@
     narrow_for: Duration = 60_000 * MS  # grace after lease expiry, under the intersection of both policies
 
 
-class OperatorFile(Table, frozen=True):
-    """The whole file."""
+class OperatorTables(Table, frozen=True):
+    """All tables of an operator file."""
 
     peers: PeersTable | None = None
     accord: AccordTable | None = None
@@ -198,7 +198,7 @@
     routes: list[RouteTable] = msgspec.field(default_factory=list, name="route")
 
 
-def read(text: str | bytes, file: str = "operator file") -> OperatorFile:
+def read(text: str | bytes, file: str = "operator file") -> OperatorTables:
     """Read a file.
 
     Parameters
@@ -217,7 +217,7 @@
     return tables
 
 
-def read_all(text: str | bytes, file: str = "operator file") -> tuple[OperatorFile, list[Problem]]:
+def read_all(text: str | bytes, file: str = "operator file") -> tuple[OperatorTables, list[Problem]]:
     """Read a file as far as it is valid, so that the rest can still be checked for its meaning.
 
     A route is left out where what it matches is not valid; elsewhere an invalid value counts as absent.
@@ -232,4 +232,4 @@
     OperatorError
         The file is no TOML at all.
     """
-    return read_tables(OperatorFile, text, file)
+    return read_tables(OperatorTables, text, file)
--- a/tests/test_resource_tables.py
+++ b/tests/test_resource_tables.py
@@ -19,7 +19,7 @@
     resources_of,
     tables_of,
 )
-from hollybay.routing.schema import OperatorFile, read
+from hollybay.routing.schema import OperatorTables, read
 from tests.test_resource_plan import class_tables, limits, route_tables, tenant_tables
 
 ROUTE = Key(Kind.ROUTE, "a")
@@ -177,7 +177,7 @@
     wanted = resources_of(tables)
     assert len(wanted) == 6
     state = applied(EMPTY, wanted)
-    assert tables_of(state) == tables and tables_of(EMPTY) == OperatorFile()
+    assert tables_of(state) == tables and tables_of(EMPTY) == OperatorTables()
     assert operations_between(state, wanted) == ()
 
 
--- a/tests/test_routing_file.py
+++ b/tests/test_routing_file.py
@@ -415,11 +415,11 @@
 ))  # fmt: skip
 def test_any_tables_are_read_or_refused(value: Any) -> None:
     from hollybay.routing.policy_compiler import compile_tables
-    from hollybay.routing.schema import OperatorFile
+    from hollybay.routing.schema import OperatorTables
     from hollybay.routing.typed_tables import _read_table
 
     found: list[Any] = []
-    tables = _read_table(OperatorFile, value, "", found)
+    tables = _read_table(OperatorTables, value, "", found)
     if tables is not None:
         try:
             compile_tables(tables, SETTINGS, "f.toml", found)
