--- a/tests/record_decisions.py
+++ b/tests/record_decisions.py
@@ -1,7 +1,8 @@
 """Record streams of events and decisions: python -m tests.record_decisions [NAME ...] [--loopback]
 
-From whole nodes under simulation, from made-up worlds drawn from a seed, and from a node on loopback
-sockets. The first two are the same at each run of the same code; the last holds times of the real clock.
+From whole nodes under simulation, from made-up worlds drawn from a seed, from scripts, and from a node on
+loopback sockets. All but the last are the same at each run of the same code; that one holds times of the
+real clock.
 """
 
 from __future__ import annotations
@@ -22,6 +23,7 @@
 from . import recorded_decisions as recorded
 from .loopback_day import loopback_day
 from .made_up_world import WORLDS, MadeUpWorld
+from .scripted_streams import SCRIPTS
 from .show_first_difference import DIGESTS, digests
 
 # Seeds of the simulator and, of the processes of their nodes, those that are kept.
@@ -81,6 +83,10 @@
     return {name: world.balancer.stream}
 
 
+def scripted(name: str) -> dict[str, recorded.Stream]:
+    return {name: SCRIPTS[name](RecordedBalancer).balancer.stream}
+
+
 def on_loopback() -> dict[str, recorded.Stream]:
     with recording(hollybay.proxy.exchange) as made, TemporaryDirectory() as folder:
         asyncio.run(loopback_day(Path(folder) / "config.json"))
@@ -97,6 +103,9 @@
     for name in WORLDS:
         if not wanted or name in wanted:
             streams |= made_up(name)
+    for name in SCRIPTS:
+        if not wanted or name in wanted:
+            streams |= scripted(name)
     if loopback:
         streams |= on_loopback()
     kept = digests() if DIGESTS.exists() else {}
--- /dev/null
+++ b/tests/test_move_constants.py
@@ -0,0 +1,33 @@
+"""The trial that moves constants of balancing moves them, and recorded streams see it."""
+
+from __future__ import annotations
+
+import subprocess
+import sys
+from pathlib import Path
+
+import pytest
+
+from .move_constants import Constant, constants, moved
+
+ROOT = Path(__file__).resolve().parent.parent
+
+
+def test_numbers_are_moved_up_by_a_tenth_and_whole_ones_by_one_at_least() -> None:
+    assert moved(2) == 3 and moved(100) == 110 and isinstance(moved(100), int)
+    assert moved(0.5) == pytest.approx(0.55)
+
+
+def test_the_constants_are_those_of_the_modules_that_decide() -> None:
+    found = constants()
+    assert len(found) == len(set(found)) > 100
+    assert Constant("balancer", "MIN_WAITS_LEFT") in found
+    assert Constant("server_selection", "MAX_PICKS") in found
+    assert not any(constant.module.startswith("bench_") for constant in found)
+
+
+def test_a_moved_constant_is_seen_by_a_stream() -> None:
+    command = [sys.executable, "-m", "tests.move_constants", "MIN_WAITS_LEFT", "OVERDUE_INTERVALS"]
+    done = subprocess.run(command, cwd=ROOT, capture_output=True, text=True)
+    assert done.returncode == 0, done.stderr
+    assert done.stdout.splitlines()[-1].strip() == "unseen: 0 of 2:"
