--- a/hollybay/mutation/planted.py
+++ b/hollybay/mutation/planted.py
@@ -32,6 +32,7 @@
 POOLS = "hollybay/proxy/upstream/pools.py"
 ATTEMPT = "hollybay/proxy/upstream/attempt.py"
 SERVER_CONNECTION = "hollybay/proxy/upstream/connection.py"
+REQUEST_ENCODING = "hollybay/proxy/upstream/request_encoding.py"
 RESPONSE_HEAD = "hollybay/proxy/upstream/response_head.py"
 CONNECTION = "hollybay/proxy/downstream/connection.py"
 REQUEST = "hollybay/proxy/downstream/request.py"
@@ -193,9 +194,9 @@
     ),
     Defect(
         "last-byte-of-an-upload-early",
-        SERVER_CONNECTION,
-        "data, self.tail = data[:-1], data[-1:]",
-        'data, self.tail = data, b""',
+        REQUEST_ENCODING,
+        "data, self._held_byte = data[:-1], data[-1:]",
+        'data, self._held_byte = data, b""',
     ),
     Defect(
         "early-answer-taken",
@@ -237,8 +238,8 @@
     Defect(
         "tells-too-much-time",
         SERVER_CONNECTION,
-        "left = max(1, (until - system.monotonic_ns()) // MS)",
-        "left = max(1, (until - system.monotonic_ns()) // MS) + 500",
+        "left = max(1, (deadline - system.monotonic_ns()) // MS)",
+        "left = max(1, (deadline - system.monotonic_ns()) // MS) + 500",
     ),
     # Clients
     Defect(
--- a/hollybay/proxy/downstream/connection.py
+++ b/hollybay/proxy/downstream/connection.py
@@ -107,7 +107,7 @@
         super().connection_made(transport)
         self.clients.admit(self)
 
-    def connection_lost(self, exc: Exception | None) -> None:
+    def connection_lost(self, _exc: Exception | None) -> None:
         """Forget the connection; its client has gone."""
         self.clients.remove(self)
         if self.linger_timer is not None:
--- a/hollybay/proxy/upstream/connection.py
+++ b/hollybay/proxy/upstream/connection.py
@@ -18,14 +18,15 @@
 from hollybay.units import MS
 
 from .. import system
-from ..http_messages import ForwardedRequest, ForwardedResponse, Headers, encode_head, end_to_end_headers
-from ..message_limits import MAX_BODY_BYTES, MAX_HEAD_BYTES, MAX_HELD_BODY_BYTES, SMALL_BODY_BYTES
+from ..http_messages import ForwardedRequest, ForwardedResponse, Headers, end_to_end_headers
+from ..message_limits import MAX_BODY_BYTES, MAX_HEAD_BYTES, MAX_HELD_BODY_BYTES
 from ..name_table import NameTable
 from ..ports import Client
 from ..streaming_body import StreamingBody
 from ..tcp_connection import TcpConnection
 from .attempt import Attempt
 from .endpoint import Endpoint, PooledConnection
+from .request_encoding import StreamingBodyEncoder, encode_request
 from .response_head import STATUS_OK, check_framing, read_head, result_of_failure
 from .states import ConnectionEvent, ConnectionState, next_state
 
@@ -34,12 +35,12 @@
 # How long the last byte of a request that must not be repeated freely is held back: about a round trip and
 # the peer's waking up. A connection that is already dead, or reset by its first byte, breaks within it, while
 # it is still certain that nothing ran.
-LAST_BYTE_HOLD_SECONDS = 0.003
+LAST_BYTE_HOLD_S = 0.003
 # A server that sends more than belongs to an answer (a second copy, noise) may do so some milliseconds late.
 # A connection is settled when its last answer ended so long ago (s). A settled one is taken before one that
 # is not; on one that is not, the last byte of a request of whatever class is held until it is: what comes
 # before that byte is no answer to it.
-SETTLE_SECONDS = 0.012
+SETTLE_S = 0.012
 # A server's requests are held for as long as this many connections take to settle, together, before another
 # connection is opened to it instead; see HoldAccount.
 SETTLES_PER_CONNECTION = 2.0
@@ -47,13 +48,13 @@
 # fit. Servers write in pieces, but keep writing. The longer leaves room for a lost packet to be sent again,
 # as taking a good answer for spoilt costs more where it must not be repeated. An answer that may be long
 # and still comes by then is passed on from there.
-RESPONSE_LIMIT_SECONDS = 0.25
-RESPONSE_LIMIT_SAFE_SECONDS = 0.05
+RESPONSE_LIMIT_S = 0.25
+RESPONSE_LIMIT_SAFE_S = 0.05
 # The most that one answer can bring before it is passed on: informational answers ahead, framing and
 # trailers.
-RESPONSE_READ_LIMIT = MAX_HELD_BODY_BYTES + 4 * MAX_HEAD_BYTES
+RESPONSE_READ_LIMIT_BYTES = MAX_HELD_BODY_BYTES + 4 * MAX_HEAD_BYTES
 # A stream that brings nothing for this long is taken for left unfinished.
-STREAM_STALL_SECONDS = 8.0
+STREAM_STALL_S = 8.0
 # What a reader of one answer must know of the request, which is not written through it, before it takes an
 # informational answer: answers to GET and to POST end alike. Where none comes it need not be told, which
 # would cost each request one part in forty.
@@ -85,7 +86,7 @@
 
 def connection_price() -> float:
     """For how long (s), together, requests are held for settling connections before another one is opened."""
-    return SETTLES_PER_CONNECTION * SETTLE_SECONDS
+    return SETTLES_PER_CONNECTION * SETTLE_S
 
 
 class ServerConnection(TcpConnection):
@@ -115,10 +116,10 @@
         self.http = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES)
         self.pieces: list[bytes] = []
         self.timer: asyncio.TimerHandle | None = None
-        self.taken = 0  # bytes of the present answer
-        self.streaming_body: StreamingBody | None = None  # the long body that is on its way
-        self.tail = b""  # the last byte so far, held back until it is known whether it is the last one
-        self.answered = 0.0  # when (s, the loop's clock) the last response ended
+        self.bytes_received = 0  # bytes of the present answer
+        self.streaming_body: StreamingBody | None = None  # the one that is on its way
+        self.body_encoder: StreamingBodyEncoder | None = None  # of the last streaming body
+        self.response_ended_at = 0.0  # when (s, the loop's clock) the last response ended
 
     def _advance(self, event: ConnectionEvent) -> None:
         self.state = next_state(self.state, event)
@@ -133,7 +134,7 @@
             self.owner.opening.discard(self.opened_for)
             self.opened_for = None
 
-    def connection_lost(self, exc: Exception | None) -> None:
+    def connection_lost(self, _exc: Exception | None) -> None:
         """End the attempt that the connection carries, if there is one."""
         self._advance(ConnectionEvent.LOST)
         self.stop_timer()
@@ -141,7 +142,7 @@
         if self.attempt is not None:
             self._fail()
 
-    def alive(self) -> bool:
+    def is_alive(self) -> bool:
         """Whether the kernel knows the connection as whole and has nothing to read.
 
         A close or bytes may have come that the loop has not seen yet.
@@ -169,7 +170,7 @@
             self.timer.cancel()
             self.timer = None
 
-    def after(self, delay: float, call: Callable[[], None]) -> None:
+    def start_timer(self, delay: float, call: Callable[[], None]) -> None:
         """Set the one timer of the connection; delay: s."""
         self.stop_timer()
         self.timer = self.owner.loop.call_later(delay, call)
@@ -185,88 +186,73 @@
             return
         if not attempt.observer.is_awaited(attempt):
             # Its client left while the connection came up, which is as good for the next one.
-            self.rest(attempt)
+            self.return_unused(attempt)
             return
         message = attempt.message
         assert message is not None
         self._advance(ConnectionEvent.REQUEST_STARTED)
         self.attempt = attempt
         attempt.connection = self
-        self.head: ForwardedResponse | None = None
-        self.verdict: api.Result | None = None
-        self.body: list[bytes] = []
-        self.size = 0
+        self.response: ForwardedResponse | None = None
+        self.failure: api.Result | None = None
+        self.body_pieces: list[bytes] = []
+        self.body_size = 0
         self.client: Client | None = None
-        self.taken = 0
-        self.moved = self.owner.loop.time()
-        self.least_hold = 0.0 if attempt.repeatable else LAST_BYTE_HOLD_SECONDS
-        until = (
-            attempt.deadline
-            if message.streaming_body is None
-            else min(attempt.deadline, message.streaming_body.client_deadline)
-        )
-        left = max(1, (until - system.monotonic_ns()) // MS)
-        headers = [*message.headers, (b"x-time-left-ms", b"%d" % left)]
+        self.bytes_received = 0
+        self.last_received_at = self.owner.loop.time()
+        self.min_hold_s = 0.0 if attempt.repeatable else LAST_BYTE_HOLD_S
         self.http = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES)
-        if message.streaming_body is not None:
-            self._begin_upload(message, message.streaming_body, headers)
-            return
-        if message.method != b"GET" or message.size:
-            headers.append((b"content-length", b"%d" % message.size))
-        pieces = [encode_head(b"%s %s HTTP/1.1" % (message.method, message.target), headers), *message.body]
-        if message.size <= SMALL_BODY_BYTES:
-            pieces = [b"".join(pieces)]
-        if self._hold_time() > 0.0:
-            tail = pieces.pop()
-            pieces += [tail[:-1], tail[-1:]]
-        pieces.reverse()
-        self.pieces = pieces
-        self._write()
+        streaming_body = message.streaming_body
+        if streaming_body is None:
+            headers = self._headers(message, attempt.deadline)
+            self.pieces = encode_request(message, headers, is_last_byte_held=self._hold_time() > 0.0)
+            self._write()
+        else:
+            headers = self._headers(message, min(attempt.deadline, streaming_body.client_deadline))
+            self._begin_streaming(message, streaming_body, headers)
 
-    def rest(self, attempt: Attempt) -> None:
+    @staticmethod
+    def _headers(message: ForwardedRequest, deadline: int) -> Headers:
+        """Return the headers of a request, with the time that is left until a deadline (ns)."""
+        left = max(1, (deadline - system.monotonic_ns()) // MS)
+        return [*message.headers, (b"x-time-left-ms", b"%d" % left)]
+
+    def return_unused(self, attempt: Attempt) -> None:
         """Nothing is to be written for an attempt after all."""
-        self.answered = self.owner.loop.time()
+        self.response_ended_at = self.owner.loop.time()
         self.owner.pool(self)
         attempt.end(api.Result.NOT_SENT)
 
-    def _begin_upload(
+    def _begin_streaming(
         self, message: ForwardedRequest, streaming_body: StreamingBody, headers: Headers
     ) -> None:
         assert self.attempt is not None
-        framing = (b"transfer-encoding", b"chunked")
-        if streaming_body.length is not None:
-            framing = (b"content-length", b"%d" % streaming_body.length)
         if streaming_body.is_taken:
             # A part of it has gone while this connection came up.
             self.attempt.end(api.Result.NOT_SENT)
             return
         self.pieces = []
-        self.tail = b""
         self.streaming_body = streaming_body
+        self.body_encoder = StreamingBodyEncoder(streaming_body)
         streaming_body.attach(self)
-        first = b"%s %s HTTP/1.1" % (message.method, message.target)
-        self.transport.write(encode_head(first, [*headers, framing]))
+        self.transport.write(self.body_encoder.encode_head(message, headers))
         self._write()
 
     def body_available(self) -> None:
-        """There is more of a long body, or it is whole."""
+        """Go on with a streaming body: there is more of it, or it is complete."""
         self._write()
 
-    def _feed(self, streaming_body: StreamingBody) -> None:
-        """Write what has come of a long body, at the pace of the server, but for its last piece."""
+    def _write_available(self, streaming_body: StreamingBody, encoder: StreamingBodyEncoder) -> None:
+        """Write what has come of a streaming body, at the pace of the server, but for its last piece."""
         while not self.is_write_buffered and not self.transport.is_closing():
             data = streaming_body.pull()
             if not data:
                 break
-            if streaming_body.length is None:
-                data = b"%x\r\n%s\r\n" % (len(data), data)
-            else:
-                data = self.tail + data
-                data, self.tail = data[:-1], data[-1:]
-            if data:
-                self.transport.write(data)
+            encoded = encoder.encode(data)
+            if encoded:
+                self.transport.write(encoded)
         if streaming_body.is_exhausted and not self.is_write_buffered:
-            self.pieces = [self.tail if streaming_body.length is not None else b"0\r\n\r\n"]
+            self.pieces = [encoder.last_piece()]
             self.streaming_body = None
             streaming_body.detach(self)
 
@@ -280,7 +266,8 @@
         if attempt is None:
             return
         if self.streaming_body is not None:
-            self._feed(self.streaming_body)
+            assert self.body_encoder is not None
+            self._write_available(self.streaming_body, self.body_encoder)
             if self.streaming_body is not None:
                 return
         while len(self.pieces) > 1 and not self.is_write_buffered and not self.transport.is_closing():
@@ -291,28 +278,28 @@
             self._advance(ConnectionEvent.LAST_PIECE_LEFT)
             hold = self._hold_time()
             if hold > 0.0:
-                self.after(hold, self._write_last_piece)
+                self.start_timer(hold, self._write_last_piece)
             else:
                 self._write_last_piece()
         elif not self.pieces:
             self._note_written()
 
-    def unsettled(self) -> float:
+    def settle_time_left(self) -> float:
         """For how long (s) what comes may still belong to the last answer; 0 or less: no longer."""
-        return SETTLE_SECONDS - (self.owner.loop.time() - self.answered)
+        return SETTLE_S - (self.owner.loop.time() - self.response_ended_at)
 
-    def settled(self, now: float) -> bool:
+    def is_settled(self, now: float) -> bool:
         """Whether nothing that comes can belong to the last response any more; now: s, the loop's clock."""
-        return self.answered <= now - SETTLE_SECONDS
+        return self.response_ended_at <= now - SETTLE_S
 
     def _hold_time(self) -> float:
         """For how long (s) the last byte of the present request is to be held; 0: not at all."""
-        return max(self.least_hold, self.unsettled())
+        return max(self.min_hold_s, self.settle_time_left())
 
     def _write_last_piece(self) -> None:
         """Write the piece with the last byte. Until the kernel has taken it, the request has not run."""
         self.stop_timer()
-        if not self.alive():
+        if not self.is_alive():
             self._fail()
             return
         attempt = self.attempt
@@ -352,23 +339,23 @@
         if self.attempt is None:
             self.close()  # nothing was asked: what comes could only be taken for an answer to the next one
             return
-        self.moved = self.owner.loop.time()
-        begins = not self.taken
+        self.last_received_at = self.owner.loop.time()
+        begins = not self.bytes_received
         if begins and data[9:10] in _INFORMATIONAL:
             self.http.send(_PLACEHOLDER_REQUEST)
-        self.taken += len(data)
-        if self.taken > RESPONSE_READ_LIMIT and self.client is None:
+        self.bytes_received += len(data)
+        if self.bytes_received > RESPONSE_READ_LIMIT_BYTES and self.client is None:
             self._fail()
             return
         self.http.receive_data(data)
         self._process_events()
         if begins and self.attempt is not None and self.timer is None:
             # Most answers are whole by now.
-            self.after(self._limit(self.attempt), self._check_progress)
+            self.start_timer(self._limit(self.attempt), self._check_progress)
 
     @staticmethod
     def _limit(attempt: Attempt) -> float:
-        return RESPONSE_LIMIT_SAFE_SECONDS if attempt.repeatable else RESPONSE_LIMIT_SECONDS
+        return RESPONSE_LIMIT_SAFE_S if attempt.repeatable else RESPONSE_LIMIT_S
 
     def _check_progress(self) -> None:
         """An answer is not whole after a while: spoilt where it stands still, long where it may be."""
@@ -377,15 +364,17 @@
         if attempt is None:
             return
         limit = self._limit(attempt)
-        left = limit - (self.owner.loop.time() - self.moved)
+        left = limit - (self.owner.loop.time() - self.last_received_at)
         if left <= 0.2 * limit:
             self._fail()
         elif (
-            self.body and self.head is not None and (self.head.length or MAX_BODY_BYTES) > MAX_HELD_BODY_BYTES
+            self.body_pieces
+            and self.response is not None
+            and (self.response.length or MAX_BODY_BYTES) > MAX_HELD_BODY_BYTES
         ):
             self._start_stream(attempt)
         else:
-            self.after(left, self._check_progress)
+            self.start_timer(left, self._check_progress)
 
     def eof_received(self) -> None:
         """End the response, where it ends with the connection."""
@@ -413,64 +402,64 @@
                     self._fail()
         except h11.RemoteProtocolError:
             self._fail()
-        if self.attempt is not None and self.verdict is not None:
-            self.attempt.end(self.verdict)  # the head said all; the rest of its body is not worth waiting for
+        if self.attempt is not None and self.failure is not None:
+            self.attempt.end(self.failure)  # the head said all; the rest of its body is not worth waiting for
 
     def _receive_head(self, attempt: Attempt, event: h11.Response) -> None:
         found = read_head(event, self.owner.load_header)
         if found.load_report is not None:
             attempt.report = self.endpoint.load_report(found.load_report, self.owner.names)
         if event.status_code != STATUS_OK:
-            self.verdict = result_of_failure(event, found.headers)
+            self.failure = result_of_failure(event, found.headers)
             return
         if not attempt.written:
             # Nothing was asked in full yet, so no server can have made this for it.
             raise h11.RemoteProtocolError("an answer before the request")
         check_framing(found)
         headers = end_to_end_headers(found.headers, self.owner.not_for_clients)
-        self.head = ForwardedResponse(STATUS_OK, headers, None, found.length)
+        self.response = ForwardedResponse(STATUS_OK, headers, None, found.length)
         self._advance(ConnectionEvent.RESPONSE_STARTED)
         if attempt.streamed:
             self._start_stream(attempt)
 
     def _receive_body(self, attempt: Attempt, data: bytes) -> None:
-        if self.verdict is not None:
+        if self.failure is not None:
             return
-        self.size += len(data)
-        if self.size > MAX_BODY_BYTES:
+        self.body_size += len(data)
+        if self.body_size > MAX_BODY_BYTES:
             raise h11.RemoteProtocolError("too long")
         if self.client is not None:
             self.client.write(data)
             return
         # Held until it is whole: what has been passed on in part can be neither tried again nor taken back.
-        self.body.append(data)
-        if self.size > MAX_HELD_BODY_BYTES:
+        self.body_pieces.append(data)
+        if self.body_size > MAX_HELD_BODY_BYTES:
             self._start_stream(attempt)
 
     def _start_stream(self, attempt: Attempt) -> None:
         """Pass the answer on from here: where its class is streamed, or it is long."""
-        assert self.head is not None
-        self.after(STREAM_STALL_SECONDS, self._check_stall)
+        assert self.response is not None
+        self.start_timer(STREAM_STALL_S, self._check_stall)
         attempt.response_started = system.monotonic_ns()
-        self.client = attempt.observer.response_started(attempt, self.head)
+        self.client = attempt.observer.response_started(attempt, self.response)
         if self.client is None:
             attempt.cancel()
             return
         self._advance(ConnectionEvent.STREAM_STARTED)
-        if self.body:
-            self.client.write(b"".join(self.body))
-            self.body = []
+        if self.body_pieces:
+            self.client.write(b"".join(self.body_pieces))
+            self.body_pieces = []
 
     def _check_stall(self) -> None:
         """A stream that its server leaves unfinished would hold the client and both sockets for ever."""
-        idle = self.owner.loop.time() - self.moved
-        if self.attempt is not None and self.reading and idle >= STREAM_STALL_SECONDS:
+        idle = self.owner.loop.time() - self.last_received_at
+        if self.attempt is not None and self.reading and idle >= STREAM_STALL_S:
             self._fail()
         else:
             if not self.reading:
-                self.moved = self.owner.loop.time()
-            self.after(
-                max(0.1, STREAM_STALL_SECONDS - (self.owner.loop.time() - self.moved)), self._check_stall
+                self.last_received_at = self.owner.loop.time()
+            self.start_timer(
+                max(0.1, STREAM_STALL_S - (self.owner.loop.time() - self.last_received_at)), self._check_stall
             )
 
     def _complete(self, attempt: Attempt) -> None:
@@ -478,23 +467,23 @@
         attempt.read_delay = self.read_delay()[1] * MS
         reusable = attempt.written and self.http.their_state is h11.DONE and not self.http.trailing_data[0]
         answer = None
-        if self.head is not None and self.client is None:
-            answer = ForwardedResponse(200, self.head.headers, self.body)
-        self.body = []
-        self.answered = self.owner.loop.time()
+        if self.response is not None and self.client is None:
+            answer = ForwardedResponse(200, self.response.headers, self.body_pieces)
+        self.body_pieces = []
+        self.response_ended_at = self.owner.loop.time()
         self.attempt = attempt.connection = None
         if reusable:
             self._advance(ConnectionEvent.RESPONSE_COMPLETED)
             self.owner.pool(self)
         else:
             self.close()
-        attempt.end(self.verdict or api.Result.OK, answer)
+        attempt.end(self.failure or api.Result.OK, answer)
 
     def _fail(self) -> None:
         attempt = self.attempt
         if attempt is None:
             return
-        if self.verdict is not None:
-            attempt.end(self.verdict)  # the head was whole, and proves what it says
+        if self.failure is not None:
+            attempt.end(self.failure)  # the head was whole, and proves what it says
         else:
             attempt.broke()
--- a/hollybay/proxy/upstream/endpoint.py
+++ b/hollybay/proxy/upstream/endpoint.py
@@ -18,15 +18,15 @@
     """What a pool asks of an idle connection."""
 
     endpoint: Endpoint
-    answered: float  # when (s, the loop's clock) its last response ended
+    response_ended_at: float  # when (s, the loop's clock) its last response ended
 
-    def alive(self) -> bool:
+    def is_alive(self) -> bool:
         """Tell whether the connection is whole and has nothing to read."""
 
-    def settled(self, now: float) -> bool:
+    def is_settled(self, now: float) -> bool:
         """Tell whether nothing that comes can belong to the last response any more."""
 
-    def unsettled(self) -> float:
+    def settle_time_left(self) -> float:
         """Return for how long (s) what comes may still belong to the last response."""
 
     def set_reading(self, reading: bool) -> None:
--- a/hollybay/proxy/upstream/health_check.py
+++ b/hollybay/proxy/upstream/health_check.py
@@ -48,10 +48,10 @@
         self.names = names
         self.feed = feed
 
-    def is_awaited(self, attempt: Attempt) -> bool:
+    def is_awaited(self, _attempt: Attempt) -> bool:
         return True
 
-    def response_started(self, attempt: Attempt, response: ForwardedResponse) -> None:
+    def response_started(self, _attempt: Attempt, _response: ForwardedResponse) -> None:
         return None
 
     def attempt_finished(self, attempt: Attempt, response: ForwardedResponse | None) -> None:
--- a/hollybay/proxy/upstream/pools.py
+++ b/hollybay/proxy/upstream/pools.py
@@ -26,9 +26,9 @@
 log = logging.getLogger("hollybay.proxy")
 
 # Of one server's resting connections: where none of so many has settled, no further one is opened, and a
-# request waits for the one that rested longest, which takes a part of SETTLE_SECONDS.
+# request waits for the one that rested longest, which takes a part of SETTLE_S.
 MAX_UNSETTLED = 4
-SWEEP_SECONDS = 0.25  # how often that is looked for
+SWEEP_INTERVAL_S = 0.25  # how often that is looked for
 # Part of the drain grace after which an attempt that is not yet whole on the wire is withdrawn.
 DRAIN_GRACE_PART = 0.75
 
@@ -132,10 +132,10 @@
         """The connection at rest that is to be used for a request; None: another one is to be opened."""
         while endpoint.idle:
             connection = self._settled(endpoint.idle)
-            if not connection.alive():
+            if not connection.is_alive():
                 connection.close()
                 continue
-            hold = connection.unsettled()
+            hold = connection.settle_time_left()
             if hold <= 0.0 or len(endpoint.idle) >= MAX_UNSETTLED or self._full():
                 return connection
             return connection if endpoint.holds.allows(hold, connection_price(), self.loop.time()) else None
@@ -145,9 +145,9 @@
         """Of those at rest the last one that has settled; where none has, the one that will soonest."""
         now = self.loop.time()
         for connection in reversed(idle):
-            if connection.settled(now):
+            if connection.is_settled(now):
                 return connection
-        return min(reversed(idle), key=lambda connection: connection.answered)
+        return min(reversed(idle), key=lambda connection: connection.response_ended_at)
 
     async def _connect(self, endpoint: Endpoint, attempt: Attempt) -> None:
         host, port = endpoint.address
@@ -188,20 +188,22 @@
             return
         connection.set_reading(True)
         connection.endpoint.idle.append(connection)
-        self.resting[connection] = connection.answered
+        self.resting[connection] = connection.response_ended_at
         if self.sweeper is None:
-            self.sweeper = self.loop.call_later(SWEEP_SECONDS, self._sweep)
+            self.sweeper = self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
 
     def _sweep(self) -> None:
         """Close what has rested for nearly as long as its server lets it; one timer for all of them."""
         self.sweeper = None
-        before = self.loop.time() + SWEEP_SECONDS - api.IDLE_CLOSE_SHARE * self.settings.idle_timeout / SECOND
+        before = (
+            self.loop.time() + SWEEP_INTERVAL_S - api.IDLE_CLOSE_SHARE * self.settings.idle_timeout / SECOND
+        )
         for connection in list(
             takewhile(lambda connection: self.resting[connection] <= before, self.resting)
         ):
             connection.close()
         if self.resting:
-            self.sweeper = self.loop.call_later(SWEEP_SECONDS, self._sweep)
+            self.sweeper = self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
 
     def unpool(self, connection: PooledConnection) -> None:
         """Take a connection out of the pool, if it is there."""
--- /dev/null
+++ b/hollybay/proxy/upstream/request_encoding.py
@@ -0,0 +1,78 @@
+"""The bytes of a request on the wire to a server, split so that its last byte can be held back.
+
+A server begins a request with its last byte, so that the piece which holds it is always written last.
+"""
+
+from __future__ import annotations
+
+from ..http_messages import ForwardedRequest, Headers, encode_head
+from ..message_limits import SMALL_BODY_BYTES
+from ..streaming_body import StreamingBody
+
+__all__ = ["StreamingBodyEncoder", "encode_request"]
+
+CHUNKED_END = b"0\r\n\r\n"
+
+
+def encode_request(message: ForwardedRequest, headers: Headers, is_last_byte_held: bool) -> list[bytes]:
+    """Return the pieces of a request whose body is held, the last piece first.
+
+    Parameters
+    ----------
+    message
+        The request.
+    headers
+        Its headers, which the framing of the body is appended to.
+    is_last_byte_held
+        Whether the last byte is a piece of its own.
+    """
+    if message.method != b"GET" or message.size:
+        headers.append((b"content-length", b"%d" % message.size))
+    pieces = [encode_head(_request_line(message), headers), *message.body]
+    if message.size <= SMALL_BODY_BYTES:
+        pieces = [b"".join(pieces)]
+    if is_last_byte_held:
+        last = pieces.pop()
+        pieces += [last[:-1], last[-1:]]
+    pieces.reverse()
+    return pieces
+
+
+class StreamingBodyEncoder:
+    """Frames one streaming body, and holds back the piece with its last byte.
+
+    Parameters
+    ----------
+    body
+        The body.
+    """
+
+    __slots__ = ("_held_byte", "_is_chunked", "_length")
+
+    def __init__(self, body: StreamingBody) -> None:
+        self._length = body.length
+        self._is_chunked = body.length is None
+        self._held_byte = b""  # the last byte so far, until it is known whether it is the last one
+
+    def encode_head(self, message: ForwardedRequest, headers: Headers) -> bytes:
+        """Return the head of the request, with the framing of the body."""
+        framing = (b"transfer-encoding", b"chunked")
+        if self._length is not None:
+            framing = (b"content-length", b"%d" % self._length)
+        return encode_head(_request_line(message), [*headers, framing])
+
+    def encode(self, data: bytes) -> bytes:
+        """Return what is to be written now that some more of the body has come; it may be empty."""
+        if self._is_chunked:
+            return b"%x\r\n%s\r\n" % (len(data), data)
+        data = self._held_byte + data
+        data, self._held_byte = data[:-1], data[-1:]
+        return data
+
+    def last_piece(self) -> bytes:
+        """Return the piece that completes the request, once all of the body was encoded."""
+        return CHUNKED_END if self._is_chunked else self._held_byte
+
+
+def _request_line(message: ForwardedRequest) -> bytes:
+    return b"%s %s HTTP/1.1" % (message.method, message.target)
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -261,7 +261,7 @@
     cls: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """It comes when the connection has been taken again, so soon that its last byte is still held."""
-    monkeypatch.setattr(module, "SETTLE_SECONDS", 0.5)
+    monkeypatch.setattr(module, "SETTLE_S", 0.5)
 
     async def play() -> None:
         server = Twice(OK.replace(b"ok", b"NO"))
@@ -286,7 +286,7 @@
         self.heads.append((await read_message(reader))[0])
         writer.write(OK)
         await reader.readexactly(1)
-        await asyncio.sleep(4 * module.LAST_BYTE_HOLD_SECONDS)
+        await asyncio.sleep(4 * module.LAST_BYTE_HOLD_S)
         writer.write(self.more)
         await reader.read(1)  # until the connection ends
 
@@ -295,7 +295,7 @@
 def test_a_second_answer_later_than_the_hold_of_an_unsafe_request_is_no_answer_to_the_next(
     cls: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(module, "SETTLE_SECONDS", 0.5)
+    monkeypatch.setattr(module, "SETTLE_S", 0.5)
 
     async def play() -> None:
         server = Later(OK.replace(b"ok", b"NO"))
@@ -313,7 +313,7 @@
     settle: float, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Two full holds are worth a connection; a few connections settle in turn."""
-    monkeypatch.setattr(module, "SETTLE_SECONDS", settle)
+    monkeypatch.setattr(module, "SETTLE_S", settle)
 
     async def play() -> None:
         server = Backend("s-1")
@@ -331,7 +331,7 @@
 def test_without_room_for_another_connection_a_request_is_held(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(module, "SETTLE_SECONDS", 0.02)
+    monkeypatch.setattr(module, "SETTLE_S", 0.02)
 
     async def play() -> None:
         server = Backend("s-1")
@@ -356,9 +356,9 @@
             idle = next(iter(servers.endpoints.values())).idle
             now = servers.loop.time()
             for conn, rest in zip(idle, (3.0, 2.0, 0.0), strict=True):
-                conn.answered = now - rest * module.SETTLE_SECONDS
+                conn.response_ended_at = now - rest * module.SETTLE_S
             assert servers._settled(idle) is idle[1]
-            idle[0].answered = idle[1].answered = now
+            idle[0].response_ended_at = idle[1].response_ended_at = now
             assert servers._settled(idle) is idle[2]
 
     asyncio.run(play())
