--- a/hollybay/mutation/planted.py
+++ b/hollybay/mutation/planted.py
@@ -270,8 +270,8 @@
     Defect(
         "client-left-unnoticed",
         CONNECTION,
-        "        if rid:\n            self.clients.node.disconnect(rid)",
-        "        if rid < 0:\n            self.clients.node.disconnect(rid)",
+        "        if request_id:\n            self.clients.dispatcher.disconnect(request_id)",
+        "        if request_id < 0:\n            self.clients.dispatcher.disconnect(request_id)",
     ),
     Defect(
         "headers-of-the-hop-passed",
--- a/hollybay/proxy/downstream/client_context.py
+++ b/hollybay/proxy/downstream/client_context.py
@@ -41,7 +41,8 @@
     silent
         Connected, no byte yet.
     unfinished
-        From a request's first byte to the end of its head; its body has the time of `MIN_BODY_RATE` beside.
+        From a request's first byte to the end of its head; its body has the time of `MIN_BODY_BYTES_PER_S`
+        beside.
     idle
         From an answer to the next request.
     idle_when_crowded
@@ -103,10 +104,10 @@
         All requests are answered and the process is about to exit: no request is forwarded.
     """
 
-    def __init__(self, config: Config, node: RequestDispatcher, limit: int) -> None:
+    def __init__(self, config: Config, dispatcher: RequestDispatcher, limit: int) -> None:
         super().__init__()
         self.config = config
-        self.node = node
+        self.dispatcher = dispatcher
         self.limit = limit
         self.host = config.listen[0].encode()
         self.share = config.sockets // KEPT_PART
@@ -136,12 +137,12 @@
     @property
     def is_full(self) -> bool:
         """Whether one more pending request would leave no connection to accept others on."""
-        return self.node.unanswered >= self.places
+        return self.dispatcher.unanswered >= self.places
 
     @property
     def free_share(self) -> float:
         """The free part (0 to 1) of the places for requests."""
-        return max(0.0, 1.0 - self.node.unanswered / self.places)
+        return max(0.0, 1.0 - self.dispatcher.unanswered / self.places)
 
     def admit(self, conn: C) -> None:
         """Add a new connection, closing others if there are too many."""
@@ -164,7 +165,7 @@
         Otherwise clients that send one request and stay would hold all connections that clients may have. A
         client that comes back to a closed one opens a new one, which costs it a round trip.
         """
-        excess = len(self.idle) + self.node.unanswered - self.share
+        excess = len(self.idle) + self.dispatcher.unanswered - self.share
         if excess > 0:
             before = self.loop.time() - self.limits.idle_when_crowded
             for conn in self.overdue(self.idle, before)[:excess]:
@@ -172,6 +173,6 @@
 
     def close_idle(self) -> None:
         """Close all connections that have no request under way."""
-        for group in (self.idle, self.silent):
-            for conn in list(group):
+        for phase in (self.idle, self.silent):
+            for conn in list(phase):
                 conn.close_if_idle()
--- a/hollybay/proxy/downstream/connection.py
+++ b/hollybay/proxy/downstream/connection.py
@@ -8,7 +8,6 @@
 import asyncio
 import socket
 from collections import OrderedDict
-from typing import TYPE_CHECKING
 
 import h11
 
@@ -22,7 +21,8 @@
 from ..streaming_body import StreamingBody
 from ..tcp_connection import TcpConnection
 from .client_context import ClientContext
-from .request import MIN_BODY_RATE, ClientRequest
+from .request import MIN_BODY_BYTES_PER_S, ClientRequest
+from .request_admission import admit_request, release_request
 from .request_validation import HEALTH_PATHS, RequestProblem
 from .responses import rejection_events, response_bytes, retry_after_header
 from .service_state import CLOSING_STATES
@@ -35,25 +35,21 @@
     next_state,
 )
 
-if TYPE_CHECKING:
-    # The pure package of the operator file, which a node without one does not import.
-    from hollybay.routing.limits import EffectiveLimits
-
-__all__ = ["HIDING", "ClientConnection"]
+__all__ = ["HIDDEN_CLOSE_BYTES", "ClientConnection"]
 
 # The kernel's buffer (bytes) for an answer that is streamed: with a larger one, a client that reads slowly
 # would seem not to read at all for seconds.
-SEND_BUFFER = 64 << 10
+SEND_BUFFER_BYTES = 64 << 10
 # How long (s) a lingering connection reads on, and how much (bytes): with unread bytes a close is a reset,
 # which could destroy the answer on its way.
-LINGER = 1.0
+LINGER_S = 1.0
 LINGER_BYTES = 128 << 10
 # The same (s) after an answer that was complete before the request's body: a client that writes its whole
 # body first would never read it.
-LINGER_UPLOAD = 4.0
+LINGER_UPLOAD_S = 4.0
 # Unread bytes (with reading paused) beyond which the kernel may take no more, so that a close behind them
 # is hidden: half of the smallest receive buffer that Linux gives a connection, of which it offers a half.
-HIDING = 32 << 10
+HIDDEN_CLOSE_BYTES = 32 << 10
 
 
 class ClientConnection(TcpConnection):
@@ -70,20 +66,18 @@
     ----------
     state
         What the connection is doing.
-    group
+    phase
         The phase that lists it in the table.
     request
         The present request, from its head to the end of its response.
-    rid
+    request_id
         The request that the node works on, -1 while it is being submitted, 0: none.
-    ahead
+    bytes_ahead
         Bytes read beyond the present request, or while lingering.
-    upload
-        The long body of the present request, which is forwarded while it comes.
-    counted_limits
-        The limits under which admission control counts the present request as in flight.
-    source
-        Where a streamed answer comes from.
+    streaming_body
+        The body of the present request, if that is forwarded while it comes.
+    body_source
+        Where the body of a streamed response comes from.
     """
 
     def __init__(self, clients: ClientContext[ClientConnection], sock: socket.socket) -> None:
@@ -91,12 +85,11 @@
         self.clients = clients
         self.http = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEAD_BYTES)
         self.state = ConnectionState.READING
-        self.group: OrderedDict[ClientConnection, float] | None = None
+        self.phase: OrderedDict[ClientConnection, float] | None = None
         self.request: ClientRequest | None = None
-        self.rid = 0
-        self.ahead = 0
+        self.request_id = 0
+        self.bytes_ahead = 0
         self.streaming_body: StreamingBody | None = None
-        self.counted_limits: EffectiveLimits | None = None
         self.body_source: BodySource | None = None
         self.linger_timer: asyncio.TimerHandle | None = None
 
@@ -124,7 +117,11 @@
         """Tell whether the client waits for its answer; a close is not seen while reading is paused."""
         if not self.is_connected():
             return ClientPresence.GONE
-        if not self.reading and self.ahead > SMALL_BODY_BYTES and self.unread_bytes() >= HIDING:
+        if (
+            not self.reading
+            and self.bytes_ahead > SMALL_BODY_BYTES
+            and self.unread_bytes() >= HIDDEN_CLOSE_BYTES
+        ):
             return ClientPresence.UNKNOWN
         return ClientPresence.CONNECTED
 
@@ -142,10 +139,10 @@
 
     def is_slow(self, now: float) -> bool:
         """Tell whether a request comes too slowly by a loop time (s), unless the node leaves it unread."""
-        if self.request is None or self.group is None:
+        if self.request is None or self.phase is None:
             return True
-        allowed = self.clients.limits.unfinished + self.request.size / MIN_BODY_RATE
-        return self.reading and now - self.group[self] > allowed
+        allowed = self.clients.limits.unfinished + self.request.size / MIN_BODY_BYTES_PER_S
+        return self.reading and now - self.phase[self] > allowed
 
     def close_if_idle(self) -> None:
         """Close a connection that has no request under way, unless one has just come.
@@ -156,7 +153,7 @@
         if not self.transport.is_closing() and not self.unread_bytes():
             self._linger()
 
-    def give_up(self) -> None:
+    def reject_unfinished(self) -> None:
         """Reject a request that is not complete in time."""
         self._reject_invalid(RequestProblem(408, "the request is not whole in time"))
 
@@ -166,14 +163,13 @@
         self.clients.touch(self)
         if self.body_source is not None:
             self.body_source.set_reading(True)
-        elif self.state in ANSWERING_STATES and not self.rid:
+        elif self.state in ANSWERING_STATES and not self.request_id:
             self._answer_taken()
 
     def _release_limits(self) -> None:
-        """End the request for admission control, under the limits that it was admitted under."""
-        limits, self.counted_limits = self.counted_limits, None
-        if limits is not None and self.clients.admission is not None:
-            self.clients.admission.release(limits)
+        """End the present request for admission control."""
+        if self.request is not None:
+            release_request(self.clients.admission, self.request)
 
     def _abandon_request(self) -> None:
         """End the request of a client that has gone, or that gets no response."""
@@ -182,9 +178,9 @@
         if self.request is not None:
             self.request.body = []
         streaming_body, self.streaming_body = self.streaming_body, None
-        rid, self.rid = self.rid, 0
-        if rid:
-            self.clients.node.disconnect(rid)
+        request_id, self.request_id = self.request_id, 0
+        if request_id:
+            self.clients.dispatcher.disconnect(request_id)
         if streaming_body is not None:
             streaming_body.close()
 
@@ -194,15 +190,15 @@
         """Read on in what the client sends."""
         state = self.state
         if state in LINGERING_STATES:
-            self.ahead += len(data)
-            if self.ahead > LINGER_BYTES and state is not ConnectionState.LINGERING_UPLOAD:
+            self.bytes_ahead += len(data)
+            if self.bytes_ahead > LINGER_BYTES and state is not ConnectionState.LINGERING_UPLOAD:
                 self.set_reading(False)
             return
         self.http.receive_data(data)
         if state in ANSWERING_STATES:
             # Bytes of the next request: a few may wait here, the others in the kernel.
-            self.ahead += len(data)
-            if self.ahead > SMALL_BODY_BYTES:
+            self.bytes_ahead += len(data)
+            if self.bytes_ahead > SMALL_BODY_BYTES:
                 self.set_reading(False)
             return
         self._read_events(just_read=True)
@@ -237,7 +233,7 @@
     def _note_unfinished(self) -> None:
         """Note that part of a request is here, from its first byte on, however slowly the rest comes."""
         has_begun = self.request is not None or self.http.trailing_data[0]
-        if has_begun and self.group is not self.clients.unfinished:
+        if has_begun and self.phase is not self.clients.unfinished:
             self.clients.move(self, self.clients.unfinished)
 
     def _handle_head(self, event: h11.Request) -> None:
@@ -261,7 +257,7 @@
             return  # its client has gone
         request.body.append(data)
         if request.size > MAX_HELD_BODY_BYTES:
-            self._start_upload(request, just_read)
+            self._start_streaming(request, just_read)
         elif self.state is ConnectionState.READING_LARGE:
             self._charge(len(data))
         elif request.size > SMALL_BODY_BYTES:
@@ -273,7 +269,7 @@
         if not self.clients.budget.charge(self, size):
             self.set_reading(False)
 
-    def _start_upload(self, request: ClientRequest, just_read: bool) -> None:
+    def _start_streaming(self, request: ClientRequest, just_read: bool) -> None:
         """Forward a request whose body is longer than what is held, while the body comes."""
         self.state = next_state(self.state, ConnectionEvent.BODY_STREAMED)
         streaming_body = self.streaming_body = StreamingBody(
@@ -291,7 +287,7 @@
         request = self.request
         assert request is not None
         self.state = next_state(self.state, ConnectionEvent.REQUEST_COMPLETED)
-        self.ahead = len(self.http.trailing_data[0])
+        self.bytes_ahead = len(self.http.trailing_data[0])
         self.clients.budget.stop_waiting(self)
         self.set_reading(True)
         self.clients.move(self, None)
@@ -300,7 +296,9 @@
             is_well = path == b"/health/live" or self.clients.is_healthy
             self._respond(200 if is_well else 503, [], (b"ok\n" if is_well else b"not ready\n",))
         elif self.streaming_body is not None:
-            self.clients.node.complete_body(self.rid, request.time_left - self.read_delay()[1] * MS)
+            self.clients.dispatcher.complete_body(
+                self.request_id, request.time_left - self.read_delay()[1] * MS
+            )
             self.streaming_body.complete()
         else:
             self._submit(request, None, just_read)
@@ -317,31 +315,17 @@
             self._reject_invalid(RequestProblem(409, "X-Correlation-Id: another request has it"))
             return
         if clients.is_full or clients.forwarding_stopped or not request.is_policy_certain:
-            clients.node.counters.rejected[request.class_index] += 1
+            clients.dispatcher.counters.rejected[request.class_index] += 1
             self.reject(clients.config.settings.max_retry_after)
             return
-        account = request.account
-        tenant = clients.config.names.tenants.get(account)
-        retry_after = self._admit(request, account, tenant)
+        tenant = clients.config.names.tenants.get(request.account)
+        retry_after = admit_request(clients.admission, request, tenant)
         if retry_after is not None:
-            clients.node.counters.rejected[request.class_index] += 1
+            clients.dispatcher.counters.rejected[request.class_index] += 1
             self._respond(429, retry_after_header(retry_after), (b"refused\n",))
             return
         self._forward(request, streaming_body, tenant or 0, waited_ms * MS, just_read)
 
-    def _admit(self, request: ClientRequest, account: str, tenant: int | None) -> int | None:
-        """Admit a request under its limits (None), or return the Retry-After (ns, 0: none) of a rejection."""
-        limits, admission = request.limits, self.clients.admission
-        if limits is None or admission is None:
-            return None
-        if admission.has_tenant_limits and tenant is not None:
-            limits = admission.with_tenant_limits(limits, account)
-        index = -1 if tenant is None else tenant
-        retry_after = admission.admit(limits, index, request.values, system.monotonic_ns())
-        if retry_after is None and limits.max_in_flight:
-            self.counted_limits = limits
-        return retry_after
-
     def _forward(
         self,
         request: ClientRequest,
@@ -355,9 +339,9 @@
         time_left = request.time_left - waited
         if streaming_body is not None:
             streaming_body.client_deadline = system.monotonic_ns() + time_left
-            time_left += request.upload_time(streaming_body)
-        self.rid = -1
-        rid = self.clients.node.submit(
+            time_left += request.remaining_body_time(streaming_body)
+        self.request_id = -1
+        request_id = self.clients.dispatcher.submit(
             self,
             message,
             request.class_index,
@@ -372,8 +356,8 @@
             free_slot_share=self.clients.free_share,
             body_pending=streaming_body is not None,
         )
-        if self.rid:  # it was not answered at once
-            self.rid = rid
+        if self.request_id:  # it was not answered at once
+            self.request_id = request_id
 
     # Answers
 
@@ -391,7 +375,7 @@
 
     def start_response(self, response: ForwardedResponse, body_source: BodySource) -> None:
         """Begin to write an answer whose body is streamed."""
-        self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER)
+        self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER_BYTES)
         headers = response.headers
         if response.length is not None:
             headers = [*headers, (b"content-length", b"%d" % response.length)]
@@ -414,7 +398,7 @@
 
     def break_off(self) -> None:
         """Break off a streamed answer so that the client can tell, whatever the framing."""
-        self.rid = 0
+        self.request_id = 0
         self.body_source = None
         self._release_limits()
         self.transport.abort()
@@ -450,7 +434,7 @@
         """An answer is written; the connection goes on when the kernel has taken it."""
         self.state = next_state(self.state, ConnectionEvent.ANSWER_COMPLETED)
         self._release_limits()
-        self.rid = 0
+        self.request_id = 0
         self.body_source = None
         self.clients.budget.release(self)
         if self.streaming_body is not None:
@@ -478,7 +462,7 @@
             self.http.receive_data(rest)
         self.clients.move(self, self.clients.idle)
         self.clients.close_excess_idle()
-        self.ahead = 0
+        self.bytes_ahead = 0
         self.set_reading(True)
         self._read_events(just_read=False)
 
@@ -488,9 +472,9 @@
             return
         self.state = next_state(self.state, ConnectionEvent.SENDING_SHUT_DOWN)
         self._abandon_request()
-        self.ahead = 0
+        self.bytes_ahead = 0
         self.clients.move(self, self.clients.ending)
-        wait = LINGER_UPLOAD if self.state is ConnectionState.LINGERING_UPLOAD else LINGER
+        wait = LINGER_UPLOAD_S if self.state is ConnectionState.LINGERING_UPLOAD else LINGER_S
         self.linger_timer = self.clients.loop.call_later(wait, self.transport.abort)
         self.set_reading(True)
         try:
--- a/hollybay/proxy/downstream/connection_table.py
+++ b/hollybay/proxy/downstream/connection_table.py
@@ -8,18 +8,18 @@
 from itertools import takewhile
 from typing import Any, Generic, Protocol, TypeVar
 
-__all__ = ["SUSPECT", "ConnectionTable", "TrackedConnection"]
+__all__ = ["SUSPECT_AFTER_S", "ConnectionTable", "TrackedConnection"]
 
 # A connection that has sent nothing, or only part of a request, for this long (s) may be closed when room is
 # short: a client that wants something sends it as soon as it is connected.
-SUSPECT = 0.25
+SUSPECT_AFTER_S = 0.25
 
 
 class TrackedConnection(Protocol):
     """What the table asks of a connection."""
 
     # The phase that lists it; None: its request is complete, and it is in none.
-    group: OrderedDict[Any, float] | None
+    phase: OrderedDict[Any, float] | None
 
     def is_disposable(self) -> bool:
         """Tell whether a close loses nothing: no request is under way, and no bytes are unread."""
@@ -60,17 +60,17 @@
         self.writing: OrderedDict[C, float] = OrderedDict()
         self.ending: OrderedDict[C, float] = OrderedDict()
 
-    def move(self, conn: C, group: OrderedDict[C, float] | None) -> None:
+    def move(self, conn: C, phase: OrderedDict[C, float] | None) -> None:
         """Move a connection to a phase (None: to none), as of now."""
-        if conn.group is not None:
-            conn.group.pop(conn, None)
-        conn.group = group
-        if group is not None:
-            group[conn] = self.loop.time()
+        if conn.phase is not None:
+            conn.phase.pop(conn, None)
+        conn.phase = phase
+        if phase is not None:
+            phase[conn] = self.loop.time()
 
     def touch(self, conn: C) -> None:
         """Note progress of a connection within its phase."""
-        self.move(conn, conn.group)
+        self.move(conn, conn.phase)
 
     def remove(self, conn: C) -> None:
         """Remove a connection that is closed or being closed."""
@@ -93,19 +93,19 @@
         that was just accepted.
         """
         yield from self.ending
-        suspect = self.loop.time() - SUSPECT
+        suspect = self.loop.time() - SUSPECT_AFTER_S
         young: list[OrderedDict[C, float]] = []
-        for group in (self.silent, self.unfinished):
-            for conn, since in group.items():
+        for phase in (self.silent, self.unfinished):
+            for conn, since in phase.items():
                 if since > suspect:
-                    young.append(group)
+                    young.append(phase)
                     break
                 yield conn
         yield from self.idle
-        for group in young:
-            yield from group
+        for phase in young:
+            yield from phase
 
     @staticmethod
-    def overdue(group: OrderedDict[C, float], before: float) -> list[C]:
+    def overdue(phase: OrderedDict[C, float], before: float) -> list[C]:
         """Return the connections of a phase whose time is not later than a time (s)."""
-        return list(takewhile(lambda conn: group[conn] <= before, group))
+        return list(takewhile(lambda conn: phase[conn] <= before, phase))
--- a/hollybay/proxy/downstream/listener.py
+++ b/hollybay/proxy/downstream/listener.py
@@ -36,8 +36,8 @@
         Tasks of connections that are accepted and not yet in the table.
     """
 
-    def __init__(self, config: Config, node: RequestDispatcher, limit: int) -> None:
-        super().__init__(config, node, limit)
+    def __init__(self, config: Config, dispatcher: RequestDispatcher, limit: int) -> None:
+        super().__init__(config, dispatcher, limit)
         self.listener: socket.socket | None = None
         self.pending_accepts: set[asyncio.Task[None]] = set()
         self.sweeper: asyncio.TimerHandle | None = None
@@ -167,7 +167,7 @@
         now = self.loop.time()
         for conn in self.overdue(self.unfinished, now - self.limits.unfinished):
             if conn.is_slow(now):
-                conn.give_up()
+                conn.reject_unfinished()
         for conn in self.overdue(self.silent, now - self.limits.silent):
             conn.close_if_idle()
         for conn in self.overdue(self.idle, now - self.limits.idle):
--- a/hollybay/proxy/downstream/request.py
+++ b/hollybay/proxy/downstream/request.py
@@ -22,13 +22,13 @@
     from hollybay.routing.compiled_policy import Rejection
     from hollybay.routing.limits import EffectiveLimits
 
-__all__ = ["MIN_BODY_RATE", "ClientRequest"]
+__all__ = ["MIN_BODY_BYTES_PER_S", "ClientRequest"]
 
 # The slowest body that is waited for (bytes/s). A slower one holds a descriptor, and a server's connection
 # once it is long.
-MIN_BODY_RATE = 48_000
+MIN_BODY_BYTES_PER_S = 48_000
 # The longest time (ns) that the rest of a body may take, whatever its length.
-MAX_UPLOAD_TIME = 30 * SECOND
+MAX_UPLOAD_TIME_NS = 30 * SECOND
 MAX_HINT_DIGITS = 9  # of X-Weight-Hint
 COST_PER_HINT = 1000
 
@@ -69,6 +69,8 @@
         How long (ns) the client waits for its answer.
     limits
         The limits of the operator file; None: it states none.
+    counted_limits
+        The limits under which admission control counts the request as in flight; None: it does not.
     max_body
         The longest body (bytes) that is accepted.
     is_policy_certain
@@ -78,6 +80,7 @@
     __slots__ = (
         "body",
         "class_index",
+        "counted_limits",
         "event",
         "headers",
         "is_policy_certain",
@@ -97,6 +100,7 @@
         self.class_index = 0
         self.time_left = 0
         self.limits: EffectiveLimits | None = None
+        self.counted_limits: EffectiveLimits | None = None
         self.max_body = MAX_BODY_BYTES
         self.is_policy_certain = True
 
@@ -227,8 +231,8 @@
             self.event.method, self.event.target, headers, self.body, self.size, streaming_body
         )
 
-    def upload_time(self, streaming_body: StreamingBody) -> int:
+    def remaining_body_time(self, streaming_body: StreamingBody) -> int:
         """Return how long (ns) the rest of a long body may take; the client waits from its last byte on."""
         if streaming_body.length is None:
-            return MAX_UPLOAD_TIME
-        return min(MAX_UPLOAD_TIME, (streaming_body.length - self.size) * SECOND // MIN_BODY_RATE)
+            return MAX_UPLOAD_TIME_NS
+        return min(MAX_UPLOAD_TIME_NS, (streaming_body.length - self.size) * SECOND // MIN_BODY_BYTES_PER_S)
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -12,7 +12,7 @@
 import pytest
 
 from hollybay.balancing import interface as api
-from hollybay.proxy.downstream.connection import HIDING, ClientConnection
+from hollybay.proxy.downstream.connection import HIDDEN_CLOSE_BYTES, ClientConnection
 from hollybay.proxy.message_limits import SMALL_BODY_BYTES
 from hollybay.proxy.request_dispatcher import PRESENCE_VALID_NS
 from hollybay.proxy.upstream import connection as connection_module
@@ -145,8 +145,8 @@
             async with asyncio.timeout(LIMIT):
                 await node.until(lambda: any(backend.heads for backend in backends))
                 conn = await paused(node, sock)
-                sock.send(b"p" * 2 * HIDING)
-            busy_until(lambda: conn.unread_bytes() >= HIDING)
+                sock.send(b"p" * 2 * HIDDEN_CLOSE_BYTES)
+            busy_until(lambda: conn.unread_bytes() >= HIDDEN_CLOSE_BYTES)
             (open_,) = node.node.requests.values()
             busy_until(lambda: time.monotonic_ns() - open_.client_seen > PRESENCE_VALID_NS)
             for backend in backends:
@@ -269,7 +269,7 @@
             sock.close()
             left(node, conn)
             node.node._send(api.Send(open_.id, other))
-            assert not conn.rid and conn.transport.is_closing()
+            assert not conn.request_id and conn.transport.is_closing()
             for backend in backends:
                 backend.go.set()
             await no_more_than(node, backends, b"r-1", 1)
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -14,7 +14,7 @@
 
 from hollybay.proxy.downstream.client_context import ACCEPT_BATCH
 from hollybay.proxy.downstream.connection import ClientConnection
-from hollybay.proxy.downstream.connection_table import SUSPECT
+from hollybay.proxy.downstream.connection_table import SUSPECT_AFTER_S
 from hollybay.proxy.shutdown import shut_down_gracefully
 from hollybay.proxy.upstream.attempt import Attempt
 from hollybay.testbed.loopback import (
@@ -87,7 +87,7 @@
                         assert b" 200 " in await answer_of(held[-1])
                 while len(getattr(clients, phase)) < clients.limit:
                     await asyncio.sleep(0.001)
-            time.sleep(SUSPECT + 0.01)  # they are old enough to be taken for a crowd
+            time.sleep(SUSPECT_AFTER_S + 0.01)  # they are old enough to be taken for a crowd
             pending = True
             admit = clients.admit
 
