--- a/hollybay/balancing/actions.py
+++ b/hollybay/balancing/actions.py
@@ -19,16 +19,16 @@
     id, server
         The request and the server.
     timeout
-        After which time (ns) it is given up, 0: at the request's deadline.
-    until
-        When (ns) its last byte must have been written, 0 for no such time. Later the server might not
-        recognise a duplicate.
+        After which time (ns) the attempt is given up, 0: at the request's deadline.
+    write_deadline
+        When (ns) the request's last byte must have been written, 0 for no such time. Later the server might
+        not recognise a duplicate.
     """
 
     id: int
     server: ServerId
     timeout: int = 0
-    until: int = 0
+    write_deadline: int = 0
 
 
 @dataclass(frozen=True, slots=True)
--- a/hollybay/balancing/balancer.py
+++ b/hollybay/balancing/balancer.py
@@ -159,7 +159,7 @@
         if not self.list_received:
             self.list_received = True
             self.wakeups.schedule(now + REVIEW_INTERVAL_NS, WakeupKind.REVIEW)
-            if self.settings.must_poll and event.kind == ListKind.CACHED:
+            if self.settings.poll_required and event.kind == ListKind.CACHED:
                 self.wakeups.schedule(now + self.poll_schedule.first_delay(), WakeupKind.POLL)
         if event.kind == ListKind.FAILED:
             delay = self.poll_schedule.poll_failed(now, self.random.random())
@@ -207,7 +207,7 @@
                 self.wakeups.schedule(self.now + delay, WakeupKind.HEDGE, event.id)
 
     def _send(self, request: PendingRequest, server: Server) -> None:
-        send_deadline = self.retry_policy.send_deadline(request)
+        write_deadline = self.retry_policy.write_deadline(request)
         attempt = Attempt(server, self.now)
         request.attempts.append(attempt)
         request.in_flight_attempts += 1
@@ -218,7 +218,7 @@
             SlowStart.record_send(server, self.now)
         limits = request.limits
         timeout = limits.attempt_timeout if limits is not None else 0
-        self.actions.append(Send(request.id, server.id, timeout, send_deadline))
+        self.actions.append(Send(request.id, server.id, timeout, write_deadline))
 
     def _wait(self, request: PendingRequest) -> None:
         """Hold a request for which no server may be used, while there is time, or give it up."""
--- a/hollybay/balancing/bench_settings.py
+++ b/hollybay/balancing/bench_settings.py
@@ -138,7 +138,7 @@
 
 def _prices(reader: _Reader) -> Prices:
     return Prices(
-        crossing=reader.number("deductions.cross-zone", 0.0),
+        cross_zone=reader.number("deductions.cross-zone", 0.0),
         handshake=reader.number("deductions.handshake", 0.0),
         connection=reader.number("deductions.connection", 0.0),
         waste=reader.number("deductions.waste", 0.0),
@@ -169,7 +169,7 @@
         weight_mode=reader.choice("weights", WEIGHTS, "silent"),
         report_mode=reader.choice("report.via", MODES, "silent"),
         report_fields=tuple(FIELDS.get(name, "unknown") for name in reader.names("report.fields")),
-        must_poll=reader.choice("membership-mode", {"automatic": False, "subscribe": True}, "automatic"),
+        poll_required=reader.choice("membership-mode", {"automatic": False, "subscribe": True}, "automatic"),
         max_attempts=reader.integer("caps.most-tries", 3, least=1),
         hedging_allowed=reader.boolean("caps.may-duplicate", False),
         cancel_allowed=reader.boolean("caps.cancel", False),
--- a/hollybay/balancing/cross_zone.py
+++ b/hollybay/balancing/cross_zone.py
@@ -47,7 +47,7 @@
     Parameters
     ----------
     settings
-        The node's settings; prices.crossing is the cost of a crossing in priority weight.
+        The node's settings; prices.cross_zone is the cost of a crossing in priority weight.
     estimates
         What the node has learned from answers.
     now
@@ -115,7 +115,7 @@
     def _error(self, stale: bool) -> float:
         """Return the control error, -1 to 1: above 0 where more should cross."""
         estimates = self.estimates
-        price = self.settings.prices.crossing
+        price = self.settings.prices.cross_zone
         threshold = max(estimates.remote_lateness + LATENESS_MARGIN + price, MIN_LATENESS)
         error = log(max(estimates.local_lateness, MIN_MEASURED_LATENESS) / threshold)
         if self.settings.weight_mode == WeightMode.LIVE and not stale:
@@ -146,7 +146,7 @@
         saved = lost_if_late * (
             self._late_probability(class_index, local) - self._late_probability(class_index, remote)
         )
-        price = MIN_SAVING_PER_PRICE * self.settings.prices.crossing * self.estimates.offered_weight
+        price = MIN_SAVING_PER_PRICE * self.settings.prices.cross_zone * self.estimates.offered_weight
         return remote if saved > price else local
 
     def _late_probability(self, class_index: int, server: Server) -> float:
--- a/hollybay/balancing/hedging.py
+++ b/hollybay/balancing/hedging.py
@@ -62,7 +62,8 @@
             return None
         last = request.attempts[-1]
         if last.server.last_answer_at > last.sent_at:
-            return None  # it answers others, and is only slow
+            # The server has answered another attempt since: it responds, and only this one takes long.
+            return None
         scope = policy.scope_of(request, now, hedging_allowed=True)
         if scope is None:
             return None
--- a/hollybay/balancing/outlier_ejection.py
+++ b/hollybay/balancing/outlier_ejection.py
@@ -33,7 +33,7 @@
 
     Parameters
     ----------
-    silence
+    unresponsive_after
         The least time (ns) since a server's last answer before timeouts count as failures.
 
     Attributes
@@ -42,10 +42,10 @@
         The moving share (0 to 1) of attempts that fail, over all servers.
     """
 
-    __slots__ = ("failure_rate", "silence")
+    __slots__ = ("failure_rate", "unresponsive_after")
 
-    def __init__(self, silence: int) -> None:
-        self.silence = silence
+    def __init__(self, unresponsive_after: int) -> None:
+        self.unresponsive_after = unresponsive_after
         self.failure_rate = 0.0
 
     def observe_success(self, server: Server, now: int) -> None:
@@ -82,7 +82,7 @@
         """
         if result == Result.TIMEOUT:
             server.consecutive_timeouts += 1
-            if not self._is_silent(server, now) and not server.on_probation:
+            if not self._is_unresponsive(server, now) and not server.on_probation:
                 return False
         self.failure_rate += OVERALL_FAILURE_WEIGHT * (1.0 - self.failure_rate)
         server.failure_rate += FAILURE_WEIGHT * (1.0 - server.failure_rate)
@@ -93,11 +93,11 @@
         server.on_probation = True
         return True
 
-    def _is_silent(self, server: Server, now: int) -> bool:
+    def _is_unresponsive(self, server: Server, now: int) -> bool:
         """Whether timeouts are failures: an overloaded server still answers some, a dead one none."""
         return (
             server.consecutive_timeouts >= MAX_CONSECUTIVE_TIMEOUTS
-            and now - server.last_answer_at >= self.silence
+            and now - server.last_answer_at >= self.unresponsive_after
         )
 
     def _is_outlier(self, server: Server, attempt: Attempt, now: int) -> bool:
--- a/hollybay/balancing/reported_failures.py
+++ b/hollybay/balancing/reported_failures.py
@@ -45,7 +45,7 @@
             return None
         if len(report) <= max(self.errors_field, self.rate_field):
             return None
-        errors, served = report[self.errors_field], report[self.rate_field]
-        if not (errors >= 0.0 and served >= 0.0):  # also where one is not a number
+        errors, answers = report[self.errors_field], report[self.rate_field]
+        if not (errors >= 0.0 and answers >= 0.0):  # also where one is not a number
             return None
-        return errors / (errors + served) if errors + served > MIN_ANSWERS_PER_SECOND else 0.0
+        return errors / (errors + answers) if errors + answers > MIN_ANSWERS_PER_SECOND else 0.0
--- a/hollybay/balancing/retries.py
+++ b/hollybay/balancing/retries.py
@@ -178,7 +178,7 @@
             scope = narrowed_scope(cls, attempts, now, scope, request.limits, slack)
         return scope
 
-    def send_deadline(self, request: PendingRequest) -> int:
+    def write_deadline(self, request: PendingRequest) -> int:
         """Return when (ns) the last byte of a further attempt must be sent; 0 for no such time."""
         if not request.attempts:
             return 0
--- a/hollybay/balancing/settings.py
+++ b/hollybay/balancing/settings.py
@@ -151,7 +151,7 @@
 
     Attributes
     ----------
-    crossing, handshake, probe
+    cross_zone, handshake, probe
         Per request: a request to another zone, a new connection, a probe.
     connection
         Per 100 connections of a server.
@@ -159,7 +159,7 @@
         Of wasted work, and of a late failure.
     """
 
-    crossing: float = 0.0
+    cross_zone: float = 0.0
     handshake: float = 0.0
     connection: float = 0.0
     waste: float = 0.0
@@ -171,6 +171,11 @@
 class Settings:
     """What a node is configured with at its start; durations in ns.
 
+    Some settings are only carried here, as they come with the others from the operators. No decision reads
+    `connect_timeout`, `drain_grace` and `report_mode`, which the proxy uses, nor `answer_grace` and
+    `overload_window`, by which the testbed checks what nodes did. Nothing reads `streams`, `probes_allowed`,
+    `over_share_weight`, `weight_by_work`, the values of tenants, and the prices other than `cross_zone`.
+
     Attributes
     ----------
     classes, tenants
@@ -185,7 +190,7 @@
         What listed weights mean.
     report_mode, report_fields
         Where load reports come from, and the names of their values in order.
-    must_poll
+    poll_required
         Whether discovery has to be asked for the server list.
     max_attempts
         The most attempts of a request.
@@ -200,11 +205,13 @@
     max_retry_after
         The longest Retry-After of a rejection.
     answer_grace, drain_grace
-        How long after a deadline an answer may come, and after a drain a request may still reach its server.
+        How long after its deadline a request may still be answered, and how long after its drain a server may
+        still get requests.
     cold_share, warm_up
         The share (0 to 1) of its capacity that a server has at its start, and how long it takes to reach all.
     overload_multiple, overload_window
-        The multiple of its capacity up to which a starting server may get requests, and over which time.
+        The multiple of its capacity up to which a starting server may get requests, and the window over which
+        the checks of the testbed sum them up.
     poll_within
         The longest allowed time without a poll, 0 for no limit.
     prices
@@ -222,7 +229,7 @@
     weight_mode: WeightMode = WeightMode.NONE
     report_mode: ReportMode = ReportMode.NONE
     report_fields: tuple[str, ...] = ()
-    must_poll: bool = False
+    poll_required: bool = False
     max_attempts: int = 3
     hedging_allowed: bool = False
     cancel_allowed: bool = True
--- a/hollybay/balancing/slow_start.py
+++ b/hollybay/balancing/slow_start.py
@@ -12,12 +12,12 @@
 from .interface import Settings
 from .state import Server
 
-__all__ = ["COLD_BUDGET_SHARE", "SlowStart", "send_interval"]
+__all__ = ["SLOW_START_BUDGET_SHARE", "SlowStart", "send_interval"]
 
 # The share of a starting server's budget (its present capacity x overload_multiple) that all nodes together
 # plan to use. Servers often do more at their age than the least; the rest is slack for chance, for uneven
 # traffic, and for a service time that is estimated too low.
-COLD_BUDGET_SHARE = 0.4
+SLOW_START_BUDGET_SHARE = 0.4
 
 
 def send_interval(service_time: float, size: float, factor: float, multiple: float, nodes: float) -> int:
@@ -38,7 +38,7 @@
     nodes
         The number of nodes that share the budget.
     """
-    return int(service_time / size / (COLD_BUDGET_SHARE * multiple * factor / nodes))
+    return int(service_time / size / (SLOW_START_BUDGET_SHARE * multiple * factor / nodes))
 
 
 class SlowStart:
--- a/hollybay/balancing/traffic_share.py
+++ b/hollybay/balancing/traffic_share.py
@@ -29,9 +29,9 @@
 MIN_MEAN_RATE = 0.1
 # The number of reports over which the mean rate moves.
 MEAN_REPORTS = 24
-# For slow start the number of nodes is at least the configured one divided by this: all nodes may be wrong in
-# the same direction at once.
-MAX_COLD_FACTOR = 3.0
+# For slow start the number of nodes is at least the configured one divided by this: all nodes may estimate
+# too few at once.
+SLOW_START_NODES_DIVISOR = 3.0
 
 
 class TrafficShare:
@@ -132,4 +132,4 @@
 
     def slow_start_nodes(self, nodes: float) -> float:
         """Return the number of nodes among which a starting server's budget is divided."""
-        return max(nodes, self.configured_nodes / MAX_COLD_FACTOR)
+        return max(nodes, self.configured_nodes / SLOW_START_NODES_DIVISOR)
--- a/hollybay/consensus/lease_client.py
+++ b/hollybay/consensus/lease_client.py
@@ -217,7 +217,7 @@
             self.settings.grace_ns,
             texts_of(why.reasons),
             {change: texts_of(reasons) for change, reasons in why.culprits.items()},
-            why.whatever_it_holds,
+            why.cannot_serve_any,
         )
 
     async def _request(self, address: str, body: bytes, limit: float) -> None:
@@ -286,5 +286,5 @@
             else:
                 # It is not on this disk: the node cannot serve it now, and may later.
                 reasons = bounded_reasons([fetched.problem or GoneSinceFetch()])
-                self.serviceability.mark(name, Unserviceable(reasons, whatever_it_holds=True))
+                self.serviceability.mark(name, Unserviceable(reasons, cannot_serve_any=True))
         return tuple(voter_sets)
--- a/hollybay/consensus/serviceability.py
+++ b/hollybay/consensus/serviceability.py
@@ -26,13 +26,13 @@
     reasons : tuple of Reason
     culprits : mapping
         The reasons by the ids of the changes at fault, as far as these are known.
-    whatever_it_holds : bool
+    cannot_serve_any : bool
         Whether the node could serve no new policy now, whatever it holds.
     """
 
     reasons: tuple[Reason, ...]
     culprits: Mapping[str, tuple[Reason, ...]] = field(default_factory=dict)
-    whatever_it_holds: bool = False
+    cannot_serve_any: bool = False
 
 
 def bounded_reasons(reasons: Iterable[Reason]) -> tuple[Reason, ...]:
--- a/hollybay/mutation/planted.py
+++ b/hollybay/mutation/planted.py
@@ -83,7 +83,7 @@
     Defect(
         "no-cold-gap",
         SLOW_START,
-        "return int(service_time / size / (COLD_BUDGET_SHARE * multiple * factor / nodes))",
+        "return int(service_time / size / (SLOW_START_BUDGET_SHARE * multiple * factor / nodes))",
         "return 0",
     ),
     Defect(
--- a/hollybay/proxy/assembly.py
+++ b/hollybay/proxy/assembly.py
@@ -101,7 +101,7 @@
         config.discovery,
         config.names,
         node,
-        on_demand=config.settings.must_poll,
+        on_demand=config.settings.poll_required,
         version=known_servers.servers.version if known_servers is not None else NO_VERSION,
     )
     node.lists = discovery
--- a/hollybay/proxy/exchange.py
+++ b/hollybay/proxy/exchange.py
@@ -290,7 +290,7 @@
             streamed=cls.streamed,
             owner=request,
             number=number,
-            write_deadline=action.until,
+            write_deadline=action.write_deadline,
         )
         request.attempts.append(attempt)
         request.out += 1
--- a/hollybay/proxy/life_cycle.py
+++ b/hollybay/proxy/life_cycle.py
@@ -132,7 +132,7 @@
         if predecessors:
             log.info("%d other processes of this node listen; taking over", predecessors)
             await self._wait_for_answer(TAKEOVER_LIST_TIMEOUT_S)
-        elif not self.config.settings.must_poll:
+        elif not self.config.settings.poll_required:
             await self._wait_for_answer(FIRST_LIST_TIMEOUT_S)
 
     async def _wait_for_answer(self, timeout_s: float) -> None:
--- a/tests/made_up_world.py
+++ b/tests/made_up_world.py
@@ -55,7 +55,7 @@
     "world-must-ask": {
         "weight_mode": WeightMode.LIVE,
         "load": 0.15,
-        "must_poll": True,
+        "poll_required": True,
         "change": 60 * SECOND,
     },
     "world-alone": {"weight_mode": WeightMode.LIVE, "load": 0.7, "zones": 1, "nodes": 1, "lost": 0.03},
@@ -121,7 +121,7 @@
         if ways.pop("reported", False):
             ways["report_fields"] = ("errors", "rate", "q")
         self.reported = bool(ways.get("report_fields"))
-        self.settings = make_settings(prices=Prices(crossing=ways.pop("crossing", 0.02)), **ways)
+        self.settings = make_settings(prices=Prices(cross_zone=ways.pop("crossing", 0.02)), **ways)
         self.now = START
         self.balancer = balancer(self.settings, len(name), START)
         self.events = events
@@ -147,7 +147,7 @@
 
     def run(self) -> None:
         """Play until so many events were given."""
-        self.after(0, ["tell", ListKind.CACHED if self.settings.must_poll else ListKind.FULL])
+        self.after(0, ["tell", ListKind.CACHED if self.settings.poll_required else ListKind.FULL])
         self.after(MS, ["ask"])
         self.after(SECOND, ["change"])
         self.after(50 * MS, ["stray"])
--- a/tests/recorded_decisions.py
+++ b/tests/recorded_decisions.py
@@ -130,7 +130,7 @@
     "streamed",
 )
 TENANT = Shape(api.Tenant, "name", "share", "allowance")
-PRICES = Shape(api.Prices, "crossing", "handshake", "connection", "waste", "late_failure", "probe")
+PRICES = Shape(api.Prices, "cross_zone", "handshake", "connection", "waste", "late_failure", "probe")
 SETTINGS = Shape(
     api.Settings,
     ("classes", each(REQUEST_CLASS.part)),
@@ -144,7 +144,7 @@
     ("weight_mode", enum(api.WeightMode)),
     ("report_mode", enum(api.ReportMode)),
     ("report_fields", NUMBERS),
-    "must_poll",
+    "poll_required",
     "max_attempts",
     "hedging_allowed",
     "cancel_allowed",
@@ -222,7 +222,7 @@
     "elsewhere": Shape(api.PeerLoad, ("in_flight", HELD), "nodes"),
 }
 ACTIONS = {
-    "send": Shape(api.Send, "id", ("server", SERVER_ID), "timeout", "until"),
+    "send": Shape(api.Send, "id", ("server", SERVER_ID), "timeout", "write_deadline"),
     "refuse": Shape(api.Reject, "id", "retry_after"),
     "fail": Shape(api.Fail, "id"),
     "cancel": Shape(api.Cancel, "id", "attempt"),
--- a/tests/scripted_streams.py
+++ b/tests/scripted_streams.py
@@ -250,7 +250,7 @@
 
 def polls(balancer: type) -> Script:
     """Discovery that answers so late that polls are queued."""
-    script = Script(balancer, nodes=100, must_poll=True, poll_within=10 * SECOND, classes=SAFE_CLASSES)
+    script = Script(balancer, nodes=100, poll_required=True, poll_within=10 * SECOND, classes=SAFE_CLASSES)
     script.list(servers(3), ListKind.CACHED)
     for _ in range(6):
         while not any(action[0] == "watch" for action in script.last_actions):
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -79,7 +79,7 @@
         kinds=1,
         nodes=2,
         weight_mode=api.WeightMode.NOMINAL,
-        prices=api.Prices(crossing=price),
+        prices=api.Prices(cross_zone=price),
     )
     node = Node(settings, seed=3)
     node.tell(tuple(api.Server(b"s%d" % n, zone=n // 2) for n in range(4)))
@@ -325,7 +325,7 @@
 
 
 def test_a_list_that_must_be_asked_is_watched_and_asked_again() -> None:
-    node = Node(make_settings(must_poll=True, poll_within=10 * SECOND))
+    node = Node(make_settings(poll_required=True, poll_within=10 * SECOND))
     node.tell(fleet(4), api.ListKind.CACHED)
     node.run_to(node.now + SECOND)  # its turn among four nodes
     assert node.actions.count(api.WatchServers(True)) == 1
--- a/tests/test_fleet_shares.py
+++ b/tests/test_fleet_shares.py
@@ -444,7 +444,7 @@
 
 def asking(node: int) -> Node:
     """A node of 40 that is told that discovery must be asked."""
-    settings = make_settings(classes=ONE, kinds=1, nodes=40, node=node, must_poll=True)
+    settings = make_settings(classes=ONE, kinds=1, nodes=40, node=node, poll_required=True)
     return Node(replace(settings, poll_within=10 * SECOND), seed=node + 1)
 
 
