--- a/hollybay/proxy/consensus_member.py
+++ b/hollybay/proxy/consensus_member.py
@@ -141,16 +141,16 @@
         with paused():
             await self.loop.run_in_executor(None, work)
 
-    # Client requests: the protocol `Agreed`
+    # Client requests: the protocol `PolicyAgreement`
 
-    def look(self) -> bool:
+    def begin_request(self) -> bool:
         """Return whether a request may begin, which then begins under the policies in force."""
         may_begin = self.service.may_begin_request()
         if may_begin and self.on_request_begun is not None:
             self.on_request_begun(system.boot_time_ns(), self.service.policies_in_force)
         return may_begin
 
-    def sure(self) -> bool:
+    def may_begin_request(self) -> bool:
         """Return whether a request might begin now; none does."""
         return self.service.may_begin_request()
 
