--- a/hollybay/proxy/compiled_policies.py
+++ b/hollybay/proxy/compiled_policies.py
@@ -1,16 +1,16 @@
-"""Compiled route plans of the policies in the log, and operator files as operations on resources.
+"""Compiled policies of the replicated log, and operator files as operations on resources.
 
-Imported only where the operator file has [accord]. Long computations run in threads, beside the event loop.
+Imported only where the operator file has an [accord] table. Long computations run in threads, beside the
+event loop.
 """
 
 from __future__ import annotations
 
 import asyncio
-import sys
 from collections.abc import Callable
 from typing import TypeVar
 
-from hollybay.balancing import interface as api
+from hollybay.balancing.interface import Settings
 from hollybay.consensus.interfaces import InvalidFileError, OperatorFileChanges
 from hollybay.consensus.log_entry import Entry
 from hollybay.resources.batch import assemble
@@ -23,93 +23,110 @@
 from hollybay.routing.schema import read_all
 
 from .gc_pauses import paused
-from .operator_file import COMPILE_SWITCH_INTERVAL_S
+from .thread_switching import short_switch_interval
 
 __all__ = ["CompiledPolicies", "read_operator_file"]
 
 T = TypeVar("T")
-# How many of the last plans are kept, beside those in use.
-KEPT_PLANS = 8
+RECENT_POLICIES_CACHED = 8  # beside those in use
 
 
 class CompiledPolicies:
-    """The compiled plans of the last policies.
+    """Cache of compiled policies: the most recent ones, and those in use.
 
     Parameters
     ----------
     settings
-        Settings of this node.
-    in_use
-        The names of the policies whose plans are kept in any case.
+        Settings of this node's balancer, which policies are compiled for.
+    policies_in_use
+        Returns the names of the policies that stay cached in any case.
     """
 
-    def __init__(self, settings: api.Settings, in_use: Callable[[], tuple[str, ...]]) -> None:
+    def __init__(self, settings: Settings, policies_in_use: Callable[[], tuple[str, ...]]) -> None:
         self.settings = settings
-        self.in_use = in_use
-        self.by_name: dict[str, IncrementalPolicy] = {}
+        self.policies_in_use = policies_in_use
+        self._by_name: dict[str, IncrementalPolicy] = {}
 
     async def compile_policy(self, entry: Entry) -> list[str]:
-        """Compile a policy in a thread; why it cannot be compiled, empty: it was."""
+        """Compile the policy of an entry in a thread and cache it.
+
+        Returns
+        -------
+        list of str
+            Why it cannot be compiled; empty if it was.
+        """
         name = entry.policy.name
-        if name in self.by_name:
+        if name in self._by_name:
             return []
         try:
-            self.by_name[name] = await _in_thread(lambda: self._compiled(entry))
+            self._by_name[name] = await _run_in_thread(lambda: self._compile(entry))
         except InvalidFileError as error:
             return error.problems
-        for old_name in list(self.by_name)[:-KEPT_PLANS]:
-            if old_name not in self.in_use():
-                del self.by_name[old_name]
+        for old_name in list(self._by_name)[:-RECENT_POLICIES_CACHED]:
+            if old_name not in self.policies_in_use():
+                del self._by_name[old_name]
         return []
 
     def policy_of(self, entry: Entry) -> IncrementalPolicy:
-        """The plan of a policy that compiles. ChangeRejectedError: it does not."""
-        plan = self.by_name.get(entry.policy.name)
-        if plan is None:
-            plan = self.by_name[entry.policy.name] = self._compiled(entry)
-        return plan
-
-    def _compiled(self, entry: Entry) -> IncrementalPolicy:
-        """The plan of a policy; made from that of its parent if it is here, at the cost of what changed."""
+        """Return the compiled policy of an entry; it is compiled at once if it is not cached.
+
+        Raises
+        ------
+        ChangeRejectedError
+            The policy does not compile.
+        """
+        compiled = self._by_name.get(entry.policy.name)
+        if compiled is None:
+            compiled = self._by_name[entry.policy.name] = self._compile(entry)
+        return compiled
+
+    def _compile(self, entry: Entry) -> IncrementalPolicy:
+        """Compile from the parent's compiled policy if that is cached, at the cost of what changed."""
         assert entry.state is not None
-        parent_plan = self.by_name.get(entry.policy.parent_name)
-        if parent_plan is None or entry.changed_keys is None:
+        parent = self._by_name.get(entry.policy.parent_name)
+        if parent is None or entry.changed_keys is None:
             return compile_state(entry.state, self.settings)
-        return update_policy(parent_plan, entry.state, entry.changed_keys, self.settings)
+        return update_policy(parent, entry.state, entry.changed_keys, self.settings)
 
     async def find_invalid_changes(self, base: Entry, changes: tuple[Change, ...]) -> dict[bytes, list[str]]:
-        """The changes of a batch that do not hold by themselves, by their ids, each with its problems.
+        """Find the changes of a batch that are invalid by themselves.
 
         A change that fails only beside another one may be rejected once that one is decided. If there are
-        only such changes none is named, and the batch is split.
+        only such changes none is found, and the batch is split.
+
+        Returns
+        -------
+        dict
+            The problems of each such change, by its id.
         """
         try:
-            return await _in_thread(lambda: self._find_invalid_changes(base, changes))
+            return await _run_in_thread(lambda: self._find_invalid_changes(base, changes))
         except InvalidFileError:
             return {}
 
     def _find_invalid_changes(self, base: Entry, changes: tuple[Change, ...]) -> dict[bytes, list[str]]:
         assert base.state is not None
-        plan = self.by_name.get(base.policy.name) or self._compiled(base)
-        culprits: dict[bytes, list[str]] = {}
-        for change, error in assemble(base.state, changes, Validator(plan, self.settings)).rejected:
-            if assemble(base.state, (change,), Validator(plan, self.settings)).rejected:
-                culprits[change.id] = [str(problem) for problem in error.problems]
-        return culprits
+        policy = self._by_name.get(base.policy.name) or self._compile(base)
+        invalid_changes: dict[bytes, list[str]] = {}
+        for change, error in assemble(base.state, changes, Validator(policy, self.settings)).rejected:
+            alone = assemble(base.state, (change,), Validator(policy, self.settings))
+            if alone.rejected:
+                invalid_changes[change.id] = [str(problem) for problem in error.problems]
+        return invalid_changes
 
 
 async def read_operator_file(file: bytes, state: ResourceState) -> OperatorFileChanges:
-    """The operations that bring resources to what an operator file says, and the voters that it names.
+    """Compare an operator file with resources, in a thread.
 
     Raises
     ------
     InvalidFileError
         The file is invalid.
     """
-    return await _in_thread(lambda: _read(file, state))
+    return await _run_in_thread(lambda: _compare(file, state))
 
 
-def _read(file: bytes, state: ResourceState) -> OperatorFileChanges:
+def _compare(file: bytes, state: ResourceState) -> OperatorFileChanges:
     tables, problems = read_all(file)
     if problems:
         raise OperatorError("operator file", problems)
@@ -117,22 +134,18 @@
     return OperatorFileChanges(operations_between(state, resources_of(tables)), voters)
 
 
-async def _in_thread(compute: Callable[[], T]) -> T:
-    """The result of a long computation, beside the event loop and without garbage collection.
+async def _run_in_thread(compute: Callable[[], T]) -> T:
+    """Run a long computation beside the event loop and without garbage collection.
 
     Raises
     ------
     InvalidFileError
-        The input does not hold, or the computation failed unexpectedly.
+        The input is invalid, or the computation failed unexpectedly.
     """
-    interval = sys.getswitchinterval()
-    sys.setswitchinterval(COMPILE_SWITCH_INTERVAL_S)
     try:
-        with paused():
+        with short_switch_interval(), paused():
             return await asyncio.get_running_loop().run_in_executor(None, compute)
     except (OperatorError, ChangeRejectedError) as error:
         raise InvalidFileError([str(problem) for problem in error.problems]) from None
     except Exception as error:  # an unforeseen failure costs this policy and nothing else
         raise InvalidFileError([f"cannot be compiled: {type(error).__name__}: {error}"]) from None
-    finally:
-        sys.setswitchinterval(interval)
--- a/hollybay/proxy/operator_file.py
+++ b/hollybay/proxy/operator_file.py
@@ -8,9 +8,7 @@
 
 import asyncio
 import logging
-import sys
-from collections.abc import Callable, Iterator
-from contextlib import contextmanager
+from collections.abc import Callable
 from pathlib import Path
 
 from hollybay.balancing.interface import Settings
@@ -21,8 +19,9 @@
 
 from . import system
 from .config import ConfigError
+from .thread_switching import short_switch_interval
 
-__all__ = ["COMPILE_SWITCH_INTERVAL_S", "OperatorFile"]
+__all__ = ["OperatorFile"]
 
 log = logging.getLogger("hollybay.proxy")
 
@@ -32,9 +31,6 @@
 # not depend on this.
 SETTLE_INTERVAL_S = 0.05
 MAX_SETTLE_READS = 40
-# Thread switch interval of the interpreter while a file is compiled in a thread. With the default of 5 ms
-# each turn of the event loop could be that much late.
-COMPILE_SWITCH_INTERVAL_S = 0.0005
 
 
 class OperatorFile:
@@ -68,7 +64,7 @@
     Raises
     ------
     ConfigError
-        The file cannot be read or is invalid; the message tells all problems.
+        The file cannot be read or is invalid; the message lists all problems.
     """
 
     def __init__(
@@ -82,16 +78,16 @@
         self.settle_pause = settle_pause
         self.settings = settings
         try:
-            plan = self._read_plan()
+            policy = self._read_policy()
         except OperatorError as error:
             raise ConfigError(str(error)) from None
-        if plan.accord is not None and not plan.is_empty:
+        if policy.accord is not None and not policy.is_empty:
             raise ConfigError(
                 f"{path}: [accord]: routes and limits beside it would be this node's alone; "
                 "`hollybay policy propose` puts them in force everywhere"
             )
-        self.admission = AdmissionControl(plan, seed, settings.max_retry_after)
-        self.consensus_table = plan.accord
+        self.admission = AdmissionControl(policy, seed, settings.max_retry_after)
+        self.consensus_table = policy.accord
         self.reloads_finished = 0
         self.reload_finished = asyncio.Event()
         self._reload_task: asyncio.Task[None] | None = None
@@ -121,7 +117,7 @@
 
     async def _run_reloads(self) -> None:
         try:
-            with _short_switch_interval():
+            with short_switch_interval():
                 while self._reload_requested:
                     self._reload_requested = False
                     await self._reload_once()
@@ -131,24 +127,24 @@
 
     async def _reload_once(self) -> None:
         try:
-            plan = await asyncio.get_running_loop().run_in_executor(None, self._read_plan)
+            policy = await asyncio.get_running_loop().run_in_executor(None, self._read_policy)
         except OperatorError as error:
             _log_problems(error)
         except Exception:
             # An unforeseen error fails this reload and nothing else.
             log.exception("reload: %s cannot be read; the old one stays in force", self.path)
         else:
-            if plan.peers != self.admission.policy.peers:
+            if policy.peers != self.admission.policy.peers:
                 log.warning("reload: [peers] differs, which takes a restart")
-            self.admission.replace_policy(plan)
-            log.info("reload: %s: %d routes in force", self.path, len(plan.routes))
+            self.admission.replace_policy(policy)
+            log.info("reload: %s: %d routes in force", self.path, len(policy.routes))
 
     def _finish_reload(self) -> None:
         self.reloads_finished += 1
         self.reload_finished.set()
 
-    def _read_plan(self) -> CompiledPolicy:
-        """Read and compile the file; OperatorError tells all problems."""
+    def _read_policy(self) -> CompiledPolicy:
+        """Read and compile the file; OperatorError lists all problems."""
         try:
             data = self._read_settled()
         except (OSError, ValueError) as error:
@@ -166,17 +162,6 @@
         raise ValueError("it keeps changing")
 
 
-@contextmanager
-def _short_switch_interval() -> Iterator[None]:
-    """Let a compiling thread yield to the event loop sooner."""
-    interval = sys.getswitchinterval()
-    sys.setswitchinterval(COMPILE_SWITCH_INTERVAL_S)
-    try:
-        yield
-    finally:
-        sys.setswitchinterval(interval)
-
-
 def _log_problems(error: OperatorError) -> None:
     for problem in error.problems[:MAX_LOGGED_PROBLEMS]:
         log.error("reload: %s: %s", error.file, problem)
