--- a/tests/test_accord_node.py
+++ b/tests/test_accord_node.py
@@ -240,9 +240,10 @@
             old = await did("propose", "--out", "s-1", "--reason", "r", "--parent", "1-0123456789ab")
             assert old.exit_code == 1 and "in force is 2-" in old.output
             out = await did("propose", "--out", "s-1", "--reason", "it is ill", "--json")
-            assert json.loads(out.output)["code"] == 0 and accord.admin_service.drains.drained == {"s-1"}
+            drains = accord.admin_service.server_drains.drains
+            assert json.loads(out.output)["code"] == 0 and drains.drained == {"s-1"}
             assert (await did("back", "--reason", "it is well")).exit_code == 0
-            assert not accord.admin_service.drains.drained
+            assert not drains.drained
             nothing = await did("drop")
             assert nothing.exit_code == 2 and "no change is under way" in nothing.output
             told = await did("status")
--- a/tests/test_admin_service.py
+++ b/tests/test_admin_service.py
@@ -41,7 +41,7 @@
         await service.open()
         registry.tell(*backends)
         async with asyncio.timeout(LIMIT):
-            while len(service.drains.discovered) < len(backends):
+            while len(service.server_drains.drains.discovered) < len(backends):
                 await asyncio.sleep(0)
         node.clients.ready = True
         try:
@@ -112,20 +112,20 @@
             three, four = Backend("s-1"), Backend("s-2")
             async with operated(second, three, four, scratch=shared) as (node, beside, _):
                 # Names and addresses of the two are one in truth; here they tell the folders apart.
-                assert beside.drains.drained == {"s-1"}
+                assert beside.server_drains.drains.drained == {"s-1"}
                 for n in range(20):
                     assert b" 200 " in await node.ask(request(rid=f"a-{n}"))
                 assert not three.heads and four.heads
                 await ask(service, "POST /-/servers/s-2/disable")
                 async with asyncio.timeout(LIMIT):
-                    while beside.drains.drained != {"s-1", "s-2"}:
+                    while beside.server_drains.drains.drained != {"s-1", "s-2"}:
                         await asyncio.sleep(0.01)
                 # A file that does not hold changes nothing.
-                path = beside.drain_file.path
+                path = beside.server_drains.drain_file.path
                 assert path is not None
                 path.write_bytes(b"{")
-                beside._read_drain_file()
-                assert beside.drains.drained == {"s-1", "s-2"}
+                beside.server_drains.read_file()
+                assert beside.server_drains.drains.drained == {"s-1", "s-2"}
 
     asyncio.run(play())
 
