--- a/benchmarks/flood.py
+++ b/benchmarks/flood.py
@@ -10,8 +10,9 @@
 import uvloop
 
 from hollybay.cli.demo_report import percentile
-from hollybay.testbed.callers import Callers, Mix
+from hollybay.testbed.client_request import RequestMix
 from hollybay.testbed.ledger import Final
+from hollybay.testbed.load_generator import LoadGenerator
 from hollybay.testbed.process import NodeProcess
 from hollybay.testbed.scene import Scene
 from hollybay.units import MS
@@ -40,12 +41,12 @@
         try:
             await scene.agent.until(lambda: scene.agent.calls >= 2)
             mixes = [
-                Mix(0, target, 2.0, ("fraser-bands", "island-singers")),
-                Mix(2, b"/book-venue/1", 1.0, ("island-singers",)),
+                RequestMix(0, target, 2.0, ("fraser-bands", "island-singers")),
+                RequestMix(2, b"/book-venue/1", 1.0, ("island-singers",)),
             ]
-            usual = Callers(scene.ledger, [port], mixes, USUAL, seed=2, prefix="usual")
-            flooder = [Mix(0, target, 1.0, ("coastal-choirs",))]
-            flood = Callers(scene.ledger, [port], flooder, FLOOD, seed=1, prefix="flood")
+            usual = LoadGenerator(scene.ledger, [port], mixes, USUAL, seed=2, prefix="usual")
+            flooder = [RequestMix(0, target, 1.0, ("coastal-choirs",))]
+            flood = LoadGenerator(scene.ledger, [port], flooder, FLOOD, seed=1, prefix="flood")
             spent = node.cpu_seconds()
             await asyncio.gather(usual.run(SECONDS), flood.run(SECONDS))
             spent = node.cpu_seconds() - spent
--- a/hollybay/cli/demo.py
+++ b/hollybay/cli/demo.py
@@ -10,8 +10,8 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from hollybay.testbed.callers import Callers
 from hollybay.testbed.ledger import Final
+from hollybay.testbed.load_generator import LoadGenerator
 from hollybay.testbed.process import NodeProcess
 from hollybay.testbed.scene import Scene
 
@@ -87,7 +87,7 @@
         port = await node.start()
         try:
             await scene.agent.until(lambda: scene.agent.calls >= CALLS_OF_A_READY_NODE)
-            clients = Callers(scene.ledger, [port], scene.mixes(), rate, seed)
+            clients = LoadGenerator(scene.ledger, [port], scene.mixes(), rate, seed)
             run = _Run(scene, node, clients, seconds, show)
             await run.play()
         finally:
@@ -103,7 +103,7 @@
         self,
         scene: Scene,
         node: NodeProcess,
-        clients: Callers,
+        clients: LoadGenerator,
         seconds: float,
         show: Callable[[Progress], None],
     ) -> None:
--- a/hollybay/cli/demo_report.py
+++ b/hollybay/cli/demo_report.py
@@ -7,7 +7,7 @@
 from dataclasses import asdict, dataclass
 from typing import Any
 
-from hollybay.testbed.fleet import ModelServer
+from hollybay.testbed.fake_server import FakeServer
 from hollybay.testbed.ledger import Asked, Final, Ledger, Verdict
 from hollybay.testbed.scene import KINDS
 from hollybay.units import MS
@@ -163,9 +163,9 @@
     return earned / possible if possible else 1.0
 
 
-def kind_rows(servers: Sequence[ModelServer]) -> tuple[KindRow, ...]:
+def kind_rows(servers: Sequence[FakeServer]) -> tuple[KindRow, ...]:
     """What each kind of server did."""
-    all_work = sum(server.served.work for server in servers) or 1.0
+    all_work = sum(server.counts.work for server in servers) or 1.0
     all_capacity = sum(server.kind.capacity for server in servers)
     rows = []
     for kind in KINDS:
@@ -173,9 +173,9 @@
         row = KindRow(
             name=kind.name,
             servers=len(of_kind),
-            work_share=sum(server.served.work for server in of_kind) / all_work,
+            work_share=sum(server.counts.work for server in of_kind) / all_work,
             capacity_share=sum(server.kind.capacity for server in of_kind) / all_capacity,
-            answers=sum(server.served.done for server in of_kind),
+            answers=sum(server.counts.done for server in of_kind),
         )
         rows.append(row)
     return tuple(rows)
--- a/hollybay/cluster/report.py
+++ b/hollybay/cluster/report.py
@@ -239,7 +239,7 @@
     for life in books.lives:
         for start in books.ledger.starts.get(life.name, ()):
             if start.cold and start.at < outcome.ended:
-                warmth = {s: start.warmth(start.at + s * SECOND, limits) for s in range(60)}
+                warmth = {s: start.slow_start_factor(start.at + s * SECOND, limits) for s in range(60)}
                 took = share_time(
                     books.visits, life, start.at, outcome.ended, rate * life.capacity / total, warmth
                 )
--- a/hollybay/cluster/rig.py
+++ b/hollybay/cluster/rig.py
@@ -20,7 +20,7 @@
 
 import msgspec
 
-from hollybay.testbed.fleet import Kind
+from hollybay.testbed.fake_server import ServerKind
 from hollybay.testbed.scene import MEAN_WORK, usual_kinds
 from hollybay.testbed.scratch import in_memory
 from hollybay.units import SECOND
@@ -332,7 +332,7 @@
         """Requests a second of the plan's load."""
         return self.run.load * sum(kind.capacity for kind in self._kinds()) / MEAN_WORK
 
-    def _kinds(self) -> list[Kind]:
+    def _kinds(self) -> list[ServerKind]:
         kinds = usual_kinds(self.run.servers)
         random.Random(self.plan.seed).shuffle(kinds)
         return kinds
--- a/hollybay/cluster/roles.py
+++ b/hollybay/cluster/roles.py
@@ -28,9 +28,13 @@
 from hollybay.balancing import interface as api
 from hollybay.proxy.config import load
 from hollybay.proxy.life_cycle import serve
-from hollybay.testbed.callers import Call, Callers, Line, Mix, starved
-from hollybay.testbed.fleet import Answering, Kind, ModelServer
+from hollybay.testbed.client_connection import ClientConnection
+from hollybay.testbed.client_request import ClientRequest, RequestMix
+from hollybay.testbed.cpu_wait import cpu_wait_ns
+from hollybay.testbed.fake_server import FakeServer, ServerKind
+from hollybay.testbed.fake_server_connection import ScriptedAnswer
 from hollybay.testbed.ledger import Asked, Final, Ledger, Limits, Start
+from hollybay.testbed.load_generator import LoadGenerator
 from hollybay.testbed.scene import CLASSES, SHARES, TENANTS, WORK, settings
 from hollybay.units import SECOND
 
@@ -269,12 +273,12 @@
 
 async def _beat(name: str, books: _Recording) -> None:
     loop = asyncio.get_running_loop()
-    waited = starved()
+    waited = cpu_wait_ns()
     due = loop.time() + BEAT
     while True:
         await asyncio.sleep(due - loop.time())
         late = max(0.0, loop.time() - due)
-        known, waited = waited, starved()
+        known, waited = waited, cpu_wait_ns()
         books.write(Beat(time.monotonic_ns(), name, int(late * SECOND), max(0, waited - known)))
         due = max(due + BEAT, loop.time() + BEAT / 2)
 
@@ -306,7 +310,7 @@
     return int(value) / 1e6 if value.isdigit() else 0.05
 
 
-class _Server(ModelServer):
+class _Server(FakeServer):
     """A server with a door for each side of the tier, and faults by word."""
 
     def __init__(self, sides: int, books: _Recording, **words: Any) -> None:
@@ -332,9 +336,9 @@
         """Work takes so many times as long, and no list tells of it."""
         self.kind = replace(self.nominal, speed=self.nominal.speed / times)
 
-    def _script(self, rid: str, target: bytes) -> Answering:
+    def _script(self, rid: str, target: bytes) -> ScriptedAnswer:
         failed = self.failing > 0.0 and self.chance.random() < self.failing
-        return Answering(500) if failed else Answering()
+        return ScriptedAnswer(500) if failed else ScriptedAnswer()
 
     def row(self) -> dict[str, object]:
         """Its line of the list, with an address for each side."""
@@ -355,7 +359,7 @@
     async def do_open(self, servers: list[dict[str, Any]], sides: int, away: list[str]) -> Any:
         """Make and start servers; those that are away have a port and are not up."""
         for words in servers:
-            kind = Kind(**words.pop("kind"))
+            kind = ServerKind(**words.pop("kind"))
             server = _Server(sides, self.books, kind=kind, **words)
             self.servers[server.name] = server
             await server.start()
@@ -441,7 +445,7 @@
 # Clients
 
 
-class _Callers(Callers):
+class _Callers(LoadGenerator):
     """Clients of a whole tier: each request to a node drawn by its share of the traffic.
 
     A node that refuses a connection is left for a while; a request whose bytes went nowhere yet goes on to
@@ -463,9 +467,9 @@
         self.left: dict[str, float] = {}
         self.reached: dict[str, int] = {}
 
-    def ask(self, mix: Mix, repeat: bool = False) -> Asked:
+    def ask(self, mix: RequestMix, is_retry: bool = False) -> Asked:
         self.books.work = 1000 * int(mix.target.partition(b"?w=")[2])
-        return super().ask(mix, repeat)
+        return super().ask(mix, is_retry)
 
     def ports_are(self, ports: dict[str, int]) -> None:
         """Where nodes listen now."""
@@ -474,7 +478,7 @@
             self.node_of[port] = name
             self.left.pop(name, None)
 
-    def _draw(self) -> Mix:
+    def _draw(self) -> RequestMix:
         mix = super()._draw()
         mean = WORK[CLASSES[mix.cls]["name"]]
         work = int(1e6 * mean * self.random.uniform(0.7, 1.3))
@@ -493,13 +497,13 @@
             ring = self.random.sample(self.names, len(self.names))
         return next((other for other in ring if self.left.get(other, 0.0) <= now), name)
 
-    def _send(self, call: Call, port: int) -> None:
+    def _send(self, call: ClientRequest, port: int) -> None:
         super()._send(call, self.port_of[self.node()])
 
-    def _open_anew(self, call: Call, port: int) -> None:
+    def _open_anew(self, call: ClientRequest, port: int) -> None:
         super()._open_anew(call, port or self.port_of[self.node()])
 
-    async def _open(self, call: Call, port: int) -> None:
+    async def _open(self, call: ClientRequest, port: int) -> None:
         for _ in range(self.ANEW):
             name = self.node_of[port]
             link = self.links[name]
@@ -509,7 +513,7 @@
             else:
                 try:
                     await self.loop.create_connection(
-                        lambda link=link, port=port: Linked(link, Line(self, call, port)),  # type: ignore[misc]
+                        functools.partial(self._linked_connection, link, call, port),
                         "127.0.0.1",
                         port,
                     )
@@ -522,12 +526,17 @@
             port = self.port_of[self.node()]
         self._end(call, Final.BROKEN)
 
-    def posted(self, call: Call, port: int) -> None:
-        self.books.write(Posted(time.monotonic_ns(), call.entry.id, self.node_of[port], call.fresh))
+    def _linked_connection(self, link: Link, call: ClientRequest, port: int) -> Linked:
+        return Linked(link, ClientConnection(self, call, port))
 
-    def broke(self, call: Call, part: bytes) -> None:
+    def request_sent(self, call: ClientRequest, port: int) -> None:
+        self.books.write(
+            Posted(time.monotonic_ns(), call.entry.id, self.node_of[port], call.on_new_connection)
+        )
+
+    def connection_broken(self, call: ClientRequest, part: bytes) -> None:
         safe = self.ledger.limits.classes[call.entry.cls].effect == api.Effect.SAFE
-        if not call.fresh and not part and safe:
+        if not call.on_new_connection and not part and safe:
             self._open_anew(call, 0)
             return
         self._end(call, Final.BROKEN)
@@ -542,7 +551,7 @@
         for name in words["servers"]:
             self.books.starts[name] = []
         mixes = [
-            Mix(n, b"/%s/halls/1" % c["name"].encode(), SHARES[c["name"]], TENANTS)
+            RequestMix(n, b"/%s/halls/1" % c["name"].encode(), SHARES[c["name"]], TENANTS)
             for n, c in enumerate(CLASSES)
         ]
         self.callers = _Callers(
--- a/hollybay/simulation/servers.py
+++ b/hollybay/simulation/servers.py
@@ -242,7 +242,9 @@
     def warmth(self) -> float:
         """Present part of its capacity."""
         return (
-            self.start.warmth(self.world.now(), self.world.ledger.limits) if self.start is not None else 1.0
+            self.start.slow_start_factor(self.world.now(), self.world.ledger.limits)
+            if self.start is not None
+            else 1.0
         )
 
     # Requests
--- a/hollybay/testbed/__init__.py
+++ b/hollybay/testbed/__init__.py
@@ -1,11 +1,26 @@
 """Scripted stand-ins for what is outside the node, and the ledger over which the four rules are decided.
 
-loopback   a node in this process, with servers and a discovery that a test scripts byte by byte
-world      the decision module alone, with a driver that keeps its books
-rules      the four rules as pure functions, used by world and by the ledger
-ledger     what happened to each request, server and list, and the verdict over it
-fleet      modelled HTTP servers: speed, slots, queue, cold start, connection cap, crash, cut, drain
-agent      the discovery agent of the platform's protocol
-callers    clients that note each attempt and each answer in the ledger
-process    a real node as a process of its own
+Fake servers, clients and discovery
+    fake_server             servers with speed, slots, queue, cold start, connection cap, crash, cut, drain
+    fake_server_connection  their connections: requests framed, answers written
+    load_generator          clients that arrive whatever becomes of those before them
+    client_connection       their connections: requests sent, answers parsed
+    client_request          kinds of requests, their bytes, one on its way
+    discovery_agent         the discovery agent of the platform's protocol
+    scene                   all of them in the usual make-up
+    listener                a scripted TCP server, the base of some of them
+
+Rules
+    rules                   the four rules as pure functions
+    ledger                  what happened to each request, server and list, and the verdict over it
+
+Nodes under test
+    process                 a real node as a process of its own
+    loopback                a node in this process, its servers and discovery scripted by a test
+    loopback_config         its configuration, and requests to it
+    world                   the decision module alone, with a driver that records and checks what it does
+
+Machine
+    cpu_wait                how long this process waited for a core
+    scratch                 where runs of many processes keep their folders
 """
--- a/hollybay/testbed/ledger.py
+++ b/hollybay/testbed/ledger.py
@@ -93,9 +93,9 @@
     cold: bool
     came: list[tuple[int, int]] = field(default_factory=list)  # age and work, ns
 
-    def warmth(self, now: int, limits: Limits) -> float:
+    def slow_start_factor(self, now: int, limits: Limits) -> float:
         """The part of its capacity that it has at this time (ns)."""
-        return rules.warmth(now - self.at, limits.cold_share, limits.warm_up) if self.cold else 1.0
+        return rules.slow_start_factor(now - self.at, limits.cold_share, limits.warm_up) if self.cold else 1.0
 
 
 @dataclass(frozen=True, slots=True)
--- a/hollybay/testbed/listener.py
+++ b/hollybay/testbed/listener.py
@@ -1,18 +1,38 @@
-"""A scripted TCP server, the base of stand-ins that speak for themselves."""
+"""A scripted TCP server, the base of fake servers and of a fake discovery that speak for themselves."""
 
 from __future__ import annotations
 
 import asyncio
 from collections.abc import Callable
 
-__all__ = ["LIMIT", "OK", "Listener", "read_message"]
+__all__ = ["LIMIT", "OK", "Listener", "encode_ok", "read_message"]
 
 LIMIT = 20.0  # seconds; nothing is waited for longer: what waits then fails, it does not go on
-OK = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+END_OF_HEAD = b"\r\n\r\n"
+
+
+def encode_ok(body: bytes) -> bytes:
+    """A 200 answer with this body."""
+    return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
+
+
+OK = encode_ok(b"ok")
 
 
 class Listener:
-    """A TCP server that keeps count of its connections and can be waited for."""
+    """A TCP server that keeps count of its connections and can be waited for.
+
+    Attributes
+    ----------
+    address
+        Where it listens, host and port; "" before its start.
+    accepted
+        How many connections it has accepted.
+    changed
+        Set whenever something has happened that a test may wait for.
+    writers
+        Those of all connections so far.
+    """
 
     def __init__(self) -> None:
         self.address = ""
@@ -22,6 +42,7 @@
         self._server: asyncio.Server | None = None
 
     async def start(self) -> None:
+        """Listen on a free port."""
         self._server = await asyncio.start_server(self._accept, "127.0.0.1", 0)
         self.address = f"127.0.0.1:{self._server.sockets[0].getsockname()[1]}"
 
@@ -37,6 +58,7 @@
             writer.close()
 
     async def talk(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Serve one connection until it ends. Subclasses say how."""
         raise NotImplementedError
 
     def note(self) -> None:
@@ -44,6 +66,7 @@
         self.changed.set()
 
     async def until(self, holds: Callable[[], bool]) -> None:
+        """Wait until a condition holds, asked after each change. TimeoutError: not within LIMIT."""
         async with asyncio.timeout(LIMIT):
             while not holds():
                 self.changed.clear()
@@ -58,8 +81,14 @@
 
 
 async def read_message(reader: asyncio.StreamReader) -> tuple[bytes, bytes]:
-    """A head and the body that its Content-Length tells."""
-    head = await reader.readuntil(b"\r\n\r\n")
+    """Read a head, and the body that its Content-Length tells.
+
+    Raises
+    ------
+    asyncio.IncompleteReadError
+        The connection ended before that.
+    """
+    head = await reader.readuntil(END_OF_HEAD)
     length = 0
     for line in head.lower().split(b"\r\n"):
         if line.startswith(b"content-length:"):
--- a/hollybay/testbed/loopback.py
+++ b/hollybay/testbed/loopback.py
@@ -17,13 +17,15 @@
 from hollybay.proxy.downstream.listener import ClientListener
 from hollybay.proxy.exchange import Node
 
-from .listener import LIMIT, OK, Listener, read_message
+from .listener import LIMIT, OK, Listener, encode_ok, read_message
+from .loopback_config import CLASSES, request, settings, write_config
 
 __all__ = [
+    "CLASSES",
     "LIMIT",
     "OK",
     "Backend",
-    "Gate",
+    "ConnectBarrier",
     "Held",
     "Listener",
     "Registry",
@@ -36,42 +38,19 @@
     "write_config",
 ]
 
-CLASSES = [
-    {"name": "view", "effect": "retryable", "slo": 5 * 10**9, "give-up": 10**10, "worth": 3.0},
-    {"name": "send", "effect": "fragile", "slo": 5 * 10**9, "give-up": 10**10, "worth": 2.0},
-    {
-        "name": "book",
-        "effect": "dedup",
-        "slo": 5 * 10**9,
-        "give-up": 10**10,
-        "worth": 9.0,
-        "group": "cell",
-        "window": 4 * 10**9,
-    },
-]
-
-
-def settings(**changes: Any) -> dict[str, Any]:
-    return {
-        "balancers": 1,
-        "zones": ["a"],
-        "kinds": ["m"],
-        "categories": CLASSES,
-        "caps": {
-            "most-tries": 3,
-            "cancel": True,
-            "may-duplicate": False,
-            "connect-timeout": 10**9,
-            "conn-idle": 5 * 10**9,
-        },
-        "rules": {"drain-grace": 2 * 10**9},
-        "report": {"via": "piggyback", "fields": ["q"]},
-        **changes,
-    }
-
 
 class Registry(Listener):
-    """A discovery that pushes: a watch is answered as soon as there is something newer."""
+    """A discovery that pushes: a watch is answered as soon as there is something newer.
+
+    Attributes
+    ----------
+    version
+        Of the list; each change adds one.
+    lines
+        The servers' lines in discovery's form.
+    calls
+        How many requests have come.
+    """
 
     def __init__(self, version: int = 1) -> None:
         super().__init__()
@@ -80,6 +59,7 @@
         self.calls = 0
 
     def tell(self, *backends: Backend, state: str = "SERVING") -> None:
+        """Replace the list by these servers, all in one state."""
         self.lines = [
             {"id": b.name, "addr": b.address, "zone": "a", "kind": "m", "cell": 0, "state": state}
             for b in backends
@@ -88,19 +68,23 @@
         self.note()
 
     async def talk(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Answer each request with the whole list; a watch waits for a newer one."""
         while True:
             head, _ = await read_message(reader)
             target = head.split(b" ")[1].decode()
             self.calls += 1
             self.note()
             if f"index={self.version}&" in target:
-                seen = self.version
-                await self.until(lambda seen=seen: self.version != seen)  # type: ignore[misc]
-            body = json.dumps({"version": self.version, "full": True, "servers": self.lines}).encode()
-            writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
+                await self._until_newer(self.version)
+            listing = {"version": self.version, "full": True, "servers": self.lines}
+            writer.write(encode_ok(json.dumps(listing).encode()))
+
+    async def _until_newer(self, version: int) -> None:
+        await self.until(lambda: self.version != version)
 
 
 Script = Callable[[bytes, asyncio.StreamWriter], Awaitable[None]]
+"""Answers a request, given its head."""
 
 
 class Backend(Listener):
@@ -113,6 +97,7 @@
         self.heads: list[bytes] = []
 
     async def talk(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Answer each request as the script says."""
         while True:
             head, _ = await read_message(reader)
             self.heads.append(head)
@@ -130,13 +115,27 @@
         super().__init__(name, self._wait)
         self.go = asyncio.Event()
 
-    async def _wait(self, head: bytes, writer: asyncio.StreamWriter) -> None:
+    async def _wait(self, _head: bytes, writer: asyncio.StreamWriter) -> None:
         await self.go.wait()
         writer.write(OK)
 
 
 class Running:
-    """A node that runs, with its parts in reach."""
+    """A node that runs, with its parts in reach.
+
+    Attributes
+    ----------
+    clients
+        Its listener for clients.
+    node
+        Its exchanges and its pools of connections to servers.
+    discovery
+        Its discovery client.
+    port
+        Where clients reach it.
+    path
+        Its configuration.
+    """
 
     def __init__(
         self, clients: ClientListener, node: Node, discovery: DiscoveryClient, port: int, path: Path
@@ -148,6 +147,7 @@
         self.path = path
 
     async def connect(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
+        """Open a client connection."""
         return await asyncio.open_connection("127.0.0.1", self.port)
 
     async def until(self, holds: Callable[[], bool]) -> None:
@@ -171,25 +171,33 @@
             writer.transport.abort()
 
 
-class Gate:
-    """Holds up a node's connections to servers, from the first one after `free` on, until `open` is set."""
+class ConnectBarrier:
+    """Holds up a node's connections to servers, from the first one after `free` on, until `open` is set.
+
+    Attributes
+    ----------
+    open
+        Lets all connections through once it is set.
+    waiting
+        How many connections have been held up.
+    """
 
     def __init__(self, node: Running, free: int = 0) -> None:
         self.open = asyncio.Event()
         self.waiting = 0
         servers = node.node.servers
         establish = servers.establish
-        seen = 0
+        established = 0
 
-        async def late(sock: socket.socket, address: tuple[str, int]) -> None:
-            nonlocal seen
+        async def establish_late(sock: socket.socket, address: tuple[str, int]) -> None:
+            nonlocal established
             await establish(sock, address)
-            seen += 1
-            if seen > free:
+            established += 1
+            if established > free:
                 self.waiting += 1
                 await self.open.wait()
 
-        servers.establish = late
+        servers.establish = establish_late
 
 
 def call(node: Running, data: bytes) -> socket.socket:
@@ -199,45 +207,29 @@
     return sock
 
 
-def request(cls: str = "view", rid: str = "r-1", body: bytes = b"", extra: bytes = b"") -> bytes:
-    key = b"Idempotency-Key: k-" + rid.encode() + b"\r\n" if cls == "book" else b""
-    if cls == "view":
-        method, length = b"GET", b""
-    else:
-        method, length = b"POST", b"Content-Length: %d\r\n" % len(body)
-    return (
-        b"%s /%s HTTP/1.1\r\nHost: service.internal\r\n" % (method, cls.encode())
-        + b"X-Correlation-Id: %s\r\n" % rid.encode()
-        + key
-        + length
-        + extra
-        + b"\r\n"
-        + body
-    )
-
-
-def write_config(path: Path, registry: Registry, **changes: Any) -> None:
-    data = {
-        "name": "n0",
-        "listen": "127.0.0.1:9000",
-        "discovery": registry.address,
-        "seed": "7",
-        "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 256},
-        "settings": settings(),
-        **changes,
-    }
-    path.write_text(json.dumps(data))
-
-
 @asynccontextmanager
 async def running(
     path: Path,
     registry: Registry,
     *backends: Backend,
-    adjust: Callable[[Config], Config] = lambda c: c,
+    adjust: Callable[[Config], Config] = lambda config: config,
     **changes: Any,
 ) -> AsyncIterator[Running]:
-    """A node that has heard of all these servers; port 0, so that tests never meet."""
+    """Run a node that has heard of all these servers; on a free port, so that tests never meet.
+
+    Parameters
+    ----------
+    path
+        Where its configuration is written.
+    registry
+        Its discovery; started here, if it does not run yet.
+    backends
+        The servers; started here.
+    adjust
+        Changes the configuration once it is read.
+    changes
+        Keys of the configuration to change.
+    """
     if not registry.address:
         await registry.start()
     for backend in backends:
--- a/hollybay/testbed/rules.py
+++ b/hollybay/testbed/rules.py
@@ -21,7 +21,7 @@
     "drain_fault",
     "refusal_fault",
     "repeat_fault",
-    "warmth",
+    "slow_start_factor",
 ]
 
 
@@ -69,7 +69,7 @@
     return f"sent {(sent - told) / SECOND:.3f} s after the drain was told"
 
 
-def warmth(age: int, cold_share: float, warm_up: int) -> float:
+def slow_start_factor(age: int, cold_share: float, warm_up: int) -> float:
     """The part of its capacity that a server has at least at this age (ns), from cold_share to 1."""
     if age >= warm_up:
         return 1.0
@@ -84,7 +84,7 @@
     capacity: work done a second of time when warm, in seconds (cores x speed).
     """
     middle = max(0, at - span // 2)
-    return multiple * capacity * warmth(middle, cold_share, warm_up) * span
+    return multiple * capacity * slow_start_factor(middle, cold_share, warm_up) * span
 
 
 class ColdWindow:
--- a/hollybay/testbed/scene.py
+++ b/hollybay/testbed/scene.py
@@ -11,9 +11,9 @@
 from hollybay.proxy.config import settings_from_json
 from hollybay.units import MS, SECOND
 
-from .agent import Agent
-from .callers import Mix
-from .fleet import Kind, ModelServer
+from .client_request import RequestMix
+from .discovery_agent import DiscoveryAgent
+from .fake_server import FakeServer, ServerKind
 from .ledger import Ledger, Limits
 
 __all__ = ["CLASSES", "KINDS", "MEAN_WORK", "TENANTS", "Scene", "settings", "usual_kinds"]
@@ -52,7 +52,7 @@
 # Mean work of a request in seconds at speed 1.
 WORK = {"view-schedule": 0.025, "send-callout": 0.085, "book-venue": 0.105}
 MEAN_WORK = sum(SHARES[name] * WORK[name] for name in SHARES)
-KINDS = (Kind("fast", 1.3), Kind("std", 1.0), Kind("slow", 0.7))
+KINDS = (ServerKind("fast", 1.3), ServerKind("std", 1.0), ServerKind("slow", 0.7))
 KIND_SHARES = (0.29, 0.44, 0.27)
 TENANTS = ("coastal-choirs", "fraser-bands", "island-singers")
 
@@ -87,7 +87,7 @@
     }
 
 
-def usual_kinds(count: int) -> list[Kind]:
+def usual_kinds(count: int) -> list[ServerKind]:
     """The kinds of so many servers, by their shares, the fastest first."""
     marks = list(accumulate(KIND_SHARES))[:-1]
     return [KINDS[bisect_right(marks, (n + 0.5) / count)] for n in range(count)]
@@ -117,10 +117,10 @@
         kinds = usual_kinds(self.count)
         chance.shuffle(kinds)
         self.servers = [
-            ModelServer(f"s-{n:03d}", kind, self.ledger, work_of, cell=n // 4, seed=self.seed)
+            FakeServer(f"s-{n:03d}", kind, self.ledger, work_of, cell=n // 4, seed=self.seed)
             for n, kind in enumerate(kinds)
         ]
-        self.agent = Agent(self.ledger, self.servers)
+        self.agent = DiscoveryAgent(self.ledger, self.servers)
 
     async def start(self) -> None:
         """All servers up and warm, the agent told of them."""
@@ -146,10 +146,10 @@
             "settings": self.words,
         }
 
-    def mixes(self) -> list[Mix]:
+    def mixes(self) -> list[RequestMix]:
         """The usual requests, by share."""
         return [
-            Mix(n, b"/" + c.name.encode() + b"/halls/1", SHARES[c.name], TENANTS)
+            RequestMix(n, b"/" + c.name.encode() + b"/halls/1", SHARES[c.name], TENANTS)
             for n, c in enumerate(self.settings.classes)
         ]
 
--- a/hollybay/testbed/world.py
+++ b/hollybay/testbed/world.py
@@ -1,4 +1,7 @@
-"""A driver for tests of the module: it keeps the books of a node and asserts the four rules."""
+"""A driver for tests of the decision module: it records what a node does and asserts the four rules.
+
+Times are integer nanoseconds on a clock that only the driver moves.
+"""
 
 from __future__ import annotations
 
@@ -10,6 +13,23 @@
 
 from . import rules
 
+__all__ = [
+    "ALL",
+    "CELL",
+    "CLASSES",
+    "MS",
+    "NEVER_RAN",
+    "SAFE",
+    "SECOND",
+    "UNSAFE",
+    "ZONE",
+    "Attempt",
+    "Node",
+    "RequestRecord",
+    "fleet",
+    "make_settings",
+]
+
 SAFE = api.RequestClass("read", api.Effect.SAFE, 3.0, 200 * MS, 500 * MS, 0.25)
 UNSAFE = api.RequestClass("write", api.Effect.UNSAFE, 2.0, 1200 * MS, 5 * SECOND, 0.2)
 CELL = api.RequestClass(
@@ -21,11 +41,14 @@
 ALL = api.RequestClass(
     "tag", api.Effect.KEYED, 1.0, 800 * MS, 3 * SECOND, 0.0, api.DeduplicationScope.ALL, 2 * SECOND
 )
+# A class for each effect and scope.
 CLASSES = (SAFE, UNSAFE, CELL, ZONE, ALL)
+# Results that prove that the server did not run the request.
 NEVER_RAN = (api.Result.REJECTED, api.Result.CONNECT_FAILED, api.Result.NOT_SENT)
 
 
 def make_settings(**changes: object) -> api.Settings:
+    """The settings of a node among four, with these fields changed."""
     values: dict[str, object] = {
         "classes": CLASSES,
         "zones": 2,
@@ -45,6 +68,7 @@
 
 
 def fleet(count: int, **changes: object) -> tuple[api.Server, ...]:
+    """So many servers, spread over two zones, three kinds and cells of four, with these fields changed."""
     return tuple(
         api.Server(
             id=b"s%03d" % n,
@@ -60,13 +84,31 @@
 
 @dataclass
 class Attempt:
+    """One attempt of a request: its server, when it was sent, and its result once it has ended."""
+
     server: api.ServerId
     sent: int
     result: api.Result | None = None
 
 
 @dataclass
-class Book:
+class RequestRecord:
+    """What is known of one request.
+
+    Attributes
+    ----------
+    cls
+        Number of its class.
+    deadline
+        When its client waits no longer.
+    attempts
+        All attempts so far, in order.
+    over
+        Whether it has had its final answer, or its client left.
+    gone
+        Whether its client left.
+    """
+
     cls: int
     deadline: int
     attempts: list[Attempt] = field(default_factory=list)
@@ -75,13 +117,40 @@
 
 
 class Node:
-    """One balancer and the books of what it was told and did."""
+    """One balancer, with a record of what it was told and did.
+
+    Parameters
+    ----------
+    settings
+        Those of the balancer; ``make_settings()`` if not given.
+    seed
+        Of the balancer.
+    now
+        The time at the start.
+
+    Attributes
+    ----------
+    books
+        The requests, by id.
+    lines
+        The servers as they were listed last, by id.
+    barred
+        Servers that drain or are gone, and since when.
+    timers
+        Timers that are set: when they fire, and their token.
+    sent
+        All attempts: when, of which request, to which server.
+    finals
+        Final answers, in order: the request, and what it was.
+    actions
+        All actions, in order.
+    """
 
     def __init__(self, settings: api.Settings | None = None, seed: int = 1, now: int = 5 * SECOND) -> None:
         self.settings = settings or make_settings()
         self.balancer = Balancer(self.settings, seed, now)
         self.now = now
-        self.books: dict[int, Book] = {}
+        self.books: dict[int, RequestRecord] = {}
         self.lines: dict[api.ServerId, api.Server] = {}
         self.barred: dict[api.ServerId, int] = {}
         self.timers: list[tuple[int, int]] = []
@@ -90,6 +159,7 @@
         self.actions: list[api.Action] = []
 
     def give(self, event: api.Event) -> list[api.Action]:
+        """Give the balancer an event; its actions, recorded and held against the rules."""
         actions = self.balancer.handle(self.now, event)
         self.actions += actions
         for action in actions:
@@ -98,30 +168,36 @@
 
     def _act(self, action: api.Action) -> None:
         if isinstance(action, api.Send):
-            book = self.books[action.id]
-            assert not book.over, "sent after the final answer"
-            assert len(book.attempts) < self.settings.max_attempts
-            self._check_effect(book, action.server)
-            barred = self.barred.get(action.server)
-            reason = rules.drain_fault(barred, self.now, self.settings.drain_grace)
-            assert reason is None, reason
-            book.attempts.append(Attempt(action.server, self.now))
-            self.sent.append((self.now, action.id, action.server))
+            self._check_send(action)
         elif isinstance(action, api.Reject | api.Fail):
-            book = self.books[action.id]
-            assert not book.over, "two final answers"
-            assert self.now <= book.deadline + self.settings.answer_grace, "answered too late"
-            if isinstance(action, api.Reject):
-                self._check_refusal(book)
-            book.over = True
-            self.finals.append((action.id, type(action).__name__))
+            self._check_final_answer(action)
         elif isinstance(action, api.Cancel):
             assert action.attempt < len(self.books[action.id].attempts)
         elif isinstance(action, api.SetTimer):
             assert action.delay > 0
             self.timers.append((self.now + action.delay, action.token))
 
-    def _check_effect(self, book: Book, server: api.ServerId) -> None:
+    def _check_send(self, action: api.Send) -> None:
+        book = self.books[action.id]
+        assert not book.over, "sent after the final answer"
+        assert len(book.attempts) < self.settings.max_attempts
+        self._check_effect(book, action.server)
+        barred = self.barred.get(action.server)
+        reason = rules.drain_fault(barred, self.now, self.settings.drain_grace)
+        assert reason is None, reason
+        book.attempts.append(Attempt(action.server, self.now))
+        self.sent.append((self.now, action.id, action.server))
+
+    def _check_final_answer(self, action: api.Reject | api.Fail) -> None:
+        book = self.books[action.id]
+        assert not book.over, "two final answers"
+        assert self.now <= book.deadline + self.settings.answer_grace, "answered too late"
+        if isinstance(action, api.Reject):
+            self._check_refusal(book)
+        book.over = True
+        self.finals.append((action.id, type(action).__name__))
+
+    def _check_effect(self, book: RequestRecord, server: api.ServerId) -> None:
         cls = self.settings.classes[book.cls]
         if not self.settings.hedging_allowed:
             assert all(a.result is not None for a in book.attempts), "two at once"
@@ -133,7 +209,7 @@
         line = self.lines[server]
         return rules.Place(at, line.zone, line.cell)
 
-    def _check_refusal(self, book: Book) -> None:
+    def _check_refusal(self, book: RequestRecord) -> None:
         cls = self.settings.classes[book.cls]
         reason = rules.refusal_fault(cls, any(a.result not in NEVER_RAN for a in book.attempts))
         assert reason is None, reason
@@ -141,6 +217,7 @@
     def tell(
         self, servers: tuple[api.Server, ...], kind: api.ListKind = api.ListKind.FULL
     ) -> list[api.Action]:
+        """Tell the balancer of servers: the whole list, or what changed."""
         named = {s.id for s in servers}
         for s in servers:
             self.lines[s.id] = s
@@ -157,13 +234,15 @@
     def ask(
         self, rid: int, cls: int = 0, left: int = 0, key: int = 0, limits: api.Limits | None = None
     ) -> list[api.Action]:
+        """Give it a request with this id and class; left: its time (ns), the class's deadline if 0."""
         left = left or self.settings.classes[cls].deadline
-        self.books[rid] = Book(cls, self.now + left)
+        self.books[rid] = RequestRecord(cls, self.now + left)
         return self.give(api.Request(rid, cls, left, key=key, limits=limits))
 
     def answer(
         self, rid: int, attempt: int, result: api.Result = api.Result.OK, report: api.Report = ()
     ) -> list[api.Action]:
+        """End one attempt of a request with a result; the first success is the final answer."""
         book = self.books[rid]
         tried = book.attempts[attempt]
         assert tried.result is None
@@ -176,6 +255,7 @@
         )
 
     def leave(self, rid: int) -> list[api.Action]:
+        """Let the client of a request disconnect."""
         self.books[rid].over = True
         self.books[rid].gone = True
         return self.give(api.ClientDisconnected(rid))
@@ -202,5 +282,6 @@
         self.now = max(self.now, when)
 
     def check_answered(self) -> None:
+        """Assert that no request is past its deadline without a final answer."""
         for rid, book in self.books.items():
             assert book.over or self.now <= book.deadline + self.settings.answer_grace, f"{rid} was lost"
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -21,7 +21,7 @@
     LIMIT,
     OK,
     Backend,
-    Gate,
+    ConnectBarrier,
     Held,
     Listener,
     Registry,
@@ -93,7 +93,7 @@
             tmp_path / "c.json", Registry(), *backends,
             settings=settings(categories=short, caps=caps()),
         ) as node:  # fmt: skip
-            gate = Gate(node, free=1)
+            gate = ConnectBarrier(node, free=1)
             sock = call(node, request("book", rid="r-1"))
             await node.until(lambda: any(backend.heads for backend in backends))
             (open_,) = node.node.requests.values()
@@ -147,7 +147,7 @@
         async with running(
             tmp_path / "c.json", registry, server, settings=settings(caps=caps(), rules=rules)
         ) as node:
-            gate = Gate(node)
+            gate = ConnectBarrier(node)
             asked = request(cls, rid="r-1", extra=b"X-Time-Left-Ms: 500\r\n")
             asking = asyncio.ensure_future(node.ask(asked))
             await node.until(lambda: gate.waiting > 0)
@@ -176,7 +176,7 @@
     async def play() -> None:
         server = Backend("s-1")
         async with running(tmp_path / "c.json", Registry(), server, settings=settings(caps=caps())) as node:
-            gate = Gate(node)
+            gate = ConnectBarrier(node)
             left = b"X-Time-Left-Ms: 60\r\n" if end == "its time" else b""
             sock = call(node, request("send", rid="r-1", extra=left))
             await node.until(lambda: gate.waiting > 0)
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -8,8 +8,9 @@
 import pytest
 
 from hollybay.balancing import interface as api
-from hollybay.testbed.callers import Callers, Mix
+from hollybay.testbed.client_request import RequestMix
 from hollybay.testbed.ledger import Final, Ledger, Limits
+from hollybay.testbed.load_generator import LoadGenerator
 from hollybay.units import MS
 
 
@@ -35,11 +36,11 @@
     port = server.sockets[0].getsockname()[1]
     cls = api.RequestClass("ask", api.Effect.SAFE, 1.0, deadline * MS, deadline * MS)
     ledger = Ledger(Limits((cls,), 0, 0.5, 0, late=5000 * MS))
-    callers = Callers(ledger, [port], [Mix(0, b"/ask", headers=((b"X-Tag", b"100%d"),))], 1.0)
+    callers = LoadGenerator(ledger, [port], [RequestMix(0, b"/ask", headers=((b"X-Tag", b"100%d"),))], 1.0)
     callers.ask(callers.mixes[0])
-    await callers.quiet.wait()
+    await callers.all_ended.wait()
     entry = callers.ask(callers.mixes[0])
-    await callers.quiet.wait()
+    await callers.all_ended.wait()
     callers.close()
     server.close()
     return heads, entry.final
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -21,7 +21,7 @@
     LIMIT,
     OK,
     Backend,
-    Gate,
+    ConnectBarrier,
     Held,
     Registry,
     Running,
@@ -217,7 +217,7 @@
         server = Backend("s-1")
         caps = {**settings()["caps"], "cancel": cancel, "connect-timeout": 10**10}
         async with running(tmp_path / "c.json", Registry(), server, settings=settings(caps=caps)) as node:
-            gate = Gate(node)
+            gate = ConnectBarrier(node)
             sock = call(node, request(cls, rid="r-1"))
             await node.until(lambda: gate.waiting > 0)
             (conn,) = node.clients.connections
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -10,7 +10,8 @@
 
 from hollybay.balancing import interface as api
 from hollybay.testbed import rules
-from hollybay.testbed.fleet import Answering, Kind, ModelServer
+from hollybay.testbed.fake_server import FakeServer, ServerKind
+from hollybay.testbed.fake_server_connection import ScriptedAnswer
 from hollybay.testbed.ledger import Asked, Final, Ledger, Limits, Start
 from hollybay.testbed.listener import LIMIT, read_message
 from hollybay.units import MS, SECOND
@@ -156,9 +157,9 @@
 
 
 def test_the_cold_budget_grows_with_age_and_ends_with_the_warm_up() -> None:
-    assert rules.warmth(0, 0.5, 8 * SECOND) == 0.5
-    assert rules.warmth(4 * SECOND, 0.5, 8 * SECOND) == 0.75
-    assert rules.warmth(9 * SECOND, 0.5, 8 * SECOND) == 1.0
+    assert rules.slow_start_factor(0, 0.5, 8 * SECOND) == 0.5
+    assert rules.slow_start_factor(4 * SECOND, 0.5, 8 * SECOND) == 0.75
+    assert rules.slow_start_factor(9 * SECOND, 0.5, 8 * SECOND) == 1.0
     heavy = [(20 * SECOND + n, SECOND) for n in range(100)]
     assert rules.cold_fault(heavy, 1.0, 0.5, 8 * SECOND, 4.0, 2 * SECOND) is None
 
@@ -168,7 +169,7 @@
 
     async def play() -> None:
         ledger = Ledger(LIMITS)
-        server = ModelServer("s-1", Kind("m", 1.0), ledger, lambda target, chance: 0.001)
+        server = FakeServer("s-1", ServerKind("m", 1.0), ledger, lambda target, chance: 0.001)
         await server.start()
         now = time.monotonic_ns()
         ledger.asked("r-1", UNSAFE, now, now + 5 * SECOND)
@@ -197,19 +198,19 @@
 def test_a_modelled_server_queues_turns_away_and_counts_its_connections() -> None:
     async def play() -> None:
         ledger = Ledger(LIMITS)
-        gate = Kind("m", 1.0, slots=1, queue=1, connections=3)
-        server = ModelServer("s-1", gate, ledger, lambda target, chance: 60.0)
-        server.script = lambda rid, target: Answering(500) if rid == "bad" else Answering()
+        gate = ServerKind("m", 1.0, slots=1, queue=1, connections=3)
+        server = FakeServer("s-1", gate, ledger, lambda target, chance: 60.0)
+        server.script = lambda rid, target: ScriptedAnswer(500) if rid == "bad" else ScriptedAnswer()
         await server.start()
         lines = [await asyncio.open_connection("127.0.0.1", server.port) for _ in range(3)]
         async with asyncio.timeout(LIMIT):
             for n, rid in enumerate(["r-0", "r-1", "r-2"]):
                 ledger.asked(rid, SAFE, 0, 1)
                 lines[n][1].write(b"GET /view HTTP/1.1\r\nX-Correlation-Id: %s\r\n\r\n" % rid.encode())
-                while server.served.requests <= n:
+                while server.counts.requests <= n:
                     await asyncio.sleep(0)
             head, _ = await read_message(lines[2][0])  # one runs, one waits, the third is turned away
-            assert b" 503 " in head and server.served.turned_away == 1
+            assert b" 503 " in head and server.counts.rejected == 1
             one_more, _ = await asyncio.open_connection("127.0.0.1", server.port)
             with pytest.raises((ConnectionError, asyncio.IncompleteReadError)):
                 await one_more.readexactly(1)
@@ -225,13 +226,13 @@
 def test_a_cold_server_is_slower_and_comes_back_at_its_address() -> None:
     async def play() -> None:
         ledger = Ledger(LIMITS)
-        server = ModelServer("s-1", Kind("m", 2.0), ledger, lambda target, chance: 0.0)
+        server = FakeServer("s-1", ServerKind("m", 2.0), ledger, lambda target, chance: 0.0)
         await server.start()
         port = server.port
-        assert server.warmth == 1.0 and server.line()["started_ms"] == 0
+        assert server.slow_start_factor == 1.0 and server.line()["started_ms"] == 0
         server.crash()
         await server.start(cold=True)
-        assert server.port == port and 0.5 <= server.warmth < 0.6
+        assert server.port == port and 0.5 <= server.slow_start_factor < 0.6
         assert int(str(server.line()["started_ms"])) > 0
         assert [start.cold for start in ledger.starts["s-1"]] == [False, True]
         server.crash()
--- a/tests/test_routes_node.py
+++ b/tests/test_routes_node.py
@@ -21,8 +21,9 @@
 from hollybay.proxy.config import ConfigError, load
 from hollybay.proxy.life_cycle import serve
 from hollybay.proxy.operator_file import OperatorFile
-from hollybay.testbed.callers import Callers, Mix
+from hollybay.testbed.client_request import RequestMix
 from hollybay.testbed.ledger import Final
+from hollybay.testbed.load_generator import LoadGenerator
 from hollybay.testbed.loopback import (
     LIMIT,
     OK,
@@ -538,7 +539,7 @@
     async def play() -> None:
         scene = Scene(12, seed=4)
         async with hosted(tmp_path, scene, good(0)) as (port, operator):
-            callers = Callers(scene.ledger, [port], scene.mixes(), rate=1.2 * scene.capacity(), seed=4)
+            callers = LoadGenerator(scene.ledger, [port], scene.mixes(), rate=1.2 * scene.capacity(), seed=4)
             surge = asyncio.ensure_future(callers.run(2.5))
             turns = 0
             while not surge.done():
@@ -573,16 +574,16 @@
     async def play() -> None:
         scene = Scene(10, seed=2)
         target = b"/view-schedule/board/1"
-        flood = [Mix(0, target, 1.0, ("coastal-choirs",))]
+        flood = [RequestMix(0, target, 1.0, ("coastal-choirs",))]
         others = [
-            Mix(0, target, 1.0, ("fraser-bands",)),
-            Mix(0, b"/view-schedule/else", 1.0, ("island-singers",)),
-            Mix(2, b"/book-venue/1", 0.5, ("island-singers",)),
+            RequestMix(0, target, 1.0, ("fraser-bands",)),
+            RequestMix(0, b"/view-schedule/else", 1.0, ("island-singers",)),
+            RequestMix(2, b"/book-venue/1", 0.5, ("island-singers",)),
         ]
         async with hosted(tmp_path, scene, text) as (port, operator):
             # The flood alone is several times what ten servers can do.
-            flooding = Callers(scene.ledger, [port], flood, rate=500.0, seed=1, prefix="flood")
-            usual = Callers(scene.ledger, [port], others, rate=30.0, seed=2, prefix="usual")
+            flooding = LoadGenerator(scene.ledger, [port], flood, rate=500.0, seed=1, prefix="flood")
+            usual = LoadGenerator(scene.ledger, [port], others, rate=30.0, seed=2, prefix="usual")
             await asyncio.gather(flooding.run(2.5), usual.run(2.5))
             flooding.close()
             usual.close()
