--- a/hollybay/cli/policy_options.py
+++ b/hollybay/cli/policy_options.py
@@ -90,9 +90,9 @@
 
 async def call_node(address: str, path: str, body: bytes | None) -> bytes:
     """Call a node's admin address; the body of its answer."""
-    from hollybay.proxy.consensus_member import call
+    from hollybay.proxy.admin_client import call_policy
 
-    return await call(address, path, body, CALL_LIMIT_S)
+    return await call_policy(address, path, body, CALL_LIMIT_S)
 
 
 def exit_with(verdict: Verdict, as_json: bool) -> NoReturn:
--- a/hollybay/consensus/change_requests.py
+++ b/hollybay/consensus/change_requests.py
@@ -145,7 +145,7 @@
             reply = messages.ChangeReply(change_id, messages.ChangeOutcome.REFUSED, problems=problems)
             return ok(reply, CONFLICT)
         if isinstance(offered, Queued):
-            self.environment.data_plane.say(
+            self.environment.data_plane.log_event(
                 "queued", change=change_id, reason=change.reason, author=change.author
             )
             self.coordinator.wake()
@@ -189,18 +189,18 @@
         except StoreError:
             self.proposals.storage_failed()
             raise
-        problems = await self.serviceability.prepare(entry)
-        if problems:
+        reasons = await self.serviceability.prepare(entry)
+        if reasons:
             why = self.serviceability.unserviceable[policy.name]
             self.serviceability.clear(policy.name)  # proposed again it is another policy, or holds
-            self.proposals.reject_batch(batch, why.culprits, problems)
+            self.proposals.reject_batch(batch, why.culprits, reasons)
             return True
         if acceptor.state.decided != decided or self.coordinator.pending is not None:
             self.proposals.batch_superseded(batch, acceptor.state.decided.policy)
             return True
         self.coordinator.begin(entry.policy, decided.epoch + 1)
         self.proposals.batch_proposed(policy.name, batch)
-        self.environment.data_plane.say(
+        self.environment.data_plane.log_event(
             "proposed", change=policy.name, reason=policy.reason, author=policy.author
         )
         return True
--- a/hollybay/consensus/service.py
+++ b/hollybay/consensus/service.py
@@ -37,7 +37,7 @@
 from .policy_requests import PolicyRequests
 from .proposals import Proposals
 from .queries import Queries
-from .replies import NOT_FOUND, OK, answered, refused
+from .replies import NOT_FOUND, OK, answered, rejected
 from .request_content import RequestContent
 from .requests import Transport
 from .status import keeper_status, node_status
@@ -107,7 +107,7 @@
         self.clock = clock
         self.process = rng.getrandbits(PROCESS_NUMBER_BITS)
         self.requests_in = 0
-        self.tasks = BackgroundTasks(lambda error: data_plane.say("failed", error=repr(error)))
+        self.tasks = BackgroundTasks(lambda error: data_plane.log_event("failed", error=repr(error)))
         self.peers = PeerClient(settings.address, transport, self.answer)
         self.log = PolicyLog(self.environment.folder / "policies", before_disk_step)
         self.log_server = LogServer(self.log, disk)
@@ -196,9 +196,9 @@
         try:
             await self.environment.disk(self.log.open)
         except StoreError as error:
-            data_plane.say("log", error=str(error))
+            data_plane.log_event("log", error=str(error))
         for file, reason in self.log.quarantined.items():
-            data_plane.say("set aside", file=file, reason=reason)
+            data_plane.log_event("set aside", file=file, reason=reason)
         self.voter.log_is_open = True
         self.lease_client.restore()
         self.voter.become_voter()
@@ -246,7 +246,7 @@
             return await self.queries.answer(path)
         route = self._routes.get(path)
         if route is None:
-            return refused(NOT_FOUND, "no such call")
+            return rejected(NOT_FOUND, "no such call")
         if route.of_voter:
             self.voter.require_acceptor()
         message: Any = messages.decode(body, route.message)
@@ -301,9 +301,9 @@
             process=self.process,
             voters=self.replica.voter_addresses(holder.latest_epoch),
             unserviceable={name: why.reasons for name, why in unserviceable.items()},
-            refused_fetches=self.replica.fetcher.failures,
+            failed_fetches=self.replica.fetcher.failures,
             requests_in=self.requests_in,
             requests_out=self.peers.calls,
         )
         progress = self.coordinator.progress()
-        return found | keeper_status(self.acceptor, self.log, progress, self.settings.grace, now)
+        return found | keeper_status(self.acceptor, self.log, progress, self.settings.grace_ns, now)
--- a/hollybay/proxy/assembly.py
+++ b/hollybay/proxy/assembly.py
@@ -13,14 +13,14 @@
 
 from .config import Config, ConfigError
 from .discovery import NO_VERSION, DiscoveryClient
-from .exchange import Node
+from .request_dispatcher import RequestDispatcher
 from .upstream.pools import UpstreamPools
 
 if TYPE_CHECKING:
     from hollybay.routing.schema import AccordTable
 
     from .admin_service import AdminService
-    from .consensus_member import Accord
+    from .consensus_member import ConsensusMember
     from .handover import ListenerGroup
     from .load_reports import LoadReportExchange
     from .operator_file import OperatorFile
@@ -52,7 +52,7 @@
     """The parts of a node that every configuration has."""
 
     clients: ClientListener
-    node: Node
+    node: RequestDispatcher
     discovery: DiscoveryClient
 
 
@@ -71,7 +71,7 @@
 
     service: AdminService
     listener_group: ListenerGroup
-    consensus_member: Accord | None
+    consensus_member: ConsensusMember | None
 
     def close(self) -> None:
         """Stop consensus and the admin service."""
@@ -94,7 +94,7 @@
     if config.admin is not None:
         spare -= ADMIN_DESCRIPTORS
     servers = UpstreamPools(config.settings, config.names, limit=spare * UPSTREAM_NINTHS // 9)
-    node = Node(config.settings, config.seed, servers)
+    node = RequestDispatcher(config.settings, config.seed, servers)
     clients = ClientListener(config, node, limit=spare * DOWNSTREAM_NINTHS // 9)
     known_servers = config.known_servers
     discovery = DiscoveryClient(
@@ -104,9 +104,9 @@
         on_demand=config.settings.must_poll,
         version=known_servers.servers.version if known_servers is not None else NO_VERSION,
     )
-    node.lists = discovery
+    node.discovery = discovery
     if known_servers is not None:
-        node.listing(known_servers)
+        node.receive_update(known_servers)
         discovery.list_available.set()
     return NodeParts(clients, node, discovery)
 
@@ -140,11 +140,11 @@
     if table is None:
         return 0
     try:
-        from .consensus_member import descriptors, terms_of
+        from .consensus_setup import member_settings, required_descriptors
     except ModuleNotFoundError as error:
         raise ConfigError(f"[accord]: needs {error.name}, see the extra `accord`") from None
-    terms_of(table, config)
-    needed = descriptors(config.sockets)
+    member_settings(table, config)
+    needed = required_descriptors(config.sockets)
     if config.sockets - BASE_DESCRIPTORS - ADMIN_DESCRIPTORS - needed < MIN_DATA_PLANE_DESCRIPTORS:
         raise ConfigError(
             f"limits.sockets: {config.sockets}, and the operator file's [accord] takes {needed}"
@@ -153,7 +153,7 @@
 
 
 def start_load_reports(
-    config: Config, operator_file: OperatorFile | None, node: Node
+    config: Config, operator_file: OperatorFile | None, node: RequestDispatcher
 ) -> LoadReportExchange | None:
     """Start the exchange of load reports if the operator file has a [peers] table.
 
@@ -169,13 +169,16 @@
 
     addresses = parse_peer_addresses(config.peers, config.settings.nodes)
     exchange = LoadReportExchange(node, addresses, table.every, table.forget)
-    node.peers = exchange
+    node.load_reporter = exchange
     exchange.servers_changed(node.balancer.servers)
     return exchange
 
 
 async def start_admin(
-    config: Config, clients: ClientListener, node: Node, operator_file: OperatorFile | None = None
+    config: Config,
+    clients: ClientListener,
+    node: RequestDispatcher,
+    operator_file: OperatorFile | None = None,
 ) -> AdminParts | None:
     """Start the admin service, and consensus if the operator file has an [accord] table.
 
@@ -202,10 +205,10 @@
     service = AdminService(config, clients, node)
     consensus_member = None
     if operator_file is not None and operator_file.consensus_table is not None:
-        from .consensus_member import join, terms_of
+        from .consensus_setup import create_consensus_member, member_settings
 
-        terms = terms_of(operator_file.consensus_table, config)
-        consensus_member = await join(terms, config, operator_file, clients, service)
+        settings = member_settings(operator_file.consensus_table, config)
+        consensus_member = create_consensus_member(settings, config, operator_file, clients, service)
         await consensus_member.start()
     await service.open()
     return AdminParts(service, ListenerGroup(service.folder, service.name), consensus_member)
--- a/tests/golden/build.py
+++ b/tests/golden/build.py
@@ -43,7 +43,7 @@
     Stage,
 )
 from hollybay.consensus.grace_memory import RememberedGrace
-from hollybay.consensus.interfaces import FileRead, InvalidFileError, MemberSettings
+from hollybay.consensus.interfaces import InvalidFileError, MemberSettings, OperatorFileChanges
 from hollybay.consensus.log import PolicyLog
 from hollybay.consensus.log_entry import Entry
 from hollybay.consensus.policy import Policy, RejectedError, first_policy, successor_policy
@@ -52,10 +52,11 @@
 from hollybay.consensus.store import Store, StoreError
 from hollybay.consensus.transfer import Uploads, chunk_at, upload_calls
 from hollybay.gossip.load_report import decode_report, encode_reports, server_hash
-from hollybay.proxy import consensus_member as calling
+from hollybay.proxy import admin_client
 from hollybay.proxy.admin_service import AdminService
 from hollybay.proxy.assembly import assemble
 from hollybay.proxy.config import load
+from hollybay.proxy.consensus_member import ConsensusMember
 from hollybay.resources.model import Change, Delete, Kind, Problem, Upsert
 from hollybay.resources.state import EMPTY, ResourceState
 from hollybay.simulation import accord_rehearsal as rehearsal
@@ -319,7 +320,7 @@
 
 
 async def _outgoing(path: str, body: bytes | None) -> bytes:
-    call = calling._Call(DOOR, path, body, "n-1")
+    call = admin_client._PolicyCall(DOOR, path, body, "n-1")
     sink = _Sink()
     call.connection_made(sink)
     call.close()
@@ -368,13 +369,13 @@
 class _Hands:
     """Does nothing to a node; operator files are maps of routes and their classes."""
 
-    async def compile(self, entry: Entry) -> list[str]:
+    async def compile_policy(self, entry: Entry) -> list[str]:
         return []
 
-    async def culprits(self, base: Entry, changes: tuple[Change, ...]) -> dict[bytes, list[str]]:
+    async def find_invalid_changes(self, base: Entry, changes: tuple[Change, ...]) -> dict[bytes, list[str]]:
         return {}
 
-    async def read(self, file: bytes, state: ResourceState) -> FileRead:
+    async def read_operator_file(self, file: bytes, state: ResourceState) -> OperatorFileChanges:
         if not file.startswith(b"{"):
             raise InvalidFileError(["line 1: no table", "line 2: no value"])
         routes: dict[str, str] = msgspec.json.decode(file)
@@ -383,12 +384,12 @@
             for name, body in routes.items()
             for one in (state.get(Kind.ROUTE, name),)
         )
-        return FileRead(operations, None)
+        return OperatorFileChanges(operations, None)
 
-    def put(self, entries: tuple[Entry, ...]) -> None:
+    def apply_policies(self, entries: tuple[Entry, ...]) -> None:
         """Nothing is served."""
 
-    def say(self, event: str, **words: object) -> None:
+    def log_event(self, event: str, **fields: object) -> None:
         """Nothing is written down."""
 
 
@@ -717,7 +718,7 @@
 
 async def _admin_in_accord(folder: Path) -> bytes:
     async with _desk(folder) as desk:
-        accord = calling.Accord.__new__(calling.Accord)
+        accord = ConsensusMember.__new__(ConsensusMember)
         accord.service = _service(folder / "accord")
         desk.policy_handler = accord
         desk.server.max_policy_request_bytes = words.MOST_CALL
@@ -1134,8 +1135,8 @@
         counters = desk.node.counters
         counters.served[:], counters.rejected[:], counters.failed[:] = [1, 2], [3, 4], [5, 6]
         counters.reloads_ok, counters.reloads_failed = 11, 12
-        desk.node.servers.written = 7
-        desk.node.owed = 8
+        desk.node.pools.written = 7
+        desk.node.unanswered = 8
         return await _spoken(desk, _call_bytes("GET /-/metrics"))
 
 
