--- a/hollybay/testbed/ledger.py
+++ b/hollybay/testbed/ledger.py
@@ -33,7 +33,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """The figures of the rules, durations in ns; see Settings in hollybay.balancing.settings."""
+    """The figures of the rules, durations in ns.
+
+    Attributes
+    ----------
+    classes, drain_grace, cold_share, warm_up, max_attempts
+        As in `hollybay.balancing.settings.Settings`.
+    fall_multiple, fall_span
+        The settings' overload_multiple and overload_window.
+    slack
+        What clocks and the wire may add to a time.
+    late
+        An answer so long after its deadline is worth nothing, and a later one is lost.
+    """
 
     classes: tuple[api.RequestClass, ...]
     drain_grace: int
@@ -43,7 +55,7 @@
     fall_span: int = 2_000_000_000
     max_attempts: int = 3
     slack: int = 50 * MS
-    late: int = 50 * MS  # an answer so long after its deadline is worth nothing, and a later one is lost
+    late: int = 50 * MS
 
     @property
     def patience(self) -> int:
@@ -66,32 +78,72 @@
 
 @dataclass(slots=True)
 class Asked:
-    """One request of one client, as all sides saw it."""
+    """One request of one client, as all sides saw it.
+
+    Attributes
+    ----------
+    id, cls, tenant
+        Its id, the number of its class, and who sent it; "" for nobody.
+    at
+        When its last byte was written.
+    deadline
+        When its client waits no longer.
+    final
+        What became of it; None before its end.
+    ended
+        When its answer's last byte came.
+    answers
+        How many answers came.
+    excused
+        Held by a node at the moment that the test killed it, or its client left.
+    retry_after
+        Seconds, as its answer told.
+    status
+        Of its answer; 0 without one.
+    ran
+        Where it came whole to a server that did not reject it.
+    arrived
+        How often it came whole to any server.
+    """
 
     id: str
     cls: int
-    at: int  # when its last byte was written
+    at: int
     deadline: int
     tenant: str = ""
     final: Final | None = None
-    ended: int = 0  # when its answer's last byte came
+    ended: int = 0
     answers: int = 0
-    excused: bool = False  # held by a node at the moment that the test killed it, or its client left
-    retry_after: float | None = None  # seconds
+    excused: bool = False
+    retry_after: float | None = None
     status: int = 0
-    ran: list[rules.Place] = field(default_factory=list)  # whole at a server that did not turn it away
-    arrived: int = 0  # whole at any server
+    ran: list[rules.Place] = field(default_factory=list)
+    arrived: int = 0
 
 
 @dataclass(slots=True)
 class Start:
-    """One start of one server: its capacity (seconds of work a second) and what came to it."""
+    """One start of one server.
+
+    Attributes
+    ----------
+    server
+        Its name.
+    at
+        When it started.
+    capacity
+        Seconds of work a second, warm.
+    cold
+        Whether its capacity grows from then on.
+    came
+        Age of the server and work (ns) of each request that came whole to it.
+    """
 
     server: str
     at: int
     capacity: float
     cold: bool
-    came: list[tuple[int, int]] = field(default_factory=list)  # age and work, ns
+    came: list[tuple[int, int]] = field(default_factory=list)
 
     def slow_start_factor(self, now: int, limits: Limits) -> float:
         """The part of its capacity that it has at this time (ns)."""
@@ -128,15 +180,26 @@
 
 
 class Ledger:
-    """The books of one run. Writers only add; check() decides."""
+    """The event log of one run. Writers only add; check() decides.
+
+    Attributes
+    ----------
+    requests
+        All requests, by id.
+    starts
+        All starts of each server, by its name.
+    ended
+        Since when servers drain or are gone, by the node that was told and the server.
+    faults
+        Those that were found while writing.
+    """
 
     def __init__(self, limits: Limits) -> None:
         self.limits = limits
         self.requests: dict[str, Asked] = {}
         self.starts: dict[str, list[Start]] = {}
-        # Servers that drain or are gone, by the node that was told, and since when.
         self.ended: dict[tuple[str, str], int] = {}
-        self.faults: list[Fault] = []  # found while writing
+        self.faults: list[Fault] = []
 
     # Clients
 
@@ -191,7 +254,7 @@
             entry.ran.append(place)
 
     def work_began(self, rid: str, start: Start, at: int) -> None:
-        """A core of the server has begun with a request. For books that follow queues; no rule asks."""
+        """A core of the server has begun with a request. For logs that follow queues; no rule asks."""
 
     def work_ended(self, rid: str, start: Start, at: int, done: bool) -> None:
         """A request is no more at the server: done, or given up."""
--- a/hollybay/testbed/process.py
+++ b/hollybay/testbed/process.py
@@ -17,11 +17,28 @@
 
 __all__ = ["NodeProcess", "main"]
 
-START_LIMIT = 20.0  # seconds
+START_LIMIT_S = 20.0
+LOG_TAIL_CHARACTERS = 2000  # of the log, in the error of a node that did not start
+EXIT_INVALID_CONFIG = 2
 
 
 class NodeProcess:
-    """A node that runs; config is the object of BALANCER_CONFIG, environ adds to this process's."""
+    """A node that runs.
+
+    Parameters
+    ----------
+    config
+        The object that BALANCER_CONFIG names a file of.
+    folder
+        Where its configuration and its log go.
+    environ
+        Environment variables, beside those of this process.
+
+    Attributes
+    ----------
+    port
+        Where it listens; 0 before its start.
+    """
 
     def __init__(self, config: dict[str, Any], folder: Path, **environ: str) -> None:
         self.config = config
@@ -32,7 +49,15 @@
         self._process: asyncio.subprocess.Process | None = None
 
     async def start(self) -> int:
-        """Start it and wait until it listens; the port."""
+        """Start it, wait until it listens and return its port.
+
+        Raises
+        ------
+        RuntimeError
+            The process ended before it listened; the message holds the end of its log.
+        TimeoutError
+            It did not listen in time.
+        """
         self.path.write_text(json.dumps(self.config))
         environ = {**os.environ, "BALANCER_CONFIG": str(self.path), **self.environ}
         with self.log.open("ab") as log:
@@ -45,10 +70,10 @@
                 env=environ,
             )
         assert self._process.stdout is not None
-        async with asyncio.timeout(START_LIMIT):
+        async with asyncio.timeout(START_LIMIT_S):
             line = await self._process.stdout.readline()
         if not line:
-            raise RuntimeError(f"the node did not start: {self.log.read_text()[-2000:]}")
+            raise RuntimeError(f"the node did not start: {self.log.read_text()[-LOG_TAIL_CHARACTERS:]}")
         self.port = int(line)
         return self.port
 
@@ -82,7 +107,13 @@
 
 
 def main() -> int:
-    """Run the node that BALANCER_CONFIG names on a free port; 2 where a configuration does not hold."""
+    """Run the node that BALANCER_CONFIG names, on a free port.
+
+    Returns
+    -------
+    int
+        Exit status: 0 after a drain, 2 if the configuration is invalid.
+    """
     import uvloop
 
     from hollybay.proxy.config import ConfigError, load
@@ -93,7 +124,7 @@
         config = load(os.environ)
     except ConfigError as error:
         print(f"hollybay: {error}", file=sys.stderr)
-        return 2
+        return EXIT_INVALID_CONFIG
 
     def started(port: int) -> None:
         print(port, flush=True)
--- a/hollybay/testbed/scene.py
+++ b/hollybay/testbed/scene.py
@@ -1,4 +1,4 @@
-"""A scene of the usual make-up: three classes, three speeds of machine, an agent, clients and a ledger."""
+"""A scene of the usual make-up: three classes, three kinds of server, discovery, requests and a ledger."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 __all__ = ["CLASSES", "KINDS", "MEAN_WORK", "TENANTS", "Scene", "settings", "usual_kinds"]
 
 
-# Class settings as the platform words them, durations in ns.
+# Class settings in the platform's form, durations in ns.
 CLASSES: list[dict[str, Any]] = [
     {
         "name": "view-schedule",
@@ -48,12 +48,16 @@
         "window": 4 * SECOND,
     },
 ]
+# Share of each class in all requests.
 SHARES = {"view-schedule": 0.37, "send-callout": 0.34, "book-venue": 0.29}
 # Mean work of a request in seconds at speed 1.
 WORK = {"view-schedule": 0.025, "send-callout": 0.085, "book-venue": 0.105}
 MEAN_WORK = sum(SHARES[name] * WORK[name] for name in SHARES)
 KINDS = (ServerKind("fast", 1.3), ServerKind("std", 1.0), ServerKind("slow", 0.7))
 KIND_SHARES = (0.29, 0.44, 0.27)
+SERVERS_IN_A_CELL = 4
+# A request's work, as parts of its class's mean: the ends of a uniform draw.
+MIN_WORK_PART, MAX_WORK_PART = 0.7, 1.3
 TENANTS = ("coastal-choirs", "fraser-bands", "island-singers")
 
 
@@ -97,12 +101,24 @@
     """Seconds of work (speed 1) for a target: a uniform draw about its class's mean."""
     name = target.split(b"?", 1)[0].split(b"/")[1].decode("latin-1")
     mean = WORK.get(name, WORK["view-schedule"])
-    return mean * chance.uniform(0.7, 1.3)
+    return mean * chance.uniform(MIN_WORK_PART, MAX_WORK_PART)
 
 
 @dataclass
 class Scene:
-    """Servers, agent and ledger of one run; start() before use, stop() at its end."""
+    """Servers, discovery and ledger of one run; start() before use, stop() at its end.
+
+    Attributes
+    ----------
+    count
+        How many servers.
+    seed
+        Of the servers' kinds and work, and of the node.
+    words
+        The settings object of the node's configuration.
+    memory_mb, sockets
+        What the node may use.
+    """
 
     count: int
     seed: int = 1
@@ -113,11 +129,10 @@
     def __post_init__(self) -> None:
         self.settings = settings_from_json(self.words)
         self.ledger = Ledger(Limits.of(self.settings))
-        chance = random.Random(self.seed)
         kinds = usual_kinds(self.count)
-        chance.shuffle(kinds)
+        random.Random(self.seed).shuffle(kinds)
         self.servers = [
-            FakeServer(f"s-{n:03d}", kind, self.ledger, work_of, cell=n // 4, seed=self.seed)
+            FakeServer(f"s-{n:03d}", kind, self.ledger, work_of, cell=n // SERVERS_IN_A_CELL, seed=self.seed)
             for n, kind in enumerate(kinds)
         ]
         self.agent = DiscoveryAgent(self.ledger, self.servers)
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import asyncio
-import random
 import time
 
 import pytest
@@ -11,7 +10,6 @@
 from hollybay.balancing import interface as api
 from hollybay.testbed import rules
 from hollybay.testbed.fake_server import FakeServer, ServerKind
-from hollybay.testbed.fake_server_connection import ScriptedAnswer
 from hollybay.testbed.ledger import Asked, Final, Ledger, Limits, Start
 from hollybay.testbed.listener import LIMIT, read_message
 from hollybay.units import MS, SECOND
@@ -193,56 +191,3 @@
             await asyncio.open_connection("127.0.0.1", server.port)
 
     asyncio.run(play())
-
-
-def test_a_modelled_server_queues_turns_away_and_counts_its_connections() -> None:
-    async def play() -> None:
-        ledger = Ledger(LIMITS)
-        gate = ServerKind("m", 1.0, slots=1, queue=1, connections=3)
-        server = FakeServer("s-1", gate, ledger, lambda target, chance: 60.0)
-        server.script = lambda rid, target: ScriptedAnswer(500) if rid == "bad" else ScriptedAnswer()
-        await server.start()
-        lines = [await asyncio.open_connection("127.0.0.1", server.port) for _ in range(3)]
-        async with asyncio.timeout(LIMIT):
-            for n, rid in enumerate(["r-0", "r-1", "r-2"]):
-                ledger.asked(rid, SAFE, 0, 1)
-                lines[n][1].write(b"GET /view HTTP/1.1\r\nX-Correlation-Id: %s\r\n\r\n" % rid.encode())
-                while server.counts.requests <= n:
-                    await asyncio.sleep(0)
-            head, _ = await read_message(lines[2][0])  # one runs, one waits, the third is turned away
-            assert b" 503 " in head and server.counts.rejected == 1
-            one_more, _ = await asyncio.open_connection("127.0.0.1", server.port)
-            with pytest.raises((ConnectionError, asyncio.IncompleteReadError)):
-                await one_more.readexactly(1)
-            lines[0][1].transport.abort()  # given up: its work stops, the next one runs
-            while server.waiting:
-                await asyncio.sleep(0)
-            assert len(server.running) == 1
-        server.crash()
-
-    asyncio.run(play())
-
-
-def test_a_cold_server_is_slower_and_comes_back_at_its_address() -> None:
-    async def play() -> None:
-        ledger = Ledger(LIMITS)
-        server = FakeServer("s-1", ServerKind("m", 2.0), ledger, lambda target, chance: 0.0)
-        await server.start()
-        port = server.port
-        assert server.slow_start_factor == 1.0 and server.line()["started_ms"] == 0
-        server.crash()
-        await server.start(cold=True)
-        assert server.port == port and 0.5 <= server.slow_start_factor < 0.6
-        assert int(str(server.line()["started_ms"])) > 0
-        assert [start.cold for start in ledger.starts["s-1"]] == [False, True]
-        server.crash()
-
-    asyncio.run(play())
-
-
-def test_the_work_of_a_scene_follows_its_seed() -> None:
-    from hollybay.testbed.scene import work_of
-
-    first = [work_of(b"/book-venue/1", random.Random(3)) for _ in range(3)]
-    assert first == [work_of(b"/book-venue/1", random.Random(3)) for _ in range(3)]
-    assert all(0.07 < work < 0.14 for work in first)
--- a/tests/test_callers.py
+++ b/tests/test_load_generator.py
@@ -1,4 +1,4 @@
-"""The stand-in clients: what they tell a node when a connection that a node closed is replaced by another."""
+"""The load generator: what it tells a node when a connection that a node closed is replaced by another."""
 
 from __future__ import annotations
 
@@ -36,12 +36,12 @@
     port = server.sockets[0].getsockname()[1]
     cls = api.RequestClass("ask", api.Effect.SAFE, 1.0, deadline * MS, deadline * MS)
     ledger = Ledger(Limits((cls,), 0, 0.5, 0, late=5000 * MS))
-    callers = LoadGenerator(ledger, [port], [RequestMix(0, b"/ask", headers=((b"X-Tag", b"100%d"),))], 1.0)
-    callers.ask(callers.mixes[0])
-    await callers.all_ended.wait()
-    entry = callers.ask(callers.mixes[0])
-    await callers.all_ended.wait()
-    callers.close()
+    clients = LoadGenerator(ledger, [port], [RequestMix(0, b"/ask", headers=((b"X-Tag", b"100%d"),))], 1.0)
+    clients.ask(clients.mixes[0])
+    await clients.all_ended.wait()
+    entry = clients.ask(clients.mixes[0])
+    await clients.all_ended.wait()
+    clients.close()
     server.close()
     return heads, entry.final
 
