--- a/hollybay/cluster/report.py
+++ b/hollybay/cluster/report.py
@@ -168,19 +168,26 @@
 
 
 def _torn(books: Books) -> tuple[str, ...]:
-    """Where a change of policy was not everywhere or nowhere (hollybay.consensus.oracle)."""
+    """Where a change of policy was not everywhere or nowhere (hollybay.consensus.invariants)."""
     if not books.began and not books.said:
         return ()
-    from hollybay.consensus.oracle import Begun, Outcome, Said, check
+    from hollybay.consensus.invariants import (
+        OutcomeReported,
+        ReportedOutcome,
+        RequestBegun,
+        find_violations,
+    )
 
-    outcomes = {0: Outcome.HOLDS, 1: Outcome.NOWHERE}
-    events: list[Begun | Said] = [Begun(one.at, one.node, one.names) for one in books.began]
+    outcomes = {0: ReportedOutcome.IN_FORCE, 1: ReportedOutcome.NOWHERE}
+    events: list[RequestBegun | OutcomeReported] = [
+        RequestBegun(one.at, one.node, one.names) for one in books.began
+    ]
     events += [
-        Said(one.at, one.change, outcomes[one.code])
+        OutcomeReported(one.at, one.change, outcomes[one.code])
         for one in books.said
         if one.change and one.code in outcomes
     ]
-    return tuple(f"{fault.node}: {fault.reason}" for fault in check(events)[:50])
+    return tuple(f"{violation.node}: {violation.reason}" for violation in find_violations(events)[:50])
 
 
 def _halves(series: list[tuple[int, float]], began: int) -> list[tuple[float, float]]:
--- a/hollybay/cluster/roles.py
+++ b/hollybay/cluster/roles.py
@@ -214,7 +214,7 @@
 
     def putting(self: Store, data: bytes) -> None:
         if self.paths[0].name == "keeper.0":
-            self.step = reached
+            self.before_step = reached
         put(self, data)
 
     Store.put = putting  # type: ignore[method-assign]
--- a/hollybay/consensus/durable_acceptor.py
+++ b/hollybay/consensus/durable_acceptor.py
@@ -133,7 +133,7 @@
             It is not known; the acceptor must recover from the others.
         """
         data = self.store.open()
-        if data is None or self.store.doubtful:
+        if data is None or self.store.may_be_stale:
             return
         try:
             found: _PersistedState = msgspec.msgpack.decode(data, type=_PersistedState)
--- a/hollybay/consensus/group_commit.py
+++ b/hollybay/consensus/group_commit.py
@@ -64,7 +64,7 @@
     offered_at
         When it was accepted, ns.
     group
-        Changes of one nonzero group are tried in a batch of their own; see `ProposalQueue._regroup`.
+        Changes of one nonzero group are tried in a batch of their own; see `ProposalQueue._split_batch`.
     """
 
     change: Change
@@ -202,12 +202,9 @@
             return None
         candidates = [queued.change for queued in self._batch_candidates()]
         assembled = assemble(state, self._without_decided(candidates, state, now))
-        rejections: list[tuple[Change, ChangeRejectedError]] = []
-        for change, error in assembled.rejected:
-            rejection = self._rejection_by_state(change, error, state)
-            if rejection is not None:
-                rejections.append((change, rejection))
-                self._finish(change.id, Rejected(rejection.problems), now)
+        rejections = self._final_rejections(assembled.rejected, state)
+        for change, error in rejections:
+            self._finish(change.id, Rejected(error.problems), now)
         if not assembled.batch.changes:
             return None
         self._start(assembled.batch, now)
@@ -234,21 +231,17 @@
                 undecided.append(change)
         return undecided
 
-    def _rejection_by_state(
-        self, change: Change, error: ChangeRejectedError, state: ResourceState
-    ) -> ChangeRejectedError | None:
-        """Why a change does not fit the state by itself; None: it does.
-
-        Parameters
-        ----------
-        error
-            Why it does not fit its batch.
-        """
-        try:
-            state.check(change)
-        except ChangeRejectedError as rejection:
-            return rejection
-        return None
+    def _final_rejections(
+        self, rejected: Iterable[tuple[Change, ChangeRejectedError]], state: ResourceState
+    ) -> list[tuple[Change, ChangeRejectedError]]:
+        """Of the changes that do not fit their batch, those that do not fit the state by themselves."""
+        rejections: list[tuple[Change, ChangeRejectedError]] = []
+        for change, _ in rejected:
+            try:
+                state.check(change)
+            except ChangeRejectedError as error:
+                rejections.append((change, error))
+        return rejections
 
     def _start(self, batch: Batch, now: int) -> None:
         """A batch is in progress from now on."""
@@ -304,7 +297,10 @@
             # This batch explains the earlier suspicion: nothing is known of the other changes.
             for queued in self._waiting.values():
                 queued.group = 0
-            self._regroup(split=not named)
+            if named:
+                self._ungroup_batch()
+            else:
+                self._split_batch()
         self._requeue()
 
     def batch_superseded(self, batch: Batch, state: ResourceState, now: int) -> None:
@@ -319,18 +315,20 @@
             self._finish_if_decided(change_id, state, now)
         self._requeue()
 
-    def _regroup(self, split: bool) -> None:
-        """Divide the changes of the batch in progress into two groups, or (split False) into none."""
+    def _split_batch(self) -> None:
+        """Divide the changes of the batch in progress into two groups, tried one after the other."""
         suspects = list(self._under_way.values())
         half = (len(suspects) + 1) // 2
         self._last_group += 2
-        for place, queued in enumerate(suspects):
-            if not split:
-                queued.group = 0
-            elif place < half:
-                queued.group = self._last_group - 1
-            else:
-                queued.group = self._last_group
+        for queued in suspects[:half]:
+            queued.group = self._last_group - 1
+        for queued in suspects[half:]:
+            queued.group = self._last_group
+
+    def _ungroup_batch(self) -> None:
+        """The changes of the batch in progress belong to no group any more."""
+        for queued in self._under_way.values():
+            queued.group = 0
 
     def _requeue(self) -> None:
         """The changes of the batch in progress wait again in their place, before all later ones."""
--- a/hollybay/consensus/log.py
+++ b/hollybay/consensus/log.py
@@ -21,9 +21,10 @@
 from hollybay.resources.state import EMPTY, ResourceState
 from hollybay.resources.wire import MAX_SNAPSHOT_BYTES
 
+from .durable_file import no_step
 from .log_entry import Entry, Snapshot, age_order, is_name
 from .policy import MAX_ENTRY_BYTES, Policy, RejectedError, decode_policy, version_of
-from .record import Fate
+from .record import RecordIntegrity
 from .record_folder import RecordFolder
 from .store import StoreError
 
@@ -59,8 +60,8 @@
     ----------
     folder
         Where the files are.
-    step
-        Called before each operation on the disk, as in `store.Store`.
+    before_step
+        Called before each announced step on the disk, as in `record_folder.RecordFolder`.
     kept_states
         How many of the newest entries are kept with the resources after them.
     snapshot_floor_bytes
@@ -70,14 +71,14 @@
     def __init__(
         self,
         folder: Path,
-        step: Callable[[str], None] = lambda word: None,
+        before_step: Callable[[str], None] = no_step,
         kept_states: int = KEPT_STATES,
         snapshot_floor_bytes: int = SNAPSHOT_FLOOR_BYTES,
     ) -> None:
         self.folder = folder
         self.kept_states = kept_states
         self.snapshot_floor_bytes = snapshot_floor_bytes
-        self._records = RecordFolder(folder, step)
+        self._records = RecordFolder(folder, before_step)
         self._entries: dict[str, Entry] = {}
         self._snapshot_sizes: dict[str, int] = {}  # bytes, by name
         self._lock = RLock()
@@ -118,10 +119,10 @@
         try:
             policy, state = Snapshot.decode(data)
         except RejectedError as error:
-            self._records.quarantine(file, Fate.TORN.value, str(error))
+            self._records.quarantine(file, RecordIntegrity.TORN.value, str(error))
             return
         if policy.name != name:
-            self._records.quarantine(file, Fate.FOREIGN.value, f"it is {policy.name}")
+            self._records.quarantine(file, RecordIntegrity.FOREIGN.value, f"it is {policy.name}")
             return
         self._add_snapshot(policy, state, len(data))
 
@@ -134,7 +135,7 @@
             if policy.name != name:
                 raise RejectedError(f"it is {policy.name}")
         except RejectedError as error:
-            self._records.quarantine(name, Fate.TORN.value, str(error))
+            self._records.quarantine(name, RecordIntegrity.TORN.value, str(error))
             return
         with_snapshot = self._entries.get(name)
         if with_snapshot is not None:
--- a/hollybay/consensus/planted_batch_defects.py
+++ b/hollybay/consensus/planted_batch_defects.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from collections.abc import Mapping
+from collections.abc import Iterable, Mapping
 from dataclasses import replace
 
 from hollybay.resources.batch import Batch, BatchMismatchError
@@ -45,17 +45,17 @@
 class _NeverSplits(ProposalQueue):
     """It proposes the same batch again where nobody said which change was bad."""
 
-    def _regroup(self, split: bool) -> None:
-        super()._regroup(split=False)
+    def _split_batch(self) -> None:
+        self._ungroup_batch()
 
 
 class _RejectsTooEarly(ProposalQueue):
     """It rejects a change that conflicts with another one of its batch, which may never be decided."""
 
-    def _rejection_by_state(
-        self, change: Change, error: ChangeRejectedError, state: ResourceState
-    ) -> ChangeRejectedError:
-        return error
+    def _final_rejections(
+        self, rejected: Iterable[tuple[Change, ChangeRejectedError]], *_args: ResourceState
+    ) -> list[tuple[Change, ChangeRejectedError]]:
+        return list(rejected)
 
 
 class _LosesBatches(ProposalQueue):
--- a/hollybay/consensus/planted_defects.py
+++ b/hollybay/consensus/planted_defects.py
@@ -79,7 +79,7 @@
 class _IgnoresRefusals(Acceptor):
     """It votes for JOINT though a node cannot serve the new policy."""
 
-    def nodes_unable_to_serve(self, now: int) -> tuple[int, ...]:
+    def nodes_unable_to_serve(self, *_args: int) -> tuple[int, ...]:
         return ()
 
 
@@ -141,7 +141,7 @@
 class _IgnoresGrace(Acceptor):
     """It takes a node whose lease has ended for silent, though that serves on in its grace time."""
 
-    def blocking_leases(self, now: int, state: EpochState) -> tuple[Lease, ...]:
+    def blocking_leases(self, now: int, *_args: EpochState) -> tuple[Lease, ...]:
         return tuple(
             lease for lease in self.leases if lease.epoch < self.decided.epoch and lease.lease_end > now
         )
@@ -176,7 +176,7 @@
 class _IgnoresLeaseEnd(Leaseholder):
     """It does not check the end of its lease when a request begins."""
 
-    def policies_in_force(self, now: int) -> tuple[str, ...]:
+    def policies_in_force(self, *_args: int) -> tuple[str, ...]:
         return effective_policies(self.effective_epoch) if self.effective_epoch is not None else ()
 
 
--- a/hollybay/consensus/record_folder.py
+++ b/hollybay/consensus/record_folder.py
@@ -1,8 +1,7 @@
 """A folder of files that hold one checksummed record each.
 
-A file is written beside its place, flushed and renamed, and then the folder is flushed: after a crash each
-file is complete or absent. A file that holds no sound record is quarantined: it is renamed with its fate as
-suffix and counts as absent.
+After a crash each file is complete or absent, see `durable_file`. A file that holds no intact record is
+quarantined: it is renamed with its integrity as suffix, and counts as absent.
 """
 
 from __future__ import annotations
@@ -12,13 +11,14 @@
 from contextlib import suppress
 from pathlib import Path
 
-from .record import Fate, pack, unpack
-from .store import StoreError, flush_folder
+from .durable_file import WriteStep, replace_file
+from .record import RECORD_OVERHEAD_BYTES, RecordIntegrity, decode_record, encode_record
+from .store import StoreError
 
 __all__ = ["RecordFolder"]
 
-# The most bytes that a file has beside the data of its record.
-RECORD_OVERHEAD_BYTES = 256
+# The steps that are announced, by their names.
+_STEP_NAMES = {WriteStep.WRITE: "write policy", WriteStep.FLUSH: "flush policy"}
 
 
 class RecordFolder:
@@ -28,8 +28,8 @@
     ----------
     path
         The folder; it is made with the first record.
-    step
-        Called before each operation on the disk, as in `store.Store`.
+    before_step
+        Called before each announced step on the disk, with its name.
 
     Attributes
     ----------
@@ -37,9 +37,9 @@
         Files that were quarantined, and why.
     """
 
-    def __init__(self, path: Path, step: Callable[[str], None]) -> None:
+    def __init__(self, path: Path, before_step: Callable[[str], None]) -> None:
         self.path = path
-        self.step = step
+        self.before_step = before_step
         self.quarantined: dict[str, str] = {}
 
     def files(self) -> list[str]:
@@ -49,10 +49,10 @@
     def read(self, file: str, max_bytes: int) -> bytes | None:
         """The data of a record; None: the file holds none and is quarantined. OSError: it cannot be read."""
         with (self.path / file).open("rb") as handle:
-            record = unpack(handle.read(max_bytes + RECORD_OVERHEAD_BYTES))
-        if record.fate is Fate.SOUND:
+            record = decode_record(handle.read(max_bytes + RECORD_OVERHEAD_BYTES))
+        if record.integrity is RecordIntegrity.INTACT:
             return record.data
-        self.quarantine(file, record.fate.value, f"the record is {record.fate.value}")
+        self.quarantine(file, record.integrity.value, f"the record is {record.integrity.value}")
         return None
 
     def quarantine(self, file: str, suffix: str, reason: str) -> None:
@@ -71,17 +71,16 @@
         new_file = self.path / f"{file}.new"
         try:
             self.path.mkdir(parents=True, exist_ok=True)
-            self.step("write policy")
-            with new_file.open("wb") as handle:
-                handle.write(pack(0, data, max_bytes))
-                handle.flush()
-                self.step("flush policy")
-                os.fsync(handle.fileno())
-            os.replace(new_file, self.path / file)
-            flush_folder(self.path)
+            encoded = encode_record(0, data, max_bytes)
+            replace_file(self.path / file, new_file, encoded, self._announce)
         except (OSError, ValueError) as error:
             raise StoreError(f"{new_file}: {error}") from None
 
+    def _announce(self, step: WriteStep) -> None:
+        name = _STEP_NAMES.get(step)
+        if name is not None:
+            self.before_step(name)
+
     def remove(self, file: str) -> None:
         """Remove a file if it is there; a failure is ignored, as the file is merely superfluous."""
         with suppress(OSError):
--- a/hollybay/consensus/requests.py
+++ b/hollybay/consensus/requests.py
@@ -1,4 +1,4 @@
-"""How a process calls another one, and a policy that is asked for by its name. No I/O of its own."""
+"""How a process calls another one, and a policy that is fetched by its name. No I/O of its own."""
 
 from __future__ import annotations
 
@@ -8,34 +8,66 @@
 from . import messages
 from .policy import Policy, RejectedError
 
-__all__ = ["Transport", "UnreachableError", "policy_from"]
+__all__ = ["Transport", "UnreachableError", "fetch_policy"]
+
+NO_ANSWER = 0  # the status of a call that was not answered
 
 
 class UnreachableError(Exception):
-    """A call had no answer (status 0), or one that says no, and why."""
+    """A call had no answer, or its answer is an error.
+
+    Parameters
+    ----------
+    reason
+        Why there was no answer, or what the answer says.
+    status
+        The HTTP status of the answer; `NO_ANSWER`: there was none.
+    """
 
-    def __init__(self, reason: str, status: int = 0) -> None:
+    def __init__(self, reason: str, status: int = NO_ANSWER) -> None:
         super().__init__(reason)
         self.status = status
 
 
 class Transport(Protocol):
-    """How a process calls another one at its address; UnreachableError: no answer within so many seconds."""
+    """Makes calls to other processes."""
 
-    def __call__(self, address: str, path: str, body: bytes | None, limit: float, /) -> Awaitable[bytes]: ...
+    def __call__(self, address: str, path: str, body: bytes | None, limit: float, /) -> Awaitable[bytes]:
+        """Make a call; the body of its answer.
 
+        Parameters
+        ----------
+        address
+            Of the admin endpoint of the other process.
+        path
+            Below `/-/policy/`.
+        body
+            Of a POST; None: it is a GET.
+        limit
+            How long the answer is awaited, s.
 
-async def policy_from(
+        Raises
+        ------
+        UnreachableError
+            No answer in time, or an error.
+        """
+        ...
+
+
+async def fetch_policy(
     call: Callable[[str, str, bytes | None], Awaitable[bytes]], addresses: Iterable[str], name: str
 ) -> Policy | None:
-    """A policy by its name, without its changes, from the first of these addresses that has it; None:
-    nobody does.
+    """A policy without its changes, from the first of these addresses that has it; None: none has.
+
+    Parameters
+    ----------
+    call
+        Makes a call, by address, path and body.
     """
     for address in addresses:
         try:
-            return messages.unpacked(
-                (await call(address, f"entry/{name}", None)).decode("ascii", "replace"), name
-            )
+            answer = await call(address, f"entry/{name}", None)
+            return messages.unpacked(answer.decode("ascii", "replace"), name)
         except (UnreachableError, RejectedError):
             continue
     return None
--- a/hollybay/consensus/service.py
+++ b/hollybay/consensus/service.py
@@ -25,6 +25,7 @@
 from .coordinator import ChangeCoordinator
 from .core import EpochState, Stage
 from .durable_acceptor import Disk, DurableAcceptor
+from .durable_file import no_step
 from .environment import Environment
 from .interfaces import DataPlane, MemberSettings, Response
 from .lease_client import LeaseClient
@@ -97,7 +98,7 @@
         disk: Disk,
         rng: random.Random,
         boot_id: str,
-        before_disk_step: Callable[[str], None] = lambda word: None,
+        before_disk_step: Callable[[str], None] = no_step,
         may_vote_here: Callable[[], bool] = lambda: True,
     ) -> None:
         self.environment = Environment(
--- a/hollybay/consensus/store.py
+++ b/hollybay/consensus/store.py
@@ -1,8 +1,8 @@
-"""A file of records on disk, in two generations: whatever a process sends is on disk first.
+"""The last record of one process on disk, in two generations: whatever the process sends is on disk first.
 
-A record is written beside, flushed to the disk, and renamed over the older of two names; then the folder is
-flushed. So at any moment one whole record stands, and after a crash the newer of what is whole counts. What
-is no record is set aside under another name and never read as data.
+Each record replaces the older of two files (see `durable_file`). So at any time one complete record is on the
+disk, and after a crash the newer of the intact ones counts. A file that holds no record is quarantined: it is
+renamed with its integrity as suffix, and is never read as data.
 """
 
 from __future__ import annotations
@@ -11,97 +11,125 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from .record import MOST, Fate, pack, unpack
+from .durable_file import no_step, replace_file
+from .record import (
+    MAX_RECORD_BYTES,
+    RECORD_OVERHEAD_BYTES,
+    DecodedRecord,
+    RecordIntegrity,
+    decode_record,
+    encode_record,
+)
 
-__all__ = ["Store", "StoreError", "flush_folder"]
+__all__ = ["Store", "StoreError"]
 
-
-class StoreError(Exception):
-    """The record is not on disk, or is damaged or of a newer build; nothing may be sent on it."""
+_GENERATIONS = 2
 
 
-def flush_folder(path: Path) -> None:
-    """Flush the names in a folder to the disk. Raises OSError where that failed."""
-    handle = os.open(path, os.O_RDONLY)
-    try:
-        os.fsync(handle)
-    finally:
-        os.close(handle)
+class StoreError(Exception):
+    """A record is not on disk, or is damaged or of a newer build; nothing may be sent on it."""
 
 
 class Store:
     """The records of one process under NAME.0 and NAME.1 in a folder.
 
-    step: called with a word before each step that touches the disk; a test fails or ends the process there.
+    Parameters
+    ----------
+    folder
+        It is made when the store is opened.
+    name
+        The beginning of the names of its files.
+    before_step
+        Called before each step on the disk, with the value of a `durable_file.WriteStep`.
+
+    Attributes
+    ----------
+    paths
+        The files of the generations.
+    sequence
+        The sequence number of the last record; 0: there is none.
+    data
+        The last record.
+    current_generation
+        The index of the file that holds it; the other one is written next.
+    quarantined
+        Files that were quarantined, under their new names.
+    may_be_stale
+        Whether a generation was damaged. No crash damages one, only a disk: the last record may be lost with
+        it, and a voter must first recover from the others.
     """
 
-    def __init__(self, folder: Path, name: str, step: Callable[[str], None] = lambda word: None) -> None:
+    def __init__(self, folder: Path, name: str, before_step: Callable[[str], None] = no_step) -> None:
         self.folder = folder
-        self.paths = [folder / f"{name}.{n}" for n in range(2)]
-        self.fresh = folder / f"{name}.new"
-        self.step = step
-        self.count = 0
+        self.paths = [folder / f"{name}.{generation}" for generation in range(_GENERATIONS)]
+        self.sequence = 0
         self.data = b""
-        self.newest = 1  # the generation that holds the last record; the other is written next
-        self.aside: list[Path] = []
-        # No crash damages a generation in place, only the disk: the last record may be gone with it, and a
-        # voter must first recover from the others.
-        self.doubtful = False
+        self.current_generation = 1
+        self.quarantined: list[Path] = []
+        self.may_be_stale = False
+        self._new_path = folder / f"{name}.new"
+        self.before_step = before_step
 
     def open(self) -> bytes | None:
-        """The last whole record, None where there never was one.
+        """Read the last intact record; None: there never was one.
 
-        StoreError: the folder cannot be read, a record is of a newer build, or what was there is damaged in
-        both generations: then what this process sent is not known, and it must recover before it sends more.
+        Raises
+        ------
+        StoreError
+            The folder cannot be read, a record is of a newer build, or both generations are damaged: then it
+            is not known what this process sent, and it must recover before it sends more.
         """
-        found: list[tuple[int, int, bytes]] = []
-        damaged = False
+        intact: list[tuple[int, int, bytes]] = []  # sequence, generation, data
+        is_damaged = False
         try:
             self.folder.mkdir(parents=True, exist_ok=True)
-            for n, path in enumerate(self.paths):
+            for generation, path in enumerate(self.paths):
                 if not path.exists():
                     continue
-                with path.open("rb") as file:
-                    one = unpack(file.read(MOST + 256))
-                if one.fate is Fate.NEWER:
-                    raise StoreError(f"{path}: of a newer build than this one")
-                if one.fate is Fate.SOUND:
-                    found.append((one.count, n, one.data))
+                record = self._read(path)
+                if record.integrity is RecordIntegrity.INTACT:
+                    intact.append((record.sequence, generation, record.data))
                 else:
-                    damaged = True
-                    self._set_aside(path, one.fate)
+                    is_damaged = True
+                    self._quarantine(path, record.integrity)
         except OSError as error:
             raise StoreError(f"{self.folder}: {error}") from None
-        self.doubtful = damaged
-        if not found:
-            if damaged:
+        self.may_be_stale = is_damaged
+        if not intact:
+            if is_damaged:
                 raise StoreError(f"{self.paths[0]}: nothing whole is left of what was said")
             return None
-        self.count, self.newest, self.data = max(found)
+        self.sequence, self.current_generation, self.data = max(intact)
         return self.data
 
-    def _set_aside(self, path: Path, fate: Fate) -> None:
-        target = path.with_name(f"{path.name}.{fate.value}")
-        os.replace(path, target)
-        self.aside.append(target)
+    def _read(self, path: Path) -> DecodedRecord:
+        """Read one generation. StoreError: it is of a newer build."""
+        with path.open("rb") as file:
+            record = decode_record(file.read(MAX_RECORD_BYTES + RECORD_OVERHEAD_BYTES))
+        if record.integrity is RecordIntegrity.NEWER:
+            raise StoreError(f"{path}: of a newer build than this one")
+        return record
+
+    def _quarantine(self, path: Path, integrity: RecordIntegrity) -> None:
+        quarantined = path.with_name(f"{path.name}.{integrity.value}")
+        os.replace(path, quarantined)
+        self.quarantined.append(quarantined)
 
     def put(self, data: bytes) -> None:
-        """Write a record; once this returns it may be sent. Raises StoreError: it may not."""
-        packed = pack(self.count + 1, data)
-        older = 1 - self.newest
+        """Write a record; once this returns it may be sent.
+
+        Raises
+        ------
+        StoreError
+            It may not be.
+        """
+        encoded = encode_record(self.sequence + 1, data)
+        older_generation = 1 - self.current_generation
+        path = self.paths[older_generation]
         try:
-            self.step("write")
-            with self.fresh.open("wb") as file:
-                file.write(packed)
-                file.flush()
-                self.step("flush")
-                os.fsync(file.fileno())
-            self.step("rename")
-            os.replace(self.fresh, self.paths[older])
-            self.step("flush folder")
-            flush_folder(self.folder)
+            replace_file(path, self._new_path, encoded, lambda step: self.before_step(step.value))
         except OSError as error:
-            raise StoreError(f"{self.paths[older]}: {error}") from None
-        self.count += 1
-        self.newest = older
+            raise StoreError(f"{path}: {error}") from None
+        self.sequence += 1
+        self.current_generation = older_generation
         self.data = data
--- a/hollybay/consensus/voter_client.py
+++ b/hollybay/consensus/voter_client.py
@@ -15,7 +15,7 @@
 from .messages import PIECE_BYTES, encode
 from .policy import Policy
 from .reasons import ReportedReason
-from .requests import UnreachableError, policy_from
+from .requests import UnreachableError, fetch_policy
 from .transfer import upload_calls
 from .verdict import ExitStatus, InvalidInputError
 
@@ -79,14 +79,14 @@
     addresses
         Processes that are known at first.
     on_update
-        Called with the view after each refresh.
+        Called with the view after each refresh, if given.
     """
 
     def __init__(
         self,
         call: Call,
         addresses: Iterable[str],
-        on_update: Callable[[ClusterView], None] = lambda view: None,
+        on_update: Callable[[ClusterView], None] | None = None,
     ) -> None:
         self.call = call
         self.addresses = list(dict.fromkeys(addresses))
@@ -111,7 +111,8 @@
         for _, _, history in await self._poll(list(view.voters), "history", parse_history):
             for record in history:
                 view.epochs[record.epoch] = record
-        self.on_update(view)
+        if self.on_update is not None:
+            self.on_update(view)
         return view
 
     async def _poll(
@@ -136,7 +137,7 @@
 
     async def fetch_policy(self, name: str) -> Policy | None:
         """A policy without its changes, from any process that has it."""
-        return await policy_from(self.call, self.addresses, name)
+        return await fetch_policy(self.call, self.addresses, name)
 
     async def learn_voters(self, name: str) -> None:
         """Add the voters that a policy names to the view, if a process has the policy."""
--- a/hollybay/consensus/waiting.py
+++ b/hollybay/consensus/waiting.py
@@ -3,14 +3,13 @@
 from __future__ import annotations
 
 import asyncio
+from contextlib import suppress
 
 __all__ = ["wait_at_most"]
 
 
-async def wait_at_most(event: asyncio.Event, seconds: float) -> None:
-    """Wait until an event is set, for so many seconds at most."""
-    try:
-        async with asyncio.timeout(seconds):
+async def wait_at_most(event: asyncio.Event, timeout_s: float) -> None:
+    """Wait until an event is set, for at most `timeout_s` seconds."""
+    with suppress(TimeoutError):
+        async with asyncio.timeout(timeout_s):
             await event.wait()
-    except TimeoutError:
-        pass
--- a/hollybay/simulation/accord_rehearsal.py
+++ b/hollybay/simulation/accord_rehearsal.py
@@ -28,8 +28,14 @@
 from hollybay.consensus import messages
 from hollybay.consensus.change_tracker import ChangeTracker
 from hollybay.consensus.interfaces import FileRead, MemberSettings
+from hollybay.consensus.invariants import (
+    OutcomeReported,
+    ReportedOutcome,
+    RequestBegun,
+    Violation,
+    find_violations,
+)
 from hollybay.consensus.log_entry import Entry
-from hollybay.consensus.oracle import Begun, Fault, Outcome, Said, check
 from hollybay.consensus.policy import version_of
 from hollybay.consensus.requests import UnreachableError
 from hollybay.consensus.service import Service
@@ -72,7 +78,7 @@
     """What came of a seed."""
 
     seed: int
-    faults: list[Fault] = field(default_factory=list)
+    faults: list[Violation] = field(default_factory=list)
     begun: int = 0
     held: int = 0  # changes that came into force
     dropped: int = 0
@@ -205,7 +211,7 @@
         self.keepers = tuple(seat.door for seat in self.seats[: shape.keepers])
         self.cut: set[tuple[str, str]] = set()  # from, to
         self.quiet = False  # no faults any more
-        self.events: list[Begun | Said] = []
+        self.events: list[RequestBegun | OutcomeReported] = []
         self.failed: list[str] = []
         self.losses = 0
         self.ahead_ms = 0
@@ -278,7 +284,7 @@
                 if service is None or seat.process is None or seat.process.stopped:
                     continue
                 if service.may_begin_request():
-                    self.events.append(Begun(self.clock(), seat.name, seat.under))
+                    self.events.append(RequestBegun(self.clock(), seat.name, seat.under))
 
     # Faults
 
@@ -477,10 +483,10 @@
             return
         if verdict.code == 0:
             self.played.held += 1
-            self.events.append(Said(self.clock(), verdict.change, Outcome.HOLDS))
+            self.events.append(OutcomeReported(self.clock(), verdict.change, ReportedOutcome.IN_FORCE))
         elif verdict.code == 1:
             self.played.dropped += 1
-            self.events.append(Said(self.clock(), verdict.change, Outcome.NOWHERE))
+            self.events.append(OutcomeReported(self.clock(), verdict.change, ReportedOutcome.NOWHERE))
         else:
             self.played.open += 1
 
@@ -535,9 +541,9 @@
     def run(self) -> Played:
         self.loop.run_until_complete(self.play())
         played = self.played
-        played.faults = check(self.events)
+        played.faults = find_violations(self.events)
         self._check_told()
-        played.begun = sum(isinstance(one, Begun) for one in self.events)
+        played.begun = sum(isinstance(one, RequestBegun) for one in self.events)
         played.trace = self.loop.trace
         if played.wrong:
             played.ended = False
--- a/tests/golden/build.py
+++ b/tests/golden/build.py
@@ -839,7 +839,10 @@
     samples["node"] = msgspec.json.encode(remembered)
     assert service.acceptor is not None and service.acceptor.state is not None
     samples["keeper"] = msgspec.json.encode(tuple(service.acceptor.state))
-    samples["counts"] = b"%d %d" % (service.acceptor.store.count, service.lease_client.memory.store.count)
+    samples["counts"] = b"%d %d" % (
+        service.acceptor.store.sequence,
+        service.lease_client.memory.store.sequence,
+    )
     samples["set_aside"] = msgspec.json.encode(service.log.quarantined)
     for name in names:
         state = service.log.state(name)
@@ -883,7 +886,7 @@
     except StoreError as error:
         return f"failed {error}".replace(str(folder), "FOLDER").encode()
     kept = len(data) if data is not None else -1
-    return b"count %d, %d bytes, doubtful %d" % (store.count, kept, store.doubtful)
+    return b"count %d, %d bytes, doubtful %d" % (store.sequence, kept, store.may_be_stale)
 
 
 def _log_opened(folder: Path) -> bytes:
--- a/tests/test_accord_log.py
+++ b/tests/test_accord_log.py
@@ -18,7 +18,7 @@
 from hollybay.consensus.log_entry import Snapshot, is_name
 from hollybay.consensus.log_fetch import check_links, parse_delta
 from hollybay.consensus.policy import Policy, RejectedError
-from hollybay.consensus.record import pack
+from hollybay.consensus.record import encode_record
 from hollybay.consensus.store import StoreError
 from hollybay.resources.model import Change, Delete, Kind, Operation, Upsert
 from hollybay.resources.state import EMPTY, ResourceState
@@ -148,11 +148,11 @@
     policies = chain(4)
     folder = tmp_path / "log"
     filled(folder, policies)
-    newer = bytearray(pack(0, msgspec.msgpack.encode(policies[3])))
+    newer = bytearray(encode_record(0, msgspec.msgpack.encode(policies[3])))
     newer[9] = 9
     (folder / policies[3].name).write_bytes(bytes(newer))
     (folder / policies[2].name).write_bytes(b"another program's")
-    (folder / policies[1].name).write_bytes(pack(0, msgspec.msgpack.encode(policies[0])))
+    (folder / policies[1].name).write_bytes(encode_record(0, msgspec.msgpack.encode(policies[0])))
     log = opened(folder)
     assert log.names() == [policies[0].name]
     reasons = {name: log.quarantined[name] for name in (one.name for one in policies[1:])}
--- a/tests/test_accord_rehearsal.py
+++ b/tests/test_accord_rehearsal.py
@@ -8,7 +8,12 @@
 import pytest
 
 from hollybay.consensus.cluster_view import ClusterView, EpochRecord, parse_status
-from hollybay.consensus.oracle import Begun, Outcome, Said, check
+from hollybay.consensus.invariants import (
+    OutcomeReported,
+    ReportedOutcome,
+    RequestBegun,
+    find_violations,
+)
 from hollybay.consensus.verdict import judge
 from hollybay.simulation.accord_rehearsal import Played, Shape, play, shape_of, stream_shape_of
 
@@ -60,32 +65,40 @@
 OLD, NEW, LATER = "1-00000000000a", "2-00000000000b", "3-00000000000c"
 
 
+def in_force(at: int, change: str) -> OutcomeReported:
+    return OutcomeReported(at, change, ReportedOutcome.IN_FORCE)
+
+
+def nowhere(at: int, change: str) -> OutcomeReported:
+    return OutcomeReported(at, change, ReportedOutcome.NOWHERE)
+
+
 @pytest.mark.parametrize(
     ("events", "reason"),
     [
         (
             [
-                Begun(1, "a", (OLD,)),
-                Begun(2, "b", (OLD, NEW)),
-                Begun(3, "a", (NEW,)),
-                Begun(4, "b", (OLD, NEW)),
+                RequestBegun(1, "a", (OLD,)),
+                RequestBegun(2, "b", (OLD, NEW)),
+                RequestBegun(3, "a", (NEW,)),
+                RequestBegun(4, "b", (OLD, NEW)),
             ],
             "",
         ),
-        ([Begun(1, "a", (NEW,)), Begun(2, "b", (OLD,))], "after one at a began under 2-"),
-        ([Begun(2, "a", (LATER,)), Begun(3, "b", (OLD, NEW))], "after one at a began under 3-"),
-        ([Begun(1, "a", ("2-00000000000d",)), Begun(2, "b", (OLD, NEW))], "after one at a"),
-        ([Begun(1, "a", ())], "nothing is in force"),
-        ([Said(1, NEW, Outcome.HOLDS), Begun(2, "a", (OLD, NEW))], "was said to hold everywhere"),
-        ([Said(2, NEW, Outcome.HOLDS), Begun(2, "a", (OLD, NEW))], ""),
-        ([Said(1, NEW, Outcome.NOWHERE), Begun(2, "a", (NEW,))], "was said to be nowhere"),
-        ([Begun(1, "a", (NEW,)), Said(2, NEW, Outcome.NOWHERE)], "and was in force"),
-        ([Said(1, NEW, Outcome.NOWHERE), Said(2, NEW, Outcome.HOLDS)], "and was said to be nowhere"),
+        ([RequestBegun(1, "a", (NEW,)), RequestBegun(2, "b", (OLD,))], "after one at a began under 2-"),
+        ([RequestBegun(2, "a", (LATER,)), RequestBegun(3, "b", (OLD, NEW))], "after one at a began under 3-"),
+        ([RequestBegun(1, "a", ("2-00000000000d",)), RequestBegun(2, "b", (OLD, NEW))], "after one at a"),
+        ([RequestBegun(1, "a", ())], "nothing is in force"),
+        ([in_force(1, NEW), RequestBegun(2, "a", (OLD, NEW))], "was said to hold everywhere"),
+        ([in_force(2, NEW), RequestBegun(2, "a", (OLD, NEW))], ""),
+        ([nowhere(1, NEW), RequestBegun(2, "a", (NEW,))], "was said to be nowhere"),
+        ([RequestBegun(1, "a", (NEW,)), nowhere(2, NEW)], "and was in force"),
+        ([nowhere(1, NEW), in_force(2, NEW)], "and was said to be nowhere"),
     ],
 )
-def test_the_oracle(events: list[Begun | Said], reason: str) -> None:
-    faults = check(events)
-    assert bool(faults) == bool(reason) and all(reason in fault.reason for fault in faults), faults
+def test_the_invariants(events: list[RequestBegun | OutcomeReported], reason: str) -> None:
+    found = find_violations(events)
+    assert bool(found) == bool(reason) and all(reason in violation.reason for violation in found), found
 
 
 def keeper(epoch: int, stage: str, policy: str, new: str = "", **more: object) -> dict[str, object]:
--- a/tests/test_accord_store.py
+++ b/tests/test_accord_store.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 
 from hollybay.consensus import policy
-from hollybay.consensus.record import Fate, Found, pack, unpack
+from hollybay.consensus.record import DecodedRecord, RecordIntegrity, decode_record, encode_record
 from hollybay.consensus.store import Store, StoreError
 from hollybay.resources.model import Change, Kind, Upsert
 from hollybay.resources.state import EMPTY
@@ -22,24 +22,28 @@
 
 @given(st.integers(0, 2**64 - 1), st.binary(max_size=200))
 def test_a_record_comes_back_whole(count: int, data: bytes) -> None:
-    assert unpack(pack(count, data)) == Found(Fate.SOUND, count, data)
+    assert decode_record(encode_record(count, data)) == DecodedRecord(RecordIntegrity.INTACT, count, data)
 
 
 @given(st.binary(max_size=60), st.data())
 def test_a_record_that_is_cut_or_changed_anywhere_is_never_data(data: bytes, draw: st.DataObject) -> None:
-    whole = pack(7, data)
+    whole = encode_record(7, data)
     cut = whole[: draw.draw(st.integers(0, len(whole) - 1))]
-    assert unpack(cut).fate in (Fate.EMPTY, Fate.TORN)
-    assert unpack(whole + b"\0").fate is Fate.TORN
+    assert decode_record(cut).integrity in (RecordIntegrity.EMPTY, RecordIntegrity.TORN)
+    assert decode_record(whole + b"\0").integrity is RecordIntegrity.TORN
     at = draw.draw(st.integers(0, len(whole) - 1))
     bit = 1 << draw.draw(st.integers(0, 7))
     bad = whole[:at] + bytes([whole[at] ^ bit]) + whole[at + 1 :]
-    assert unpack(bad).fate in (Fate.TORN, Fate.FOREIGN, Fate.NEWER)
+    assert decode_record(bad).integrity in (
+        RecordIntegrity.TORN,
+        RecordIntegrity.FOREIGN,
+        RecordIntegrity.NEWER,
+    )
 
 
 @given(st.binary(max_size=100))
 def test_other_bytes_are_foreign_or_torn(data: bytes) -> None:
-    assert unpack(data).fate is not Fate.SOUND
+    assert decode_record(data).integrity is not RecordIntegrity.INTACT
 
 
 class Ended(Exception):
@@ -66,7 +70,7 @@
         store.put(b"next")
     again = Store(tmp_path, "node")
     found = again.open()
-    assert not again.doubtful and not again.aside
+    assert not again.may_be_stale and not again.quarantined
     assert found == (b"next" if word == "flush folder" else b"%d" % (said - 1))
     again.put(b"after")
     assert Store(tmp_path, "node").open() == b"after"
@@ -97,22 +101,23 @@
     store.open()
     for n in range(3):
         store.put(b"%d" % n)
-    newest = store.paths[store.newest]
+    newest = store.paths[store.current_generation]
     newest.write_bytes(newest.read_bytes()[:-1])
     again = Store(tmp_path, "node")
-    assert again.open() == b"1" and again.doubtful
-    assert [path.name for path in again.aside] == [f"{newest.name}.torn"] and again.aside[0].exists()
+    assert again.open() == b"1" and again.may_be_stale
+    (quarantined,) = again.quarantined
+    assert quarantined.name == f"{newest.name}.torn" and quarantined.exists()
 
 
 def test_where_nothing_whole_is_left_or_a_newer_build_wrote_nothing_is_read(tmp_path: Path) -> None:
     store = Store(tmp_path, "node")
     store.open()
     store.put(b"x")
-    path = store.paths[store.newest]
+    path = store.paths[store.current_generation]
     path.write_bytes(b"something else")
     with pytest.raises(StoreError, match="nothing whole is left"):
         Store(tmp_path, "node").open()
-    newer = bytearray(pack(3, b"y"))
+    newer = bytearray(encode_record(3, b"y"))
     newer[9] = 9
     path.write_bytes(bytes(newer))
     with pytest.raises(StoreError, match="of a newer build"):
