--- a/hollybay/cli/policy_proposals.py
+++ b/hollybay/cli/policy_proposals.py
@@ -8,7 +8,7 @@
 
 import click
 
-from hollybay.consensus.change_tracker import ChangeRequest, ChangeTracker
+from hollybay.consensus.change_tracker import ChangeRequest, ChangeTracker, PolicyProposal
 from hollybay.consensus.cluster_view import ClusterView
 from hollybay.consensus.requests import UnreachableError
 from hollybay.consensus.verdict import ExitStatus, InvalidInputError, Verdict
@@ -135,9 +135,8 @@
         if latest is None:
             return no_voter_answers()
         drained = sorted((set(latest.drained_servers) | set(request.drain)) - set(request.undrain))
-    return await cluster.propose(
-        request.file, drained, voters, origin.reason, origin.author, origin.limit, parent
-    )
+    proposal = PolicyProposal(origin.reason, origin.author, request.file, drained, voters, parent)
+    return await cluster.propose(proposal, origin.limit)
 
 
 async def _build_and_submit(cluster: ChangeTracker, request: ChangeRequest, origin: _Origin) -> Verdict:
@@ -260,6 +259,5 @@
     origin = _Origin(reason, user_name(), limit)
     if before.voters == current.voters:
         return await _build_and_submit(cluster, ChangeRequest(like_policy=before.name), origin)
-    return await cluster.propose(
-        None, None, list(before.voters), reason, origin.author, limit, like_policy=before.name
-    )
+    proposal = PolicyProposal(reason, origin.author, voters=list(before.voters), like_policy=before.name)
+    return await cluster.propose(proposal, limit)
--- a/hollybay/cluster/planted.py
+++ b/hollybay/cluster/planted.py
@@ -114,12 +114,12 @@
     """Not a defect but a fault: a node's log cannot be written while there is a mark in its folder."""
     from hollybay.consensus.log import PolicyLog
     from hollybay.consensus.log_entry import Entry
-    from hollybay.consensus.policy import Policy
+    from hollybay.consensus.policy import PolicyVersion
     from hollybay.consensus.store import StoreError
 
     put = PolicyLog.append
 
-    def putting(self: PolicyLog, policy: Policy) -> Entry:
+    def putting(self: PolicyLog, policy: PolicyVersion) -> Entry:
         if self.policy(policy.name) is None and (self.folder.parent / FULL_DISK).exists():
             raise StoreError("[Errno 28] No space left on device")
         return put(self, policy)
--- a/hollybay/cluster/roles.py
+++ b/hollybay/cluster/roles.py
@@ -227,7 +227,7 @@
     """No policy after the first compiles here, or its disk is full from then on."""
     from hollybay.consensus.log import PolicyLog
     from hollybay.consensus.log_entry import Entry
-    from hollybay.consensus.policy import Policy
+    from hollybay.consensus.policy import PolicyVersion
     from hollybay.consensus.store import StoreError
     from hollybay.proxy.consensus_member import ConsensusMember
 
@@ -242,7 +242,7 @@
         return
     kept = PolicyLog.append
 
-    def put(self: PolicyLog, policy: Policy) -> Entry:
+    def put(self: PolicyLog, policy: PolicyVersion) -> Entry:
         if policy.version > 1 and self.policy(policy.name) is None:
             raise StoreError("[Errno 28] No space left on device")
         return kept(self, policy)
@@ -799,7 +799,7 @@
 
     async def do_change(self, doors: list[str], to: int, change: dict[str, Any]) -> Any:
         """Propose and follow a change; what came of it."""
-        from hollybay.consensus.change_tracker import ChangeTracker
+        from hollybay.consensus.change_tracker import ChangeTracker, PolicyProposal
         from hollybay.consensus.cluster_view import ClusterView
         from hollybay.consensus.verdict import Verdict
 
@@ -816,11 +816,13 @@
 
             follow.refresh = looked  # type: ignore[method-assign]
         file = change["file"].encode() if change["file"] is not None else None
-        words = (file, change["out"], change["keepers"], "a change of the plan", "the rig")
+        proposal = PolicyProposal(
+            "a change of the plan", "the rig", file, change["out"], change["keepers"], change["parent"]
+        )
         if change["drop"] is None:
-            verdict = await follow.propose(*words, limit=change["limit"] / SECOND, parent=change["parent"])
+            verdict = await follow.propose(proposal, limit=change["limit"] / SECOND)
         else:
-            verdict = await follow.propose(*words, limit=0.0, parent=change["parent"])
+            verdict = await follow.propose(proposal, limit=0.0)
             if verdict.change:
                 await asyncio.sleep(change["drop"] / SECOND)
                 await follow.drop(verdict.change)
--- a/hollybay/consensus/batch_model.py
+++ b/hollybay/consensus/batch_model.py
@@ -14,10 +14,10 @@
 from immutables import Map
 
 from hollybay.resources.batch import Batch, BatchMismatchError, apply_batch
-from hollybay.resources.log import BatchLog
 from hollybay.resources.model import Change, Problem
 from hollybay.resources.state import EMPTY, ResourceState
 
+from .batch_model_log import BatchLog
 from .group_commit import ProposalQueue
 from .proposal_outcomes import InForce, Outcome, Rejected, Unknown, combined_outcome
 from .queue_settings import QueueSettings
--- a/hollybay/resources/log.py
+++ b/hollybay/consensus/batch_model_log.py
@@ -1,10 +1,13 @@
-"""The last batches, from which a reader at an older revision is served a delta."""
+"""The log of a voter in the model of group commit: the last batches, in memory.
+
+It answers as `log.PolicyLog` does: with a delta, or that a snapshot is needed.
+"""
 
 from __future__ import annotations
 
 from collections import deque
 
-from .batch import Batch
+from hollybay.resources.batch import Batch
 
 __all__ = ["BatchLog"]
 
--- a/hollybay/consensus/bootstrap.py
+++ b/hollybay/consensus/bootstrap.py
@@ -14,7 +14,7 @@
 from .interfaces import Response
 from .log_replica import LogReplica
 from .outgoing_requests import CALL_LIMIT, PeerClient
-from .policy import Policy, RejectedError, first_policy
+from .policy import PolicyVersion, RejectedError, first_policy
 from .reasons import texts_of
 from .replies import ok
 from .request_content import RequestContent
@@ -95,7 +95,7 @@
             silent = ", ".join(address for address in others if address not in replies)
             raise RejectedError(f"keepers: {silent} did not answer; all must be there when an accord begins")
 
-    async def _pass_on(self, policy: Policy, others: list[str]) -> list[str]:
+    async def _pass_on(self, policy: PolicyVersion, others: list[str]) -> list[str]:
         """Pass the first policy to the other voters; those that were reached.
 
         A voter that is not reached learns from the others, and has no vote on the first change.
@@ -131,7 +131,7 @@
         await self.voter.bootstrap(acceptor, policy)
         return ok({"policy": policy.name})
 
-    async def _first_policy(self, call: messages.BootstrapCall, source: str) -> Policy:
+    async def _first_policy(self, call: messages.BootstrapCall, source: str) -> PolicyVersion:
         """The first policy, out of the request or from the voter that sent it; it is on disk."""
         if call.entry:
             await self.replica.store(messages.unpacked(call.entry, call.policy))
--- a/hollybay/consensus/change_tracker.py
+++ b/hollybay/consensus/change_tracker.py
@@ -34,7 +34,7 @@
 from .verdict import NOT_BEGUN, ExitStatus, Verdict, judge
 from .voter_client import POLL_INTERVAL_S, UNAVAILABLE, VoterClient, invalid_input, reason_in
 
-__all__ = ["ChangeRequest", "ChangeTracker"]
+__all__ = ["ChangeRequest", "ChangeTracker", "PolicyProposal"]
 
 # A proposal that no voter knows of is made again after so long.
 REPROPOSE_AFTER_S = 2.0
@@ -68,32 +68,58 @@
     delete: tuple[str, ...] = ()
 
 
+@dataclass(frozen=True, slots=True)
+class PolicyProposal:
+    """The next policy as an operator wants it, alone in its batch; see `messages.ProposeCall`.
+
+    Parameters
+    ----------
+    reason, author
+        Shown in the history.
+    file
+        An operator file; None: what it holds stays.
+    drained
+        All servers that are out of service; None: unchanged.
+    voters
+        All voters; None: unchanged.
+    parent
+        The policy that the proposal was made on, its name or digest; rejected if another one is in force.
+        Empty: whichever is.
+    like_policy
+        Restore the resources as they were after this policy.
+    """
+
+    reason: str
+    author: str
+    file: bytes | None = None
+    drained: list[str] | None = None
+    voters: list[str] | None = None
+    parent: str = ""
+    like_policy: str = ""
+
+
+def _propose_call(proposal: PolicyProposal, parent_digest: str) -> ProposeCall:
+    return ProposeCall(
+        None if proposal.file is None else base64.b64encode(proposal.file).decode(),
+        parent_digest,
+        proposal.reason,
+        proposal.author,
+        proposal.drained,
+        proposal.voters,
+        like_policy=proposal.like_policy,
+    )
+
+
 class ChangeTracker(VoterClient):
     """Proposes changes for an operator and tracks what becomes of them."""
 
-    async def propose(
-        self,
-        file: bytes | None,
-        drained: list[str] | None,
-        voters: list[str] | None,
-        reason: str,
-        author: str,
-        limit: float,
-        parent: str = "",
-        like_policy: str = "",
-    ) -> Verdict:
-        """Propose a change on the policy in force, alone in its batch, and track it.
+    async def propose(self, proposal: PolicyProposal, limit: float) -> Verdict:
+        """Propose the next policy on the one in force, and track it.
 
         Parameters
         ----------
-        file, drained, voters
-            The operator file, all drained servers and all voters; None: unchanged.
         limit
             How long it is tracked, s; 0: it is only proposed.
-        parent
-            The policy that the change was made on; rejected if another one is in force.
-        like_policy
-            Restore the resources as they were after this policy.
         """
         view = await self.refresh()
         latest = view.latest
@@ -103,11 +129,10 @@
         if old is None:
             return _unknown(f"{latest.policy} is not to be had")
         digest = old.digest.hex()
-        if parent and parent not in (old.name, digest):
-            return Verdict(ExitStatus.NOWHERE, text=f"parent: made on {parent}, in force is {old.name}")
-        text = None if file is None else base64.b64encode(file).decode()
-        call = ProposeCall(text, digest, reason, author, drained, voters, like_policy=like_policy)
-        return await self._propose_to_any(view, encode(call), limit)
+        if proposal.parent and proposal.parent not in (old.name, digest):
+            text = f"parent: made on {proposal.parent}, in force is {old.name}"
+            return Verdict(ExitStatus.NOWHERE, text=text)
+        return await self._propose_to_any(view, encode(_propose_call(proposal, digest)), limit)
 
     async def _propose_to_any(self, view: ClusterView, body: bytes, limit: float) -> Verdict:
         """Make a proposal at the first voter that accepts it, and track it."""
--- a/hollybay/consensus/coordinator.py
+++ b/hollybay/consensus/coordinator.py
@@ -21,7 +21,7 @@
 from .log_replica import LogReplica
 from .messages import stage_label
 from .outgoing_requests import PeerClient
-from .policy import Policy, RejectedError
+from .policy import PolicyVersion, RejectedError
 from .proposals import Proposals
 from .reasons import Reason, Superseded, SupersededOrDropped
 from .status import ChangeProgress
@@ -66,7 +66,7 @@
 class PendingChange:
     """A policy that is to be proposed here, and the epoch that it is to begin with."""
 
-    policy: Policy
+    policy: PolicyVersion
     epoch: int
 
 
@@ -122,7 +122,7 @@
         """Look for work now."""
         self.wakeup.set()
 
-    def begin(self, policy: Policy, epoch: int) -> None:
+    def begin(self, policy: PolicyVersion, epoch: int) -> None:
         """A policy is to be proposed, to begin with this epoch."""
         self.pending = PendingChange(policy, epoch)
         self.dropping.discard(policy.name)
--- a/hollybay/consensus/durable_acceptor.py
+++ b/hollybay/consensus/durable_acceptor.py
@@ -36,7 +36,7 @@
     LeaseReply,
     PrepareReply,
 )
-from .policy import Policy, RejectedError
+from .policy import PolicyVersion, RejectedError
 from .reasons import Barred, KnowsNothing, LacksPolicies
 from .store import Store, StoreError
 
@@ -193,7 +193,7 @@
 
     # Beginnings
 
-    async def bootstrap(self, policy: Policy) -> None:
+    async def bootstrap(self, policy: PolicyVersion) -> None:
         """Begin under the first policy, which is on disk.
 
         Raises
--- a/hollybay/consensus/log.py
+++ b/hollybay/consensus/log.py
@@ -23,7 +23,7 @@
 
 from .durable_file import no_step
 from .log_entry import Entry, Snapshot, age_order, is_name
-from .policy import MAX_ENTRY_BYTES, Policy, RejectedError, decode_policy, version_of
+from .policy import MAX_ENTRY_BYTES, PolicyVersion, RejectedError, decode_policy, version_of
 from .record import RecordIntegrity
 from .record_folder import RecordFolder
 from .store import StoreError
@@ -155,7 +155,7 @@
         """The names of the entries that are here, the oldest first."""
         return sorted(list(self._entries), key=age_order)
 
-    def policy(self, name: str) -> Policy | None:
+    def policy(self, name: str) -> PolicyVersion | None:
         """A policy without its changes; None: it is not here."""
         entry = self._entries.get(name)
         return entry.policy if entry is not None else None
@@ -169,7 +169,7 @@
         entry = self._entries.get(name)
         return entry.state if entry is not None else None
 
-    def read_entry(self, name: str) -> Policy | None:
+    def read_entry(self, name: str) -> PolicyVersion | None:
         """A policy with its changes, from the disk; None: it is not there. Reads a file."""
         if not is_name(name):
             return None
@@ -182,7 +182,7 @@
 
     # Appending
 
-    def append(self, policy: Policy) -> Entry:
+    def append(self, policy: PolicyVersion) -> Entry:
         """Add an entry, on disk first; once this returns it is durable.
 
         Raises
@@ -202,7 +202,9 @@
             self._records.write(policy.name, data, MAX_ENTRY_BYTES)
             return self._add_entry(policy, state, len(data))
 
-    def install_snapshot(self, data: bytes, parsed: tuple[Policy, ResourceState] | None = None) -> Entry:
+    def install_snapshot(
+        self, data: bytes, parsed: tuple[PolicyVersion, ResourceState] | None = None
+    ) -> Entry:
         """Add a snapshot, on disk first.
 
         Parameters
@@ -225,18 +227,18 @@
             self._records.write(_snapshot_file(policy.name), data, MAX_SNAPSHOT_BYTES)
             return self._add_snapshot(policy, state, len(data))
 
-    def _add_entry(self, policy: Policy, state: ResourceState, size_bytes: int) -> Entry:
+    def _add_entry(self, policy: PolicyVersion, state: ResourceState, size_bytes: int) -> Entry:
         entry = Entry.after(self._entries.get(policy.parent_name), policy, state, size_bytes)
         self._entries[policy.name] = entry
         return entry
 
-    def _add_snapshot(self, policy: Policy, state: ResourceState, size_bytes: int) -> Entry:
+    def _add_snapshot(self, policy: PolicyVersion, state: ResourceState, size_bytes: int) -> Entry:
         entry = Entry.from_snapshot(policy, state)
         self._snapshot_sizes[policy.name] = size_bytes
         self._entries[policy.name] = entry
         return entry
 
-    def _state_after(self, policy: Policy) -> ResourceState:
+    def _state_after(self, policy: PolicyVersion) -> ResourceState:
         """The resources after an entry. RejectedError: as for `append`."""
         state: ResourceState | None = EMPTY
         if policy.version > 1:
--- a/hollybay/consensus/log_entry.py
+++ b/hollybay/consensus/log_entry.py
@@ -11,7 +11,7 @@
 from hollybay.resources.state import ResourceState
 from hollybay.resources.wire import WireError, decode_snapshot, encode_snapshot
 
-from .policy import Policy, RejectedError, changed_keys, decode_policy, version_of
+from .policy import PolicyVersion, RejectedError, changed_keys, decode_policy, version_of
 
 __all__ = ["Entry", "Snapshot", "age_order", "is_name"]
 
@@ -46,20 +46,22 @@
         The servers that operators have taken out of service.
     """
 
-    policy: Policy
+    policy: PolicyVersion
     state: ResourceState | None
     changed_keys: frozenset[Key] | None
     size_bytes: int
     drained_servers: frozenset[str] = frozenset()
 
     @classmethod
-    def from_snapshot(cls, policy: Policy, state: ResourceState) -> Entry:
+    def from_snapshot(cls, policy: PolicyVersion, state: ResourceState) -> Entry:
         """The entry at which a snapshot was made."""
         drained = frozenset(resource.name for resource in state.of_kind(Kind.DRAINED_SERVER))
         return cls(policy, state, None, 0, drained)
 
     @classmethod
-    def after(cls, parent: Entry | None, policy: Policy, state: ResourceState, size_bytes: int) -> Entry:
+    def after(
+        cls, parent: Entry | None, policy: PolicyVersion, state: ResourceState, size_bytes: int
+    ) -> Entry:
         """The entry of a policy with its changes; parent: the entry before it, None for the first."""
         drained = parent.drained_servers if parent is not None else frozenset()
         keys = changed_keys(policy.changes or ())
@@ -69,7 +71,7 @@
             drained = (drained - touched) | present
         return cls(policy.without_changes(), state, _bounded(keys), size_bytes, drained)
 
-    def with_changes_of(self, policy: Policy, size_bytes: int) -> Entry:
+    def with_changes_of(self, policy: PolicyVersion, size_bytes: int) -> Entry:
         """The entry of a snapshot, whose encoded entry is at hand as well."""
         return replace(self, changed_keys=_bounded(changed_keys(policy.changes or ())), size_bytes=size_bytes)
 
@@ -85,16 +87,16 @@
 class Snapshot(msgspec.Struct, frozen=True, array_like=True):
     """A policy without its changes, and the resources after it as `resources.wire` encodes them."""
 
-    policy: Policy
+    policy: PolicyVersion
     resources: bytes
 
     @classmethod
-    def encode(cls, policy: Policy, state: ResourceState) -> bytes:
+    def encode(cls, policy: PolicyVersion, state: ResourceState) -> bytes:
         """A snapshot as bytes; policy: without its changes, state: the resources after it."""
         return msgspec.msgpack.encode(cls(policy, encode_snapshot(state)))
 
     @classmethod
-    def decode(cls, data: bytes) -> tuple[Policy, ResourceState]:
+    def decode(cls, data: bytes) -> tuple[PolicyVersion, ResourceState]:
         """The policy and the resources of a snapshot.
 
         Raises
--- a/hollybay/consensus/log_fetch.py
+++ b/hollybay/consensus/log_fetch.py
@@ -21,7 +21,7 @@
 
 from .log import PolicyLog
 from .log_entry import Snapshot
-from .policy import Policy, RejectedError, decode_policy, version_of
+from .policy import PolicyVersion, RejectedError, decode_policy, version_of
 from .reasons import NotPersisted
 from .requests import UnreachableError
 from .store import StoreError
@@ -56,7 +56,7 @@
         Why the entry is not on this disk; None: it is, or nobody had it.
     """
 
-    policy: Policy | None
+    policy: PolicyVersion | None
     problem: NotPersisted | None = None
 
 
@@ -74,12 +74,12 @@
         The policy and the resources of the snapshot.
     """
 
-    entries: list[Policy]
+    entries: list[PolicyVersion]
     snapshot: bytes = b""
-    parsed_snapshot: tuple[Policy, ResourceState] | None = None
+    parsed_snapshot: tuple[PolicyVersion, ResourceState] | None = None
 
     @property
-    def last(self) -> Policy:
+    def last(self) -> PolicyVersion:
         """The requested entry."""
         if self.entries:
             return self.entries[-1]
@@ -95,7 +95,7 @@
             log.append(policy)
 
 
-def parse_delta(data: bytes) -> list[Policy]:
+def parse_delta(data: bytes) -> list[PolicyVersion]:
     """The entries of an encoded delta. RejectedError: it holds none."""
     try:
         encoded: list[msgspec.Raw] = msgspec.msgpack.decode(data, type=list[msgspec.Raw])
@@ -104,7 +104,7 @@
     return [decode_policy(bytes(entry)) for entry in encoded]
 
 
-def check_links(entries: list[Policy], name: str) -> None:
+def check_links(entries: list[PolicyVersion], name: str) -> None:
     """Check that entries form a chain that ends with the one of this name. RejectedError: they do not."""
     if not entries or entries[-1].name != name:
         last = entries[-1].name if entries else "nothing"
@@ -200,7 +200,7 @@
             versions.add(policy.version)
         return sorted(versions, reverse=True)[:MAX_DELTA_REQUESTS] or [0]
 
-    def _has_parent(self, entry: Policy) -> bool:
+    def _has_parent(self, entry: PolicyVersion) -> bool:
         """Whether the resources that an entry was made on are here."""
         if entry.version == 1:
             return True
@@ -211,7 +211,7 @@
             and self.log.state(entry.parent_name) is not None
         )
 
-    async def _fetch_delta(self, address: str, version: int, name: str) -> list[Policy]:
+    async def _fetch_delta(self, address: str, version: int, name: str) -> list[PolicyVersion]:
         path = f"since/{version}/{name}"
         _, data = await download(partial(self.call, address), path, lambda _: path, MAX_DELTA_BYTES)
         entries = await self._compute(lambda: parse_delta(data))
--- a/hollybay/consensus/log_replica.py
+++ b/hollybay/consensus/log_replica.py
@@ -10,13 +10,13 @@
 from .log_entry import Entry
 from .log_fetch import Fetcher, FetchResult
 from .messages import number_of
-from .policy import Policy, RejectedError
+from .policy import PolicyVersion, RejectedError
 from .store import StoreError
 
 __all__ = ["LogReplica", "voter_set"]
 
 
-def voter_set(policy: Policy) -> frozenset[int]:
+def voter_set(policy: PolicyVersion) -> frozenset[int]:
     """The numbers of a policy's voters."""
     return frozenset(number_of(address) for address in policy.voters)
 
@@ -93,11 +93,11 @@
                 return False
         return True
 
-    async def store(self, policy: Policy) -> Entry:
+    async def store(self, policy: PolicyVersion) -> Entry:
         """Bring a policy that was made here to the disk. StoreError: it is not there."""
         return await run_on_disk(self.environment.disk, lambda: self.log.append(policy))
 
-    async def read(self, name: str) -> Policy | None:
+    async def read(self, name: str) -> PolicyVersion | None:
         """A policy with its changes, from the disk."""
         return await run_on_disk(self.environment.disk, lambda: self.log.read_entry(name))
 
--- a/hollybay/consensus/message_values.py
+++ b/hollybay/consensus/message_values.py
@@ -9,17 +9,17 @@
 from hollybay.resources.model import Change
 from hollybay.resources.wire import WireError, decode_change, encode_change
 
-from .policy import Policy, RejectedError, decode_policy
+from .policy import PolicyVersion, RejectedError, decode_policy
 
 __all__ = ["change_from", "change_from_bytes", "change_text", "packed", "unpacked"]
 
 
-def packed(policy: Policy) -> str:
+def packed(policy: PolicyVersion) -> str:
     """A policy as text."""
     return base64.b64encode(msgspec.msgpack.encode(policy)).decode()
 
 
-def unpacked(text: str, name: str = "") -> Policy:
+def unpacked(text: str, name: str = "") -> PolicyVersion:
     """A policy from its text. RejectedError: it is none, or another than the one of this name."""
     try:
         data = base64.b64decode(text, validate=True)
--- a/hollybay/consensus/policy.py
+++ b/hollybay/consensus/policy.py
@@ -1,4 +1,7 @@
-"""A policy: one entry of the replicated log, a batch of resource changes and the voters for the next entry.
+"""A version of the policy: one entry of the replicated log, as it is stored and sent.
+
+It holds a batch of resource changes and the voters for the next entry. What requests are served under is made
+of it by the data plane: a `hollybay.routing.compiled_policy.CompiledPolicy`.
 
 Pure. Each entry holds the digest of the entry before it (a hash chain) and the digests of the resources
 before and after it. Two policies are equal if their digests are: BLAKE2b over all fields, where the changes
@@ -24,7 +27,7 @@
     "FIRST_POLICY",
     "MAX_ENTRY_BYTES",
     "MAX_TEXT_LENGTH",
-    "Policy",
+    "PolicyVersion",
     "RejectedError",
     "changed_keys",
     "decode_policy",
@@ -45,8 +48,8 @@
     """Malformed or inadmissible input; the text names the field and says why."""
 
 
-class Policy(msgspec.Struct, frozen=True, dict=True, array_like=True):
-    """One entry of the log.
+class PolicyVersion(msgspec.Struct, frozen=True, dict=True, array_like=True):
+    """One version of the policy, an entry of the log.
 
     Encoded as an array: the order of the fields is fixed.
 
@@ -122,7 +125,7 @@
             raise RejectedError(f"changes: those of {self.name} are not at hand")
         return Batch(self.version, self.before, self.changes, self.after)
 
-    def without_changes(self) -> Policy:
+    def without_changes(self) -> PolicyVersion:
         """The same policy, without its changes."""
         return self if self.changes is None else msgspec.structs.replace(self, changes=None)
 
@@ -142,7 +145,7 @@
     return blake2b(encoded, digest_size=DIGEST_BYTES, person=b"hollybay.changes").digest()
 
 
-def _validated(policy: Policy) -> Policy:
+def _validated(policy: PolicyVersion) -> PolicyVersion:
     """The policy, if each of its fields is within its bounds; else RejectedError names the field."""
     _check_digests(policy)
     _check_voters(policy.voters)
@@ -154,7 +157,7 @@
     return policy
 
 
-def _check_digests(policy: Policy) -> None:
+def _check_digests(policy: PolicyVersion) -> None:
     if policy.version < 1:
         raise RejectedError(f"version: {policy.version} is under 1")
     if len(policy.parent) != (DIGEST_BYTES if policy.version > 1 else 0):
@@ -187,7 +190,7 @@
         raise RejectedError(f"{field}: {text[:40]!r} is no plain text") from None
 
 
-def _check_changes(policy: Policy) -> None:
+def _check_changes(policy: PolicyVersion) -> None:
     if policy.changes is None:
         return
     if len(policy.changes) > MAX_BATCH_CHANGES:
@@ -196,7 +199,7 @@
         raise RejectedError("content: it is not the digest of the changes")
 
 
-def first_policy(changes: Iterable[Change] = (), voters: Iterable[str] = ()) -> Policy:
+def first_policy(changes: Iterable[Change] = (), voters: Iterable[str] = ()) -> PolicyVersion:
     """The policy that a cluster begins with.
 
     Raises
@@ -209,13 +212,13 @@
 
 
 def successor_policy(
-    old: Policy,
+    old: PolicyVersion,
     state: ResourceState,
     changes: Iterable[Change],
     voters: Iterable[str] | None = None,
     reason: str | None = None,
     author: str = "",
-) -> tuple[Policy, ResourceState]:
+) -> tuple[PolicyVersion, ResourceState]:
     """The policy that follows another one, and the resources after it.
 
     Parameters
@@ -267,13 +270,13 @@
 
 
 def _next_policy(
-    old: Policy | None,
+    old: PolicyVersion | None,
     state: ResourceState,
     changes: Iterable[Change],
     reason: str,
     author: str,
     voters: tuple[str, ...],
-) -> tuple[Policy, ResourceState]:
+) -> tuple[PolicyVersion, ResourceState]:
     """The policy with these changes after `old` (None: the first one), and the resources after it."""
     try:
         assembled = assemble(state, changes)
@@ -282,7 +285,7 @@
     if assembled.rejected:
         raise RejectedError("; ".join(str(error) for _, error in assembled.rejected))
     batch = assembled.batch
-    policy = Policy(
+    policy = PolicyVersion(
         version=batch.revision,
         parent=old.digest if old is not None else b"",
         before=batch.before,
@@ -299,7 +302,7 @@
 FIRST_POLICY = first_policy()
 
 
-def decode_policy(data: bytes) -> Policy:
+def decode_policy(data: bytes) -> PolicyVersion:
     """A policy from its MessagePack form.
 
     Raises
@@ -310,6 +313,6 @@
     if len(data) > MAX_ENTRY_BYTES:
         raise RejectedError(f"no policy: {len(data)} bytes, {MAX_ENTRY_BYTES} at most")
     try:
-        return _validated(msgspec.msgpack.decode(data, type=Policy))
+        return _validated(msgspec.msgpack.decode(data, type=PolicyVersion))
     except (msgspec.DecodeError, RecursionError) as error:
         raise RejectedError(f"no policy: {error}") from None
--- a/hollybay/consensus/policy_requests.py
+++ b/hollybay/consensus/policy_requests.py
@@ -19,7 +19,7 @@
 from .log_entry import Entry
 from .log_replica import LogReplica
 from .outgoing_requests import PeerClient
-from .policy import Policy, RejectedError, successor_policy
+from .policy import PolicyVersion, RejectedError, successor_policy
 from .reasons import texts_of
 from .replies import ACCEPTED, UNPROCESSABLE, ok, rejected
 from .request_content import RequestContent
@@ -80,7 +80,7 @@
         self._begin(policy, state.epoch + 1)
         return ok(messages.ProposeReply(policy.name, state.epoch + 1), ACCEPTED)
 
-    def _begin(self, policy: Policy, epoch: int) -> None:
+    def _begin(self, policy: PolicyVersion, epoch: int) -> None:
         self.coordinator.begin(policy, epoch)
         self.coordinator.rejected.pop(policy.name, None)
         self.environment.data_plane.log_event(
@@ -88,7 +88,7 @@
         )
         self.coordinator.wake()
 
-    async def _next_policy(self, call: messages.ProposeCall, base: Entry) -> Policy:
+    async def _next_policy(self, call: messages.ProposeCall, base: Entry) -> PolicyVersion:
         """The policy that a request proposes on the one in force."""
         old, resources = base.policy, base.state
         assert resources is not None
@@ -116,7 +116,7 @@
         return OperatorFileChanges(operations, voters)
 
     async def _add_voters(
-        self, acceptor: DurableAcceptor, state: EpochState, old: Policy, new: Policy
+        self, acceptor: DurableAcceptor, state: EpochState, old: PolicyVersion, new: PolicyVersion
     ) -> None:
         """Let each new voter learn all before the policy that names it is proposed."""
         added = [address for address in new.voters if address not in old.voters]
--- a/hollybay/consensus/requests.py
+++ b/hollybay/consensus/requests.py
@@ -6,7 +6,7 @@
 from typing import Protocol
 
 from . import messages
-from .policy import Policy, RejectedError
+from .policy import PolicyVersion, RejectedError
 
 __all__ = ["Transport", "UnreachableError", "fetch_policy"]
 
@@ -56,7 +56,7 @@
 
 async def fetch_policy(
     call: Callable[[str, str, bytes | None], Awaitable[bytes]], addresses: Iterable[str], name: str
-) -> Policy | None:
+) -> PolicyVersion | None:
     """A policy without its changes, from the first of these addresses that has it; None: none has.
 
     Parameters
--- a/hollybay/consensus/voter.py
+++ b/hollybay/consensus/voter.py
@@ -13,7 +13,7 @@
 from .log_replica import LogReplica
 from .messages import number_of
 from .outgoing_requests import PeerClient
-from .policy import Policy, RejectedError
+from .policy import PolicyVersion, RejectedError
 from .replies import ok
 from .store import Store, StoreError
 
@@ -93,7 +93,7 @@
             self._log_event("keeper", error=str(error))
         return acceptor
 
-    async def bootstrap(self, acceptor: DurableAcceptor, policy: Policy) -> None:
+    async def bootstrap(self, acceptor: DurableAcceptor, policy: PolicyVersion) -> None:
         """Begin under the first policy, which is on disk."""
         async with self._lock:
             await acceptor.bootstrap(policy)
--- a/hollybay/consensus/voter_client.py
+++ b/hollybay/consensus/voter_client.py
@@ -13,7 +13,7 @@
 
 from .cluster_view import ClusterView, parse_history, parse_status
 from .messages import PIECE_BYTES, encode
-from .policy import Policy
+from .policy import PolicyVersion
 from .reasons import ReportedReason
 from .requests import UnreachableError, fetch_policy
 from .transfer import upload_calls
@@ -135,7 +135,7 @@
         current = view.latest.voters if view.latest is not None else ()
         return sorted(view.voters, key=lambda address: (address not in current, address))
 
-    async def fetch_policy(self, name: str) -> Policy | None:
+    async def fetch_policy(self, name: str) -> PolicyVersion | None:
         """A policy without its changes, from any process that has it."""
         return await fetch_policy(self.call, self.addresses, name)
 
--- a/hollybay/resources/__init__.py
+++ b/hollybay/resources/__init__.py
@@ -4,7 +4,6 @@
 digest  the digest of a resource, and the order-independent digest of a set of resources
 state   all resources at one revision, as a persistent value; a change costs what it changes
 batch   the changes of one revision: assembled from proposals, and applied to a state
-log     the last batches, and whether a reader is served by a delta or needs a snapshot
 wire    the bounded MessagePack encoding of changes, batches and snapshots
 
 Bodies are opaque here: `hollybay.routing` knows the tables that they hold and validates them.
--- a/hollybay/simulation/accord_rehearsal.py
+++ b/hollybay/simulation/accord_rehearsal.py
@@ -26,7 +26,7 @@
 from typing import Any
 
 from hollybay.consensus import messages
-from hollybay.consensus.change_tracker import ChangeTracker
+from hollybay.consensus.change_tracker import ChangeTracker, PolicyProposal
 from hollybay.consensus.interfaces import MemberSettings, OperatorFileChanges
 from hollybay.consensus.invariants import (
     OutcomeReported,
@@ -399,7 +399,9 @@
         self, file: bytes, keepers: list[str] | None, drops: bool, follows: bool, twice: bool
     ) -> None:
         follow = ChangeTracker(self.operator_call, self.chance.sample(self.keepers, len(self.keepers)))
-        verdict = await follow.propose(file, None, keepers, f"because {file!r}", "", limit=0.0)
+        verdict = await follow.propose(
+            PolicyProposal(f"because {file!r}", "", file, voters=keepers), limit=0.0
+        )
         if verdict.change and drops:
             await asyncio.sleep(self.chance.uniform(0.0, 0.4))
             await follow.drop(verdict.change)
@@ -522,7 +524,7 @@
         verdict = Verdict(ExitStatus.UNKNOWN)
         for n in range(4):
             follow = ChangeTracker(self.operator_call, [seat.door for seat in self.seats])
-            verdict = await follow.propose(b"# the last %d\n" % n, None, None, "the last", "", limit=60.0)
+            verdict = await follow.propose(PolicyProposal("the last", "", b"# the last %d\n" % n), limit=60.0)
             self._note(verdict)
             if verdict.code == 0:
                 break
--- a/tests/golden/build.py
+++ b/tests/golden/build.py
@@ -46,7 +46,7 @@
 from hollybay.consensus.interfaces import InvalidFileError, MemberSettings, OperatorFileChanges
 from hollybay.consensus.log import PolicyLog
 from hollybay.consensus.log_entry import Entry
-from hollybay.consensus.policy import Policy, RejectedError, first_policy, successor_policy
+from hollybay.consensus.policy import PolicyVersion, RejectedError, first_policy, successor_policy
 from hollybay.consensus.requests import UnreachableError
 from hollybay.consensus.service import Service
 from hollybay.consensus.store import Store, StoreError
@@ -109,7 +109,7 @@
     return Change(CHANGE_ID[::-1], 1, "narrower", "ben", operations)
 
 
-def _policies() -> tuple[Policy, Policy, ResourceState]:
+def _policies() -> tuple[PolicyVersion, PolicyVersion, ResourceState]:
     """Two entries of a log, and the resources after the second."""
     one = first_policy((_first_change(),), DOORS)
     state = EMPTY.with_batch(one.changes or (), 1)
@@ -760,7 +760,7 @@
 # The disk
 
 
-def _log_on_disk(folder: Path) -> tuple[Policy, Policy]:
+def _log_on_disk(folder: Path) -> tuple[PolicyVersion, PolicyVersion]:
     """Write entries 1 to 3 and a snapshot of 2, by which 1 is let go; the policies 2 and 3."""
     one, two, after = _policies()
     change = Change(UPLOAD_ID[:16].encode(), 2, "", "", (Upsert(Kind.DEFAULTS, "", 0, b"\x80"),))
--- a/tests/test_accord_fetch.py
+++ b/tests/test_accord_fetch.py
@@ -15,7 +15,7 @@
 from hollybay.consensus.log import LogTruncatedError, PolicyLog
 from hollybay.consensus.log_entry import Snapshot
 from hollybay.consensus.log_fetch import LOG_TRUNCATED_STATUS, Fetcher, FetchResult
-from hollybay.consensus.policy import Policy, RejectedError, successor_policy
+from hollybay.consensus.policy import PolicyVersion, RejectedError, successor_policy
 from hollybay.consensus.reasons import NotPersisted
 from hollybay.consensus.requests import UnreachableError
 from hollybay.consensus.store import StoreError
@@ -105,11 +105,13 @@
     assert found.policy is not None and log.state(last) == state_of(policies)
 
 
-def spoiled(kind: str, policies: list[Policy], foreign: list[Policy]) -> Callable[[str, bytes], bytes]:
+def spoiled(
+    kind: str, policies: list[PolicyVersion], foreign: list[PolicyVersion]
+) -> Callable[[str, bytes], bytes]:
     """Something that an answer may be and must not be taken in as."""
 
     def spoil(path: str, data: bytes) -> bytes:
-        entries = msgspec.msgpack.decode(data, type=list[Policy]) if path.startswith("since") else []
+        entries = msgspec.msgpack.decode(data, type=list[PolicyVersion]) if path.startswith("since") else []
         if kind == "gap" and entries:
             return msgspec.msgpack.encode([entries[0], *entries[2:]])
         if kind == "cut":
@@ -173,7 +175,7 @@
     policies = chain(4)
 
     class Full(PolicyLog):
-        def append(self, policy: Policy) -> Any:
+        def append(self, policy: PolicyVersion) -> Any:
             raise StoreError("No space left on device")
 
     log = Full(tmp_path / "n")
--- a/tests/test_accord_log.py
+++ b/tests/test_accord_log.py
@@ -17,7 +17,7 @@
 from hollybay.consensus.log import LogTruncatedError, PolicyLog
 from hollybay.consensus.log_entry import Snapshot, is_name
 from hollybay.consensus.log_fetch import check_links, parse_delta
-from hollybay.consensus.policy import Policy, RejectedError
+from hollybay.consensus.policy import PolicyVersion, RejectedError
 from hollybay.consensus.record import encode_record
 from hollybay.consensus.store import StoreError
 from hollybay.resources.model import Change, Delete, Kind, Operation, Upsert
@@ -38,7 +38,7 @@
     return Change(change_id, state.revision, "why", "who", (operation,))
 
 
-def chain(length: int, tag: bytes = b"") -> list[Policy]:
+def chain(length: int, tag: bytes = b"") -> list[PolicyVersion]:
     """So many policies, one after another, each with one change of a few routes."""
     found = [policy.first_policy([change(EMPTY, "r0", tag)], ["a:1"])]
     state = EMPTY.with_batch(found[0].changes or (), 1)
@@ -48,7 +48,7 @@
     return found
 
 
-def state_of(policies: list[Policy]) -> ResourceState:
+def state_of(policies: list[PolicyVersion]) -> ResourceState:
     """The resources after policies, one after another."""
     state = EMPTY
     for one in policies:
@@ -62,7 +62,7 @@
     return log
 
 
-def filled(folder: Path, policies: list[Policy], **words: int) -> PolicyLog:
+def filled(folder: Path, policies: list[PolicyVersion], **words: int) -> PolicyLog:
     log = opened(folder, **words)
     for one in policies:
         log.append(one)
--- a/tests/test_accord_store.py
+++ b/tests/test_accord_store.py
@@ -218,6 +218,6 @@
 @given(st.binary(max_size=200))
 def test_any_bytes_are_a_policy_or_refused(data: bytes) -> None:
     try:
-        assert isinstance(policy.decode_policy(data), policy.Policy)
+        assert isinstance(policy.decode_policy(data), policy.PolicyVersion)
     except policy.RejectedError as error:
         assert str(error)
--- a/tests/test_resources.py
+++ b/tests/test_resources.py
@@ -10,8 +10,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from hollybay.consensus.batch_model_log import BatchLog
 from hollybay.resources.batch import Batch, BatchMismatchError, apply_batch, assemble
-from hollybay.resources.log import BatchLog
 from hollybay.resources.model import (
     Change,
     ChangeRejectedError,
