--- a/hollybay/consensus/log.py
+++ b/hollybay/consensus/log.py
@@ -21,9 +21,10 @@
 from hollybay.resources.state import EMPTY, ResourceState
 from hollybay.resources.wire import MAX_SNAPSHOT_BYTES
 
+from .durable_file import no_step
 from .log_entry import Entry, Snapshot, age_order, is_name
-from .policy import MAX_ENTRY_BYTES, Policy, RejectedError, decode_policy, version_of
-from .record import Fate
+from .policy import MAX_ENTRY_BYTES, PolicyVersion, RejectedError, decode_policy, version_of
+from .record import RecordIntegrity
 from .record_folder import RecordFolder
 from .store import StoreError
 
@@ -59,8 +60,8 @@
     ----------
     folder
         Where the files are.
-    step
-        Called before each operation on the disk, as in `store.Store`.
+    before_step
+        Called before each announced step on the disk, as in `record_folder.RecordFolder`.
     kept_states
         How many of the newest entries are kept with the resources after them.
     snapshot_floor_bytes
@@ -70,14 +71,14 @@
     def __init__(
         self,
         folder: Path,
-        step: Callable[[str], None] = lambda word: None,
+        before_step: Callable[[str], None] = no_step,
         kept_states: int = KEPT_STATES,
         snapshot_floor_bytes: int = SNAPSHOT_FLOOR_BYTES,
     ) -> None:
         self.folder = folder
         self.kept_states = kept_states
         self.snapshot_floor_bytes = snapshot_floor_bytes
-        self._records = RecordFolder(folder, step)
+        self._records = RecordFolder(folder, before_step)
         self._entries: dict[str, Entry] = {}
         self._snapshot_sizes: dict[str, int] = {}  # bytes, by name
         self._lock = RLock()
@@ -118,10 +119,10 @@
         try:
             policy, state = Snapshot.decode(data)
         except RejectedError as error:
-            self._records.quarantine(file, Fate.TORN.value, str(error))
+            self._records.quarantine(file, RecordIntegrity.TORN.value, str(error))
             return
         if policy.name != name:
-            self._records.quarantine(file, Fate.FOREIGN.value, f"it is {policy.name}")
+            self._records.quarantine(file, RecordIntegrity.FOREIGN.value, f"it is {policy.name}")
             return
         self._add_snapshot(policy, state, len(data))
 
@@ -134,7 +135,7 @@
             if policy.name != name:
                 raise RejectedError(f"it is {policy.name}")
         except RejectedError as error:
-            self._records.quarantine(name, Fate.TORN.value, str(error))
+            self._records.quarantine(name, RecordIntegrity.TORN.value, str(error))
             return
         with_snapshot = self._entries.get(name)
         if with_snapshot is not None:
@@ -154,7 +155,7 @@
         """The names of the entries that are here, the oldest first."""
         return sorted(list(self._entries), key=age_order)
 
-    def policy(self, name: str) -> Policy | None:
+    def policy(self, name: str) -> PolicyVersion | None:
         """A policy without its changes; None: it is not here."""
         entry = self._entries.get(name)
         return entry.policy if entry is not None else None
@@ -168,7 +169,7 @@
         entry = self._entries.get(name)
         return entry.state if entry is not None else None
 
-    def read_entry(self, name: str) -> Policy | None:
+    def read_entry(self, name: str) -> PolicyVersion | None:
         """A policy with its changes, from the disk; None: it is not there. Reads a file."""
         if not is_name(name):
             return None
@@ -181,7 +182,7 @@
 
     # Appending
 
-    def append(self, policy: Policy) -> Entry:
+    def append(self, policy: PolicyVersion) -> Entry:
         """Add an entry, on disk first; once this returns it is durable.
 
         Raises
@@ -201,7 +202,9 @@
             self._records.write(policy.name, data, MAX_ENTRY_BYTES)
             return self._add_entry(policy, state, len(data))
 
-    def install_snapshot(self, data: bytes, parsed: tuple[Policy, ResourceState] | None = None) -> Entry:
+    def install_snapshot(
+        self, data: bytes, parsed: tuple[PolicyVersion, ResourceState] | None = None
+    ) -> Entry:
         """Add a snapshot, on disk first.
 
         Parameters
@@ -224,18 +227,18 @@
             self._records.write(_snapshot_file(policy.name), data, MAX_SNAPSHOT_BYTES)
             return self._add_snapshot(policy, state, len(data))
 
-    def _add_entry(self, policy: Policy, state: ResourceState, size_bytes: int) -> Entry:
+    def _add_entry(self, policy: PolicyVersion, state: ResourceState, size_bytes: int) -> Entry:
         entry = Entry.after(self._entries.get(policy.parent_name), policy, state, size_bytes)
         self._entries[policy.name] = entry
         return entry
 
-    def _add_snapshot(self, policy: Policy, state: ResourceState, size_bytes: int) -> Entry:
+    def _add_snapshot(self, policy: PolicyVersion, state: ResourceState, size_bytes: int) -> Entry:
         entry = Entry.from_snapshot(policy, state)
         self._snapshot_sizes[policy.name] = size_bytes
         self._entries[policy.name] = entry
         return entry
 
-    def _state_after(self, policy: Policy) -> ResourceState:
+    def _state_after(self, policy: PolicyVersion) -> ResourceState:
         """The resources after an entry. RejectedError: as for `append`."""
         state: ResourceState | None = EMPTY
         if policy.version > 1:
