--- a/tests/golden/build.py
+++ b/tests/golden/build.py
@@ -46,7 +46,7 @@
 from hollybay.consensus.interfaces import InvalidFileError, MemberSettings, OperatorFileChanges
 from hollybay.consensus.log import PolicyLog
 from hollybay.consensus.log_entry import Entry
-from hollybay.consensus.policy import Policy, RejectedError, first_policy, successor_policy
+from hollybay.consensus.policy import PolicyVersion, RejectedError, first_policy, successor_policy
 from hollybay.consensus.requests import UnreachableError
 from hollybay.consensus.service import Service
 from hollybay.consensus.store import Store, StoreError
@@ -109,7 +109,7 @@
     return Change(CHANGE_ID[::-1], 1, "narrower", "ben", operations)
 
 
-def _policies() -> tuple[Policy, Policy, ResourceState]:
+def _policies() -> tuple[PolicyVersion, PolicyVersion, ResourceState]:
     """Two entries of a log, and the resources after the second."""
     one = first_policy((_first_change(),), DOORS)
     state = EMPTY.with_batch(one.changes or (), 1)
@@ -760,7 +760,7 @@
 # The disk
 
 
-def _log_on_disk(folder: Path) -> tuple[Policy, Policy]:
+def _log_on_disk(folder: Path) -> tuple[PolicyVersion, PolicyVersion]:
     """Write entries 1 to 3 and a snapshot of 2, by which 1 is let go; the policies 2 and 3."""
     one, two, after = _policies()
     change = Change(UPLOAD_ID[:16].encode(), 2, "", "", (Upsert(Kind.DEFAULTS, "", 0, b"\x80"),))
@@ -840,7 +840,10 @@
     samples["node"] = msgspec.json.encode(remembered)
     assert service.acceptor is not None and service.acceptor.state is not None
     samples["keeper"] = msgspec.json.encode(tuple(service.acceptor.state))
-    samples["counts"] = b"%d %d" % (service.acceptor.store.count, service.lease_client.memory.store.count)
+    samples["counts"] = b"%d %d" % (
+        service.acceptor.store.sequence,
+        service.lease_client.memory.store.sequence,
+    )
     samples["set_aside"] = msgspec.json.encode(service.log.quarantined)
     for name in names:
         state = service.log.state(name)
@@ -884,7 +887,7 @@
     except StoreError as error:
         return f"failed {error}".replace(str(folder), "FOLDER").encode()
     kept = len(data) if data is not None else -1
-    return b"count %d, %d bytes, doubtful %d" % (store.count, kept, store.doubtful)
+    return b"count %d, %d bytes, doubtful %d" % (store.sequence, kept, store.may_be_stale)
 
 
 def _log_opened(folder: Path) -> bytes:
--- a/tests/test_accord_log.py
+++ b/tests/test_accord_log.py
@@ -17,8 +17,8 @@
 from hollybay.consensus.log import LogTruncatedError, PolicyLog
 from hollybay.consensus.log_entry import Snapshot, is_name
 from hollybay.consensus.log_fetch import check_links, parse_delta
-from hollybay.consensus.policy import Policy, RejectedError
-from hollybay.consensus.record import pack
+from hollybay.consensus.policy import PolicyVersion, RejectedError
+from hollybay.consensus.record import encode_record
 from hollybay.consensus.store import StoreError
 from hollybay.resources.model import Change, Delete, Kind, Operation, Upsert
 from hollybay.resources.state import EMPTY, ResourceState
@@ -38,7 +38,7 @@
     return Change(change_id, state.revision, "why", "who", (operation,))
 
 
-def chain(length: int, tag: bytes = b"") -> list[Policy]:
+def chain(length: int, tag: bytes = b"") -> list[PolicyVersion]:
     """So many policies, one after another, each with one change of a few routes."""
     found = [policy.first_policy([change(EMPTY, "r0", tag)], ["a:1"])]
     state = EMPTY.with_batch(found[0].changes or (), 1)
@@ -48,7 +48,7 @@
     return found
 
 
-def state_of(policies: list[Policy]) -> ResourceState:
+def state_of(policies: list[PolicyVersion]) -> ResourceState:
     """The resources after policies, one after another."""
     state = EMPTY
     for one in policies:
@@ -62,7 +62,7 @@
     return log
 
 
-def filled(folder: Path, policies: list[Policy], **words: int) -> PolicyLog:
+def filled(folder: Path, policies: list[PolicyVersion], **words: int) -> PolicyLog:
     log = opened(folder, **words)
     for one in policies:
         log.append(one)
@@ -148,11 +148,11 @@
     policies = chain(4)
     folder = tmp_path / "log"
     filled(folder, policies)
-    newer = bytearray(pack(0, msgspec.msgpack.encode(policies[3])))
+    newer = bytearray(encode_record(0, msgspec.msgpack.encode(policies[3])))
     newer[9] = 9
     (folder / policies[3].name).write_bytes(bytes(newer))
     (folder / policies[2].name).write_bytes(b"another program's")
-    (folder / policies[1].name).write_bytes(pack(0, msgspec.msgpack.encode(policies[0])))
+    (folder / policies[1].name).write_bytes(encode_record(0, msgspec.msgpack.encode(policies[0])))
     log = opened(folder)
     assert log.names() == [policies[0].name]
     reasons = {name: log.quarantined[name] for name in (one.name for one in policies[1:])}
