--- a/hollybay/mutation/planted.py
+++ b/hollybay/mutation/planted.py
@@ -237,7 +237,7 @@
     ),
     Defect(
         "tells-too-much-time",
-        SERVER_CONNECTION,
+        REQUEST_ENCODING,
         "left = max(1, (deadline - system.monotonic_ns()) // MS)",
         "left = max(1, (deadline - system.monotonic_ns()) // MS) + 500",
     ),
--- a/hollybay/proxy/downstream/listener.py
+++ b/hollybay/proxy/downstream/listener.py
@@ -16,13 +16,13 @@
 
 log = logging.getLogger("hollybay.proxy")
 
-# The pause (s) after an accept that failed for lack of a resource.
-ACCEPT_PAUSE = 0.1
+# The pause after an accept that failed for lack of a resource.
+ACCEPT_PAUSE_S = 0.1
 # The same where no connection could be closed to make room.
-FULL_PAUSE = 0.01
+FULL_PAUSE_S = 0.01
 # The kernel's queue of connections not yet accepted: a burst of connections waits there, and none is refused.
 BACKLOG = 4096
-SWEEP_INTERVAL = 0.25  # seconds
+SWEEP_INTERVAL_S = 0.25
 
 
 class ClientListener(ClientContext[ClientConnection]):
@@ -142,11 +142,11 @@
                 continue
             except OSError as error:
                 log.error("accept: %s", error)
-                self._pause_accepting(ACCEPT_PAUSE)
+                self._pause_accepting(ACCEPT_PAUSE_S)
                 return False
             self._start_taking(sock)
         if batch <= 0:
-            self._pause_accepting(FULL_PAUSE)
+            self._pause_accepting(FULL_PAUSE_S)
         return False
 
     def _start_taking(self, sock: socket.socket) -> None:
@@ -163,7 +163,7 @@
 
     def _sweep(self) -> None:
         """Close connections that have stayed in their phase for too long."""
-        self.sweeper = self.loop.call_later(SWEEP_INTERVAL, self._sweep)
+        self.sweeper = self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
         now = self.loop.time()
         for conn in self.overdue(self.unfinished, now - self.limits.unfinished):
             if conn.is_slow(now):
--- a/hollybay/proxy/upstream/connection.py
+++ b/hollybay/proxy/upstream/connection.py
@@ -24,10 +24,18 @@
 from ..ports import Client
 from ..streaming_body import StreamingBody
 from ..tcp_connection import TcpConnection
+from . import response_limits
 from .attempt import Attempt
 from .endpoint import Endpoint, PooledConnection
-from .request_encoding import StreamingBodyEncoder, encode_request
-from .response_head import STATUS_OK, check_framing, read_head, result_of_failure
+from .request_encoding import StreamingBodyEncoder, encode_request, headers_with_time_left
+from .response_head import (
+    INFORMATIONAL_FIRST_DIGITS,
+    PLACEHOLDER_REQUEST,
+    STATUS_OK,
+    check_framing,
+    read_head,
+    result_of_failure,
+)
 from .states import ConnectionEvent, ConnectionState, next_state
 
 __all__ = ["ConnectionOwner", "ServerConnection", "connection_price"]
@@ -44,23 +52,6 @@
 # A server's requests are held for as long as this many connections take to settle, together, before another
 # connection is opened to it instead; see HoldAccount.
 SETTLES_PER_CONNECTION = 2.0
-# Without a byte for so long an answer that has begun is spoilt: a head without end, a length that does not
-# fit. Servers write in pieces, but keep writing. The longer leaves room for a lost packet to be sent again,
-# as taking a good answer for spoilt costs more where it must not be repeated. An answer that may be long
-# and still comes by then is passed on from there.
-RESPONSE_LIMIT_S = 0.25
-RESPONSE_LIMIT_SAFE_S = 0.05
-# The most that one answer can bring before it is passed on: informational answers ahead, framing and
-# trailers.
-RESPONSE_READ_LIMIT_BYTES = MAX_HELD_BODY_BYTES + 4 * MAX_HEAD_BYTES
-# A stream that brings nothing for this long is taken for left unfinished.
-STREAM_STALL_S = 8.0
-# What a reader of one answer must know of the request, which is not written through it, before it takes an
-# informational answer: answers to GET and to POST end alike. Where none comes it need not be told, which
-# would cost each request one part in forty.
-_PLACEHOLDER_REQUEST = h11.Request(method=b"GET", target=b"/", headers=[(b"host", b"server")])
-# The first digit of such an answer's status, or nothing where that has not come yet.
-_INFORMATIONAL = (b"1", b"")
 
 
 class ConnectionOwner(Protocol):
@@ -85,7 +76,7 @@
 
 
 def connection_price() -> float:
-    """For how long (s), together, requests are held for settling connections before another one is opened."""
+    """Return for how long (s), together, requests are held before another connection is opened."""
     return SETTLES_PER_CONNECTION * SETTLE_S
 
 
@@ -102,6 +93,27 @@
         The attempt for which it was opened, and which it carries first.
     sock
         Its socket.
+
+    Attributes
+    ----------
+    attempt
+        The attempt that it carries; None: it is idle.
+    pieces
+        What is still to be written of the request, the last piece first.
+    streaming_body, body_encoder
+        The request's body that is being forwarded while it comes, and what frames it.
+    min_hold_s
+        How long (s) the last byte of the request is held back at least.
+    response, failure
+        The head of the response, or what a head that brings no response to forward says of the attempt.
+    body_pieces, body_size
+        The body as far as it is held, and how many bytes of it came in all.
+    client
+        Where the response goes once it is streamed.
+    bytes_received, last_received_at
+        Bytes of the response as they came on the wire, and when (s, the loop's clock) the last ones came.
+    response_ended_at
+        When (s, the loop's clock) the last response ended.
     """
 
     def __init__(
@@ -116,10 +128,17 @@
         self.http = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES)
         self.pieces: list[bytes] = []
         self.timer: asyncio.TimerHandle | None = None
-        self.bytes_received = 0  # bytes of the present answer
-        self.streaming_body: StreamingBody | None = None  # the one that is on its way
-        self.body_encoder: StreamingBodyEncoder | None = None  # of the last streaming body
-        self.response_ended_at = 0.0  # when (s, the loop's clock) the last response ended
+        self.streaming_body: StreamingBody | None = None
+        self.body_encoder: StreamingBodyEncoder | None = None
+        self.min_hold_s = 0.0
+        self.response: ForwardedResponse | None = None
+        self.failure: api.Result | None = None
+        self.body_pieces: list[bytes] = []
+        self.body_size = 0
+        self.client: Client | None = None
+        self.bytes_received = 0
+        self.last_received_at = 0.0
+        self.response_ended_at = 0.0
 
     def _advance(self, event: ConnectionEvent) -> None:
         self.state = next_state(self.state, event)
@@ -143,7 +162,7 @@
             self._fail()
 
     def is_alive(self) -> bool:
-        """Whether the kernel knows the connection as whole and has nothing to read.
+        """Tell whether the kernel knows the connection as open and has nothing to read.
 
         A close or bytes may have come that the loop has not seen yet.
         """
@@ -193,32 +212,26 @@
         self._advance(ConnectionEvent.REQUEST_STARTED)
         self.attempt = attempt
         attempt.connection = self
-        self.response: ForwardedResponse | None = None
-        self.failure: api.Result | None = None
-        self.body_pieces: list[bytes] = []
+        self.response = None
+        self.failure = None
+        self.body_pieces = []
         self.body_size = 0
-        self.client: Client | None = None
+        self.client = None
         self.bytes_received = 0
         self.last_received_at = self.owner.loop.time()
         self.min_hold_s = 0.0 if attempt.repeatable else LAST_BYTE_HOLD_S
         self.http = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES)
         streaming_body = message.streaming_body
         if streaming_body is None:
-            headers = self._headers(message, attempt.deadline)
+            headers = headers_with_time_left(message, attempt.deadline)
             self.pieces = encode_request(message, headers, is_last_byte_held=self._hold_time() > 0.0)
             self._write()
         else:
-            headers = self._headers(message, min(attempt.deadline, streaming_body.client_deadline))
+            headers = headers_with_time_left(message, min(attempt.deadline, streaming_body.client_deadline))
             self._begin_streaming(message, streaming_body, headers)
 
-    @staticmethod
-    def _headers(message: ForwardedRequest, deadline: int) -> Headers:
-        """Return the headers of a request, with the time that is left until a deadline (ns)."""
-        left = max(1, (deadline - system.monotonic_ns()) // MS)
-        return [*message.headers, (b"x-time-left-ms", b"%d" % left)]
-
     def return_unused(self, attempt: Attempt) -> None:
-        """Nothing is to be written for an attempt after all."""
+        """Go back to the pool: nothing is to be written for an attempt after all."""
         self.response_ended_at = self.owner.loop.time()
         self.owner.pool(self)
         attempt.end(api.Result.NOT_SENT)
@@ -285,15 +298,15 @@
             self._note_written()
 
     def settle_time_left(self) -> float:
-        """For how long (s) what comes may still belong to the last answer; 0 or less: no longer."""
+        """Return for how long (s) what comes may still belong to the last response; 0 or less: no longer."""
         return SETTLE_S - (self.owner.loop.time() - self.response_ended_at)
 
     def is_settled(self, now: float) -> bool:
-        """Whether nothing that comes can belong to the last response any more; now: s, the loop's clock."""
+        """Tell whether nothing that comes at a loop time (s) can belong to the last response any more."""
         return self.response_ended_at <= now - SETTLE_S
 
     def _hold_time(self) -> float:
-        """For how long (s) the last byte of the present request is to be held; 0: not at all."""
+        """Return for how long (s) the last byte of the present request is to be held; 0: not at all."""
         return max(self.min_hold_s, self.settle_time_left())
 
     def _write_last_piece(self) -> None:
@@ -341,31 +354,27 @@
             return
         self.last_received_at = self.owner.loop.time()
         begins = not self.bytes_received
-        if begins and data[9:10] in _INFORMATIONAL:
-            self.http.send(_PLACEHOLDER_REQUEST)
+        if begins and data[9:10] in INFORMATIONAL_FIRST_DIGITS:
+            self.http.send(PLACEHOLDER_REQUEST)
         self.bytes_received += len(data)
-        if self.bytes_received > RESPONSE_READ_LIMIT_BYTES and self.client is None:
+        if self.bytes_received > response_limits.RESPONSE_READ_LIMIT_BYTES and self.client is None:
             self._fail()
             return
         self.http.receive_data(data)
         self._process_events()
         if begins and self.attempt is not None and self.timer is None:
             # Most answers are whole by now.
-            self.start_timer(self._limit(self.attempt), self._check_progress)
-
-    @staticmethod
-    def _limit(attempt: Attempt) -> float:
-        return RESPONSE_LIMIT_SAFE_S if attempt.repeatable else RESPONSE_LIMIT_S
+            self.start_timer(response_limits.response_limit_s(self.attempt.repeatable), self._check_progress)
 
     def _check_progress(self) -> None:
-        """An answer is not whole after a while: spoilt where it stands still, long where it may be."""
+        """End a response that has stalled before it was complete, and stream one that may be long."""
         self.timer = None
         attempt = self.attempt
         if attempt is None:
             return
-        limit = self._limit(attempt)
+        limit = response_limits.response_limit_s(attempt.repeatable)
         left = limit - (self.owner.loop.time() - self.last_received_at)
-        if left <= 0.2 * limit:
+        if left <= response_limits.STALLED_SHARE * limit:
             self._fail()
         elif (
             self.body_pieces
@@ -437,9 +446,9 @@
             self._start_stream(attempt)
 
     def _start_stream(self, attempt: Attempt) -> None:
-        """Pass the answer on from here: where its class is streamed, or it is long."""
+        """Stream the response from here on: its class is streamed, or it is long."""
         assert self.response is not None
-        self.start_timer(STREAM_STALL_S, self._check_stall)
+        self.start_timer(response_limits.STREAM_STALL_S, self._check_stall)
         attempt.response_started = system.monotonic_ns()
         self.client = attempt.observer.response_started(attempt, self.response)
         if self.client is None:
@@ -451,24 +460,26 @@
             self.body_pieces = []
 
     def _check_stall(self) -> None:
-        """A stream that its server leaves unfinished would hold the client and both sockets for ever."""
-        idle = self.owner.loop.time() - self.last_received_at
-        if self.attempt is not None and self.reading and idle >= STREAM_STALL_S:
+        """End a stream that its server leaves unfinished; it would hold client and sockets for ever."""
+        now = self.owner.loop.time()
+        if (
+            self.attempt is not None
+            and self.reading
+            and now - self.last_received_at >= response_limits.STREAM_STALL_S
+        ):
             self._fail()
-        else:
-            if not self.reading:
-                self.last_received_at = self.owner.loop.time()
-            self.start_timer(
-                max(0.1, STREAM_STALL_S - (self.owner.loop.time() - self.last_received_at)), self._check_stall
-            )
+            return
+        if not self.reading:
+            self.last_received_at = now
+        self.start_timer(response_limits.stall_check_delay_s(now - self.last_received_at), self._check_stall)
 
     def _complete(self, attempt: Attempt) -> None:
         self.stop_timer()
         attempt.read_delay = self.read_delay()[1] * MS
         reusable = attempt.written and self.http.their_state is h11.DONE and not self.http.trailing_data[0]
-        answer = None
+        response = None
         if self.response is not None and self.client is None:
-            answer = ForwardedResponse(200, self.response.headers, self.body_pieces)
+            response = ForwardedResponse(STATUS_OK, self.response.headers, self.body_pieces)
         self.body_pieces = []
         self.response_ended_at = self.owner.loop.time()
         self.attempt = attempt.connection = None
@@ -477,7 +488,7 @@
             self.owner.pool(self)
         else:
             self.close()
-        attempt.end(self.failure or api.Result.OK, answer)
+        attempt.end(self.failure or api.Result.OK, response)
 
     def _fail(self) -> None:
         attempt = self.attempt
--- a/hollybay/proxy/upstream/request_encoding.py
+++ b/hollybay/proxy/upstream/request_encoding.py
@@ -5,15 +5,24 @@
 
 from __future__ import annotations
 
+from hollybay.units import MS
+
+from .. import system
 from ..http_messages import ForwardedRequest, Headers, encode_head
 from ..message_limits import SMALL_BODY_BYTES
 from ..streaming_body import StreamingBody
 
-__all__ = ["StreamingBodyEncoder", "encode_request"]
+__all__ = ["StreamingBodyEncoder", "encode_request", "headers_with_time_left"]
 
 CHUNKED_END = b"0\r\n\r\n"
 
 
+def headers_with_time_left(message: ForwardedRequest, deadline: int) -> Headers:
+    """Return the headers of a request, with the time that is left until a deadline (ns)."""
+    left = max(1, (deadline - system.monotonic_ns()) // MS)
+    return [*message.headers, (b"x-time-left-ms", b"%d" % left)]
+
+
 def encode_request(message: ForwardedRequest, headers: Headers, is_last_byte_held: bool) -> list[bytes]:
     """Return the pieces of a request whose body is held, the last piece first.
 
