--- a/tests/test_load_generator.py
+++ b/tests/test_load_generator.py
@@ -8,7 +8,8 @@
 import pytest
 
 from hollybay.balancing import interface as api
-from hollybay.testbed.client_request import RequestMix
+from hollybay.testbed.client_connection import Response, parse_response
+from hollybay.testbed.client_request import RequestMix, encode_request
 from hollybay.testbed.ledger import Final, Ledger, Limits
 from hollybay.testbed.load_generator import LoadGenerator
 from hollybay.units import MS
@@ -57,3 +58,40 @@
     assert (len(told), found) == (heads, final)
     assert all(0 <= left <= deadline for left in told)
     assert all(left <= deadline - 100 for left in told[2:]), told
+
+
+@pytest.mark.parametrize(
+    ("data", "response"),
+    [
+        (b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n", None),
+        (b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\no", None),
+        (b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", Response(200, b"ok", None, True)),
+        (b"HTTP/1.1 503 x\r\nRetry-After: 2\r\nCONNECTION: Close\r\n\r\n", Response(503, b"", 2.0, False)),
+    ],
+)
+def test_an_answer_is_parsed_once_it_is_whole(data: bytes, response: Response | None) -> None:
+    assert parse_response(data) == response
+
+
+@pytest.mark.parametrize(
+    ("effect", "start", "end"),
+    [
+        (api.Effect.SAFE, b"GET /a%%20b HTTP/1.1", b"\r\nX-Time-Left-Ms: %d\r\n\r\n"),
+        (
+            api.Effect.UNSAFE,
+            b"POST /a%%20b HTTP/1.1",
+            b"\r\nContent-Length: 2\r\nX-Time-Left-Ms: %d\r\n\r\n{}",
+        ),
+        (
+            api.Effect.KEYED,
+            b"POST /a%%20b HTTP/1.1",
+            b"\r\nIdempotency-Key: r-1\r\nContent-Length: 2\r\nX-Time-Left-Ms: %d\r\n\r\n{}",
+        ),
+    ],
+)
+def test_a_request_has_a_body_or_a_key_by_its_effect(effect: api.Effect, start: bytes, end: bytes) -> None:
+    cls = api.RequestClass("ask", effect, 1.0, MS, MS)
+    data = encode_request("r-1", cls, RequestMix(0, b"/a%20b"), "choirs", is_retry=True)
+    assert data.startswith(start + b"\r\nHost: service.internal\r\nX-Correlation-Id: r-1\r\n")
+    assert data.endswith(b"X-Account: choirs\r\nX-Repeat: 1" + end)
+    assert (data % 7).count(b"X-Time-Left-Ms: 7\r\n") == 1
