--- a/hollybay/proxy/life_cycle.py
+++ b/hollybay/proxy/life_cycle.py
@@ -125,14 +125,14 @@
         await self._stop_requested.wait()
         self.state = State.SHUTTING_DOWN
         readiness.cancel()
-        clients.leaving = True
+        clients.is_shutting_down = True
 
     async def _wait_for_discovery(self, predecessors: int) -> None:
         """Wait for an answer of discovery, up to a limit, before the node serves."""
         if predecessors:
             log.info("%d other processes of this node listen; taking over", predecessors)
             await self._wait_for_answer(TAKEOVER_LIST_TIMEOUT_S)
-        elif not self.config.settings.must_poll:
+        elif not self.config.settings.poll_required:
             await self._wait_for_answer(FIRST_LIST_TIMEOUT_S)
 
     async def _wait_for_answer(self, timeout_s: float) -> None:
