--- a/hollybay/proxy/assembly.py
+++ b/hollybay/proxy/assembly.py
@@ -17,7 +17,7 @@
 from .upstream.pools import UpstreamPools
 
 if TYPE_CHECKING:
-    from hollybay.routing.schema import AccordTable
+    from hollybay.routing.schema import ConsensusTable
 
     from .admin_service import AdminService
     from .consensus_member import ConsensusMember
@@ -129,7 +129,7 @@
     return OperatorFile(path, config.settings, config.seed)
 
 
-def consensus_descriptors(table: AccordTable | None, config: Config) -> int:
+def consensus_descriptors(table: ConsensusTable | None, config: Config) -> int:
     """Return how many file descriptors consensus takes; 0 without an [accord] table.
 
     Raises
--- a/hollybay/proxy/compiled_policies.py
+++ b/hollybay/proxy/compiled_policies.py
@@ -113,7 +113,7 @@
     tables, problems = read_all(file)
     if problems:
         raise OperatorError("operator file", problems)
-    voters = sorted(tables.accord.keepers) if tables.accord is not None else None
+    voters = sorted(tables.consensus.voters) if tables.consensus is not None else None
     return OperatorFileChanges(operations_between(state, resources_of(tables)), voters)
 
 
--- a/hollybay/proxy/consensus_setup.py
+++ b/hollybay/proxy/consensus_setup.py
@@ -10,7 +10,7 @@
 from hollybay.consensus.interfaces import MemberSettings
 from hollybay.consensus.messages import MOST_CALL
 from hollybay.proxy.downstream.listener import ClientListener
-from hollybay.routing.schema import AccordTable
+from hollybay.routing.schema import ConsensusTable
 
 from .admin_service import AdminService
 from .config import Config, ConfigError
@@ -47,7 +47,7 @@
     return min(MAX_POLICY_CONNECTIONS, max(MIN_POLICY_CONNECTIONS, wanted))
 
 
-def member_settings(table: AccordTable, config: Config) -> MemberSettings:
+def member_settings(table: ConsensusTable, config: Config) -> MemberSettings:
     """Derive the settings of the member from the [accord] table and the configuration.
 
     Raises
@@ -58,16 +58,16 @@
     if config.admin is None:
         raise ConfigError("admin: missing, and the operator file's [accord] needs it")
     host, port = config.admin
-    if table.door is None and (host in ANY_HOSTS or not port):
+    if table.address is None and (host in ANY_HOSTS or not port):
         raise ConfigError(f"admin: {host}:{port}: other nodes call there, and it is no address of one node")
     if not config.name or "/" in config.name or config.name.startswith("."):
         raise ConfigError(f"name: {config.name!r} names no folder, which the operator file's [accord] needs")
     return MemberSettings(
         name=config.name,
-        address=table.door or (f"[{host}]:{port}" if ":" in host else f"{host}:{port}"),
-        voters=tuple(sorted(table.keepers)),
+        address=table.address or (f"[{host}]:{port}" if ":" in host else f"{host}:{port}"),
+        voters=tuple(sorted(table.voters)),
         lease_ns=table.lease,
-        grace_ns=table.narrow_for if table.when_unsure == "narrow" else 0,
+        grace_ns=table.grace if table.after_expiry == "narrow" else 0,
         folder=Path(table.folder),
     )
 
--- a/hollybay/proxy/operator_file.py
+++ b/hollybay/proxy/operator_file.py
@@ -85,13 +85,13 @@
             plan = self._read_plan()
         except OperatorError as error:
             raise ConfigError(str(error)) from None
-        if plan.accord is not None and not plan.is_empty:
+        if plan.consensus is not None and not plan.is_empty:
             raise ConfigError(
                 f"{path}: [accord]: routes and limits beside it would be this node's alone; "
                 "`hollybay policy propose` puts them in force everywhere"
             )
         self.admission = AdmissionControl(plan, seed, settings.max_retry_after)
-        self.consensus_table = plan.accord
+        self.consensus_table = plan.consensus
         self.reloads_finished = 0
         self.reload_finished = asyncio.Event()
         self._reload_task: asyncio.Task[None] | None = None
--- a/hollybay/proxy/request_dispatcher.py
+++ b/hollybay/proxy/request_dispatcher.py
@@ -282,7 +282,7 @@
             streamed=request_class.streamed,
             owner=request,
             number=number,
-            write_deadline=action.until,
+            write_deadline=action.write_deadline,
         )
 
     def _cancel(self, action: api.Cancel) -> None:
--- a/hollybay/routing/admission_control.py
+++ b/hollybay/routing/admission_control.py
@@ -45,9 +45,9 @@
         bucket = self.buckets.get(key)
         if bucket is not None:
             return bucket
-        if len(self.buckets) >= rate.most_keys:
+        if len(self.buckets) >= rate.max_keys:
             self._evict(rate, now)
-        if len(self.buckets) >= rate.most_keys:
+        if len(self.buckets) >= rate.max_keys:
             if self.overflow_bucket is None:
                 self.overflow_bucket = TokenBucket.full(rate, now)
             return self.overflow_bucket
@@ -71,7 +71,7 @@
             candidate = buckets.pop(oldest)
             if not candidate.is_full(rate, now):
                 buckets[oldest] = candidate
-            elif len(buckets) < rate.most_keys:
+            elif len(buckets) < rate.max_keys:
                 break
 
 
--- a/hollybay/routing/checks.py
+++ b/hollybay/routing/checks.py
@@ -1,8 +1,8 @@
 """Checks limits against the four rules, the platform's caps and each other.
 
 Rule 1 (no request is lost): no time-out past the promised answer time or the deadline. Rule 2 (no effect
-twice): no repeat or copy of an unsafe class, none of a keyed class outside its deduplication scope or window.
-The platform: attempts, copies, Retry-After and body sizes within what the settings and the node allow.
+twice): no retry or hedge of an unsafe class, none of a keyed class outside its deduplication scope or window.
+The platform: attempts, hedges, Retry-After and body sizes within what the settings and the node allow.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from hollybay.balancing import interface as api
 from hollybay.units import MS, SECOND
 
-from .limits import DEDUPLICATION_SCOPES, LimitSettings
+from .limits import DEDUPLICATION_SCOPES, FILE_KEYS, LimitSettings
 from .problems import Problem
 
 __all__ = [
@@ -28,8 +28,8 @@
 # The longest body that a file may allow, bytes; the node itself takes a little more.
 MAX_BODY_BYTES = 32 << 20
 # The limits that are durations, in ns.
-DURATION_LIMITS = frozenset(("attempt_timeout", "request_timeout", "copy_delay", "repeat_window"))
-# How many servers a repeat may reach, in order: cell, zone, all.
+DURATION_LIMITS = frozenset(("attempt_timeout", "request_timeout", "hedge_delay", "retry_window"))
+# How many servers a retry may reach, in order: cell, zone, all.
 SCOPE_WIDTH = {
     api.DeduplicationScope.CELL: 0,
     api.DeduplicationScope.ZONE: 1,
@@ -56,22 +56,22 @@
     request_class: api.RequestClass
     limits: LimitSettings
 
-    def problem(self, key: str, reason: str) -> Problem:
-        """Return a problem at the table that states a value, naming this one where that is another."""
-        value = getattr(self.limits, key)
-        table = self.limits.sources[key]
+    def problem(self, field: str, reason: str) -> Problem:
+        """Return a problem at the table that states a limit, naming this one where that is another."""
+        value = getattr(self.limits, field)
+        table = self.limits.sources[field]
         if table != self.table:
             reason = f"{reason} (in force for [{self.table}])"
-        if key in DURATION_LIMITS:
+        if field in DURATION_LIMITS:
             value = format_duration(value)
-        return Problem(table, key, value, reason)
+        return Problem(table, FILE_KEYS[field], value, reason)
 
-    def is_specific(self, key: str) -> bool:
-        """Tell whether a value is stated for the class or route, and not inherited from [defaults]."""
-        return self.limits.sources.get(key, "defaults") != "defaults"
+    def is_specific(self, field: str) -> bool:
+        """Tell whether a limit is stated for the class or route, and not inherited from [defaults]."""
+        return self.limits.sources.get(field, "defaults") != "defaults"
 
-    def in_one_table(self, first: str, second: str) -> bool:
-        """Tell whether two values are stated in the same table."""
+    def in_same_table(self, first: str, second: str) -> bool:
+        """Tell whether two limits are stated in the same table."""
         return self.limits.sources.get(first) == self.limits.sources.get(second)
 
 
@@ -81,7 +81,7 @@
     yield from _check_lost_requests(checked)
     yield from _check_platform_caps(checked, settings)
     yield from _check_contradictions(checked)
-    yield from _check_copy_delay(checked, settings)
+    yield from _check_hedge_delay(checked, settings)
     yield from _check_attempts_within_budget(checked)
 
 
@@ -97,42 +97,42 @@
 
 
 def _check_unsafe(checked: CheckedLimits) -> Iterator[Problem]:
-    """An unsafe request is never repeated."""
+    """An unsafe request is never retried."""
     limits = checked.limits
     name = checked.request_class.name
     why = f"class {name!r} must never run twice, and what seems lost may have run (rule 2)"
     if limits.attempts is not None and limits.attempts > 1:
         reason = f"permits a repeat: {why}; leave it out: the node tries again only where nothing ran"
         yield checked.problem("attempts", reason)
-    if limits.copies:
-        yield checked.problem("copies", f"permits a second copy: {why}")
-    for key in ("repeat_window", "repeat_group"):
-        if getattr(limits, key) is not None and checked.is_specific(key):
-            yield checked.problem(key, f"permits a repeat: {why}")
+    if limits.hedges:
+        yield checked.problem("hedges", f"permits a second copy: {why}")
+    for field in ("retry_window", "retry_scope"):
+        if getattr(limits, field) is not None and checked.is_specific(field):
+            yield checked.problem(field, f"permits a repeat: {why}")
 
 
 def _check_safe(checked: CheckedLimits) -> Iterator[Problem]:
-    """A safe request may be repeated anywhere, so that bounds on where are a mistake."""
+    """A safe request may be retried anywhere, so that bounds on where are a mistake."""
     reason = f"class {checked.request_class.name!r} is safe to repeat anywhere: nothing to narrow"
-    for key in ("repeat_window", "repeat_group"):
-        if getattr(checked.limits, key) is not None and checked.is_specific(key):
-            yield checked.problem(key, reason)
+    for field in ("retry_window", "retry_scope"):
+        if getattr(checked.limits, field) is not None and checked.is_specific(field):
+            yield checked.problem(field, reason)
 
 
 def _check_keyed(checked: CheckedLimits) -> Iterator[Problem]:
-    """A keyed request is repeated only where, and while, servers drop its repeats."""
+    """A keyed request is retried only where, and while, servers drop its duplicates."""
     limits, request_class = checked.limits, checked.request_class
     name = request_class.name
     own_window, own_scope = request_class.deduplication_window, request_class.deduplication_scope
-    if limits.repeat_window is not None and limits.repeat_window > own_window:
+    if limits.retry_window is not None and limits.retry_window > own_window:
         past = f"past its window of {format_duration(own_window)}"
-        yield checked.problem("repeat_window", f"repeats of {name!r} {past} run a second time (rule 2)")
-    if limits.repeat_group is not None:
-        scope = DEDUPLICATION_SCOPES[limits.repeat_group]
+        yield checked.problem("retry_window", f"repeats of {name!r} {past} run a second time (rule 2)")
+    if limits.retry_scope is not None:
+        scope = DEDUPLICATION_SCOPES[limits.retry_scope]
         if SCOPE_WIDTH[scope] > SCOPE_WIDTH[own_scope]:
             outside = f"outside its {own_scope.name.lower()}"
-            yield checked.problem("repeat_group", f"repeats of {name!r} {outside} run a second time (rule 2)")
-    window = min(own_window, limits.repeat_window or own_window)
+            yield checked.problem("retry_scope", f"repeats of {name!r} {outside} run a second time (rule 2)")
+    window = min(own_window, limits.retry_window or own_window)
     if limits.attempts is not None and limits.attempts > 1 and limits.attempt_timeout is not None:
         last_begins = (limits.attempts - 1) * limits.attempt_timeout
         if last_begins >= window:
@@ -141,9 +141,9 @@
                 f"{format_duration(window)} in which a repeat of {name!r} is dropped (rule 2)"
             )
             yield checked.problem("attempts", reason)
-    if limits.copies and limits.copy_delay is not None and limits.copy_delay >= window:
+    if limits.hedges and limits.hedge_delay is not None and limits.hedge_delay >= window:
         past = f"past its window of {format_duration(window)}"
-        yield checked.problem("copy_delay", f"a copy of {name!r} {past} runs a second time (rule 2)")
+        yield checked.problem("hedge_delay", f"a copy of {name!r} {past} runs a second time (rule 2)")
 
 
 def _check_lost_requests(checked: CheckedLimits) -> Iterator[Problem]:
@@ -169,8 +169,8 @@
     limits = checked.limits
     if limits.attempts is not None and limits.attempts > settings.max_attempts:
         yield checked.problem("attempts", f"the platform allows {settings.max_attempts}")
-    if limits.copies and not settings.hedging_allowed:
-        yield checked.problem("copies", "the platform allows no second copies")
+    if limits.hedges and not settings.hedging_allowed:
+        yield checked.problem("hedges", "the platform allows no second copies")
     if limits.body is not None and limits.body > MAX_BODY_BYTES:
         yield checked.problem("body", f"the node takes bodies of {MAX_BODY_BYTES} bytes at most")
     if limits.retry_after is not None:
@@ -185,36 +185,36 @@
 
 
 def _check_contradictions(checked: CheckedLimits) -> Iterator[Problem]:
-    """Time-outs and copies against the limits beside them."""
+    """Time-outs and hedges against the limits beside them."""
     limits = checked.limits
     total = limits.request_timeout
     if limits.attempt_timeout is not None and total is not None and limits.attempt_timeout > total:
         reason = f"longer than the request_timeout of {format_duration(total)} for all attempts"
         yield checked.problem("attempt_timeout", reason)
-    if limits.copies:
+    if limits.hedges:
         if limits.attempts is not None and limits.attempts < 2:
-            yield checked.problem("copies", "a second copy is an attempt, and only one is allowed")
+            yield checked.problem("hedges", "a second copy is an attempt, and only one is allowed")
         if limits.retry_budget == 0:
-            yield checked.problem("copies", "a retry_budget of 0 allows none")
+            yield checked.problem("hedges", "a retry_budget of 0 allows none")
 
 
-def _check_copy_delay(checked: CheckedLimits, settings: api.Settings) -> Iterator[Problem]:
-    """A delay of copies needs copies, and time for one."""
+def _check_hedge_delay(checked: CheckedLimits, settings: api.Settings) -> Iterator[Problem]:
+    """A delay of hedges needs hedges, and time for one."""
     limits, request_class = checked.limits, checked.request_class
-    if limits.copy_delay is None:
+    if limits.hedge_delay is None:
         return
     is_unsafe = request_class.effect == api.Effect.UNSAFE
-    if limits.copies == 0 and checked.in_one_table("copies", "copy_delay"):
-        yield checked.problem("copy_delay", "there is no copy to delay: copies is 0")
-    if not settings.hedging_allowed and checked.is_specific("copy_delay"):
-        yield checked.problem("copy_delay", "there is no copy to delay: the platform allows none")
-    if is_unsafe and checked.is_specific("copy_delay"):
-        yield checked.problem("copy_delay", f"there is no copy to delay: {request_class.name!r} is unsafe")
+    if limits.hedges == 0 and checked.in_same_table("hedges", "hedge_delay"):
+        yield checked.problem("hedge_delay", "there is no copy to delay: copies is 0")
+    if not settings.hedging_allowed and checked.is_specific("hedge_delay"):
+        yield checked.problem("hedge_delay", "there is no copy to delay: the platform allows none")
+    if is_unsafe and checked.is_specific("hedge_delay"):
+        yield checked.problem("hedge_delay", f"there is no copy to delay: {request_class.name!r} is unsafe")
     deadline = request_class.deadline
     first_attempt = min(limits.attempt_timeout or deadline, limits.request_timeout or deadline)
-    if limits.copies != 0 and not is_unsafe and limits.copy_delay >= first_attempt:
+    if limits.hedges != 0 and not is_unsafe and limits.hedge_delay >= first_attempt:
         reason = f"the first attempt ends after {format_duration(first_attempt)}: no copy would go"
-        yield checked.problem("copy_delay", reason)
+        yield checked.problem("hedge_delay", reason)
 
 
 def _check_attempts_within_budget(checked: CheckedLimits) -> Iterator[Problem]:
--- a/hollybay/routing/compiled_policy.py
+++ b/hollybay/routing/compiled_policy.py
@@ -9,7 +9,7 @@
 from .limits import EffectiveLimits
 from .matcher import HeaderMatch, Matcher
 from .paths import AmbiguousPathError, PathOptions, Pattern, segments_of
-from .schema import AccordTable, PeersTable
+from .schema import ConsensusTable, PeersTable
 from .tenants import NO_TENANTS, TENANT_SCOPE, Tenants
 
 __all__ = ["CLASS_SCOPE", "CompiledPolicy", "Rejection", "Route", "Routes"]
@@ -85,7 +85,7 @@
         By class index, the limits of requests that no route matches.
     inspected_headers
         Headers (lower case) that routes match or rate limits are keyed by.
-    peers, accord
+    peers, consensus
         The [peers] and [accord] tables of the operator file.
     is_empty
         Whether nothing is stated of routes, classes, tenants and limits.
@@ -100,7 +100,7 @@
     path_options: PathOptions
     inspected_headers: frozenset[bytes]
     peers: PeersTable | None = None
-    accord: AccordTable | None = None
+    consensus: ConsensusTable | None = None
     is_empty: bool = False
     routes_by_name: Mapping[str, Route] = field(default_factory=dict)
     tenants: Tenants = field(default_factory=lambda: NO_TENANTS)
--- a/hollybay/routing/explain.py
+++ b/hollybay/routing/explain.py
@@ -7,7 +7,7 @@
 
 from .checks import DURATION_LIMITS, format_duration
 from .compiled_policy import CompiledPolicy, Rejection
-from .limits import LimitSettings, Rate
+from .limits import FILE_KEYS, LimitSettings, Rate
 
 __all__ = ["Explanation", "LimitLine", "explain_request"]
 
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LimitLine:
-    """One limit: its name, its value as the operator file writes it, and the table that states it."""
+    """One limit: its key and value as the operator file writes them, and the table that states it."""
 
     name: str
     value: str
@@ -75,19 +75,20 @@
 
 
 def _limit_lines(settings: LimitSettings) -> tuple[LimitLine, ...]:
-    return tuple(
-        LimitLine(name, _format_limit(name, getattr(settings, name)), source)
-        for name, source in sorted(settings.sources.items())
+    lines = (
+        LimitLine(FILE_KEYS[field], _format_limit(field, getattr(settings, field)), source)
+        for field, source in settings.sources.items()
     )
+    return tuple(sorted(lines, key=lambda line: line.name))
 
 
-def _format_limit(name: str, value: object) -> str:
+def _format_limit(field: str, value: object) -> str:
     if isinstance(value, Rate):
         key = _bucket_key(value)
-        return f"{value.per_second:g}/s, burst {value.burst}, by {key}, {value.most_keys} keys at most"
+        return f"{value.per_second:g}/s, burst {value.burst}, by {key}, {value.max_keys} keys at most"
     if isinstance(value, tuple):
         return " to ".join(format_duration(part) for part in value)
-    if name in DURATION_LIMITS:
+    if field in DURATION_LIMITS:
         assert isinstance(value, int)
         return format_duration(value)
     return str(value)
--- a/hollybay/routing/limits.py
+++ b/hollybay/routing/limits.py
@@ -5,12 +5,15 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field, fields
 
+import msgspec
+
 from hollybay.balancing import interface as api
 
 from .schema import LimitsTable, RateTable, RetryAfterTable
 
 __all__ = [
     "DEDUPLICATION_SCOPES",
+    "FILE_KEYS",
     "EffectiveLimits",
     "LimitSettings",
     "Rate",
@@ -23,6 +26,8 @@
     "zone": api.DeduplicationScope.ZONE,
     "cell": api.DeduplicationScope.CELL,
 }
+# The operator file's key of each limit, by the field's name.
+FILE_KEYS = {limit.name: limit.encode_name for limit in msgspec.structs.fields(LimitsTable)}
 _HEADER_KEY = "header:"  # before the header's name in a rate's `by`
 
 
@@ -48,14 +53,15 @@
     burst: int
     header: bytes = b""
     tenant: bool = False
-    most_keys: int = 10_000
+    max_keys: int = 10_000
 
 
 @dataclass(frozen=True, slots=True)
 class LimitSettings:
     """Limits as the operator file states them; None: not stated.
 
-    Durations are in ns, sizes in bytes; the fields are the file's keys (docs/OPERATORS-routes.md).
+    Durations are in ns, sizes in bytes. `FILE_KEYS` has the file's key of each field, and
+    docs/OPERATORS-routes.md is the reference.
 
     Attributes
     ----------
@@ -66,10 +72,10 @@
     attempt_timeout: int | None = None
     request_timeout: int | None = None
     attempts: int | None = None
-    copies: int | None = None
-    copy_delay: int | None = None
-    repeat_window: int | None = None
-    repeat_group: str | None = None
+    hedges: int | None = None
+    hedge_delay: int | None = None
+    retry_window: int | None = None
+    retry_scope: str | None = None
     retry_budget: float | None = None
     body: int | None = None
     in_flight: int | None = None
@@ -149,7 +155,7 @@
             burst=value.burst or max(1, round(value.per_second)),
             header=by.removeprefix(_HEADER_KEY).lower().encode() if by.startswith(_HEADER_KEY) else b"",
             tenant=by == "tenant",
-            most_keys=value.most_keys,
+            max_keys=value.max_keys,
         )
     if isinstance(value, RetryAfterTable):
         return (value.least, value.most)
@@ -161,10 +167,10 @@
     balancer_limits = api.Limits(
         attempts=settings.attempts or 0,
         attempt_timeout=settings.attempt_timeout or 0,
-        hedges=-1 if settings.copies is None else settings.copies,
-        hedge_delay=settings.copy_delay or 0,
-        retry_window=settings.repeat_window or 0,
-        retry_scope=None if settings.repeat_group is None else DEDUPLICATION_SCOPES[settings.repeat_group],
+        hedges=-1 if settings.hedges is None else settings.hedges,
+        hedge_delay=settings.hedge_delay or 0,
+        retry_window=settings.retry_window or 0,
+        retry_scope=None if settings.retry_scope is None else DEDUPLICATION_SCOPES[settings.retry_scope],
         retry_share=-1.0 if settings.retry_budget is None else settings.retry_budget,
         budget=scope,
         retry_after=settings.retry_after or (0, 0),
--- a/hollybay/routing/policy_compiler.py
+++ b/hollybay/routing/policy_compiler.py
@@ -22,7 +22,7 @@
     rate_headers,
     route_headers,
 )
-from .schema import AccordTable, OperatorTables, PathsTable, PeersTable, TenantTable, read_all
+from .schema import ConsensusTable, OperatorTables, PathsTable, PeersTable, TenantTable, read_all
 from .tenants import compile_tenant_limits
 
 __all__ = ["compile_file", "compile_tables", "overlap_problem", "path_options", "unique_problems"]
@@ -30,7 +30,7 @@
 MAX_TENANT_NAME = 253  # characters
 SHOWN_TENANT_NAME = 64  # characters of an invalid name that are shown
 LEASE_BOUNDS = (500 * MS, 60_000 * MS)
-NARROW_FOR_BOUNDS = (1000 * MS, 86_400_000 * MS)
+GRACE_BOUNDS = (1000 * MS, 86_400_000 * MS)
 
 
 def compile_file(
@@ -87,7 +87,7 @@
     matcher = Matcher(routes)
     problems += [overlap_problem(overlap.first, overlap.second) for overlap in matcher.overlaps]
     problems += _tenant_problems(tables.tenants)
-    problems += _accord_problems(tables.accord)
+    problems += _consensus_problems(tables.consensus)
     problems += _peers_problems(tables.peers)
     if problems:
         raise OperatorError(file, unique_problems(problems))
@@ -99,8 +99,8 @@
         path_options(tables.paths),
         _inspected_headers(routes, class_limits),
         tables.peers,
-        tables.accord,
-        msgspec.structs.replace(tables, peers=None, accord=None) == OperatorTables(),
+        tables.consensus,
+        msgspec.structs.replace(tables, peers=None, consensus=None) == OperatorTables(),
         {route.name: route for route in routes},
         {name: compile_tenant_limits(name, table) for name, table in tables.tenants.items()},
     )
@@ -165,19 +165,19 @@
             yield Problem(f"tenant.{name[:SHOWN_TENANT_NAME]}", "", None, reason)
 
 
-def _accord_problems(table: AccordTable | None) -> Iterator[Problem]:
+def _consensus_problems(table: ConsensusTable | None) -> Iterator[Problem]:
     """Yield the problems of the [accord] table."""
     if table is None:
         return
-    count = len(table.keepers)
+    count = len(table.voters)
     if count % 2 == 0:
         reason = "an even number: with one more, no more may fail"
         yield Problem("accord", "keepers", count, reason)
-    if len(set(table.keepers)) < count:
-        yield Problem("accord", "keepers", table.keepers, "one stands twice")
+    if len(set(table.voters)) < count:
+        yield Problem("accord", "keepers", table.voters, "one stands twice")
     for key, value, (least, most) in (
         ("lease", table.lease, LEASE_BOUNDS),
-        ("narrow_for", table.narrow_for, NARROW_FOR_BOUNDS),
+        ("narrow_for", table.grace, GRACE_BOUNDS),
     ):
         if not least <= value <= most:
             reason = f"must be from {least // MS} ms to {most // MS} ms"
--- a/hollybay/routing/policy_intersection.py
+++ b/hollybay/routing/policy_intersection.py
@@ -141,7 +141,7 @@
         first,
         per_second=min(first.per_second, second.per_second),
         burst=min(first.burst, second.burst),
-        most_keys=min(first.most_keys, second.most_keys),
+        max_keys=min(first.max_keys, second.max_keys),
     )
 
 
@@ -158,27 +158,27 @@
     attempt_timeout: int | None
     attempts: int | None
     retry_budget: float | None
-    deduplication_window: int  # in which a repeat of a keyed request is dropped
+    deduplication_window: int  # in which the duplicate of a keyed request is dropped
 
 
 def _intersect_settings(
     first: LimitSettings, second: LimitSettings, request_class: api.RequestClass
 ) -> LimitSettings:
     """Return the stricter settings of both, without contradictions between them."""
-    repeat_window = _lesser(first.repeat_window, second.repeat_window)
-    limits = _intersect_attempts(first, second, request_class, repeat_window)
-    copy_delay = _greater(first.copy_delay, second.copy_delay)
-    copies = min(_allowed_copies(first), _allowed_copies(second))
-    if copies and not _allows_copy(limits, copy_delay, request_class):
-        copies = 0
+    retry_window = _lesser(first.retry_window, second.retry_window)
+    limits = _intersect_attempts(first, second, request_class, retry_window)
+    hedge_delay = _greater(first.hedge_delay, second.hedge_delay)
+    hedges = min(_allowed_hedges(first), _allowed_hedges(second))
+    if hedges and not _allows_hedge(limits, hedge_delay, request_class):
+        hedges = 0
     return LimitSettings(
         attempt_timeout=limits.attempt_timeout,
         request_timeout=limits.request_timeout,
         attempts=limits.attempts,
-        copies=copies if copies or _states_copies(first) or _states_copies(second) else None,
-        copy_delay=copy_delay if copies else None,
-        repeat_window=repeat_window,
-        repeat_group=_narrower_group(first.repeat_group, second.repeat_group),
+        hedges=hedges if hedges or _states_hedges(first) or _states_hedges(second) else None,
+        hedge_delay=hedge_delay if hedges else None,
+        retry_window=retry_window,
+        retry_scope=_narrower_scope(first.retry_scope, second.retry_scope),
         retry_budget=limits.retry_budget,
         body=_lesser(first.body, second.body),
         in_flight=_lesser(first.in_flight, second.in_flight),
@@ -192,7 +192,7 @@
     first: LimitSettings,
     second: LimitSettings,
     request_class: api.RequestClass,
-    repeat_window: int | None,
+    retry_window: int | None,
 ) -> _Attempts:
     request_timeout = _lesser(first.request_timeout, second.request_timeout)
     attempt_timeout = _lesser(first.attempt_timeout, second.attempt_timeout)
@@ -203,7 +203,7 @@
     if retry_budget == 0 and attempts is not None:
         attempts = 1
     window = request_class.deduplication_window
-    window = min(window, repeat_window or window)
+    window = min(window, retry_window or window)
     is_keyed = request_class.effect == api.Effect.KEYED
     if is_keyed and attempts is not None and attempts > 1 and attempt_timeout:
         # The last attempt must begin within the window. The two policies together may state more attempts
@@ -212,32 +212,32 @@
     return _Attempts(request_timeout, attempt_timeout, attempts, retry_budget, window)
 
 
-def _allows_copy(limits: _Attempts, copy_delay: int | None, request_class: api.RequestClass) -> bool:
-    """Tell whether a second copy could be sent under these limits."""
+def _allows_hedge(limits: _Attempts, hedge_delay: int | None, request_class: api.RequestClass) -> bool:
+    """Tell whether a hedge could be sent under these limits."""
     if limits.retry_budget == 0 or (limits.attempts is not None and limits.attempts < 2):
         return False
-    if copy_delay is None:
+    if hedge_delay is None:
         return True
     deadline = request_class.deadline
     first_attempt = min(limits.attempt_timeout or deadline, limits.request_timeout or deadline)
     is_keyed = request_class.effect == api.Effect.KEYED
     window = limits.deduplication_window if is_keyed else deadline
-    return copy_delay < first_attempt and copy_delay < window
+    return hedge_delay < first_attempt and hedge_delay < window
 
 
-def _allowed_copies(settings: LimitSettings) -> int:
-    """Return the second copies that settings allow: none unless copies or their delay are stated."""
-    return settings.copies if settings.copies is not None else int(settings.copy_delay is not None)
+def _allowed_hedges(settings: LimitSettings) -> int:
+    """Return the hedges that settings allow: none unless their number or their delay is stated."""
+    return settings.hedges if settings.hedges is not None else int(settings.hedge_delay is not None)
 
 
-def _states_copies(settings: LimitSettings) -> bool:
-    return settings.copies is not None or settings.copy_delay is not None
+def _states_hedges(settings: LimitSettings) -> bool:
+    return settings.hedges is not None or settings.hedge_delay is not None
 
 
-def _narrower_group(first: str | None, second: str | None) -> str | None:
-    """Return the group that reaches fewer servers; one that is not stated does not bind."""
-    groups = [group for group in (first, second) if group is not None]
-    return min(groups, key=lambda group: SCOPE_WIDTH[DEDUPLICATION_SCOPES[group]]) if groups else None
+def _narrower_scope(first: str | None, second: str | None) -> str | None:
+    """Return the scope with fewer servers; one that is not stated does not bind."""
+    scopes = [scope for scope in (first, second) if scope is not None]
+    return min(scopes, key=lambda scope: SCOPE_WIDTH[DEDUPLICATION_SCOPES[scope]]) if scopes else None
 
 
 def _later_retry_after(
--- a/hollybay/routing/schema.py
+++ b/hollybay/routing/schema.py
@@ -1,4 +1,8 @@
-"""The tables of the operator file. Their fields are its keys; docs/OPERATORS-routes.md is the reference."""
+"""The tables of the operator file: docs/OPERATORS-routes.md is the reference.
+
+Their fields are the file's keys. Where a published key is none of the terms of docs/GLOSSARY.md, the field
+has the term, and `name` the key.
+"""
 
 from __future__ import annotations
 
@@ -12,8 +16,8 @@
 from .typed_tables import Duration, Size, Table, parse_duration, parse_size, read_tables
 
 __all__ = [
-    "AccordTable",
     "ClassTable",
+    "ConsensusTable",
     "HeaderTable",
     "LimitsTable",
     "OperatorTables",
@@ -56,7 +60,9 @@
     per_second: Annotated[float, msgspec.Meta(gt=0, le=1e7)]
     burst: Annotated[int, msgspec.Meta(ge=1, le=10_000_000)] | None = None
     by: RateKey = "route"
-    most_keys: Annotated[int, msgspec.Meta(ge=1, le=1_000_000)] = 10_000
+    max_keys: Annotated[int, msgspec.Meta(ge=1, le=1_000_000)] = msgspec.field(
+        default=10_000, name="most_keys"
+    )
 
 
 class RetryAfterTable(Table, frozen=True):
@@ -74,10 +80,10 @@
     attempt_timeout: Duration | None = None
     request_timeout: Duration | None = None
     attempts: Annotated[int, msgspec.Meta(ge=1, le=100)] | None = None
-    copies: Annotated[int, msgspec.Meta(ge=0, le=1)] | None = None
-    copy_delay: Duration | None = None
-    repeat_window: Duration | None = None
-    repeat_group: Literal["all", "zone", "cell"] | None = None
+    hedges: Annotated[int, msgspec.Meta(ge=0, le=1)] | None = msgspec.field(default=None, name="copies")
+    hedge_delay: Duration | None = msgspec.field(default=None, name="copy_delay")
+    retry_window: Duration | None = msgspec.field(default=None, name="repeat_window")
+    retry_scope: Literal["all", "zone", "cell"] | None = msgspec.field(default=None, name="repeat_group")
     retry_budget: Annotated[float, msgspec.Meta(ge=0, le=1)] | None = None
     body: Size | None = None
     in_flight: Annotated[int, msgspec.Meta(ge=1, le=1_000_000)] | None = None
@@ -171,26 +177,27 @@
 ]
 
 
-class AccordTable(Table, frozen=True):
+class ConsensusTable(Table, frozen=True):
     """How nodes agree on a policy: the voters, leases, and what a node does after its lease has expired."""
 
     all_or_nothing = True
 
-    keepers: Annotated[
-        list[Address], msgspec.Meta(min_length=1, max_length=5)
-    ]  # admin addresses of the voters
+    # Admin addresses of the voters.
+    voters: Annotated[list[Address], msgspec.Meta(min_length=1, max_length=5)] = msgspec.field(name="keepers")
     folder: Annotated[str, msgspec.Meta(min_length=1, max_length=400)]  # directory of durable state
-    door: Address | None = None  # where voters reach this node, if not at its own admin address
+    # Where voters reach this node, if not at its own admin address.
+    address: Address | None = msgspec.field(default=None, name="door")
     lease: Duration = 5000 * MS
-    when_unsure: Literal["leave", "narrow"] = "leave"
-    narrow_for: Duration = 60_000 * MS  # grace after lease expiry, under the intersection of both policies
+    # What the node does after its lease has expired: leave, or serve in a grace under both policies.
+    after_expiry: Literal["leave", "narrow"] = msgspec.field(default="leave", name="when_unsure")
+    grace: Duration = msgspec.field(default=60_000 * MS, name="narrow_for")
 
 
 class OperatorTables(Table, frozen=True):
     """All tables of an operator file."""
 
     peers: PeersTable | None = None
-    accord: AccordTable | None = None
+    consensus: ConsensusTable | None = msgspec.field(default=None, name="accord")
     paths: PathsTable = PathsTable()
     defaults: LimitsTable = LimitsTable()
     classes: dict[str, ClassTable] = msgspec.field(default_factory=dict, name="class")
--- a/tests/test_accord_node.py
+++ b/tests/test_accord_node.py
@@ -497,7 +497,7 @@
         "import sys, hollybay.proxy.__main__, hollybay.proxy.operator_file, hollybay.proxy.admin_service\n"
         "from hollybay.routing.policy_compiler import compile_file\n"
         "from hollybay.testbed.world import make_settings\n"
-        "assert compile_file(b'', make_settings()).accord is None\n"
+        "assert compile_file(b'', make_settings()).consensus is None\n"
         "mine = ('hollybay.consensus', 'structlog', 'hollybay.proxy.consensus_member',\n"
         "    'hollybay.proxy.consensus_setup', 'hollybay.proxy.admin_client')\n"
         "sys.exit(any(n in mine or n.startswith('hollybay.consensus.') for n in sys.modules))"
--- a/tests/test_routing_policy_intersection.py
+++ b/tests/test_routing_policy_intersection.py
@@ -34,10 +34,10 @@
         "attempt_timeout": TIMES,
         "request_timeout": TIMES,
         "attempts": st.one_of(st.none(), st.integers(1, 4)),
-        "copies": st.sampled_from([None, None, 0, 1]),
-        "copy_delay": TIMES,
-        "repeat_window": TIMES,
-        "repeat_group": st.sampled_from([None, "cell", "zone", "all"]),
+        "hedges": st.sampled_from([None, None, 0, 1]),
+        "hedge_delay": TIMES,
+        "retry_window": TIMES,
+        "retry_scope": st.sampled_from([None, "cell", "zone", "all"]),
         "retry_budget": st.sampled_from([None, 0.0, 0.1, 0.5]),
         "body": st.sampled_from([None, 0, 1000, 1 << 20]),
         "in_flight": st.sampled_from([None, 1, 5]),
@@ -68,22 +68,22 @@
     both = intersect_limits(a, b, cls)
     assert list(check_limits(CheckedLimits("old", cls, both.limit_settings), SETTINGS)) == []
     for part in (a, b):
-        for key in ("attempt_timeout", "request_timeout", "attempts", "repeat_window", "body", "in_flight"):
+        for key in ("attempt_timeout", "request_timeout", "attempts", "retry_window", "body", "in_flight"):
             bound = getattr(part.limit_settings, key)
             assert bound is None or getattr(both.limit_settings, key) <= bound, key
-        if part.limit_settings.repeat_group is not None:
-            group = both.limit_settings.repeat_group
+        if part.limit_settings.retry_scope is not None:
+            group = both.limit_settings.retry_scope
             assert (
                 group is not None
                 and SCOPE_WIDTH[DEDUPLICATION_SCOPES[group]]
-                <= SCOPE_WIDTH[DEDUPLICATION_SCOPES[part.limit_settings.repeat_group]]
+                <= SCOPE_WIDTH[DEDUPLICATION_SCOPES[part.limit_settings.retry_scope]]
             )
         if part.limit_settings.retry_budget is not None:
             assert both.limit_settings.retry_budget is not None
             assert both.limit_settings.retry_budget <= part.limit_settings.retry_budget
         assert copies(both.balancer_limits) <= copies(part.balancer_limits)
-        if copies(both.balancer_limits) and part.limit_settings.copy_delay is not None:
-            assert (both.limit_settings.copy_delay or 0) >= part.limit_settings.copy_delay
+        if copies(both.balancer_limits) and part.limit_settings.hedge_delay is not None:
+            assert (both.limit_settings.hedge_delay or 0) >= part.limit_settings.hedge_delay
         if part.limit_settings.retry_after is not None:
             assert both.retry_after is not None and both.retry_after >= part.limit_settings.retry_after
     # It does not matter which of them is the old one.
@@ -102,9 +102,9 @@
     # Only a copy that could never go is not named any more.
     assert (
         copies(both.balancer_limits) == copies(one.balancer_limits)
-        or one.limit_settings.copy_delay is not None
+        or one.limit_settings.hedge_delay is not None
     )
-    for key in ("attempt_timeout", "request_timeout", "attempts", "repeat_window", "repeat_group", "body"):
+    for key in ("attempt_timeout", "request_timeout", "attempts", "retry_window", "retry_scope", "body"):
         kept = getattr(both.limit_settings, key), getattr(one.limit_settings, key)
         assert kept[0] == kept[1], key
     assert both.retry_after == one.retry_after and both.scope == one.scope
