--- a/hollybay/mutation/__init__.py
+++ b/hollybay/mutation/__init__.py
@@ -1,6 +1,5 @@
-"""Defects put into the node on purpose, to measure what simulation and tests see of them.
+"""Defects planted in copies of the code on purpose, to measure what simulation and tests see of them.
 
-tree       a copy of the packages with one file changed, and what is played in it
+tree       copies of the packages with one text changed (mutants), and what is run in them to kill them
 planted    defects of the project's own choosing, each with the seed that finds it
-mutants    defects by machine: sampled with cosmic-ray, judged by seeds and by tests (`make mutation`)
 """
--- a/hollybay/mutation/planted.py
+++ b/hollybay/mutation/planted.py
@@ -10,16 +10,21 @@
 import json
 import os
 import sys
+from collections.abc import Sequence
 from concurrent.futures import ThreadPoolExecutor
 from dataclasses import dataclass
 from pathlib import Path
+from typing import Any
 
-from .tree import ROOT, changed, found_by_seeds, run_in
+from .tree import ROOT, Kill, killed_by_seeds, mutated_copy, run_in
 
-__all__ = ["DEFECTS", "FOUND", "Defect", "hunt"]
+__all__ = ["DEFECTS", "FOUND", "Defect", "find_kill"]
 
 FOUND = ROOT / "hollybay" / "mutation" / "planted.json"
 SEEDS = range(200)
+SEARCH_TIMEOUT_S = 900.0
+SHRINK_TIMEOUT_S = 1500.0
+MAX_SHRINK_RUNS = 1500
 
 BALANCER = "hollybay/balancing/balancer.py"
 ENDPOINTS = "hollybay/balancing/endpoints.py"
@@ -44,7 +49,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Defect:
-    """One defect: its name, the file, and what is changed to what."""
+    """One defect: a mutant of the project's own choosing.
+
+    Attributes
+    ----------
+    name
+        Under which it is noted in planted.json and named on the command line.
+    path
+        The file, from the root.
+    old, new
+        The text, which must be in the file exactly once, and what it is changed to.
+    """
 
     name: str
     path: str
@@ -338,15 +353,16 @@
 )
 
 
-def hunt(defect: Defect) -> tuple[int, str, str] | None:
-    """The first of the seeds that finds a defect, with the rule and the reason."""
-    return found_by_seeds(defect.path, defect.old, defect.new, SEEDS, limit=900.0)
+def find_kill(defect: Defect) -> Kill | None:
+    """Return what the first of the seeds that finds a defect has found; None: no seed does."""
+    return killed_by_seeds(defect.path, defect.old, defect.new, SEEDS, SEARCH_TIMEOUT_S)
 
 
 # Shrinks one seed's plan; a program of its own, as it must run the changed code.
-_SHRINK = """
+_SHRINK_PROGRAM = """
 import sys
 from pathlib import Path
+from typing import Any
 from hollybay.simulation.plan import draw, events, to_json
 from hollybay.simulation.shrink import shrink
 from hollybay.simulation.world import play
@@ -358,40 +374,71 @@
 """
 
 
-def shrunk(defect: Defect, seed: int, rule: str, target: Path, tries: int = 1500) -> int:
-    """Cut a finding down into a file; how many events are left, -1 where that did not end."""
-    with changed(defect.path, defect.old, defect.new) as tree:
-        _, said = run_in(tree, ["-c", _SHRINK, str(seed), rule, str(target), str(tries)], 1500.0)
-    lines = [line for line in said.splitlines() if line.startswith("EVENTS ")]
-    return int(lines[0].split()[1]) if lines else -1
+def shrink_into(defect: Defect, seed: int, rule: str, target: Path, max_runs: int = MAX_SHRINK_RUNS) -> int:
+    """Shrink a seed's plan that finds a defect into a file.
 
+    Parameters
+    ----------
+    defect
+        The defect.
+    seed, rule
+        The seed that finds it, and the rule that it breaks.
+    target
+        The file.
+    max_runs
+        Smaller plans that are played at most.
 
-def main(names: list[str]) -> int:
-    """Hunt all defects, or those that are named; 1 if one is not found."""
-    shrinking = "--shrink" in names
-    chosen = [defect for defect in DEFECTS if defect.name in names or not set(names) - {"--shrink"}]
-    known = json.loads(FOUND.read_text()) if FOUND.exists() else {}
+    Returns
+    -------
+    int
+        The events that are left, -1 where that did not end.
+    """
+    arguments = ["-c", _SHRINK_PROGRAM, str(seed), rule, str(target), str(max_runs)]
+    with mutated_copy(defect.path, defect.old, defect.new) as tree:
+        _, output = run_in(tree, arguments, SHRINK_TIMEOUT_S)
+    lines = [line for line in output.splitlines() if line.startswith("EVENTS ")]
+    return int(lines[0].split()[1]) if lines else -1
 
-    def one(defect: Defect) -> tuple[Defect, tuple[int, str, str] | None, int]:
-        if not shrinking:
-            return defect, hunt(defect), 0
-        entry = known[defect.name]
-        target = ROOT / "tests" / "seeds" / f"{defect.name}.json"
-        return defect, None, shrunk(defect, entry["seed"], entry["rule"], target)
 
+def _search(chosen: Sequence[Defect], known: dict[str, Any]) -> int:
+    """Search the seeds for all chosen defects, and note the findings; returns how many were not found."""
     missed = 0
     with ThreadPoolExecutor(len(os.sched_getaffinity(0))) as pool:
-        for defect, found, left in pool.map(one, chosen):
-            if shrinking:
-                known[defect.name]["events"] = left
-                print(f"{defect.name}: {left} events", flush=True)
-            elif found is None:
+        for defect, kill in zip(chosen, pool.map(find_kill, chosen), strict=True):
+            if kill is None:
                 missed += 1
                 known.pop(defect.name, None)
                 print(f"{defect.name}: NOT FOUND", flush=True)
             else:
-                known[defect.name] = {"seed": found[0], "rule": found[1], "reason": found[2]}
-                print(f"{defect.name}: seed {found[0]}, {found[1]}: {found[2][:90]}", flush=True)
+                known[defect.name] = kill._asdict()
+                print(f"{defect.name}: seed {kill.seed}, {kill.rule}: {kill.reason[:90]}", flush=True)
+    return missed
+
+
+def _shrink(chosen: Sequence[Defect], known: dict[str, Any]) -> None:
+    """Shrink the noted findings of all chosen defects into tests/seeds/."""
+
+    def shrink_one(defect: Defect) -> int:
+        entry = known[defect.name]
+        target = ROOT / "tests" / "seeds" / f"{defect.name}.json"
+        return shrink_into(defect, entry["seed"], entry["rule"], target)
+
+    with ThreadPoolExecutor(len(os.sched_getaffinity(0))) as pool:
+        for defect, events in zip(chosen, pool.map(shrink_one, chosen), strict=True):
+            known[defect.name]["events"] = events
+            print(f"{defect.name}: {events} events", flush=True)
+
+
+def main(arguments: list[str]) -> int:
+    """Search for all defects, or those that are named; 1 if one is not found."""
+    names = set(arguments) - {"--shrink"}
+    chosen = [defect for defect in DEFECTS if not names or defect.name in names]
+    known = json.loads(FOUND.read_text()) if FOUND.exists() else {}
+    missed = 0
+    if "--shrink" in arguments:
+        _shrink(chosen, known)
+    else:
+        missed = _search(chosen, known)
     FOUND.write_text(json.dumps(known, indent=1, sort_keys=True) + "\n")
     return 1 if missed else 0
 
--- a/hollybay/mutation/tree.py
+++ b/hollybay/mutation/tree.py
@@ -1,4 +1,7 @@
-"""A copy of the code with one place changed, and runs in it: whole processes, so nothing stays behind."""
+"""Copies of the code with one place changed (mutants), and runs that may kill them: whole processes each.
+
+A run kills a mutant where it finds a fault that the code as it is does not have.
+"""
 
 from __future__ import annotations
 
@@ -12,35 +15,68 @@
 from contextlib import contextmanager
 from pathlib import Path
 from tempfile import TemporaryDirectory
+from typing import NamedTuple
 
 __all__ = [
     "PACKAGES",
     "ROOT",
-    "NoSuchPlace",
-    "changed",
-    "found_by_plan",
-    "found_by_seeds",
+    "Kill",
+    "SourceTextError",
+    "killed_by_plan",
+    "killed_by_seeds",
+    "mutated_copy",
     "run_in",
-    "seeds_in",
 ]
 
 ROOT = Path(__file__).resolve().parents[2]
 PACKAGES = ("hollybay",)
+# The rule of a run that does not end as it should.
+PROCESS_RULE = "process"
+PLAN_TIMEOUT_S = 60.0
+SEEDS_TIMEOUT_S = 120.0
 
 
-class NoSuchPlace(ValueError):
-    """The text that was to be changed is not there, or more than once."""
+class SourceTextError(ValueError):
+    """The text that was to be changed is not in its file, or more than once."""
 
 
-@contextmanager
-def changed(path: str, old: str, new: str) -> Iterator[Path]:
-    """A copy of the packages in which `old`, once in the file at `path` (from the root), is changed to `new`.
+class Kill(NamedTuple):
+    """What a run found in a mutant.
 
-    NoSuchPlace where the text is not there, or more than once.
+    Attributes
+    ----------
+    seed
+        The seed that was played.
+    rule
+        The name of the rule that was broken; `process` where the run did not end as it should.
+    reason
+        What was found, for people.
+    """
+
+    seed: int
+    rule: str
+    reason: str
+
+
+@contextmanager
+def mutated_copy(path: str, old: str, new: str) -> Iterator[Path]:
+    """Copy the packages, with one text in one file changed; yields the copy's root.
+
+    Parameters
+    ----------
+    path
+        The file, from the root.
+    old, new
+        The text, which must be in the file exactly once, and what it is changed to.
+
+    Raises
+    ------
+    SourceTextError
+        The text is not there, or more than once.
     """
     text = (ROOT / path).read_text()
     if text.count(old) != 1:
-        raise NoSuchPlace(f"{path}: {old!r} stands there {text.count(old)} times")
+        raise SourceTextError(f"{path}: {old!r} stands there {text.count(old)} times")
     with TemporaryDirectory(prefix="changed-") as folder:
         tree = Path(folder)
         for name in PACKAGES:
@@ -49,8 +85,23 @@
         yield tree
 
 
-def run_in(tree: Path, arguments: Sequence[str], limit: float) -> tuple[int | None, str]:
-    """Run Python in the copy: exit status, None past so many seconds, and what it said."""
+def run_in(tree: Path, arguments: Sequence[str], timeout: float) -> tuple[int | None, str]:
+    """Run Python in a copy.
+
+    Parameters
+    ----------
+    tree
+        The copy's root.
+    arguments
+        Those of the interpreter.
+    timeout
+        Seconds, after which it is killed with all that it has started.
+
+    Returns
+    -------
+    tuple
+        Its exit status (None: it was killed), and its output and errors.
+    """
     environ = {**os.environ, "PYTHONPATH": str(tree), "PYTHONDONTWRITEBYTECODE": "1"}
     process = subprocess.Popen(
         [sys.executable, *arguments],
@@ -63,17 +114,16 @@
         start_new_session=True,
     )
     try:
-        said, _ = process.communicate(timeout=limit)
+        output, _ = process.communicate(timeout=timeout)
     except subprocess.TimeoutExpired:
-        # With all that it started itself.
         os.killpg(process.pid, signal.SIGKILL)
-        said, _ = process.communicate()
-        return None, said
-    return process.returncode, said
+        output, _ = process.communicate()
+        return None, output
+    return process.returncode, output
 
 
 # Plays seeds until one finds something; a program of its own, so that it runs the changed code.
-_SEEDS = """
+_SEEDS_PROGRAM = """
 import json, sys
 from hollybay.simulation.world import play_seed
 for seed in json.loads(sys.argv[1]):
@@ -85,24 +135,24 @@
 """
 
 
-def seeds_in(tree: Path, seeds: Sequence[int], limit: float) -> tuple[int, str, str] | None:
-    """The first seed that finds something in a copy, with the rule and the reason; None: none does.
+def _first_killing_seed(tree: Path, seeds: Sequence[int], timeout: float) -> Kill | None:
+    """Return what the first seed that finds something in a copy has found; None: none does.
 
     A run that ends otherwise than it should (it does not start, or goes on for ever) has found that.
     """
-    status, said = run_in(tree, ["-c", _SEEDS, json.dumps(list(seeds))], limit)
-    for line in said.splitlines():
+    status, output = run_in(tree, ["-c", _SEEDS_PROGRAM, json.dumps(list(seeds))], timeout)
+    for line in output.splitlines():
         if line.startswith("FOUND "):
-            seed, rule, subject, reason = json.loads(line[6:])
-            return int(seed), str(rule), f"{subject}: {reason}"
+            seed, rule, subject, reason = json.loads(line.removeprefix("FOUND "))
+            return Kill(int(seed), str(rule), f"{subject}: {reason}")
     if status == 0:
         return None
-    last = said.strip().splitlines()[-1:] or ["it said nothing"]
-    return seeds[0], "process", "it goes on for ever" if status is None else last[0]
+    last_lines = output.strip().splitlines()[-1:] or ["it said nothing"]
+    return Kill(seeds[0], PROCESS_RULE, "it goes on for ever" if status is None else last_lines[0])
 
 
-# Plays one plan; prints the names under which something was found.
-_PLAN = """
+# Plays one plan; prints the names of the rules that were broken.
+_PLAN_PROGRAM = """
 import sys
 from pathlib import Path
 import msgspec
@@ -112,17 +162,17 @@
 """
 
 
-def found_by_plan(path: str, old: str, new: str, plan: Path, limit: float = 60.0) -> set[str]:
-    """The names under which one plan finds something where `old` is changed to `new` in a file."""
-    with changed(path, old, new) as tree:
-        _, said = run_in(tree, ["-c", _PLAN, str(plan)], limit)
-    lines = [line for line in said.splitlines() if line.startswith("RULES")]
-    return set(lines[0].split()[1:]) if lines else {"process"}
+def killed_by_plan(path: str, old: str, new: str, plan: Path, timeout: float = PLAN_TIMEOUT_S) -> set[str]:
+    """Return the rules that one plan finds broken in a mutant; parameters as in `mutated_copy`."""
+    with mutated_copy(path, old, new) as tree:
+        _, output = run_in(tree, ["-c", _PLAN_PROGRAM, str(plan)], timeout)
+    lines = [line for line in output.splitlines() if line.startswith("RULES")]
+    return set(lines[0].split()[1:]) if lines else {PROCESS_RULE}
 
 
-def found_by_seeds(
-    path: str, old: str, new: str, seeds: Sequence[int], limit: float = 120.0
-) -> tuple[int, str, str] | None:
-    """What seeds find where `old` (which must stand there once) is changed to `new` in a file."""
-    with changed(path, old, new) as tree:
-        return seeds_in(tree, seeds, limit)
+def killed_by_seeds(
+    path: str, old: str, new: str, seeds: Sequence[int], timeout: float = SEEDS_TIMEOUT_S
+) -> Kill | None:
+    """Return what seeds find in a mutant, None: nothing; parameters as in `mutated_copy`."""
+    with mutated_copy(path, old, new) as tree:
+        return _first_killing_seed(tree, seeds, timeout)
--- a/hollybay/routing/matcher.py
+++ b/hollybay/routing/matcher.py
@@ -116,7 +116,7 @@
 
     def with_route(self, route: R) -> Matcher[R]:
         """Return a matcher with one more route, which must overlap with none that is there."""
-        after = self._copy()
+        after = self._clone()
         for host in _stated_hosts(route):
             there = after._routes_at(host, route) or PathRoutes()
             after._put(host, route, there.with_route(route))
@@ -124,7 +124,7 @@
 
     def without_route(self, route: R) -> Matcher[R]:
         """Return a matcher without one of its routes."""
-        after = self._copy()
+        after = self._clone()
         for host in _stated_hosts(route):
             there = after._routes_at(host, route)
             if there is not None:
@@ -158,12 +158,12 @@
             dot = host.find(".", dot + 1)
         return None
 
-    def _copy(self) -> Matcher[R]:
-        copy: Matcher[R] = Matcher()
-        copy.exact_hosts = self.exact_hosts
-        copy.wildcard_hosts = self.wildcard_hosts
-        copy.any_host = self.any_host
-        return copy
+    def _clone(self) -> Matcher[R]:
+        clone: Matcher[R] = Matcher()
+        clone.exact_hosts = self.exact_hosts
+        clone.wildcard_hosts = self.wildcard_hosts
+        clone.any_host = self.any_host
+        return clone
 
     def _routes_at(self, host: str | None, route: R) -> PathRoutes[R] | None:
         """Return the routes of a host at a route's path."""
--- a/hollybay/routing/resource_tables.py
+++ b/hollybay/routing/resource_tables.py
@@ -115,7 +115,7 @@
     if table_type is not None:
         return decode_table(key, body, table_type)
     if body:
-        raise _refused(key, "body", "must be empty")
+        raise _rejection(key, "body", "must be empty")
     return None
 
 
@@ -128,20 +128,20 @@
         The body is no such table, or is not in canonical form; lists the problems.
     """
     if len(body) > MAX_BODY_BYTES:
-        raise _refused(key, "body", f"{len(body)} bytes, {MAX_BODY_BYTES} at most")
+        raise _rejection(key, "body", f"{len(body)} bytes, {MAX_BODY_BYTES} at most")
     try:
         table: T = _decoder(table_type).decode(body)
     except (msgspec.DecodeError, RecursionError):
         table = _decode_by_field(key, body, table_type)
     if isinstance(table, RouteTable) and table.name != key.name:
-        raise _refused(key, "name", f"is {table.name!r}, and the resource's is {key.name!r}")
+        raise _rejection(key, "name", f"is {table.name!r}, and the resource's is {key.name!r}")
     if encode_table(table) != body:
         _decode_by_field(key, body, table_type)  # may name the field, such as one that is nil
-        raise _refused(key, "body", "is not in canonical form")
+        raise _rejection(key, "body", "is not in canonical form")
     return table
 
 
-def _refused(key: Key, field: str, reason: str) -> ChangeRejectedError:
+def _rejection(key: Key, field: str, reason: str) -> ChangeRejectedError:
     return ChangeRejectedError((Problem(str(key), field, reason),))
 
 
@@ -162,7 +162,7 @@
     try:
         data = msgspec.msgpack.decode(body)
     except (msgspec.DecodeError, RecursionError, TypeError, ValueError) as error:
-        raise _refused(key, "body", f"is no MessagePack: {error}") from None
+        raise _rejection(key, "body", f"is no MessagePack: {error}") from None
     table, problems = read_plain(table_type, data)
     if problems or table is None:
         reported = problems[:MAX_PROBLEMS]
--- a/hollybay/routing/route_groups.py
+++ b/hollybay/routing/route_groups.py
@@ -228,9 +228,9 @@
         shape, keys = _placement(route)
         groups: list[_Group[R]] = []
         for group in self.groups:
-            kept = group.without_route(route, keys) if group.shape == shape else group
-            if kept is not None:
-                groups.append(kept)
+            remaining = group.without_route(route, keys) if group.shape == shape else group
+            if remaining is not None:
+                groups.append(remaining)
         return PathRoutes(tuple(groups)) if groups else None
 
     def duplicates_of(self, route: R) -> Iterator[R]:
--- a/hollybay/routing/typed_tables.py
+++ b/hollybay/routing/typed_tables.py
@@ -218,8 +218,8 @@
     if not has_units or not isinstance(key, str):
         shown = key if isinstance(key, str) and key.isprintable() else repr(key)
         return Problem(table, shown[:MAX_SHOWN_NAME], value, "unknown field")
-    near = difflib.get_close_matches(key, fields, n=1, cutoff=0.0)
-    return Problem(table, key, value, f"unknown key; the nearest known one is {near[0]!r}")
+    closest = difflib.get_close_matches(key, fields, n=1, cutoff=0.0)
+    return Problem(table, key, value, f"unknown key; the nearest known one is {closest[0]!r}")
 
 
 def _read_value(field: _Field, value: object, table: str, key: str, problems: list[Problem]) -> Any:
--- a/tests/test_planted.py
+++ b/tests/test_planted.py
@@ -12,7 +12,7 @@
 import pytest
 
 from hollybay.mutation.planted import DEFECTS, FOUND, Defect
-from hollybay.mutation.tree import ROOT, NoSuchPlace, found_by_plan, found_by_seeds
+from hollybay.mutation.tree import ROOT, SourceTextError, killed_by_plan, killed_by_seeds
 from hollybay.simulation.plan import Plan, events
 from hollybay.simulation.world import play
 
@@ -24,14 +24,14 @@
         assert (ROOT / defect.path).read_text().count(defect.old) == 1, defect.name
     names = [defect.name for defect in DEFECTS]
     assert len(set(names)) == len(names) >= 40 and set(NOTED) <= set(names)
-    with pytest.raises(NoSuchPlace):
-        found_by_seeds("hollybay/proxy/request_dispatcher.py", "no such text", "", [0])
+    with pytest.raises(SourceTextError):
+        killed_by_seeds("hollybay/proxy/request_dispatcher.py", "no such text", "", [0])
 
 
 def test_each_noted_defect_is_found_by_its_seed_and_oracle() -> None:
     def one(defect: Defect) -> str | None:
         noted = NOTED[defect.name]
-        found = found_by_seeds(defect.path, defect.old, defect.new, [noted["seed"]])
+        found = killed_by_seeds(defect.path, defect.old, defect.new, [noted["seed"]])
         if found is None or found[1] != noted["rule"]:
             return f"{defect.name}: {found}, noted is {noted['rule']} by seed {noted['seed']}"
         return None
@@ -51,4 +51,4 @@
     assert events(plan) < 20
     assert play(plan).wrong == ()
     (defect,) = [defect for defect in DEFECTS if defect.name == path.stem]
-    assert NOTED[path.stem]["rule"] in found_by_plan(defect.path, defect.old, defect.new, path)
+    assert NOTED[path.stem]["rule"] in killed_by_plan(defect.path, defect.old, defect.new, path)
