--- a/hollybay/mutation/planted.py
+++ b/hollybay/mutation/planted.py
@@ -37,6 +37,7 @@
 POOLS = "hollybay/proxy/upstream/pools.py"
 ATTEMPT = "hollybay/proxy/upstream/attempt.py"
 SERVER_CONNECTION = "hollybay/proxy/upstream/connection.py"
+REQUEST_ENCODING = "hollybay/proxy/upstream/request_encoding.py"
 RESPONSE_HEAD = "hollybay/proxy/upstream/response_head.py"
 CONNECTION = "hollybay/proxy/downstream/connection.py"
 REQUEST = "hollybay/proxy/downstream/request.py"
@@ -208,9 +209,9 @@
     ),
     Defect(
         "last-byte-of-an-upload-early",
-        SERVER_CONNECTION,
-        "data, self.tail = data[:-1], data[-1:]",
-        'data, self.tail = data, b""',
+        REQUEST_ENCODING,
+        "data, self._held_byte = data[:-1], data[-1:]",
+        'data, self._held_byte = data, b""',
     ),
     Defect(
         "early-answer-taken",
@@ -252,8 +253,8 @@
     Defect(
         "tells-too-much-time",
         SERVER_CONNECTION,
-        "left = max(1, (until - system.monotonic_ns()) // MS)",
-        "left = max(1, (until - system.monotonic_ns()) // MS) + 500",
+        "left = max(1, (deadline - system.monotonic_ns()) // MS)",
+        "left = max(1, (deadline - system.monotonic_ns()) // MS) + 500",
     ),
     # Clients
     Defect(
@@ -284,8 +285,8 @@
     Defect(
         "client-left-unnoticed",
         CONNECTION,
-        "        if rid:\n            self.clients.node.disconnect(rid)",
-        "        if rid < 0:\n            self.clients.node.disconnect(rid)",
+        "        if request_id:\n            self.clients.dispatcher.disconnect(request_id)",
+        "        if request_id < 0:\n            self.clients.dispatcher.disconnect(request_id)",
     ),
     Defect(
         "headers-of-the-hop-passed",
