--- a/benchmarks/capacity/servers.py
+++ b/benchmarks/capacity/servers.py
@@ -11,7 +11,7 @@
 from hollybay.balancing import interface as api
 from hollybay.balancing.estimates import REVIEW_INTERVAL_NS
 from hollybay.hollow.meter import metered
-from hollybay.proxy.discovery import MAX_LIST_BYTES
+from hollybay.proxy.discovery_connection import MAX_LIST_BYTES
 from hollybay.proxy.name_table import NameTable
 from hollybay.units import MS, SECOND
 
--- a/hollybay/mutation/planted.py
+++ b/hollybay/mutation/planted.py
@@ -288,8 +288,8 @@
     Defect(
         "broken-list-ends-the-watch",
         DISCOVERY,
-        "            except Exception as error:\n                # Whatever",
-        "            except OSError as error:\n                # Whatever",
+        "        except Exception as error:\n            # Whatever",
+        "        except OSError as error:\n            # Whatever",
     ),
     Defect(
         "failure-ends-the-watch",
--- a/hollybay/proxy/discovery.py
+++ b/hollybay/proxy/discovery.py
@@ -13,15 +13,13 @@
 import json
 import logging
 from collections.abc import Coroutine
-from typing import Any, NamedTuple
-
-import h11
+from typing import Any
 
 from hollybay.units import SECOND
 
 from .addresses import Address
+from .discovery_connection import DiscoveryConnection
 from .exchange import Node
-from .http_messages import MAX_HEAD, READ_SIZE
 from .name_table import DiscoveryUpdate, NameTable
 
 __all__ = ["DiscoveryClient", "DiscoveryError", "DiscoveryTimeoutError"]
@@ -47,8 +45,6 @@
 # otherwise be polled in a busy loop. Discovery counts a watch as continuous if the next request follows
 # within 200 ms.
 NO_CHANGE_PAUSE_S = 0.05
-# A list takes about 150 bytes a server, and many times that while it is parsed.
-MAX_LIST_BYTES = 2 << 20
 
 
 class DiscoveryError(Exception):
@@ -59,24 +55,6 @@
     """A request to discovery was not answered in time."""
 
 
-class _Connection(NamedTuple):
-    """A connection to discovery."""
-
-    reader: asyncio.StreamReader
-    writer: asyncio.StreamWriter
-
-    def is_usable(self) -> bool:
-        """Whether neither side has closed it, as far as is known."""
-        return not self.reader.at_eof() and not self.writer.is_closing()
-
-
-class _Response(NamedTuple):
-    """A response of discovery with status 200."""
-
-    body: bytes
-    reusable: bool  # whether the connection can take another request
-
-
 class DiscoveryClient:
     """Keeps the server list of a node up to date.
 
@@ -109,7 +87,7 @@
         self.version = version
         self.list_available = asyncio.Event()
         self.answered = asyncio.Event()
-        self._idle_connection: _Connection | None = None
+        self._idle_connection: DiscoveryConnection | None = None
         self._watch_task: asyncio.Task[None] | None = None
         self._tasks: dict[asyncio.Task[None], None] = {}
 
@@ -149,9 +127,9 @@
             return
         self.address = address
         self.version = NO_VERSION
-        connection, self._idle_connection = self._idle_connection, None
-        if connection is not None:
-            connection.writer.transport.abort()
+        if self._idle_connection is not None:
+            self._idle_connection.abort()
+            self._idle_connection = None
         if self._watch_task is None:
             return
         self._watch_task.cancel()
@@ -270,33 +248,40 @@
         DiscoveryError
             The response is late, invalid, or of an address that was left meanwhile.
         """
-        connection = self._idle_connection if shared else None
-        if shared:
-            self._idle_connection = None
-        address, held_version = self.address, self.version
+        connection = self._take_connection() if shared else DiscoveryConnection(self.address)
+        held_version = self.version
+        is_idle = False
         try:
-            try:
-                async with asyncio.timeout(timeout_s):
-                    if connection is None or not connection.is_usable():
-                        if connection is not None:
-                            connection.writer.close()
-                        connection = _Connection(*await asyncio.open_connection(*address, limit=READ_SIZE))
-                    response = await _get(connection, address[0], path)
-                update = self.names.parse_update(json.loads(response.body))
-            except TimeoutError:
-                raise DiscoveryTimeoutError(f"{path}: no answer within {timeout_s:.1f} s") from None
-            except Exception as error:
-                # Whatever is wrong with a response, in framing, JSON or content, fails this request only: the
-                # watch continues. It could hide a defect of this node, hence the type in the log.
-                raise DiscoveryError(f"{path}: {type(error).__name__} {error}") from None
-            if address != self.address:
+            update, reusable = await self._get_update(connection, path, timeout_s)
+            if connection.address != self.address:
                 raise DiscoveryError(f"{path}: an answer of the discovery that was left")
             self._apply(update, held_version)
-            if response.reusable and shared:
-                self._idle_connection, connection = connection, None
+            if reusable and shared:
+                self._idle_connection = connection
+                is_idle = True
         finally:
-            if connection is not None:
-                connection.writer.transport.abort()
+            if not is_idle:
+                connection.abort()
+
+    def _take_connection(self) -> DiscoveryConnection:
+        """Take the idle connection, or a new one if there is none."""
+        connection, self._idle_connection = self._idle_connection, None
+        return connection if connection is not None else DiscoveryConnection(self.address)
+
+    async def _get_update(
+        self, connection: DiscoveryConnection, path: str, timeout_s: float
+    ) -> tuple[DiscoveryUpdate, bool]:
+        """Return the list of a response, and whether the connection can take another request."""
+        try:
+            async with asyncio.timeout(timeout_s):
+                response = await connection.get(path)
+            return self.names.parse_update(json.loads(response.body)), response.reusable
+        except TimeoutError:
+            raise DiscoveryTimeoutError(f"{path}: no answer within {timeout_s:.1f} s") from None
+        except Exception as error:
+            # Whatever is wrong with a response, in framing, JSON or content, fails this request only: the
+            # watch continues. It could hide a defect of this node, hence the type in the log.
+            raise DiscoveryError(f"{path}: {type(error).__name__} {error}") from None
 
     def _apply(self, update: DiscoveryUpdate, held_version: int) -> None:
         """Apply the answer to a request that was sent when the node held a version."""
@@ -311,28 +296,3 @@
         self.answered.set()
         if servers.servers or servers.kind or self.on_demand:
             self.node.listing(update)
-
-
-async def _get(connection: _Connection, host: str, path: str) -> _Response:
-    """Send a GET request; ValueError if the response is incomplete or too long, or its status is not 200."""
-    reader, writer = connection
-    http = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEAD)
-    writer.write(http.send(h11.Request(method="GET", target=path, headers=[("Host", host)])) or b"")
-    http.send(h11.EndOfMessage())
-    body = bytearray()
-    while True:
-        event = http.next_event()
-        if event is h11.NEED_DATA:
-            http.receive_data(await reader.read(READ_SIZE))
-        elif isinstance(event, h11.Response):
-            if event.status_code != 200:
-                raise ValueError(f"status {event.status_code}")
-        elif isinstance(event, h11.Data):
-            body += event.data
-            if len(body) > MAX_LIST_BYTES:
-                raise ValueError("the list is too long")
-        elif isinstance(event, h11.EndOfMessage):
-            reusable = http.their_state is h11.DONE and not http.trailing_data[0]
-            return _Response(bytes(body), reusable)
-        elif not isinstance(event, h11.InformationalResponse):
-            raise ValueError("the connection ended")
--- /dev/null
+++ b/hollybay/proxy/discovery_connection.py
@@ -0,0 +1,104 @@
+"""Connection to the discovery service: one GET request after another over HTTP."""
+
+from __future__ import annotations
+
+import asyncio
+from http import HTTPStatus
+from typing import NamedTuple
+
+import h11
+
+from .addresses import Address
+from .http_messages import MAX_HEAD, READ_SIZE
+
+__all__ = ["DiscoveryConnection", "DiscoveryResponse"]
+
+# A list takes about 150 bytes a server, and many times that while it is parsed.
+MAX_LIST_BYTES = 2 << 20
+
+
+class DiscoveryResponse(NamedTuple):
+    """A response of discovery with status 200.
+
+    Attributes
+    ----------
+    body
+        The complete body.
+    reusable
+        Whether the connection can take another request.
+    """
+
+    body: bytes
+    reusable: bool
+
+
+class _Streams(NamedTuple):
+    """Both directions of an open connection."""
+
+    reader: asyncio.StreamReader
+    writer: asyncio.StreamWriter
+
+    def are_usable(self) -> bool:
+        """Whether neither side has closed the connection, as far as is known."""
+        return not self.reader.at_eof() and not self.writer.is_closing()
+
+
+class DiscoveryConnection:
+    """Connection to discovery, which opens with its first request.
+
+    Parameters
+    ----------
+    address
+        Address of the discovery service.
+    """
+
+    def __init__(self, address: Address) -> None:
+        self.address = address
+        self._streams: _Streams | None = None
+
+    async def get(self, path: str) -> DiscoveryResponse:
+        """Send a GET request and return its response; a connection that was closed meanwhile is replaced.
+
+        Raises
+        ------
+        OSError
+            The connection cannot be opened, or failed.
+        ValueError
+            The response is incomplete or too long, or its status is not 200.
+        h11.RemoteProtocolError
+            The response is malformed.
+        """
+        if self._streams is None or not self._streams.are_usable():
+            if self._streams is not None:
+                self._streams.writer.close()
+            self._streams = _Streams(*await asyncio.open_connection(*self.address, limit=READ_SIZE))
+        return await _get(self._streams, self.address[0], path)
+
+    def abort(self) -> None:
+        """Close the connection at once."""
+        if self._streams is not None:
+            self._streams.writer.transport.abort()
+
+
+async def _get(streams: _Streams, host: str, path: str) -> DiscoveryResponse:
+    http = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEAD)
+    request = h11.Request(method="GET", target=path, headers=[("Host", host)])
+    streams.writer.write(http.send(request) or b"")
+    http.send(h11.EndOfMessage())
+    body = bytearray()
+    while True:
+        event = http.next_event()
+        if event is h11.NEED_DATA:
+            http.receive_data(await streams.reader.read(READ_SIZE))
+        elif isinstance(event, h11.Response):
+            if event.status_code != HTTPStatus.OK:
+                raise ValueError(f"status {event.status_code}")
+        elif isinstance(event, h11.Data):
+            body += event.data
+            if len(body) > MAX_LIST_BYTES:
+                raise ValueError("the list is too long")
+        elif isinstance(event, h11.EndOfMessage):
+            reusable = http.their_state is h11.DONE and not http.trailing_data[0]
+            return DiscoveryResponse(bytes(body), reusable)
+        elif not isinstance(event, h11.InformationalResponse):
+            raise ValueError("the connection ended")
--- a/tests/test_discovery_orders.py
+++ b/tests/test_discovery_orders.py
@@ -14,6 +14,7 @@
 
 from hollybay.balancing import interface as api
 from hollybay.proxy import discovery as module
+from hollybay.proxy import discovery_connection
 from hollybay.testbed.loopback import (
     LIMIT,
     Backend,
@@ -245,14 +246,14 @@
 def test_no_request_waits_for_an_acknowledgement(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     """TCP_NODELAY on the sockets to discovery; tests/test_lag.py has the others'."""
     seen: list[int] = []
-    get: Callable[..., Awaitable[tuple[bytes, bool]]] = module._get
+    get: Callable[..., Awaitable[discovery_connection.DiscoveryResponse]] = discovery_connection._get
 
-    async def looked(streams: Any, host: str, path: str) -> tuple[bytes, bool]:
+    async def looked(streams: Any, host: str, path: str) -> discovery_connection.DiscoveryResponse:
         sock = streams[1].get_extra_info("socket")
         seen.append(sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY))
         return await get(streams, host, path)
 
-    monkeypatch.setattr(module, "_get", looked)
+    monkeypatch.setattr(discovery_connection, "_get", looked)
 
     async def play() -> None:
         async with running(tmp_path / "c.json", Agent(), Backend("s-1")):
