--- a/hollybay/proxy/admin_service.py
+++ b/hollybay/proxy/admin_service.py
@@ -21,8 +21,8 @@
 from .config import Config
 from .consensus_port import PolicyRequestHandler
 from .drain_file import DrainFile
-from .exchange import Node
 from .node_drain import NodeDrain
+from .request_dispatcher import RequestDispatcher
 from .server_drains import DrainNotPersistedError, ServerDrains, UnknownServerError
 
 __all__ = ["AdminService"]
@@ -55,7 +55,7 @@
         Name and folder of the files that the processes of this node share; no folder if None.
     """
 
-    def __init__(self, config: Config, clients: ClientListener, node: Node) -> None:
+    def __init__(self, config: Config, clients: ClientListener, node: RequestDispatcher) -> None:
         self.config = config
         self.clients = clients
         self.node = node
@@ -174,8 +174,8 @@
             served=counters.served,
             rejected=counters.rejected,
             failed=counters.failed,
-            attempts=self.node.servers.written,
-            in_flight=self.node.owed,
+            attempts=self.node.pools.written,
+            in_flight=self.node.unanswered,
             servers_known=len(self.server_drains.drains.discovered),
             servers_excluded=self.server_drains.drains.count_excluded(self.node.balancer.avoids),
             reloads_ok=counters.reloads_ok,
--- a/hollybay/proxy/discovery.py
+++ b/hollybay/proxy/discovery.py
@@ -19,8 +19,8 @@
 
 from .addresses import Address
 from .discovery_connection import DiscoveryConnection
-from .exchange import Node
 from .name_table import DiscoveryUpdate, NameTable
+from .request_dispatcher import RequestDispatcher
 
 __all__ = ["DiscoveryClient", "DiscoveryError", "DiscoveryTimeoutError"]
 
@@ -79,7 +79,9 @@
         Set once discovery itself has answered this process.
     """
 
-    def __init__(self, address: Address, names: NameTable, node: Node, on_demand: bool, version: int) -> None:
+    def __init__(
+        self, address: Address, names: NameTable, node: RequestDispatcher, on_demand: bool, version: int
+    ) -> None:
         self.address = address
         self.names = names
         self.node = node
@@ -216,14 +218,14 @@
                     wait_ms = 0
         except DiscoveryError as error:
             log.info("discovery: %s", error)
-            self.node.asking_failed()
+            self.node.discovery_failed()
 
     async def _fetch(self) -> None:
         try:
             await self._request(LIST_PATH, REQUEST_TIMEOUT_S, shared=False)
         except DiscoveryError as error:
             log.info("discovery: %s", error)
-            self.node.asking_failed()
+            self.node.discovery_failed()
 
     # One request
 
@@ -295,4 +297,4 @@
         self.list_available.set()
         self.answered.set()
         if servers.servers or servers.kind or self.on_demand:
-            self.node.listing(update)
+            self.node.receive_update(update)
--- a/hollybay/proxy/node_drain.py
+++ b/hollybay/proxy/node_drain.py
@@ -11,7 +11,7 @@
 
 from hollybay.proxy.downstream.listener import ClientListener
 
-from .exchange import Node
+from .request_dispatcher import RequestDispatcher
 
 __all__ = ["NodeDrain"]
 
@@ -34,7 +34,7 @@
         Data plane of the node.
     """
 
-    def __init__(self, clients: ClientListener, node: Node) -> None:
+    def __init__(self, clients: ClientListener, node: RequestDispatcher) -> None:
         self.clients = clients
         self.node = node
         self._loop = asyncio.get_running_loop()
@@ -44,7 +44,7 @@
         """Report the node as not ready at once, and close its connections after a grace period."""
         if self.clients.draining:
             return
-        log.info("node drained by an operator: requests in flight=%d", self.node.owed)
+        log.info("node drained by an operator: requests in flight=%d", self.node.unanswered)
         self.clients.draining = True
         self._timer = self._loop.call_later(NODE_DRAIN_GRACE_S, self._close_connections)
 
--- a/hollybay/proxy/server_drains.py
+++ b/hollybay/proxy/server_drains.py
@@ -14,8 +14,8 @@
 from . import system
 from .addresses import Address
 from .drain_file import DrainFile
-from .exchange import Node
 from .name_table import DiscoveryUpdate
+from .request_dispatcher import RequestDispatcher
 
 __all__ = ["DrainNotPersistedError", "ServerDrains", "UnknownServerError"]
 
@@ -46,7 +46,7 @@
         The discovered and the drained servers.
     """
 
-    def __init__(self, node: Node, drain_file: DrainFile) -> None:
+    def __init__(self, node: RequestDispatcher, drain_file: DrainFile) -> None:
         self.node = node
         self.drain_file = drain_file
         self.drains = AdministrativeDrains()
@@ -67,7 +67,7 @@
         changed = self.drains.set_drained(drained, system.monotonic_ns())
         if changed:
             addresses = {str(server.id): self._addresses[str(server.id)] for server in changed}
-            self.node.apply(DiscoveryUpdate(ServerList(ListKind.CHANGES, changed), addresses))
+            self.node.apply_update(DiscoveryUpdate(ServerList(ListKind.CHANGES, changed), addresses))
 
     def change(self, server_id: str, drained: bool) -> None:
         """Begin or end the drain of one server, here and in the other processes of the node.
--- a/hollybay/proxy/shutdown.py
+++ b/hollybay/proxy/shutdown.py
@@ -9,7 +9,7 @@
 from hollybay.proxy.downstream.listener import ClientListener
 from hollybay.units import SECOND
 
-from .exchange import Node
+from .request_dispatcher import RequestDispatcher
 
 if TYPE_CHECKING:
     from .handover import ListenerGroup
@@ -35,7 +35,7 @@
 
 async def shut_down_gracefully(
     clients: ClientListener,
-    node: Node,
+    node: RequestDispatcher,
     accept_period_s: float = ACCEPT_PERIOD_S,
     final_period_s: float = FINAL_PERIOD_S,
     listener_group: ListenerGroup | None = None,
@@ -59,7 +59,7 @@
     started_at = loop.time()
     end = started_at + _longest_deadline_s(node) + KILL_DELAY_S - KILL_MARGIN_S
     final_period_start = end - final_period_s
-    log.info("draining: %d requests open, %d connections", node.owed, len(clients.connections))
+    log.info("draining: %d requests open, %d connections", node.unanswered, len(clients.connections))
     if has_successor:
         clients.closing = True
     else:
@@ -72,12 +72,12 @@
         await asyncio.sleep(CLIENTS_POLL_INTERVAL_S)
     await _close_connections(clients, until=end - LAST_ANSWERS_S)
     clients.forwarding_stopped = True  # requests that are complete only now are rejected
-    node.end_all()
+    node.end_all_requests()
     await asyncio.sleep(LAST_ANSWERS_S if clients.any_left() else 0)
     log.info("drained in %.2f s, %d connections left", loop.time() - started_at, len(clients.connections))
 
 
-def _longest_deadline_s(node: Node) -> float:
+def _longest_deadline_s(node: RequestDispatcher) -> float:
     """Return the longest deadline of a request (s), as far as the process waits for it."""
     longest_deadline_s = max(request_class.deadline for request_class in node.settings.classes) / SECOND
     return min(longest_deadline_s, MAX_DEADLINE_S)
