--- a/benchmarks/capacity/starts.py
+++ b/benchmarks/capacity/starts.py
@@ -29,7 +29,7 @@
 SCRIPT = """
 import sys, time
 from pathlib import Path
-import hollybay.proxy.__main__, hollybay.proxy.consensus_member
+import hollybay.proxy.__main__, hollybay.proxy.consensus_setup
 import hollybay.proxy.admin_service, hollybay.proxy.operator_file
 from hollybay.consensus.log import PolicyLog
 from benchmarks.capacity import samples
--- a/hollybay/admin/requests.py
+++ b/hollybay/admin/requests.py
@@ -4,6 +4,7 @@
 
 from dataclasses import dataclass
 from enum import Enum
+from http import HTTPStatus
 from typing import NamedTuple
 from urllib.parse import unquote
 
@@ -105,15 +106,17 @@
         if server:
             endpoint = _SERVER_ENDPOINTS.get(action)
     if endpoint is None:
-        return RejectedRequest(404, "no such call")
+        return RejectedRequest(HTTPStatus.NOT_FOUND, "no such call")
     if method != endpoint.method:
-        return RejectedRequest(405, f"{path} takes {endpoint.method}", endpoint.method)
+        return RejectedRequest(
+            HTTPStatus.METHOD_NOT_ALLOWED, f"{path} takes {endpoint.method}", endpoint.method
+        )
     return AdminRequest(endpoint.operation, server)
 
 
 def _parse_policy_request(method: str, path: str) -> AdminRequest | RejectedRequest:
     if method not in ("GET", "POST"):
-        return RejectedRequest(405, f"{path} takes GET and POST", "GET, POST")
+        return RejectedRequest(HTTPStatus.METHOD_NOT_ALLOWED, f"{path} takes GET and POST", "GET, POST")
     policy_path = path[len(_POLICY_PATH) + 1 :]
     body = b"" if method == "POST" else None
     return AdminRequest(AdminOperation.POLICY, policy_path=policy_path, body=body)
--- a/hollybay/cluster/planted.py
+++ b/hollybay/cluster/planted.py
@@ -78,7 +78,7 @@
 def _keeps_shares() -> None:
     """A load report never expires, also once its node is dead or stopped."""
 
-    def expire(self: RemoteLoad, now: int) -> dict[Hashable, int]:
+    def expire(self: RemoteLoad, now_ns: int) -> dict[Hashable, int]:
         return {}
 
     RemoteLoad.expire = expire  # type: ignore[method-assign]
--- a/hollybay/consensus/environment.py
+++ b/hollybay/consensus/environment.py
@@ -1,4 +1,4 @@
-"""What a member of the replicated log is given by whoever runs it: clocks, disk, random numbers, the node."""
+"""What the process provides to its member of the replicated log: clocks, disk, random numbers, the node."""
 
 from __future__ import annotations
 
@@ -23,20 +23,21 @@
     Attributes
     ----------
     settings : MemberSettings
+        Settings of the member.
     data_plane : DataPlane
-        The node that policies are put in force at.
+        The node that the log configures.
     clock : callable
         The time in ns, of a clock that advances while the process is stopped.
     wall_clock : callable
         The time of day in ms.
     disk : Disk
-        Runs what blocks on the disk, and returns once it is done.
+        Runs a function that blocks on the disk beside the event loop, and returns once it is done.
     rng : random.Random
         The source of all random numbers.
     boot_id : str
         Names the machine's time since its start, in which `clock` is comparable between processes.
     before_disk_step : callable
-        Called with a word before each step that touches the disk, for tests.
+        Called with the name of each step that touches the disk, before it; for tests.
     may_vote_here : callable
         Whether this process may be the voter of its name: another process may still be it.
     """
@@ -58,7 +59,7 @@
 
 
 async def run_on_disk(disk: Disk, work: Callable[[], _T]) -> _T:
-    """The result of what blocks on the disk, or takes long."""
+    """Run a function that blocks on the disk, or takes long, and return its result."""
     results: list[_T] = []
     await disk(lambda: results.append(work()))
     return results[0]
--- a/hollybay/gossip/load_report.py
+++ b/hollybay/gossip/load_report.py
@@ -105,7 +105,7 @@
             body = b"".join(_ENTRY.pack(server, min(count, _MAX_COUNT)) for count, server in part_entries)
             datagrams.append(header + body)
     except struct.error as error:
-        raise ValueError(f"a saying of node {node}: {error}") from None
+        raise ValueError(f"load report of node {node}: {error}") from None
     return datagrams
 
 
--- a/hollybay/gossip/remote_load.py
+++ b/hollybay/gossip/remote_load.py
@@ -27,7 +27,7 @@
         The node's present process, and its processes before that.
     sequence
         Sequence number of the last complete report; 0 before the first.
-    received_at
+    received_at_ns
         When the last complete report was received, or before that the first part (ns).
     in_flight
         The last complete report: requests in flight by server hash.
@@ -41,20 +41,20 @@
         "incomplete_sequence",
         "parts",
         "past_incarnations",
-        "received_at",
+        "received_at_ns",
         "sequence",
     )
 
-    def __init__(self, incarnation: int, past_incarnations: list[int], now: int) -> None:
+    def __init__(self, incarnation: int, past_incarnations: list[int], now_ns: int) -> None:
         self.incarnation = incarnation
         self.past_incarnations = past_incarnations
         self.sequence = 0
-        self.received_at = now
+        self.received_at_ns = now_ns
         self.in_flight: Mapping[int, int] = {}
         self.incomplete_sequence = 0
         self.parts: dict[int, LoadReport] = {}
 
-    def add_part(self, report: LoadReport, now: int) -> dict[int, int] | None:
+    def add_part(self, report: LoadReport, now_ns: int) -> dict[int, int] | None:
         """Collect a part of a report; the requests in flight by server hash once all parts are there."""
         if report.sequence != self.incomplete_sequence:
             self.incomplete_sequence = report.sequence
@@ -67,7 +67,7 @@
             in_flight |= part.in_flight
         self.parts = {}
         self.sequence = report.sequence
-        self.received_at = now
+        self.received_at_ns = now_ns
         return in_flight
 
 
@@ -101,7 +101,7 @@
         self.total: Counter[int] = Counter()
         self.ignored_reports = 0
         self._servers: dict[int, Hashable | None] = {}  # by hash; None if two servers share it
-        self._next_expiry = 0  # no report expires before (ns)
+        self._next_expiry_ns = 0  # no report expires before
 
     @property
     def peer_count(self) -> int:
@@ -115,22 +115,22 @@
             hashed = server_hash(server)
             self._servers[hashed] = None if hashed in self._servers else server
 
-    def receive(self, report: LoadReport, now: int) -> dict[Hashable, int]:
+    def receive(self, report: LoadReport, now_ns: int) -> dict[Hashable, int]:
         """Apply a report.
 
         Parameters
         ----------
         report
             One datagram of another node.
-        now
-            Current time (ns).
+        now_ns
+            Current time.
 
         Returns
         -------
         dict
             Requests in flight of all other nodes, for the servers where they changed.
         """
-        changed = self.expire(now)
+        changed = self.expire(now_ns)
         if report.node == self.node or report.node >= self.node_count:
             self.ignored_reports += 1
             return changed
@@ -139,20 +139,20 @@
             self.ignored_reports += 1
             return changed
         if peer is None:
-            peer = self.peers[report.node] = _Peer(report.incarnation, [], now)
+            peer = self.peers[report.node] = _Peer(report.incarnation, [], now_ns)
         elif report.incarnation != peer.incarnation:
             changed |= self._replace(peer, {})
             past = [*peer.past_incarnations, peer.incarnation][-_MAX_PAST_INCARNATIONS:]
-            peer = self.peers[report.node] = _Peer(report.incarnation, past, now)
+            peer = self.peers[report.node] = _Peer(report.incarnation, past, now_ns)
         if report.sequence <= peer.sequence or report.sequence < peer.incomplete_sequence:
             self.ignored_reports += 1
             return changed
-        in_flight = peer.add_part(report, now)
+        in_flight = peer.add_part(report, now_ns)
         if in_flight is not None:
             changed |= self._replace(peer, in_flight)
         return changed
 
-    def expire(self, now: int) -> dict[Hashable, int]:
+    def expire(self, now_ns: int) -> dict[Hashable, int]:
         """Discard expired reports.
 
         Returns
@@ -161,16 +161,16 @@
             Requests in flight of all other nodes, for the servers where they changed.
         """
         changed: dict[Hashable, int] = {}
-        if now < self._next_expiry:
+        if now_ns < self._next_expiry_ns:
             return changed
-        oldest = now
+        oldest = now_ns
         for number, peer in list(self.peers.items()):
-            if now - peer.received_at >= self.expiry_ns:
+            if now_ns - peer.received_at_ns >= self.expiry_ns:
                 changed |= self._replace(peer, {})
                 del self.peers[number]
             else:
-                oldest = min(oldest, peer.received_at)
-        self._next_expiry = oldest + self.expiry_ns
+                oldest = min(oldest, peer.received_at_ns)
+        self._next_expiry_ns = oldest + self.expiry_ns
         return changed
 
     def _replace(self, peer: _Peer, in_flight: Mapping[int, int]) -> dict[Hashable, int]:
@@ -210,7 +210,7 @@
         self.sequence = 0
         self._in_flight: Counter[int] = Counter()  # by server hash
         self._changed = True  # since the last report
-        self._reported_at = 0  # ns
+        self._reported_at_ns = 0
 
     def attempt_started(self, server: Hashable) -> None:
         """Count an attempt that is sent to a server."""
@@ -225,13 +225,13 @@
             del self._in_flight[hashed]
         self._changed = True
 
-    def is_due(self, now: int) -> bool:
+    def is_due(self, now_ns: int) -> bool:
         """Whether a report is to be sent."""
-        return self._changed or now - self._reported_at >= self.interval_ns
+        return self._changed or now_ns - self._reported_at_ns >= self.interval_ns
 
-    def begin_report(self, now: int) -> Mapping[int, int]:
+    def begin_report(self, now_ns: int) -> Mapping[int, int]:
         """Begin the next report: requests in flight by server hash, which count as reported."""
         self.sequence += 1
         self._changed = False
-        self._reported_at = now
+        self._reported_at_ns = now_ns
         return self._in_flight
--- a/hollybay/proxy/admin_server.py
+++ b/hollybay/proxy/admin_server.py
@@ -122,7 +122,7 @@
         except Exception:
             # An unforeseen error fails this request and nothing else.
             log.exception("admin request failed")
-            self._respond(AdminResponse.text(500, "failed"))
+            self._respond(AdminResponse.text(HTTPStatus.INTERNAL_SERVER_ERROR, "failed"))
 
     # Reading the request
 
@@ -140,7 +140,9 @@
 
     def _check_size(self, limit: int) -> None:
         if self.received_bytes > limit:
-            raise h11.RemoteProtocolError("the call is too long", error_status_hint=413)
+            raise h11.RemoteProtocolError(
+                "the call is too long", error_status_hint=HTTPStatus.REQUEST_ENTITY_TOO_LARGE
+            )
 
     def _read_events(self) -> None:
         while self.state is _ConnectionState.READING:
@@ -183,14 +185,14 @@
             async with asyncio.timeout(RESPONSE_TIMEOUT_S):
                 response = await pending_response
         except TimeoutError:
-            response = AdminResponse.text(504, "no answer in time")
+            response = AdminResponse.text(HTTPStatus.GATEWAY_TIMEOUT, "no answer in time")
         except Exception:
             log.exception("admin request failed")
-            response = AdminResponse.text(500, "failed")
+            response = AdminResponse.text(HTTPStatus.INTERNAL_SERVER_ERROR, "failed")
         self._respond(response)
 
     def _on_request_timeout(self) -> None:
-        self._respond(AdminResponse.text(408, "the call is not whole in time"))
+        self._respond(AdminResponse.text(HTTPStatus.REQUEST_TIMEOUT, "the call is not whole in time"))
 
     # Sending the response
 
--- a/hollybay/proxy/admin_service.py
+++ b/hollybay/proxy/admin_service.py
@@ -10,6 +10,7 @@
 import hashlib
 import logging
 from collections.abc import Awaitable, Callable
+from http import HTTPStatus
 from pathlib import Path
 
 from hollybay.admin.metrics import CONTENT_TYPE, MetricsCollector, NodeMetrics
@@ -108,14 +109,14 @@
 
     def _handle_ready(self, _request: AdminRequest) -> AdminResponse:
         if self.clients.is_healthy:
-            return AdminResponse.text(200, "ready")
-        return AdminResponse.text(503, "not ready")
+            return AdminResponse.text(HTTPStatus.OK, "ready")
+        return AdminResponse.text(HTTPStatus.SERVICE_UNAVAILABLE, "not ready")
 
     def _handle_metrics(self, _request: AdminRequest) -> AdminResponse:
-        return AdminResponse(200, self.metrics.render(), CONTENT_TYPE)
+        return AdminResponse(HTTPStatus.OK, self.metrics.render(), CONTENT_TYPE)
 
     def _handle_servers(self, _request: AdminRequest) -> AdminResponse:
-        return AdminResponse.json(200, self.server_drains.describe())
+        return AdminResponse.json(HTTPStatus.OK, self.server_drains.describe())
 
     def _handle_drain_server(self, request: AdminRequest) -> AdminResponse:
         return self._change_drain(request.server, drained=True)
@@ -125,17 +126,17 @@
 
     def _handle_drain_node(self, _request: AdminRequest) -> AdminResponse:
         self.node_drain.begin()
-        return AdminResponse.text(200, "draining")
+        return AdminResponse.text(HTTPStatus.OK, "draining")
 
     def _handle_resume_node(self, _request: AdminRequest) -> AdminResponse:
         if self.clients.leaving:
-            return AdminResponse.text(409, "the process ends")
+            return AdminResponse.text(HTTPStatus.CONFLICT, "the process ends")
         self.node_drain.end()
-        return AdminResponse.text(200, "in service")
+        return AdminResponse.text(HTTPStatus.OK, "in service")
 
     def _handle_policy(self, request: AdminRequest) -> AdminResponse | Awaitable[AdminResponse]:
         if self.policy_handler is None:
-            return AdminResponse.text(404, "no such call")
+            return AdminResponse.text(HTTPStatus.NOT_FOUND, "no such call")
         return self.policy_handler.answer(request)
 
     # Administrative drains of servers
@@ -148,15 +149,16 @@
     def _change_drain(self, server_id: str, drained: bool) -> AdminResponse:
         if self.policy_handler is not None:
             return AdminResponse.text(
-                409, "this node is in an accord: hollybay policy propose --out SERVER, or --in"
+                HTTPStatus.CONFLICT,
+                "this node is in an accord: hollybay policy propose --out SERVER, or --in",
             )
         try:
             self.server_drains.change(server_id, drained)
         except UnknownServerError:
-            return AdminResponse.text(404, "no such server")
+            return AdminResponse.text(HTTPStatus.NOT_FOUND, "no such server")
         except DrainNotPersistedError:
-            return AdminResponse.text(500, "cannot be kept")
-        return AdminResponse.text(200, "out" if drained else "in use")
+            return AdminResponse.text(HTTPStatus.INTERNAL_SERVER_ERROR, "cannot be kept")
+        return AdminResponse.text(HTTPStatus.OK, "out" if drained else "in use")
 
     def _poll_drain_file(self) -> None:
         if self.policy_handler is None:
--- a/hollybay/proxy/load_reports.py
+++ b/hollybay/proxy/load_reports.py
@@ -121,7 +121,7 @@
             node_address for number, node_address in enumerate(addresses.nodes) if number != self.node_number
         ]
         self._node_numbers = {node_address: number for number, node_address in enumerate(addresses.nodes)}
-        self._known_peer_count = 0  # as the balancer was last told
+        self._known_peer_count = 0  # as last reported to the balancer
         self._loop = asyncio.get_running_loop()
         self._socket = _bind(addresses.listen)
         self._read_timer = self._loop.call_later(READ_INTERVAL_S, self._read_periodically)
