--- a/hollybay/proxy/assembly.py
+++ b/hollybay/proxy/assembly.py
@@ -43,9 +43,10 @@
 BASE_DESCRIPTORS = 24 + 3 * ACCEPT_BATCH
 ADMIN_DESCRIPTORS = 24  # for the admin server, its connections and files
 MIN_DATA_PLANE_DESCRIPTORS = 64  # that consensus must leave
-# Shares of the remaining descriptors, in ninths.
-UPSTREAM_NINTHS = 4
-DOWNSTREAM_NINTHS = 5
+# Shares of the remaining descriptors.
+UPSTREAM_PARTS = 4
+DOWNSTREAM_PARTS = 5
+ALL_PARTS = UPSTREAM_PARTS + DOWNSTREAM_PARTS
 
 
 class NodeParts(NamedTuple):
@@ -90,12 +91,12 @@
     reserved_descriptors
         File descriptors that optional parts need.
     """
-    spare = config.sockets - BASE_DESCRIPTORS - reserved_descriptors
+    available = config.sockets - BASE_DESCRIPTORS - reserved_descriptors
     if config.admin is not None:
-        spare -= ADMIN_DESCRIPTORS
-    servers = UpstreamPools(config.settings, config.names, limit=spare * UPSTREAM_NINTHS // 9)
-    node = RequestDispatcher(config.settings, config.seed, servers)
-    clients = ClientListener(config, node, limit=spare * DOWNSTREAM_NINTHS // 9)
+        available -= ADMIN_DESCRIPTORS
+    pools = UpstreamPools(config.settings, config.names, limit=available * UPSTREAM_PARTS // ALL_PARTS)
+    node = RequestDispatcher(config.settings, config.seed, pools)
+    clients = ClientListener(config, node, limit=available * DOWNSTREAM_PARTS // ALL_PARTS)
     known_servers = config.known_servers
     discovery = DiscoveryClient(
         config.discovery,
--- a/tests/groups.py
+++ b/tests/groups.py
@@ -34,7 +34,7 @@
         "test_accord_log",
         "test_accord_store",
         "test_administrative_drains",
-        "test_batch_culprits",
+        "test_invalid_changes",
         "test_batch_model",
         "test_admin_requests",
         "test_choice",
--- a/tests/test_accord_node.py
+++ b/tests/test_consensus_member.py
@@ -1,4 +1,4 @@
-"""One node in an accord, over real sockets: what it refuses, what its door bears, what operators are told."""
+"""A consensus member over real sockets: what it rejects, what its admin server bears, what operators see."""
 
 from __future__ import annotations
 
@@ -46,13 +46,13 @@
 
 
 @asynccontextmanager
-async def agreeing(
-    tmp_path: Path, *backends: Backend, name: str = "n0", keepers: tuple[str, ...] = ()
+async def running_member(
+    tmp_path: Path, *backends: Backend, name: str = "n0", voters: tuple[str, ...] = ()
 ) -> AsyncIterator[tuple[Running, ConsensusMember]]:
-    """A node with a door, alone in its accord unless it has other keepers."""
-    words = settings()
-    words["caps"] = words["caps"] | {"retry-after": True, "max-retry-after": 10**9}
-    async with running(tmp_path / f"{name}.json", Registry(), *backends, settings=words) as node:
+    """A node with an admin address, which is the only voter unless others are given."""
+    raw_settings = settings()
+    raw_settings["caps"] = raw_settings["caps"] | {"retry-after": True, "max-retry-after": 10**9}
+    async with running(tmp_path / f"{name}.json", Registry(), *backends, settings=raw_settings) as node:
         path = tmp_path / f"{name}.toml"
         path.write_text(START)
         config = replace(node.clients.config, admin=("127.0.0.1", 0), name=name)
@@ -60,27 +60,28 @@
         node.clients.admission = operator.admission
         node.clients.ready = True
         service = AdminService(config, node.clients, node.node)
-        door = f"127.0.0.1:{await service.open()}"
-        member_settings = MemberSettings(name, door, keepers or (door,), 800 * MS, 0, tmp_path / "accord")
-        accord = create_consensus_member(member_settings, config, operator, node.clients, service)
-        await accord.start()
+        address = f"127.0.0.1:{await service.open()}"
+        folder = tmp_path / "accord"
+        member_settings = MemberSettings(name, address, voters or (address,), 800 * MS, 0, folder)
+        member = create_consensus_member(member_settings, config, operator, node.clients, service)
+        await member.start()
         try:
-            yield node, accord
+            yield node, member
         finally:
-            accord.close()
+            member.close()
             service.close()
 
 
-async def founded(accord: ConsensusMember, file: bytes = b"") -> None:
+async def bootstrap(member: ConsensusMember, file: bytes = b"") -> None:
     body = messages.encode(messages.BootstrapCall(file=base64.b64encode(file).decode()))
-    await call_policy(accord.settings.address, "found", body, LIMIT)
+    await call_policy(member.settings.address, "found", body, LIMIT)
     async with asyncio.timeout(LIMIT):
-        while not accord.may_begin_request():
+        while not member.may_begin_request():
             await asyncio.sleep(0.01)
 
 
-async def raw(accord: ConsensusMember, head: str, body: bytes = b"") -> tuple[int, bytes]:
-    host, _, port = accord.settings.address.rpartition(":")
+async def send_request(member: ConsensusMember, head: str, body: bytes = b"") -> tuple[int, bytes]:
+    host, _, port = member.settings.address.rpartition(":")
     reader, writer = await asyncio.open_connection(host, int(port))
     async with asyncio.timeout(LIMIT):
         writer.write(f"{head} HTTP/1.1\r\nHost: h\r\nContent-Length: {len(body)}\r\n\r\n".encode() + body)
@@ -99,21 +100,21 @@
 def test_a_node_that_cannot_know_refuses_at_once_and_serves_once_it_does(tmp_path: Path) -> None:
     async def play() -> None:
         backend = Backend("s-1")
-        async with agreeing(tmp_path, backend) as (node, accord):
+        async with running_member(tmp_path, backend) as (node, member):
             answer = await node.ask(request(rid="r-1"))
             assert answer.startswith(b"HTTP/1.1 503") and b"retry-after" in answer.lower()
-            assert (await raw(accord, "GET /-/ready"))[0] == 503 and not backend.heads
-            assert (await raw(accord, "POST /-/servers/s-1/disable"))[0] == 409
+            assert (await send_request(member, "GET /-/ready"))[0] == 503 and not backend.heads
+            assert (await send_request(member, "POST /-/servers/s-1/disable"))[0] == 409
             began: list[tuple[str, ...]] = []
-            accord.on_request_begun = lambda at, names: began.append(names)
-            await founded(accord)
-            assert (await raw(accord, "GET /-/ready"))[0] == 200 and not began
+            member.on_request_begun = lambda at, names: began.append(names)
+            await bootstrap(member)
+            assert (await send_request(member, "GET /-/ready"))[0] == 200 and not began
             assert b" 200 " in await node.ask(request(rid="r-2"))
-            assert began == [(first_policy((), [accord.settings.address]).name,)]
+            assert began == [(first_policy((), [member.settings.address]).name,)]
             # Nobody renews its lease any more: it is over within its time.
-            accord.service.close()
+            member.service.close()
             async with asyncio.timeout(LIMIT):
-                while accord.may_begin_request():
+                while member.may_begin_request():
                     await asyncio.sleep(0.02)
             assert (await node.ask(request(rid="r-3"))).startswith(b"HTTP/1.1 503")
 
@@ -122,13 +123,13 @@
 
 def test_bad_calls_change_nothing_and_the_door_still_answers(tmp_path: Path) -> None:
     async def play() -> None:
-        async with agreeing(tmp_path) as (_, accord):
-            await founded(accord)
-            keeping = accord.service.acceptor
-            assert keeping is not None and keeping.state is not None
-            state = keeping.state.decided
-            before = keeping.state
-            here = accord.settings.address
+        async with running_member(tmp_path) as (_, member):
+            await bootstrap(member)
+            acceptor = member.service.acceptor
+            assert acceptor is not None and acceptor.state is not None
+            state = acceptor.state.decided
+            before = acceptor.state
+            here = member.settings.address
             odd = EpochState(7, Stage.SETTLED, "7-00000000000a", "8-00000000000b")
             ask = messages.LeaseCall(
                 messages.FORM, LeaseRequest(1, 1, state, -1, True), "x", here, 900 * MS, 0
@@ -196,19 +197,19 @@
                 ("POST /-/policy/propose", b"x" * (messages.MOST_CALL + 1), 413, "too long"),
                 ("POST /-/drain", b"x" * 9000, 413, "too long"),
             ):
-                got, answer = await raw(accord, head, body)
+                got, answer = await send_request(member, head, body)
                 assert got == status and reason in answer.decode(), (head, body[:80], got, answer[:200])
-            assert keeping.state._replace(leases=()) == before._replace(leases=())
-            status_ = json.loads((await raw(accord, "GET /-/policy"))[1])
+            assert acceptor.state._replace(leases=()) == before._replace(leases=())
+            status_ = json.loads((await send_request(member, "GET /-/policy"))[1])
             assert status_["keeper"]["epoch"] == 0 and status_["serves"] == [state.policy]
             prepare = messages.encode(messages.PrepareCall(messages.FORM, Prepare((1, 1), 5)))
-            assert (await raw(accord, "POST /-/policy/prepare", prepare))[0] == 200
+            assert (await send_request(member, "POST /-/policy/prepare", prepare))[0] == 200
 
     asyncio.run(play())
 
 
-def run(accord: ConsensusMember, *words: str) -> Result:
-    return CliRunner().invoke(main, ["policy", *words, "--door", accord.settings.address])
+def run(member: ConsensusMember, *words: str) -> Result:
+    return CliRunner().invoke(main, ["policy", *words, "--door", member.settings.address])
 
 
 def test_the_command_and_its_exit_statuses(tmp_path: Path) -> None:
@@ -218,10 +219,10 @@
 
     async def play() -> None:
         backend = Backend("s-1")
-        async with agreeing(tmp_path, backend) as (node, accord):
+        async with running_member(tmp_path, backend) as (node, member):
 
             async def did(*words: str) -> Result:
-                return await asyncio.to_thread(run, accord, *words)
+                return await asyncio.to_thread(run, member, *words)
 
             assert (await did("status")).exit_code == 3
             assert (await did("propose", str(good), "--reason", "r")).exit_code == 3
@@ -230,7 +231,7 @@
             done = await did("propose", str(good), "--reason", "a route", "--author", "me")
             assert done.exit_code == 0 and "in force everywhere" in done.output, done.output
             assert b" 200 " in await node.ask(request(rid="r-1"))
-            assert [route.name for route in accord.admission.policy.routes] == ["x"]  # type: ignore[union-attr]
+            assert [route.name for route in member.admission.policy.routes] == ["x"]  # type: ignore[union-attr]
             refused = await did("propose", str(bad), "--reason", "a class")
             assert refused.exit_code == 1 and "nobody" in refused.output, refused.output
             same = await did("propose", str(good), "--reason", "again")
@@ -240,7 +241,7 @@
             old = await did("propose", "--out", "s-1", "--reason", "r", "--parent", "1-0123456789ab")
             assert old.exit_code == 1 and "in force is 2-" in old.output
             out = await did("propose", "--out", "s-1", "--reason", "it is ill", "--json")
-            drains = accord.admin_service.server_drains.drains
+            drains = member.admin_service.server_drains.drains
             assert json.loads(out.output)["code"] == 0 and drains.drained == {"s-1"}
             assert (await did("back", "--reason", "it is well")).exit_code == 0
             assert not drains.drained
@@ -259,7 +260,7 @@
                 and "+route 'x'" in differs.output
             )
             assert (await did("diff", names[0], "9-00000000000a")).exit_code == 2
-        nobody = await asyncio.to_thread(run, accord, "propose", str(good), "--reason", "r")
+        nobody = await asyncio.to_thread(run, member, "propose", str(good), "--reason", "r")
         assert nobody.exit_code == 3
 
     asyncio.run(play())
@@ -273,15 +274,15 @@
     bad.write_text('[[route]]\nname = "x"\nclass = "nobody"\n')
 
     async def play() -> None:
-        async with agreeing(tmp_path, Backend("s-1")) as (_, accord):
+        async with running_member(tmp_path, Backend("s-1")) as (_, member):
 
             async def did(*words: str) -> Result:
-                return await asyncio.to_thread(run, accord, *words)
+                return await asyncio.to_thread(run, member, *words)
 
             def routes() -> list[str]:
-                return sorted(route.name for route in accord.admission.policy.routes)  # type: ignore[union-attr]
+                return sorted(route.name for route in member.admission.policy.routes)  # type: ignore[union-attr]
 
-            await founded(accord, first_file.read_bytes())
+            await bootstrap(member, first_file.read_bytes())
             assert routes() == ["x", "y"]
             shown = await did("diff", str(second))
             assert shown.exit_code == 0 and "-route 'x'" in shown.output and "+route 'z'" in shown.output
@@ -300,17 +301,17 @@
             ):
                 refused = await did("change", *words, "--reason", "r")
                 assert refused.exit_code == code and why in refused.output, (words, refused.output)
-            assert routes() == ["x", "z"] and accord.may_begin_request()
+            assert routes() == ["x", "z"] and member.may_begin_request()
 
     asyncio.run(play())
 
 
 def test_changes_by_calls_each_hears_of_its_own(tmp_path: Path) -> None:
     async def play() -> None:
-        async with agreeing(tmp_path) as (_, accord):
-            early = await raw(accord, "POST /-/policy/change", changing(route_change("early")))
+        async with running_member(tmp_path) as (_, member):
+            early = await send_request(member, "POST /-/policy/change", changing(route_change("early")))
             assert early[0] == 503 and json.loads(early[1])["retry_after_ms"] > 0
-            await founded(accord)
+            await bootstrap(member)
             many = [route_change(f"r{n}") for n in range(20)]
             # One that no node can serve among them, one on a version that never was, one that comes twice.
             odd = replaced(route_change("odd"), {"name": "odd", "class": "nobody"})
@@ -318,34 +319,34 @@
             stale = route_change("stale", base=7)
             answers = await asyncio.gather(
                 *(
-                    raw(accord, "POST /-/policy/change", changing(one))
+                    send_request(member, "POST /-/policy/change", changing(one))
                     for one in (*many, odd, stale, many[0], rare)
                 )
             )
             assert [status for status, _ in answers] == [202] * 21 + [409, 202, 202]
             assert "was made on version 7" in answers[21][1].decode()
-            told = {one.id: await ended(accord, one) for one in (*many, odd, rare)}
+            told = {one.id: await ended(member, one) for one in (*many, odd, rare)}
             assert {told[one.id].outcome for one in many} == {messages.ChangeOutcome.IN_FORCE}
             # Each of the two that cannot be served hears of its own reason, and of no other.
             for one, own, other in ((odd, "nobody", "somebody"), (rare, "somebody", "nobody")):
                 assert told[one.id].outcome is messages.ChangeOutcome.REFUSED
                 reasons = " ".join(str(problem) for problem in told[one.id].problems)
                 assert own in reasons and other not in reasons.replace(own, "")
-            keeping = accord.service.acceptor
-            assert keeping is not None and keeping.state is not None
-            state = accord.service.log.state(keeping.state.decided.policy)
+            acceptor = member.service.acceptor
+            assert acceptor is not None and acceptor.state is not None
+            state = member.service.log.state(acceptor.state.decided.policy)
             # Two batches were enough, as the one was found before anything was proposed.
             assert state is not None and len(state.resources) == 20 and state.revision < 6
             for one in many:
                 assert state.revision_of(one.id) == int(told[one.id].policy.partition("-")[0])
             # Proposed again, it is the same change and has no second effect.
-            again = await raw(accord, "POST /-/policy/change", changing(many[3]))
+            again = await send_request(member, "POST /-/policy/change", changing(many[3]))
             assert again[0] == 202 and json.loads(again[1])["outcome"] == "in force"
-            assert keeping.state.decided.policy == accord.service.policies_in_force[0]
+            assert acceptor.state.decided.policy == member.service.policies_in_force[0]
             for path, status in ((f"change/{'0' * 32}", 200), ("change/xyz", 400), ("change/00", 400)):
-                assert (await raw(accord, f"GET /-/policy/{path}"))[0] == status
+                assert (await send_request(member, f"GET /-/policy/{path}"))[0] == status
             for body in (b"{}", b'{"change": "!!"}', b'{"change": "AAAA"}', changing(odd)[:-9] + b'"}'):
-                assert (await raw(accord, "POST /-/policy/change", body))[0] == 400, body[:60]
+                assert (await send_request(member, "POST /-/policy/change", body))[0] == 400, body[:60]
 
     asyncio.run(play())
 
@@ -361,12 +362,13 @@
     return msgspec.structs.replace(change, operations=(fresh,))
 
 
-async def ended(accord: ConsensusMember, change: Change) -> messages.ChangeReply:
+async def ended(member: ConsensusMember, change: Change) -> messages.ChangeReply:
     """What became of a change, once that is known."""
     async with asyncio.timeout(LIMIT):
         while True:
             found = messages.decode(
-                (await raw(accord, f"GET /-/policy/change/{change.id.hex()}"))[1], messages.ChangeReply
+                (await send_request(member, f"GET /-/policy/change/{change.id.hex()}"))[1],
+                messages.ChangeReply,
             )
             if found.outcome in (messages.ChangeOutcome.IN_FORCE, messages.ChangeOutcome.REFUSED):
                 return found
@@ -385,22 +387,22 @@
     assert len(text) > 2 * messages.PIECE_BYTES
 
     async def play() -> None:
-        async with agreeing(tmp_path) as (_, accord):
-            found = await asyncio.to_thread(run, accord, "found", str(whole))
+        async with running_member(tmp_path) as (_, member):
+            found = await asyncio.to_thread(run, member, "found", str(whole))
             assert found.exit_code == 0, found.output
             async with asyncio.timeout(LIMIT):
-                while not accord.may_begin_request():
+                while not member.may_begin_request():
                     await asyncio.sleep(0.01)
-            assert len(accord.admission.policy.routes) == 9000  # type: ignore[union-attr]
-            done = await asyncio.to_thread(run, accord, "propose", str(fewer), "--reason", "fewer")
+            assert len(member.admission.policy.routes) == 9000  # type: ignore[union-attr]
+            done = await asyncio.to_thread(run, member, "propose", str(fewer), "--reason", "fewer")
             assert done.exit_code == 0, done.output
-            assert len(accord.admission.policy.routes) == 6000  # type: ignore[union-attr]
+            assert len(member.admission.policy.routes) == 6000  # type: ignore[union-attr]
             # Another node, with nothing on its disk, fetches all that in pieces.
-            async with agreeing(tmp_path, name="n1", keepers=(accord.settings.address,)) as (_, other):
+            async with running_member(tmp_path, name="n1", voters=(member.settings.address,)) as (_, other):
                 async with asyncio.timeout(LIMIT):
                     while not other.may_begin_request():
                         await asyncio.sleep(0.02)
-                mine, its = accord.service, other.service
+                mine, its = member.service, other.service
                 assert its.log.state(its.policies_in_force[0]) == mine.log.state(mine.policies_in_force[0])
 
     asyncio.run(play())
@@ -425,9 +427,9 @@
 
 def test_a_second_process_of_a_name_is_no_keeper_while_the_first_lives(tmp_path: Path) -> None:
     async def play() -> None:
-        async with agreeing(tmp_path) as (_, one):
-            await founded(one)
-            async with agreeing(tmp_path, keepers=(one.settings.address,)) as (_, other):
+        async with running_member(tmp_path) as (_, one):
+            await bootstrap(one)
+            async with running_member(tmp_path, voters=(one.settings.address,)) as (_, other):
                 assert not other._may_vote_here() and other.service.acceptor is None
                 async with asyncio.timeout(LIMIT):
                     while not other.may_begin_request():  # as a node it holds a lease of its own
--- a/tests/test_batch_culprits.py
+++ b/tests/test_invalid_changes.py
@@ -22,11 +22,11 @@
     return Change(bytes([number]) * 16, 0, "why", "who", (Upsert(Kind.ROUTE, name, 0, body),))
 
 
-def culprits(*changes: Change) -> dict[bytes, list[str]]:
+def find_invalid_changes(*changes: Change) -> dict[bytes, list[str]]:
     """What a node names of a batch on no resources."""
-    plans = CompiledPolicies(settings_from_json(settings(1)), lambda: ())
+    compiled_policies = CompiledPolicies(settings_from_json(settings(1)), lambda: ())
     sealed = EMPTY.with_revision((), 1)
-    return asyncio.run(plans.find_invalid_changes(Entry(FIRST_POLICY, sealed, None, 0), changes))
+    return asyncio.run(compiled_policies.find_invalid_changes(Entry(FIRST_POLICY, sealed, None, 0), changes))
 
 
 GOOD = change_of(1, "/view-schedule/a")
@@ -36,7 +36,7 @@
 
 
 def test_each_is_named_for_its_own_reasons() -> None:
-    found = culprits(GOOD, BAD, WORSE)
+    found = find_invalid_changes(GOOD, BAD, WORSE)
     assert set(found) == {BAD.id, WORSE.id}
     assert "'r2'" in found[BAD.id][0] and "'r3'" not in str(found[BAD.id])
     assert "'r3'" in found[WORSE.id][0] and "'r2'" not in str(found[WORSE.id])
@@ -44,5 +44,5 @@
 
 def test_one_that_does_not_hold_only_beside_another_is_not_named() -> None:
     """The other one may never be in force."""
-    assert culprits(GOOD, SAME) == {}
-    assert set(culprits(GOOD, SAME, BAD)) == {BAD.id}
+    assert find_invalid_changes(GOOD, SAME) == {}
+    assert set(find_invalid_changes(GOOD, SAME, BAD)) == {BAD.id}
