--- a/hollybay/proxy/admin_service.py
+++ b/hollybay/proxy/admin_service.py
@@ -129,7 +129,7 @@
         return AdminResponse.text(HTTPStatus.OK, "draining")
 
     def _handle_resume_node(self, _request: AdminRequest) -> AdminResponse:
-        if self.clients.leaving:
+        if self.clients.is_shutting_down:
             return AdminResponse.text(HTTPStatus.CONFLICT, "the process ends")
         self.node_drain.end()
         return AdminResponse.text(HTTPStatus.OK, "in service")
--- a/hollybay/proxy/discovery_connection.py
+++ b/hollybay/proxy/discovery_connection.py
@@ -9,7 +9,7 @@
 import h11
 
 from .addresses import Address
-from .http_messages import MAX_HEAD, READ_SIZE
+from .message_limits import MAX_HEAD_BYTES, READ_SIZE_BYTES
 
 __all__ = ["DiscoveryConnection", "DiscoveryResponse"]
 
@@ -71,7 +71,7 @@
         if self._streams is None or not self._streams.are_usable():
             if self._streams is not None:
                 self._streams.writer.close()
-            self._streams = _Streams(*await asyncio.open_connection(*self.address, limit=READ_SIZE))
+            self._streams = _Streams(*await asyncio.open_connection(*self.address, limit=READ_SIZE_BYTES))
         return await _get(self._streams, self.address[0], path)
 
     def abort(self) -> None:
@@ -81,7 +81,7 @@
 
 
 async def _get(streams: _Streams, host: str, path: str) -> DiscoveryResponse:
-    http = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEAD)
+    http = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES)
     request = h11.Request(method="GET", target=path, headers=[("Host", host)])
     streams.writer.write(http.send(request) or b"")
     http.send(h11.EndOfMessage())
@@ -89,7 +89,7 @@
     while True:
         event = http.next_event()
         if event is h11.NEED_DATA:
-            http.receive_data(await streams.reader.read(READ_SIZE))
+            http.receive_data(await streams.reader.read(READ_SIZE_BYTES))
         elif isinstance(event, h11.Response):
             if event.status_code != HTTPStatus.OK:
                 raise ValueError(f"status {event.status_code}")
