--- a/hollybay/proxy/admin_service.py
+++ b/hollybay/proxy/admin_service.py
@@ -137,7 +137,7 @@
     def _handle_policy(self, request: AdminRequest) -> AdminResponse | Awaitable[AdminResponse]:
         if self.policy_handler is None:
             return AdminResponse.text(HTTPStatus.NOT_FOUND, "no such call")
-        return self.policy_handler.answer(request)
+        return self.policy_handler.handle_policy_request(request)
 
     # Administrative drains of servers
 
--- a/hollybay/proxy/consensus_member.py
+++ b/hollybay/proxy/consensus_member.py
@@ -189,7 +189,7 @@
 
     # Calls between nodes
 
-    async def answer(self, request: AdminRequest) -> AdminResponse:
+    async def handle_policy_request(self, request: AdminRequest) -> AdminResponse:
         """Handle a policy request that came to the admin server."""
         response = await self.service.answer(request.policy_path, request.body)
         return AdminResponse(response.status, response.body, JSON_CONTENT_TYPE)
--- a/hollybay/proxy/consensus_port.py
+++ b/hollybay/proxy/consensus_port.py
@@ -18,6 +18,6 @@
 class PolicyRequestHandler(Protocol):
     """Handles requests about the replicated policy."""
 
-    def answer(self, request: AdminRequest) -> Awaitable[AdminResponse]:
+    def handle_policy_request(self, request: AdminRequest) -> Awaitable[AdminResponse]:
         """Handle a request with operation POLICY, sent by an operator or by another node."""
         ...
--- a/tests/test_admin_service.py
+++ b/tests/test_admin_service.py
@@ -31,7 +31,7 @@
 
 
 @asynccontextmanager
-async def operated(
+async def running_admin_service(
     tmp_path: Path, *backends: Backend, scratch: str = ""
 ) -> AsyncIterator[tuple[Running, AdminService, Registry]]:
     registry = Registry()
@@ -50,7 +50,7 @@
             service.close()
 
 
-async def ask(service: AdminService, line: str) -> tuple[int, bytes]:
+async def send_request(service: AdminService, line: str) -> tuple[int, bytes]:
     """Send an admin request; return the status and body of its response."""
     reader, writer = await asyncio.open_connection("127.0.0.1", service.server.port)
     async with asyncio.timeout(LIMIT):
@@ -73,29 +73,29 @@
 def test_a_drained_server_gets_no_requests_until_it_is_enabled(tmp_path: Path) -> None:
     async def play() -> None:
         one, two = Backend("s-1"), Backend("s-2")
-        async with operated(tmp_path, one, two) as (node, service, registry):
+        async with running_admin_service(tmp_path, one, two) as (node, service, registry):
             for n in range(20):
                 assert b" 200 " in await node.ask(request(rid=f"a-{n}"))
             assert one.heads and two.heads
-            assert await ask(service, "POST /-/servers/s-1/disable") == (200, b"out\n")
-            assert (await ask(service, "POST /-/servers/s-1/disable"))[0] == 200
+            assert await send_request(service, "POST /-/servers/s-1/disable") == (200, b"out\n")
+            assert (await send_request(service, "POST /-/servers/s-1/disable"))[0] == 200
             before = len(one.heads)
             registry.tell(one, two)  # discovery still says that it serves
             await registry.until(lambda: registry.calls > 2)
             for n in range(20):
                 assert b" 200 " in await node.ask(request(rid=f"b-{n}"))
             assert len(one.heads) == before
-            shown = metrics((await ask(service, "GET /-/metrics"))[1])
+            shown = metrics((await send_request(service, "GET /-/metrics"))[1])
             assert shown["servers_known", ""] == 2 and shown["servers_excluded", ""] == 1
             # Two calls out take one call back.
-            assert (await ask(service, "POST /-/servers/s-1/enable"))[0] == 200
+            assert (await send_request(service, "POST /-/servers/s-1/enable"))[0] == 200
             for n in range(200):
                 assert b" 200 " in await node.ask(request(rid=f"c-{n}"))
                 if len(one.heads) > before:
                     break
             assert len(one.heads) > before
-            assert (await ask(service, "POST /-/servers/s-9/disable"))[0] == 404
-            assert (await ask(service, "POST /-/servers/s-9/enable"))[0] == 404
+            assert (await send_request(service, "POST /-/servers/s-9/disable"))[0] == 404
+            assert (await send_request(service, "POST /-/servers/s-9/enable"))[0] == 404
 
     asyncio.run(play())
 
@@ -107,16 +107,16 @@
         second.mkdir()
         shared = str(tmp_path)
         one, two = Backend("s-1"), Backend("s-2")
-        async with operated(first, one, two, scratch=shared) as (_, service, _registry):
-            await ask(service, "POST /-/servers/s-1/disable")
+        async with running_admin_service(first, one, two, scratch=shared) as (_, service, _registry):
+            await send_request(service, "POST /-/servers/s-1/disable")
             three, four = Backend("s-1"), Backend("s-2")
-            async with operated(second, three, four, scratch=shared) as (node, beside, _):
+            async with running_admin_service(second, three, four, scratch=shared) as (node, beside, _):
                 # Names and addresses of the two are one in truth; here they tell the folders apart.
                 assert beside.server_drains.drains.drained == {"s-1"}
                 for n in range(20):
                     assert b" 200 " in await node.ask(request(rid=f"a-{n}"))
                 assert not three.heads and four.heads
-                await ask(service, "POST /-/servers/s-2/disable")
+                await send_request(service, "POST /-/servers/s-2/disable")
                 async with asyncio.timeout(LIMIT):
                     while beside.server_drains.drains.drained != {"s-1", "s-2"}:
                         await asyncio.sleep(0.01)
@@ -132,23 +132,23 @@
 
 def test_a_drained_node_sends_clients_away_and_comes_back(tmp_path: Path) -> None:
     async def play() -> None:
-        async with operated(tmp_path, Backend("s-1")) as (node, service, _):
+        async with running_admin_service(tmp_path, Backend("s-1")) as (node, service, _):
             resting, resting_writer = await node.connect()
             busy, writer = await node.connect()
             async with asyncio.timeout(LIMIT):
                 writer.write(request(rid="r-1"))
                 assert b" 200 " in (await read_message(busy))[0]
-                assert (await ask(service, "GET /-/ready"))[0] == 200
-                assert (await ask(service, "POST /-/drain"))[0] == 200
-                assert (await ask(service, "GET /-/ready"))[0] == 503
+                assert (await send_request(service, "GET /-/ready"))[0] == 200
+                assert (await send_request(service, "POST /-/drain"))[0] == 200
+                assert (await send_request(service, "GET /-/ready"))[0] == 503
                 writer.write(b"GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n")
                 assert b" 503 " in (await read_message(busy))[0]
                 # Connections end, used or not; a request that comes before that is served.
                 assert await resting.read() == b""
                 assert await busy.read() == b""
                 assert b"connection: close" in await node.ask(request(rid="r-2"))
-                assert (await ask(service, "POST /-/resume"))[0] == 200
-                assert (await ask(service, "GET /-/ready"))[0] == 200
+                assert (await send_request(service, "POST /-/resume"))[0] == 200
+                assert (await send_request(service, "GET /-/ready"))[0] == 200
                 head = await node.ask(request(rid="r-3"))
                 assert b" 200 " in head and b"close" not in head
             resting_writer.close()
@@ -168,12 +168,12 @@
                 writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 
         server = Backend("s-1", script)
-        async with operated(tmp_path, server) as (node, service, _):
+        async with running_admin_service(tmp_path, server) as (node, service, _):
             for n in range(5):
                 assert b" 200 " in await node.ask(request(rid=f"r-{n}"))
             assert b" 502 " in await node.ask(request("send", rid="r-s"))
             assert b" 503 " in await node.ask(request(rid="r-away"))
-            shown = metrics((await ask(service, "GET /-/metrics"))[1])
+            shown = metrics((await send_request(service, "GET /-/metrics"))[1])
             assert shown["served_total", "view"] == 5 and shown["served_total", "book"] == 0
             assert shown["failed_total", "send"] == 1 and shown["refused_total", "view"] == 1
             assert shown["attempts_total", ""] == len(server.heads)
@@ -184,13 +184,13 @@
 
 def test_silent_clients_keep_nobody_waiting(tmp_path: Path) -> None:
     async def play() -> None:
-        async with operated(tmp_path, Backend("s-1")) as (_, service, _registry):
+        async with running_admin_service(tmp_path, Backend("s-1")) as (_, service, _registry):
             silent = []
             for n in range(3 * admin_server.MAX_CONNECTIONS):
                 _, writer = await asyncio.open_connection("127.0.0.1", service.server.port)
                 writer.write(b"GET /-/ready HTTP/1.1\r\n" if n % 2 else b"")
                 silent.append(writer)
-            assert (await ask(service, "GET /-/ready"))[0] == 200
+            assert (await send_request(service, "GET /-/ready"))[0] == 200
             assert len(service.server.connections) <= admin_server.MAX_CONNECTIONS
             for writer in silent:
                 writer.close()
@@ -200,9 +200,9 @@
 
 def test_an_invalid_request_is_rejected_and_the_server_stays_open(tmp_path: Path) -> None:
     async def play() -> None:
-        async with operated(tmp_path, Backend("s-1")) as (_, service, _registry):
-            assert (await ask(service, "GET /-/drain"))[0] == 405
-            assert (await ask(service, "GET /nothing"))[0] == 404
+        async with running_admin_service(tmp_path, Backend("s-1")) as (_, service, _registry):
+            assert (await send_request(service, "GET /-/drain"))[0] == 405
+            assert (await send_request(service, "GET /nothing"))[0] == 404
             for noise in (b"\x00\xff\r\n\r\n", b"GET / HTTP/1.1\r\n" + b"A: " + b"x" * 20_000 + b"\r\n\r\n"):
                 reader, writer = await asyncio.open_connection("127.0.0.1", service.server.port)
                 writer.write(noise)
@@ -211,7 +211,7 @@
                         (b"HTTP/1.1 400", b"HTTP/1.1 413", b"HTTP/1.1 431")
                     )
                 writer.close()
-            assert (await ask(service, "GET /-/ready"))[0] == 200
+            assert (await send_request(service, "GET /-/ready"))[0] == 200
 
     asyncio.run(play())
 
@@ -219,7 +219,7 @@
 @pytest.mark.parametrize("target", ["/-/ready", "/-/metrics", "/-/none"])
 def test_a_head_request_gets_the_head_of_a_response(target: str, tmp_path: Path) -> None:
     async def play() -> None:
-        async with operated(tmp_path, Backend("s-1")) as (_, service, _):
+        async with running_admin_service(tmp_path, Backend("s-1")) as (_, service, _):
             answers = []
             for method in ("HEAD", "GET"):
                 reader, writer = await asyncio.open_connection("127.0.0.1", service.server.port)
@@ -236,9 +236,9 @@
 
 def test_the_server_list_shows_drained_servers(tmp_path: Path) -> None:
     async def play() -> None:
-        async with operated(tmp_path, Backend("s-1")) as (_, service, _registry):
-            await ask(service, "POST /-/servers/s-1/disable")
-            status, body = await ask(service, "GET /-/servers")
+        async with running_admin_service(tmp_path, Backend("s-1")) as (_, service, _registry):
+            await send_request(service, "POST /-/servers/s-1/disable")
+            status, body = await send_request(service, "GET /-/servers")
             assert status == 200 and b'"id": "s-1"' in body and b'"disabled": true' in body
 
     asyncio.run(play())
