--- a/tests/test_documentation_names.py
+++ b/tests/test_documentation_names.py
@@ -42,7 +42,6 @@
         "hollybay.routing.forms.MAX_FILE": "now hollybay.routing.typed_tables.MAX_FILE_BYTES",
     },
     "docs/ROADMAP.md": {
-        "exchange.py": "now hollybay/proxy/request_dispatcher.py",
         "deploy/sites/clinic-counter": "sites that were measured then",
         "deploy/sites/tram-tickets": "sites that were measured then",
         "Admission.sheds": "the name at the time of the entry",
