--- a/hollybay/consensus/change_requests.py
+++ b/hollybay/consensus/change_requests.py
@@ -4,6 +4,7 @@
 
 import base64
 
+from hollybay.resources.batch import Batch
 from hollybay.resources.model import CHANGE_ID_BYTES, Change, Operation, Upsert
 from hollybay.resources.state import ResourceState
 from hollybay.resources.wire import encode_change
@@ -19,7 +20,7 @@
 from .log_entry import Entry
 from .log_replica import LogReplica
 from .log_server import LogServer
-from .policy import RejectedError, successor_policy
+from .policy import PolicyVersion, RejectedError, successor_policy
 from .proposal_outcomes import Busy, Queued, RejectedNow
 from .proposals import Proposals
 from .replies import ACCEPTED, CONFLICT, busy, ok
@@ -184,26 +185,41 @@
         if batch is None:
             return False
         policy, _ = successor_policy(base.policy, base.state, batch.changes)
+        entry = await self._stored(policy)
+        if not await self._is_serviceable(entry, batch):
+            return True
+        if acceptor.state.decided != decided or self.coordinator.pending is not None:
+            self.proposals.batch_superseded(batch, acceptor.state.decided.policy)
+            return True
+        self._begin(entry.policy, decided.epoch + 1, batch)
+        return True
+
+    async def _stored(self, policy: PolicyVersion) -> Entry:
+        """Bring the next policy to the disk. StoreError: it takes no entry."""
         try:
-            entry = await self.replica.store(policy)
+            return await self.replica.store(policy)
         except StoreError:
             self.proposals.storage_failed()
             raise
+
+    async def _is_serviceable(self, entry: Entry, batch: Batch) -> bool:
+        """Whether the node here can serve an entry; if not, its batch is rejected."""
         reasons = await self.serviceability.prepare(entry)
-        if reasons:
-            why = self.serviceability.unserviceable[policy.name]
-            self.serviceability.clear(policy.name)  # proposed again it is another policy, or holds
-            self.proposals.reject_batch(batch, why.culprits, reasons)
+        if not reasons:
             return True
-        if acceptor.state.decided != decided or self.coordinator.pending is not None:
-            self.proposals.batch_superseded(batch, acceptor.state.decided.policy)
-            return True
-        self.coordinator.begin(entry.policy, decided.epoch + 1)
+        name = entry.policy.name
+        why = self.serviceability.unserviceable[name]
+        self.serviceability.clear(name)  # proposed again it is another policy, or holds
+        self.proposals.reject_batch(batch, why.culprits, reasons)
+        return False
+
+    def _begin(self, policy: PolicyVersion, epoch: int, batch: Batch) -> None:
+        """Propose a policy, to begin with this epoch."""
+        self.coordinator.begin(policy, epoch)
         self.proposals.batch_proposed(policy.name, batch)
         self.environment.data_plane.log_event(
             "proposed", change=policy.name, reason=policy.reason, author=policy.author
         )
-        return True
 
 
 def _bounded(lines: list[str]) -> list[str]:
--- a/hollybay/consensus/durable_acceptor.py
+++ b/hollybay/consensus/durable_acceptor.py
@@ -9,14 +9,13 @@
 
 from collections.abc import Awaitable, Callable, Iterable
 
-import msgspec
+from hollybay.units import MS
 
 from .acceptor import Acceptor, Lease
 from .core import (
     NO_BALLOT,
     Accept,
     Accepted,
-    Ballot,
     Decided,
     EpochState,
     LeaseGrant,
@@ -36,6 +35,7 @@
     LeaseReply,
     PrepareReply,
 )
+from .persisted_acceptor import PersistedAcceptor
 from .policy import PolicyVersion, RejectedError
 from .reasons import Barred, KnowsNothing, LacksPolicies
 from .store import Store, StoreError
@@ -45,7 +45,7 @@
 MAX_HISTORY = 200  # epochs that are kept
 # The margin for clocks that drift apart: a part of the lease, and a constant (ns).
 CLOCK_DRIFT_DIVISOR = 20
-CLOCK_MARGIN = 50_000_000
+CLOCK_MARGIN = 50 * MS
 
 Disk = Callable[[Callable[[], None]], Awaitable[None]]
 
@@ -55,17 +55,6 @@
     return lease // CLOCK_DRIFT_DIVISOR + CLOCK_MARGIN
 
 
-class _PersistedState(msgspec.Struct, frozen=True, array_like=True):
-    """What is on disk. longest_lease: that may have been granted, with its grace time, ns."""
-
-    decided: EpochState
-    promised: Ballot
-    accepted: tuple[Ballot, EpochState] | None
-    last_barred_epoch: int
-    longest_lease: int
-    history: list[HistoryEntry]
-
-
 class DurableAcceptor:
     """One acceptor.
 
@@ -135,22 +124,13 @@
         data = self.store.open()
         if data is None or self.store.may_be_stale:
             return
-        try:
-            found: _PersistedState = msgspec.msgpack.decode(data, type=_PersistedState)
-        except msgspec.DecodeError as error:
-            raise StoreError(f"{self.store.folder}: {error}") from None
-        if any(self.log.policy(name) is None for name in policies_named(found.decided)):
+        persisted = PersistedAcceptor.decode(data, str(self.store.folder))
+        if any(self.log.policy(name) is None for name in policies_named(persisted.decided)):
             return  # a disk that lost some of the log: what else it lost is not known
-        state = Acceptor(
-            self.number,
-            found.decided,
-            found.promised,
-            found.accepted,
-            last_barred_epoch=found.last_barred_epoch,
-        )
-        longest = max(self.longest_lease, found.longest_lease)
-        self.state = state.restarted(self.clock(), longest + clock_margin(longest))
-        self.history = found.history
+        longest = max(self.longest_lease, persisted.longest_lease)
+        acceptor = persisted.acceptor(self.number)
+        self.state = acceptor.restarted(self.clock(), longest + clock_margin(longest))
+        self.history = persisted.history
 
     async def _take_on(self, after: Acceptor) -> None:
         """Take on a new state, on disk first. StoreError: the state stays as it was."""
@@ -170,16 +150,7 @@
         return [*earlier, entry][-MAX_HISTORY:]
 
     async def _write(self, after: Acceptor, history: list[HistoryEntry]) -> None:
-        data = msgspec.msgpack.encode(
-            _PersistedState(
-                after.decided,
-                after.promised,
-                after.accepted,
-                after.last_barred_epoch,
-                self.longest_lease,
-                history,
-            )
-        )
+        data = PersistedAcceptor.of(after, self.longest_lease, history).encode()
         try:
             await self.disk(lambda: self.store.put(data))
         except StoreError as error:
--- a/hollybay/consensus/group_commit.py
+++ b/hollybay/consensus/group_commit.py
@@ -28,6 +28,7 @@
 from hollybay.resources.state import ResourceState
 from hollybay.resources.wire import encode_change
 
+from .outcome_history import FinalOutcome, OutcomeHistory
 from .proposal_outcomes import (
     AlreadyDecided,
     AlreadyQueued,
@@ -101,7 +102,7 @@
         self._under_way: dict[bytes, _QueuedChange] = {}  # by change id: the changes of the batch in progress
         self._under_way_bytes = 0
         self._in_progress: _BatchInProgress | None = None
-        self._ended: OrderedDict[bytes, tuple[int, InForce | Rejected]] = OrderedDict()
+        self._ended = OutcomeHistory(self.settings.max_outcomes, self.settings.outcome_ns)
         self._last_sequence = 0
         self._last_group = 0
 
@@ -124,7 +125,7 @@
         state
             The newest state that this voter knows.
         """
-        self._expire_outcomes(now)
+        self._ended.expire(now)
         earlier = self._earlier_reply(change.id, state, now)
         if earlier is not None:
             return earlier
@@ -158,25 +159,23 @@
             return AlreadyDecided(revision)
         if change_id in self._under_way or change_id in self._waiting:
             return AlreadyQueued()
-        ended = self._ended.get(change_id)
-        if ended is None:
-            return None
-        _, outcome = ended
-        if isinstance(outcome, InForce):
-            return AlreadyDecided(outcome.revision)
-        return RejectedNow(outcome.problems)
+        match self._ended.get(change_id):
+            case InForce(ended_revision):
+                return AlreadyDecided(ended_revision)
+            case Rejected(problems):
+                return RejectedNow(problems)
+        return None
 
     def outcome(self, change_id: bytes, now: int) -> Outcome:
         """What became of a change that was accepted here."""
-        self._expire_outcomes(now)
+        self._ended.expire(now)
         if change_id in self._under_way and self._in_progress is not None:
             return UnderWay(self._in_progress.batch.revision)
         waiting = self._waiting.get(change_id)
         if waiting is not None:
             position = self._position(waiting)
             return Pending(position, self._estimated_wait_ns(position + 1, 0, now))
-        ended = self._ended.get(change_id)
-        return ended[1] if ended is not None else Unknown()
+        return self._ended.get(change_id) or Unknown()
 
     # Batches
 
@@ -197,7 +196,7 @@
         ended, as it may be dropped or superseded. At most `max_batch_changes` are considered; the method may
         be called again at once.
         """
-        self._expire_outcomes(now)
+        self._ended.expire(now)
         if self.next_batch_delay_ns(now) != 0:
             return None
         candidates = [queued.change for queued in self._batch_candidates()]
@@ -258,7 +257,7 @@
 
         If it is another voter's, the batch in progress here waits again.
         """
-        self._expire_outcomes(now)
+        self._ended.expire(now)
         if self._is_own(batch):
             self._record_duration(now)
         for change in batch.changes:
@@ -284,7 +283,7 @@
         problems
             What nodes reported without naming a change.
         """
-        self._expire_outcomes(now)
+        self._ended.expire(now)
         is_own = self._is_own(batch)
         if is_own:
             self._record_duration(now)
@@ -308,7 +307,7 @@
 
         Changes that are in force in that state have ended; the others wait again.
         """
-        self._expire_outcomes(now)
+        self._ended.expire(now)
         if not self._is_own(batch):
             return
         for change_id in list(self._under_way):
@@ -349,7 +348,7 @@
 
     # Outcomes
 
-    def _finish(self, change_id: bytes, outcome: InForce | Rejected, now: int) -> None:
+    def _finish(self, change_id: bytes, outcome: FinalOutcome, now: int) -> None:
         """A change has ended; does nothing if it was not accepted here."""
         queued = self._waiting.pop(change_id, None)
         if queued is None:
@@ -358,7 +357,7 @@
                 return
             self._under_way_bytes -= queued.size
         self.bytes -= queued.size
-        self._ended[change_id] = (now, outcome)
+        self._ended.add(change_id, outcome, now)
 
     def _finish_if_decided(self, change_id: bytes, state: ResourceState, now: int) -> bool:
         """Whether a change is in force in a state; then it has ended."""
@@ -368,14 +367,6 @@
         self._finish(change_id, InForce(revision), now)
         return True
 
-    def _expire_outcomes(self, now: int) -> None:
-        """Remove outcomes that are too many or too old."""
-        while self._ended:
-            oldest, _ = next(iter(self._ended.values()))
-            if len(self._ended) <= self.settings.max_outcomes and now - oldest <= self.settings.outcome_ns:
-                return
-            self._ended.popitem(last=False)
-
     # Estimates
 
     def _position(self, queued: _QueuedChange) -> int:
--- a/hollybay/consensus/planted_batch_defects.py
+++ b/hollybay/consensus/planted_batch_defects.py
@@ -73,9 +73,7 @@
 
     def outcome(self, change_id: bytes, now: int) -> Outcome:
         outcome = super().outcome(change_id, now)
-        if isinstance(outcome, Pending) and self._ended:
-            return next(reversed(self._ended.values()))[1]
-        return outcome
+        return self._ended.latest() or outcome if isinstance(outcome, Pending) else outcome
 
 
 class _ReportsTooEarly(ProposalQueue):
