--- a/hollybay/consensus/announcer.py
+++ b/hollybay/consensus/announcer.py
@@ -66,17 +66,17 @@
         """
         body = announcement(state, self.own_address)
         addresses = self._addresses(state, acceptor, voters)
-        waiting = iter(addresses)
+        remaining = iter(addresses)
 
-        async def tell_next() -> None:
-            for address in waiting:
+        async def notify_next() -> None:
+            for address in remaining:
                 await self.peers.reaches(address, "know", body)
 
         self.spawn(self.both_learn(state, self.own_address))
         for _ in range(min(MAX_CONCURRENT_ANNOUNCEMENTS, len(addresses))):
-            self.spawn(tell_next())
+            self.spawn(notify_next())
 
-    def tell(self, address: str, state: EpochState) -> None:
+    def notify(self, address: str, state: EpochState) -> None:
         """Tell one process of an epoch."""
         self.spawn(self.peers.reaches(address, "know", announcement(state, self.own_address)))
 
--- a/hollybay/consensus/ballots.py
+++ b/hollybay/consensus/ballots.py
@@ -20,14 +20,14 @@
 __all__ = ["BallotOutcome", "BallotRunner", "Learner"]
 
 # Seconds for which further replies are awaited once there is a quorum.
-GATHER_TIME = 0.03
+GATHER_TIME_S = 0.03
 # Seconds between two requests for votes that must wait for leases; the interval grows up to the maximum.
-VOTE_INTERVAL, MAX_VOTE_INTERVAL = 0.02, 0.1
+VOTE_INTERVAL_S, MAX_VOTE_INTERVAL_S = 0.02, 0.1
 VOTE_INTERVAL_GROWTH = 1.3
 # Requests for votes that no voter answers, one after another, before the ballot is given up.
-MAX_SILENT_REQUESTS = 3
+MAX_UNANSWERED_REQUESTS = 3
 # Seconds after which the decided epoch is announced again to those that have not moved on.
-ANNOUNCE_INTERVAL = 0.5
+ANNOUNCE_INTERVAL_S = 0.5
 
 
 class BallotOutcome(Enum):
@@ -71,7 +71,7 @@
     addresses: list[str]
     proposer: Proposer
     voted: set[str] = field(default_factory=set)
-    silent_requests: int = 0
+    unanswered_requests: int = 0
 
 
 class BallotRunner:
@@ -144,8 +144,8 @@
         Promises of voters that have voted for nothing are counted first, so that the proposal stays free
         where it may be.
         """
-        above = max(acceptor.promised_number(), self._highest_number)
-        ballot.proposer, prepare = ballot.proposer.begin_ballot(above)
+        highest_number = max(acceptor.promised_number(), self._highest_number)
+        ballot.proposer, prepare = ballot.proposer.begin_ballot(highest_number)
         self._highest_number = prepare.ballot[0]
         body = messages.encode(messages.PrepareCall(messages.FORM, prepare))
         replies: list[tuple[str, messages.PrepareReply]] = []
@@ -154,7 +154,7 @@
             "prepare",
             body,
             messages.PrepareReply,
-            GATHER_TIME,
+            GATHER_TIME_S,
             ballot.proposer.voter_sets,
         ):
             self._highest_number = max(self._highest_number, reply.promised_number)
@@ -162,9 +162,9 @@
                 await self._learn(reply.decided, address)
                 return None
             if reply.decided_epoch < ballot.state.epoch:
-                self.announcer.tell(address, ballot.state)
+                self.announcer.notify(address, ballot.state)
             replies.append((address, reply))
-        replies.sort(key=lambda one: one[1].promise is None or one[1].promise.accepted is not None)
+        replies.sort(key=lambda answer: answer[1].promise is None or answer[1].promise.accepted is not None)
         return self._count_promises(ballot, replies)
 
     @staticmethod
@@ -173,8 +173,8 @@
         for address, reply in replies:
             if reply.promise is not None:
                 promise = reply.promise._replace(voter=number_of(address))
-                ballot.proposer, asked = ballot.proposer.on_promise(promise)
-                accept = accept or asked
+                ballot.proposer, request = ballot.proposer.on_promise(promise)
+                accept = accept or request
         return accept
 
     # Votes
@@ -188,12 +188,12 @@
     ) -> BallotOutcome:
         """Ask for votes until a quorum has voted, or the ballot must be given up."""
         body = messages.encode(messages.AcceptCall(messages.FORM, accept, self._own_address))
-        interval = VOTE_INTERVAL
+        interval = VOTE_INTERVAL_S
         loop = asyncio.get_running_loop()
         announced_at = loop.time()
         while True:
             acceptor.last_coordinated = self.environment.clock()
-            is_due = loop.time() - announced_at > ANNOUNCE_INTERVAL
+            is_due = loop.time() - announced_at > ANNOUNCE_INTERVAL_S
             if is_due and ballot.state.stage is not Stage.SETTLED:
                 announced_at = loop.time()
                 # Whoever has not heard of the epoch blocks the next one.
@@ -201,11 +201,11 @@
             outcome = await self._request_votes(acceptor, ballot, accept, body)
             if outcome is not None:
                 return outcome
-            if ballot.silent_requests > MAX_SILENT_REQUESTS or accept.state != wanted():
+            if ballot.unanswered_requests > MAX_UNANSWERED_REQUESTS or accept.state != wanted():
                 # A vote of one that promised may have made it ask for this epoch; another quorum may not.
                 return BallotOutcome.FAILED
             await asyncio.sleep(interval)
-            interval = min(MAX_VOTE_INTERVAL, interval * VOTE_INTERVAL_GROWTH)
+            interval = min(MAX_VOTE_INTERVAL_S, interval * VOTE_INTERVAL_GROWTH)
 
     async def _request_votes(
         self, acceptor: DurableAcceptor, ballot: _Ballot, accept: Accept, body: bytes
@@ -215,7 +215,7 @@
         is_answered = False
         missing = [address for address in ballot.addresses if address not in ballot.voted]
         async for address, reply in self.peers.answers(
-            missing, "accept", body, messages.AcceptReply, GATHER_TIME, ballot.proposer.voter_sets
+            missing, "accept", body, messages.AcceptReply, GATHER_TIME_S, ballot.proposer.voter_sets
         ):
             is_answered = True
             outcome = await self._take_reply(acceptor, ballot, accept, address, reply)
@@ -224,7 +224,7 @@
             for lease in reply.blocking_leases:
                 blocking[lease.process] = lease
         self.blocking_leases = sorted(blocking.values(), key=lambda lease: lease.name)
-        ballot.silent_requests = 0 if is_answered else ballot.silent_requests + 1
+        ballot.unanswered_requests = 0 if is_answered else ballot.unanswered_requests + 1
         return None
 
     async def _take_reply(
@@ -250,7 +250,7 @@
             self._highest_number = max(self._highest_number, reply.promised_number)
             return BallotOutcome.SUPERSEDED
         elif reply.decided_epoch < ballot.state.epoch:
-            self.announcer.tell(address, ballot.state)
+            self.announcer.notify(address, ballot.state)
         return None
 
     async def _publish(self, acceptor: DurableAcceptor, state: EpochState, voters: list[str]) -> None:
--- a/hollybay/consensus/batch_model_moves.py
+++ b/hollybay/consensus/batch_model_moves.py
@@ -44,7 +44,7 @@
 # How often a change deletes a resource that exists, a voter learns which changes nodes named, a batch of a
 # mixed delivery gets lost, and a delivery arrives only once.
 DELETE_PROBABILITY = 0.5
-NAMED_PROBABILITY = 0.6
+NAMING_PROBABILITY = 0.6
 LOST_BATCH_PROBABILITY = 0.5
 SINGLE_DELIVERY_PROBABILITY = 0.7
 
@@ -210,7 +210,7 @@
         self.epochs.append(Epoch(batch, settled=True, decided=True))
 
     def _learn_by_chance(self, voter: Voter) -> None:
-        self._learn(voter, names=self.random.random() < NAMED_PROBABILITY)
+        self._learn(voter, names=self.random.random() < NAMING_PROBABILITY)
 
     def _learn(self, voter: Voter, names: bool) -> None:
         """A voter learns of the next epoch; names: whether nodes told it which changes they cannot serve."""
@@ -281,10 +281,10 @@
 
     def _receive(self, node: Node) -> None:
         """A delivery arrives; it may arrive again."""
-        place = self.random.randrange(len(node.inbox))
-        delivery = node.inbox[place]
+        index = self.random.randrange(len(node.inbox))
+        delivery = node.inbox[index]
         if self.random.random() < SINGLE_DELIVERY_PROBABILITY:
-            del node.inbox[place]
+            del node.inbox[index]
         before = node.replica.state.revision
         try:
             node.replica.receive(delivery)
--- a/hollybay/consensus/bootstrap.py
+++ b/hollybay/consensus/bootstrap.py
@@ -13,7 +13,7 @@
 from .environment import Environment
 from .interfaces import Response
 from .log_replica import LogReplica
-from .outgoing_requests import CALL_LIMIT, PeerClient
+from .outgoing_requests import CALL_LIMIT_S, PeerClient
 from .policy import PolicyVersion, RejectedError, first_policy
 from .reasons import texts_of
 from .replies import ok
@@ -27,7 +27,7 @@
 # Requests to each voter, until it answers.
 BOOTSTRAP_ATTEMPTS = 4
 # Seconds that a voter may take to fetch a first policy that is longer than a request, and to begin.
-LONG_POLICY_LIMIT = 5.0
+LONG_POLICY_LIMIT_S = 5.0
 
 
 class Bootstrap:
@@ -54,7 +54,7 @@
         """Begin, as an operator wants or another voter has begun."""
         acceptor = self.voter.require_acceptor()
         if call.policy:
-            return await self._follow(acceptor, call)
+            return await self._join(acceptor, call)
         return await self._begin(acceptor, call)
 
     # From an operator
@@ -92,8 +92,10 @@
             where = ", ".join(begun) or self.settings.address
             raise RejectedError(f"founded already at {where}; a keeper learns from the others by itself")
         if len(replies) < len(others):
-            silent = ", ".join(address for address in others if address not in replies)
-            raise RejectedError(f"keepers: {silent} did not answer; all must be there when an accord begins")
+            unanswered = ", ".join(address for address in others if address not in replies)
+            raise RejectedError(
+                f"keepers: {unanswered} did not answer; all must be there when an accord begins"
+            )
 
     async def _pass_on(self, policy: PolicyVersion, others: list[str]) -> list[str]:
         """Pass the first policy to the other voters; those that were reached.
@@ -106,7 +108,7 @@
             policy=policy.name, entry=entry if is_short else "", source=self.settings.address
         )
         body = messages.encode(call)
-        limit = CALL_LIMIT if is_short else LONG_POLICY_LIMIT
+        limit = CALL_LIMIT_S if is_short else LONG_POLICY_LIMIT_S
         missing = others
         for _ in range(BOOTSTRAP_ATTEMPTS):
             reached = await asyncio.gather(
@@ -117,7 +119,7 @@
 
     # From another voter
 
-    async def _follow(self, acceptor: DurableAcceptor, call: messages.BootstrapCall) -> Response:
+    async def _join(self, acceptor: DurableAcceptor, call: messages.BootstrapCall) -> Response:
         """Begin under the first policy of another voter."""
         known = acceptor.state
         if known is not None and known.decided != EpochState(0, Stage.SETTLED, call.policy):
--- a/hollybay/consensus/change_requests.py
+++ b/hollybay/consensus/change_requests.py
@@ -12,10 +12,11 @@
 
 from . import messages
 from .change_builder import delete_operations, drain_operations, drained_servers, format_operations
-from .coordinator import IDLE_INTERVAL, ChangeCoordinator
+from .coordinator import IDLE_INTERVAL_S, ChangeCoordinator
 from .core import Stage
 from .durable_acceptor import DurableAcceptor
 from .environment import Environment
+from .http_status import ACCEPTED, CONFLICT
 from .interfaces import Response
 from .log_entry import Entry
 from .log_replica import LogReplica
@@ -23,7 +24,7 @@
 from .policy import PolicyVersion, RejectedError, successor_policy
 from .proposal_outcomes import Busy, Queued, RejectedNow
 from .proposals import Proposals
-from .replies import ACCEPTED, CONFLICT, busy, ok
+from .replies import busy, ok
 from .request_content import RequestContent
 from .serviceability import Serviceability
 from .store import StoreError
@@ -97,8 +98,8 @@
             operations = await self._drafted_from_file(call, base, state)
         operations += delete_operations(state, call.delete)
         if call.servers_out or call.servers_in:
-            out = (set(drained_servers(state)) | set(call.servers_out)) - set(call.servers_in)
-            operations += drain_operations(state, out)
+            drained = (set(drained_servers(state)) | set(call.servers_out)) - set(call.servers_in)
+            operations += drain_operations(state, drained)
         return operations
 
     async def _drafted_from_file(
@@ -117,7 +118,7 @@
         """Somebody proposes a change of resources: it waits for the next batch."""
         acceptor = self.voter.require_acceptor()
         if acceptor.state is None:
-            return busy("this keeper knows nothing yet", IDLE_INTERVAL)
+            return busy("this keeper knows nothing yet", IDLE_INTERVAL_S)
         if self.proposals.is_storage_full:
             raise StoreError("the disk took no entry a moment ago")
         change = await self.content.change(call.change, call.upload)
@@ -128,7 +129,7 @@
             if change.base_revision > state.revision:
                 return busy(
                     f"made on {change.base_revision}, and this keeper knows of {state.revision}",
-                    IDLE_INTERVAL,
+                    IDLE_INTERVAL_S,
                 )
         return self._offer(change, call.upload, state, acceptor)
 
@@ -225,8 +226,8 @@
 def _bounded(lines: list[str]) -> list[str]:
     """Lines for people, as many as a reply holds."""
     left = MAX_LINES_BYTES
-    for place, line in enumerate(lines):
+    for index, line in enumerate(lines):
         left -= len(line) + JSON_QUOTES_BYTES
         if left < 0:
-            return [*lines[:place], f"and {len(lines) - place} more lines"]
+            return [*lines[:index], f"and {len(lines) - index} more lines"]
     return lines
--- a/hollybay/consensus/change_tracker.py
+++ b/hollybay/consensus/change_tracker.py
@@ -15,6 +15,7 @@
 from hollybay.resources.wire import MAX_BATCH_BYTES
 
 from .cluster_view import ClusterView
+from .http_status import INSUFFICIENT_STORAGE, NOT_FOUND, UNAVAILABLE
 from .messages import (
     BootstrapCall,
     DraftCall,
@@ -28,18 +29,16 @@
     encode,
 )
 from .policy import RejectedError
-from .requests import UnreachableError
-from .submission import INSUFFICIENT_STORAGE, ChangeSubmission
+from .requests import NO_ANSWER, UnreachableError
+from .submission import ChangeSubmission
 from .transfer import download
 from .verdict import NOT_BEGUN, ExitStatus, Verdict, judge
-from .voter_client import POLL_INTERVAL_S, UNAVAILABLE, VoterClient, invalid_input, reason_in
+from .voter_client import POLL_INTERVAL_S, VoterClient, invalid_input, reason_in
 
 __all__ = ["ChangeRequest", "ChangeTracker", "PolicyProposal"]
 
 # A proposal that no voter knows of is made again after so long.
 REPROPOSE_AFTER_S = 2.0
-NO_ANSWER = 0  # the status of an UnreachableError without an answer
-NOT_FOUND = 404
 
 
 @dataclass(frozen=True, slots=True)
@@ -195,12 +194,12 @@
         call = BootstrapCall(argument.text or "", argument.upload)
         return await self.call_until_done(address, "found", encode(call))
 
-    async def diff(self, one: str, other: str) -> list[str]:
+    async def diff(self, old: str, new: str) -> list[str]:
         """The difference of two policies, for people. UnreachableError: no voter has both."""
         failure = UnreachableError("no keeper answers")
         for address in self.voters_in_order(self.view):
             try:
-                return decode(await self.call(address, f"diff/{one}/{other}", None), list[str])
+                return decode(await self.call(address, f"diff/{old}/{new}", None), list[str])
             except RejectedError as error:
                 failure = UnreachableError(f"{address}: {error}")
             except UnreachableError as error:
--- a/hollybay/consensus/coordinator.py
+++ b/hollybay/consensus/coordinator.py
@@ -28,19 +28,19 @@
 from .store import StoreError
 from .waiting import wait_at_most
 
-__all__ = ["IDLE_INTERVAL", "ChangeCoordinator", "CoordinatorHost", "PendingChange"]
+__all__ = ["IDLE_INTERVAL_S", "ChangeCoordinator", "CoordinatorHost", "PendingChange"]
 
 # Seconds after which a voter takes over a change that nobody coordinates, and more for each place among the
 # voters, so that they do not start at once.
-TAKE_OVER_AFTER, TAKE_OVER_STAGGER = 1.0, 0.4
+TAKE_OVER_AFTER_S, TAKE_OVER_STAGGER_S = 1.0, 0.4
 # Seconds between two looks for a change that nobody coordinates.
-IDLE_INTERVAL = 0.25
+IDLE_INTERVAL_S = 0.25
 IDLE_JITTER = (0.8, 1.2)
-MIN_IDLE = 0.001  # seconds
+MIN_IDLE_S = 0.001
 # Seconds for which a superseded proposer leaves the way to the other one.
-SUPERSEDED_PAUSE = (0.01, 0.05)
+SUPERSEDED_BACKOFF_S = (0.01, 0.05)
 # Seconds after a failed ballot, doubled for each one in a row up to the maximum.
-FAILED_PAUSE = (0.02, 0.05)
+FAILED_BACKOFF_S = (0.02, 0.05)
 MAX_DOUBLINGS = 5
 
 
@@ -144,9 +144,9 @@
 
     def end_drops(self) -> set[str]:
         """A change is settled: the policies that were to be given up until then."""
-        given_up = set(self.dropping)
+        dropped = set(self.dropping)
         self.dropping.clear()
-        return given_up
+        return dropped
 
     def progress(self) -> ChangeProgress:
         """The progress of changes here."""
@@ -170,7 +170,7 @@
                     continue
             except StoreError as error:
                 self.data_plane.log_event("keeper", error=str(error))
-                await asyncio.sleep(IDLE_INTERVAL)
+                await asyncio.sleep(IDLE_INTERVAL_S)
             self.coordinating = ""
             self.ballots.blocking_leases = []
             await wait_at_most(self.wakeup, self._idle_time())
@@ -188,9 +188,9 @@
 
     def _idle_time(self) -> float:
         """How long to wait for work, seconds."""
-        idle = IDLE_INTERVAL * self.rng.uniform(*IDLE_JITTER)
+        idle = IDLE_INTERVAL_S * self.rng.uniform(*IDLE_JITTER)
         next_batch = self.proposals.next_batch_delay_ns() if self._may_propose() else None
-        return idle if next_batch is None else min(idle, max(MIN_IDLE, next_batch / SECOND))
+        return idle if next_batch is None else min(idle, max(MIN_IDLE_S, next_batch / SECOND))
 
     def _may_propose(self) -> bool:
         """Whether the next batch may be made here as soon as there is one."""
@@ -216,8 +216,8 @@
             return True
         voters = self.replica.voter_addresses(state)
         own_address = self.environment.settings.address
-        place = voters.index(own_address) if own_address in voters else len(voters)
-        patience = TAKE_OVER_AFTER + TAKE_OVER_STAGGER * place
+        index = voters.index(own_address) if own_address in voters else len(voters)
+        patience = TAKE_OVER_AFTER_S + TAKE_OVER_STAGGER_S * index
         return self.clock() - acceptor.last_coordinated > patience * SECOND
 
     def _forget_overtaken(self, state: EpochState) -> None:
@@ -274,7 +274,7 @@
         addresses = self.replica.voter_addresses(state)
         voter_sets = self.replica.voter_sets(state)
         if len(voter_sets) < len(policies_named(state)):
-            await asyncio.sleep(IDLE_INTERVAL)
+            await asyncio.sleep(IDLE_INTERVAL_S)
             return
         if state.stage is not Stage.SETTLED:
             self.announcer.announce(state, acceptor)  # whoever has not heard of it blocks the next one
@@ -287,9 +287,9 @@
         outcome = await self.ballots.run(
             acceptor, state, proposal, addresses, voter_sets, lambda: self._wanted(state)
         )
-        await self._pause_after(outcome, acceptor)
+        await self._back_off_after(outcome, acceptor)
 
-    async def _pause_after(self, outcome: BallotOutcome, acceptor: DurableAcceptor) -> None:
+    async def _back_off_after(self, outcome: BallotOutcome, acceptor: DurableAcceptor) -> None:
         """Wait before the next ballot, as the last one ended."""
         if outcome is BallotOutcome.DECIDED:
             self._failed_ballots = 0
@@ -297,10 +297,10 @@
             # Another proposer is at work: two that went on would only supersede each other.
             self.coordinating = ""
             acceptor.last_coordinated = self.clock()
-            await asyncio.sleep(self.rng.uniform(*SUPERSEDED_PAUSE))
+            await asyncio.sleep(self.rng.uniform(*SUPERSEDED_BACKOFF_S))
         else:
             self._failed_ballots = min(self._failed_ballots + 1, MAX_DOUBLINGS)
-            await asyncio.sleep(self.rng.uniform(*FAILED_PAUSE) * 2**self._failed_ballots)
+            await asyncio.sleep(self.rng.uniform(*FAILED_BACKOFF_S) * 2**self._failed_ballots)
 
     def _acceptor(self) -> DurableAcceptor:
         """The acceptor here. RejectedError: this process is no voter."""
--- a/hollybay/consensus/durable_acceptor.py
+++ b/hollybay/consensus/durable_acceptor.py
@@ -45,14 +45,14 @@
 MAX_HISTORY = 200  # epochs that are kept
 # The margin for clocks that drift apart: a part of the lease, and a constant (ns).
 CLOCK_DRIFT_DIVISOR = 20
-CLOCK_MARGIN = 50 * MS
+CLOCK_MARGIN_NS = 50 * MS
 
 Disk = Callable[[Callable[[], None]], Awaitable[None]]
 
 
 def clock_margin(lease: int) -> int:
     """How much longer than its holder an acceptor counts a lease, for clocks that drift apart, ns."""
-    return lease // CLOCK_DRIFT_DIVISOR + CLOCK_MARGIN
+    return lease // CLOCK_DRIFT_DIVISOR + CLOCK_MARGIN_NS
 
 
 class DurableAcceptor:
@@ -146,7 +146,7 @@
         if self.state is not None and after.decided == self.state.decided:
             return self.history
         entry = HistoryEntry(after.decided, self.wall_clock())
-        earlier = [one for one in self.history if one.state.epoch < after.decided.epoch]
+        earlier = [known for known in self.history if known.state.epoch < after.decided.epoch]
         return [*earlier, entry][-MAX_HISTORY:]
 
     async def _write(self, after: Acceptor, history: list[HistoryEntry]) -> None:
--- a/hollybay/consensus/group_commit.py
+++ b/hollybay/consensus/group_commit.py
@@ -287,16 +287,16 @@
         is_own = self._is_own(batch)
         if is_own:
             self._record_duration(now)
-        named = {change.id: reasons[change.id] for change in batch.changes if change.id in reasons}
-        if not named and len(batch.changes) == 1:
-            named = {batch.changes[0].id: problems}
-        for change_id, change_problems in named.items():
+        culprits = {change.id: reasons[change.id] for change in batch.changes if change.id in reasons}
+        if not culprits and len(batch.changes) == 1:
+            culprits = {batch.changes[0].id: problems}
+        for change_id, change_problems in culprits.items():
             self._finish(change_id, Rejected(change_problems or (CANNOT_BE_SERVED,)), now)
         if is_own:
             # This batch explains the earlier suspicion: nothing is known of the other changes.
             for queued in self._waiting.values():
                 queued.group = 0
-            if named:
+            if culprits:
                 self._ungroup_batch()
             else:
                 self._split_batch()
--- a/hollybay/consensus/lease_client.py
+++ b/hollybay/consensus/lease_client.py
@@ -16,7 +16,7 @@
 from .leaseholder import Leaseholder
 from .log_replica import LogReplica, voter_set
 from .messages import number_of, stage_label
-from .outgoing_requests import CALL_LIMIT, PeerClient
+from .outgoing_requests import CALL_LIMIT_S, PeerClient
 from .policy import RejectedError
 from .reasons import GoneSinceFetch, texts_of
 from .requests import UnreachableError
@@ -32,8 +32,8 @@
 # Rounds in a renewal period while no quorum has granted; their interval is shortened by a random factor, too.
 RETRIES_PER_PERIOD = 5
 RETRY_JITTER = (0.5, 1.0)
-MIN_ROUND_INTERVAL = 0.02  # seconds
-CALLS_PER_LEASE = 3  # a call may take the length of a lease divided by this
+MIN_ROUND_INTERVAL_S = 0.02
+REQUESTS_PER_LEASE = 3  # a call may take the length of a lease divided by this
 
 
 class LeaseClient:
@@ -74,7 +74,7 @@
         self.memory = GraceMemory(environment, replica.log)
         self.policies_in_force: tuple[str, ...] = ()  # as put in force at the node last
         self.valid_until = 0  # ns; requests may begin under these until then without another check
-        self._news = asyncio.Event()  # there is a later epoch to request a lease on
+        self._epoch_learned = asyncio.Event()  # there is a later epoch to request a lease on
         self._learning = asyncio.Lock()
         self._on_learned = on_learned
 
@@ -164,14 +164,14 @@
         """Request leases, round after round."""
         while True:
             before = self.leaseholder.effective_epoch
-            self._news.clear()
+            self._epoch_learned.clear()
             await self._round()
             now_effective = self.leaseholder.effective_epoch
             advanced = now_effective != before and now_effective is not None
-            if advanced or self._news.is_set():
+            if advanced or self._epoch_learned.is_set():
                 continue  # at once: voters release the lease before when they hear what is served under now
             elapsed = (self.clock() - self.leaseholder.requested_at) / SECOND
-            await wait_at_most(self._news, max(MIN_ROUND_INTERVAL, self._interval() - elapsed))
+            await wait_at_most(self._epoch_learned, max(MIN_ROUND_INTERVAL_S, self._interval() - elapsed))
 
     def _interval(self) -> float:
         """The time from the beginning of a round to the next one, seconds."""
@@ -187,22 +187,22 @@
         """Request a lease of all voters, until a quorum grants it, all have answered, or there is news."""
         self.leaseholder, request = self.leaseholder.begin_round(self.clock())
         body = messages.encode(self._lease_call(request))
-        limit = min(CALL_LIMIT, self.settings.lease_ns / SECOND / CALLS_PER_LEASE)
+        limit = min(CALL_LIMIT_S, self.settings.lease_ns / SECOND / REQUESTS_PER_LEASE)
         calls = {
             self.tasks.spawn(self._request(address, body, limit))
             for address in self.replica.voter_addresses(request.state)
         }
         waiting: set[asyncio.Task[Any]] = set(calls)
-        news = asyncio.get_running_loop().create_task(self._news.wait())
+        learned = asyncio.get_running_loop().create_task(self._epoch_learned.wait())
         try:
-            while waiting and not news.done():
-                _, waiting = await asyncio.wait({*waiting, news}, return_when=asyncio.FIRST_COMPLETED)
-                waiting.discard(news)
+            while waiting and not learned.done():
+                _, waiting = await asyncio.wait({*waiting, learned}, return_when=asyncio.FIRST_COMPLETED)
+                waiting.discard(learned)
                 holder = self.leaseholder
                 if holder.effective_epoch == request.state and has_quorum(holder.voter_sets, holder.grants):
                     break
         finally:
-            news.cancel()
+            learned.cancel()
 
     def _lease_call(self, request: LeaseRequest) -> messages.LeaseCall:
         why = Unserviceable(())
@@ -246,10 +246,10 @@
 
         source: the address of a process that has the policies.
         """
-        if self._knows(state):
+        if self._is_known(state):
             return
         async with self._learning:
-            if self._knows(state):
+            if self._is_known(state):
                 return
             voter_sets = await self._prepare(state, source)
             if voter_sets is None:
@@ -262,9 +262,9 @@
                 policies=list(policies_named(state)),
             )
             self._on_learned(state)
-        self._news.set()
+        self._epoch_learned.set()
 
-    def _knows(self, state: EpochState) -> bool:
+    def _is_known(self, state: EpochState) -> bool:
         latest = self.leaseholder.latest_epoch
         return latest is not None and state.epoch <= latest.epoch
 
--- a/hollybay/consensus/leaseholder.py
+++ b/hollybay/consensus/leaseholder.py
@@ -70,9 +70,9 @@
     def begin_round(self, now: int) -> tuple[Leaseholder, LeaseRequest]:
         """Request a lease of all voters; it is counted from now, before any of them has the request."""
         begun = self._replace(round_number=self.round_number + 1, requested_at=now, grants=frozenset())
-        serves = self.effective_epoch is not None and now < max(self.lease_end, self.grace_end)
+        is_serving = self.effective_epoch is not None and now < max(self.lease_end, self.grace_end)
         serving_epoch = (
-            self.effective_epoch.epoch if self.effective_epoch is not None and serves else NO_EPOCH
+            self.effective_epoch.epoch if self.effective_epoch is not None and is_serving else NO_EPOCH
         )
         can_serve_new = (
             self.latest_epoch is None
--- a/hollybay/consensus/log.py
+++ b/hollybay/consensus/log.py
@@ -29,15 +29,15 @@
 from .store import StoreError
 
 __all__ = [
-    "KEPT_STATES",
     "MAX_LOG_ENTRIES",
+    "MAX_STATES_IN_MEMORY",
     "SNAPSHOT_FLOOR_BYTES",
     "LogTruncatedError",
     "PolicyLog",
 ]
 
 # How many of the newest entries are kept in memory with the resources after them.
-KEPT_STATES = 32
+MAX_STATES_IN_MEMORY = 32
 # Old entries are removed at once when they take more bytes than a snapshot, and than this, or are so many.
 SNAPSHOT_FLOOR_BYTES = 64 << 10
 MAX_LOG_ENTRIES = 1024
@@ -72,11 +72,11 @@
         self,
         folder: Path,
         before_step: Callable[[str], None] = no_step,
-        kept_states: int = KEPT_STATES,
+        max_states_in_memory: int = MAX_STATES_IN_MEMORY,
         snapshot_floor_bytes: int = SNAPSHOT_FLOOR_BYTES,
     ) -> None:
         self.folder = folder
-        self.kept_states = kept_states
+        self.max_states_in_memory = max_states_in_memory
         self.snapshot_floor_bytes = snapshot_floor_bytes
         self._records = RecordFolder(folder, before_step)
         self._entries: dict[str, Entry] = {}
@@ -329,7 +329,7 @@
             newest = version_of(names[-1]) if names else 0
             for name in names:
                 entry = self._entries[name]
-                is_old = version_of(name) <= newest - self.kept_states and name not in needed_names
+                is_old = version_of(name) <= newest - self.max_states_in_memory and name not in needed_names
                 if is_old and entry.state is not None:
                     self._entries[name] = entry.without_state()
             if needed_names:
--- a/hollybay/consensus/log_fetch.py
+++ b/hollybay/consensus/log_fetch.py
@@ -19,6 +19,7 @@
 from hollybay.resources.state import ResourceState
 from hollybay.resources.wire import MAX_BATCH_BYTES, MAX_SNAPSHOT_BYTES
 
+from .http_status import GONE
 from .log import PolicyLog
 from .log_entry import Snapshot
 from .policy import PolicyVersion, RejectedError, decode_policy, version_of
@@ -32,7 +33,7 @@
 # The longest delta.
 MAX_DELTA_BYTES = 2 * MAX_BATCH_BYTES
 # HTTP status of a reply that the log does not reach back so far.
-LOG_TRUNCATED_STATUS = 410
+LOG_TRUNCATED_STATUS = GONE
 # How many deltas are requested, from ever older entries, before a snapshot is.
 MAX_DELTA_REQUESTS = 2
 # How many addresses' failures are remembered, and the longest text of one in characters.
--- a/hollybay/consensus/log_server.py
+++ b/hollybay/consensus/log_server.py
@@ -14,7 +14,7 @@
 __all__ = ["LogServer", "is_number"]
 
 # How long a reply that is longer than one chunk is cached for its further chunks.
-TRANSFER_CACHE_SECONDS = 10.0
+TRANSFER_CACHE_S = 10.0
 MAX_CACHED_TRANSFERS = 2
 MAX_NUMBER_DIGITS = 12
 
@@ -136,4 +136,4 @@
         while len(self._cached) >= MAX_CACHED_TRANSFERS:
             del self._cached[next(iter(self._cached))]
         self._cached[path] = _Reply(name, data)
-        asyncio.get_running_loop().call_later(TRANSFER_CACHE_SECONDS, self._cached.pop, path, None)
+        asyncio.get_running_loop().call_later(TRANSFER_CACHE_S, self._cached.pop, path, None)
--- a/hollybay/consensus/long_requests.py
+++ b/hollybay/consensus/long_requests.py
@@ -13,8 +13,8 @@
 
 __all__ = ["LongRequests"]
 
-RESPONSE_LIMIT = 1.0  # seconds after which a caller is told to come again
-RETRY_AFTER = 0.5  # seconds
+RESPONSE_LIMIT_S = 1.0  # seconds after which a caller is told to come again
+RETRY_AFTER_S = 0.5  # seconds
 MAX_LONG_REQUESTS = 4
 KEY_BYTES = 16
 
@@ -33,12 +33,12 @@
         if task is None:
             self._forget_done()
             if len(self._under_way) >= MAX_LONG_REQUESTS:
-                return busy("others are worked on", RETRY_AFTER)
+                return busy("others are worked on", RETRY_AFTER_S)
             # All of these are operators' requests for a change, and their rejections the same.
             task = self._under_way[key] = self.tasks.spawn(answered("found", work()))
-        await asyncio.wait({task}, timeout=RESPONSE_LIMIT)
+        await asyncio.wait({task}, timeout=RESPONSE_LIMIT_S)
         if not task.done():
-            return busy("it is worked on", RETRY_AFTER)
+            return busy("it is worked on", RETRY_AFTER_S)
         self._under_way.pop(key, None)
         return task.result()
 
--- a/hollybay/consensus/member_reports.py
+++ b/hollybay/consensus/member_reports.py
@@ -12,8 +12,8 @@
 
 __all__ = ["KnownMember", "MemberReports"]
 
-FORGET_AFTER = 600 * SECOND  # ns after which a process that requests no more is not shown any longer
-SWEEP_INTERVAL = SECOND  # ns
+FORGET_AFTER_NS = 600 * SECOND  # ns after which a process that requests no more is not shown any longer
+SWEEP_INTERVAL_NS = SECOND  # ns
 MAX_POLICIES = 16  # whose reports are kept
 
 _T = TypeVar("_T")
@@ -80,7 +80,7 @@
         )
         if request.state is not None and request.state.new and not request.can_serve_new:
             self._take_unserviceable(request.state.new, call)
-        if now - self._swept_at > SWEEP_INTERVAL:
+        if now - self._swept_at > SWEEP_INTERVAL_NS:
             self._swept_at = now
             self._forget_members(now)
 
@@ -107,7 +107,7 @@
     def _forget_members(self, now: int) -> None:
         """Forget processes that have not been in contact for long."""
         for process in [
-            process for process, member in self.members.items() if now - member.last_contact > FORGET_AFTER
+            process for process, member in self.members.items() if now - member.last_contact > FORGET_AFTER_NS
         ]:
             del self.members[process]
 
--- a/hollybay/consensus/message_fields.py
+++ b/hollybay/consensus/message_fields.py
@@ -10,12 +10,12 @@
 
 __all__ = [
     "FORM",
+    "MAX_CALL_BYTES",
     "MAX_CULPRITS",
     "MAX_CULPRIT_REASONS",
+    "MAX_REASONS",
+    "MAX_SERVERS",
     "MAX_VOTERS",
-    "MOST_CALL",
-    "MOST_OUT",
-    "MOST_REASONS",
     "PIECE_BYTES",
     "Address",
     "ChangeId",
@@ -34,11 +34,11 @@
 # many bytes.
 PIECE_BYTES = 256 << 10
 # The longest request, bytes: a piece in base64, and what stands around it.
-MOST_CALL = 4 * PIECE_BYTES // 3 + (64 << 10)
-MOST_REASONS = 20
+MAX_CALL_BYTES = 4 * PIECE_BYTES // 3 + (64 << 10)
+MAX_REASONS = 20
 MAX_CULPRITS = 64  # changes that a node names in one request
 MAX_CULPRIT_REASONS = 3  # why it cannot serve each of them
-MOST_OUT = 2000  # servers that one request names
+MAX_SERVERS = 2000  # servers that one request names
 
 MAX_VOTERS = 9  # that one request names
 
--- a/hollybay/consensus/messages.py
+++ b/hollybay/consensus/messages.py
@@ -14,10 +14,10 @@
 from .core import Accept, Accepted, EpochState, LeaseGrant, LeaseRequest, Prepare, Promise, Stage
 from .message_fields import (
     FORM,
+    MAX_CALL_BYTES,
     MAX_CULPRIT_REASONS,
     MAX_CULPRITS,
-    MOST_CALL,
-    MOST_REASONS,
+    MAX_REASONS,
     PIECE_BYTES,
     Address,
     ChangeId,
@@ -44,10 +44,10 @@
 
 __all__ = [
     "FORM",
+    "MAX_CALL_BYTES",
     "MAX_CULPRITS",
     "MAX_CULPRIT_REASONS",
-    "MOST_CALL",
-    "MOST_REASONS",
+    "MAX_REASONS",
     "PIECE_BYTES",
     "AcceptCall",
     "AcceptReply",
@@ -118,9 +118,7 @@
     address: Address
     lease: Nanoseconds
     grace: Nanoseconds
-    reasons: Annotated[list[Text], msgspec.Meta(max_length=MOST_REASONS)] = msgspec.field(
-        default_factory=list
-    )
+    reasons: Annotated[list[Text], msgspec.Meta(max_length=MAX_REASONS)] = msgspec.field(default_factory=list)
     culprits: Annotated[dict[ChangeId, CulpritReasons], msgspec.Meta(max_length=MAX_CULPRITS)] = (
         msgspec.field(default_factory=dict)
     )
--- a/hollybay/consensus/model_check.py
+++ b/hollybay/consensus/model_check.py
@@ -164,7 +164,7 @@
         self.voters: list[Acceptor] = world.known()
         self.nodes: tuple[Leaseholder, ...] = world.nodes
         self.ballot_number = highest_ballot_number(
-            [*(voter.promised for voter in self.voters), *(one.ballot for one in world.proposers)]
+            [*(voter.promised for voter in self.voters), *(proposer.ballot for proposer in world.proposers)]
         )
 
     def spread_latest(self) -> EpochState:
@@ -197,8 +197,8 @@
 
     def propose_after(self, latest: EpochState) -> None:
         """One proposer proposes the epoch that should follow."""
-        is_refused = any(latest.new in node.unserviceable_policies for node in self.nodes)
-        proposal = successors(latest)[-1 if is_refused else 0]
+        is_unserviceable = any(latest.new in node.unserviceable_policies for node in self.nodes)
+        proposal = successors(latest)[-1 if is_unserviceable else 0]
         self.ballot_number += 1
         proposer = Proposer(1, self.bounds.voter_sets_of(latest), proposal)
         proposer, prepare = proposer.begin_ballot(self.ballot_number)
@@ -207,8 +207,8 @@
         for k, voter in enumerate(self.voters):
             self.voters[k], promise = voter.on_prepare(prepare)
             if isinstance(promise, Promise):
-                proposer, asked = proposer.on_promise(promise)
-                accept = accept or asked
+                proposer, request = proposer.on_promise(promise)
+                accept = accept or request
         if accept is not None:
             self._collect_votes(proposer, accept)
 
@@ -243,9 +243,9 @@
 
 def _search(unserviceable: tuple[frozenset[str], ...], states: int, walks: int) -> Found:
     """Explore, then walk; the first violation, if there is one."""
-    began = time.monotonic()
+    started_at = time.monotonic()
     found = explore(Bounds(unserviceable=unserviceable), most=states)
-    rate = found.states / (time.monotonic() - began)
+    rate = found.states / (time.monotonic() - started_at)
     print(f"breadth first: {found.states} states, {found.depth} deep, {rate:.0f} a second")
     if found.fault:
         return found
--- a/hollybay/consensus/model_moves.py
+++ b/hollybay/consensus/model_moves.py
@@ -163,13 +163,13 @@
 
 def _node_restarted(world: World, n: int) -> World:
     node = world.nodes[n]
-    fresh = type(node)(
+    restarted = type(node)(
         node.number,
         round_number=node.round_number,
         unserviceable_policies=node.unserviceable_policies,
     )
     return world._replace(
-        nodes=replaced(world.nodes, n, fresh),
+        nodes=replaced(world.nodes, n, restarted),
         requests=replaced(world.requests, n, None),
         replies=replaced(world.replies, n, frozenset()),
         crashes=world.crashes + 1,
@@ -203,9 +203,10 @@
         if skips_joint and latest.stage is Stage.PREPARE:
             proposals.append(EpochState(latest.epoch + 1, Stage.SETTLED, latest.new))
         for proposal in proposals:
-            above = max(highest_ballot_number(voter.promised for voter in world.known()), proposer.ballot[0])
+            promised_number = highest_ballot_number(voter.promised for voter in world.known())
+            highest_number = max(promised_number, proposer.ballot[0])
             idle = proposer._replace(proposal=proposal, voter_sets=voter_sets, decided=None)
-            begun, prepare = idle.begin_ballot(above)
+            begun, prepare = idle.begin_ballot(highest_number)
             for part in quorums:
                 yield from _prepared(world, n, begun, prepare, part)
     if proposer.value is not None and proposer.decided is None:
--- a/hollybay/consensus/model_world.py
+++ b/hollybay/consensus/model_world.py
@@ -227,7 +227,7 @@
 
 def decide(world: World, state: EpochState) -> World:
     """The state once a quorum has voted for an epoch."""
-    known = next((one for one in world.decided if one.epoch == state.epoch), None)
+    known = next((decided for decided in world.decided if decided.epoch == state.epoch), None)
     if known is not None:
         return world if known == state else world._replace(fault=f"decided are {known} and {state}")
     if state.stage is Stage.JOINT:
--- a/hollybay/consensus/operator_messages.py
+++ b/hollybay/consensus/operator_messages.py
@@ -13,7 +13,7 @@
 
 from hollybay.resources.model import Problem
 
-from .message_fields import MAX_VOTERS, MOST_OUT, Address, Digest, Message, Name, Text, UploadId
+from .message_fields import MAX_SERVERS, MAX_VOTERS, Address, Digest, Message, Name, Text, UploadId
 
 __all__ = [
     "BootstrapCall",
@@ -80,7 +80,7 @@
     parent: Digest
     reason: Text
     author: Text = ""
-    servers_out: Annotated[list[Text], msgspec.Meta(max_length=MOST_OUT)] | None = None
+    servers_out: Annotated[list[Text], msgspec.Meta(max_length=MAX_SERVERS)] | None = None
     voters: Annotated[list[Address], msgspec.Meta(max_length=MAX_VOTERS)] | None = None
     upload: UploadId = ""
     like_policy: Name = ""
@@ -118,12 +118,14 @@
     file: str | None = None
     upload: UploadId = ""
     like_policy: Name = ""
-    servers_out: Annotated[list[Text], msgspec.Meta(max_length=MOST_OUT)] = msgspec.field(
+    servers_out: Annotated[list[Text], msgspec.Meta(max_length=MAX_SERVERS)] = msgspec.field(
+        default_factory=list
+    )
+    servers_in: Annotated[list[Text], msgspec.Meta(max_length=MAX_SERVERS)] = msgspec.field(
         default_factory=list
     )
-    servers_in: Annotated[list[Text], msgspec.Meta(max_length=MOST_OUT)] = msgspec.field(default_factory=list)
     partial: bool = False
-    delete: Annotated[list[Text], msgspec.Meta(max_length=MOST_OUT)] = msgspec.field(default_factory=list)
+    delete: Annotated[list[Text], msgspec.Meta(max_length=MAX_SERVERS)] = msgspec.field(default_factory=list)
 
 
 class DraftReply(Message, frozen=True):
--- a/hollybay/consensus/outgoing_requests.py
+++ b/hollybay/consensus/outgoing_requests.py
@@ -13,9 +13,9 @@
 from .policy import RejectedError
 from .requests import Transport, UnreachableError
 
-__all__ = ["CALL_LIMIT", "PeerClient"]
+__all__ = ["CALL_LIMIT_S", "PeerClient"]
 
-CALL_LIMIT = 1.0  # seconds that a call may take
+CALL_LIMIT_S = 1.0  # seconds that a call may take
 FIRST_ERROR_STATUS = 400  # from this HTTP status on an answer is a refusal or a failure
 
 _T = TypeVar("_T")
@@ -45,7 +45,7 @@
         self.local = local
         self.calls = 0  # that left this process
 
-    async def call(self, address: str, path: str, body: bytes | None, limit: float = CALL_LIMIT) -> bytes:
+    async def call(self, address: str, path: str, body: bytes | None, limit: float = CALL_LIMIT_S) -> bytes:
         """Send a request and return the body of the reply.
 
         Parameters
@@ -69,7 +69,7 @@
         self.calls += 1
         return await self.transport(address, path, body, limit)
 
-    async def reaches(self, address: str, path: str, body: bytes, limit: float = CALL_LIMIT) -> bool:
+    async def reaches(self, address: str, path: str, body: bytes, limit: float = CALL_LIMIT_S) -> bool:
         """Whether a request is answered within `limit` seconds, and without an error."""
         try:
             await self.call(address, path, body, limit)
@@ -78,7 +78,7 @@
         return True
 
     async def all_answers(
-        self, addresses: list[str], path: str, body: bytes | None, kind: type[_T], limit: float = CALL_LIMIT
+        self, addresses: list[str], path: str, body: bytes | None, kind: type[_T], limit: float = CALL_LIMIT_S
     ) -> list[tuple[str, _T]]:
         """All replies of a kind that come within `limit` seconds, with the addresses they came from."""
         return [reply async for reply in self.answers(addresses, path, body, kind, limit)]
--- a/hollybay/consensus/policy_requests.py
+++ b/hollybay/consensus/policy_requests.py
@@ -15,13 +15,14 @@
 from .core import EpochState, Stage
 from .durable_acceptor import DurableAcceptor
 from .environment import Environment
+from .http_status import ACCEPTED, UNPROCESSABLE
 from .interfaces import OperatorFileChanges, Response
 from .log_entry import Entry
 from .log_replica import LogReplica
 from .outgoing_requests import PeerClient
 from .policy import PolicyVersion, RejectedError, successor_policy
 from .reasons import texts_of
-from .replies import ACCEPTED, UNPROCESSABLE, ok, rejected
+from .replies import ok, rejected
 from .request_content import RequestContent
 from .requests import UnreachableError
 from .serviceability import Serviceability
@@ -162,8 +163,8 @@
             self.coordinator.take_over(change)
 
 
-def _voters(requested: list[str] | None, named_in_file: list[str] | None) -> list[str] | None:
+def _voters(requested: list[str] | None, voters_in_file: list[str] | None) -> list[str] | None:
     """The voters that a request names, by itself or in its file; None: as they are."""
-    if requested is not None and named_in_file is not None and set(requested) != set(named_in_file):
+    if requested is not None and voters_in_file is not None and set(requested) != set(voters_in_file):
         raise RejectedError("keepers: the file's [accord] names others")
-    return requested if requested is not None else named_in_file
+    return requested if requested is not None else voters_in_file
--- a/hollybay/consensus/proposals.py
+++ b/hollybay/consensus/proposals.py
@@ -18,7 +18,7 @@
 from .durable_acceptor import DurableAcceptor
 from .group_commit import ProposalQueue
 from .log import PolicyLog
-from .messages import MOST_REASONS, ChangeOutcome, ChangeReply
+from .messages import MAX_REASONS, ChangeOutcome, ChangeReply
 from .policy import RejectedError, version_of
 from .proposal_outcomes import InForce, OfferReply, Outcome, Pending, Rejected, UnderWay
 from .reasons import MemberReason, Reason
@@ -32,7 +32,7 @@
 
 def problems_of(reasons: Sequence[Reason]) -> tuple[Problem, ...]:
     """Reasons why nodes cannot serve a change, as problems of it."""
-    return tuple(Problem("change", "", str(reason)) for reason in reasons[:MOST_REASONS])
+    return tuple(Problem("change", "", str(reason)) for reason in reasons[:MAX_REASONS])
 
 
 @dataclass(slots=True)
@@ -113,7 +113,7 @@
         self._storage_full_until = self.clock() + STORAGE_RETRY_NS
 
     def reject_batch(
-        self, batch: Batch, named_changes: Mapping[str, Sequence[Reason]], reasons: Sequence[Reason]
+        self, batch: Batch, culprits: Mapping[str, Sequence[Reason]], reasons: Sequence[Reason]
     ) -> None:
         """The batch cannot be served: the changes that were named are rejected, the others wait again.
 
@@ -124,7 +124,7 @@
         reasons
             What nodes reported without naming a change.
         """
-        by_id = {bytes.fromhex(change_id): problems_of(named) for change_id, named in named_changes.items()}
+        by_id = {bytes.fromhex(change_id): problems_of(reasons) for change_id, reasons in culprits.items()}
         self.queue.batch_dropped(batch, by_id, self.clock(), problems_of(reasons))
 
     def batch_superseded(self, batch: Batch, policy: str) -> None:
@@ -170,13 +170,13 @@
 
     def _unserved(self, acceptor: DurableAcceptor, name: str, batch: Batch) -> None:
         """Reject the changes of a batch that nodes named; all, where a node can serve no new policy."""
-        named_changes = acceptor.reports.culprits.get(name, {})
+        culprits = acceptor.reports.culprits.get(name, {})
         reasons_for_all = acceptor.reports.cannot_serve_any.get(name)
         if reasons_for_all is not None:
-            named_changes = {change.id.hex(): reasons_for_all for change in batch.changes}
+            culprits = {change.id.hex(): reasons_for_all for change in batch.changes}
         reported = acceptor.reports.unserviceable.get(name, {})
-        reasons = [MemberReason(node, reason) for node, given in reported.items() for reason in given]
-        self.reject_batch(batch, named_changes, reasons)
+        reasons = [MemberReason(node, reason) for node, texts in reported.items() for reason in texts]
+        self.reject_batch(batch, culprits, reasons)
 
     # Status of a change
 
--- a/hollybay/consensus/proposer.py
+++ b/hollybay/consensus/proposer.py
@@ -53,9 +53,9 @@
     votes: frozenset[int] = frozenset()
     decided: EpochState | None = None
 
-    def begin_ballot(self, above: int) -> tuple[Proposer, Prepare]:
+    def begin_ballot(self, highest_number: int) -> tuple[Proposer, Prepare]:
         """Begin a round, with a ballot above a number that was seen."""
-        ballot = (above + 1, self.number)
+        ballot = (highest_number + 1, self.number)
         begun = self._replace(ballot=ballot, promises=(), value=None, votes=frozenset())
         return begun, Prepare(ballot, self.proposal.epoch - 1)
 
@@ -66,9 +66,9 @@
         if any(counted.voter == promise.voter for counted in self.promises):
             return self, None
         counted = self._replace(promises=(*self.promises, promise))
-        if not has_quorum(self.voter_sets, (one.voter for one in counted.promises)):
+        if not has_quorum(self.voter_sets, (received.voter for received in counted.promises)):
             return counted, None
-        accepted = [one.accepted for one in counted.promises if one.accepted is not None]
+        accepted = [received.accepted for received in counted.promises if received.accepted is not None]
         value = max(accepted)[1] if accepted else self.proposal
         return counted._replace(value=value), Accept(self.ballot, value)
 
--- a/hollybay/consensus/queries.py
+++ b/hollybay/consensus/queries.py
@@ -7,6 +7,7 @@
 from . import messages
 from .change_builder import format_operations, operations_to_match
 from .environment import Environment, run_on_disk
+from .http_status import NOT_FOUND, OK
 from .interfaces import Response
 from .log import LogTruncatedError
 from .log_entry import is_name
@@ -15,7 +16,7 @@
 from .log_server import LogServer
 from .messages import stage_label
 from .proposals import Proposals
-from .replies import NOT_FOUND, OK, ok, rejected
+from .replies import ok, rejected
 from .voter import Voter
 
 __all__ = ["Queries"]
--- a/hollybay/consensus/replies.py
+++ b/hollybay/consensus/replies.py
@@ -7,30 +7,19 @@
 from hollybay.resources.model import ChangeRejectedError
 
 from . import messages
+from .http_status import BAD_REQUEST, CONFLICT, INSUFFICIENT_STORAGE, OK, UNAVAILABLE, UNPROCESSABLE
 from .interfaces import InvalidFileError, Response
 from .policy import RejectedError
 from .reasons import NotPersisted
 from .store import StoreError
 
 __all__ = [
-    "ACCEPTED",
-    "CONFLICT",
-    "NOT_FOUND",
-    "UNPROCESSABLE",
     "answered",
     "busy",
     "ok",
     "rejected",
 ]
 
-OK = 200
-ACCEPTED = 202
-BAD_REQUEST = 400
-NOT_FOUND = 404
-CONFLICT = 409
-UNPROCESSABLE = 422
-UNAVAILABLE = 503
-INSUFFICIENT_STORAGE = 507
 # The requests of operators that ask for a change: a rejection is a conflict with what is in force.
 CHANGING_PATHS = frozenset({"found", "propose", "drop", "draft"})
 
--- a/hollybay/consensus/request_content.py
+++ b/hollybay/consensus/request_content.py
@@ -43,8 +43,8 @@
         """A change out of a request, in base64, or one that was uploaded before it."""
         if not upload:
             return messages.change_from(change)
-        whole = self.uploads.content(upload)
-        return await run_on_disk(self.environment.disk, lambda: messages.change_from_bytes(whole))
+        complete = self.uploads.content(upload)
+        return await run_on_disk(self.environment.disk, lambda: messages.change_from_bytes(complete))
 
     async def operations_to_match(self, state: ResourceState, name: str) -> tuple[Operation, ...]:
         """The operations that make the resources what they were after a policy."""
--- a/hollybay/consensus/requests.py
+++ b/hollybay/consensus/requests.py
@@ -8,7 +8,7 @@
 from . import messages
 from .policy import PolicyVersion, RejectedError
 
-__all__ = ["Transport", "UnreachableError", "fetch_policy"]
+__all__ = ["NO_ANSWER", "Transport", "UnreachableError", "fetch_policy"]
 
 NO_ANSWER = 0  # the status of a call that was not answered
 
--- a/hollybay/consensus/service.py
+++ b/hollybay/consensus/service.py
@@ -27,6 +27,7 @@
 from .durable_acceptor import Disk, DurableAcceptor
 from .durable_file import no_step
 from .environment import Environment
+from .http_status import NOT_FOUND, OK
 from .interfaces import DataPlane, MemberSettings, Response
 from .lease_client import LeaseClient
 from .log import PolicyLog
@@ -38,7 +39,7 @@
 from .policy_requests import PolicyRequests
 from .proposals import Proposals
 from .queries import Queries
-from .replies import NOT_FOUND, OK, answered, rejected
+from .replies import answered, rejected
 from .request_content import RequestContent
 from .requests import Transport
 from .status import keeper_status, node_status
@@ -276,9 +277,9 @@
     def _on_decided(self, acceptor: DurableAcceptor, state: EpochState) -> None:
         """The acceptor knows a later epoch to be decided."""
         if state.stage is Stage.SETTLED:
-            given_up = self.coordinator.end_drops()
+            dropped = self.coordinator.end_drops()
             self.tasks.spawn(self._prune(state))
-            self.proposals.epoch_settled(acceptor, state, given_up)
+            self.proposals.epoch_settled(acceptor, state, dropped)
         else:
             self.proposals.epoch_begun(state)
         acceptor.last_coordinated = self.clock()
--- a/hollybay/consensus/serviceability.py
+++ b/hollybay/consensus/serviceability.py
@@ -37,7 +37,7 @@
 
 def bounded_reasons(reasons: Iterable[Reason]) -> tuple[Reason, ...]:
     """Reasons within the bounds of a message."""
-    return bounded(reasons, messages.MOST_REASONS, MAX_REASON_LENGTH)
+    return bounded(reasons, messages.MAX_REASONS, MAX_REASON_LENGTH)
 
 
 class Serviceability:
--- a/hollybay/consensus/submission.py
+++ b/hollybay/consensus/submission.py
@@ -11,13 +11,13 @@
 from hollybay.resources.wire import encode_change
 
 from .cluster_view import ClusterView
+from .http_status import CONFLICT, INSUFFICIENT_STORAGE
 from .messages import ChangeCall, ChangeOutcome, ChangeReply, decode, encode
 from .policy import RejectedError
 from .reasons import ReportedReason
-from .requests import UnreachableError
+from .requests import NO_ANSWER, UnreachableError
 from .verdict import ExitStatus, Verdict, judge_settled
 from .voter_client import (
-    CONFLICT,
     MAX_INLINE_BYTES,
     POLL_INTERVAL_S,
     VoterClient,
@@ -30,7 +30,6 @@
 
 # How long a change may wait at one voter before it is offered to another one; no queue holds one so long.
 NEXT_VOTER_AFTER_S = 15.0
-INSUFFICIENT_STORAGE = 507
 _WAITING = (ChangeOutcome.QUEUED, ChangeOutcome.UNDER_WAY)
 
 
@@ -185,7 +184,7 @@
         wait_s = retry_after_s(error)
         if error.status:
             self._offered_to.discard(address)  # it has answered that it did not accept the change
-        if error.status in (0, INSUFFICIENT_STORAGE) or wait_s is not None:
+        if error.status in (NO_ANSWER, INSUFFICIENT_STORAGE) or wait_s is not None:
             self._retry_after_s = wait_s or 0.0
             return _OfferReaction.TRY_NEXT
         if error.status != CONFLICT:
--- a/hollybay/consensus/transfer.py
+++ b/hollybay/consensus/transfer.py
@@ -10,6 +10,8 @@
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass, field
 
+from hollybay.units import SECOND
+
 from .messages import PIECE_BYTES, Chunk, UploadCall, decode
 from .policy import RejectedError
 
@@ -19,7 +21,7 @@
 MAX_UPLOAD_BYTES = 64 << 20
 MAX_UPLOADS = 2
 # An upload without progress for so long is discarded.
-UPLOAD_IDLE_NS = 60_000_000_000
+UPLOAD_IDLE_NS = 60 * SECOND
 
 
 def chunk_at(name: str, data: bytes, offset: int) -> Chunk:
--- a/hollybay/consensus/verdict.py
+++ b/hollybay/consensus/verdict.py
@@ -16,7 +16,7 @@
 
 NOT_BEGUN = "not begun"
 _SETTLED = "SETTLED"
-_NARROW = "NARROW"
+_JOINT = "NARROW"
 
 
 class ExitStatus(IntEnum):
@@ -110,7 +110,7 @@
     """The policy that was in force after a change that began with an epoch; None: it is not known yet."""
     for following in (epoch + 1, epoch + 2):
         record = view.epochs.get(following)
-        if record is None or (record.stage == _NARROW and following == epoch + 1):
+        if record is None or (record.stage == _JOINT and following == epoch + 1):
             continue
         return record.policy
     return None
--- a/hollybay/consensus/voter.py
+++ b/hollybay/consensus/voter.py
@@ -19,7 +19,7 @@
 
 __all__ = ["Voter"]
 
-CATCH_UP_LIMIT = 0.3  # seconds for which other voters are asked for a later epoch
+CATCH_UP_LIMIT_S = 0.3  # seconds for which other voters are asked for a later epoch
 
 
 class Voter:
@@ -192,7 +192,7 @@
         assert acceptor.state is not None
         addresses = self.replica.other_voters(acceptor.state.decided)
         for address, reply in await self.peers.all_answers(
-            addresses, "tell", None, messages.KnowledgeReply, limit=CATCH_UP_LIMIT
+            addresses, "tell", None, messages.KnowledgeReply, limit=CATCH_UP_LIMIT_S
         ):
             if reply.decided is not None:
                 await self.acceptor_learns(reply.decided, address)
--- a/hollybay/consensus/voter_client.py
+++ b/hollybay/consensus/voter_client.py
@@ -12,6 +12,7 @@
 import msgspec
 
 from .cluster_view import ClusterView, parse_history, parse_status
+from .http_status import CONFLICT, UNAVAILABLE, UNPROCESSABLE
 from .messages import PIECE_BYTES, encode
 from .policy import PolicyVersion
 from .reasons import ReportedReason
@@ -36,18 +37,13 @@
 # How long a call that takes long is repeated.
 LONG_CALL_LIMIT_S = 300.0
 # How often in a row such a call may remain without an answer.
-MAX_SILENT_ATTEMPTS = 5
+MAX_UNANSWERED_ATTEMPTS = 5
 # The longest time that a voter may tell an operator to wait.
 MAX_RETRY_AFTER_S = 60.0
 # A longer file or change is uploaded in chunks.
 MAX_INLINE_BYTES = PIECE_BYTES // 2
 UPLOAD_ID_BYTES = 16
 
-# HTTP statuses of voters.
-CONFLICT = 409
-UNPROCESSABLE = 422
-UNAVAILABLE = 503
-
 T = TypeVar("T")
 # Makes a call, by address, path and body.
 Call = Callable[[str, str, bytes | None], Awaitable[bytes]]
@@ -166,15 +162,15 @@
         """Make a call that takes long: repeated while the voter works on it or is too busy to answer."""
         loop = asyncio.get_running_loop()
         deadline = loop.time() + LONG_CALL_LIMIT_S
-        silent_attempts = 0
+        unanswered_attempts = 0
         while True:
             try:
                 return await self.call(address, path, body)
             except UnreachableError as error:
                 wait_s = retry_after_s(error)
-                silent_attempts = silent_attempts + 1 if not error.status else 0
-                may_repeat = wait_s is not None or 0 < silent_attempts < MAX_SILENT_ATTEMPTS
-                if not may_repeat or loop.time() > deadline:
+                unanswered_attempts = unanswered_attempts + 1 if not error.status else 0
+                may_retry = wait_s is not None or 0 < unanswered_attempts < MAX_UNANSWERED_ATTEMPTS
+                if not may_retry or loop.time() > deadline:
                     raise
             await asyncio.sleep(wait_s or POLL_INTERVAL_S)
 
--- a/hollybay/hollow/node.py
+++ b/hollybay/hollow/node.py
@@ -15,7 +15,7 @@
 from hollybay.balancing.interface import Settings
 from hollybay.consensus.interfaces import MemberSettings, OperatorFileChanges
 from hollybay.consensus.log_entry import Entry
-from hollybay.consensus.messages import MOST_CALL
+from hollybay.consensus.messages import MAX_CALL_BYTES
 from hollybay.consensus.service import Service
 from hollybay.proxy.admin_client import call_policy
 from hollybay.proxy.admin_server import AdminResponse, AdminServer
@@ -50,7 +50,7 @@
         self._random = random.Random(f"{seed}/{name}")
         self._loop = asyncio.get_running_loop()
         self._listener = AdminServer(self._answer)
-        self._listener.max_policy_request_bytes = MOST_CALL
+        self._listener.max_policy_request_bytes = MAX_CALL_BYTES
         self._listener.max_connections = MAX_POLICY_CONNECTIONS
         self._listener.backlog = POLICY_BACKLOG
 
--- a/hollybay/proxy/admin_client.py
+++ b/hollybay/proxy/admin_client.py
@@ -12,13 +12,13 @@
 
 import h11
 
-from hollybay.consensus.messages import MOST_CALL
+from hollybay.consensus.messages import MAX_CALL_BYTES
 from hollybay.consensus.policy import RejectedError
 from hollybay.consensus.requests import UnreachableError
 
 __all__ = ["call_policy"]
 
-MAX_RESPONSE_BYTES = MOST_CALL
+MAX_RESPONSE_BYTES = MAX_CALL_BYTES
 POLICY_TARGET = "/-/policy"
 SUCCESS_STATUSES = frozenset({HTTPStatus.OK, HTTPStatus.ACCEPTED})
 
--- a/hollybay/proxy/consensus_setup.py
+++ b/hollybay/proxy/consensus_setup.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 
 from hollybay.consensus.interfaces import MemberSettings
-from hollybay.consensus.messages import MOST_CALL
+from hollybay.consensus.messages import MAX_CALL_BYTES
 from hollybay.proxy.downstream.listener import ClientListener
 from hollybay.routing.schema import AccordTable
 
@@ -84,7 +84,7 @@
     The admin server must not be open yet: its limits are raised to those of policy requests.
     """
     server = admin_service.server
-    server.max_policy_request_bytes = MOST_CALL
+    server.max_policy_request_bytes = MAX_CALL_BYTES
     server.max_connections = _max_connections(config.sockets)
     server.backlog = POLICY_BACKLOG
     member = ConsensusMember(settings, config.settings, operator_file.admission, admin_service)
--- a/tests/golden/build.py
+++ b/tests/golden/build.py
@@ -721,7 +721,7 @@
         accord = ConsensusMember.__new__(ConsensusMember)
         accord.service = _service(folder / "accord")
         desk.policy_handler = accord
-        desk.server.max_policy_request_bytes = words.MOST_CALL
+        desk.server.max_policy_request_bytes = words.MAX_CALL_BYTES
         sent = (
             _call_bytes("POST /-/servers/s-1/disable"),
             _call_bytes("GET /-/policy"),
@@ -765,7 +765,7 @@
     one, two, after = _policies()
     change = Change(UPLOAD_ID[:16].encode(), 2, "", "", (Upsert(Kind.DEFAULTS, "", 0, b"\x80"),))
     three, _ = successor_policy(two, after, (msgspec.structs.replace(change, reason="why", author="cy"),))
-    log = PolicyLog(folder, kept_states=1, snapshot_floor_bytes=0)
+    log = PolicyLog(folder, max_states_in_memory=1, snapshot_floor_bytes=0)
     log.open()
     for policy in (one, two):
         log.append(policy)
--- a/tests/test_accord_fetch.py
+++ b/tests/test_accord_fetch.py
@@ -78,7 +78,7 @@
 def test_a_delta_comes_where_the_log_reaches_and_a_snapshot_where_it_does_not(tmp_path: Path) -> None:
     policies = chain(30)
     last = policies[-1].name
-    others = Others(k=filled(tmp_path / "k", policies, kept_states=4, snapshot_floor_bytes=400))
+    others = Others(k=filled(tmp_path / "k", policies, max_states_in_memory=4, snapshot_floor_bytes=400))
     near = filled(tmp_path / "near", policies[:28])
     found, _ = bring(near, others, last, "k")
     assert found.policy == policies[-1].without_changes() and near.state(last) == state_of(policies)
@@ -151,7 +151,7 @@
 def test_a_false_snapshot_is_refused_and_another_keeper_is_asked(tmp_path: Path) -> None:
     policies, foreign = chain(30), chain(30, b"foreign")
     last = policies[-1].name
-    good = filled(tmp_path / "good", policies, kept_states=4, snapshot_floor_bytes=400)
+    good = filled(tmp_path / "good", policies, max_states_in_memory=4, snapshot_floor_bytes=400)
     others = Others(bad=good, good=good)
 
     def spoil(path: str, data: bytes) -> bytes:
@@ -213,7 +213,7 @@
             with pytest.raises(RejectedError, match="at most"):
                 run_download(answer, len(data) - 1)
         assert all(
-            len(messages.encode(answer(f"x/n/{at}"))) < messages.MOST_CALL
+            len(messages.encode(answer(f"x/n/{at}"))) < messages.MAX_CALL_BYTES
             for at in range(0, len(data), messages.PIECE_BYTES)
         )
 
--- a/tests/test_accord_log.py
+++ b/tests/test_accord_log.py
@@ -127,14 +127,14 @@
     policies = chain(12)
     with tempfile.TemporaryDirectory() as temporary:
         folder = Path(temporary) / "log"
-        filled(folder, policies, kept_states=4, snapshot_floor_bytes=1)
+        filled(folder, policies, max_states_in_memory=4, snapshot_floor_bytes=1)
         path = chance.choice(sorted(folder.iterdir()))
         data = path.read_bytes()
         at = chance.randrange(len(data))
         path.write_bytes(
             data[:at] if cut else data[:at] + bytes([data[at] ^ 1 << chance.randrange(8)]) + data[at + 1 :]
         )
-        log = opened(folder, kept_states=4, snapshot_floor_bytes=1)
+        log = opened(folder, max_states_in_memory=4, snapshot_floor_bytes=1)
         assert path.name in log.quarantined and not path.exists() and log.quarantined[path.name]
         assert any(one.name.startswith(f"{path.name}.") for one in folder.iterdir())
         # What is there is what was written; an entry whose resources cannot be made is not there.
@@ -173,7 +173,7 @@
             raise OSError(28, "No space left on device")
 
     policies = chain(8)
-    log = PolicyLog(tmp_path / "log", step, kept_states=2, snapshot_floor_bytes=1)
+    log = PolicyLog(tmp_path / "log", step, max_states_in_memory=2, snapshot_floor_bytes=1)
     log.open()
     for one in policies[:6]:
         log.append(one)
@@ -209,7 +209,7 @@
     for ends_at in range(1, 14):
         folder = tmp_path / f"log{ends_at}"
         steps = 0
-        log = PolicyLog(folder, step, kept_states=2, snapshot_floor_bytes=1)
+        log = PolicyLog(folder, step, max_states_in_memory=2, snapshot_floor_bytes=1)
         log.open()
         there = 0
         try:
@@ -219,18 +219,18 @@
                 log.prune([one.name])
         except Ended:
             pass
-        again = opened(folder, kept_states=2, snapshot_floor_bytes=1)
+        again = opened(folder, max_states_in_memory=2, snapshot_floor_bytes=1)
         assert not again.quarantined
         assert there == 0 or again.state(policies[there - 1].name) == state_of(policies[:there])
-        again = filled(folder, policies[there:], kept_states=2, snapshot_floor_bytes=1)
+        again = filled(folder, policies[there:], max_states_in_memory=2, snapshot_floor_bytes=1)
         assert again.state(policies[-1].name) == state_of(policies)
 
 
 def test_older_entries_give_way_to_a_snapshot_and_a_start_reads_it(tmp_path: Path) -> None:
     policies = chain(30)
     folder = tmp_path / "log"
-    log = filled(folder, policies, kept_states=4, snapshot_floor_bytes=400)
-    again = opened(folder, kept_states=4, snapshot_floor_bytes=400)
+    log = filled(folder, policies, max_states_in_memory=4, snapshot_floor_bytes=400)
+    again = opened(folder, max_states_in_memory=4, snapshot_floor_bytes=400)
     names = [one.name for one in policies]
     for one in (log, again):
         there = one.names()
@@ -241,7 +241,7 @@
     snapshots = [path.name for path in folder.iterdir() if path.name.endswith(".snapshot")]
     assert len(snapshots) == 1
     # What is needed stays, with its resources, however old it is.
-    needed = PolicyLog(tmp_path / "other", kept_states=2, snapshot_floor_bytes=1)
+    needed = PolicyLog(tmp_path / "other", max_states_in_memory=2, snapshot_floor_bytes=1)
     for one in policies[:12]:
         needed.append(one)
         needed.prune([names[2], one.name] if one.version > 2 else [one.name])
@@ -250,7 +250,7 @@
 
 def test_what_a_reader_lacks_is_a_delta_or_a_snapshot_where_the_log_does_not_reach(tmp_path: Path) -> None:
     policies = chain(30)
-    log = filled(tmp_path / "log", policies, kept_states=4, snapshot_floor_bytes=400)
+    log = filled(tmp_path / "log", policies, max_states_in_memory=4, snapshot_floor_bytes=400)
     last = policies[-1].name
     delta = parse_delta(log.encoded_delta(28, last))
     assert delta == policies[28:]
@@ -294,7 +294,7 @@
 ) -> None:
     monkeypatch.setattr("hollybay.consensus.log.MAX_LOG_ENTRIES", 8)
     policies = chain(40)
-    log = filled(tmp_path / "log", policies, kept_states=4, snapshot_floor_bytes=1 << 20)
+    log = filled(tmp_path / "log", policies, max_states_in_memory=4, snapshot_floor_bytes=1 << 20)
     assert len(log.names()) <= 8 + 4 + 1
     assert len(list((tmp_path / "log").iterdir())) <= 8 + 4 + 2
     assert opened(tmp_path / "log").state(policies[-1].name) == state_of(policies)
--- a/tests/test_accord_node.py
+++ b/tests/test_accord_node.py
@@ -193,7 +193,7 @@
                 ("GET /-/policy/file/../../etc/passwd", b"", 404, "no such call"),
                 ("GET /-/policy/entry/9-00000000000a", b"", 404, "no policy"),
                 ("PUT /-/policy", b"", 405, "GET and POST"),
-                ("POST /-/policy/propose", b"x" * (messages.MOST_CALL + 1), 413, "too long"),
+                ("POST /-/policy/propose", b"x" * (messages.MAX_CALL_BYTES + 1), 413, "too long"),
                 ("POST /-/drain", b"x" * 9000, 413, "too long"),
             ):
                 got, answer = await raw(accord, head, body)
