--- a/hollybay/consensus/group_commit.py
+++ b/hollybay/consensus/group_commit.py
@@ -24,7 +24,8 @@
 from itertools import takewhile
 
 from hollybay.resources.batch import Assembled, Batch, assemble
-from hollybay.resources.model import Change, ChangeRejectedError, Problem
+from hollybay.resources.model import CHANGE, Change, ChangeRejectedError, Problem
+from hollybay.resources.rejection_reasons import CannotBeServed, TooLarge
 from hollybay.resources.state import ResourceState
 from hollybay.resources.wire import encode_change
 
@@ -49,7 +50,7 @@
 __all__ = ["ProposalQueue"]
 
 # Why a change is rejected that was alone in a dropped batch, where no node gave a reason.
-CANNOT_BE_SERVED = Problem("change", "", "a node cannot serve it")
+CANNOT_BE_SERVED = Problem.because(CannotBeServed(), CHANGE)
 
 
 @dataclass(slots=True)
@@ -135,8 +136,8 @@
             return RejectedNow(error.problems)
         size = len(encode_change(change))
         if size > self.settings.max_change_bytes:
-            text = f"{size} bytes, {self.settings.max_change_bytes} at most"
-            return RejectedNow((Problem("change", "", text),))
+            reason = TooLarge(size, self.settings.max_change_bytes)
+            return RejectedNow((Problem.because(reason, CHANGE),))
         waiting_bytes = self.bytes - self._under_way_bytes
         wait = self._estimated_wait_ns(len(self._waiting) + 1, waiting_bytes + size, now)
         if self._is_full(size) or wait > self.settings.max_wait_ns:
--- a/hollybay/consensus/reasons.py
+++ b/hollybay/consensus/reasons.py
@@ -4,7 +4,7 @@
 the command line. The texts stand here and nowhere else, and tests/golden holds their bytes.
 
 What another process says is a `ReportedReason`, a text alone: it may come from another version of this code.
-Why a change of resources is rejected is a `hollybay.resources.model.Problem`: a resource, a field and a text.
+Why a change of resources is rejected is said by `hollybay.resources.rejection_reasons`.
 """
 
 from __future__ import annotations
--- a/hollybay/resources/__init__.py
+++ b/hollybay/resources/__init__.py
@@ -1,10 +1,11 @@
 """Configuration as typed, versioned resources; pure, no I/O, no clock, no global random source.
 
-model   resources, operations on them, changes (atomic sets of operations), why a change is rejected
-digest  the digest of a resource, and the order-independent digest of a set of resources
-state   all resources at one revision, as a persistent value; a change costs what it changes
-batch   the changes of one revision: assembled from proposals, and applied to a state
-wire    the bounded MessagePack encoding of changes, batches and snapshots
+model              resources, operations on them, changes (atomic sets of operations)
+digest             the digest of a resource, and the order-independent digest of a set of resources
+state              all resources at one revision, as a persistent value; a change costs what it changes
+batch              the changes of one revision: assembled from proposals, and applied to a state
+rejection_reasons  why a change is rejected, and the published texts
+wire               the bounded MessagePack encoding of changes, batches and snapshots
 
 Bodies are opaque here: `hollybay.routing` knows the tables that they hold and validates them.
 """
--- a/hollybay/resources/model.py
+++ b/hollybay/resources/model.py
@@ -7,7 +7,10 @@
 
 import msgspec
 
+from .rejection_reasons import Duplicate, Missing, MustBeEmpty, NotPlainText, RejectionReason
+
 __all__ = [
+    "CHANGE",
     "CHANGE_ID_BYTES",
     "MAX_BODY_BYTES",
     "MAX_NAME_LENGTH",
@@ -25,6 +28,8 @@
     "check_change",
 ]
 
+# How a problem names the change itself in place of a resource.
+CHANGE = "change"
 CHANGE_ID_BYTES = 16
 MAX_NAME_LENGTH = 253
 MAX_BODY_BYTES = 16 << 10
@@ -127,12 +132,17 @@
 
 
 class Problem(msgspec.Struct, frozen=True, array_like=True):
-    """Why a change is rejected: the resource, its field ("": all of it) and the reason."""
+    """Why a change is rejected, as published: the resource, its field ("": all of it), the reason's text."""
 
     resource: str
     field: str
     reason: str
 
+    @classmethod
+    def because(cls, reason: RejectionReason, resource: str, field: str = "") -> Problem:
+        """The problem of a resource, or of the change itself (`CHANGE`), for a reason."""
+        return cls(resource, field, str(reason))
+
     def __str__(self) -> str:
         return ": ".join(part for part in (self.resource, self.field, self.reason) if part)
 
@@ -157,14 +167,14 @@
     seen: set[Key] = set()
     for operation in change.operations:
         if operation.key in seen:
-            problems.append(Problem(str(operation.key), "", "stands twice in one change"))
+            problems.append(Problem.because(Duplicate(), str(operation.key)))
         seen.add(operation.key)
         problems += _operation_problems(operation)
     for field, text in (("reason", change.reason), ("author", change.author)):
         if not text.isprintable():
-            problems.append(Problem("change", field, "is no plain text"))
+            problems.append(Problem.because(NotPlainText(), CHANGE, field))
     if not change.reason.strip():
-        problems.append(Problem("change", "reason", "is missing"))
+        problems.append(Problem.because(Missing(), CHANGE, "reason"))
     if problems:
         raise ChangeRejectedError(tuple(problems))
 
@@ -174,9 +184,10 @@
     problems: list[Problem] = []
     key = operation.key
     if bool(key.name) == (key.kind in SINGLETONS):
-        problems.append(Problem(str(key), "name", "is missing" if not key.name else "must be empty"))
+        reason = MustBeEmpty() if key.name else Missing()
+        problems.append(Problem.because(reason, str(key), "name"))
     if not key.name.isprintable():
-        problems.append(Problem(key.kind.value, "name", "is no plain text"))
+        problems.append(Problem.because(NotPlainText(), key.kind.value, "name"))
     if isinstance(operation, Upsert) and key.kind is Kind.DRAINED_SERVER and operation.body:
-        problems.append(Problem(str(key), "body", "must be empty"))
+        problems.append(Problem.because(MustBeEmpty(), str(key), "body"))
     return problems
--- a/hollybay/resources/state.py
+++ b/hollybay/resources/state.py
@@ -15,7 +15,27 @@
     remove_from_set,
     resource_digest,
 )
-from .model import Change, ChangeRejectedError, Key, Kind, Operation, Problem, Resource, Upsert, check_change
+from .model import (
+    CHANGE,
+    Change,
+    ChangeRejectedError,
+    Key,
+    Kind,
+    Operation,
+    Problem,
+    Resource,
+    Upsert,
+    check_change,
+)
+from .rejection_reasons import (
+    AlreadyDecided,
+    BaseRevisionTooNew,
+    BaseRevisionTooOld,
+    RejectionReason,
+    ResourceExists,
+    ResourceMissing,
+    VersionConflict,
+)
 
 __all__ = ["EMPTY", "REMEMBERED_REVISIONS", "ResourceState", "restore_state"]
 
@@ -77,7 +97,7 @@
         """
         check_change(change)
         if change.id in self.revision_by_change_id:
-            raise ChangeRejectedError((Problem("change", "id", "was decided already"),))
+            raise ChangeRejectedError((Problem.because(AlreadyDecided(), CHANGE, "id"),))
         problems = self._revision_problems(change.base_revision)
         for operation in change.operations:
             problem = self._conflict(operation)
@@ -90,10 +110,11 @@
         """Why a change may not be made on a revision."""
         problems: list[Problem] = []
         if base_revision > self.revision:
-            problems.append(Problem("change", "made_on", f"{base_revision} is after {self.revision}"))
+            reason: RejectionReason = BaseRevisionTooNew(base_revision, self.revision)
+            problems.append(Problem.because(reason, CHANGE, "made_on"))
         if base_revision < self.revision - REMEMBERED_REVISIONS:
-            reason = f"{base_revision} is too long before {self.revision}"
-            problems.append(Problem("change", "made_on", reason))
+            reason = BaseRevisionTooOld(base_revision, self.revision)
+            problems.append(Problem.because(reason, CHANGE, "made_on"))
         return problems
 
     def _conflict(self, operation: Operation) -> Problem | None:
@@ -103,12 +124,12 @@
         if operation.base_version == present:
             return None
         if not present:
-            reason = f"was made on version {operation.base_version}, and there is no such resource"
+            reason: RejectionReason = ResourceMissing(operation.base_version)
         elif not operation.base_version:
-            reason = f"was made to create it, and version {present} is there"
+            reason = ResourceExists(present)
         else:
-            reason = f"was made on version {operation.base_version}, and {present} is there"
-        return Problem(str(operation.key), "version", reason)
+            reason = VersionConflict(operation.base_version, present)
+        return Problem.because(reason, str(operation.key), "version")
 
     def with_batch(self, changes: Iterable[Change], revision: int) -> ResourceState:
         """The state after a batch of changes, which are checked one after another.
--- a/tests/test_documentation_names.py
+++ b/tests/test_documentation_names.py
@@ -39,7 +39,6 @@
 OF_EARLIER_TREES = {
     "docs/ROADMAP.md": {
         "exchange.py": "now hollybay/proxy/request_dispatcher.py",
-        "DataPlane.say": "no longer a method of the interface",
         "deploy/sites/clinic-counter": "sites that were measured then",
         "deploy/sites/tram-tickets": "sites that were measured then",
         "Admission.sheds": "the name at the time of the entry",
