--- a/hollybay/consensus/log.py
+++ b/hollybay/consensus/log.py
@@ -1,7 +1,7 @@
 """The replicated log on disk: one entry after another, and from time to time a snapshot of the resources.
 
-Each entry is a record file under its name, and so is each snapshot (NAME.snapshot); see `record_folder`.
-Quarantined files count as absent and are fetched again from other processes.
+The files are those of `log_files`. Quarantined files count as absent and are fetched again from other
+processes.
 
 Entries form chains by the digests of their parents: the chain of decided entries, and beside it proposals
 that were dropped. An entry is appended only if the resources before it are here and its changes lead to the
@@ -19,13 +19,11 @@
 
 from hollybay.resources.batch import BatchMismatchError, apply_batch
 from hollybay.resources.state import EMPTY, ResourceState
-from hollybay.resources.wire import MAX_SNAPSHOT_BYTES
 
 from .durable_file import no_step
 from .log_entry import Entry, Snapshot, age_order, is_name
-from .policy import MAX_ENTRY_BYTES, PolicyVersion, RejectedError, decode_policy, version_of
-from .record import RecordIntegrity
-from .record_folder import RecordFolder
+from .log_files import LogFiles
+from .policy import PolicyVersion, RejectedError, version_of
 from .store import StoreError
 
 __all__ = [
@@ -41,9 +39,6 @@
 # Old entries are removed at once when they take more bytes than a snapshot, and than this, or are so many.
 SNAPSHOT_FLOOR_BYTES = 64 << 10
 MAX_LOG_ENTRIES = 1024
-_SNAPSHOT_SUFFIX = ".snapshot"
-# Suffix of a quarantined entry whose parent is not here.
-_ORPHAN = "orphan"
 
 
 class LogTruncatedError(Exception):
@@ -78,7 +73,7 @@
         self.folder = folder
         self.max_states_in_memory = max_states_in_memory
         self.snapshot_floor_bytes = snapshot_floor_bytes
-        self._records = RecordFolder(folder, before_step)
+        self._files = LogFiles(folder, before_step)
         self._entries: dict[str, Entry] = {}
         self._snapshot_sizes: dict[str, int] = {}  # bytes, by name
         self._lock = RLock()
@@ -86,7 +81,7 @@
     @property
     def quarantined(self) -> dict[str, str]:
         """Files that held no usable record, and why."""
-        return self._records.quarantined
+        return self._files.quarantined
 
     # Opening
 
@@ -100,54 +95,34 @@
         """
         with self._lock:
             try:
-                files = self._records.files()
-                snapshots = (
-                    file.removesuffix(_SNAPSHOT_SUFFIX) for file in sorted(files) if _is_snapshot(file)
-                )
+                snapshots, entries = self._files.list_all()
                 for name in snapshots:
                     self._open_snapshot(name)
-                for name in sorted(filter(is_name, files), key=age_order):
+                for name in entries:
                     self._open_entry(name)
             except OSError as error:
                 raise StoreError(f"{self.folder}: {error}") from None
 
     def _open_snapshot(self, name: str) -> None:
-        file = _snapshot_file(name)
-        data = self._records.read(file, MAX_SNAPSHOT_BYTES)
-        if data is None:
-            return
-        try:
-            policy, state = Snapshot.decode(data)
-        except RejectedError as error:
-            self._records.quarantine(file, RecordIntegrity.TORN.value, str(error))
-            return
-        if policy.name != name:
-            self._records.quarantine(file, RecordIntegrity.FOREIGN.value, f"it is {policy.name}")
-            return
-        self._add_snapshot(policy, state, len(data))
+        found = self._files.read_snapshot(name)
+        if found is not None:
+            self._add_snapshot(*found)
 
     def _open_entry(self, name: str) -> None:
-        data = self._records.read(name, MAX_ENTRY_BYTES)
-        if data is None:
-            return
-        try:
-            policy = decode_policy(data)
-            if policy.name != name:
-                raise RejectedError(f"it is {policy.name}")
-        except RejectedError as error:
-            self._records.quarantine(name, RecordIntegrity.TORN.value, str(error))
+        found = self._files.read_entry(name)
+        if found is None:
             return
+        policy, size_bytes = found
         with_snapshot = self._entries.get(name)
         if with_snapshot is not None:
-            self._entries[name] = with_snapshot.with_changes_of(policy, len(data))
+            self._entries[name] = with_snapshot.with_changes_of(policy, size_bytes)
             return
         try:
             state = self._state_after(policy)
         except RejectedError as error:
-            # Without its parent it is of no use; it is fetched again if it is needed.
-            self._records.quarantine(name, _ORPHAN, str(error))
+            self._files.quarantine_orphan(name, str(error))
             return
-        self._add_entry(policy, state, len(data))
+        self._add_entry(policy, state, size_bytes)
 
     # Reading
 
@@ -171,14 +146,7 @@
 
     def read_entry(self, name: str) -> PolicyVersion | None:
         """A policy with its changes, from the disk; None: it is not there. Reads a file."""
-        if not is_name(name):
-            return None
-        try:
-            data = self._records.read(name, MAX_ENTRY_BYTES)
-            policy = decode_policy(data) if data is not None else None
-        except (OSError, RejectedError):
-            return None
-        return policy if policy is not None and policy.name == name else None
+        return self._files.find_entry(name) if is_name(name) else None
 
     # Appending
 
@@ -198,9 +166,7 @@
             if present is not None:
                 return present
             state = self._state_after(policy)
-            data = msgspec.msgpack.encode(policy)
-            self._records.write(policy.name, data, MAX_ENTRY_BYTES)
-            return self._add_entry(policy, state, len(data))
+            return self._add_entry(policy, state, self._files.write_entry(policy))
 
     def install_snapshot(
         self, data: bytes, parsed: tuple[PolicyVersion, ResourceState] | None = None
@@ -224,7 +190,7 @@
             present = self._entries.get(policy.name)
             if present is not None and present.state is not None:
                 return present
-            self._records.write(_snapshot_file(policy.name), data, MAX_SNAPSHOT_BYTES)
+            self._files.write_snapshot(policy.name, data)
             return self._add_snapshot(policy, state, len(data))
 
     def _add_entry(self, policy: PolicyVersion, state: ResourceState, size_bytes: int) -> Entry:
@@ -267,7 +233,7 @@
         """
         encoded = []
         for entry in self._chain_since(version, name):
-            data = self._read_or_none(entry.policy.name, MAX_ENTRY_BYTES)
+            data = self._files.entry_bytes(entry.policy.name)
             if data is None:
                 raise LogTruncatedError(f"{entry.policy.name} cannot be read here")
             encoded.append(msgspec.Raw(data))
@@ -298,18 +264,12 @@
         while entry is not None:
             at = entry.policy.name
             if at in self._snapshot_sizes:
-                data = self._read_or_none(_snapshot_file(at), MAX_SNAPSHOT_BYTES)
+                data = self._files.snapshot_bytes(at)
                 if data is not None:
                     return at, data
             entry = self._entries.get(entry.policy.parent_name)
         raise LogTruncatedError(f"no snapshot at or before {name} here")
 
-    def _read_or_none(self, file: str, max_bytes: int) -> bytes | None:
-        try:
-            return self._records.read(file, max_bytes)
-        except OSError:
-            return None
-
     # Compaction
 
     def prune(self, needed: Iterable[str]) -> None:
@@ -349,10 +309,12 @@
             if not self._is_snapshot_worth_it(older):
                 return
             data = Snapshot.encode(base.policy, base.state)
-            self._records.write(_snapshot_file(at), data, MAX_SNAPSHOT_BYTES)
+            self._files.write_snapshot(at, data)
             self._snapshot_sizes[at] = len(data)
         for other in older:
-            self._remove(other)
+            del self._entries[other]
+            self._snapshot_sizes.pop(other, None)
+            self._files.remove(other)
 
     def _oldest_with_state(self, entry: Entry) -> Entry:
         while True:
@@ -370,17 +332,3 @@
             freed_bytes > max(largest_snapshot_bytes, self.snapshot_floor_bytes)
             or len(older) > MAX_LOG_ENTRIES
         )
-
-    def _remove(self, name: str) -> None:
-        del self._entries[name]
-        self._snapshot_sizes.pop(name, None)
-        self._records.remove(_snapshot_file(name))
-        self._records.remove(name)
-
-
-def _snapshot_file(name: str) -> str:
-    return f"{name}{_SNAPSHOT_SUFFIX}"
-
-
-def _is_snapshot(file: str) -> bool:
-    return file.endswith(_SNAPSHOT_SUFFIX) and is_name(file.removesuffix(_SNAPSHOT_SUFFIX))
--- /dev/null
+++ b/hollybay/consensus/log_files.py
@@ -0,0 +1,134 @@
+"""The files of the replicated log: an entry is a record under its name, a snapshot one under NAME.snapshot.
+
+What is read is verified by itself; whether an entry follows another one is for `log.PolicyLog`. A file that
+holds nothing usable is quarantined, see `record_folder`.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from pathlib import Path
+
+import msgspec
+
+from hollybay.resources.state import ResourceState
+from hollybay.resources.wire import MAX_SNAPSHOT_BYTES
+
+from .log_entry import Snapshot, age_order, is_name
+from .policy import MAX_ENTRY_BYTES, PolicyVersion, RejectedError, decode_policy
+from .record import RecordIntegrity
+from .record_folder import RecordFolder
+
+__all__ = ["LogFiles"]
+
+_SNAPSHOT_SUFFIX = ".snapshot"
+# Suffix of a quarantined entry whose parent is not here.
+_ORPHAN_SUFFIX = "orphan"
+
+
+class LogFiles:
+    """Entries and snapshots in a folder, by the names of their policies.
+
+    Parameters
+    ----------
+    folder, before_step
+        As in `record_folder.RecordFolder`.
+    """
+
+    def __init__(self, folder: Path, before_step: Callable[[str], None]) -> None:
+        self._records = RecordFolder(folder, before_step)
+
+    @property
+    def quarantined(self) -> dict[str, str]:
+        """Files that held nothing usable, and why."""
+        return self._records.quarantined
+
+    def list_all(self) -> tuple[list[str], list[str]]:
+        """The names of all snapshots, and of all entries, the oldest first. OSError: they cannot be read."""
+        files = self._records.files()
+        snapshots = [file.removesuffix(_SNAPSHOT_SUFFIX) for file in sorted(files) if _is_snapshot(file)]
+        return snapshots, sorted(filter(is_name, files), key=age_order)
+
+    # Reading
+
+    def read_snapshot(self, name: str) -> tuple[PolicyVersion, ResourceState, int] | None:
+        """A snapshot and its size in bytes; None: it is quarantined. OSError: it cannot be read."""
+        file = _snapshot_file(name)
+        data = self._records.read(file, MAX_SNAPSHOT_BYTES)
+        if data is None:
+            return None
+        try:
+            policy, state = Snapshot.decode(data)
+        except RejectedError as error:
+            self._records.quarantine(file, RecordIntegrity.TORN.value, str(error))
+            return None
+        if policy.name != name:
+            self._records.quarantine(file, RecordIntegrity.FOREIGN.value, f"it is {policy.name}")
+            return None
+        return policy, state, len(data)
+
+    def read_entry(self, name: str) -> tuple[PolicyVersion, int] | None:
+        """An entry and its size in bytes; None: it is quarantined. OSError: it cannot be read."""
+        data = self._records.read(name, MAX_ENTRY_BYTES)
+        if data is None:
+            return None
+        try:
+            policy = decode_policy(data)
+            if policy.name != name:
+                raise RejectedError(f"it is {policy.name}")
+        except RejectedError as error:
+            self._records.quarantine(name, RecordIntegrity.TORN.value, str(error))
+            return None
+        return policy, len(data)
+
+    def find_entry(self, name: str) -> PolicyVersion | None:
+        """An entry; None: no file holds it."""
+        data = self.entry_bytes(name)
+        try:
+            policy = decode_policy(data) if data is not None else None
+        except RejectedError:
+            return None
+        return policy if policy is not None and policy.name == name else None
+
+    def entry_bytes(self, name: str) -> bytes | None:
+        """An encoded entry; None: it cannot be read."""
+        return self._read_or_none(name, MAX_ENTRY_BYTES)
+
+    def snapshot_bytes(self, name: str) -> bytes | None:
+        """An encoded snapshot; None: it cannot be read."""
+        return self._read_or_none(_snapshot_file(name), MAX_SNAPSHOT_BYTES)
+
+    def _read_or_none(self, file: str, max_bytes: int) -> bytes | None:
+        try:
+            return self._records.read(file, max_bytes)
+        except OSError:
+            return None
+
+    # Writing
+
+    def write_entry(self, policy: PolicyVersion) -> int:
+        """Write an entry; its size in bytes. StoreError: it may not be on the disk."""
+        data = msgspec.msgpack.encode(policy)
+        self._records.write(policy.name, data, MAX_ENTRY_BYTES)
+        return len(data)
+
+    def write_snapshot(self, name: str, data: bytes) -> None:
+        """Write an encoded snapshot. StoreError: it may not be on the disk."""
+        self._records.write(_snapshot_file(name), data, MAX_SNAPSHOT_BYTES)
+
+    def quarantine_orphan(self, name: str, reason: str) -> None:
+        """An entry without its parent is of no use; it is fetched again if it is needed."""
+        self._records.quarantine(name, _ORPHAN_SUFFIX, reason)
+
+    def remove(self, name: str) -> None:
+        """Remove the snapshot and the entry of a name, where they are there."""
+        self._records.remove(_snapshot_file(name))
+        self._records.remove(name)
+
+
+def _snapshot_file(name: str) -> str:
+    return f"{name}{_SNAPSHOT_SUFFIX}"
+
+
+def _is_snapshot(file: str) -> bool:
+    return file.endswith(_SNAPSHOT_SUFFIX) and is_name(file.removesuffix(_SNAPSHOT_SUFFIX))
--- /dev/null
+++ b/hollybay/consensus/message_codec.py
@@ -0,0 +1,85 @@
+"""Encoding and decoding of messages, and the published names of stages."""
+
+from __future__ import annotations
+
+from typing import TypeVar
+
+import msgspec
+
+from .core import EpochState, Stage
+from .message_fields import FORM
+from .policy import RejectedError
+from .protocol_messages import (
+    AcceptCall,
+    AcceptReply,
+    DecidedNotice,
+    HistoryEntry,
+    KnowledgeReply,
+    LeaseCall,
+    LeaseReply,
+    PrepareReply,
+)
+
+__all__ = ["decode", "encode", "stage_label"]
+
+# The published names of the stages.
+_STAGE_LABELS = {Stage.SETTLED: "SETTLED", Stage.PREPARE: "PREPARE", Stage.JOINT: "NARROW"}
+
+_T = TypeVar("_T")
+
+
+def encode(message: object) -> bytes:
+    """A message as it is sent."""
+    return msgspec.json.encode(message)
+
+
+def decode(data: bytes, kind: type[_T]) -> _T:
+    """A message of a kind that was received.
+
+    Raises
+    ------
+    RejectedError
+        It is none, of another version, or names an epoch that cannot be.
+    """
+    try:
+        found: _T = msgspec.json.decode(data, type=kind)
+    except (msgspec.DecodeError, RecursionError) as error:
+        raise RejectedError(f"no such words: {error}") from None
+    form = getattr(found, "form", FORM)
+    if form != FORM:
+        raise RejectedError(f"form: {form}, and this build speaks {FORM}")
+    for state in _received_states(found):
+        if not _is_well_formed(state):
+            raise RejectedError(f"state: {_shown(state)} is none")
+    return found
+
+
+def _received_states(message: object) -> list[EpochState]:
+    """The epochs that a message names, but for those in promises and votes, which only repeat sent ones."""
+    candidates: list[EpochState | None] = []
+    match message:
+        case DecidedNotice() | HistoryEntry():
+            candidates.append(message.state)
+        case LeaseCall():
+            candidates.append(message.request.state)
+        case AcceptCall():
+            candidates.append(message.accept.state)
+        case LeaseReply() | PrepareReply() | AcceptReply() | KnowledgeReply():
+            candidates.append(message.decided)
+    return [state for state in candidates if state is not None]
+
+
+def _is_well_formed(state: EpochState) -> bool:
+    """Whether an epoch can be one at all."""
+    return state.epoch >= 0 and bool(state.new) == (state.stage is not Stage.SETTLED) and state.policy != ""
+
+
+def stage_label(stage: Stage) -> str:
+    """The published name of a stage, in status, history and logs."""
+    return _STAGE_LABELS[stage]
+
+
+def _shown(state: EpochState) -> str:
+    """An epoch in the text of a rejection."""
+    stage = f"<Stage.{stage_label(state.stage)}: {state.stage.value}>"
+    return f"EpochState(epoch={state.epoch}, stage={stage}, policy={state.policy!r}, new={state.new!r})"
