--- a/benchmarks/capacity/streams.py
+++ b/benchmarks/capacity/streams.py
@@ -142,7 +142,7 @@
         found = await running.became_of(change)
         if found.outcome is ChangeOutcome.IN_FORCE:
             return version_of(found.policy)
-        if found.outcome is ChangeOutcome.REFUSED:
+        if found.outcome is ChangeOutcome.REJECTED:
             raise FleetFailed(f"change {number} was refused: {found.problems}")
         await asyncio.sleep(LOOK_S)
     return None
--- a/hollybay/consensus/batch_model.py
+++ b/hollybay/consensus/batch_model.py
@@ -14,7 +14,8 @@
 from immutables import Map
 
 from hollybay.resources.batch import Batch, BatchMismatchError, apply_batch
-from hollybay.resources.model import Change, Problem
+from hollybay.resources.model import CHANGE, Change, Problem
+from hollybay.resources.rejection_reasons import CannotBeServed
 from hollybay.resources.state import EMPTY, ResourceState
 
 from .batch_model_log import BatchLog
@@ -28,6 +29,7 @@
     "Delivery",
     "Epoch",
     "ModelState",
+    "Move",
     "Node",
     "Parts",
     "Proposer",
@@ -38,7 +40,7 @@
 ]
 
 # Why nodes cannot serve a bad change.
-CANNOT = (Problem("change", "", "a node cannot serve it"),)
+CANNOT = (Problem.because(CannotBeServed(), CHANGE),)
 # The size that each batch has in the log of a voter, and its bound: it is bounded by number alone.
 BATCH_BYTES = 1
 MAX_LOG_BYTES = 1 << 20
@@ -208,6 +210,10 @@
     return int.from_bytes(change_id, "big")
 
 
+# The name of a move, and what it does.
+Move = tuple[str, Callable[[], None]]
+
+
 class ModelState:
     """Everything at one moment of a walk."""
 
--- a/hollybay/consensus/batch_model_check.py
+++ b/hollybay/consensus/batch_model_check.py
@@ -14,9 +14,9 @@
 
 from hollybay.resources.batch import BatchMismatchError
 
-from .batch_model import Bounds, Parts
+from .batch_model import Bounds, Move, Parts
 from .batch_model_invariants import InvariantError, check_state
-from .batch_model_moves import Move, World
+from .batch_model_moves import World
 
 __all__ = ["WEIGHTS", "Walk", "walk"]
 
--- a/hollybay/consensus/batch_model_moves.py
+++ b/hollybay/consensus/batch_model_moves.py
@@ -1,58 +1,36 @@
 """The moves of the model check of group commit: all that may happen, with faults, and an end without.
 
-Answers are lost, proposals are repeated at other voters, batches lose to others, voters die with their
-queues, and nodes receive deltas and snapshots late, twice, out of order and from several voters.
+Batches lose to others, and voters die with their queues; see `batch_model_proposers` and `batch_model_nodes`
+for what the others do.
 """
 
 from __future__ import annotations
 
-from collections.abc import Callable, Iterator
+from collections.abc import Iterator
 from functools import partial
 
-from hollybay.resources.batch import Batch, BatchMismatchError, apply_batch
-from hollybay.resources.model import CHANGE_ID_BYTES, Change, Delete, Key, Kind, Operation, Upsert
-from hollybay.resources.state import ResourceState
+from hollybay.resources.batch import Batch, apply_batch
 
-from .batch_model import (
-    CANNOT,
-    Delivery,
-    Epoch,
-    ModelState,
-    Node,
-    Proposer,
-    Voter,
-    ids_of,
-    number_of,
-)
+from .batch_model import CANNOT, Epoch, Move, Voter, ids_of, number_of
 from .batch_model_invariants import (
     check_complete,
     check_queue_rejection,
     check_state,
-    check_verdict,
     require,
 )
-from .proposal_outcomes import Busy, InForce, Outcome, Queued, Rejected, RejectedNow, UnderWay, Unknown
+from .batch_model_nodes import NodeMoves, delivery_from
+from .batch_model_proposers import ProposerMoves
+from .proposal_outcomes import Rejected
 
-__all__ = ["Move", "World"]
+__all__ = ["World"]
 
-# The names of all routes.
-NAMES = ("a", "b")
 # How many events the end of a walk, without faults, may need for each change; many more than it does.
 ROUNDS_FOR_EACH = 40
-# How many deliveries may be on their way to one node.
-INBOX = 4
-# How often a change deletes a resource that exists, a voter learns which changes nodes named, a batch of a
-# mixed delivery gets lost, and a delivery arrives only once.
-DELETE_PROBABILITY = 0.5
+# How often a voter learns which changes nodes named.
 NAMING_PROBABILITY = 0.6
-LOST_BATCH_PROBABILITY = 0.5
-SINGLE_DELIVERY_PROBABILITY = 0.7
-
-# The name of a move, and what it does.
-Move = tuple[str, Callable[[], None]]
 
 
-class World(ModelState):
+class World(ProposerMoves, NodeMoves):
     """A model state, and all that may happen next."""
 
     # Moves
@@ -60,27 +38,17 @@
     def moves(self) -> Iterator[Move]:
         """All that may happen now; the first word of each name is its kind."""
         if len(self.proposers) < self.bounds.changes:
-            yield "think", self._make_change
+            yield "think", self.make_change
         if self.epochs and not self.epochs[-1].settled:
             yield "settle", self._settle
         for voter in self.voters:
             if voter.alive:
-                yield from self._proposer_moves(voter)
+                yield from self.proposer_moves(voter)
                 yield from self._voter_moves(voter)
             else:
                 yield f"return keeper {voter.number}", partial(self._restart_voter, voter)
         for node in self.nodes:
-            yield from self._node_moves(node)
-
-    def _proposer_moves(self, voter: Voter) -> Iterator[Move]:
-        for proposer in self.proposers:
-            if proposer.is_answered:
-                continue
-            if proposer.offers < self.bounds.offers:
-                yield "offer", partial(self._offer, proposer, voter, is_reply_received=True)
-                yield "offer-unheard", partial(self._offer, proposer, voter, is_reply_received=False)
-            if voter.number in proposer.answers:
-                yield "ask", partial(self._poll, proposer, voter)
+            yield from self.node_moves(node)
 
     def _voter_moves(self, voter: Voter) -> Iterator[Move]:
         may_crash = self.crashes < self.bounds.crashes
@@ -97,70 +65,6 @@
         if may_crash:
             yield "crash", partial(self._crash, voter)
 
-    def _node_moves(self, node: Node) -> Iterator[Move]:
-        for voter in self.voters:
-            if voter.alive and voter.state.revision:
-                yield "send", partial(self._send, node, voter)
-                yield "mix", partial(self._send_mixed, node, voter)
-        if node.inbox:
-            yield "receive", partial(self._receive, node)
-        if node.stored.revision < node.replica.state.revision:
-            yield "store", partial(self._store, node)
-            yield "restart", partial(self._restart_node, node)
-
-    # Proposers
-
-    def _make_change(self) -> None:
-        """A proposer makes a change on the state that some voter knows."""
-        state = self.random.choice(self.voters).state
-        name = self.random.choice(NAMES)
-        there = state.resources.get(Key(Kind.ROUTE, name))
-        if there is not None and self.random.random() < DELETE_PROBABILITY:
-            operation: Operation = Delete(Kind.ROUTE, name, there.version)
-        else:
-            base = there.version if there is not None else 0
-            operation = Upsert(Kind.ROUTE, name, base, b"%d" % len(self.proposers))
-        change_id = len(self.proposers).to_bytes(CHANGE_ID_BYTES, "big")
-        change = Change(change_id, state.revision, "why", "who", (operation,))
-        self.proposers.append(Proposer(change, self.random.random() < self.bounds.bad))
-
-    def _offer(self, proposer: Proposer, voter: Voter, is_reply_received: bool) -> None:
-        """A change is offered to a voter; is_reply_received: whether its answer arrives."""
-        proposer.offers += 1
-        if self.parts.voids_answers:
-            proposer.answers[voter.number] = Unknown()
-        proposer.answers.setdefault(voter.number, Unknown())
-        if proposer.change.base_revision > voter.state.revision:
-            return  # a voter that is behind sends proposers away
-        answer = voter.queue.offer(proposer.change, self.seen(voter.state), self.now)
-        if isinstance(answer, Queued):
-            voter.accepted.add(proposer.change.id)
-        if not is_reply_received or isinstance(answer, Busy):
-            return
-        outcome = self._outcome(voter, proposer.change.id)
-        if isinstance(answer, RejectedNow) and not isinstance(outcome, InForce):
-            outcome = Rejected(answer.problems)
-        self._receive_answer(proposer, voter, outcome)
-
-    def _poll(self, proposer: Proposer, voter: Voter) -> None:
-        """A proposer asks a voter for the outcome of its change."""
-        self._receive_answer(proposer, voter, self._outcome(voter, proposer.change.id))
-
-    def _outcome(self, voter: Voter, change_id: bytes) -> Outcome:
-        """The outcome of a change as a voter knows it: by epochs first, then by its queue."""
-        revision = voter.state.revision_of(change_id)
-        if revision is not None:
-            return InForce(revision)
-        last = self.epochs[voter.known_epochs - 1] if voter.known_epochs else None
-        if last is not None and not last.settled and change_id in ids_of(last.batch):
-            return UnderWay(last.batch.revision)
-        return voter.queue.outcome(change_id, self.now)
-
-    def _receive_answer(self, proposer: Proposer, voter: Voter, outcome: Outcome) -> None:
-        proposer.answers[voter.number] = outcome
-        proposer.verdict = self.parts.verdict(list(proposer.answers.values()))
-        check_verdict(self, proposer)
-
     # Voters
 
     def _may_form_batch(self, voter: Voter) -> bool:
@@ -261,45 +165,6 @@
         voter.queue = self.parts.queue(self.bounds.settings)
         voter.accepted = set()
 
-    # Nodes
-
-    def _send(self, node: Node, voter: Voter) -> None:
-        """A voter answers what a node lacks, from the revision that it had when it asked."""
-        node.inbox.append(delivery_from(voter, node.replica.state.revision))
-        del node.inbox[:-INBOX]
-
-    def _send_mixed(self, node: Node, voter: Voter) -> None:
-        """The node asks one voter for a snapshot and another one for what it lacks, or a batch gets lost."""
-        other = self.random.choice([candidate for candidate in self.voters if candidate.alive])
-        batches = list(delivery_from(voter, node.replica.state.revision).batches)
-        snapshot: ResourceState | None = other.snapshot
-        if batches and self.random.random() < LOST_BATCH_PROBABILITY:
-            del batches[self.random.randrange(len(batches))]
-            snapshot = None
-        node.inbox.append(Delivery(snapshot, tuple(batches)))
-        del node.inbox[:-INBOX]
-
-    def _receive(self, node: Node) -> None:
-        """A delivery arrives; it may arrive again."""
-        index = self.random.randrange(len(node.inbox))
-        delivery = node.inbox[index]
-        if self.random.random() < SINGLE_DELIVERY_PROBABILITY:
-            del node.inbox[index]
-        before = node.replica.state.revision
-        try:
-            node.replica.receive(delivery)
-        except BatchMismatchError:
-            require(node.replica.state.revision == before, f"node {node.number} took in half of a delivery")
-        after = node.replica.state.revision
-        require(after >= before, f"node {node.number} went back from {before} to {after}")
-
-    def _store(self, node: Node) -> None:
-        node.stored = node.replica.state
-
-    def _restart_node(self, node: Node) -> None:
-        """A node dies and starts from its disk; what was on its way may still arrive."""
-        node.replica = self.parts.replica(node.stored)
-
     # The end
 
     def finish(self) -> None:
@@ -327,7 +192,7 @@
             while voter.known_epochs < len(self.epochs):
                 self._learn(voter, names=False)
         for proposer in self.proposers:
-            self._poll_all(proposer)
+            self.poll_all(proposer)
         for voter in self.voters:
             if self._may_form_batch(voter):
                 self._form_batch(voter)
@@ -336,19 +201,3 @@
         check_state(self)
         open_ones = any(proposer.answers and not proposer.is_answered for proposer in self.proposers)
         return open_ones or any(voter.known_epochs < len(self.epochs) for voter in self.voters)
-
-    def _poll_all(self, proposer: Proposer) -> None:
-        """A proposer asks all that it offered its change to, and offers it again where it is not known."""
-        for number in list(proposer.answers):
-            if proposer.is_answered:
-                return
-            self._poll(proposer, self.voters[number])
-            if isinstance(proposer.answers[number], Unknown):
-                self._offer(proposer, self.voters[number], is_reply_received=True)
-
-
-def delivery_from(voter: Voter, revision: int) -> Delivery:
-    """What a voter sends to one that has a revision: a delta, or its snapshot with all that follows it."""
-    if revision >= voter.snapshot.revision:
-        return Delivery(None, voter.log.since(revision) or ())
-    return Delivery(voter.snapshot, voter.log.since(voter.snapshot.revision) or ())
--- /dev/null
+++ b/hollybay/consensus/batch_model_proposers.py
@@ -0,0 +1,97 @@
+"""The proposers in the model of group commit: they make changes, offer them to voters and poll for outcomes.
+
+Answers are lost, and proposals are repeated at other voters.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Iterator
+from functools import partial
+
+from hollybay.resources.model import CHANGE_ID_BYTES, Change, Delete, Key, Kind, Operation, Upsert
+
+from .batch_model import ModelState, Move, Proposer, Voter, ids_of
+from .batch_model_invariants import check_verdict
+from .proposal_outcomes import Busy, InForce, Outcome, Queued, Rejected, RejectedNow, UnderWay, Unknown
+
+__all__ = ["ProposerMoves"]
+
+# The names of all routes.
+NAMES = ("a", "b")
+# How often a change deletes a resource that exists.
+DELETE_PROBABILITY = 0.5
+
+
+class ProposerMoves(ModelState):
+    """What proposers may do."""
+
+    def proposer_moves(self, voter: Voter) -> Iterator[Move]:
+        """What proposers may do at a voter."""
+        for proposer in self.proposers:
+            if proposer.is_answered:
+                continue
+            if proposer.offers < self.bounds.offers:
+                yield "offer", partial(self._offer, proposer, voter, is_reply_received=True)
+                yield "offer-unheard", partial(self._offer, proposer, voter, is_reply_received=False)
+            if voter.number in proposer.answers:
+                yield "ask", partial(self._poll, proposer, voter)
+
+    def make_change(self) -> None:
+        """A proposer makes a change on the state that some voter knows."""
+        state = self.random.choice(self.voters).state
+        name = self.random.choice(NAMES)
+        there = state.resources.get(Key(Kind.ROUTE, name))
+        if there is not None and self.random.random() < DELETE_PROBABILITY:
+            operation: Operation = Delete(Kind.ROUTE, name, there.version)
+        else:
+            base = there.version if there is not None else 0
+            operation = Upsert(Kind.ROUTE, name, base, b"%d" % len(self.proposers))
+        change_id = len(self.proposers).to_bytes(CHANGE_ID_BYTES, "big")
+        change = Change(change_id, state.revision, "why", "who", (operation,))
+        self.proposers.append(Proposer(change, self.random.random() < self.bounds.bad))
+
+    def _offer(self, proposer: Proposer, voter: Voter, is_reply_received: bool) -> None:
+        """A change is offered to a voter; is_reply_received: whether its answer arrives."""
+        proposer.offers += 1
+        if self.parts.voids_answers:
+            proposer.answers[voter.number] = Unknown()
+        proposer.answers.setdefault(voter.number, Unknown())
+        if proposer.change.base_revision > voter.state.revision:
+            return  # a voter that is behind sends proposers away
+        answer = voter.queue.offer(proposer.change, self.seen(voter.state), self.now)
+        if isinstance(answer, Queued):
+            voter.accepted.add(proposer.change.id)
+        if not is_reply_received or isinstance(answer, Busy):
+            return
+        outcome = self._outcome(voter, proposer.change.id)
+        if isinstance(answer, RejectedNow) and not isinstance(outcome, InForce):
+            outcome = Rejected(answer.problems)
+        self._receive_answer(proposer, voter, outcome)
+
+    def _poll(self, proposer: Proposer, voter: Voter) -> None:
+        """A proposer asks a voter for the outcome of its change."""
+        self._receive_answer(proposer, voter, self._outcome(voter, proposer.change.id))
+
+    def _outcome(self, voter: Voter, change_id: bytes) -> Outcome:
+        """The outcome of a change as a voter knows it: by epochs first, then by its queue."""
+        revision = voter.state.revision_of(change_id)
+        if revision is not None:
+            return InForce(revision)
+        last = self.epochs[voter.known_epochs - 1] if voter.known_epochs else None
+        if last is not None and not last.settled and change_id in ids_of(last.batch):
+            return UnderWay(last.batch.revision)
+        return voter.queue.outcome(change_id, self.now)
+
+    def _receive_answer(self, proposer: Proposer, voter: Voter, outcome: Outcome) -> None:
+        proposer.answers[voter.number] = outcome
+        proposer.verdict = self.parts.verdict(list(proposer.answers.values()))
+        check_verdict(self, proposer)
+
+    def poll_all(self, proposer: Proposer) -> None:
+        """A proposer asks all that it offered its change to, and offers it again where it is not known."""
+        for number in list(proposer.answers):
+            if proposer.is_answered:
+                return
+            self._poll(proposer, self.voters[number])
+            if isinstance(proposer.answers[number], Unknown):
+                self._offer(proposer, self.voters[number], is_reply_received=True)
--- a/hollybay/consensus/change_requests.py
+++ b/hollybay/consensus/change_requests.py
@@ -144,7 +144,7 @@
             return busy("too many changes wait", offered.retry_after_ns / SECOND)
         if isinstance(offered, RejectedNow):
             problems = list(offered.problems)
-            reply = messages.ChangeReply(change_id, messages.ChangeOutcome.REFUSED, problems=problems)
+            reply = messages.ChangeReply(change_id, messages.ChangeOutcome.REJECTED, problems=problems)
             return ok(reply, CONFLICT)
         if isinstance(offered, Queued):
             self.environment.data_plane.log_event(
--- a/hollybay/consensus/operator_messages.py
+++ b/hollybay/consensus/operator_messages.py
@@ -165,7 +165,7 @@
     QUEUED = "queued"
     UNDER_WAY = "under way"
     IN_FORCE = "in force"  # decided; some nodes may serve under the policy before yet
-    REFUSED = "refused"  # this voter will not propose it
+    REJECTED = "refused"  # this voter will not propose it
     UNKNOWN = "unknown"  # it was not proposed here, or that is forgotten: it may be proposed again
 
 
--- a/hollybay/consensus/proposals.py
+++ b/hollybay/consensus/proposals.py
@@ -248,7 +248,7 @@
 def _queue_status(change: str, outcome: Outcome) -> ChangeReply:
     """The status of a change that is not in force, by its outcome in the queue."""
     if isinstance(outcome, Rejected):
-        return ChangeReply(change, ChangeOutcome.REFUSED, problems=list(outcome.problems))
+        return ChangeReply(change, ChangeOutcome.REJECTED, problems=list(outcome.problems))
     if isinstance(outcome, Pending):
         return ChangeReply(change, ChangeOutcome.QUEUED, wait_ms=outcome.wait_ns // MS)
     if isinstance(outcome, UnderWay):
--- a/hollybay/consensus/service.py
+++ b/hollybay/consensus/service.py
@@ -42,7 +42,7 @@
 from .replies import answered, rejected
 from .request_content import RequestContent
 from .requests import Transport
-from .status import keeper_status, node_status
+from .status import node_status, voter_status
 from .store import StoreError
 from .transfer import Uploads
 from .voter import Voter
@@ -308,4 +308,4 @@
             requests_out=self.peers.calls,
         )
         progress = self.coordinator.progress()
-        return found | keeper_status(self.acceptor, self.log, progress, self.settings.grace_ns, now)
+        return found | voter_status(self.acceptor, self.log, progress, self.settings.grace_ns, now)
--- a/hollybay/consensus/status.py
+++ b/hollybay/consensus/status.py
@@ -21,7 +21,7 @@
 from .messages import BlockingLease, stage_label
 from .reasons import KnowsNothing, Reason, texts_of
 
-__all__ = ["ChangeProgress", "keeper_status", "members", "node_status"]
+__all__ = ["ChangeProgress", "members", "node_status", "voter_status"]
 
 SECONDS_DIGITS = 3  # after the point
 
@@ -103,7 +103,7 @@
     }
 
 
-def keeper_status(
+def voter_status(
     acceptor: DurableAcceptor | None, log: PolicyLog, changes: ChangeProgress, grace: int, now: int
 ) -> dict[str, object]:
     """What a voter knows of the group ("keeper"), or that there is none, or that it knows nothing and why.
@@ -122,10 +122,10 @@
         return {"keeper": None}
     if acceptor.state is None:
         return {"keeper": None, "keeper_waits": acceptor.storage_failure or str(KnowsNothing())}
-    return {"keeper": _voter_status(acceptor, acceptor.state, log, changes, grace, now)}
+    return {"keeper": _status_of_acceptor(acceptor, acceptor.state, log, changes, grace, now)}
 
 
-def _voter_status(
+def _status_of_acceptor(
     acceptor: DurableAcceptor,
     state: Acceptor,
     log: PolicyLog,
--- a/hollybay/consensus/submission.py
+++ b/hollybay/consensus/submission.py
@@ -121,7 +121,7 @@
                 name = reply.policy or self.id
                 return Verdict(ExitStatus.UNKNOWN, name, reply.epoch, reply.outcome.value)
         for address, reply in replies.items():
-            if reply.outcome is ChangeOutcome.REFUSED:
+            if reply.outcome is ChangeOutcome.REJECTED:
                 self._rejections[address] = [ReportedReason(str(problem)) for problem in reply.problems]
         return self._rejection()
 
--- a/tests/test_accord_node.py
+++ b/tests/test_accord_node.py
@@ -328,7 +328,7 @@
             assert {told[one.id].outcome for one in many} == {messages.ChangeOutcome.IN_FORCE}
             # Each of the two that cannot be served hears of its own reason, and of no other.
             for one, own, other in ((odd, "nobody", "somebody"), (rare, "somebody", "nobody")):
-                assert told[one.id].outcome is messages.ChangeOutcome.REFUSED
+                assert told[one.id].outcome is messages.ChangeOutcome.REJECTED
                 reasons = " ".join(str(problem) for problem in told[one.id].problems)
                 assert own in reasons and other not in reasons.replace(own, "")
             keeping = accord.service.acceptor
@@ -368,7 +368,7 @@
             found = messages.decode(
                 (await raw(accord, f"GET /-/policy/change/{change.id.hex()}"))[1], messages.ChangeReply
             )
-            if found.outcome in (messages.ChangeOutcome.IN_FORCE, messages.ChangeOutcome.REFUSED):
+            if found.outcome in (messages.ChangeOutcome.IN_FORCE, messages.ChangeOutcome.REJECTED):
                 return found
             await asyncio.sleep(0.02)
 
