--- a/tests/test_consensus_member.py
+++ b/tests/test_consensus_member.py
@@ -194,7 +194,7 @@
                 ("GET /-/policy/file/../../etc/passwd", b"", 404, "no such call"),
                 ("GET /-/policy/entry/9-00000000000a", b"", 404, "no policy"),
                 ("PUT /-/policy", b"", 405, "GET and POST"),
-                ("POST /-/policy/propose", b"x" * (messages.MOST_CALL + 1), 413, "too long"),
+                ("POST /-/policy/propose", b"x" * (messages.MAX_CALL_BYTES + 1), 413, "too long"),
                 ("POST /-/drain", b"x" * 9000, 413, "too long"),
             ):
                 got, answer = await send_request(member, head, body)
@@ -329,7 +329,7 @@
             assert {told[one.id].outcome for one in many} == {messages.ChangeOutcome.IN_FORCE}
             # Each of the two that cannot be served hears of its own reason, and of no other.
             for one, own, other in ((odd, "nobody", "somebody"), (rare, "somebody", "nobody")):
-                assert told[one.id].outcome is messages.ChangeOutcome.REFUSED
+                assert told[one.id].outcome is messages.ChangeOutcome.REJECTED
                 reasons = " ".join(str(problem) for problem in told[one.id].problems)
                 assert own in reasons and other not in reasons.replace(own, "")
             acceptor = member.service.acceptor
@@ -370,7 +370,7 @@
                 (await send_request(member, f"GET /-/policy/change/{change.id.hex()}"))[1],
                 messages.ChangeReply,
             )
-            if found.outcome in (messages.ChangeOutcome.IN_FORCE, messages.ChangeOutcome.REFUSED):
+            if found.outcome in (messages.ChangeOutcome.IN_FORCE, messages.ChangeOutcome.REJECTED):
                 return found
             await asyncio.sleep(0.02)
 
