--- a/hollybay/consensus/change_requests.py
+++ b/hollybay/consensus/change_requests.py
@@ -4,6 +4,7 @@
 
 import base64
 
+from hollybay.resources.batch import Batch
 from hollybay.resources.model import CHANGE_ID_BYTES, Change, Operation, Upsert
 from hollybay.resources.state import ResourceState
 from hollybay.resources.wire import encode_change
@@ -11,18 +12,19 @@
 
 from . import messages
 from .change_builder import delete_operations, drain_operations, drained_servers, format_operations
-from .coordinator import IDLE_INTERVAL, ChangeCoordinator
+from .coordinator import IDLE_INTERVAL_S, ChangeCoordinator
 from .core import Stage
 from .durable_acceptor import DurableAcceptor
 from .environment import Environment
+from .http_status import ACCEPTED, CONFLICT
 from .interfaces import Response
 from .log_entry import Entry
 from .log_replica import LogReplica
 from .log_server import LogServer
-from .policy import RejectedError, successor_policy
+from .policy import PolicyVersion, RejectedError, successor_policy
 from .proposal_outcomes import Busy, Queued, RejectedNow
 from .proposals import Proposals
-from .replies import ACCEPTED, CONFLICT, busy, ok
+from .replies import busy, ok
 from .request_content import RequestContent
 from .serviceability import Serviceability
 from .store import StoreError
@@ -96,8 +98,8 @@
             operations = await self._drafted_from_file(call, base, state)
         operations += delete_operations(state, call.delete)
         if call.servers_out or call.servers_in:
-            out = (set(drained_servers(state)) | set(call.servers_out)) - set(call.servers_in)
-            operations += drain_operations(state, out)
+            drained = (set(drained_servers(state)) | set(call.servers_out)) - set(call.servers_in)
+            operations += drain_operations(state, drained)
         return operations
 
     async def _drafted_from_file(
@@ -116,7 +118,7 @@
         """Somebody proposes a change of resources: it waits for the next batch."""
         acceptor = self.voter.require_acceptor()
         if acceptor.state is None:
-            return busy("this keeper knows nothing yet", IDLE_INTERVAL)
+            return busy("this keeper knows nothing yet", IDLE_INTERVAL_S)
         if self.proposals.is_storage_full:
             raise StoreError("the disk took no entry a moment ago")
         change = await self.content.change(call.change, call.upload)
@@ -127,7 +129,7 @@
             if change.base_revision > state.revision:
                 return busy(
                     f"made on {change.base_revision}, and this keeper knows of {state.revision}",
-                    IDLE_INTERVAL,
+                    IDLE_INTERVAL_S,
                 )
         return self._offer(change, call.upload, state, acceptor)
 
@@ -142,7 +144,7 @@
             return busy("too many changes wait", offered.retry_after_ns / SECOND)
         if isinstance(offered, RejectedNow):
             problems = list(offered.problems)
-            reply = messages.ChangeReply(change_id, messages.ChangeOutcome.REFUSED, problems=problems)
+            reply = messages.ChangeReply(change_id, messages.ChangeOutcome.REJECTED, problems=problems)
             return ok(reply, CONFLICT)
         if isinstance(offered, Queued):
             self.environment.data_plane.log_event(
@@ -184,33 +186,48 @@
         if batch is None:
             return False
         policy, _ = successor_policy(base.policy, base.state, batch.changes)
+        entry = await self._stored(policy)
+        if not await self._is_serviceable(entry, batch):
+            return True
+        if acceptor.state.decided != decided or self.coordinator.pending is not None:
+            self.proposals.batch_superseded(batch, acceptor.state.decided.policy)
+            return True
+        self._begin(entry.policy, decided.epoch + 1, batch)
+        return True
+
+    async def _stored(self, policy: PolicyVersion) -> Entry:
+        """Bring the next policy to the disk. StoreError: it takes no entry."""
         try:
-            entry = await self.replica.store(policy)
+            return await self.replica.store(policy)
         except StoreError:
             self.proposals.storage_failed()
             raise
+
+    async def _is_serviceable(self, entry: Entry, batch: Batch) -> bool:
+        """Whether the node here can serve an entry; if not, its batch is rejected."""
         reasons = await self.serviceability.prepare(entry)
-        if reasons:
-            why = self.serviceability.unserviceable[policy.name]
-            self.serviceability.clear(policy.name)  # proposed again it is another policy, or holds
-            self.proposals.reject_batch(batch, why.culprits, reasons)
+        if not reasons:
             return True
-        if acceptor.state.decided != decided or self.coordinator.pending is not None:
-            self.proposals.batch_superseded(batch, acceptor.state.decided.policy)
-            return True
-        self.coordinator.begin(entry.policy, decided.epoch + 1)
+        name = entry.policy.name
+        why = self.serviceability.unserviceable[name]
+        self.serviceability.clear(name)  # proposed again it is another policy, or holds
+        self.proposals.reject_batch(batch, why.culprits, reasons)
+        return False
+
+    def _begin(self, policy: PolicyVersion, epoch: int, batch: Batch) -> None:
+        """Propose a policy, to begin with this epoch."""
+        self.coordinator.begin(policy, epoch)
         self.proposals.batch_proposed(policy.name, batch)
         self.environment.data_plane.log_event(
             "proposed", change=policy.name, reason=policy.reason, author=policy.author
         )
-        return True
 
 
 def _bounded(lines: list[str]) -> list[str]:
     """Lines for people, as many as a reply holds."""
     left = MAX_LINES_BYTES
-    for place, line in enumerate(lines):
+    for index, line in enumerate(lines):
         left -= len(line) + JSON_QUOTES_BYTES
         if left < 0:
-            return [*lines[:place], f"and {len(lines) - place} more lines"]
+            return [*lines[:index], f"and {len(lines) - index} more lines"]
     return lines
--- a/hollybay/consensus/proposals.py
+++ b/hollybay/consensus/proposals.py
@@ -10,7 +10,8 @@
 from dataclasses import dataclass
 
 from hollybay.resources.batch import Batch
-from hollybay.resources.model import CHANGE_ID_BYTES, Change, Problem
+from hollybay.resources.model import CHANGE, CHANGE_ID_BYTES, Change, Problem
+from hollybay.resources.rejection_reasons import DroppedByOperator
 from hollybay.resources.state import EMPTY, ResourceState
 from hollybay.units import MS, SECOND
 
@@ -18,7 +19,7 @@
 from .durable_acceptor import DurableAcceptor
 from .group_commit import ProposalQueue
 from .log import PolicyLog
-from .messages import MOST_REASONS, ChangeOutcome, ChangeReply
+from .messages import MAX_REASONS, ChangeOutcome, ChangeReply
 from .policy import RejectedError, version_of
 from .proposal_outcomes import InForce, OfferReply, Outcome, Pending, Rejected, UnderWay
 from .reasons import MemberReason, Reason
@@ -27,12 +28,12 @@
 
 # How long a voter accepts no change after its disk could not store an entry.
 STORAGE_RETRY_NS = 2 * SECOND
-DROPPED_BY_OPERATOR = (Problem("change", "", "given up by an operator"),)
+DROPPED_BY_OPERATOR = (Problem.because(DroppedByOperator(), CHANGE),)
 
 
 def problems_of(reasons: Sequence[Reason]) -> tuple[Problem, ...]:
     """Reasons why nodes cannot serve a change, as problems of it."""
-    return tuple(Problem("change", "", str(reason)) for reason in reasons[:MOST_REASONS])
+    return tuple(Problem(CHANGE, "", str(reason)) for reason in reasons[:MAX_REASONS])
 
 
 @dataclass(slots=True)
@@ -113,7 +114,7 @@
         self._storage_full_until = self.clock() + STORAGE_RETRY_NS
 
     def reject_batch(
-        self, batch: Batch, named_changes: Mapping[str, Sequence[Reason]], reasons: Sequence[Reason]
+        self, batch: Batch, culprits: Mapping[str, Sequence[Reason]], reasons: Sequence[Reason]
     ) -> None:
         """The batch cannot be served: the changes that were named are rejected, the others wait again.
 
@@ -124,7 +125,7 @@
         reasons
             What nodes reported without naming a change.
         """
-        by_id = {bytes.fromhex(change_id): problems_of(named) for change_id, named in named_changes.items()}
+        by_id = {bytes.fromhex(change_id): problems_of(reasons) for change_id, reasons in culprits.items()}
         self.queue.batch_dropped(batch, by_id, self.clock(), problems_of(reasons))
 
     def batch_superseded(self, batch: Batch, policy: str) -> None:
@@ -170,13 +171,13 @@
 
     def _unserved(self, acceptor: DurableAcceptor, name: str, batch: Batch) -> None:
         """Reject the changes of a batch that nodes named; all, where a node can serve no new policy."""
-        named_changes = acceptor.reports.culprits.get(name, {})
+        culprits = acceptor.reports.culprits.get(name, {})
         reasons_for_all = acceptor.reports.cannot_serve_any.get(name)
         if reasons_for_all is not None:
-            named_changes = {change.id.hex(): reasons_for_all for change in batch.changes}
+            culprits = {change.id.hex(): reasons_for_all for change in batch.changes}
         reported = acceptor.reports.unserviceable.get(name, {})
-        reasons = [MemberReason(node, reason) for node, given in reported.items() for reason in given]
-        self.reject_batch(batch, named_changes, reasons)
+        reasons = [MemberReason(node, reason) for node, texts in reported.items() for reason in texts]
+        self.reject_batch(batch, culprits, reasons)
 
     # Status of a change
 
@@ -247,7 +248,7 @@
 def _queue_status(change: str, outcome: Outcome) -> ChangeReply:
     """The status of a change that is not in force, by its outcome in the queue."""
     if isinstance(outcome, Rejected):
-        return ChangeReply(change, ChangeOutcome.REFUSED, problems=list(outcome.problems))
+        return ChangeReply(change, ChangeOutcome.REJECTED, problems=list(outcome.problems))
     if isinstance(outcome, Pending):
         return ChangeReply(change, ChangeOutcome.QUEUED, wait_ms=outcome.wait_ns // MS)
     if isinstance(outcome, UnderWay):
--- a/hollybay/proxy/operator_file.py
+++ b/hollybay/proxy/operator_file.py
@@ -81,13 +81,13 @@
             policy = self._read_policy()
         except OperatorError as error:
             raise ConfigError(str(error)) from None
-        if policy.accord is not None and not policy.is_empty:
+        if policy.consensus is not None and not policy.is_empty:
             raise ConfigError(
                 f"{path}: [accord]: routes and limits beside it would be this node's alone; "
                 "`hollybay policy propose` puts them in force everywhere"
             )
         self.admission = AdmissionControl(policy, seed, settings.max_retry_after)
-        self.consensus_table = policy.accord
+        self.consensus_table = policy.consensus
         self.reloads_finished = 0
         self.reload_finished = asyncio.Event()
         self._reload_task: asyncio.Task[None] | None = None
