--- a/hollybay/proxy/request_dispatcher.py
+++ b/hollybay/proxy/request_dispatcher.py
@@ -414,9 +414,10 @@
         request.in_flight -= 1
         if self.load_reporter is not None:
             self.load_reporter.attempt_finished(attempt.server)
-        if request.state is not FINISHED:
+        if request.state is FINISHED:
+            self._forget_if_over(request)
+        else:
             self._answer_with(request, attempt, response)
-        self._forget_if_over(request)
         self.feed(
             api.AttemptFinished(
                 request.id,
