--- a/hollybay/balancing/__init__.py
+++ b/hollybay/balancing/__init__.py
@@ -1,7 +1,9 @@
-"""Decisions of a reverse proxy that spreads requests over HTTP servers of several speeds."""
+"""Decisions of a reverse proxy that spreads requests over HTTP servers of several speeds.
+
+Settings, events and actions are in `hollybay.balancing.interface`.
+"""
 
 from .balancer import Balancer
-from .interface import *
 
 __version__ = "0.1.0"
 __all__ = ["Balancer"]
--- a/hollybay/balancing/bench_settings.py
+++ b/hollybay/balancing/bench_settings.py
@@ -6,7 +6,7 @@
 from typing import TypeVar
 
 from .interface import (
-    DeduplicationScope,
+    DEDUPLICATION_SCOPES,
     Effect,
     Prices,
     ReportMode,
@@ -19,7 +19,6 @@
 T = TypeVar("T")
 
 EFFECTS = {"retryable": Effect.SAFE, "dedup": Effect.KEYED, "fragile": Effect.UNSAFE}
-GROUPS = {"all": DeduplicationScope.ALL, "zone": DeduplicationScope.ZONE, "cell": DeduplicationScope.CELL}
 WEIGHTS = {
     "silent": WeightMode.NONE,
     "nominal": WeightMode.NOMINAL,
@@ -111,7 +110,9 @@
                 latency_objective=reader.integer(prefix + "slo", least=1),
                 deadline=reader.integer(prefix + "give-up", least=1),
                 late_weight=reader.number(prefix + "late-worth", 0.0),
-                deduplication_scope=reader.choice(prefix + "group", GROUPS, None if keyed else "all"),
+                deduplication_scope=reader.choice(
+                    prefix + "group", DEDUPLICATION_SCOPES, None if keyed else "all"
+                ),
                 deduplication_window=reader.integer(prefix + "window", None if keyed else 0),
                 streamed=reader.boolean(prefix + "streamed", False),
             )
--- a/hollybay/balancing/interface.py
+++ b/hollybay/balancing/interface.py
@@ -34,6 +34,7 @@
     TimerFired,
 )
 from .settings import (
+    DEDUPLICATION_SCOPES,
     IDLE_CLOSE_SHARE,
     NEVER_RAN,
     DeduplicationScope,
@@ -53,6 +54,7 @@
 )
 
 __all__ = [
+    "DEDUPLICATION_SCOPES",
     "IDLE_CLOSE_SHARE",
     "NEVER_RAN",
     "Action",
--- a/hollybay/balancing/retries.py
+++ b/hollybay/balancing/retries.py
@@ -57,8 +57,7 @@
     slack
         Time (ns) kept back for the resolution of the clock.
     """
-    window = min(route_window, cls.deduplication_window) if route_window else cls.deduplication_window
-    return first.sent_at + window - slack
+    return first.sent_at + cls.retry_window(route_window) - slack
 
 
 def allowed_scope(
--- a/hollybay/balancing/settings.py
+++ b/hollybay/balancing/settings.py
@@ -33,6 +33,10 @@
     CELL = 2
 
 
+# The word for each in the operator file and on the simulator's wire.
+DEDUPLICATION_SCOPES = {scope.name.lower(): scope for scope in DeduplicationScope}
+
+
 class WeightMode(IntEnum):
     """What a listed weight means: nothing, the size, roughly the size, or size / (1 + requests per core)."""
 
@@ -118,6 +122,16 @@
     deduplication_window: int = 0
     streamed: bool = False
 
+    def retry_window(self, route_window: int | None) -> int:
+        """Return how long (ns) after the first attempt servers drop the duplicate of a keyed request.
+
+        Parameters
+        ----------
+        route_window
+            The window (ns) that the route allows, 0 or None: not stated. It only shortens that of the class.
+        """
+        return min(self.deduplication_window, route_window or self.deduplication_window)
+
     def validate(self) -> None:
         """Raise ValueError where a value is out of range."""
         if self.latency_objective < 1 or self.deadline < 1:
--- a/hollybay/mutation/planted.py
+++ b/hollybay/mutation/planted.py
@@ -76,7 +76,10 @@
         "if cls.effect == Effect.KEYED and now >= deduplication_deadline(first, cls, 0, slack):",
     ),
     Defect(
-        "window-ignored", RETRIES, "return first.sent_at + window - slack", "return first.sent_at + (1 << 62)"
+        "window-ignored",
+        RETRIES,
+        "return first.sent_at + cls.retry_window(route_window) - slack",
+        "return first.sent_at + (1 << 62)",
     ),
     Defect("cell-ignored", RETRIES, "return RetryScope(cell=first.cell)", "return ANYWHERE"),
     Defect(
--- a/hollybay/routing/checks.py
+++ b/hollybay/routing/checks.py
@@ -13,7 +13,7 @@
 from hollybay.balancing import interface as api
 from hollybay.units import MS, SECOND
 
-from .limits import DEDUPLICATION_SCOPES, FILE_KEYS, LimitSettings
+from .limits import FILE_KEYS, LimitSettings
 from .problems import Problem
 
 __all__ = [
@@ -23,6 +23,7 @@
     "CheckedLimits",
     "check_limits",
     "format_duration",
+    "longest_first_attempt",
 ]
 
 # The longest body that a file may allow, bytes; the node itself takes a little more.
@@ -42,6 +43,14 @@
     return f"{ns / SECOND:g}s" if ns >= SECOND else f"{ns / MS:g}ms"
 
 
+def longest_first_attempt(
+    request_class: api.RequestClass, attempt_timeout: int | None, request_timeout: int | None
+) -> int:
+    """Return the longest time (ns) that a first attempt may take; a time-out that is None does not bind."""
+    deadline = request_class.deadline
+    return min(attempt_timeout or deadline, request_timeout or deadline)
+
+
 @dataclass(frozen=True, slots=True)
 class CheckedLimits:
     """Limits to check: those of a route or class for requests of a class.
@@ -128,11 +137,11 @@
         past = f"past its window of {format_duration(own_window)}"
         yield checked.problem("retry_window", f"repeats of {name!r} {past} run a second time (rule 2)")
     if limits.retry_scope is not None:
-        scope = DEDUPLICATION_SCOPES[limits.retry_scope]
+        scope = api.DEDUPLICATION_SCOPES[limits.retry_scope]
         if SCOPE_WIDTH[scope] > SCOPE_WIDTH[own_scope]:
             outside = f"outside its {own_scope.name.lower()}"
             yield checked.problem("retry_scope", f"repeats of {name!r} {outside} run a second time (rule 2)")
-    window = min(own_window, limits.retry_window or own_window)
+    window = request_class.retry_window(limits.retry_window)
     if limits.attempts is not None and limits.attempts > 1 and limits.attempt_timeout is not None:
         last_begins = (limits.attempts - 1) * limits.attempt_timeout
         if last_begins >= window:
@@ -210,8 +219,7 @@
         yield checked.problem("hedge_delay", "there is no copy to delay: the platform allows none")
     if is_unsafe and checked.is_specific("hedge_delay"):
         yield checked.problem("hedge_delay", f"there is no copy to delay: {request_class.name!r} is unsafe")
-    deadline = request_class.deadline
-    first_attempt = min(limits.attempt_timeout or deadline, limits.request_timeout or deadline)
+    first_attempt = longest_first_attempt(request_class, limits.attempt_timeout, limits.request_timeout)
     if limits.hedges != 0 and not is_unsafe and limits.hedge_delay >= first_attempt:
         reason = f"the first attempt ends after {format_duration(first_attempt)}: no copy would go"
         yield checked.problem("hedge_delay", reason)
--- a/hollybay/routing/class_declarations.py
+++ b/hollybay/routing/class_declarations.py
@@ -8,7 +8,6 @@
 from hollybay.units import SECOND
 
 from .checks import format_duration
-from .limits import DEDUPLICATION_SCOPES
 from .problems import Problem
 from .schema import ClassTable, OperatorTables
 
@@ -33,7 +32,7 @@
         1.0,
         table.promised or deadline,
         deadline,
-        deduplication_scope=DEDUPLICATION_SCOPES[table.group or "cell"],
+        deduplication_scope=api.DEDUPLICATION_SCOPES[table.group or "cell"],
         deduplication_window=table.window or 1,
     )
 
@@ -70,7 +69,7 @@
     for key, declared, actual in durations:
         if declared is not None and declared != actual:
             yield _differs(at, key, declared, format_duration(actual))
-    if table.group is not None and DEDUPLICATION_SCOPES[table.group] != scope:
+    if table.group is not None and api.DEDUPLICATION_SCOPES[table.group] != scope:
         yield _differs(at, "group", table.group, scope.name.lower())
     window = request_class.deduplication_window
     if table.window is not None and table.window != window:
--- a/hollybay/routing/limits.py
+++ b/hollybay/routing/limits.py
@@ -12,7 +12,6 @@
 from .schema import LimitsTable, RateTable, RetryAfterTable
 
 __all__ = [
-    "DEDUPLICATION_SCOPES",
     "FILE_KEYS",
     "EffectiveLimits",
     "LimitSettings",
@@ -21,11 +20,6 @@
     "inherit_limits",
 ]
 
-DEDUPLICATION_SCOPES = {
-    "all": api.DeduplicationScope.ALL,
-    "zone": api.DeduplicationScope.ZONE,
-    "cell": api.DeduplicationScope.CELL,
-}
 # The operator file's key of each limit, by the field's name.
 FILE_KEYS = {limit.name: limit.encode_name for limit in msgspec.structs.fields(LimitsTable)}
 _HEADER_KEY = "header:"  # before the header's name in a rate's `by`
@@ -170,7 +164,7 @@
         hedges=-1 if settings.hedges is None else settings.hedges,
         hedge_delay=settings.hedge_delay or 0,
         retry_window=settings.retry_window or 0,
-        retry_scope=None if settings.retry_scope is None else DEDUPLICATION_SCOPES[settings.retry_scope],
+        retry_scope=None if settings.retry_scope is None else api.DEDUPLICATION_SCOPES[settings.retry_scope],
         retry_share=-1.0 if settings.retry_budget is None else settings.retry_budget,
         budget=scope,
         retry_after=settings.retry_after or (0, 0),
--- a/hollybay/routing/policy_intersection.py
+++ b/hollybay/routing/policy_intersection.py
@@ -13,9 +13,9 @@
 
 from hollybay.balancing import interface as api
 
-from .checks import SCOPE_WIDTH
+from .checks import SCOPE_WIDTH, longest_first_attempt
 from .compiled_policy import CompiledPolicy, Rejection
-from .limits import DEDUPLICATION_SCOPES, EffectiveLimits, LimitSettings, Rate, effective_limits
+from .limits import EffectiveLimits, LimitSettings, Rate, effective_limits
 
 __all__ = ["PolicyIntersection", "intersect_limits", "separate_scopes"]
 
@@ -202,8 +202,7 @@
     retry_budget = _lesser(first.retry_budget, second.retry_budget)
     if retry_budget == 0 and attempts is not None:
         attempts = 1
-    window = request_class.deduplication_window
-    window = min(window, retry_window or window)
+    window = request_class.retry_window(retry_window)
     is_keyed = request_class.effect == api.Effect.KEYED
     if is_keyed and attempts is not None and attempts > 1 and attempt_timeout:
         # The last attempt must begin within the window. The two policies together may state more attempts
@@ -218,10 +217,9 @@
         return False
     if hedge_delay is None:
         return True
-    deadline = request_class.deadline
-    first_attempt = min(limits.attempt_timeout or deadline, limits.request_timeout or deadline)
+    first_attempt = longest_first_attempt(request_class, limits.attempt_timeout, limits.request_timeout)
     is_keyed = request_class.effect == api.Effect.KEYED
-    window = limits.deduplication_window if is_keyed else deadline
+    window = limits.deduplication_window if is_keyed else request_class.deadline
     return hedge_delay < first_attempt and hedge_delay < window
 
 
@@ -237,7 +235,7 @@
 def _narrower_scope(first: str | None, second: str | None) -> str | None:
     """Return the scope with fewer servers; one that is not stated does not bind."""
     scopes = [scope for scope in (first, second) if scope is not None]
-    return min(scopes, key=lambda scope: SCOPE_WIDTH[DEDUPLICATION_SCOPES[scope]]) if scopes else None
+    return min(scopes, key=lambda scope: SCOPE_WIDTH[api.DEDUPLICATION_SCOPES[scope]]) if scopes else None
 
 
 def _later_retry_after(
--- a/tests/test_other_customers.py
+++ b/tests/test_other_customers.py
@@ -143,12 +143,12 @@
         cls = taken.classes[node.books[send.id].cls]
         first = node.books[send.id].attempts[0].sent
         if cls.effect != api.Effect.KEYED:
-            assert send.until == 0
-        elif send.until:
+            assert send.write_deadline == 0
+        elif send.write_deadline:
             last = node.books[send.id].attempts[-1].sent
             assert (
                 first + cls.deduplication_window - taken.tick
-                <= send.until
+                <= send.write_deadline
                 <= last + cls.deduplication_window - taken.tick
             )
 
--- a/tests/test_routing_policy_intersection.py
+++ b/tests/test_routing_policy_intersection.py
@@ -14,7 +14,6 @@
 from hollybay.routing.checks import SCOPE_WIDTH, CheckedLimits, check_limits
 from hollybay.routing.compiled_policy import CompiledPolicy, Rejection
 from hollybay.routing.limits import (
-    DEDUPLICATION_SCOPES,
     EffectiveLimits,
     LimitSettings,
     Rate,
@@ -75,8 +74,8 @@
             group = both.limit_settings.retry_scope
             assert (
                 group is not None
-                and SCOPE_WIDTH[DEDUPLICATION_SCOPES[group]]
-                <= SCOPE_WIDTH[DEDUPLICATION_SCOPES[part.limit_settings.retry_scope]]
+                and SCOPE_WIDTH[api.DEDUPLICATION_SCOPES[group]]
+                <= SCOPE_WIDTH[api.DEDUPLICATION_SCOPES[part.limit_settings.retry_scope]]
             )
         if part.limit_settings.retry_budget is not None:
             assert both.limit_settings.retry_budget is not None
