--- a/hollybay/balancing/cross_zone.py
+++ b/hollybay/balancing/cross_zone.py
@@ -151,6 +151,6 @@
 
     def _late_probability(self, class_index: int, server: Server) -> float:
         """Return how likely one more request there is late, were response times exponential."""
-        service_time = self.estimates.service_times[class_index]
+        service_time = self.estimates.service_times.by_class[class_index]
         mean = service_time * (1.0 + expected_queue(server)) / (server.size * server.slow_start_factor)
         return exp(-self.settings.classes[class_index].latency_objective / mean) if mean > 0.0 else 0.0
--- a/hollybay/balancing/estimates.py
+++ b/hollybay/balancing/estimates.py
@@ -6,13 +6,14 @@
 from .interface import AttemptFinished, Result, Settings
 from .outlier_ejection import OutlierEjector
 from .reported_failures import REPORT_LIFETIME_NS, ReportedFailures
+from .service_times import ServiceTimes
 from .state import PendingRequest, Server
 from .tenant_rejections import TENANT_EXCLUSION_NS, TenantRejections
 from .traffic_share import TrafficShare
 from .units import SECOND
 from .zone_reachability import ZoneReachability
 
-__all__ = ["MIN_SERVICE_TIME_SAMPLES", "REVIEW_INTERVAL_NS", "Estimates", "answer_weight"]
+__all__ = ["IDLE_MEAN_LOAD", "REVIEW_INTERVAL_NS", "Estimates", "answer_weight"]
 
 # The time (ns) between reviews, which renew estimates, send intervals and the selection tables: short against
 # troubles of seconds, long for the CPU.
@@ -31,15 +32,8 @@
 REMOTE_ANSWER_FACTOR = 2.5
 # A response time counts as at most this many times its latency objective: one straggler does not decide.
 MAX_LATENESS = 2.0
-# The load (requests per core) below which a server counts as idle when service times are learned.
-IDLE_SERVER_LOAD = 2.0
 # The mean load of all servers from which answers hold a queue, where lists tell no load.
 IDLE_MEAN_LOAD = 1.0
-# The least weight of one answer in the service time, and the number of answers taken at any mean load.
-MIN_SERVICE_TIME_WEIGHT = 0.02
-MIN_SERVICE_TIME_SAMPLES = 8
-# The weight of one answer in the service time while none has found an idle server.
-QUEUED_SERVICE_TIME_WEIGHT = 0.1
 # The weight of one answer in the mean response time of its class, in its server's slowdown, and in that of
 # the server's kind of machine.
 RESPONSE_TIME_WEIGHT = 0.01
@@ -108,12 +102,7 @@
         self.mean_slowdown = 1.0  # mean of response times relative to their class's mean
         self.slowdown_by_kind = [1.0] * settings.kinds  # of machine, relative to the listed size
 
-        # Service time: ns that one request takes at an idle server of size 1
-        self.service_times: list[float] = [0.0] * classes
-        self.service_time_sums = [0.0] * classes  # moving mean of response time x size
-        self.service_load_sums = [0.0] * classes  # moving mean of 1 + load
-        self.service_time_samples = [0] * classes
-        self.mean_service_time = 0.0  # over the classes, by their requests
+        self.service_times = ServiceTimes(classes, self.longest_objective)
         self.mean_server_load = 0.0  # by this node's attempts in flight, where lists tell no load
 
     # Periodic updates
@@ -140,24 +129,6 @@
     def _update_loss_share(self) -> None:
         self.loss_share = self.lost_weight / self.offered_weight if self.offered_weight > 0.0 else 0.0
 
-    def update_mean_service_time(self) -> None:
-        """Renew the mean service time over the classes seen.
-
-        Response times would not do: under overload they are mostly queue, and a fleet that has just been
-        replaced would be kept from its starting servers by the queues of the few warm ones.
-        """
-        # A class without an answer yet is left out: as free work it would void the budget of slow start.
-        seen = [
-            (requests, time)
-            for requests, time in zip(self.offered, self.service_times, strict=True)
-            if time > 0.0
-        ]
-        total = sum(requests for requests, _ in seen)
-        if total > 0.0:
-            self.mean_service_time = sum(requests * time for requests, time in seen) / total
-        else:
-            self.mean_service_time = float(self.longest_objective)
-
     # Results of attempts
 
     def observe(
@@ -249,7 +220,8 @@
         self.outlier_ejector.observe_success(server, now)
         self.completed[index] += 1.0
         in_flight = request.attempts[event.attempt].in_flight_at_send
-        self.observe_service_time(server, index, event.rtt, in_flight, stale)
+        servers_busy = self.mean_server_load >= IDLE_MEAN_LOAD
+        self.service_times.observe(server, index, event.rtt, in_flight, stale, servers_busy)
         sample = event.rtt * server.size / (request.cost or 1)
         mean = self.response_times[index]
         if mean <= 0.0:
@@ -259,56 +231,11 @@
         slowdown = min(sample / mean, MAX_SLOWDOWN)
         server.slowdown += SLOWDOWN_WEIGHT * (slowdown - server.slowdown)
         # A kind of machine has answers enough to correct the listed size; those that queued say nothing.
-        if self.mean_server_load < IDLE_MEAN_LOAD:
+        if not servers_busy:
             relative = slowdown / self.mean_slowdown
             self.slowdown_by_kind[server.kind] *= 1.0 + KIND_SLOWDOWN_WEIGHT * (relative - 1.0)
             self.mean_slowdown += KIND_SLOWDOWN_WEIGHT * (slowdown - self.mean_slowdown)
 
-    def observe_service_time(
-        self, server: Server, class_index: int, rtt: int, in_flight: int, stale: bool
-    ) -> None:
-        """Learn the service time from answers that found their server idle, as far as this node can tell.
-
-        Other answers hold a queue of unknown length: under overload the service time would seem to grow, and
-        starting servers would get ever less when they are needed most. Until an idle server has answered the
-        others are used, which gives too much rather than too little.
-
-        Parameters
-        ----------
-        server
-            The server.
-        class_index
-            The request's class.
-        rtt
-            The response time (ns).
-        in_flight
-            Attempts that were in flight there when it was sent.
-        stale
-            Whether the loads that lists reported are outdated.
-        """
-        sample = rtt * server.size * server.slow_start_factor
-        samples = self.service_time_samples[class_index]
-        load = server.reported_load + in_flight
-        queued = (
-            server.slow_start_factor >= 1.0
-            and self.mean_server_load >= IDLE_MEAN_LOAD
-            and samples >= MIN_SERVICE_TIME_SAMPLES
-        )
-        if load < IDLE_SERVER_LOAD and not stale and not queued:
-            samples += 1
-            self.service_time_samples[class_index] = samples
-            weight = max(MIN_SERVICE_TIME_WEIGHT, 1.0 / samples)
-            sums, loads = self.service_time_sums, self.service_load_sums
-            sums[class_index] += weight * (sample - sums[class_index])
-            loads[class_index] += weight * (1.0 + server.reported_load + in_flight - loads[class_index])
-            self.service_times[class_index] = sums[class_index] / loads[class_index]
-        elif not samples:
-            sample /= 1.0 + server.reported_load + in_flight
-            known = self.service_times[class_index]
-            if known > 0.0:
-                sample = known + QUEUED_SERVICE_TIME_WEIGHT * (sample - known)
-            self.service_times[class_index] = sample
-
     def _observe_failure(
         self, server: Server, request: PendingRequest, event: AttemptFinished, now: int
     ) -> bool:
--- a/hollybay/balancing/load_shedding.py
+++ b/hollybay/balancing/load_shedding.py
@@ -132,9 +132,9 @@
         """Renew how much may be queued ahead of each class."""
         classes = self.settings.classes
         self.queue_limits = [inf] * len(classes)
-        if not any(self.estimates.service_time_samples):
+        if not any(self.estimates.service_times.samples):
             return
-        order = ascending_priority(self.priority_weights, self.estimates.service_times)
+        order = ascending_priority(self.priority_weights, self.estimates.service_times.by_class)
         for rank, index in enumerate(order[:-1]):
             objective = min(classes[higher].latency_objective for higher in order[rank + 1 :])
             self.queue_limits[index] = QUEUE_LIMIT_SHARE * QUEUE_LIMIT_STEP**rank * objective
@@ -187,7 +187,7 @@
         if server is None or not server.in_flight:
             return False
         # It would keep requests of higher priority waiting for too long.
-        queued = self.estimates.mean_service_time * expected_queue(server)
+        queued = self.estimates.service_times.mean * expected_queue(server)
         return queued / (server.size * server.slow_start_factor) > limit
 
     def servers_are_full(self, now: int) -> bool:
--- a/hollybay/balancing/pool_builder.py
+++ b/hollybay/balancing/pool_builder.py
@@ -160,7 +160,7 @@
 
     def _update_estimates(self, ready: int, total_size: float, now: int) -> None:
         estimates = self.estimates
-        estimates.update_mean_service_time()
+        estimates.service_times.update_mean(estimates.offered)
         estimates.effective_nodes = estimates.traffic_share.effective_nodes(now, total_size)
         if not self.live_weights and ready:
             # Attempts in flight per server, were all nodes like this one.
@@ -231,7 +231,7 @@
             server.speed_class = speed_class
             server.in_idle_index = _in_idle_index(server, index_share)
             if server.slow_start_factor < 1.0:
-                self.slow_start.update_interval(server, estimates.mean_service_time, slow_start_nodes, now)
+                self.slow_start.update_interval(server, estimates.service_times.mean, slow_start_nodes, now)
             if server.in_idle_index and not server.in_flight:
                 self._list_idle(server, speed_class, now)
         for speed_class in by_speed.values():
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -396,7 +396,8 @@
     for rid in range(20):
         node.answer(rid, 0)
     balancer.estimates.offered = [1.0, 1.0, 1.0]
-    balancer.estimates.service_times, balancer.estimates.service_time_samples = (
+    times = balancer.estimates.service_times
+    times.by_class, times.samples = (
         [10.0 * MS, 50.0 * MS, 40.0 * MS],
         [9, 9, 9],
     )
--- a/tests/test_fleet_shares.py
+++ b/tests/test_fleet_shares.py
@@ -244,7 +244,7 @@
         node.ask(rid)
         node.run_to(node.now + 2 * WORK)  # one of another node is ahead of each
         node.answer(rid, 0)
-    assert node.balancer.estimates.service_times[0] == pytest.approx(WORK, rel=0.1)
+    assert node.balancer.estimates.service_times.by_class[0] == pytest.approx(WORK, rel=0.1)
 
 
 def test_the_wait_is_what_is_out_by_what_is_sent() -> None:
--- a/tests/test_found_by_seeds.py
+++ b/tests/test_found_by_seeds.py
@@ -108,11 +108,11 @@
     balancer = node.balancer
     longest = max(c.latency_objective for c in balancer.settings.classes)
     balancer.estimates.offered = [5.0, 9.0, 0.0, 0.0, 0.0]
-    balancer.estimates.update_mean_service_time()
-    assert balancer.estimates.mean_service_time == longest
-    balancer.estimates.service_times[0] = 40 * MS
-    balancer.estimates.update_mean_service_time()
-    assert balancer.estimates.mean_service_time == 40 * MS
+    balancer.estimates.service_times.update_mean(balancer.estimates.offered)
+    assert balancer.estimates.service_times.mean == longest
+    balancer.estimates.service_times.by_class[0] = 40 * MS
+    balancer.estimates.service_times.update_mean(balancer.estimates.offered)
+    assert balancer.estimates.service_times.mean == 40 * MS
 
 
 def test_a_jam_does_not_teach_what_a_request_adds() -> None:
@@ -120,18 +120,18 @@
     node.tell(fleet(4))
     balancer = node.balancer
     s = next(iter(balancer.servers.values()))
-    balancer.estimates.observe_service_time(s, 0, 90 * MS, in_flight=0, stale=False)
-    assert balancer.estimates.service_times[0] == pytest.approx(90 * MS * s.size)
+    balancer.estimates.service_times.observe(s, 0, 90 * MS, in_flight=0, stale=False, servers_busy=False)
+    assert balancer.estimates.service_times.by_class[0] == pytest.approx(90 * MS * s.size)
     for _ in range(50):  # idle servers answer faster: the first was chance
-        balancer.estimates.observe_service_time(s, 0, 30 * MS, in_flight=0, stale=False)
-    learned = balancer.estimates.service_times[0]
+        balancer.estimates.service_times.observe(s, 0, 30 * MS, in_flight=0, stale=False, servers_busy=False)
+    learned = balancer.estimates.service_times.by_class[0]
     assert learned < 35 * MS * s.size
     for _ in range(50):  # as many wait before it
-        balancer.estimates.observe_service_time(s, 0, 900 * MS, in_flight=9, stale=False)
+        balancer.estimates.service_times.observe(s, 0, 900 * MS, in_flight=9, stale=False, servers_busy=False)
     s.reported_load = 8.0
     for _ in range(50):  # the list tells of a queue of others
-        balancer.estimates.observe_service_time(s, 0, 900 * MS, in_flight=0, stale=False)
-    assert balancer.estimates.service_times[0] == learned
+        balancer.estimates.service_times.observe(s, 0, 900 * MS, in_flight=0, stale=False, servers_busy=False)
+    assert balancer.estimates.service_times.by_class[0] == learned
 
 
 def test_a_gap_that_shrinks_frees_a_cold_server_at_once() -> None:
@@ -141,7 +141,8 @@
     cold = list(balancer.servers.values())
     assert all(s.slow_start_interval > SECOND // 4 for s in cold)  # nothing is known yet
     balancer.estimates.offered = [9.0] * len(balancer.estimates.offered)
-    balancer.estimates.service_times = [10.0 * MS] * len(balancer.estimates.service_times)
+    times = balancer.estimates.service_times
+    times.by_class = [10.0 * MS] * len(times.by_class)
     balancer.selector.rebuild(node.now)
     assert all(
         s.slow_start_send_at <= node.now + s.slow_start_interval < node.now + SECOND // 4 for s in cold
--- a/tests/test_learning_in_a_jam.py
+++ b/tests/test_learning_in_a_jam.py
@@ -7,7 +7,8 @@
 import pytest
 
 from hollybay.balancing import interface as api
-from hollybay.balancing.estimates import MIN_SERVICE_TIME_SAMPLES
+from hollybay.balancing.estimates import IDLE_MEAN_LOAD
+from hollybay.balancing.service_times import MIN_SAMPLES
 from hollybay.balancing.state import Server
 from hollybay.testbed.world import MS, SECOND, Node, make_settings
 
@@ -69,8 +70,8 @@
     """Too much rather than too little: few answers must not set a cold server's budget for long."""
     node = node_of()
     play(node, range(100), JAM, JAM)
-    assert node.balancer.estimates.service_time_samples[0] >= MIN_SERVICE_TIME_SAMPLES
-    assert node.balancer.estimates.service_times[0] > 5 * WORK
+    assert node.balancer.estimates.service_times.samples[0] >= MIN_SAMPLES
+    assert node.balancer.estimates.service_times.by_class[0] > 5 * WORK
 
 
 def test_what_a_request_takes_at_a_cold_server_is_learned_in_a_jam() -> None:
@@ -78,13 +79,14 @@
     node = node_of()
     play(node, range(200), WORK, WORK)
     play(node, range(200, 300), JAM, JAM)
-    learned = node.balancer.estimates
-    cold, before = start_cold(node), learned.service_times[0]
+    learned = node.balancer.estimates.service_times
+    busy = node.balancer.estimates.mean_server_load >= IDLE_MEAN_LOAD
+    cold, before = start_cold(node), learned.by_class[0]
     for _ in range(20):
-        learned.observe_service_time(
-            cold, 0, int(3 * WORK / cold.slow_start_factor), in_flight=0, stale=False
+        learned.observe(
+            cold, 0, int(3 * WORK / cold.slow_start_factor), in_flight=0, stale=False, servers_busy=busy
         )
-    assert learned.service_times[0] > 1.3 * before
+    assert learned.by_class[0] > 1.3 * before
 
 
 def test_where_lists_tell_loads_they_alone_are_asked() -> None:
