--- a/benchmarks/capacity/resource_plans.py
+++ b/benchmarks/capacity/resource_plans.py
@@ -10,8 +10,9 @@
 from hollybay.resources.model import Key, Kind, Resource
 from hollybay.resources.state import ResourceState, restore_state
 from hollybay.resources.wire import decode_snapshot, encode_snapshot
-from hollybay.routing.policy_update import compile_state, update_policy
+from hollybay.routing.policy_update import update_policy
 from hollybay.routing.resource_tables import encode_table
+from hollybay.routing.state_compiler import compile_state
 
 from . import samples
 from .measurement import Figures
--- a/benchmarks/capacity/starts.py
+++ b/benchmarks/capacity/starts.py
@@ -34,7 +34,7 @@
 from hollybay.consensus.log import PolicyLog
 from benchmarks.capacity import samples
 from hollybay.routing.policy_compiler import compile_file
-from hollybay.routing.policy_update import compile_state
+from hollybay.routing.state_compiler import compile_state
 kind, folder, name = sys.argv[1:]
 if kind == "file":
     plan = compile_file((Path(folder) / name).read_bytes(), samples.settings())
--- a/benchmarks/route_changes.py
+++ b/benchmarks/route_changes.py
@@ -17,7 +17,7 @@
 from hollybay.hollow.meter import memory_bytes
 from hollybay.resources.model import Change, Key, Kind, Upsert
 from hollybay.resources.state import EMPTY, ResourceState
-from hollybay.routing.policy_update import compile_state, update_policy
+from hollybay.routing.policy_update import update_policy
 from hollybay.routing.resource_tables import decode_table, encode_table
 from hollybay.routing.schema import (
     LimitsTable,
@@ -26,6 +26,7 @@
     TenantRateTable,
     TenantTable,
 )
+from hollybay.routing.state_compiler import compile_state
 from hollybay.units import MS
 
 from .capacity.samples import route_resources
--- a/hollybay/proxy/compiled_policies.py
+++ b/hollybay/proxy/compiled_policies.py
@@ -17,10 +17,11 @@
 from hollybay.resources.model import Change, ChangeRejectedError
 from hollybay.resources.state import ResourceState
 from hollybay.routing.incremental_policy import IncrementalPolicy
-from hollybay.routing.policy_update import Validator, compile_state, update_policy
+from hollybay.routing.policy_update import update_policy
 from hollybay.routing.problems import OperatorError
 from hollybay.routing.resource_tables import operations_between, resources_of
 from hollybay.routing.schema import read_all
+from hollybay.routing.state_compiler import Validator, compile_state
 
 from .gc_pauses import paused
 from .thread_switching import short_switch_interval
--- a/hollybay/routing/__init__.py
+++ b/hollybay/routing/__init__.py
@@ -31,6 +31,7 @@
     resource_tables     the tables as bodies of resources, and the difference between a file and a state
     incremental_policy  a policy with the indexes that a change needs
     policy_update       derives the policy of a changed state
+    state_compiler      compiles a whole state, and validates changes one after another
 
 Server selection, retries and load shedding are decided in `hollybay.balancing`, which gets the limits of a
 request as `hollybay.balancing.interface.Limits`.
--- a/hollybay/routing/policy_update.py
+++ b/hollybay/routing/policy_update.py
@@ -16,7 +16,7 @@
 from immutables import Map
 
 from hollybay.balancing import interface as api
-from hollybay.resources.model import Change, ChangeRejectedError, Key, Kind
+from hollybay.resources.model import ChangeRejectedError, Key, Kind
 from hollybay.resources.model import Problem as ResourceProblem
 from hollybay.resources.state import ResourceState
 
@@ -24,8 +24,6 @@
 from .compiled_policy import Route
 from .incremental_policy import IncrementalPolicy, PolicyChange, StateTenants
 from .limits import EffectiveLimits
-from .matcher import Matcher
-from .paths import PathOptions
 from .policy_compiler import overlap_problem, path_options, unique_problems
 from .problems import Problem
 from .resource_tables import DEFAULTS, PATHS, decode_table
@@ -41,7 +39,7 @@
 from .tenants import TENANT_SCOPE
 from .typed_tables import Table
 
-__all__ = ["MAX_PROBLEMS", "Validator", "compile_state", "update_policy"]
+__all__ = ["MAX_PROBLEMS", "update_policy"]
 
 # Problems reported of one change.
 MAX_PROBLEMS = 200
@@ -51,17 +49,6 @@
 T = TypeVar("T", bound=Table)
 
 
-def compile_state(state: ResourceState, settings: api.Settings) -> IncrementalPolicy:
-    """Compile the policy of a whole state.
-
-    Raises
-    ------
-    ChangeRejectedError
-        The state is not valid; lists the problems.
-    """
-    return update_policy(_empty_policy(settings), state, state.resources, settings)
-
-
 def update_policy(
     policy: IncrementalPolicy, state: ResourceState, changed: Iterable[Key], settings: api.Settings
 ) -> IncrementalPolicy:
@@ -88,57 +75,6 @@
     return update.build()
 
 
-class Validator:
-    """Validates changes one after another, each on top of those that were valid.
-
-    Parameters
-    ----------
-    policy
-        The policy before the first change; it is replaced by that after each valid one.
-    settings
-        The settings that the policy was compiled for.
-    """
-
-    def __init__(self, policy: IncrementalPolicy, settings: api.Settings) -> None:
-        self.policy = policy
-        self.settings = settings
-
-    def __call__(self, state: ResourceState, change: Change) -> None:
-        """Apply a change that leads to this state.
-
-        Raises
-        ------
-        ChangeRejectedError
-            The state would not be valid.
-        """
-        changed = [operation.key for operation in change.operations]
-        self.policy = update_policy(self.policy, state, changed, self.settings)
-
-
-def _empty_policy(settings: api.Settings) -> IncrementalPolicy:
-    """Return the policy of a state without resources."""
-    context = LimitsContext.of(settings, {}, LimitsTable())
-    problems: list[Problem] = []
-    routes_by_name: Map[str, Route] = Map()
-    class_indexes = range(len(settings.classes))
-    return IncrementalPolicy(
-        routes_by_name.values(),
-        Matcher(),
-        context.class_indexes,
-        tuple(compile_class_limits(index, context, problems) for index in class_indexes),
-        PathOptions(),
-        frozenset(),
-        is_empty=True,
-        routes_by_name=routes_by_name,
-        tenants=StateTenants(Map(), 0, {}),
-        class_tables={},
-        defaults=LimitsTable(),
-        paths=PathsTable(),
-        route_names_by_class={index: Map() for index in class_indexes},
-        header_counts=Map(),
-    )
-
-
 class _PolicyUpdate:
     """One change being applied to a policy: apply() first, then build()."""
 
--- a/tests/test_resource_plan.py
+++ b/tests/test_resource_plan.py
@@ -32,7 +32,7 @@
 from hollybay.routing.limits import EffectiveLimits
 from hollybay.routing.policy_compiler import compile_tables
 from hollybay.routing.policy_intersection import PolicyIntersection
-from hollybay.routing.policy_update import MAX_PROBLEMS, Validator, compile_state, update_policy
+from hollybay.routing.policy_update import MAX_PROBLEMS, update_policy
 from hollybay.routing.problems import OperatorError
 from hollybay.routing.resource_tables import DEFAULTS, PATHS, encode_table, tables_of
 from hollybay.routing.schema import (
@@ -47,6 +47,7 @@
     TenantRateTable,
     TenantTable,
 )
+from hollybay.routing.state_compiler import Validator, compile_state
 from hollybay.units import MS, SECOND
 
 SETTINGS = api.Settings(
--- a/tests/test_tenant_limits.py
+++ b/tests/test_tenant_limits.py
@@ -12,10 +12,11 @@
 from hollybay.routing.limits import EffectiveLimits
 from hollybay.routing.policy_compiler import compile_file
 from hollybay.routing.policy_intersection import PolicyIntersection
-from hollybay.routing.policy_update import compile_state, update_policy
+from hollybay.routing.policy_update import update_policy
 from hollybay.routing.problems import OperatorError
 from hollybay.routing.resource_tables import encode_table
 from hollybay.routing.schema import TenantLimitsTable, TenantRateTable, TenantTable
+from hollybay.routing.state_compiler import compile_state
 from hollybay.units import SECOND
 from tests.test_resource_plan import SETTINGS
 
