--- a/hollybay/balancing/actions.py
+++ b/hollybay/balancing/actions.py
@@ -33,7 +33,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """Final answer: not done, and trying again is harmless; retry_after in ns, 0: not set."""
+    """Final answer: not done, and trying again is harmless.
+
+    Attributes
+    ----------
+    id
+        The request.
+    retry_after
+        The time (ns) after which its client may come back, 0: not said.
+    """
 
     id: int
     retry_after: int = 0
@@ -41,14 +49,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Final answer: failed, and it may have had an effect."""
+    """Final answer to a request (its id): failed, and it may have had an effect."""
 
     id: int
 
 
 @dataclass(frozen=True, slots=True)
 class Cancel:
-    """Cancel an attempt."""
+    """Cancel an attempt of a request, both by number."""
 
     id: int
     attempt: int
@@ -70,7 +78,7 @@
 
 @dataclass(slots=True)
 class SetTimer:
-    """Ask for a TimerFired event after a delay (ns)."""
+    """Ask for a TimerFired event with a token after a delay (ns)."""
 
     delay: int
     token: int
--- a/hollybay/balancing/estimates.py
+++ b/hollybay/balancing/estimates.py
@@ -25,7 +25,7 @@
 # The weight of one answer in the moving means of lateness: answers of this many seconds decide, within
 # bounds, as one answer is no evidence. Over a fixed number of answers, a node with few of them would learn of
 # congestion, and of its end, seconds late.
-ANSWER_WINDOW_SECONDS = 0.5
+ANSWER_WINDOW_S = 0.5
 MIN_ANSWER_WEIGHT = 0.02
 MAX_ANSWER_WEIGHT = 0.1
 # The weight of one remote answer, as a multiple of that of a local one: there are fewer.
@@ -54,7 +54,7 @@
 
 def answer_weight(request_rate: float) -> float:
     """Return the weight (0 to 1) of one answer in moving means, for a node with so many requests a second."""
-    weight = 1.0 / (ANSWER_WINDOW_SECONDS * max(request_rate, 1.0))
+    weight = 1.0 / (ANSWER_WINDOW_S * max(request_rate, 1.0))
     return max(MIN_ANSWER_WEIGHT, min(MAX_ANSWER_WEIGHT, weight))
 
 
--- a/hollybay/balancing/events.py
+++ b/hollybay/balancing/events.py
@@ -15,7 +15,17 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerList:
-    """A list of servers from discovery, or the failure to get one."""
+    """A list of servers from discovery, or the failure to get one.
+
+    Attributes
+    ----------
+    kind
+        What the list holds.
+    servers
+        Its entries; none where it failed.
+    version
+        The list's number at discovery, 0: none. Not used in decisions.
+    """
 
     kind: ListKind
     servers: tuple[Server, ...] = ()
@@ -94,14 +104,22 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestCompleted:
-    """The last byte of a request has come whose body was pending."""
+    """The last byte of a request (its id) has come whose body was pending."""
 
     id: int
 
 
 @dataclass(frozen=True, slots=True)
 class ResponseStarted:
-    """A streamed response has begun on this attempt; its deadline no longer applies."""
+    """A streamed response has begun on this attempt; its deadline no longer applies.
+
+    Attributes
+    ----------
+    id, attempt, server
+        The request, the attempt's number, and its server.
+    rtt
+        Time (ns) since it was sent.
+    """
 
     id: int
     attempt: int
@@ -138,21 +156,31 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientDisconnected:
-    """The client has left; its request needs no answer."""
+    """The client of a request (its id) has left; the request needs no answer."""
 
     id: int
 
 
 @dataclass(slots=True)
 class TimerFired:
-    """A timer set earlier is due."""
+    """A timer set earlier is due; the token is that of its SetTimer."""
 
     token: int
 
 
 @dataclass(frozen=True, slots=True)
 class ProbeResult:
-    """The result of a probe."""
+    """The result of a probe. Not used in decisions.
+
+    Attributes
+    ----------
+    server, result
+        The server, and how the probe ended.
+    rtt
+        Time (ns) since it was sent.
+    report
+        The server's load report, as Settings.report_fields names its values.
+    """
 
     server: ServerId
     result: Result
@@ -162,7 +190,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerMessage:
-    """A message from another node."""
+    """A message from another node (its number). Not used in decisions."""
 
     sender: int
     data: bytes
--- a/hollybay/balancing/retries.py
+++ b/hollybay/balancing/retries.py
@@ -147,6 +147,11 @@
 class RetryPolicy:
     """What further attempts are safe under the settings, and what the budgets have left.
 
+    Parameters
+    ----------
+    settings
+        The node's settings.
+
     Attributes
     ----------
     hedge_tokens, retry_tokens
