--- a/hollybay/consensus/change_tracker.py
+++ b/hollybay/consensus/change_tracker.py
@@ -99,12 +99,12 @@
 
 def _propose_call(proposal: PolicyProposal, parent_digest: str) -> ProposeCall:
     return ProposeCall(
-        None if proposal.file is None else base64.b64encode(proposal.file).decode(),
-        parent_digest,
-        proposal.reason,
-        proposal.author,
-        proposal.drained,
-        proposal.voters,
+        file=None if proposal.file is None else base64.b64encode(proposal.file).decode(),
+        parent=parent_digest,
+        reason=proposal.reason,
+        author=proposal.author,
+        servers_out=proposal.drained,
+        voters=proposal.voters,
         like_policy=proposal.like_policy,
     )
 
@@ -249,15 +249,15 @@
     async def _draft_at(self, address: str, reason: str, author: str, request: ChangeRequest) -> DraftReply:
         argument = await self.file_argument(address, request.file)
         call = DraftCall(
-            reason,
-            author,
-            argument.text,
-            argument.upload,
-            request.like_policy,
-            list(request.drain),
-            list(request.undrain),
-            request.partial,
-            list(request.delete),
+            reason=reason,
+            author=author,
+            file=argument.text,
+            upload=argument.upload,
+            like_policy=request.like_policy,
+            servers_out=list(request.drain),
+            servers_in=list(request.undrain),
+            partial=request.partial,
+            delete=list(request.delete),
         )
         return decode(await self.call_until_done(address, "draft", encode(call)), DraftReply)
 
--- a/hollybay/consensus/lease_client.py
+++ b/hollybay/consensus/lease_client.py
@@ -209,15 +209,15 @@
         if request.state is not None and request.state.new:
             why = self.serviceability.unserviceable.get(request.state.new, why)
         return messages.LeaseCall(
-            messages.FORM,
-            request,
-            self.settings.name,
-            self.settings.address,
-            self.settings.lease_ns,
-            self.settings.grace_ns,
-            texts_of(why.reasons),
-            {change: texts_of(reasons) for change, reasons in why.culprits.items()},
-            why.cannot_serve_any,
+            form=messages.FORM,
+            request=request,
+            name=self.settings.name,
+            address=self.settings.address,
+            lease=self.settings.lease_ns,
+            grace=self.settings.grace_ns,
+            reasons=texts_of(why.reasons),
+            culprits={change: texts_of(reasons) for change, reasons in why.culprits.items()},
+            cannot_serve_any=why.cannot_serve_any,
         )
 
     async def _request(self, address: str, body: bytes, limit: float) -> None:
--- a/hollybay/consensus/outgoing_requests.py
+++ b/hollybay/consensus/outgoing_requests.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import asyncio
-from collections.abc import AsyncGenerator, Awaitable, Callable
+from collections.abc import AsyncGenerator, Awaitable, Callable, Iterable, Iterator
 from typing import TypeVar
 
 from . import messages
@@ -117,11 +117,7 @@
                 done, waiting = await asyncio.wait(waiting, timeout=left, return_when=asyncio.FIRST_COMPLETED)
                 if not done:
                     return
-                for task in done:
-                    try:
-                        address, reply = task.result()
-                    except (UnreachableError, RejectedError):
-                        continue
+                for address, reply in _successes(done):
                     replied.add(number_of(address))
                     yield address, reply
                 if end is None and has_quorum(voter_sets, replied):
@@ -132,3 +128,13 @@
 
     async def _decoded(self, address: str, path: str, body: bytes | None, kind: type[_T]) -> tuple[str, _T]:
         return address, messages.decode(await self.call(address, path, body), kind)
+
+
+def _successes(done: Iterable[asyncio.Task[tuple[str, _T]]]) -> Iterator[tuple[str, _T]]:
+    """The replies of requests that have ended; those that failed are left out."""
+    for task in done:
+        try:
+            reply = task.result()
+        except (UnreachableError, RejectedError):
+            continue
+        yield reply
--- a/hollybay/consensus/service.py
+++ b/hollybay/consensus/service.py
@@ -173,7 +173,12 @@
             self.log_server,
         )
         self.queries = Queries(environment, replica, voter, self.proposals, self.log_server, self.status)
-        self._routes = {
+        self._routes = self._build_routes()
+
+    def _build_routes(self) -> dict[str, _Route]:
+        """The handlers of requests that have a body, by path."""
+        voter = self.voter
+        return {
             "know": _Route(messages.DecidedNotice, self._on_decided_notice),
             "propose": _Route(messages.ProposeCall, self.policy_requests.on_propose),
             "change": _Route(messages.ChangeCall, self.change_requests.on_change),
