--- a/hollybay/proxy/config.py
+++ b/hollybay/proxy/config.py
@@ -13,6 +13,7 @@
 from . import system
 from .addresses import Address, parse_address
 from .name_table import DiscoveryUpdate, NameTable
+from .settings_text import settings_text
 
 __all__ = ["Config", "ConfigError", "PeerFields", "load", "settings_from_json"]
 
@@ -141,7 +142,7 @@
     if not isinstance(value, dict):
         raise ConfigError("settings: missing, or no object")
     try:
-        return parse_settings("\n".join(f"{path}={text}" for path, text in _flatten("", value)))
+        return parse_settings(settings_text(value))
     except ValueError as error:
         raise ConfigError(f"settings: {error}") from None
 
@@ -226,26 +227,3 @@
     """One of the settings' caps as it stands in the file; None if it is not given."""
     capabilities = raw_settings.get("caps")
     return capabilities.get(name) if isinstance(capabilities, dict) else None
-
-
-# The settings as path=value lines, the form that the balancer parses
-
-
-def _flatten(path: str, value: object) -> list[tuple[str, str]]:
-    if isinstance(value, dict):
-        prefix = path + "." if path else ""
-        return [line for key, item in value.items() for line in _flatten(f"{prefix}{key}", item)]
-    if isinstance(value, list) and any(isinstance(item, dict) for item in value):
-        lines = [(f"{path}.count", str(len(value)))]
-        return lines + [
-            line for number, item in enumerate(value) for line in _flatten(f"{path}.{number}", item)
-        ]
-    if isinstance(value, list):
-        return [(path, ",".join(_to_text(item).replace(",", "_") for item in value))]
-    return [(path, _to_text(value))]
-
-
-def _to_text(value: object) -> str:
-    if isinstance(value, bool):
-        return "true" if value else "false"
-    return "" if value is None else str(value)
