--- a/hollybay/balancing/settings.py
+++ b/hollybay/balancing/settings.py
@@ -130,7 +130,9 @@
         route_window
             The window (ns) that the route allows, 0 or None: not stated. It only shortens that of the class.
         """
-        return min(self.deduplication_window, route_window or self.deduplication_window)
+        if not route_window:
+            return self.deduplication_window
+        return min(route_window, self.deduplication_window)
 
     def validate(self) -> None:
         """Raise ValueError where a value is out of range."""
