--- a/hollybay/balancing/balancer.py
+++ b/hollybay/balancing/balancer.py
@@ -41,7 +41,7 @@
 )
 from .load_shedding import SHEDDING_LOSS_SHARE, LoadShedder
 from .rendezvous import rendezvous_rank
-from .retries import ANYWHERE, RetryPolicy, RetryScope, may_reject
+from .retries import ANYWHERE, RetryPolicy, RetryScope, is_client_retry_harmless
 from .server_pool import remove_from_idle
 from .server_selection import ServerSelector
 from .slow_start import SlowStart
@@ -260,7 +260,7 @@
         # While load is shed all servers are full: retries would only feed the congestion.
         if self.load_shedder.shed_share <= SHEDDING_LOSS_SHARE:
             return True
-        return not may_reject(self.settings.classes[request.class_index], request.attempts)
+        return not is_client_retry_harmless(self.settings.classes[request.class_index], request.attempts)
 
     def _pick_retry(self, request: PendingRequest, scope: RetryScope) -> Server | None:
         if scope is ANYWHERE:
@@ -272,7 +272,7 @@
 
     def _give_up(self, request: PendingRequest) -> None:
         """Give the final answer of a request that gets no further attempt."""
-        if not may_reject(self.settings.classes[request.class_index], request.attempts):
+        if not is_client_retry_harmless(self.settings.classes[request.class_index], request.attempts):
             self._finish(request, Fail(request.id))
         elif self.load_shedder.is_overloaded:
             self._reject(request)
--- a/hollybay/balancing/retries.py
+++ b/hollybay/balancing/retries.py
@@ -10,7 +10,7 @@
 from .retry_budgets import RetryBudgets
 from .state import Attempt, PendingRequest, Server
 
-__all__ = ["ANYWHERE", "RetryPolicy", "RetryScope", "allowed_scope", "may_reject"]
+__all__ = ["ANYWHERE", "RetryPolicy", "RetryScope", "allowed_scope", "is_client_retry_harmless"]
 
 # Hedges allowed per request, and the most that are saved up: enough for rare stragglers, too few for a storm.
 HEDGES_PER_REQUEST = 0.1
@@ -135,7 +135,7 @@
     return scope
 
 
-def may_reject(cls: RequestClass, attempts: list[Attempt]) -> bool:
+def is_client_retry_harmless(cls: RequestClass, attempts: list[Attempt]) -> bool:
     """Whether a client may be told that trying again is harmless."""
     if cls.effect == Effect.SAFE:
         return True
--- a/hollybay/cli/policy_proposals.py
+++ b/hollybay/cli/policy_proposals.py
@@ -10,7 +10,7 @@
 
 from hollybay.consensus.change_tracker import ChangeRequest, ChangeTracker, PolicyProposal
 from hollybay.consensus.cluster_view import ClusterView
-from hollybay.consensus.requests import UnreachableError
+from hollybay.consensus.requests import CallFailedError
 from hollybay.consensus.verdict import ExitStatus, InvalidInputError, Verdict
 
 from .policy_options import (
@@ -61,7 +61,7 @@
             continue
         try:
             reply = json.loads(await cluster.bootstrap(address, data))
-        except UnreachableError as error:
+        except CallFailedError as error:
             reason = str(error)
             continue
         return f"founded: {reply['policy']}, keepers {', '.join(reply['keepers'])}"
@@ -145,7 +145,7 @@
         draft, built = await cluster.build_change(origin.reason, origin.author, request)
     except InvalidInputError as error:
         return error.verdict()
-    except UnreachableError as error:
+    except CallFailedError as error:
         return unknown(str(error))
     if built is None:
         return Verdict(ExitStatus.NOWHERE, text=f"says the same as {draft.policy}, which is in force")
--- a/hollybay/cli/policy_queries.py
+++ b/hollybay/cli/policy_queries.py
@@ -11,7 +11,7 @@
 from rich.console import Console
 
 from hollybay.consensus.change_tracker import ChangeRequest, ChangeTracker
-from hollybay.consensus.requests import UnreachableError
+from hollybay.consensus.requests import CallFailedError
 from hollybay.consensus.verdict import ExitStatus, InvalidInputError
 
 from .policy_options import ADDRESSES, JSON, call_node, read_file, tracker
@@ -61,7 +61,7 @@
         try:
             for entry in json.loads(await call_node(address, "history", None)):
                 by_epoch.setdefault(entry["epoch"], entry)
-        except (UnreachableError, ValueError):
+        except (CallFailedError, ValueError):
             continue
     return [by_epoch[epoch] for epoch in sorted(by_epoch)]
 
@@ -77,7 +77,7 @@
     except InvalidInputError as error:
         click.echo("\n".join(error.problems or [str(error)]), err=True)
         sys.exit(ExitStatus.BAD_INPUT)
-    except UnreachableError as error:
+    except CallFailedError as error:
         click.echo(str(error), err=True)
         sys.exit(ExitStatus.BAD_INPUT)
     for line in lines:
--- a/hollybay/cluster/roles.py
+++ b/hollybay/cluster/roles.py
@@ -796,14 +796,14 @@
     async def do_found(self, doors: list[str], file: str) -> None:
         """Begin."""
         from hollybay.consensus import messages
-        from hollybay.consensus.requests import UnreachableError
+        from hollybay.consensus.requests import CallFailedError
 
         body = messages.encode(messages.BootstrapCall(file=base64.b64encode(file.encode()).decode()))
         for left in range(9, -1, -1):
             try:
                 await self.call(doors[0], "found", body)
                 return
-            except UnreachableError:  # hundreds of nodes that start at once are all at the keepers' doors
+            except CallFailedError:  # hundreds of nodes that start at once are all at the keepers' doors
                 if not left:
                     raise
                 await asyncio.sleep(0.5)
--- a/hollybay/consensus/ballots.py
+++ b/hollybay/consensus/ballots.py
@@ -63,7 +63,7 @@
     proposer : Proposer
     voted : set of str
         The voters that have voted.
-    silent_requests : int
+    unanswered_requests : int
         Requests that no voter answered, one after another.
     """
 
--- a/hollybay/consensus/change_tracker.py
+++ b/hollybay/consensus/change_tracker.py
@@ -29,7 +29,7 @@
     encode,
 )
 from .policy import RejectedError
-from .requests import NO_ANSWER, UnreachableError
+from .requests import NO_ANSWER, CallFailedError
 from .submission import ChangeSubmission
 from .transfer import download
 from .verdict import NOT_BEGUN, ExitStatus, Verdict, judge
@@ -141,7 +141,7 @@
                 reply = decode(await self.call(address, "propose", body), ProposeReply)
             except RejectedError as error:
                 return _unknown(str(error))
-            except UnreachableError as error:
+            except CallFailedError as error:
                 if error.status in (NO_ANSWER, UNAVAILABLE, INSUFFICIENT_STORAGE):
                     verdict = _unknown(f"{address}: {error}")
                     continue
@@ -184,26 +184,26 @@
         for address in view.voters:
             try:
                 await self.call(address, "propose", body)
-            except UnreachableError:
+            except CallFailedError:
                 continue
             return
 
     async def bootstrap(self, address: str, file: bytes) -> bytes:
-        """Found the cluster at one of its voters; its reply. UnreachableError: the voter does not."""
+        """Found the cluster at one of its voters; its reply. CallFailedError: the voter does not."""
         argument = await self.file_argument(address, file)
         call = BootstrapCall(argument.text or "", argument.upload)
         return await self.call_until_done(address, "found", encode(call))
 
     async def diff(self, old: str, new: str) -> list[str]:
-        """The difference of two policies, for people. UnreachableError: no voter has both."""
-        failure = UnreachableError("no keeper answers")
+        """The difference of two policies, for people. CallFailedError: no voter has both."""
+        failure = CallFailedError("no keeper answers")
         for address in self.voters_in_order(self.view):
             try:
                 return decode(await self.call(address, f"diff/{old}/{new}", None), list[str])
             except RejectedError as error:
-                failure = UnreachableError(f"{address}: {error}")
-            except UnreachableError as error:
-                failure = UnreachableError(reason_in(error), error.status)
+                failure = CallFailedError(f"{address}: {error}")
+            except CallFailedError as error:
+                failure = CallFailedError(reason_in(error), error.status)
         raise failure
 
     async def drop(self, change: str) -> str:
@@ -212,7 +212,7 @@
         for address in list(dict.fromkeys([*self.view.voters, *self.addresses])):
             try:
                 await self.call(address, "drop", encode(DropCall(change)))
-            except UnreachableError as error:
+            except CallFailedError as error:
                 reason = str(error)
             else:
                 return ""
@@ -229,18 +229,18 @@
         ------
         InvalidInputError
             A voter rejects the request.
-        UnreachableError
+        CallFailedError
             No voter answers.
         """
         view = await self.refresh()
-        failure = UnreachableError("no keeper answers")
+        failure = CallFailedError("no keeper answers")
         for address in self.voters_in_order(view):
             try:
                 draft = await self._draft_at(address, reason, author, request)
                 return draft, await self._drafted_change(address, draft)
             except RejectedError as error:
-                failure = UnreachableError(f"{address}: {error}")
-            except UnreachableError as error:
+                failure = CallFailedError(f"{address}: {error}")
+            except CallFailedError as error:
                 if error.status not in (NO_ANSWER, NOT_FOUND, UNAVAILABLE, INSUFFICIENT_STORAGE):
                     raise invalid_input(error) from None
                 failure = error
--- a/hollybay/consensus/durable_acceptor.py
+++ b/hollybay/consensus/durable_acceptor.py
@@ -116,10 +116,13 @@
     def open(self) -> None:
         """Take up the state of the process before.
 
+        The state stays None, and the acceptor must recover from the others, also where there is no record,
+        the record may not be the last one that was written, or the log lacks an entry that it names.
+
         Raises
         ------
         StoreError
-            It is not known; the acceptor must recover from the others.
+            No record on the disk is intact, or a newer build wrote it.
         """
         data = self.store.open()
         if data is None or self.store.may_be_stale:
--- a/hollybay/consensus/lease_client.py
+++ b/hollybay/consensus/lease_client.py
@@ -19,7 +19,7 @@
 from .outgoing_requests import CALL_LIMIT_S, PeerClient
 from .policy import RejectedError
 from .reasons import GoneSinceFetch, texts_of
-from .requests import UnreachableError
+from .requests import CallFailedError
 from .serviceability import Serviceability, Unserviceable, bounded_reasons
 from .store import StoreError
 from .waiting import wait_at_most
@@ -224,7 +224,7 @@
         """Request a lease of one voter, and take in its answer."""
         try:
             reply = messages.decode(await self.peers.call(address, "ask", body, limit), messages.LeaseReply)
-        except (UnreachableError, RejectedError):
+        except (CallFailedError, RejectedError):
             return
         if reply.grant is not None:
             self._take_grant(reply.grant._replace(voter=number_of(address)))
--- a/hollybay/consensus/log.py
+++ b/hollybay/consensus/log.py
@@ -57,7 +57,7 @@
         Where the files are.
     before_step
         Called before each announced step on the disk, as in `record_folder.RecordFolder`.
-    kept_states
+    max_states_in_memory
         How many of the newest entries are kept with the resources after them.
     snapshot_floor_bytes
         Entries of fewer bytes are never replaced by a snapshot.
--- a/hollybay/consensus/log_fetch.py
+++ b/hollybay/consensus/log_fetch.py
@@ -24,7 +24,7 @@
 from .log_entry import Snapshot
 from .policy import PolicyVersion, RejectedError, decode_policy, version_of
 from .reasons import NotPersisted
-from .requests import UnreachableError
+from .requests import CallFailedError
 from .store import StoreError
 from .transfer import download
 
@@ -165,7 +165,7 @@
                 await self.run_blocking(partial(chain.store, self.log))
             except StoreError as error:
                 return FetchResult(chain.last.without_changes(), NotPersisted(str(error)))
-            except (UnreachableError, RejectedError) as error:
+            except (CallFailedError, RejectedError) as error:
                 self._record_failure(address, f"{name}: {error}")
                 continue
             return FetchResult(self.log.policy(name))
@@ -178,11 +178,11 @@
             del self.failures[next(iter(self.failures))]
 
     async def _fetch_chain(self, address: str, name: str) -> _FetchedChain:
-        """What this log lacks for an entry. UnreachableError, RejectedError: the address does not give it."""
+        """What this log lacks for an entry. CallFailedError, RejectedError: the address does not give it."""
         for version in self._versions_before(name):
             try:
                 entries = await self._fetch_delta(address, version, name)
-            except UnreachableError as error:
+            except CallFailedError as error:
                 if error.status != LOG_TRUNCATED_STATUS:
                     raise
                 break
--- a/hollybay/consensus/outgoing_requests.py
+++ b/hollybay/consensus/outgoing_requests.py
@@ -11,7 +11,7 @@
 from .interfaces import Response
 from .messages import number_of
 from .policy import RejectedError
-from .requests import Transport, UnreachableError
+from .requests import CallFailedError, Transport
 
 __all__ = ["CALL_LIMIT_S", "PeerClient"]
 
@@ -58,13 +58,13 @@
 
         Raises
         ------
-        UnreachableError
+        CallFailedError
             There was no reply, or one whose status is an error.
         """
         if address == self.own_address:
             answer = await self.local(path, body)
             if answer.status >= FIRST_ERROR_STATUS:
-                raise UnreachableError(answer.body.decode("utf-8", "replace"), answer.status)
+                raise CallFailedError(answer.body.decode("utf-8", "replace"), answer.status)
             return answer.body
         self.calls += 1
         return await self.transport(address, path, body, limit)
@@ -73,7 +73,7 @@
         """Whether a request is answered within `limit` seconds, and without an error."""
         try:
             await self.call(address, path, body, limit)
-        except UnreachableError:
+        except CallFailedError:
             return False
         return True
 
@@ -135,6 +135,6 @@
     for task in done:
         try:
             reply = task.result()
-        except (UnreachableError, RejectedError):
+        except (CallFailedError, RejectedError):
             continue
         yield reply
--- a/hollybay/consensus/policy_requests.py
+++ b/hollybay/consensus/policy_requests.py
@@ -24,7 +24,7 @@
 from .reasons import texts_of
 from .replies import ok, rejected
 from .request_content import RequestContent
-from .requests import UnreachableError
+from .requests import CallFailedError
 from .serviceability import Serviceability
 from .voter import Voter
 
@@ -128,7 +128,7 @@
         for address in added:
             try:
                 await self.peers.call(address, "join", announcement(state, self.replica.own_address))
-            except UnreachableError as error:
+            except CallFailedError as error:
                 raise RejectedError(f"keepers: {address}: {error}") from None
 
     # Drops
--- a/hollybay/consensus/proposals.py
+++ b/hollybay/consensus/proposals.py
@@ -120,7 +120,7 @@
 
         Parameters
         ----------
-        named_changes
+        culprits
             Why each change cannot be served, by its id in hex.
         reasons
             What nodes reported without naming a change.
--- a/hollybay/consensus/requests.py
+++ b/hollybay/consensus/requests.py
@@ -8,13 +8,13 @@
 from . import messages
 from .policy import PolicyVersion, RejectedError
 
-__all__ = ["NO_ANSWER", "Transport", "UnreachableError", "fetch_policy"]
+__all__ = ["NO_ANSWER", "CallFailedError", "Transport", "fetch_policy"]
 
 NO_ANSWER = 0  # the status of a call that was not answered
 
 
-class UnreachableError(Exception):
-    """A call had no answer, or its answer is an error.
+class CallFailedError(Exception):
+    """A call had no answer, or its answer is an error, which may be a rejection.
 
     Parameters
     ----------
@@ -48,7 +48,7 @@
 
         Raises
         ------
-        UnreachableError
+        CallFailedError
             No answer in time, or an error.
         """
         ...
@@ -68,6 +68,6 @@
         try:
             answer = await call(address, f"entry/{name}", None)
             return messages.unpacked(answer.decode("ascii", "replace"), name)
-        except (UnreachableError, RejectedError):
+        except (CallFailedError, RejectedError):
             continue
     return None
--- a/hollybay/consensus/submission.py
+++ b/hollybay/consensus/submission.py
@@ -15,7 +15,7 @@
 from .messages import ChangeCall, ChangeOutcome, ChangeReply, decode, encode
 from .policy import RejectedError
 from .reasons import ReportedReason
-from .requests import NO_ANSWER, UnreachableError
+from .requests import NO_ANSWER, CallFailedError
 from .verdict import ExitStatus, Verdict, judge_settled
 from .voter_client import (
     MAX_INLINE_BYTES,
@@ -93,7 +93,7 @@
         """What a voter knows of the change; None: it does not answer."""
         try:
             return decode(await self.client.call(address, f"change/{self.id}", None), ChangeReply)
-        except (UnreachableError, RejectedError):
+        except (CallFailedError, RejectedError):
             return None
 
     async def _is_waiting(self) -> bool:
@@ -158,7 +158,7 @@
                 await self._offer_to(address)
             except RejectedError as error:
                 verdict = self._unknown(f"{address}: {error}")
-            except UnreachableError as error:
+            except CallFailedError as error:
                 match self._on_offer_failed(address, error):
                     case _OfferReaction.TRY_NEXT:
                         verdict = self._unknown(f"{address}: {error}")
@@ -180,7 +180,7 @@
             addresses = [address for address in addresses if address not in self._offered_to]
         return sorted(addresses, key=lambda address: address not in self._offered_to)
 
-    def _on_offer_failed(self, address: str, error: UnreachableError) -> _OfferReaction:
+    def _on_offer_failed(self, address: str, error: CallFailedError) -> _OfferReaction:
         wait_s = retry_after_s(error)
         if error.status:
             self._offered_to.discard(address)  # it has answered that it did not accept the change
--- a/hollybay/consensus/verdict.py
+++ b/hollybay/consensus/verdict.py
@@ -10,13 +10,15 @@
 from enum import IntEnum
 
 from .cluster_view import ClusterView
+from .core import Stage
+from .message_codec import stage_label
 from .reasons import ReportedReason
 
 __all__ = ["ExitStatus", "InvalidInputError", "Verdict", "judge", "judge_settled"]
 
 NOT_BEGUN = "not begun"
-_SETTLED = "SETTLED"
-_JOINT = "NARROW"
+_SETTLED = stage_label(Stage.SETTLED)
+_JOINT = stage_label(Stage.JOINT)
 
 
 class ExitStatus(IntEnum):
--- a/hollybay/consensus/voter_client.py
+++ b/hollybay/consensus/voter_client.py
@@ -16,7 +16,7 @@
 from .messages import PIECE_BYTES, encode
 from .policy import PolicyVersion
 from .reasons import ReportedReason
-from .requests import UnreachableError, fetch_policy
+from .requests import CallFailedError, fetch_policy
 from .transfer import upload_calls
 from .verdict import ExitStatus, InvalidInputError
 
@@ -71,7 +71,7 @@
     Parameters
     ----------
     call
-        Makes a call, by address, path and body. UnreachableError: it had no answer, or one with an error.
+        Makes a call, by address, path and body. CallFailedError: it had no answer, or one with an error.
     addresses
         Processes that are known at first.
     on_update
@@ -120,7 +120,7 @@
             try:
                 document = msgspec.json.decode(await self.call(address, path, None))
                 return address, document, parse(document)
-            except (UnreachableError, msgspec.DecodeError):
+            except (CallFailedError, msgspec.DecodeError):
                 return None
 
         answers = await asyncio.gather(*map(poll, addresses))
@@ -152,7 +152,7 @@
         return FileArgument(upload=await self.upload(address, file))
 
     async def upload(self, address: str, data: bytes) -> str:
-        """Upload data that is too long for a call; its id. UnreachableError: the voter does not accept it."""
+        """Upload data that is too long for a call; its id. CallFailedError: the voter does not accept it."""
         upload_id = blake2b(data, digest_size=UPLOAD_ID_BYTES).hexdigest()
         for chunk in upload_calls(upload_id, data):
             await self.call(address, "upload", encode(chunk))
@@ -166,7 +166,7 @@
         while True:
             try:
                 return await self.call(address, path, body)
-            except UnreachableError as error:
+            except CallFailedError as error:
                 wait_s = retry_after_s(error)
                 unanswered_attempts = unanswered_attempts + 1 if not error.status else 0
                 may_retry = wait_s is not None or 0 < unanswered_attempts < MAX_UNANSWERED_ATTEMPTS
@@ -175,7 +175,7 @@
             await asyncio.sleep(wait_s or POLL_INTERVAL_S)
 
 
-def _details(error: UnreachableError) -> dict[str, Any]:
+def _details(error: CallFailedError) -> dict[str, Any]:
     """The JSON object that a voter sent with an error; empty: it sent none."""
     try:
         details = msgspec.json.decode(str(error).encode("utf-8", "replace"))
@@ -184,12 +184,12 @@
     return details if isinstance(details, dict) else {}
 
 
-def reason_in(error: UnreachableError) -> str:
+def reason_in(error: CallFailedError) -> str:
     """Why a voter rejected a call."""
     return str(_details(error).get("refused", error))
 
 
-def retry_after_s(error: UnreachableError) -> float | None:
+def retry_after_s(error: CallFailedError) -> float | None:
     """In how many seconds a voter wants to be called again; None: it does not say so."""
     wait_ms = _details(error).get("retry_after_ms")
     if not isinstance(wait_ms, int) or error.status != UNAVAILABLE:
@@ -197,7 +197,7 @@
     return min(MAX_RETRY_AFTER_S, max(0.0, wait_ms / 1000))
 
 
-def problems_in(error: UnreachableError) -> list[ReportedReason]:
+def problems_in(error: CallFailedError) -> list[ReportedReason]:
     """The problems that a voter listed with an error, or the text of the error."""
     problems = _details(error).get("problems")
     if not isinstance(problems, list):
@@ -212,7 +212,7 @@
     return ReportedReason(str(problem))
 
 
-def invalid_input(error: UnreachableError) -> InvalidInputError:
+def invalid_input(error: CallFailedError) -> InvalidInputError:
     """The error of a voter that rejected what an operator gave."""
     is_conflict = error.status in (CONFLICT, UNPROCESSABLE)
     status = ExitStatus.NOWHERE if is_conflict else ExitStatus.BAD_INPUT
--- a/hollybay/hollow/fleet.py
+++ b/hollybay/hollow/fleet.py
@@ -13,7 +13,7 @@
 
 from hollybay.consensus import messages
 from hollybay.consensus.change_tracker import ChangeTracker
-from hollybay.consensus.requests import UnreachableError
+from hollybay.consensus.requests import CallFailedError
 from hollybay.proxy.admin_client import call_policy
 from hollybay.proxy.system import boot_time_ns
 from hollybay.resources.model import Change
@@ -143,14 +143,14 @@
         first = self.keeper_addresses[0]
         try:
             await ChangeTracker(self._called, [first]).bootstrap(first, file)
-        except UnreachableError as error:
+        except CallFailedError as error:
             raise FleetFailed(f"found: {error}") from None
 
     async def call(self, path: str, body: bytes | None) -> bytes:
         """Call the first keeper, as an operator does. FleetFailed: it says no, or nothing."""
         try:
             return await self._called(self.keeper_addresses[0], path, body)
-        except UnreachableError as error:
+        except CallFailedError as error:
             raise FleetFailed(f"{path}: {error}") from None
 
     async def start_nodes(self) -> None:
@@ -203,7 +203,7 @@
         body = messages.encode(messages.ChangeCall(base64.b64encode(encode_change(change)).decode()))
         try:
             await self._called(self.keeper_addresses[0], "change", body)
-        except UnreachableError as error:
+        except CallFailedError as error:
             if error.status in (0, TOO_BUSY):
                 return False
             raise FleetFailed(f"change: {error}") from None
--- a/hollybay/proxy/admin_client.py
+++ b/hollybay/proxy/admin_client.py
@@ -14,7 +14,7 @@
 
 from hollybay.consensus.messages import MAX_CALL_BYTES
 from hollybay.consensus.policy import RejectedError
-from hollybay.consensus.requests import UnreachableError
+from hollybay.consensus.requests import CallFailedError
 
 __all__ = ["call_policy"]
 
@@ -43,7 +43,7 @@
 
     Raises
     ------
-    UnreachableError
+    CallFailedError
         No response came within the limit, or one whose status is not a success.
     """
     host, _, port = address.rpartition(":")
@@ -54,7 +54,7 @@
             await loop.create_connection(lambda: call, host.strip("[]"), int(port))
             return await call.response_body
     except (OSError, TimeoutError, ValueError, h11.ProtocolError) as error:
-        raise UnreachableError(f"{address}: {type(error).__name__}: {error}") from None
+        raise CallFailedError(f"{address}: {type(error).__name__}: {error}") from None
     finally:
         call.close()
 
@@ -65,7 +65,7 @@
     Attributes
     ----------
     response_body
-        Result of the call: the body of a successful response, or UnreachableError.
+        Result of the call: the body of a successful response, or CallFailedError.
     """
 
     def __init__(self, address: str, path: str, body: bytes | None, caller: str) -> None:
@@ -97,11 +97,11 @@
             self._read_events()
         except (h11.ProtocolError, RejectedError) as error:
             if not self.response_body.done():
-                self.response_body.set_exception(UnreachableError(f"{self.address}: {error}"))
+                self.response_body.set_exception(CallFailedError(f"{self.address}: {error}"))
 
     def connection_lost(self, _exc: Exception | None) -> None:
         if not self.response_body.done():
-            self.response_body.set_exception(UnreachableError(f"{self.address}: closed before it answered"))
+            self.response_body.set_exception(CallFailedError(f"{self.address}: closed before it answered"))
 
     # Request and response
 
@@ -144,7 +144,7 @@
         if self.status in SUCCESS_STATUSES:
             self.response_body.set_result(body)
         else:
-            self.response_body.set_exception(UnreachableError(body.decode("utf-8", "replace"), self.status))
+            self.response_body.set_exception(CallFailedError(body.decode("utf-8", "replace"), self.status))
 
     def close(self) -> None:
         """Close the connection; an error that nobody waits for any more is not reported."""
--- a/hollybay/proxy/admin_service.py
+++ b/hollybay/proxy/admin_service.py
@@ -177,7 +177,7 @@
             rejected=counters.rejected,
             failed=counters.failed,
             attempts=self.node.pools.written,
-            in_flight=self.node.unanswered,
+            in_flight=self.node.unfinished_requests,
             servers_known=len(self.server_drains.drains.discovered),
             servers_excluded=self.server_drains.drains.count_excluded(self.node.balancer.avoids),
             reloads_ok=counters.reloads_ok,
--- a/hollybay/proxy/config.py
+++ b/hollybay/proxy/config.py
@@ -23,9 +23,9 @@
 MIN_SOCKETS = 192
 # Memory of the interpreter, the code and idle connections.
 BASE_MEMORY_MB = 24
-# Request bodies get this fraction of the remaining memory; responses and the overhead of the allocator take
-# the rest.
-BODY_MEMORY_FRACTION = 3
+# Request bodies get one byte in so many of the remaining memory; responses and the overhead of the allocator
+# take the rest.
+BODY_MEMORY_DIVISOR = 3
 MIN_BODY_BUDGET_BYTES = 2 << 20
 
 
@@ -119,7 +119,7 @@
         listen=_address_field(data, environ, "listen"),
         discovery=_address_field(data, environ, "discovery"),
         sockets=_parse_limit(limits, "sockets", DEFAULT_SOCKETS, minimum=MIN_SOCKETS),
-        body_budget=max(MIN_BODY_BUDGET_BYTES, ((memory_mb - BASE_MEMORY_MB) << 20) // BODY_MEMORY_FRACTION),
+        body_budget=max(MIN_BODY_BUDGET_BYTES, ((memory_mb - BASE_MEMORY_MB) << 20) // BODY_MEMORY_DIVISOR),
         settings=settings,
         names=names,
         peers=PeerFields(
--- a/hollybay/proxy/downstream/client_context.py
+++ b/hollybay/proxy/downstream/client_context.py
@@ -22,10 +22,10 @@
 
 # Connections accepted at once beyond those that there is room for; others are closed for them.
 ACCEPT_BATCH = 8
-# The part of the descriptors (one in so many) that clients hold at most for requests.
-CLIENTS_PART = 3
-# The part of the descriptors (one in so many) up to which client connections are kept between requests.
-KEPT_PART = 4
+# Clients hold at most one descriptor in so many for requests.
+CLIENTS_DIVISOR = 3
+# Client connections are kept between requests up to one descriptor in so many.
+KEPT_CONNECTIONS_DIVISOR = 4
 
 
 @dataclass(slots=True)
@@ -101,7 +101,7 @@
     is_shutting_down
         The process is ending and is not put back into service. An operator may have drained it before.
     forwarding_stopped
-        All requests are answered and the process is about to exit: no request is forwarded.
+        The last answers are being given and the process is about to exit: no request is forwarded.
     """
 
     def __init__(self, config: Config, dispatcher: RequestDispatcher, limit: int) -> None:
@@ -110,8 +110,8 @@
         self.dispatcher = dispatcher
         self.limit = limit
         self.host = config.listen[0].encode()
-        self.share = config.sockets // KEPT_PART
-        self.places = min(limit - 2 * ACCEPT_BATCH, config.sockets // CLIENTS_PART)
+        self.share = config.sockets // KEPT_CONNECTIONS_DIVISOR
+        self.places = min(limit - 2 * ACCEPT_BATCH, config.sockets // CLIENTS_DIVISOR)
         self.budget = BodyBudget(config.body_budget)
         self.streaming_budget = RetentionBudget(config.body_budget // 2)
         self.recent_ids = RecentRequestIds()
@@ -137,12 +137,12 @@
     @property
     def is_full(self) -> bool:
         """Whether one more pending request would leave no connection to accept others on."""
-        return self.dispatcher.unanswered >= self.places
+        return self.dispatcher.unfinished_requests >= self.places
 
     @property
     def free_share(self) -> float:
         """The free part (0 to 1) of the places for requests."""
-        return max(0.0, 1.0 - self.dispatcher.unanswered / self.places)
+        return max(0.0, 1.0 - self.dispatcher.unfinished_requests / self.places)
 
     def admit(self, conn: C) -> None:
         """Add a new connection, closing others if there are too many."""
@@ -165,7 +165,7 @@
         Otherwise clients that send one request and stay would hold all connections that clients may have. A
         client that comes back to a closed one opens a new one, which costs it a round trip.
         """
-        excess = len(self.idle) + self.dispatcher.unanswered - self.share
+        excess = len(self.idle) + self.dispatcher.unfinished_requests - self.share
         if excess > 0:
             before = self.loop.time() - self.limits.idle_when_crowded
             for conn in self.overdue(self.idle, before)[:excess]:
--- a/hollybay/proxy/downstream/request.py
+++ b/hollybay/proxy/downstream/request.py
@@ -221,7 +221,7 @@
         ----------
         host
             The host to name where the client names none.
-        upload
+        streaming_body
             The long body that is still coming, if there is one.
         """
         headers = end_to_end_headers(self.headers, _NOT_FORWARDED)
--- a/hollybay/proxy/message_limits.py
+++ b/hollybay/proxy/message_limits.py
@@ -17,7 +17,7 @@
 """The longest body, of a request or a response, that is held until it is complete; others are streamed."""
 
 MAX_BODY_BYTES = 40 << 20
-"""The longest body that is forwarded at all: 32 MB are usual, beyond that somebody means harm."""
+"""The longest body that is forwarded at all: usual ones have up to 32 MB."""
 
 SMALL_BODY_BYTES = 8 << 10
 """Bodies up to this size are not charged to the budget of bodies."""
--- a/hollybay/proxy/node_drain.py
+++ b/hollybay/proxy/node_drain.py
@@ -45,7 +45,7 @@
         """Report the node as not ready at once, and close its connections after a grace period."""
         if self.clients.service_state not in HEALTHY_STATES:
             return
-        log.info("node drained by an operator: requests in flight=%d", self.node.unanswered)
+        log.info("node drained by an operator: requests in flight=%d", self.node.unfinished_requests)
         self.clients.advance(ServiceEvent.DRAIN_STARTED)
         self._timer = self._loop.call_later(NODE_DRAIN_GRACE_S, self._close_connections)
 
--- a/hollybay/proxy/request_dispatcher.py
+++ b/hollybay/proxy/request_dispatcher.py
@@ -57,8 +57,8 @@
         Final answers since the start.
     requests
         Requests by number that have no final answer, or attempts in flight.
-    unanswered
-        How many requests have no final answer.
+    unfinished_requests
+        How many requests have no complete final answer, with those whose response is being streamed.
     discovery
         What watches and fetches the server list on demand of the balancer, if anything does.
     overlay
@@ -75,7 +75,7 @@
         self.overlay: Callable[[DiscoveryUpdate], DiscoveryUpdate] | None = None
         self.load_reporter: LoadReporter | None = None
         self.requests: dict[int, PendingRequest] = {}
-        self.unanswered = 0
+        self.unfinished_requests = 0
         self.loop = asyncio.get_running_loop()
         self._next_id = 1
         handlers: ActionHandlers = {
@@ -156,7 +156,7 @@
         time_left = max(1, time_left - ANSWER_MARGIN_NS)
         request = PendingRequest(request_id, client, message, class_index)
         self.requests[request_id] = request
-        self.unanswered += 1
+        self.unfinished_requests += 1
         request.client_seen = system.monotonic_ns()
         self._start_timer(request, time_left)
         if self.load_reporter is not None:
@@ -205,8 +205,11 @@
                 attempt.cancel()
         self.feed(api.ClientDisconnected(request_id))
 
-    def _is_client_there(self, request: PendingRequest) -> bool:
-        """Tell whether a request's client is there, as far as can be told; one that has gone is abandoned."""
+    def _check_client_presence(self, request: PendingRequest) -> bool:
+        """Look whether a request's client is connected, and abandon a client that has gone.
+
+        Where the kernel cannot tell, the answer is False as well: nothing more is sent for that client.
+        """
         now = system.monotonic_ns()
         if now - request.client_seen < PRESENCE_VALID_NS:
             return True
@@ -257,7 +260,7 @@
         """Tell whether another attempt may begin. The client is looked at, which may end the request."""
         if request.state is not PENDING:
             return False
-        if not self._is_client_there(request):
+        if not self._check_client_presence(request):
             return False
         if len(request.attempts) >= self.settings.max_attempts:
             return False
@@ -369,7 +372,7 @@
     def _conclude(self, request: PendingRequest) -> None:
         request.state = next_state(request.state, _CONCLUDED)
         request.message = None
-        self.unanswered -= 1
+        self.unfinished_requests -= 1
         self._forget_if_over(request)
 
     def _forget_if_over(self, request: PendingRequest) -> None:
@@ -385,7 +388,7 @@
     def is_awaited(self, attempt: Attempt) -> bool:
         """Tell whether the client of an attempt is there: nothing is sent on for one that has gone."""
         request: PendingRequest = attempt.owner
-        return request.state is not FINISHED and self._is_client_there(request)
+        return request.state is not FINISHED and self._check_client_presence(request)
 
     def response_started(self, attempt: Attempt, response: ForwardedResponse) -> Client | None:
         """Tie a request to the response that begins to come; return where it goes, None: nowhere."""
--- a/hollybay/proxy/shutdown.py
+++ b/hollybay/proxy/shutdown.py
@@ -52,15 +52,16 @@
     final_period_s
         Time before the end at which connections are closed even if their clients keep using them (s).
     listener_group
-        The processes of this node that listen on its address. If another one has taken over, the node does
-        not report itself as not ready: clients are told to reconnect with their next answer instead.
+        The processes of this node that listen on its address. If another one has taken over, the node goes on
+        reporting itself as ready, unless an operator has drained it: clients are told to reconnect with their
+        next answer.
     """
     has_successor = listener_group is not None and listener_group.count_others() > 0
     loop = asyncio.get_running_loop()
     started_at = loop.time()
     end = started_at + _longest_deadline_s(node) + KILL_DELAY_S - KILL_MARGIN_S
     final_period_start = end - final_period_s
-    log.info("draining: %d requests open, %d connections", node.unanswered, len(clients.connections))
+    log.info("draining: %d requests open, %d connections", node.unfinished_requests, len(clients.connections))
     if has_successor:
         clients.advance(ServiceEvent.CLOSING_STARTED)
     else:
--- a/hollybay/proxy/streaming_body.py
+++ b/hollybay/proxy/streaming_body.py
@@ -1,7 +1,8 @@
 """The body of a request that is forwarded while it comes: neither side waits for the whole of it.
 
 Up to `MAX_HELD_BODY_BYTES` a body is held until it is complete, and only then sent. A longer one is streamed.
-As long as the budget has room for all its bytes they are retained, and another attempt can begin anew. Beyond
+As long as all its bytes fit in the budget and in `MAX_RETAINED_BYTES` they are retained, and another attempt
+can begin anew. Beyond
 that, what a server has taken is dropped: the body is spent, and the client is read at the pace of the server.
 """
 
--- a/hollybay/proxy/upstream/attempt.py
+++ b/hollybay/proxy/upstream/attempt.py
@@ -49,7 +49,7 @@
     server
         Where it is sent.
     deadline
-        When the client's time is up, in ns of the monotonic clock.
+        When the attempt ends at the latest, in ns of the monotonic clock.
     observer
         Who is notified of the response and of the result.
     repeatable
@@ -107,7 +107,9 @@
         self.owner = owner
         self.number = number
         self.write_deadline = write_deadline
-        self.sent = system.monotonic_ns()  # ns; for a streamed body, when its last byte was written
+        self.sent = (
+            system.monotonic_ns()
+        )  # ns; response times count from here; for a streamed body its last byte
         self.response_started = 0  # ns; when the first bytes of a streamed response came, 0: none has
         self.read_delay = 0  # ns; for how long the end of the response was here before the node read it
         self.written = False  # its last byte was handed over: from here on it may have run
--- a/hollybay/proxy/upstream/pools.py
+++ b/hollybay/proxy/upstream/pools.py
@@ -21,7 +21,7 @@
 from .health_check import HEALTH_CHECK_LIMIT_NS, health_check
 from .states import ConnectionState
 
-__all__ = ["DRAIN_GRACE_PART", "MAX_UNSETTLED", "UpstreamPools"]
+__all__ = ["DRAIN_GRACE_SHARE", "MAX_UNSETTLED", "UpstreamPools"]
 
 log = logging.getLogger("hollybay.proxy")
 
@@ -30,7 +30,7 @@
 MAX_UNSETTLED = 4
 SWEEP_INTERVAL_S = 0.25  # how often that is looked for
 # Part of the drain grace after which an attempt that is not yet whole on the wire is withdrawn.
-DRAIN_GRACE_PART = 0.75
+DRAIN_GRACE_SHARE = 0.75
 
 
 class UpstreamPools:
@@ -89,7 +89,7 @@
         for connection in list(endpoint.idle):
             connection.close()
         if endpoint.draining is None:
-            grace = DRAIN_GRACE_PART * self.settings.drain_grace / SECOND
+            grace = DRAIN_GRACE_SHARE * self.settings.drain_grace / SECOND
             endpoint.closes = self.loop.time() + grace
             endpoint.draining = self.loop.call_later(grace, self._withdraw, endpoint)
 
--- a/hollybay/proxy/upstream/response_head.py
+++ b/hollybay/proxy/upstream/response_head.py
@@ -25,8 +25,8 @@
 # With `X-Unprocessed: 1` these say that the server has not run the request.
 REJECTING_STATUSES = (503, 504)
 # What h11 must know of the request, which is not written through it, before it takes an informational
-# response (RFC 9110, 15.2): responses to GET and to POST end alike. Where none comes it need not be told,
-# which would cost each request one part in forty.
+# response (RFC 9110, 15.2): responses to GET and to POST end alike. It is told only where one comes, to save
+# the time on all other requests.
 PLACEHOLDER_REQUEST = h11.Request(method=b"GET", target=b"/", headers=[(b"host", b"server")])
 # The first digit of such a response's status, or nothing where that has not come yet.
 INFORMATIONAL_FIRST_DIGITS = (b"1", b"")
--- a/hollybay/routing/limits.py
+++ b/hollybay/routing/limits.py
@@ -39,7 +39,7 @@
         The header (lower case) whose value requests share a bucket by; empty: none.
     tenant
         Whether requests share a bucket by tenant.
-    most_keys
+    max_keys
         Buckets held at most; further keys share one.
     """
 
--- a/hollybay/simulation/accord_rehearsal.py
+++ b/hollybay/simulation/accord_rehearsal.py
@@ -37,7 +37,7 @@
 )
 from hollybay.consensus.log_entry import Entry
 from hollybay.consensus.policy import version_of
-from hollybay.consensus.requests import UnreachableError
+from hollybay.consensus.requests import CallFailedError
 from hollybay.consensus.service import Service
 from hollybay.consensus.verdict import ExitStatus, Verdict
 from hollybay.resources.model import Change, Delete, Key, Kind, Operation, Upsert
@@ -259,7 +259,7 @@
             if answered.done():
                 return
             if answer.status >= 400:
-                answered.set_exception(UnreachableError(answer.body.decode(), answer.status))
+                answered.set_exception(CallFailedError(answer.body.decode(), answer.status))
             else:
                 answered.set_result(answer.body)
 
@@ -271,7 +271,7 @@
             async with asyncio.timeout(max(0.001, limit - (self.loop.now - began))):
                 return await answered
         except TimeoutError:
-            raise UnreachableError(f"{door}: no answer") from None
+            raise CallFailedError(f"{door}: no answer") from None
 
     # Requests
 
@@ -447,7 +447,7 @@
         self.told.append((change, verdict))
 
     async def _posted(self, door: str, change: Change) -> None:
-        with suppress(UnreachableError):
+        with suppress(CallFailedError):
             await self.operator_call(
                 door, "change", messages.encode(messages.ChangeCall(messages.change_text(change)))
             )
@@ -503,7 +503,7 @@
             try:
                 await self.operator_call(self.keepers[0], "found", body)
                 break
-            except UnreachableError as error:
+            except CallFailedError as error:
                 if "founded already" in str(error):
                     break
                 await asyncio.sleep(0.2)
--- a/hollybay/simulation/nodes.py
+++ b/hollybay/simulation/nodes.py
@@ -151,7 +151,7 @@
                 "bytes of long bodies": (clients.streaming_budget.used, clients.streaming_budget.total),
                 "connections to servers": (_open(servers), servers.limit + 1),
                 "client connections": (len(clients.connections), clients.limit + 1),
-                "requests owed": (node.unanswered, len(node.requests)),
+                "requests owed": (node.unfinished_requests, len(node.requests)),
                 "descriptors": (len(self.machine.sockets), self.machine.descriptors),
             }
         )
@@ -177,7 +177,7 @@
         balancer = node.balancer
         held = {
             "requests": len(node.requests),
-            "requests owed": node.unanswered,
+            "requests owed": node.unfinished_requests,
             "requests that the module knows": len(balancer.requests),
             "attempts that the module counts": sum(s.in_flight for s in balancer.servers.values()),
             "client connections": len(clients.connections),
--- a/tests/golden/build.py
+++ b/tests/golden/build.py
@@ -47,7 +47,7 @@
 from hollybay.consensus.log import PolicyLog
 from hollybay.consensus.log_entry import Entry
 from hollybay.consensus.policy import PolicyVersion, RejectedError, first_policy, successor_policy
-from hollybay.consensus.requests import UnreachableError
+from hollybay.consensus.requests import CallFailedError
 from hollybay.consensus.service import Service
 from hollybay.consensus.store import Store, StoreError
 from hollybay.consensus.transfer import Uploads, chunk_at, upload_calls
@@ -398,7 +398,7 @@
 
 
 async def _nobody(door: str, path: str, body: bytes | None, limit: float) -> bytes:
-    raise UnreachableError(f"{door}: nobody there")
+    raise CallFailedError(f"{door}: nobody there")
 
 
 class _Clock:
@@ -1139,7 +1139,7 @@
         counters.served[:], counters.rejected[:], counters.failed[:] = [1, 2], [3, 4], [5, 6]
         counters.reloads_ok, counters.reloads_failed = 11, 12
         desk.node.pools.written = 7
-        desk.node.unanswered = 8
+        desk.node.unfinished_requests = 8
         return await _spoken(desk, _call_bytes("GET /-/metrics"))
 
 
--- a/tests/test_accord_fetch.py
+++ b/tests/test_accord_fetch.py
@@ -17,7 +17,7 @@
 from hollybay.consensus.log_fetch import LOG_TRUNCATED_STATUS, Fetcher, FetchResult
 from hollybay.consensus.policy import PolicyVersion, RejectedError, successor_policy
 from hollybay.consensus.reasons import NotPersisted
-from hollybay.consensus.requests import UnreachableError
+from hollybay.consensus.requests import CallFailedError
 from hollybay.consensus.store import StoreError
 from hollybay.consensus.transfer import (
     MAX_UPLOAD_BYTES,
@@ -45,7 +45,7 @@
         self.called.append((door, path))
         log = self.logs.get(door)
         if log is None:
-            raise UnreachableError(f"{door}: nobody")
+            raise CallFailedError(f"{door}: nobody")
         kind, *parts = path.split("/")
         try:
             if kind == "since":
@@ -53,7 +53,7 @@
             else:
                 name, whole = log.newest_snapshot(parts[0])
         except LogTruncatedError as error:
-            raise UnreachableError(str(error), LOG_TRUNCATED_STATUS) from None
+            raise CallFailedError(str(error), LOG_TRUNCATED_STATUS) from None
         offset = int(parts[2 if kind == "since" else 1]) if len(parts) > (2 if kind == "since" else 1) else 0
         whole = self.spoil.get(door, lambda path, data: data)(path, whole)
         return messages.encode(chunk_at(name, whole, offset))
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -178,7 +178,7 @@
                 head = await reader.readuntil(b"\r\n\r\n")
                 begun = await reader.readexactly(64 << 10)
                 (known,) = node.node.balancer.servers.values()
-                assert known.in_flight == 0 and node.node.unanswered == 1
+                assert known.in_flight == 0 and node.node.unfinished_requests == 1
                 assert b" 200 " in await node.ask(request(rid="r-2"))
                 go.set()
                 assert begun + await reader.readexactly(len(LONG) - len(begun)) == LONG and b" 200 " in head
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -287,7 +287,7 @@
             await server.until(lambda: len(server.heads) == 1)
             (open_,) = node.node.requests.values()
             sock.close()
-            await node.until(lambda: not (node.node.unanswered or node.node.pools.connections))
+            await node.until(lambda: not (node.node.unfinished_requests or node.node.pools.connections))
             assert time.monotonic_ns() < open_.deadline - 5 * 10**9
             server.go.set()
 
--- a/tests/test_guard.py
+++ b/tests/test_guard.py
@@ -7,7 +7,7 @@
 import pytest
 
 from hollybay.balancing import interface as api
-from hollybay.balancing.retries import allowed_scope, may_reject
+from hollybay.balancing.retries import allowed_scope, is_client_retry_harmless
 from hollybay.balancing.state import Attempt, Server
 from hollybay.testbed.world import MS, NEVER_RAN, SECOND
 
@@ -50,7 +50,7 @@
             harmless = effect == api.Effect.SAFE or (
                 effect == api.Effect.KEYED and group == api.DeduplicationScope.ALL
             )
-            assert may_reject(cls, tries) == (harmless or not ran)
+            assert is_client_retry_harmless(cls, tries) == (harmless or not ran)
 
 
 def test_no_more_attempts_than_allowed() -> None:
--- a/tests/test_lag.py
+++ b/tests/test_lag.py
@@ -188,7 +188,7 @@
             await server.until(lambda: len(server.heads) + node.node.counters.rejected[2] == third)
             assert node.node.counters.rejected[2]
             # A third of the descriptors is what clients hold: one is always left to hear a request on.
-            assert node.node.unanswered < third
+            assert node.node.unfinished_requests < third
             assert b" 503 " in await node.ask(request("view", rid="v-1"))
             server.go.set()
             await asyncio.gather(*asking)
--- a/tests/test_other_customers.py
+++ b/tests/test_other_customers.py
@@ -12,7 +12,7 @@
 
 from hollybay.balancing import interface as api
 from hollybay.proxy.config import settings_from_json
-from hollybay.proxy.upstream.pools import DRAIN_GRACE_PART
+from hollybay.proxy.upstream.pools import DRAIN_GRACE_SHARE
 from hollybay.testbed.loopback import Backend, Registry, request, running
 from hollybay.testbed.world import MS
 from hollybay.units import SECOND
@@ -182,6 +182,6 @@
             node.node.pools._drain(backend)
             assert backend.draining is not None
             left = backend.draining.when() - node.node.loop.time()
-            assert left <= DRAIN_GRACE_PART * given_["rules"]["drain-grace"] / SECOND + 0.01
+            assert left <= DRAIN_GRACE_SHARE * given_["rules"]["drain-grace"] / SECOND + 0.01
 
     asyncio.run(play())
