--- a/hollybay/proxy/request_dispatcher.py
+++ b/hollybay/proxy/request_dispatcher.py
@@ -131,39 +131,26 @@
         free_slot_share: float = 1.0,
         body_pending: bool = False,
     ) -> int:
-        """Accept a request, which may be answered before this returns.
+        """Accept a request and return its number; it may be answered before this returns.
 
         Parameters
         ----------
-        client
-            Where its answer goes.
-        message
-            What is sent to a server.
+        client, message
+            Where its answer goes, and what is sent to a server.
         class_index
             Index of its class in the settings.
         time_left
             How long (ns) its client waits.
         tenant, key, cost, is_retry, queued_time, limits, free_slot_share, body_pending
             As in `api.Request`.
-
-        Returns
-        -------
-        int
-            Its number.
         """
-        request_id = self._next_id
-        self._next_id += 1
         time_left = max(1, time_left - ANSWER_MARGIN_NS)
-        request = PendingRequest(request_id, client, message, class_index)
-        self.requests[request_id] = request
-        self.unfinished_requests += 1
-        request.client_seen = system.monotonic_ns()
-        self._start_timer(request, time_left)
+        request = self._register(client, message, class_index, time_left)
         if self.load_reporter is not None:
             self.load_reporter.poll()
         self.feed(
             api.Request(
-                request_id,
+                request.id,
                 class_index,
                 time_left,
                 tenant,
@@ -176,7 +163,18 @@
                 body_pending,
             )
         )
-        return request_id
+        return request.id
+
+    def _register(
+        self, client: Client, message: ForwardedRequest, class_index: int, time_left: int
+    ) -> PendingRequest:
+        request = PendingRequest(self._next_id, client, message, class_index)
+        self._next_id += 1
+        self.requests[request.id] = request
+        self.unfinished_requests += 1
+        request.client_seen = system.monotonic_ns()
+        self._start_timer(request, time_left)
+        return request
 
     def _start_timer(self, request: PendingRequest, time_left: int) -> None:
         request.deadline = system.monotonic_ns() + time_left
