--- a/hollybay/consensus/__init__.py
+++ b/hollybay/consensus/__init__.py
@@ -5,6 +5,16 @@
 service                                 one process's part: joins the roles and routes requests
 model_check                             searches what the protocol can do for violations of the guarantee
 
-Published names differ: on the wire, on disk and for operators a voter is a keeper, an address a door,
-bootstrap is found, the joint stage NARROW, grace is late, and decided is know.
+Published names differ (on the wire, on disk, at the command line); each is mapped once, in the `rename` of a
+message class or in `status` and `cluster_view`:
+
+voter                       keeper
+address of an admin server  door
+to bootstrap                to found
+the joint stage             NARROW
+grace after a lease         late, late_s
+decided epoch of a sender   know
+request of a lease          ask
+epoch barred from votes     mute (`last_barred_epoch`)
+time without a vote         quiet_s (`no_vote_before`)
 """
--- a/hollybay/consensus/durable_acceptor.py
+++ b/hollybay/consensus/durable_acceptor.py
@@ -270,15 +270,23 @@
             decided=answer.state if answer is not None else None,
             decided_epoch=state.decided.epoch,
             promised_number=state.promised[0],
-            blocking_leases=self.blocking_leases(now, message.state),
+            blocking_leases=self.leases_blocking_vote(now, message.state),
             no_vote_for=max(0, state.no_vote_before - now),
             withheld_because=str(Barred(state.last_barred_epoch)) if is_barred else "",
         )
 
     # Leases
 
-    def blocking_leases(self, now: int, state: EpochState) -> list[BlockingLease]:
-        """The leases that must end before it may vote for an epoch. now: ns."""
+    def leases_blocking_vote(self, now: int, state: EpochState) -> list[BlockingLease]:
+        """The leases that must end before it may vote for an epoch, with those of nodes that cannot serve it.
+
+        Parameters
+        ----------
+        now
+            The time (ns).
+        state
+            The epoch.
+        """
         if self.state is None:
             return []
         found = [self._shown(now, lease) for lease in self.state.blocking_leases(now, state)]
