--- a/tests/record_decisions.py
+++ b/tests/record_decisions.py
@@ -15,7 +15,7 @@
 from pathlib import Path
 from tempfile import TemporaryDirectory
 from types import ModuleType
-from typing import Any
+from typing import Any, ClassVar
 
 import hollybay.proxy.balancer_driver
 from hollybay.simulation.world import play_seed
@@ -36,7 +36,7 @@
 class RecordedBalancer(recorded.Balancer):
     """A balancer that keeps what it was given and what it answered."""
 
-    made: list[RecordedBalancer] = []
+    made: ClassVar[list[RecordedBalancer]] = []
 
     def __init__(self, settings: Any, seed: int, now: int) -> None:
         self.head = (recorded.encode_settings(settings), seed, now)
--- a/tests/recorded_decisions.py
+++ b/tests/recorded_decisions.py
@@ -14,7 +14,7 @@
 import gzip
 import json
 from collections.abc import Callable, Iterator, Mapping
-from dataclasses import dataclass
+from dataclasses import dataclass, fields
 from hashlib import blake2b
 from pathlib import Path
 from typing import Any
@@ -244,8 +244,8 @@
     lacking = [cls.__name__ for cls in (*api.Event.__args__, *api.Action.__args__) if cls not in known]
     for shape in _SHAPES:
         in_files = {name for name, _ in shape.fields}
-        fields = getattr(shape.cls, "__dataclass_fields__")
-        lacking += [f"{shape.cls.__name__}.{name}" for name in fields if name not in in_files]
+        names = [one.name for one in fields(shape.cls)]
+        lacking += [f"{shape.cls.__name__}.{name}" for name in names if name not in in_files]
     return lacking
 
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -67,7 +67,10 @@
             kept_reader, kept = await old.connect()
             kept.write(request(rid="k-1"))
             assert b" 200 " in (await read_message(kept_reader))[0]
-            new_config = lambda config: replace(shared(config), listen=("127.0.0.1", old.port))
+
+            def new_config(config: Config) -> Config:
+                return replace(shared(config), listen=("127.0.0.1", old.port))
+
             async with running(tmp_path / "2" / "c.json", Registry(), second, adjust=new_config) as new:
                 assert new.port == old.port
                 assert new.clients.listener is not None
