--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -9,7 +9,7 @@
 import sys
 from collections import Counter
 from collections.abc import Iterator
-from contextlib import contextmanager
+from contextlib import ExitStack, contextmanager
 from dataclasses import replace
 from pathlib import Path
 
@@ -248,8 +248,8 @@
         # A process that is killed takes with it what it holds; an upgrade in order does not.
         assert asked - served <= len(clients)
 
-    with reserved() as port:
+    with ExitStack() as held:
+        port = held.enter_context(reserved())
         # An admin address for each process; they are held so that no other test is given them meanwhile.
-        with reserved() as a, reserved() as b, reserved() as c, reserved() as d, reserved() as e:
-            admins = [a, b, c, d, e]
+        admins = [held.enter_context(reserved(socket.SO_REUSEADDR)) for _ in range(5)]
         asyncio.run(play(port, admins))
