--- a/benchmarks/accord.py
+++ b/benchmarks/accord.py
@@ -23,6 +23,7 @@
 from hollybay.consensus.interfaces import MemberSettings, OperatorFileChanges
 from hollybay.consensus.leaseholder import Leaseholder
 from hollybay.consensus.log_entry import Entry
+from hollybay.consensus.log_events import LogEvent
 from hollybay.consensus.service import Service
 from hollybay.resources.model import Change
 from hollybay.resources.state import ResourceState
@@ -74,7 +75,7 @@
     def apply_policies(self, entries: tuple[Entry, ...]) -> None:
         """Nothing is served here."""
 
-    def log_event(self, event: str, **fields: object) -> None:
+    def log_event(self, event: LogEvent, **fields: object) -> None:
         """Nothing is written."""
 
 
--- a/benchmarks/capacity/starts.py
+++ b/benchmarks/capacity/starts.py
@@ -10,9 +10,10 @@
 import msgspec
 
 from hollybay.consensus.change_builder import bootstrap_change
+from hollybay.consensus.errors import RejectedError
 from hollybay.consensus.log import PolicyLog
 from hollybay.consensus.log_entry import Snapshot
-from hollybay.consensus.policy import RejectedError, first_policy
+from hollybay.consensus.policy import first_policy
 from hollybay.hollow.meter import Spent, metered
 from hollybay.resources.state import EMPTY
 from hollybay.resources.wire import encode_snapshot
--- a/hollybay/cluster/roles.py
+++ b/hollybay/cluster/roles.py
@@ -26,6 +26,7 @@
 import uvloop
 
 from hollybay.balancing import interface as api
+from hollybay.consensus.log_events import LogEvent
 from hollybay.proxy.config import load
 from hollybay.proxy.life_cycle import serve
 from hollybay.testbed.client_connection import ClientConnection
@@ -207,7 +208,7 @@
 
     log_event, start = ConsensusMember.log_event, ConsensusMember.start
 
-    def saying(self: ConsensusMember, event: str, **found: object) -> None:
+    def saying(self: ConsensusMember, event: LogEvent, **found: object) -> None:
         log_event(self, event, **found)
         reached(event, **found)
 
--- a/hollybay/consensus/ballots.py
+++ b/hollybay/consensus/ballots.py
@@ -13,6 +13,7 @@
 from .core import Accept, EpochState, Stage, VoterSets, effective_policies
 from .durable_acceptor import DurableAcceptor
 from .environment import Environment
+from .log_events import LogEvent
 from .messages import number_of, stage_label
 from .outgoing_requests import PeerClient
 from .proposer import Proposer
@@ -257,7 +258,7 @@
         """An epoch is decided: all are told."""
         self.blocking_leases = []
         self.environment.data_plane.log_event(
-            "decided",
+            LogEvent.DECIDED,
             epoch=state.epoch,
             stage=stage_label(state.stage),
             policies=list(effective_policies(state)),
--- a/hollybay/consensus/bootstrap.py
+++ b/hollybay/consensus/bootstrap.py
@@ -11,10 +11,12 @@
 from .core import EpochState, Stage
 from .durable_acceptor import DurableAcceptor
 from .environment import Environment
+from .errors import RejectedError
 from .interfaces import Response
+from .log_events import LogEvent
 from .log_replica import LogReplica
 from .outgoing_requests import CALL_LIMIT_S, PeerClient
-from .policy import PolicyVersion, RejectedError, first_policy
+from .policy import PolicyVersion, first_policy
 from .reasons import texts_of
 from .replies import ok
 from .request_content import RequestContent
@@ -73,7 +75,7 @@
         await self.voter.bootstrap(acceptor, policy)
         reached = await self._pass_on(policy, others)
         self.content.uploads.discard(call.upload)
-        self.environment.data_plane.log_event("founded", policy=policy.name, keepers=addresses)
+        self.environment.data_plane.log_event(LogEvent.BOOTSTRAPPED, policy=policy.name, keepers=addresses)
         return ok({"policy": policy.name, "keepers": [self.settings.address, *reached]})
 
     async def _check_not_begun(self, acceptor: DurableAcceptor, others: list[str]) -> None:
--- a/hollybay/consensus/change_requests.py
+++ b/hollybay/consensus/change_requests.py
@@ -16,12 +16,14 @@
 from .core import Stage
 from .durable_acceptor import DurableAcceptor
 from .environment import Environment
+from .errors import RejectedError
 from .http_status import ACCEPTED, CONFLICT
 from .interfaces import Response
 from .log_entry import Entry
+from .log_events import LogEvent
 from .log_replica import LogReplica
 from .log_server import LogServer
-from .policy import PolicyVersion, RejectedError, successor_policy
+from .policy import PolicyVersion, successor_policy
 from .proposal_outcomes import Busy, Queued, RejectedNow
 from .proposals import Proposals
 from .replies import busy, ok
@@ -148,7 +150,7 @@
             return ok(reply, CONFLICT)
         if isinstance(offered, Queued):
             self.environment.data_plane.log_event(
-                "queued", change=change_id, reason=change.reason, author=change.author
+                LogEvent.QUEUED, change=change_id, reason=change.reason, author=change.author
             )
             self.coordinator.wake()
         return ok(self.proposals.change_status(change_id, acceptor), ACCEPTED)
@@ -219,7 +221,7 @@
         self.coordinator.begin(policy, epoch)
         self.proposals.batch_proposed(policy.name, batch)
         self.environment.data_plane.log_event(
-            "proposed", change=policy.name, reason=policy.reason, author=policy.author
+            LogEvent.PROPOSED, change=policy.name, reason=policy.reason, author=policy.author
         )
 
 
--- a/hollybay/consensus/change_tracker.py
+++ b/hollybay/consensus/change_tracker.py
@@ -15,6 +15,7 @@
 from hollybay.resources.wire import MAX_BATCH_BYTES
 
 from .cluster_view import ClusterView
+from .errors import RejectedError
 from .http_status import INSUFFICIENT_STORAGE, NOT_FOUND, UNAVAILABLE
 from .messages import (
     BootstrapCall,
@@ -28,7 +29,6 @@
     decode,
     encode,
 )
-from .policy import RejectedError
 from .requests import NO_ANSWER, CallFailedError
 from .submission import ChangeSubmission
 from .transfer import download
--- a/hollybay/consensus/coordinator.py
+++ b/hollybay/consensus/coordinator.py
@@ -18,10 +18,11 @@
 from .core import EpochState, Stage, policies_named
 from .durable_acceptor import DurableAcceptor
 from .environment import Environment
+from .log_events import LogEvent
 from .log_replica import LogReplica
 from .messages import stage_label
 from .outgoing_requests import PeerClient
-from .policy import PolicyVersion, RejectedError
+from .policy import PolicyVersion
 from .proposals import Proposals
 from .reasons import Reason, Superseded, SupersededOrDropped
 from .status import ChangeProgress
@@ -49,6 +50,10 @@
 
     acceptor: DurableAcceptor | None
 
+    def require_acceptor(self) -> DurableAcceptor:
+        """The acceptor here. NoVoterError: this process is no voter."""
+        ...
+
     def become_voter(self) -> None:
         """Be a voter, if this process is named as one and is none yet."""
         ...
@@ -169,7 +174,7 @@
                 if await self._step():
                     continue
             except StoreError as error:
-                self.data_plane.log_event("keeper", error=str(error))
+                self.data_plane.log_event(LogEvent.VOTER_STORAGE_FAILED, error=str(error))
                 await asyncio.sleep(IDLE_INTERVAL_S)
             self.coordinating = ""
             self.ballots.blocking_leases = []
@@ -249,7 +254,7 @@
             assert self.pending is not None
             return EpochState(epoch, Stage.PREPARE, state.policy, self.pending.policy.name)
         is_unserviceable = any(lease.cannot_serve for lease in self.ballots.blocking_leases) or bool(
-            self._acceptor().reports.unserviceable.get(state.new)
+            self.voter.require_acceptor().reports.unserviceable.get(state.new)
         )
         if state.new in self.dropping or (state.stage is Stage.PREPARE and is_unserviceable):
             return EpochState(epoch, Stage.SETTLED, state.policy)
@@ -265,7 +270,7 @@
 
     async def _advance(self) -> None:
         """Bring the group one epoch further, if a quorum votes for it."""
-        acceptor = self._acceptor()
+        acceptor = self.voter.require_acceptor()
         assert acceptor.state is not None
         acceptor.last_coordinated = self.clock()
         state = acceptor.state.decided
@@ -279,7 +284,7 @@
         if state.stage is not Stage.SETTLED:
             self.announcer.announce(state, acceptor)  # whoever has not heard of it blocks the next one
         self.data_plane.log_event(
-            "drives",
+            LogEvent.COORDINATING,
             epoch=proposal.epoch,
             stage=stage_label(proposal.stage),
             change=proposal.new or proposal.policy,
@@ -301,9 +306,3 @@
         else:
             self._failed_ballots = min(self._failed_ballots + 1, MAX_DOUBLINGS)
             await asyncio.sleep(self.rng.uniform(*FAILED_BACKOFF_S) * 2**self._failed_ballots)
-
-    def _acceptor(self) -> DurableAcceptor:
-        """The acceptor here. RejectedError: this process is no voter."""
-        if self.voter.acceptor is None:
-            raise RejectedError("no keeper here")
-        return self.voter.acceptor
--- a/hollybay/consensus/durable_acceptor.py
+++ b/hollybay/consensus/durable_acceptor.py
@@ -24,6 +24,7 @@
     Stage,
     policies_named,
 )
+from .errors import RejectedError
 from .log import PolicyLog
 from .member_reports import MemberReports
 from .messages import (
@@ -36,7 +37,7 @@
     PrepareReply,
 )
 from .persisted_acceptor import PersistedAcceptor
-from .policy import PolicyVersion, RejectedError
+from .policy import PolicyVersion
 from .reasons import Barred, KnowsNothing, LacksPolicies
 from .store import Store, StoreError
 
--- a/hollybay/consensus/grace_memory.py
+++ b/hollybay/consensus/grace_memory.py
@@ -11,6 +11,7 @@
 from .environment import Environment
 from .leaseholder import Leaseholder
 from .log import PolicyLog
+from .log_events import LogEvent
 from .store import Store, StoreError
 
 __all__ = ["GraceMemory", "RememberedGrace"]
@@ -84,4 +85,4 @@
         try:
             await self.environment.disk(lambda: self.store.put(record))
         except StoreError as error:
-            self.environment.data_plane.log_event("memory", error=str(error))
+            self.environment.data_plane.log_event(LogEvent.GRACE_MEMORY_FAILED, error=str(error))
--- a/hollybay/consensus/interfaces.py
+++ b/hollybay/consensus/interfaces.py
@@ -12,8 +12,9 @@
 from hollybay.resources.model import Change, Operation
 from hollybay.resources.state import ResourceState
 
+from .errors import RejectedError
 from .log_entry import Entry
-from .policy import RejectedError
+from .log_events import LogEvent
 
 __all__ = ["DataPlane", "InvalidFileError", "MemberSettings", "OperatorFileChanges", "Response"]
 
@@ -101,7 +102,7 @@
         """
         ...
 
-    def log_event(self, event: str, **fields: object) -> None:
+    def log_event(self, event: LogEvent, **fields: object) -> None:
         """Write an event of the protocol to the node's log."""
         ...
 
--- a/hollybay/consensus/lease_client.py
+++ b/hollybay/consensus/lease_client.py
@@ -12,12 +12,13 @@
 from .background_tasks import BackgroundTasks
 from .core import Decided, EpochState, LeaseGrant, LeaseRequest, Stage, has_quorum, policies_named
 from .environment import Environment
+from .errors import RejectedError
 from .grace_memory import GraceMemory, RememberedGrace
 from .leaseholder import Leaseholder
+from .log_events import LogEvent
 from .log_replica import LogReplica, voter_set
 from .messages import number_of, stage_label
 from .outgoing_requests import CALL_LIMIT_S, PeerClient
-from .policy import RejectedError
 from .reasons import GoneSinceFetch, texts_of
 from .requests import CallFailedError
 from .serviceability import Serviceability, Unserviceable, bounded_reasons
@@ -108,7 +109,7 @@
         self.data_plane.apply_policies(entries)
         state = self.leaseholder.effective_epoch
         self.data_plane.log_event(
-            "serves" if policies else "serves nothing",
+            LogEvent.IN_FORCE if policies else LogEvent.NOTHING_IN_FORCE,
             epoch=state.epoch if state is not None else -1,
             stage=stage_label(state.stage) if state is not None else "",
             policies=list(policies),
@@ -131,7 +132,7 @@
         try:
             remembered = self.memory.read()
         except StoreError as error:
-            self.data_plane.log_event("memory", error=str(error))
+            self.data_plane.log_event(LogEvent.GRACE_MEMORY_FAILED, error=str(error))
             return
         if remembered is None:
             return
@@ -256,7 +257,7 @@
                 return  # it will be sent again
             self.leaseholder = self.leaseholder.on_decided(Decided(state), voter_sets)
             self.data_plane.log_event(
-                "hears",
+                LogEvent.EPOCH_LEARNED,
                 epoch=state.epoch,
                 stage=stage_label(state.stage),
                 policies=list(policies_named(state)),
--- a/hollybay/consensus/log.py
+++ b/hollybay/consensus/log.py
@@ -21,9 +21,10 @@
 from hollybay.resources.state import EMPTY, ResourceState
 
 from .durable_file import no_step
+from .errors import LogGapError, RejectedError
 from .log_entry import Entry, Snapshot, age_order, is_name
 from .log_files import LogFiles
-from .policy import PolicyVersion, RejectedError, version_of
+from .policy import PolicyVersion, version_of
 from .store import StoreError
 
 __all__ = [
@@ -210,10 +211,10 @@
         if policy.version > 1:
             parent = self._entries.get(policy.parent_name)
             if parent is None or parent.policy.digest != policy.parent:
-                raise RejectedError(f"a gap: {policy.parent_name}, which {policy.name} follows, is not here")
+                raise LogGapError(f"a gap: {policy.parent_name}, which {policy.name} follows, is not here")
             state = parent.state
         if state is None:
-            raise RejectedError(f"a gap: the resources of {policy.parent_name} are not kept any more")
+            raise LogGapError(f"a gap: the resources of {policy.parent_name} are not kept any more")
         try:
             return apply_batch(state, policy.batch)
         except BatchMismatchError as error:
--- a/hollybay/consensus/log_entry.py
+++ b/hollybay/consensus/log_entry.py
@@ -11,7 +11,8 @@
 from hollybay.resources.state import ResourceState
 from hollybay.resources.wire import WireError, decode_snapshot, encode_snapshot
 
-from .policy import PolicyVersion, RejectedError, changed_keys, decode_policy, version_of
+from .errors import MalformedDataError
+from .policy import PolicyVersion, changed_keys, decode_policy, version_of
 
 __all__ = ["Entry", "Snapshot", "age_order", "is_name"]
 
@@ -110,7 +111,7 @@
             decode_policy(msgspec.msgpack.encode(policy))  # checks the bounds of its fields
             state = decode_snapshot(snapshot.resources, policy.after)
         except (msgspec.DecodeError, RecursionError, WireError) as error:
-            raise RejectedError(f"no snapshot: {error}") from None
+            raise MalformedDataError(f"no snapshot: {error}") from None
         if state.revision != policy.version:
-            raise RejectedError(f"no snapshot: revision {state.revision} of version {policy.version}")
+            raise MalformedDataError(f"no snapshot: revision {state.revision} of version {policy.version}")
         return policy.without_changes(), state
--- a/hollybay/consensus/log_fetch.py
+++ b/hollybay/consensus/log_fetch.py
@@ -19,10 +19,11 @@
 from hollybay.resources.state import ResourceState
 from hollybay.resources.wire import MAX_BATCH_BYTES, MAX_SNAPSHOT_BYTES
 
+from .errors import LogGapError, MalformedDataError, RejectedError
 from .http_status import GONE
 from .log import PolicyLog
 from .log_entry import Snapshot
-from .policy import PolicyVersion, RejectedError, decode_policy, version_of
+from .policy import PolicyVersion, decode_policy, version_of
 from .reasons import NotPersisted
 from .requests import CallFailedError
 from .store import StoreError
@@ -97,22 +98,22 @@
 
 
 def parse_delta(data: bytes) -> list[PolicyVersion]:
-    """The entries of an encoded delta. RejectedError: it holds none."""
+    """The entries of an encoded delta. MalformedDataError: it holds none."""
     try:
         encoded: list[msgspec.Raw] = msgspec.msgpack.decode(data, type=list[msgspec.Raw])
     except (msgspec.DecodeError, RecursionError) as error:
-        raise RejectedError(f"no entries: {error}") from None
+        raise MalformedDataError(f"no entries: {error}") from None
     return [decode_policy(bytes(entry)) for entry in encoded]
 
 
 def check_links(entries: list[PolicyVersion], name: str) -> None:
-    """Check that entries form a chain that ends with the one of this name. RejectedError: they do not."""
+    """Check that entries form a chain that ends with the one of this name. LogGapError: they do not."""
     if not entries or entries[-1].name != name:
         last = entries[-1].name if entries else "nothing"
-        raise RejectedError(f"a delta that ends with {last}, and not {name}")
+        raise LogGapError(f"a delta that ends with {last}, and not {name}")
     for before, after in pairwise(entries):
         if after.version != before.version + 1 or after.parent != before.digest:
-            raise RejectedError(f"a gap: {after.name} does not follow {before.name}")
+            raise LogGapError(f"a gap: {after.name} does not follow {before.name}")
 
 
 @dataclass
@@ -232,7 +233,7 @@
             return _FetchedChain([], data, parsed)
         entries = await self._fetch_delta(address, policy.version, name)
         if entries[0].parent != policy.digest:
-            raise RejectedError(f"a gap: {entries[0].name} does not follow the snapshot {policy.name}")
+            raise LogGapError(f"a gap: {entries[0].name} does not follow the snapshot {policy.name}")
         return _FetchedChain(entries, data, parsed)
 
     async def _compute(self, work: Callable[[], T]) -> T:
--- a/hollybay/consensus/log_files.py
+++ b/hollybay/consensus/log_files.py
@@ -14,8 +14,9 @@
 from hollybay.resources.state import ResourceState
 from hollybay.resources.wire import MAX_SNAPSHOT_BYTES
 
+from .errors import RejectedError
 from .log_entry import Snapshot, age_order, is_name
-from .policy import MAX_ENTRY_BYTES, PolicyVersion, RejectedError, decode_policy
+from .policy import MAX_ENTRY_BYTES, PolicyVersion, decode_policy
 from .record import RecordIntegrity
 from .record_folder import RecordFolder
 
--- a/hollybay/consensus/log_replica.py
+++ b/hollybay/consensus/log_replica.py
@@ -6,11 +6,13 @@
 
 from .core import EpochState, VoterSets, policies_named
 from .environment import Environment, run_on_disk
+from .errors import RejectedError
 from .log import PolicyLog
 from .log_entry import Entry
+from .log_events import LogEvent
 from .log_fetch import Fetcher, FetchResult
 from .messages import number_of
-from .policy import PolicyVersion, RejectedError
+from .policy import PolicyVersion
 from .store import StoreError
 
 __all__ = ["LogReplica", "voter_set"]
@@ -106,7 +108,7 @@
         try:
             await self.environment.disk(lambda: self.log.prune(needed))
         except StoreError as error:
-            self.environment.data_plane.log_event("snapshot", error=str(error))
+            self.environment.data_plane.log_event(LogEvent.PRUNING_FAILED, error=str(error))
 
     def base(self, state: EpochState) -> Entry:
         """The entry that the next policy follows, with its resources.
--- a/hollybay/consensus/message_codec.py
+++ b/hollybay/consensus/message_codec.py
@@ -7,8 +7,8 @@
 import msgspec
 
 from .core import EpochState, Stage
+from .errors import MalformedDataError
 from .message_fields import FORM
-from .policy import RejectedError
 from .protocol_messages import (
     AcceptCall,
     AcceptReply,
@@ -38,19 +38,19 @@
 
     Raises
     ------
-    RejectedError
+    MalformedDataError
         It is none, of another version, or names an epoch that cannot be.
     """
     try:
         found: _T = msgspec.json.decode(data, type=kind)
     except (msgspec.DecodeError, RecursionError) as error:
-        raise RejectedError(f"no such words: {error}") from None
+        raise MalformedDataError(f"no such words: {error}") from None
     form = getattr(found, "form", FORM)
     if form != FORM:
-        raise RejectedError(f"form: {form}, and this build speaks {FORM}")
+        raise MalformedDataError(f"form: {form}, and this build speaks {FORM}")
     for state in _received_states(found):
         if not _is_well_formed(state):
-            raise RejectedError(f"state: {_shown(state)} is none")
+            raise MalformedDataError(f"state: {_shown(state)} is none")
     return found
 
 
--- a/hollybay/consensus/message_values.py
+++ b/hollybay/consensus/message_values.py
@@ -9,7 +9,8 @@
 from hollybay.resources.model import Change
 from hollybay.resources.wire import WireError, decode_change, encode_change
 
-from .policy import PolicyVersion, RejectedError, decode_policy
+from .errors import MalformedDataError
+from .policy import PolicyVersion, decode_policy
 
 __all__ = ["change_from", "change_from_bytes", "change_text", "packed", "unpacked"]
 
@@ -24,10 +25,10 @@
     try:
         data = base64.b64decode(text, validate=True)
     except ValueError as error:
-        raise RejectedError(f"policy: {error}") from None
+        raise MalformedDataError(f"policy: {error}") from None
     policy = decode_policy(data)
     if name and policy.name != name:
-        raise RejectedError(f"policy: its digest says {policy.name}, not {name}")
+        raise MalformedDataError(f"policy: its digest says {policy.name}, not {name}")
     return policy
 
 
@@ -41,7 +42,7 @@
     try:
         data = base64.b64decode(text, validate=True)
     except ValueError as error:
-        raise RejectedError(f"change: {error}") from None
+        raise MalformedDataError(f"change: {error}") from None
     return change_from_bytes(data)
 
 
@@ -50,4 +51,4 @@
     try:
         return decode_change(data)
     except WireError as error:
-        raise RejectedError(f"change: {error}") from None
+        raise MalformedDataError(f"change: {error}") from None
--- a/hollybay/consensus/outgoing_requests.py
+++ b/hollybay/consensus/outgoing_requests.py
@@ -8,9 +8,9 @@
 
 from . import messages
 from .core import VoterSets, has_quorum
+from .errors import RejectedError
 from .interfaces import Response
 from .messages import number_of
-from .policy import RejectedError
 from .requests import CallFailedError, Transport
 
 __all__ = ["CALL_LIMIT_S", "PeerClient"]
--- a/hollybay/consensus/policy.py
+++ b/hollybay/consensus/policy.py
@@ -23,12 +23,13 @@
 from hollybay.resources.state import EMPTY, ResourceState
 from hollybay.resources.wire import MAX_BATCH_BYTES
 
+from .errors import MalformedDataError, RejectedError
+
 __all__ = [
     "FIRST_POLICY",
     "MAX_ENTRY_BYTES",
     "MAX_TEXT_LENGTH",
     "PolicyVersion",
-    "RejectedError",
     "changed_keys",
     "decode_policy",
     "first_policy",
@@ -44,10 +45,6 @@
 VOTER_COUNTS = (1, 3, 5)
 
 
-class RejectedError(ValueError):
-    """Malformed or inadmissible input; the text names the field and says why."""
-
-
 class PolicyVersion(msgspec.Struct, frozen=True, dict=True, array_like=True):
     """One version of the policy, an entry of the log.
 
@@ -307,12 +304,14 @@
 
     Raises
     ------
+    MalformedDataError
+        The bytes are none.
     RejectedError
-        The bytes are none, or a field is out of bounds.
+        A field is out of bounds.
     """
     if len(data) > MAX_ENTRY_BYTES:
-        raise RejectedError(f"no policy: {len(data)} bytes, {MAX_ENTRY_BYTES} at most")
+        raise MalformedDataError(f"no policy: {len(data)} bytes, {MAX_ENTRY_BYTES} at most")
     try:
         return _validated(msgspec.msgpack.decode(data, type=PolicyVersion))
     except (msgspec.DecodeError, RecursionError) as error:
-        raise RejectedError(f"no policy: {error}") from None
+        raise MalformedDataError(f"no policy: {error}") from None
--- a/hollybay/consensus/policy_requests.py
+++ b/hollybay/consensus/policy_requests.py
@@ -15,12 +15,14 @@
 from .core import EpochState, Stage
 from .durable_acceptor import DurableAcceptor
 from .environment import Environment
+from .errors import RejectedError
 from .http_status import ACCEPTED, UNPROCESSABLE
 from .interfaces import OperatorFileChanges, Response
 from .log_entry import Entry
+from .log_events import LogEvent
 from .log_replica import LogReplica
 from .outgoing_requests import PeerClient
-from .policy import PolicyVersion, RejectedError, successor_policy
+from .policy import PolicyVersion, successor_policy
 from .reasons import texts_of
 from .replies import ok, rejected
 from .request_content import RequestContent
@@ -85,7 +87,7 @@
         self.coordinator.begin(policy, epoch)
         self.coordinator.rejected.pop(policy.name, None)
         self.environment.data_plane.log_event(
-            "proposed", change=policy.name, reason=policy.reason, author=policy.author
+            LogEvent.PROPOSED, change=policy.name, reason=policy.reason, author=policy.author
         )
         self.coordinator.wake()
 
--- a/hollybay/consensus/proposals.py
+++ b/hollybay/consensus/proposals.py
@@ -17,10 +17,11 @@
 
 from .core import EpochState, policies_named
 from .durable_acceptor import DurableAcceptor
+from .errors import RejectedError
 from .group_commit import ProposalQueue
 from .log import PolicyLog
 from .messages import MAX_REASONS, ChangeOutcome, ChangeReply
-from .policy import RejectedError, version_of
+from .policy import version_of
 from .proposal_outcomes import InForce, OfferReply, Outcome, Pending, Rejected, UnderWay
 from .reasons import MemberReason, Reason
 
--- a/hollybay/consensus/replies.py
+++ b/hollybay/consensus/replies.py
@@ -7,9 +7,9 @@
 from hollybay.resources.model import ChangeRejectedError
 
 from . import messages
+from .errors import RejectedError
 from .http_status import BAD_REQUEST, CONFLICT, INSUFFICIENT_STORAGE, OK, UNAVAILABLE, UNPROCESSABLE
 from .interfaces import InvalidFileError, Response
-from .policy import RejectedError
 from .reasons import NotPersisted
 from .store import StoreError
 
--- a/hollybay/consensus/request_content.py
+++ b/hollybay/consensus/request_content.py
@@ -10,9 +10,9 @@
 from . import messages
 from .change_builder import operations_to_match
 from .environment import Environment, run_on_disk
+from .errors import RejectedError
 from .interfaces import OperatorFileChanges
 from .log_replica import LogReplica
-from .policy import RejectedError
 from .transfer import Uploads
 
 __all__ = ["RequestContent"]
--- a/hollybay/consensus/requests.py
+++ b/hollybay/consensus/requests.py
@@ -6,7 +6,8 @@
 from typing import Protocol
 
 from . import messages
-from .policy import PolicyVersion, RejectedError
+from .errors import RejectedError
+from .policy import PolicyVersion
 
 __all__ = ["NO_ANSWER", "CallFailedError", "Transport", "fetch_policy"]
 
--- a/hollybay/consensus/service.py
+++ b/hollybay/consensus/service.py
@@ -31,6 +31,7 @@
 from .interfaces import DataPlane, MemberSettings, Response
 from .lease_client import LeaseClient
 from .log import PolicyLog
+from .log_events import LogEvent
 from .log_fetch import Fetcher
 from .log_replica import LogReplica
 from .log_server import LogServer
@@ -109,7 +110,9 @@
         self.clock = clock
         self.process = rng.getrandbits(PROCESS_NUMBER_BITS)
         self.requests_in = 0
-        self.tasks = BackgroundTasks(lambda error: data_plane.log_event("failed", error=repr(error)))
+        self.tasks = BackgroundTasks(
+            lambda error: data_plane.log_event(LogEvent.TASK_FAILED, error=repr(error))
+        )
         self.peers = PeerClient(settings.address, transport, self.answer)
         self.log = PolicyLog(self.environment.folder / "policies", before_disk_step)
         self.log_server = LogServer(self.log, disk)
@@ -203,9 +206,9 @@
         try:
             await self.environment.disk(self.log.open)
         except StoreError as error:
-            data_plane.log_event("log", error=str(error))
+            data_plane.log_event(LogEvent.LOG_NOT_OPENED, error=str(error))
         for file, reason in self.log.quarantined.items():
-            data_plane.log_event("set aside", file=file, reason=reason)
+            data_plane.log_event(LogEvent.QUARANTINED, file=file, reason=reason)
         self.voter.log_is_open = True
         self.lease_client.restore()
         self.voter.become_voter()
--- a/hollybay/consensus/submission.py
+++ b/hollybay/consensus/submission.py
@@ -11,9 +11,9 @@
 from hollybay.resources.wire import encode_change
 
 from .cluster_view import ClusterView
+from .errors import RejectedError
 from .http_status import CONFLICT, INSUFFICIENT_STORAGE
 from .messages import ChangeCall, ChangeOutcome, ChangeReply, decode, encode
-from .policy import RejectedError
 from .reasons import ReportedReason
 from .requests import NO_ANSWER, CallFailedError
 from .verdict import ExitStatus, Verdict, judge_settled
--- a/hollybay/consensus/transfer.py
+++ b/hollybay/consensus/transfer.py
@@ -12,8 +12,8 @@
 
 from hollybay.units import SECOND
 
+from .errors import MalformedDataError, RejectedError
 from .messages import PIECE_BYTES, Chunk, UploadCall, decode
-from .policy import RejectedError
 
 __all__ = ["MAX_UPLOADS", "MAX_UPLOAD_BYTES", "Uploads", "chunk_at", "download", "upload_calls"]
 
@@ -35,14 +35,16 @@
 def _decoded_data(chunk: Chunk | UploadCall, max_bytes: int) -> bytes:
     """The bytes of a chunk. RejectedError: the total is too large, or the chunk has another length."""
     if chunk.total > max_bytes:
-        raise RejectedError(f"total: {chunk.total} bytes, {max_bytes} at most")
+        raise MalformedDataError(f"total: {chunk.total} bytes, {max_bytes} at most")
     try:
         data = base64.b64decode(chunk.data, validate=True)
     except ValueError as error:
-        raise RejectedError(f"data: {error}") from None
+        raise MalformedDataError(f"data: {error}") from None
     expected = min(PIECE_BYTES, chunk.total - chunk.offset)
     if len(data) != expected:
-        raise RejectedError(f"data: {len(data)} bytes at {chunk.offset} of {chunk.total}, and not {expected}")
+        raise MalformedDataError(
+            f"data: {len(data)} bytes at {chunk.offset} of {chunk.total}, and not {expected}"
+        )
     return data
 
 
@@ -74,7 +76,7 @@
     """
     first = decode(await call(path), Chunk)
     if first.offset:
-        raise RejectedError(f"offset: {first.offset} in the first piece")
+        raise MalformedDataError(f"offset: {first.offset} in the first piece")
     parts = [_decoded_data(first, max_bytes)]
     offset = len(parts[0])
     while offset < first.total:
--- a/hollybay/consensus/voter.py
+++ b/hollybay/consensus/voter.py
@@ -9,11 +9,13 @@
 from .core import EpochState, Stage, has_quorum, policies_named
 from .durable_acceptor import DurableAcceptor
 from .environment import Environment
+from .errors import NoVoterError, RejectedError
 from .interfaces import Response
+from .log_events import LogEvent
 from .log_replica import LogReplica
 from .messages import number_of
 from .outgoing_requests import PeerClient
-from .policy import PolicyVersion, RejectedError
+from .policy import PolicyVersion
 from .replies import ok
 from .store import Store, StoreError
 
@@ -56,9 +58,9 @@
     # Beginnings
 
     def require_acceptor(self) -> DurableAcceptor:
-        """The acceptor here. RejectedError: this process is no voter."""
+        """The acceptor here. NoVoterError: this process is no voter."""
         if self.acceptor is None:
-            raise RejectedError("no keeper here")
+            raise NoVoterError
         return self.acceptor
 
     def become_voter(self) -> None:
@@ -72,7 +74,7 @@
         acceptor = self._open_acceptor()
         self.acceptor = acceptor
         state = acceptor.state
-        self._log_event("keeper", epoch=state.decided.epoch if state is not None else -1)
+        self._log_event(LogEvent.VOTER_STARTED, epoch=state.decided.epoch if state is not None else -1)
 
     def _open_acceptor(self) -> DurableAcceptor:
         environment = self.environment
@@ -90,7 +92,7 @@
             acceptor.open()
         except StoreError as error:
             acceptor.storage_failure = str(error)
-            self._log_event("keeper", error=str(error))
+            self._log_event(LogEvent.VOTER_STORAGE_FAILED, error=str(error))
         return acceptor
 
     async def bootstrap(self, acceptor: DurableAcceptor, policy: PolicyVersion) -> None:
@@ -117,7 +119,7 @@
         try:
             await self._recover_from(acceptor, known)
         except StoreError as error:
-            self._log_event("keeper", error=str(error))
+            self._log_event(LogEvent.VOTER_STORAGE_FAILED, error=str(error))
 
     async def _recover_from(
         self, acceptor: DurableAcceptor, known: dict[str, messages.KnowledgeReply]
@@ -137,7 +139,7 @@
             )
         state = acceptor.state
         assert state is not None
-        self._log_event("keeper learned", epoch=state.decided.epoch, mute=state.last_barred_epoch)
+        self._log_event(LogEvent.VOTER_RECOVERED, epoch=state.decided.epoch, mute=state.last_barred_epoch)
 
     async def acceptor_learns(self, state: EpochState, source: str) -> bool:
         """Bring a decided epoch to the acceptor, once its policies are on disk.
@@ -183,7 +185,7 @@
         try:
             await self.acceptor_learns(state, source)
         except StoreError as error:
-            self._log_event("keeper", error=str(error))
+            self._log_event(LogEvent.VOTER_STORAGE_FAILED, error=str(error))
         await self.learn(state, source)
 
     async def catch_up(self) -> None:
@@ -237,5 +239,5 @@
         """What the acceptor knows, for one that knows nothing."""
         return ok(self.require_acceptor().knowledge())
 
-    def _log_event(self, event: str, **fields: object) -> None:
+    def _log_event(self, event: LogEvent, **fields: object) -> None:
         self.environment.data_plane.log_event(event, **fields)
--- a/hollybay/hollow/node.py
+++ b/hollybay/hollow/node.py
@@ -15,6 +15,7 @@
 from hollybay.balancing.interface import Settings
 from hollybay.consensus.interfaces import MemberSettings, OperatorFileChanges
 from hollybay.consensus.log_entry import Entry
+from hollybay.consensus.log_events import LogEvent
 from hollybay.consensus.messages import MAX_CALL_BYTES
 from hollybay.consensus.service import Service
 from hollybay.proxy.admin_client import call_policy
@@ -115,9 +116,9 @@
         if len(entries) == 1:
             self.in_force.setdefault(entries[0].policy.version, boot_time_ns())
 
-    def log_event(self, event: str, **fields: object) -> None:
+    def log_event(self, event: LogEvent, **fields: object) -> None:
         """Keep what went wrong."""
-        if event == "failed" or "error" in fields:
+        if event is LogEvent.TASK_FAILED or "error" in fields:
             self.problems.append(f"{event}: {fields.get('error')}")
 
     # Calls
--- a/hollybay/proxy/admin_client.py
+++ b/hollybay/proxy/admin_client.py
@@ -12,8 +12,8 @@
 
 import h11
 
+from hollybay.consensus.errors import MalformedDataError, RejectedError
 from hollybay.consensus.messages import MAX_CALL_BYTES
-from hollybay.consensus.policy import RejectedError
 from hollybay.consensus.requests import CallFailedError
 
 __all__ = ["call_policy"]
@@ -131,13 +131,13 @@
             elif isinstance(event, h11.EndOfMessage):
                 self._finish()
             else:
-                raise RejectedError("no whole answer")
+                raise MalformedDataError("no whole answer")
 
     def _append(self, chunk: bytes) -> None:
         self.chunks.append(chunk)
         self.received_bytes += len(chunk)
         if self.received_bytes > MAX_RESPONSE_BYTES:
-            raise RejectedError("the answer is too long")
+            raise MalformedDataError("the answer is too long")
 
     def _finish(self) -> None:
         body = b"".join(self.chunks)
--- a/hollybay/proxy/consensus_member.py
+++ b/hollybay/proxy/consensus_member.py
@@ -21,6 +21,7 @@
 from hollybay.balancing.interface import Settings
 from hollybay.consensus.interfaces import DataPlane, MemberSettings, OperatorFileChanges
 from hollybay.consensus.log_entry import Entry
+from hollybay.consensus.log_events import LogEvent
 from hollybay.consensus.service import Service
 from hollybay.consensus.store import StoreError
 from hollybay.resources.model import Change
@@ -132,7 +133,7 @@
             fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError:
             os.close(descriptor)
-            self.log_event("another process of this name is its keeper")
+            self.log_event(LogEvent.VOTER_FOLDER_LOCKED)
             return False
         self._lock_descriptor = descriptor
         return True
@@ -183,7 +184,7 @@
             {server for entry in entries for server in entry.drained_servers}
         )
 
-    def log_event(self, event: str, **fields: object) -> None:
+    def log_event(self, event: LogEvent, **fields: object) -> None:
         """Write an event of the protocol to the log."""
         self.log.info(event, **fields)
 
--- a/hollybay/simulation/accord_rehearsal.py
+++ b/hollybay/simulation/accord_rehearsal.py
@@ -36,6 +36,7 @@
     find_violations,
 )
 from hollybay.consensus.log_entry import Entry
+from hollybay.consensus.log_events import LogEvent
 from hollybay.consensus.policy import version_of
 from hollybay.consensus.requests import CallFailedError
 from hollybay.consensus.service import Service
@@ -191,11 +192,11 @@
         self.under = tuple(entry.policy.name for entry in entries)
         self.state = entries[0].state if len(entries) == 1 and entries[0].state is not None else EMPTY
 
-    def log_event(self, event: str, **fields: object) -> None:
-        if event == "failed":
+    def log_event(self, event: LogEvent, **fields: object) -> None:
+        if event is LogEvent.TASK_FAILED:
             self.stage.failed.append(f"{self.name}: {fields}")
-        self.stage.played.rounds += event == "drives"
-        self.stage.played.decided += event == "decided"
+        self.stage.played.rounds += event is LogEvent.COORDINATING
+        self.stage.played.decided += event is LogEvent.DECIDED
         self.stage.loop.note(f"{self.name} {event} {fields}")
 
 
--- a/tests/golden/build.py
+++ b/tests/golden/build.py
@@ -42,11 +42,12 @@
     Promise,
     Stage,
 )
+from hollybay.consensus.errors import RejectedError
 from hollybay.consensus.grace_memory import RememberedGrace
 from hollybay.consensus.interfaces import InvalidFileError, MemberSettings, OperatorFileChanges
 from hollybay.consensus.log import PolicyLog
 from hollybay.consensus.log_entry import Entry
-from hollybay.consensus.policy import PolicyVersion, RejectedError, first_policy, successor_policy
+from hollybay.consensus.policy import PolicyVersion, first_policy, successor_policy
 from hollybay.consensus.requests import CallFailedError
 from hollybay.consensus.service import Service
 from hollybay.consensus.store import Store, StoreError
--- a/tests/test_accord_fetch.py
+++ b/tests/test_accord_fetch.py
@@ -12,10 +12,11 @@
 import pytest
 
 from hollybay.consensus import messages
+from hollybay.consensus.errors import RejectedError
 from hollybay.consensus.log import LogTruncatedError, PolicyLog
 from hollybay.consensus.log_entry import Snapshot
 from hollybay.consensus.log_fetch import LOG_TRUNCATED_STATUS, Fetcher, FetchResult
-from hollybay.consensus.policy import PolicyVersion, RejectedError, successor_policy
+from hollybay.consensus.policy import PolicyVersion, successor_policy
 from hollybay.consensus.reasons import NotPersisted
 from hollybay.consensus.requests import CallFailedError
 from hollybay.consensus.store import StoreError
--- a/tests/test_accord_log.py
+++ b/tests/test_accord_log.py
@@ -14,10 +14,11 @@
 from hypothesis import strategies as st
 
 from hollybay.consensus import policy
+from hollybay.consensus.errors import RejectedError
 from hollybay.consensus.log import LogTruncatedError, PolicyLog
 from hollybay.consensus.log_entry import Snapshot, is_name
 from hollybay.consensus.log_fetch import check_links, parse_delta
-from hollybay.consensus.policy import PolicyVersion, RejectedError
+from hollybay.consensus.policy import PolicyVersion
 from hollybay.consensus.record import encode_record
 from hollybay.consensus.store import StoreError
 from hollybay.resources.model import Change, Delete, Kind, Operation, Upsert
--- a/tests/test_accord_store.py
+++ b/tests/test_accord_store.py
@@ -12,6 +12,7 @@
 from hypothesis import strategies as st
 
 from hollybay.consensus import policy
+from hollybay.consensus.errors import RejectedError
 from hollybay.consensus.record import DecodedRecord, RecordIntegrity, decode_record, encode_record
 from hollybay.consensus.store import Store, StoreError
 from hollybay.resources.model import Change, Kind, Upsert
@@ -174,7 +175,7 @@
     ]
     assert len({one.digest for one in (new, old, *others)}) == 10
     # Other changes than those that its digest is about are refused.
-    with pytest.raises(policy.RejectedError, match="content"):
+    with pytest.raises(RejectedError, match="content"):
         policy.decode_policy(msgspec.msgpack.encode(msgspec.structs.replace(new, changes=())))
 
 
@@ -194,7 +195,7 @@
         (([], ["a:1", "b:1", "\ud800"], "why", "who"), "keepers: "),
         (([], [], "why", "who"), "keepers: 0 come and 3 go"),
     ):
-        with pytest.raises(policy.RejectedError) as caught:
+        with pytest.raises(RejectedError) as caught:
             policy.successor_policy(old, state, *words)  # type: ignore[arg-type]
         assert str(caught.value).startswith(why), caught.value
 
@@ -210,7 +211,7 @@
         ({"voters": ("b:1", "a:1", "c:1")}, "keepers: not in order"),
         ({"reason": "x" * 401}, "reason: "),
     ):
-        with pytest.raises(policy.RejectedError) as caught:
+        with pytest.raises(RejectedError) as caught:
             policy.decode_policy(msgspec.msgpack.encode(msgspec.structs.replace(good, **change)))
         assert str(caught.value).startswith(why), caught.value
 
@@ -219,5 +220,5 @@
 def test_any_bytes_are_a_policy_or_refused(data: bytes) -> None:
     try:
         assert isinstance(policy.decode_policy(data), policy.PolicyVersion)
-    except policy.RejectedError as error:
+    except RejectedError as error:
         assert str(error)
