--- a/hollybay/proxy/admin_service.py
+++ b/hollybay/proxy/admin_service.py
@@ -44,8 +44,8 @@
         Configuration of the node; `admin` is the address to listen on.
     clients
         Downstream side of the node, whose readiness and connections the drain of the node controls.
-    node
-        Data plane of the node, which gets the drains and is read for metrics.
+    dispatcher
+        Request dispatcher of the node, which gets the drains and is read for metrics.
 
     Attributes
     ----------
@@ -56,18 +56,18 @@
         Name and folder of the files that the processes of this node share; no folder if None.
     """
 
-    def __init__(self, config: Config, clients: ClientListener, node: RequestDispatcher) -> None:
+    def __init__(self, config: Config, clients: ClientListener, dispatcher: RequestDispatcher) -> None:
         self.config = config
         self.clients = clients
-        self.node = node
+        self.dispatcher = dispatcher
         self.loop = asyncio.get_running_loop()
-        self.node_drain = NodeDrain(clients, node)
+        self.node_drain = NodeDrain(clients, dispatcher)
         self.server = AdminServer(self.handle)
         self.metrics = MetricsCollector(self.take_metrics)
         self.policy_handler: PolicyRequestHandler | None = None
         self.name = f"hollybay-{_node_tag(config)}"
         self.folder = Path(config.scratch_folder) if config.scratch_folder else None
-        self.server_drains = ServerDrains(node, DrainFile(self.folder, self.name))
+        self.server_drains = ServerDrains(dispatcher, DrainFile(self.folder, self.name))
         self._poll_timer: asyncio.TimerHandle | None = None
         self._handlers: dict[
             AdminOperation, Callable[[AdminRequest], AdminResponse | Awaitable[AdminResponse]]
@@ -81,7 +81,7 @@
             AdminOperation.RESUME_NODE: self._handle_resume_node,
             AdminOperation.POLICY: self._handle_policy,
         }
-        node.overlay = self.server_drains.apply
+        dispatcher.overlay = self.server_drains.apply
         if config.known_servers is not None:
             self.server_drains.apply(config.known_servers)
 
@@ -170,16 +170,16 @@
 
     def take_metrics(self) -> NodeMetrics:
         """Return a snapshot of the node's metrics."""
-        counters = self.node.counters
+        counters = self.dispatcher.counters
         return NodeMetrics(
-            classes=[request_class.name for request_class in self.node.settings.classes],
+            classes=[request_class.name for request_class in self.dispatcher.settings.classes],
             served=counters.served,
             rejected=counters.rejected,
             failed=counters.failed,
-            attempts=self.node.pools.written,
-            in_flight=self.node.unfinished_requests,
+            attempts=self.dispatcher.pools.written,
+            in_flight=self.dispatcher.unfinished_requests,
             servers_known=len(self.server_drains.drains.discovered),
-            servers_excluded=self.server_drains.drains.count_excluded(self.node.balancer.avoids),
+            servers_excluded=self.server_drains.drains.count_excluded(self.dispatcher.balancer.avoids),
             reloads_ok=counters.reloads_ok,
             reloads_failed=counters.reloads_failed,
         )
--- a/hollybay/proxy/assembly.py
+++ b/hollybay/proxy/assembly.py
@@ -42,7 +42,7 @@
 # turn of the loop accepts before others are closed, and those then closed one turn later.
 BASE_DESCRIPTORS = 24 + 3 * ACCEPT_BATCH
 ADMIN_DESCRIPTORS = 24  # for the admin server, its connections and files
-MIN_DATA_PLANE_DESCRIPTORS = 64  # that consensus must leave
+MIN_REQUEST_DESCRIPTORS = 64  # for clients and servers, which consensus must leave
 # Shares of the remaining descriptors.
 UPSTREAM_PARTS = 4
 DOWNSTREAM_PARTS = 5
@@ -53,7 +53,7 @@
     """The parts of a node that every configuration has."""
 
     clients: ClientListener
-    node: RequestDispatcher
+    dispatcher: RequestDispatcher
     discovery: DiscoveryClient
 
 
@@ -95,21 +95,21 @@
     if config.admin is not None:
         available -= ADMIN_DESCRIPTORS
     pools = UpstreamPools(config.settings, config.names, limit=available * UPSTREAM_PARTS // ALL_PARTS)
-    node = RequestDispatcher(config.settings, config.seed, pools)
-    clients = ClientListener(config, node, limit=available * DOWNSTREAM_PARTS // ALL_PARTS)
+    dispatcher = RequestDispatcher(config.settings, config.seed, pools)
+    clients = ClientListener(config, dispatcher, limit=available * DOWNSTREAM_PARTS // ALL_PARTS)
     known_servers = config.known_servers
     discovery = DiscoveryClient(
         config.discovery,
         config.names,
-        node,
+        dispatcher,
         on_demand=config.settings.poll_required,
         version=known_servers.servers.version if known_servers is not None else NO_VERSION,
     )
-    node.discovery = discovery
+    dispatcher.discovery = discovery
     if known_servers is not None:
-        node.receive_update(known_servers)
+        dispatcher.receive_update(known_servers)
         discovery.list_available.set()
-    return NodeParts(clients, node, discovery)
+    return NodeParts(clients, dispatcher, discovery)
 
 
 def load_operator_file(config: Config, environ: Mapping[str, str]) -> OperatorFile | None:
@@ -146,7 +146,7 @@
         raise ConfigError(f"[accord]: needs {error.name}, see the extra `accord`") from None
     member_settings(table, config)
     needed = required_descriptors(config.sockets)
-    if config.sockets - BASE_DESCRIPTORS - ADMIN_DESCRIPTORS - needed < MIN_DATA_PLANE_DESCRIPTORS:
+    if config.sockets - BASE_DESCRIPTORS - ADMIN_DESCRIPTORS - needed < MIN_REQUEST_DESCRIPTORS:
         raise ConfigError(
             f"limits.sockets: {config.sockets}, and the operator file's [accord] takes {needed}"
         )
@@ -154,7 +154,7 @@
 
 
 def start_load_reports(
-    config: Config, operator_file: OperatorFile | None, node: RequestDispatcher
+    config: Config, operator_file: OperatorFile | None, dispatcher: RequestDispatcher
 ) -> LoadReportExchange | None:
     """Start the exchange of load reports if the operator file has a [peers] table.
 
@@ -169,16 +169,16 @@
     from .load_reports import LoadReportExchange, parse_peer_addresses
 
     addresses = parse_peer_addresses(config.peers, config.settings.nodes)
-    exchange = LoadReportExchange(node, addresses, table.every, table.forget)
-    node.load_reporter = exchange
-    exchange.servers_changed(node.balancer.servers)
+    exchange = LoadReportExchange(dispatcher, addresses, table.every, table.forget)
+    dispatcher.load_reporter = exchange
+    exchange.servers_changed(dispatcher.balancer.servers)
     return exchange
 
 
 async def start_admin(
     config: Config,
     clients: ClientListener,
-    node: RequestDispatcher,
+    dispatcher: RequestDispatcher,
     operator_file: OperatorFile | None = None,
 ) -> AdminParts | None:
     """Start the admin service, and consensus if the operator file has an [accord] table.
@@ -203,7 +203,7 @@
         raise ConfigError(f"admin: needs {error.name}, see requirements.txt") from None
     from .handover import ListenerGroup
 
-    service = AdminService(config, clients, node)
+    service = AdminService(config, clients, dispatcher)
     consensus_member = None
     if operator_file is not None and operator_file.consensus_table is not None:
         from .consensus_setup import create_consensus_member, member_settings
--- a/hollybay/proxy/life_cycle.py
+++ b/hollybay/proxy/life_cycle.py
@@ -85,13 +85,13 @@
         port
             Port to listen on in place of the configured one.
         """
-        clients, node, discovery = self.parts
-        load_reports = start_load_reports(self.config, self.operator_file, node)
-        admin = await start_admin(self.config, clients, node, self.operator_file)
+        clients, dispatcher, discovery = self.parts
+        load_reports = start_load_reports(self.config, self.operator_file, dispatcher)
+        admin = await start_admin(self.config, clients, dispatcher, self.operator_file)
         listener_group = admin.listener_group if admin is not None else None
         port = await self._listen(port, listener_group)
         await self._serve(started, port)
-        await shut_down_gracefully(clients, node, listener_group=listener_group)
+        await shut_down_gracefully(clients, dispatcher, listener_group=listener_group)
         self.state = State.STOPPED
         if admin is not None:
             admin.close()
@@ -167,7 +167,7 @@
         """
         if self.operator_file is not None:
             self.operator_file.reload()
-        counters = self.parts.node.counters
+        counters = self.parts.dispatcher.counters
         try:
             new_config = load(self.environ)
         except ConfigError as error:
--- a/hollybay/proxy/load_reports.py
+++ b/hollybay/proxy/load_reports.py
@@ -87,8 +87,8 @@
 
     Parameters
     ----------
-    node
-        Data plane of this node, which gets the load of the others as `PeerLoad` events.
+    dispatcher
+        Request dispatcher of this node, which gets the load of the others as `PeerLoad` events.
     addresses
         Addresses of this and the other nodes.
     interval_ns
@@ -108,10 +108,10 @@
     """
 
     def __init__(
-        self, node: RequestDispatcher, addresses: PeerAddresses, interval_ns: int, expiry_ns: int
+        self, dispatcher: RequestDispatcher, addresses: PeerAddresses, interval_ns: int, expiry_ns: int
     ) -> None:
-        self.node = node
-        self.node_number = node.settings.node
+        self.dispatcher = dispatcher
+        self.node_number = dispatcher.settings.node
         self.interval_ns = interval_ns
         self.incarnation = int.from_bytes(os.urandom(INCARNATION_BYTES), "big")
         self.local_load = LocalLoad(interval_ns)
@@ -137,7 +137,7 @@
         self._read_timer.cancel()
         self._socket.close()
 
-    # Events of the data plane
+    # Events of the request dispatcher
 
     def attempt_started(self, server: api.ServerId) -> None:
         """Count an attempt that is sent to a server."""
@@ -210,7 +210,7 @@
         peer_count = self.remote_load.peer_count
         if changed or peer_count != self._known_peer_count:
             self._known_peer_count = peer_count
-            self.node.feed(api.PeerLoad(changed, peer_count))
+            self.dispatcher.feed(api.PeerLoad(changed, peer_count))
 
 
 def _bind(listen: Address) -> socket.socket:
--- a/hollybay/proxy/node_drain.py
+++ b/hollybay/proxy/node_drain.py
@@ -31,13 +31,13 @@
     ----------
     clients
         Downstream side of the node, whose readiness and connections the drain controls.
-    node
-        Data plane of the node.
+    dispatcher
+        Request dispatcher of the node.
     """
 
-    def __init__(self, clients: ClientListener, node: RequestDispatcher) -> None:
+    def __init__(self, clients: ClientListener, dispatcher: RequestDispatcher) -> None:
         self.clients = clients
-        self.node = node
+        self.dispatcher = dispatcher
         self._loop = asyncio.get_running_loop()
         self._timer: asyncio.TimerHandle | None = None  # set while the node is drained
 
@@ -45,7 +45,7 @@
         """Report the node as not ready at once, and close its connections after a grace period."""
         if self.clients.service_state not in HEALTHY_STATES:
             return
-        log.info("node drained by an operator: requests in flight=%d", self.node.unfinished_requests)
+        log.info("node drained by an operator: requests in flight=%d", self.dispatcher.unfinished_requests)
         self.clients.advance(ServiceEvent.DRAIN_STARTED)
         self._timer = self._loop.call_later(NODE_DRAIN_GRACE_S, self._close_connections)
 
--- a/hollybay/proxy/server_drains.py
+++ b/hollybay/proxy/server_drains.py
@@ -1,7 +1,7 @@
 """Administrative drains of servers on a running node: put in force, and shared between its processes.
 
-`hollybay.admin.administrative_drains` decides what a drain means; this module connects it with the data plane
-and the drain file. Imported only with the admin service.
+`hollybay.admin.administrative_drains` decides what a drain means; this module connects it with the request
+dispatcher and the drain file. Imported only with the admin service.
 """
 
 from __future__ import annotations
@@ -35,8 +35,8 @@
 
     Parameters
     ----------
-    node
-        Data plane of the node, which gets the changed servers.
+    dispatcher
+        Request dispatcher of the node, which gets the changed servers.
     drain_file
         File that the processes of the node share.
 
@@ -46,8 +46,8 @@
         The discovered and the drained servers.
     """
 
-    def __init__(self, node: RequestDispatcher, drain_file: DrainFile) -> None:
-        self.node = node
+    def __init__(self, dispatcher: RequestDispatcher, drain_file: DrainFile) -> None:
+        self.dispatcher = dispatcher
         self.drain_file = drain_file
         self.drains = AdministrativeDrains()
         self._addresses: dict[str, Address] = {}  # of the discovered servers, by id
@@ -67,7 +67,7 @@
         changed = self.drains.set_drained(drained, system.monotonic_ns())
         if changed:
             addresses = {str(server.id): self._addresses[str(server.id)] for server in changed}
-            self.node.apply_update(DiscoveryUpdate(ServerList(ListKind.CHANGES, changed), addresses))
+            self.dispatcher.apply_update(DiscoveryUpdate(ServerList(ListKind.CHANGES, changed), addresses))
 
     def change(self, server_id: str, drained: bool) -> None:
         """Begin or end the drain of one server, here and in the other processes of the node.
@@ -118,5 +118,5 @@
             "id": str(server_id),
             "state": server.state.name if server is not None else "UNKNOWN",
             "disabled": drained,
-            "avoided": drained or self.node.balancer.avoids(server_id),
+            "avoided": drained or self.dispatcher.balancer.avoids(server_id),
         }
--- a/hollybay/proxy/shutdown.py
+++ b/hollybay/proxy/shutdown.py
@@ -36,7 +36,7 @@
 
 async def shut_down_gracefully(
     clients: ClientListener,
-    node: RequestDispatcher,
+    dispatcher: RequestDispatcher,
     accept_period_s: float = ACCEPT_PERIOD_S,
     final_period_s: float = FINAL_PERIOD_S,
     listener_group: ListenerGroup | None = None,
@@ -45,8 +45,8 @@
 
     Parameters
     ----------
-    clients, node
-        The downstream side and the data plane.
+    clients, dispatcher
+        The downstream side and the request dispatcher.
     accept_period_s
         How long new connections are accepted (s).
     final_period_s
@@ -59,9 +59,11 @@
     has_successor = listener_group is not None and listener_group.count_others() > 0
     loop = asyncio.get_running_loop()
     started_at = loop.time()
-    end = started_at + _longest_deadline_s(node) + KILL_DELAY_S - KILL_MARGIN_S
+    end = started_at + _longest_deadline_s(dispatcher) + KILL_DELAY_S - KILL_MARGIN_S
     final_period_start = end - final_period_s
-    log.info("draining: %d requests open, %d connections", node.unfinished_requests, len(clients.connections))
+    log.info(
+        "draining: %d requests open, %d connections", dispatcher.unfinished_requests, len(clients.connections)
+    )
     if has_successor:
         clients.advance(ServiceEvent.CLOSING_STARTED)
     else:
@@ -74,14 +76,14 @@
         await asyncio.sleep(CLIENTS_POLL_INTERVAL_S)
     await _close_connections(clients, until=end - LAST_ANSWERS_S)
     clients.forwarding_stopped = True  # requests that are complete only now are rejected
-    node.end_all_requests()
+    dispatcher.end_all_requests()
     await asyncio.sleep(LAST_ANSWERS_S if clients.any_left() else 0)
     log.info("drained in %.2f s, %d connections left", loop.time() - started_at, len(clients.connections))
 
 
-def _longest_deadline_s(node: RequestDispatcher) -> float:
+def _longest_deadline_s(dispatcher: RequestDispatcher) -> float:
     """Return the longest deadline of a request (s), as far as the process waits for it."""
-    longest_deadline_s = max(request_class.deadline for request_class in node.settings.classes) / SECOND
+    longest_deadline_s = max(request_class.deadline for request_class in dispatcher.settings.classes) / SECOND
     return min(longest_deadline_s, MAX_DEADLINE_S)
 
 
--- a/hollybay/simulation/nodes.py
+++ b/hollybay/simulation/nodes.py
@@ -143,15 +143,15 @@
             return
         if self.process is not None and self.process.errors:
             self.check_errors(self.process)
-        clients, node, _ = self.parts
-        servers = node.pools
+        clients, dispatcher, _ = self.parts
+        servers = dispatcher.pools
         reason = budget_fault(
             {
                 "bytes of bodies": (clients.budget.used, clients.budget.total + (1 << 20)),
                 "bytes of long bodies": (clients.streaming_budget.used, clients.streaming_budget.total),
                 "connections to servers": (_open(servers), servers.limit + 1),
                 "client connections": (len(clients.connections), clients.limit + 1),
-                "requests owed": (node.unfinished_requests, len(node.requests)),
+                "requests owed": (dispatcher.unfinished_requests, len(dispatcher.requests)),
                 "descriptors": (len(self.machine.sockets), self.machine.descriptors),
             }
         )
@@ -172,16 +172,16 @@
         """What it holds once nobody has asked for anything for long."""
         if self.parts is None:
             return {"nodes that do not run": 1}
-        clients, node, discovery = self.parts
+        clients, dispatcher, discovery = self.parts
         assert self.process is not None
-        balancer = node.balancer
+        balancer = dispatcher.balancer
         held = {
-            "requests": len(node.requests),
-            "requests owed": node.unfinished_requests,
+            "requests": len(dispatcher.requests),
+            "requests owed": dispatcher.unfinished_requests,
             "requests that the module knows": len(balancer.requests),
             "attempts that the module counts": sum(s.in_flight for s in balancer.servers.values()),
             "client connections": len(clients.connections),
-            "connections to servers": len(node.pools.connections) + len(node.pools.opening),
+            "connections to servers": len(dispatcher.pools.connections) + len(dispatcher.pools.opening),
             "bytes of the bodies' budget": clients.budget.used,
             "bodies that wait": len(clients.budget.held) + len(clients.budget.waiting),
             "bytes of long bodies": clients.streaming_budget.used,
--- a/hollybay/testbed/loopback.py
+++ b/hollybay/testbed/loopback.py
@@ -127,8 +127,8 @@
     ----------
     clients
         Its listener for clients.
-    node
-        Its exchanges and its pools of connections to servers.
+    dispatcher
+        Its requests and its pools of connections to servers.
     discovery
         Its discovery client.
     port
@@ -140,13 +140,13 @@
     def __init__(
         self,
         clients: ClientListener,
-        node: RequestDispatcher,
+        dispatcher: RequestDispatcher,
         discovery: DiscoveryClient,
         port: int,
         path: Path,
     ) -> None:
         self.clients = clients
-        self.node = node
+        self.dispatcher = dispatcher
         self.discovery = discovery
         self.port = port
         self.path = path
@@ -190,7 +190,7 @@
     def __init__(self, node: Running, free: int = 0) -> None:
         self.open = asyncio.Event()
         self.waiting = 0
-        servers = node.node.pools
+        servers = node.dispatcher.pools
         establish = servers.establish
         established = 0
 
@@ -242,13 +242,13 @@
     registry.tell(*backends)
     write_config(path, registry, **changes)
     config = adjust(replace(load({"BALANCER_CONFIG": str(path)}), listen=("127.0.0.1", 0)))
-    clients, node, discovery = assemble(config)
+    clients, dispatcher, discovery = assemble(config)
     port = await clients.listen()
     discovery.start()
     async with asyncio.timeout(LIMIT):
         await discovery.list_available.wait()
     try:
-        yield Running(clients, node, discovery, port, path)
+        yield Running(clients, dispatcher, discovery, port, path)
     finally:
         await discovery.close()
         clients.close()
--- a/tests/golden/build.py
+++ b/tests/golden/build.py
@@ -601,8 +601,8 @@
     scratch = folder / "scratch"
     scratch.mkdir(exist_ok=True)
     config = load({"BALANCER_CONFIG": str(path), "TMPDIR": str(scratch)})
-    clients, node, *_ = assemble(config)
-    desk = AdminService(replace(config, admin=("127.0.0.1", 0)), clients, node)
+    clients, dispatcher, *_ = assemble(config)
+    desk = AdminService(replace(config, admin=("127.0.0.1", 0)), clients, dispatcher)
     await desk.open()
     try:
         yield desk
@@ -1135,11 +1135,11 @@
 
 async def _metrics_of_node(folder: Path) -> bytes:
     async with _desk(folder) as desk:
-        counters = desk.node.counters
+        counters = desk.dispatcher.counters
         counters.served[:], counters.rejected[:], counters.failed[:] = [1, 2], [3, 4], [5, 6]
         counters.reloads_ok, counters.reloads_failed = 11, 12
-        desk.node.pools.written = 7
-        desk.node.unfinished_requests = 8
+        desk.dispatcher.pools.written = 7
+        desk.dispatcher.unfinished_requests = 8
         return await _spoken(desk, _call_bytes("GET /-/metrics"))
 
 
--- a/tests/test_admin_service.py
+++ b/tests/test_admin_service.py
@@ -37,7 +37,7 @@
     registry = Registry()
     async with running(tmp_path / "c.json", registry, *backends) as node:
         config = replace(node.clients.config, admin=("127.0.0.1", 0), scratch_folder=scratch)
-        service = AdminService(config, node.clients, node.node)
+        service = AdminService(config, node.clients, node.dispatcher)
         await service.open()
         registry.tell(*backends)
         async with asyncio.timeout(LIMIT):
@@ -248,8 +248,8 @@
     async def play() -> None:
         async with running(tmp_path / "c.json", Registry(), Backend("s-1")) as node:
             config = node.clients.config
-            assert config.admin is None and node.node.overlay is None
-            assert await start_admin(config, node.clients, node.node) is None
+            assert config.admin is None and node.dispatcher.overlay is None
+            assert await start_admin(config, node.clients, node.dispatcher) is None
             assert not node.clients.listener or not node.clients.listener.getsockopt(
                 socket.SOL_SOCKET, socket.SO_REUSEPORT
             )
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -44,8 +44,8 @@
             answer = await node.ask(request(cls))
             assert answer.startswith(b"HTTP/1.1 502" if cls == "send" else b"HTTP/1.1 200")
             assert len(heads) == (1 if cls == "send" else 2)
-            assert not node.node.requests and not node.node.balancer.requests
-            assert all(s.in_flight == 0 for s in node.node.balancer.servers.values())
+            assert not node.dispatcher.requests and not node.dispatcher.balancer.requests
+            assert all(s.in_flight == 0 for s in node.dispatcher.balancer.servers.values())
 
     asyncio.run(play())
 
@@ -71,12 +71,12 @@
                 assert await read_message(reader) == (await _head(b"2"), b"1!")
                 # Behind the answer, once it has been passed on: the loop sees it at once, or the next request
                 # finds it unread in the kernel.
-                (conn,) = node.node.pools.connections
+                (conn,) = node.dispatcher.pools.connections
                 if not seen:
                     conn.transport.pause_reading()
                 server.writers[0].write(EXTRA[kind])
                 if seen:
-                    while conn in node.node.pools.connections:
+                    while conn in node.dispatcher.pools.connections:
                         await asyncio.sleep(0)
                 writer.write(request(cls, rid="r-2"))
                 assert (await read_message(reader))[1] == b"2!"
@@ -130,8 +130,8 @@
                 for n in range(2):
                     writer.write(request(cls, rid=f"r-{n}"))
                     assert await read_answer(reader) == LONG
-            assert node.node.counters.served[["view", "send", "book"].index(cls)] == 2
-            assert all(s.in_flight == 0 for s in node.node.balancer.servers.values())
+            assert node.dispatcher.counters.served[["view", "send", "book"].index(cls)] == 2
+            assert all(s.in_flight == 0 for s in node.dispatcher.balancer.servers.values())
             writer.transport.abort()
 
     asyncio.run(play())
@@ -151,7 +151,7 @@
                 writer.write(request("send"))
                 with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
                     await read_answer(reader)
-            assert node.node.counters.failed[1] == 1 and not node.node.requests
+            assert node.dispatcher.counters.failed[1] == 1 and not node.dispatcher.requests
             writer.transport.abort()
 
     asyncio.run(play())
@@ -177,8 +177,8 @@
                 writer.write(request(rid="r-long"))
                 head = await reader.readuntil(b"\r\n\r\n")
                 begun = await reader.readexactly(64 << 10)
-                (known,) = node.node.balancer.servers.values()
-                assert known.in_flight == 0 and node.node.unfinished_requests == 1
+                (known,) = node.dispatcher.balancer.servers.values()
+                assert known.in_flight == 0 and node.dispatcher.unfinished_requests == 1
                 assert b" 200 " in await node.ask(request(rid="r-2"))
                 go.set()
                 assert begun + await reader.readexactly(len(LONG) - len(begun)) == LONG and b" 200 " in head
@@ -205,7 +205,7 @@
             async with asyncio.timeout(LIMIT):
                 writer.write(request())
                 await reader.readuntil(b"\r\n\r\n")
-                while not (held := [c for c in node.node.pools.connections if not c.reading]):
+                while not (held := [c for c in node.dispatcher.pools.connections if not c.reading]):
                     await asyncio.sleep(0)
                 (conn,) = node.clients.connections
                 assert len(held) == 1 and conn.transport.get_write_buffer_size() <= 128 << 10
@@ -246,7 +246,7 @@
     async def play() -> None:
         server = Held("s-1")
         async with running(tmp_path / "c.json", Registry(), server) as node:
-            servers = node.node.pools
+            servers = node.dispatcher.pools
             servers.limit = 30
             asking = [asyncio.ensure_future(node.ask(request(rid=f"r-{n}"))) for n in range(30)]
             await server.until(lambda: len(server.heads) == 30)
@@ -254,6 +254,6 @@
             assert (await node.ask(request(rid="q-1"))).startswith(b"HTTP/1.1 503")
             server.go.set()
             assert all(b" 200 " in answer for answer in await asyncio.gather(*asking))
-            assert not node.node.requests and not node.node.balancer.requests
+            assert not node.dispatcher.requests and not node.dispatcher.balancer.requests
 
     asyncio.run(play())
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -72,7 +72,7 @@
                     answer = await asyncio.get_running_loop().sock_recv(sock, 4096)
                 # Not 503, which says that trying again is harmless.
                 assert answer.startswith((b"HTTP/1.1 502 ", b"HTTP/1.1 504 "))
-            await node.until(lambda: not node.node.requests)
+            await node.until(lambda: not node.dispatcher.requests)
             if cls == "send":
                 assert sum(len(b.heads) for b in backends) == 1
             for b in backends:
@@ -96,7 +96,7 @@
             gate = ConnectBarrier(node, free=1)
             sock = call(node, request("book", rid="r-1"))
             await node.until(lambda: any(backend.heads for backend in backends))
-            (open_,) = node.node.requests.values()
+            (open_,) = node.dispatcher.requests.values()
             first = open_.attempts[0]
             assert first is not None
             next(b for b in backends if b.heads).writers[0].transport.abort()
@@ -151,7 +151,7 @@
             asked = request(cls, rid="r-1", extra=b"X-Time-Left-Ms: 500\r\n")
             asking = asyncio.ensure_future(node.ask(asked))
             await node.until(lambda: gate.waiting > 0)
-            (backend,) = node.node.pools.endpoints.values()
+            (backend,) = node.dispatcher.pools.endpoints.values()
             if change == "draining":
                 registry.tell(server, state="DRAINING")
             elif change == "gone":
@@ -160,7 +160,7 @@
                 registry.tell(other)
             await node.until(lambda: backend.draining is not None)
             backend.draining.cancel()  # as where it is called late
-            while node.node.loop.time() < backend.closes:
+            while node.dispatcher.loop.time() < backend.closes:
                 await asyncio.sleep(0.001)
             gate.open.set()
             answer = await asking
@@ -182,7 +182,7 @@
             await node.until(lambda: gate.waiting > 0)
             if end == "its client":
                 sock.close()
-            await node.until(lambda: not node.node.requests)
+            await node.until(lambda: not node.dispatcher.requests)
             gate.open.set()
             assert b" 200 " in await node.ask(request("send", rid="r-2"))
             assert [b"r-2" in head for head in server.heads] == [True]
@@ -222,8 +222,8 @@
             async with asyncio.timeout(LIMIT):
                 writer.write(request(cls, rid="r-1"))
                 await read_message(reader)
-                (conn,) = node.node.pools.connections
-                send = node.node.pools.send
+                (conn,) = node.dispatcher.pools.connections
+                send = node.dispatcher.pools.send
 
                 def late(attempt: Attempt) -> None:
                     if conn.state is not ConnectionState.CLOSED and not conn.unread_bytes():
@@ -233,7 +233,7 @@
                             pass
                     send(attempt)
 
-                node.node.pools.send = late  # type: ignore[method-assign]
+                node.dispatcher.pools.send = late  # type: ignore[method-assign]
                 writer.write(request(cls, rid="r-2"))
                 head, body = await read_message(reader)
             assert b" 200 " in head and body == b"ok"
@@ -336,7 +336,7 @@
     async def play() -> None:
         server = Backend("s-1")
         async with running(tmp_path / "c.json", Registry(), server) as node:
-            node.node.pools.limit = 1
+            node.dispatcher.pools.limit = 1
             for n in range(10):
                 assert b" 200 " in await node.ask(request(rid=f"r-{n}"))
             assert server.accepted == 1
@@ -352,7 +352,7 @@
             await server.until(lambda: len(server.heads) == 3)
             server.go.set()
             await asyncio.gather(*asking)
-            servers = node.node.pools
+            servers = node.dispatcher.pools
             idle = next(iter(servers.endpoints.values())).idle
             now = servers.loop.time()
             for conn, rest in zip(idle, (3.0, 2.0, 0.0), strict=True):
--- a/tests/test_consensus_member.py
+++ b/tests/test_consensus_member.py
@@ -59,7 +59,7 @@
         operator = OperatorFile(str(path), config.settings, 1, settle_pause=lambda: None)
         node.clients.admission = operator.admission
         node.clients.ready = True
-        service = AdminService(config, node.clients, node.node)
+        service = AdminService(config, node.clients, node.dispatcher)
         address = f"127.0.0.1:{await service.open()}"
         folder = tmp_path / "accord"
         member_settings = MemberSettings(name, address, voters or (address,), 800 * MS, 0, folder)
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -62,7 +62,7 @@
 def left(node: Running, conn: ClientConnection) -> None:
     """The kernel knows that the client has gone, and the last look at it is old."""
     busy_until(lambda: not conn.is_connected())
-    (open_,) = node.node.requests.values()
+    (open_,) = node.dispatcher.requests.values()
     busy_until(lambda: time.monotonic_ns() - open_.client_seen > PRESENCE_VALID_NS)
 
 
@@ -84,7 +84,7 @@
 
 async def no_more_than(node: Running, backends: tuple[Backend, ...], rid: bytes, heads: int) -> None:
     """The request is over, and servers have had no more of it."""
-    await node.until(lambda: not node.node.requests)
+    await node.until(lambda: not node.dispatcher.requests)
     # What was written before goes first on its connection: by now it would have come.
     for backend in backends:
         backend.script = OK
@@ -147,7 +147,7 @@
                 conn = await paused(node, sock)
                 sock.send(b"p" * 2 * HIDDEN_CLOSE_BYTES)
             busy_until(lambda: conn.unread_bytes() >= HIDDEN_CLOSE_BYTES)
-            (open_,) = node.node.requests.values()
+            (open_,) = node.dispatcher.requests.values()
             busy_until(lambda: time.monotonic_ns() - open_.client_seen > PRESENCE_VALID_NS)
             for backend in backends:
                 backend.go.set()
@@ -171,19 +171,19 @@
         await server.start()
         async with running(tmp_path / "c.json", registry) as node:
             sock = call(node, request(rid="r-1"))
-            await node.until(lambda: bool(node.node.requests))
+            await node.until(lambda: bool(node.dispatcher.requests))
             (conn,) = node.clients.connections
             registry.tell(server)
-            await node.until(lambda: bool(node.node.balancer.servers))
+            await node.until(lambda: bool(node.dispatcher.balancer.servers))
             begun: list[int] = []
-            send = node.node.pools.send
+            send = node.dispatcher.pools.send
 
             def note(attempt: Attempt) -> None:
                 begun.append(attempt.owner.id)
                 send(attempt)
 
-            node.node.pools.send = note  # type: ignore[method-assign]
-            (rid,) = node.node.requests
+            node.dispatcher.pools.send = note  # type: ignore[method-assign]
+            (rid,) = node.dispatcher.requests
             loop, (wakes, wake) = asyncio.get_running_loop(), socket.socketpair()
 
             def held_up() -> None:
@@ -246,7 +246,7 @@
         monkeypatch.setattr(connection_module, "LAST_BYTE_HOLD_S", 0.05)
         async with running(tmp_path / "c.json", Registry(), server) as node:
             sock = call(node, request(cls, rid="r-1"))
-            await node.until(lambda: any(conn.timer for conn in node.node.pools.connections))
+            await node.until(lambda: any(conn.timer for conn in node.dispatcher.pools.connections))
             conn = await paused(node, sock)
             sock.close()
             left(node, conn)
@@ -264,11 +264,11 @@
             sock = call(node, request(rid="r-1"))
             await node.until(lambda: any(backend.heads for backend in backends))
             conn = await paused(node, sock)
-            (open_,) = node.node.requests.values()
+            (open_,) = node.dispatcher.requests.values()
             other = next(backend.name for backend in backends if not backend.heads)
             sock.close()
             left(node, conn)
-            node.node._send(api.Send(open_.id, other))
+            node.dispatcher._send(api.Send(open_.id, other))
             assert not conn.request_id and conn.transport.is_closing()
             for backend in backends:
                 backend.go.set()
@@ -285,9 +285,11 @@
         async with running(tmp_path / "c.json", Registry(), server) as node:
             sock = call(node, request(rid="r-1"))
             await server.until(lambda: len(server.heads) == 1)
-            (open_,) = node.node.requests.values()
+            (open_,) = node.dispatcher.requests.values()
             sock.close()
-            await node.until(lambda: not (node.node.unfinished_requests or node.node.pools.connections))
+            await node.until(
+                lambda: not (node.dispatcher.unfinished_requests or node.dispatcher.pools.connections)
+            )
             assert time.monotonic_ns() < open_.deadline - 5 * 10**9
             server.go.set()
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -62,7 +62,7 @@
         registry, server = Scripted(NONSENSE[kind]), Backend("s-1")
         async with running(tmp_path / "c.json", registry, server) as node:
             await registry.until(lambda: registry.calls >= 3)
-            assert list(node.node.balancer.servers) == ["s-1"]
+            assert list(node.dispatcher.balancer.servers) == ["s-1"]
             assert b" 200 " in await node.ask(request())
 
     asyncio.run(play())
--- a/tests/test_discovery_orders.py
+++ b/tests/test_discovery_orders.py
@@ -70,7 +70,7 @@
 
 
 async def known(node: Running, holds: Callable[[dict[Any, Any]], bool]) -> None:
-    await node.until(lambda: holds(node.node.balancer.servers))
+    await node.until(lambda: holds(node.dispatcher.balancer.servers))
 
 
 BEGUN = [b"", b"HTTP/1.1 200 OK\r\nConte", b'HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{"version":9']
@@ -130,7 +130,7 @@
         many = short(balancers=200, **{"membership-mode": "subscribe"})
         async with running(tmp_path / "c.json", agent, server, settings=many) as node:
             told: list[object] = []
-            node.node.discovery_failed = lambda: told.append(1)  # type: ignore[method-assign]
+            node.dispatcher.discovery_failed = lambda: told.append(1)  # type: ignore[method-assign]
             await agent.until(lambda: "wait=100" in agent.targets[-1])
             agent.silent = True
             agent.note()
@@ -214,7 +214,7 @@
             )
             node.discovery._apply(new, held)
             node.discovery._apply(old, held)
-            assert node.node.balancer.servers["s-1"].state == api.ServerState.DRAINING
+            assert node.dispatcher.balancer.servers["s-1"].state == api.ServerState.DRAINING
             assert node.discovery.version == held + 2
 
     asyncio.run(play())
--- a/tests/test_found_by_seeds.py
+++ b/tests/test_found_by_seeds.py
@@ -34,7 +34,7 @@
                     async with asyncio.timeout(5.0):
                         answer = await node.ask(request(cls, rid))
                     assert answer.startswith(b"HTTP/1.1 503 ")
-            assert not server.heads and node.node.unfinished_requests == 0
+            assert not server.heads and node.dispatcher.unfinished_requests == 0
             assert b" 200 " in await node.ask(request(rid="r-3"))
 
     asyncio.run(play())
--- a/tests/test_graceful_shutdown.py
+++ b/tests/test_graceful_shutdown.py
@@ -22,7 +22,7 @@
                 writer.write(request(rid="r-1"))
                 await read_message(reader)
                 draining = asyncio.ensure_future(
-                    shut_down_gracefully(node.clients, node.node, accept_period_s=0.0)
+                    shut_down_gracefully(node.clients, node.dispatcher, accept_period_s=0.0)
                 )
                 while node.clients.listener is not None:
                     await asyncio.sleep(0)
@@ -50,7 +50,9 @@
                 writer.write(request())
                 await server.until(lambda: len(server.heads) == 1)
                 draining = asyncio.ensure_future(
-                    shut_down_gracefully(node.clients, node.node, accept_period_s=0.0, final_period_s=10.0)
+                    shut_down_gracefully(
+                        node.clients, node.dispatcher, accept_period_s=0.0, final_period_s=10.0
+                    )
                 )
                 assert await idle.read() == b""
                 idle_writer.close()
@@ -69,7 +71,9 @@
         async with running(tmp_path / "c.json", Registry(), Backend("s-1")) as node:
             crowd = [call(node, request(rid=f"r-{n}")) for n in range(30)]
             async with asyncio.timeout(LIMIT):
-                await shut_down_gracefully(node.clients, node.node, accept_period_s=0.0, final_period_s=10.0)
+                await shut_down_gracefully(
+                    node.clients, node.dispatcher, accept_period_s=0.0, final_period_s=10.0
+                )
             # The process ends here: what has not been answered by now is lost.
             for sock in crowd:
                 sock.setblocking(False)
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -77,7 +77,9 @@
                 assert new_group.take_new_connections(new.clients.listener, new_group.count_others())
                 new_group.join()
                 draining = asyncio.ensure_future(
-                    shut_down_gracefully(old.clients, old.node, accept_period_s=0.0, listener_group=old_group)
+                    shut_down_gracefully(
+                        old.clients, old.dispatcher, accept_period_s=0.0, listener_group=old_group
+                    )
                 )
                 async with asyncio.timeout(LIMIT):
                     while old.clients.service_state not in CLOSING_STATES:
--- a/tests/test_lag.py
+++ b/tests/test_lag.py
@@ -76,7 +76,7 @@
                 while node.clients.connections:
                     await asyncio.sleep(0)
             assert len(server.heads) == 2 and not any(b"r-1" in head for head in server.heads)
-            assert not node.node.requests
+            assert not node.dispatcher.requests
 
     asyncio.run(play())
 
@@ -88,7 +88,7 @@
         async with running(tmp_path / "c.json", Registry(), server) as node:
             asking = asyncio.ensure_future(node.ask(request()))
             await server.until(lambda: len(server.heads) == 1)
-            (conn,) = node.node.pools.connections
+            (conn,) = node.dispatcher.pools.connections
             conn.set_reading(False)
             time.sleep(0.03)  # the server's own time, as the kernel tells lateness in whole ms
             server.writers[0].write(OK)
@@ -96,7 +96,7 @@
                 pass  # the answer is there, the loop is busy with something else
             conn.set_reading(True)
             assert b" 200 " in await asking
-            assert 0 < node.node.balancer.estimates.response_times[0] < 100 * MS
+            assert 0 < node.dispatcher.balancer.estimates.response_times[0] < 100 * MS
             go.set()
 
     asyncio.run(play())
@@ -120,7 +120,7 @@
             async with asyncio.timeout(LIMIT):
                 writer.write(request())
                 await read_message(reader)
-            peers = [*node.clients.connections, *node.node.pools.connections]
+            peers = [*node.clients.connections, *node.dispatcher.pools.connections]
             assert len(peers) == 2
             assert all(peer.sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY) for peer in peers)
             writer.transport.abort()
@@ -185,10 +185,10 @@
         async with running(tmp_path / "c.json", Registry(), server, settings=settings(caps=CAPS)) as node:
             third = node.clients.config.sockets // 3
             asking = [asyncio.ensure_future(node.ask(request("book", rid=f"r-{n}"))) for n in range(third)]
-            await server.until(lambda: len(server.heads) + node.node.counters.rejected[2] == third)
-            assert node.node.counters.rejected[2]
+            await server.until(lambda: len(server.heads) + node.dispatcher.counters.rejected[2] == third)
+            assert node.dispatcher.counters.rejected[2]
             # A third of the descriptors is what clients hold: one is always left to hear a request on.
-            assert node.node.unfinished_requests < third
+            assert node.dispatcher.unfinished_requests < third
             assert b" 503 " in await node.ask(request("view", rid="v-1"))
             server.go.set()
             await asyncio.gather(*asking)
--- a/tests/test_other_customers.py
+++ b/tests/test_other_customers.py
@@ -178,10 +178,10 @@
             names = {line["name"] for line in given_["categories"]}
             for cls in {"view", "send", "book"} - names:
                 assert (await node.ask(request(cls))).startswith(b"HTTP/1.1 404 ")
-            (backend,) = node.node.pools.endpoints.values()
-            node.node.pools._drain(backend)
+            (backend,) = node.dispatcher.pools.endpoints.values()
+            node.dispatcher.pools._drain(backend)
             assert backend.draining is not None
-            left = backend.draining.when() - node.node.loop.time()
+            left = backend.draining.when() - node.dispatcher.loop.time()
             assert left <= DRAIN_GRACE_SHARE * given_["rules"]["drain-grace"] / SECOND + 0.01
 
     asyncio.run(play())
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -25,7 +25,7 @@
             node.discovery.change_address(load({"BALANCER_CONFIG": str(node.path)}).discovery)
             # The versions of the two do not count alike: the first call must ask for the whole list.
             await new.until(lambda: new.calls >= 2)
-            assert list(node.node.balancer.servers) == ["s-2"]
+            assert list(node.dispatcher.balancer.servers) == ["s-2"]
             assert b" 200 " in await node.ask(request(rid="r-2"))
             assert len(first.heads) == len(second.heads) == 1
         await new.stop()
--- a/tests/test_routes_node.py
+++ b/tests/test_routes_node.py
@@ -57,7 +57,7 @@
     path.write_text(text)
     known = settings(caps=CAPS, **more)
     async with running(folder / "c.json", Registry(), *backends, settings=known) as node:
-        operator = OperatorFile(str(path), node.node.settings, 1, no_pause)
+        operator = OperatorFile(str(path), node.dispatcher.settings, 1, no_pause)
         node.clients.admission = operator.admission
         yield node, operator
         await operator.close()
@@ -499,7 +499,7 @@
     (folder / "operator.toml").write_text(text)
     config = replace(load({"BALANCER_CONFIG": str(folder / "c.json")}), listen=("127.0.0.1", 0))
     operator = OperatorFile(str(folder / "operator.toml"), config.settings, 1, no_pause)
-    clients, node, discovery = assemble(config)
+    clients, _, discovery = assemble(config)
     clients.admission = operator.admission
     port = await clients.listen()
     discovery.start()
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -55,7 +55,7 @@
         ) as node:
             crowd = [call(node, request(rid=f"r-{n}")) for n in range(2 * node.clients.limit)]
             draining = asyncio.ensure_future(
-                shut_down_gracefully(node.clients, node.node, accept_period_s=0.0)
+                shut_down_gracefully(node.clients, node.dispatcher, accept_period_s=0.0)
             )
             answers = await asyncio.gather(*map(answer_of, crowd))
             assert all(answer.startswith((b"HTTP/1.1 200 ", b"HTTP/1.1 503 ")) for answer in answers)
@@ -141,7 +141,7 @@
             assert await answer_of(sock) == b""
             sock.close()
             await node.until(lambda: not node.clients.connections)
-            assert len(server.heads) == 1 and not node.node.requests
+            assert len(server.heads) == 1 and not node.dispatcher.requests
 
     asyncio.run(play())
 
@@ -159,14 +159,16 @@
             writer.write(data[:-1])
             async with asyncio.timeout(LIMIT):
                 await node.until(lambda: bool(node.clients.unfinished))
-                end_all = node.node.end_all_requests
+                end_all = node.dispatcher.end_all_requests
 
                 def ends() -> None:
                     end_all()
                     writer.write(data[-1:])
 
-                node.node.end_all_requests = ends  # type: ignore[method-assign]
-                await shut_down_gracefully(node.clients, node.node, accept_period_s=0.0, final_period_s=0.2)
+                node.dispatcher.end_all_requests = ends  # type: ignore[method-assign]
+                await shut_down_gracefully(
+                    node.clients, node.dispatcher, accept_period_s=0.0, final_period_s=0.2
+                )
                 head, _ = await read_message(reader)
             assert b" 503 " in head
             assert not server.heads
@@ -183,16 +185,16 @@
         backends = Held("s-1"), Held("s-2")
         async with running(tmp_path / "c.json", Registry(), *backends) as node:
             begun: list[Attempt] = []
-            send = node.node.pools.send
+            send = node.dispatcher.pools.send
 
             def note(attempt: Attempt) -> None:
                 begun.append(attempt)
                 send(attempt)
 
-            node.node.pools.send = note  # type: ignore[method-assign]
+            node.dispatcher.pools.send = note  # type: ignore[method-assign]
             asking = asyncio.ensure_future(node.ask(request(cls)))
             await node.until(lambda: any(backend.heads for backend in backends))
-            node.node.end_all_requests()
+            node.dispatcher.end_all_requests()
             answer = await asking
             assert status in answer and (cls == "view" or b" 503 " not in answer)
             assert len(begun) == 1
--- a/tests/test_upload.py
+++ b/tests/test_upload.py
@@ -195,7 +195,7 @@
                 else:
                     assert b" 503 " in answer
                     assert not first.bodies and not second.bodies
-                assert node.clients.streaming_budget.used == 0 and not node.node.requests
+                assert node.clients.streaming_budget.used == 0 and not node.dispatcher.requests
 
     asyncio.run(play())
 
@@ -231,10 +231,10 @@
             await server.until(lambda: server.got > MAX_HELD_BODY_BYTES)
             writer.transport.abort()
             async with asyncio.timeout(LIMIT):
-                while node.node.requests or node.clients.connections:
+                while node.dispatcher.requests or node.clients.connections:
                     await asyncio.sleep(0)
             assert not server.bodies and node.clients.streaming_budget.used == 0
-            assert all(s.in_flight == 0 for s in node.node.balancer.servers.values())
+            assert all(s.in_flight == 0 for s in node.dispatcher.balancer.servers.values())
 
     asyncio.run(play())
 
@@ -255,7 +255,7 @@
             node.clients.unfinished[conn] = began - 60.0
             async with asyncio.timeout(LIMIT):
                 assert (await reader.read()).startswith(b"HTTP/1.1 408")
-            assert not server.bodies and not node.node.requests
+            assert not server.bodies and not node.dispatcher.requests
             writer.close()
 
     asyncio.run(play())
--- a/tests/test_upstream_states.py
+++ b/tests/test_upstream_states.py
@@ -66,10 +66,10 @@
                     writer.write(request(cls, rid=f"r-{cls}"))
                     head, body = await read_message(reader)
                     assert b" 200 " in head and len(body) == 200_000
-                (connection,) = node.node.pools.connections
+                (connection,) = node.dispatcher.pools.connections
                 assert connection.state is ConnectionState.IDLE
                 connection.close()
-                while node.node.pools.connections:
+                while node.dispatcher.pools.connections:
                     await asyncio.sleep(0)
             writer.transport.abort()
 
