--- a/hollybay/mutation/planted.py
+++ b/hollybay/mutation/planted.py
@@ -183,13 +183,13 @@
     Defect(
         "reset-taken-for-unsent",
         ATTEMPT,
-        "elif result == api.Result.CONNECT_FAILED and self.written:",
-        "elif result == api.Result.CONNECT_FAILED and not self.written:",
+        "elif result == api.Result.CONNECT_FAILED and self.request_written:",
+        "elif result == api.Result.CONNECT_FAILED and not self.request_written:",
     ),
     Defect(
         "silence-taken-for-unsent",
         ATTEMPT,
-        "if result == api.Result.TIMEOUT and not self.written:",
+        "if result == api.Result.TIMEOUT and not self.request_written:",
         "if result == api.Result.TIMEOUT:",
     ),
     Defect(
@@ -219,7 +219,7 @@
     Defect(
         "early-answer-taken",
         SERVER_CONNECTION,
-        "        if not attempt.written:\n            # Nothing was asked in full yet",
+        "        if not attempt.request_written:\n            # Nothing was asked in full yet",
         "        if False:\n            # Nothing was asked in full yet",
     ),
     Defect(
--- a/hollybay/proxy/pending_request.py
+++ b/hollybay/proxy/pending_request.py
@@ -12,11 +12,13 @@
 import asyncio
 from collections.abc import Mapping
 from enum import IntEnum
+from typing import Protocol
+
+from hollybay.balancing import interface as api
 
 from .http_messages import ForwardedRequest
 from .ports import Client
 from .state_machine import transition_function
-from .upstream.attempt import Attempt
 
 __all__ = [
     "FINISHED",
@@ -24,6 +26,7 @@
     "TRANSITIONS",
     "UNANSWERED_STATES",
     "PendingRequest",
+    "RequestAttempt",
     "RequestEvent",
     "RequestState",
     "next_state",
@@ -91,6 +94,19 @@
 next_state = transition_function(TRANSITIONS)
 
 
+class RequestAttempt(Protocol):
+    """What a request asks of its attempts."""
+
+    request_written: bool
+    """Whether its last byte was handed over: from then on a server may have run it."""
+
+    def cancel(self) -> None:
+        """Stop waiting; the connection is closed."""
+
+    def end(self, result: api.Result) -> None:
+        """Take the first result; a connection still in use is closed."""
+
+
 class PendingRequest:
     """A request without a final answer, or with attempts in flight.
 
@@ -146,10 +162,10 @@
         self.class_index = class_index
         self.state = PENDING
         self.deadline = 0
-        self.attempts: list[Attempt | None] = []
+        self.attempts: list[RequestAttempt | None] = []
         self.in_flight = 0
         self.client_seen = 0
-        self.streamed_attempt: Attempt | None = None
+        self.streamed_attempt: RequestAttempt | None = None
         self.timer: asyncio.TimerHandle | None = None
 
     def stop_timer(self) -> None:
--- a/hollybay/proxy/request_dispatcher.py
+++ b/hollybay/proxy/request_dispatcher.py
@@ -199,7 +199,7 @@
             request.streamed_attempt.cancel()
         # What no server can have begun ends here, also where the settings allow no cancel.
         for attempt in list(request.attempts):
-            if attempt is not None and not attempt.written:
+            if attempt is not None and not attempt.request_written:
                 attempt.cancel()
         self.feed(api.ClientDisconnected(request_id))
 
@@ -281,7 +281,7 @@
             observer=self,
             repeatable=request_class.effect == api.Effect.SAFE,
             streamed=request_class.streamed,
-            owner=request,
+            request=request,
             number=number,
             write_deadline=action.write_deadline,
         )
@@ -385,12 +385,14 @@
 
     def is_awaited(self, attempt: Attempt) -> bool:
         """Tell whether the client of an attempt is there: nothing is sent on for one that has gone."""
-        request: PendingRequest = attempt.owner
+        request = attempt.request
+        assert request is not None
         return request.state is not FINISHED and self._check_client_presence(request)
 
     def response_started(self, attempt: Attempt, response: ForwardedResponse) -> Client | None:
         """Tie a request to the response that begins to come; return where it goes, None: nowhere."""
-        request: PendingRequest = attempt.owner
+        request = attempt.request
+        assert request is not None
         if request.state not in UNANSWERED_STATES:
             return None
         request.state = next_state(request.state, RequestEvent.RESPONSE_STARTED)
@@ -398,7 +400,7 @@
         request.stop_timer()
         if attempt.timer is not None:
             attempt.timer.cancel()
-        round_trip = system.monotonic_ns() - attempt.sent
+        round_trip = system.monotonic_ns() - attempt.sent_at
         self.feed(api.ResponseStarted(request.id, attempt.number, attempt.server, round_trip))
         # What another attempt brings could not be used any more.
         for other in request.attempts:
@@ -409,7 +411,8 @@
 
     def attempt_finished(self, attempt: Attempt, response: ForwardedResponse | None) -> None:
         """Answer the client if the attempt succeeded, and tell the balancer of its end."""
-        request: PendingRequest = attempt.owner
+        request = attempt.request
+        assert request is not None
         result = attempt.result
         assert result is not None
         request.in_flight -= 1
@@ -450,4 +453,4 @@
 def _response_time(attempt: Attempt) -> int:
     """Return the time (ns) to the first bytes of a streamed response, else to the last ones."""
     ended = attempt.response_started or system.monotonic_ns() - attempt.read_delay
-    return max(0, ended - attempt.sent)
+    return max(0, ended - attempt.sent_at)
--- a/hollybay/proxy/upstream/attempt.py
+++ b/hollybay/proxy/upstream/attempt.py
@@ -3,12 +3,13 @@
 from __future__ import annotations
 
 import asyncio
-from typing import Any, Protocol
+from typing import Protocol
 
 from hollybay.balancing import interface as api
 
 from .. import system
 from ..http_messages import ForwardedRequest, ForwardedResponse
+from ..pending_request import PendingRequest
 from ..ports import Client
 
 __all__ = ["Attempt", "AttemptConnection", "AttemptObserver"]
@@ -56,8 +57,8 @@
         Whether the request is safe to send again, whatever became of this attempt.
     streamed
         Whether the response is passed on as it comes.
-    owner
-        The request that the attempt belongs to; the observer's own value.
+    request
+        The client's request that the attempt belongs to; None: a health check.
     number
         0 for the first attempt at the request, then 1, and so on.
     write_deadline
@@ -71,19 +72,19 @@
         "message",
         "number",
         "observer",
-        "owner",
         "read_delay",
         "repeatable",
         "report",
+        "request",
+        "request_written",
         "response_started",
         "result",
-        "sent",
+        "sent_at",
         "server",
         "streamed",
         "timer",
         "unwritten_attempts",
         "write_deadline",
-        "written",
     )
 
     def __init__(
@@ -94,7 +95,7 @@
         observer: AttemptObserver,
         repeatable: bool = True,
         streamed: bool = False,
-        owner: Any = None,
+        request: PendingRequest | None = None,
         number: int = 0,
         write_deadline: int = 0,
     ) -> None:
@@ -104,15 +105,14 @@
         self.observer = observer
         self.repeatable = repeatable
         self.streamed = streamed
-        self.owner = owner
+        self.request = request
         self.number = number
         self.write_deadline = write_deadline
-        self.sent = (
-            system.monotonic_ns()
-        )  # ns; response times count from here; for a streamed body its last byte
+        # When (ns) it began, or the last byte of a streamed body was written: response times count from here.
+        self.sent_at = system.monotonic_ns()
         self.response_started = 0  # ns; when the first bytes of a streamed response came, 0: none has
         self.read_delay = 0  # ns; for how long the end of the response was here before the node read it
-        self.written = False  # its last byte was handed over: from here on it may have run
+        self.request_written = False  # its last byte was handed over: from here on it may have run
         self.result: api.Result | None = None
         self.report: tuple[float, ...] = ()
         self.connection: AttemptConnection | None = None
@@ -125,7 +125,7 @@
         """Stop waiting; the connection is closed."""
         self.end(api.Result.CANCELLED)
 
-    def broke(self) -> None:
+    def connection_lost(self) -> None:
         """End because the connection is gone, or because what came on it is no response."""
         self.end(api.Result.CONNECT_FAILED)
 
@@ -138,9 +138,9 @@
         """Take the first result, and notify the observer; a connection still in use is closed."""
         if self.result is not None:
             return
-        if result == api.Result.TIMEOUT and not self.written:
+        if result == api.Result.TIMEOUT and not self.request_written:
             result = api.Result.CONNECT_FAILED  # a server begins a request when its last byte has come
-        elif result == api.Result.CONNECT_FAILED and self.written:
+        elif result == api.Result.CONNECT_FAILED and self.request_written:
             result = api.Result.RESET
         self.result = result
         self.message = None
--- a/hollybay/proxy/upstream/connection.py
+++ b/hollybay/proxy/upstream/connection.py
@@ -323,27 +323,24 @@
             return
         # The kernel may take the byte and the loop tell of it a turn later: whatever ends the attempt in
         # between, it may have run.
-        attempt.written = True
+        attempt.request_written = True
         self._advance(ConnectionEvent.REQUEST_SENT)
         self.transport.write(self.pieces.pop())
         if self.transport.is_closing():
-            attempt.written = False  # refused at once
+            attempt.request_written = False  # refused at once
             self._fail()
         elif not self.is_write_buffered:
             self._note_written()
 
     def _note_written(self) -> None:
         attempt = self.attempt
-        if (
-            attempt is not None
-            and attempt in self.endpoint.unwritten_attempts
-            and not self.transport.is_closing()
-        ):
-            if attempt.message is not None and attempt.message.streaming_body is not None:
-                # A server begins with the last byte: how long the body was on its way says nothing of it.
-                attempt.sent = system.monotonic_ns()
-            self.owner.written += 1
-            self.endpoint.unwritten_attempts.pop(attempt)
+        if attempt is None or attempt not in self.endpoint.unwritten_attempts or self.transport.is_closing():
+            return
+        if attempt.message is not None and attempt.message.streaming_body is not None:
+            # A server begins with the last byte: how long the body was on its way says nothing of it.
+            attempt.sent_at = system.monotonic_ns()
+        self.owner.written += 1
+        self.endpoint.unwritten_attempts.pop(attempt)
 
     # Reading
 
@@ -421,7 +418,7 @@
         if event.status_code != STATUS_OK:
             self.failure = result_of_failure(event, found.headers)
             return
-        if not attempt.written:
+        if not attempt.request_written:
             # Nothing was asked in full yet, so no server can have made this for it.
             raise h11.RemoteProtocolError("an answer before the request")
         check_framing(found)
@@ -476,7 +473,8 @@
     def _complete(self, attempt: Attempt) -> None:
         self.stop_timer()
         attempt.read_delay = self.read_delay()[1] * MS
-        reusable = attempt.written and self.http.their_state is h11.DONE and not self.http.trailing_data[0]
+        is_message_over = self.http.their_state is h11.DONE and not self.http.trailing_data[0]
+        reusable = attempt.request_written and is_message_over
         response = None
         if self.response is not None and self.client is None:
             response = ForwardedResponse(STATUS_OK, self.response.headers, self.body_pieces)
@@ -497,4 +495,4 @@
         if self.failure is not None:
             attempt.end(self.failure)  # the head was whole, and proves what it says
         else:
-            attempt.broke()
+            attempt.connection_lost()
--- a/hollybay/proxy/upstream/health_check.py
+++ b/hollybay/proxy/upstream/health_check.py
@@ -59,5 +59,5 @@
         report = attempt.report
         if response is not None and response.body and not report:
             report = self.names.parse_load_report(b"".join(response.body).decode("latin-1"))
-        round_trip = system.monotonic_ns() - attempt.sent
+        round_trip = system.monotonic_ns() - attempt.sent_at
         self.feed(api.ProbeResult(attempt.server, attempt.result, round_trip, report))
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -101,7 +101,7 @@
             assert first is not None
             next(b for b in backends if b.heads).writers[0].transport.abort()
             await node.until(lambda: gate.waiting > 0)
-            while time.monotonic_ns() - first.sent < window:
+            while time.monotonic_ns() - first.sent_at < window:
                 await asyncio.sleep(0.001)
             gate.open.set()
             sock.setblocking(False)
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -179,7 +179,7 @@
             send = node.node.pools.send
 
             def note(attempt: Attempt) -> None:
-                begun.append(attempt.owner.id)
+                begun.append(attempt.request.id)
                 send(attempt)
 
             node.node.pools.send = note  # type: ignore[method-assign]
