--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -179,7 +179,7 @@
             send = node.dispatcher.pools.send
 
             def note(attempt: Attempt) -> None:
-                begun.append(attempt.owner.id)
+                begun.append(attempt.request.id)
                 send(attempt)
 
             node.dispatcher.pools.send = note  # type: ignore[method-assign]
