--- a/hollybay/balancing/bench_adapter.py
+++ b/hollybay/balancing/bench_adapter.py
@@ -11,8 +11,8 @@
 from . import bench_wire as wire
 from .balancer import Balancer
 from .bench_codec import EventDecoder, EventRecord, Start, encode_action, encode_text
-from .bench_settings import parse_settings
 from .interface import Settings
+from .settings_parser import parse_settings
 
 __all__ = ["Link", "main", "serve"]
 
--- a/hollybay/balancing/bench_settings.py
+++ b/hollybay/balancing/settings_parser.py
@@ -1,4 +1,4 @@
-"""Reads the settings of an instance from the path=value lines of the simulator, or of a settings file."""
+"""Reads the settings of a node from path=value lines: of its settings file, or of the simulator."""
 
 from __future__ import annotations
 
--- a/hollybay/proxy/config.py
+++ b/hollybay/proxy/config.py
@@ -7,8 +7,8 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from hollybay.balancing.bench_settings import parse_settings
 from hollybay.balancing.interface import Settings
+from hollybay.balancing.settings_parser import parse_settings
 
 from . import system
 from .addresses import Address, parse_address
--- a/hollybay/proxy/settings_text.py
+++ b/hollybay/proxy/settings_text.py
@@ -1,4 +1,4 @@
-"""Settings of the balancer from their JSON object to the text that `bench_settings.parse_settings` reads."""
+"""Settings of the balancer from their JSON object to the text that `settings_parser.parse_settings` reads."""
 
 from __future__ import annotations
 
--- a/tests/documentation_names.py
+++ b/tests/documentation_names.py
@@ -25,7 +25,7 @@
 # Tables in these are keys that operators write.
 KEY_FOLDERS = ("deploy", "experiments")
 # Modules that define such keys, and hold them as texts or as fields.
-KEY_MODULES = ("hollybay.routing.schema", "hollybay.balancing.bench_settings", "hollybay.proxy.config")
+KEY_MODULES = ("hollybay.routing.schema", "hollybay.balancing.settings_parser", "hollybay.proxy.config")
 # What a node with all of its metrics prints.
 METRICS = "tests/golden/metrics.txt"
 SUFFIXES = {".py", ".md", ".toml", ".txt", ".json", ".png", ".http", ".yml"}
--- a/tests/test_shape.py
+++ b/tests/test_shape.py
@@ -14,8 +14,8 @@
 # What the decisions may import beside each other: the interface and the state.
 TYPES = {"actions", "events", "interface", "settings", "state", "units"}
 MODULE = {path.stem for path in POLICY} | TYPES
-# The edge of the bench, which decides nothing.
-BENCH = {"bench_adapter", "bench_codec", "bench_settings", "bench_wire"}
+# The edge: the wire of the simulator, and the settings of a node as text. It decides nothing.
+EDGE = {"bench_adapter", "bench_codec", "bench_wire", "settings_parser"}
 # Parts that know nothing of the interface: numbers in, numbers out.
 ARITHMETIC = {
     "connection_capacity", "discovery_polling", "event_loop_delay", "outlier_shares", "priority_distribution",
@@ -26,7 +26,7 @@
 
 def test_every_module_that_decides_is_named_under_policy() -> None:
     modules = {path.stem for path in BALANCING.glob("*.py")}
-    assert modules - {path.stem for path in POLICY} == {"__init__"} | TYPES | BENCH
+    assert modules - {path.stem for path in POLICY} == {"__init__"} | TYPES | EDGE
     assert len(POLICY) == len(set(POLICY))
 
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -16,7 +16,7 @@
 from hollybay.balancing import bench_codec as codec
 from hollybay.balancing import bench_wire as wire
 from hollybay.balancing import interface as api
-from hollybay.balancing.bench_settings import parse_settings
+from hollybay.balancing.settings_parser import parse_settings
 
 ROOT = Path(__file__).resolve().parent.parent
 SETUP = """balancers=3
