--- a/tests/scripted_streams.py
+++ b/tests/scripted_streams.py
@@ -10,11 +10,13 @@
 from typing import Any
 
 from hollybay.balancing.interface import (
+    DeduplicationScope,
     Effect,
     ListKind,
     RequestClass,
     Result,
     ServerState,
+    Tenant,
     WeightMode,
 )
 from hollybay.testbed.world import MS, SECOND, make_settings
@@ -35,6 +37,14 @@
 )
 QUICK_CLASSES = (CLASSES[LOW], RequestClass("quick", Effect.UNSAFE, 9.0, 300 * MS, 60 * SECOND))
 SAFE_CLASSES = (RequestClass("read", Effect.SAFE, 1.0, 200 * MS, 10 * SECOND, 0.25),)
+ZONE_CLASSES = (
+    RequestClass("keyed", Effect.KEYED, 1.0, SECOND, 60 * SECOND, 0.0, DeduplicationScope.ZONE, 30 * SECOND),
+)
+TENANTS = (Tenant("first", 0.5), Tenant("second", 0.5))
+# After one rejection and so many accepted answers a tenant's share of rejections is 1.05e-6. Counted, that
+# makes these answers (1: rejected) end with a share just above the bound of 0.2; dropped, just below it.
+ACCEPTED_AFTER_REJECTION = 210
+REJECTIONS = "1001100001010000000000000000001101"
 
 
 class Sent:
@@ -532,12 +542,58 @@
     return script
 
 
+def answer_before_a_review(balancer: type) -> Script:
+    """A server on probation answers, and a request is tried at all servers in turn before the next review."""
+    script = Script(balancer, classes=ZONE_CLASSES, weight_mode=WeightMode.NOMINAL, max_attempts=7, nodes=1)
+    # With the share of a server on probation the first one has about the capacity of the others.
+    script.list([server(0)] + [server(n, weight=0.045 + 0.002 * n) for n in range(1, 7)])
+    for _ in range(3):
+        script.ask()
+        for result in (Result.RESET, Result.OK):
+            script.end(script.in_flight[-1], result, MS)
+        script.wait(REVIEW)
+    script.wait(2 * REVIEW)
+    for _ in range(2):
+        script.ask()
+    on_probation, other = script.in_flight
+    script.end(on_probation, rtt=MS)
+    script.end(other, Result.RESET, MS)
+    while script.in_flight:
+        script.end(script.in_flight[-1], Result.RESET, MS)
+    return script
+
+
+def late_after_a_pause(balancer: type) -> Script:
+    """A request read late: its share is just below the least, but for what the one before has left."""
+    objective = 10_000 * SECOND
+    long_classes = (RequestClass("long", Effect.SAFE, 1.0, objective, 10 * objective),)
+    script = Script(balancer, classes=long_classes, nodes=1)
+    script.list(servers(3))
+    # Ten nanoseconds less than the lateness from which on a node that was never late rejects.
+    almost_late = objective // 10 * 11 // 10 - 10
+    for waited in (objective, almost_late):
+        script.skip(10 * SECOND)
+        script.ask(left=10 * objective, waited=waited)
+    return script
+
+
+def small_rejection_share(balancer: type) -> Script:
+    """A tenant's rejections, of which the first counts for about a millionth when the next ones come."""
+    script = Script(balancer, classes=CLASSES, tenants=TENANTS, max_attempts=1, nodes=1)
+    script.list(servers(3))
+    for rejected in [True] + [False] * ACCEPTED_AFTER_REJECTION + [bit == "1" for bit in REJECTIONS]:
+        script.ask(HIGH)
+        script.end(script.in_flight[-1], Result.REJECTED if rejected else Result.OK, MS)
+    script.picks(20, HIGH)
+    return script
+
+
 SCRIPTS: dict[str, Callable[[type], Script]] = {
     f"script-{build.__name__.replace('_', '-')}": build
     for build in (
         waits, refused_connections, many_nodes, traffic_share, crossing_bounds, idle_zone_without_answers,
         polls, rare_lists, bursts, collapse, little_time_left, long_ejection, common_failures, half_ejected,
         mean_load, uneven_loads, few_attempts, few_baseline_attempts, usual_in_flight, expired_reports,
-        saved_budgets, many_budgets,
+        saved_budgets, many_budgets, answer_before_a_review, late_after_a_pause, small_rejection_share,
     )
 }  # fmt: skip
