--- a/hollybay/cluster/plan.py
+++ b/hollybay/cluster/plan.py
@@ -18,7 +18,7 @@
 
 import msgspec
 
-from hollybay.routing.problems import OperatorError, Problem
+from hollybay.routing.problems import FileProblem, OperatorError
 from hollybay.routing.typed_tables import Duration, Table, read_tables
 from hollybay.units import SECOND
 
@@ -255,7 +255,7 @@
     if load:
         run = msgspec.structs.replace(run, load=load)
     if run.warm >= run.seconds:
-        problems.append(Problem("run", "warm", run.warm, f"is not before the end ({run.seconds} ns)"))
+        problems.append(FileProblem("run", "warm", run.warm, f"is not before the end ({run.seconds} ns)"))
     names = {
         "nodes": tuple(f"n{n:03d}" for n in range(run.nodes)),
         "servers": tuple(f"s-{n:03d}" for n in range(run.servers)),
@@ -264,10 +264,10 @@
     groups |= {who: (who, ()) for who in WHO if who not in names}
     for label, group in tables.group.items():
         if label in WHO:
-            problems.append(Problem("group", label, None, "is a name that stands for all of them"))
+            problems.append(FileProblem("group", label, None, "is a name that stands for all of them"))
         elif group.end <= group.begin:
             problems.append(
-                Problem(f"group.{label}", "end", group.end, f"is not above begin ({group.begin})")
+                FileProblem(f"group.{label}", "end", group.end, f"is not above begin ({group.begin})")
             )
         else:
             groups[label] = (group.of, members(names[group.of], group, seed, label))
@@ -279,7 +279,7 @@
     _clash(faults, problems)
     for figure, value in tables.most.items():
         if figure not in FIGURES:
-            problems.append(Problem("most", figure, value, f"unknown figure{_near(figure, FIGURES)}"))
+            problems.append(FileProblem("most", figure, value, f"unknown figure{_near(figure, FIGURES)}"))
     _accord(tables, run, problems)
     if problems:
         raise OperatorError(file, problems)
@@ -302,66 +302,74 @@
     at: str,
     run: RunTable,
     groups: dict[str, tuple[str, tuple[str, ...]]],
-    problems: list[Problem],
+    problems: list[FileProblem],
 ) -> Fault | None:
     known = len(problems)
     kinds = (*PROCESS_KINDS, *SERVER_KINDS, *LINK_KINDS, *LIST_KINDS)
     kind = table.kind
     if kind not in kinds:
-        problems.append(Problem(at, "kind", kind, f"unknown kind{_near(kind, kinds)}"))
+        problems.append(FileProblem(at, "kind", kind, f"unknown kind{_near(kind, kinds)}"))
         return None
     until = table.at + table.lasts
     if until > run.seconds or table.at >= run.seconds:
         reason = f"outlasts the run of {run.seconds / SECOND:g} s"
-        problems.append(Problem(at, "lasts" if table.at < run.seconds else "at", until / SECOND, reason))
+        problems.append(FileProblem(at, "lasts" if table.at < run.seconds else "at", until / SECOND, reason))
     if kind in _BY:
         least, largest, what = _BY[kind]
         if not least <= table.by <= largest:
-            problems.append(Problem(at, "by", table.by, f"must be from {least:g} to {largest:g}: {what}"))
+            problems.append(FileProblem(at, "by", table.by, f"must be from {least:g} to {largest:g}: {what}"))
     elif table.by:
-        problems.append(Problem(at, "by", table.by, f"means nothing for {kind!r}"))
+        problems.append(FileProblem(at, "by", table.by, f"means nothing for {kind!r}"))
     found: dict[str, tuple[str, ...]] = {}
     link = ""
     others: tuple[str, ...] = ()
     if kind in LINK_KINDS:
         if table.on or table.between is None:
-            problems.append(Problem(at, "between", table.between, "a fault of a link names its two ends"))
+            problems.append(FileProblem(at, "between", table.between, "a fault of a link names its two ends"))
             return None
         strangers = [name for name in table.between if name not in groups]
         for name in strangers:
-            problems.append(Problem(at, "between", name, f"no such group{_near(name, groups)}"))
+            problems.append(FileProblem(at, "between", name, f"no such group{_near(name, groups)}"))
         if strangers:
             return None
         ends = tuple(groups[name][0] for name in table.between)
         if ends not in LINKS:
             pairs = ", ".join("-".join(pair) for pair in LINKS)
-            problems.append(Problem(at, "between", table.between, f"no link of the rig: these are {pairs}"))
+            problems.append(
+                FileProblem(at, "between", table.between, f"no link of the rig: these are {pairs}")
+            )
             return None
         link = "-".join(ends)
         if link == "operators-nodes" and not run.door:
-            problems.append(Problem(at, "between", table.between, "nodes have no door: [run] door = true"))
+            problems.append(
+                FileProblem(at, "between", table.between, "nodes have no door: [run] door = true")
+            )
         if link == "nodes-nodes" and not run.talk and not run.keepers:
-            problems.append(Problem(at, "between", table.between, "nodes say nothing: [run] talk or keepers"))
+            problems.append(
+                FileProblem(at, "between", table.between, "nodes say nothing: [run] talk or keepers")
+            )
         datagrams = link == "nodes-nodes" and run.talk
         if (kind not in DATAGRAM_KINDS) if datagrams else kind == "lose" and link != "nodes-nodes":
-            problems.append(Problem(at, "kind", kind, f"is none for {link}: datagrams have {DATAGRAM_KINDS}"))
+            problems.append(
+                FileProblem(at, "kind", kind, f"is none for {link}: datagrams have {DATAGRAM_KINDS}")
+            )
         found = dict(groups[name] for name in reversed(table.between))
         others = groups[table.between[1]][1] if link == "nodes-nodes" else ()
         if not table.lasts:
-            problems.append(Problem(at, "lasts", None, "missing: a fault of a link has an end"))
+            problems.append(FileProblem(at, "lasts", None, "missing: a fault of a link has an end"))
     else:
         if table.between is not None:
-            problems.append(Problem(at, "between", table.between, f"means nothing for {kind!r}: use on"))
+            problems.append(FileProblem(at, "between", table.between, f"means nothing for {kind!r}: use on"))
         if table.on not in groups:
-            problems.append(Problem(at, "on", table.on, f"no such group{_near(table.on, groups)}"))
+            problems.append(FileProblem(at, "on", table.on, f"no such group{_near(table.on, groups)}"))
             return None
         wanted = "servers" if kind in SERVER_KINDS else "nodes"
         who, names = groups[table.on]
         if who != wanted:
-            problems.append(Problem(at, "on", table.on, f"holds {who}, and {kind!r} is for {wanted}"))
+            problems.append(FileProblem(at, "on", table.on, f"holds {who}, and {kind!r} is for {wanted}"))
         found = {who: names}
         if not table.lasts and kind not in ("kill", "restart", "crash"):
-            problems.append(Problem(at, "lasts", None, "missing: this fault has an end"))
+            problems.append(FileProblem(at, "lasts", None, "missing: this fault has an end"))
     if len(problems) > known:
         return None
     state = _STATES[kind](table.by) if kind in _STATES else State()
@@ -370,33 +378,35 @@
     )
 
 
-def _accord(tables: PlanFile, run: RunTable, problems: list[Problem]) -> None:
+def _accord(tables: PlanFile, run: RunTable, problems: list[FileProblem]) -> None:
     """What does not hold in what is said of an accord."""
     if run.keepers and (run.keepers % 2 == 0 or run.keepers > run.nodes):
-        problems.append(Problem("run", "keepers", run.keepers, "an odd number of the nodes, 5 at most"))
+        problems.append(FileProblem("run", "keepers", run.keepers, "an odd number of the nodes, 5 at most"))
     if run.keepers and not run.door:
-        problems.append(Problem("run", "keepers", run.keepers, "nodes have no door: [run] door = true"))
+        problems.append(FileProblem("run", "keepers", run.keepers, "nodes have no door: [run] door = true"))
     if not run.keepers and (tables.changes or tables.deaths):
-        problems.append(Problem("run", "keepers", 0, "there is no accord to change a policy by"))
+        problems.append(FileProblem("run", "keepers", 0, "there is no accord to change a policy by"))
     for key, numbers in (("unfit", run.unfit), ("full", run.full)):
         if any(not 0 <= number < run.nodes for number in numbers):
-            problems.append(Problem("run", key, numbers, f"is none of {run.nodes} nodes"))
+            problems.append(FileProblem("run", key, numbers, f"is none of {run.nodes} nodes"))
     for n, change in enumerate(tables.changes, 1):
         if change.at >= run.seconds:
-            problems.append(Problem(f"change {n}", "at", change.at / SECOND, "is after the run's end"))
+            problems.append(FileProblem(f"change {n}", "at", change.at / SECOND, "is after the run's end"))
         if change.file is None and change.out is None and change.keepers is None:
-            problems.append(Problem(f"change {n}", "file", None, "nothing changes: no file, out or keepers"))
+            problems.append(
+                FileProblem(f"change {n}", "file", None, "nothing changes: no file, out or keepers")
+            )
         if any(number >= run.nodes for number in change.keepers or ()):
-            problems.append(Problem(f"change {n}", "keepers", change.keepers, "is no node"))
+            problems.append(FileProblem(f"change {n}", "keepers", change.keepers, "is no node"))
     for n, death in enumerate(tables.deaths, 1):
         if death.node >= run.nodes:
-            problems.append(Problem(f"death {n}", "node", death.node, f"is none of {run.nodes} nodes"))
+            problems.append(FileProblem(f"death {n}", "node", death.node, f"is none of {run.nodes} nodes"))
         if death.event not in DEATHS:
             reason = f"unknown event{_near(death.event, DEATHS)}"
-            problems.append(Problem(f"death {n}", "event", death.event, reason))
+            problems.append(FileProblem(f"death {n}", "event", death.event, reason))
 
 
-def _clash(faults: list[Fault], problems: list[Problem]) -> None:
+def _clash(faults: list[Fault], problems: list[FileProblem]) -> None:
     """Two faults of one sort on one member at once would undo each other."""
     for n, one in enumerate(faults):
         for number, other in enumerate(faults[n + 1 :], n + 2):
@@ -410,7 +420,7 @@
                 both = set(one.nodes) & set(other.nodes) if set(one.others) & set(other.others) else set()
             if both:
                 reason = f"at the same time as fault {n + 1} on {sorted(both)[0]}"
-                problems.append(Problem(f"fault {number}", "at", other.at / SECOND, reason))
+                problems.append(FileProblem(f"fault {number}", "at", other.at / SECOND, reason))
 
 
 def pairs(plan: Plan) -> list[tuple[str, str]]:
--- a/hollybay/consensus/batch_model.py
+++ b/hollybay/consensus/batch_model.py
@@ -14,7 +14,7 @@
 from immutables import Map
 
 from hollybay.resources.batch import Batch, BatchMismatchError, apply_batch
-from hollybay.resources.model import CHANGE, Change, Problem
+from hollybay.resources.model import CHANGE, Change, ChangeProblem
 from hollybay.resources.rejection_reasons import CannotBeServed
 from hollybay.resources.state import EMPTY, ResourceState
 
@@ -40,7 +40,7 @@
 ]
 
 # Why nodes cannot serve a bad change.
-CANNOT = (Problem.because(CannotBeServed(), CHANGE),)
+CANNOT = (ChangeProblem.because(CannotBeServed(), CHANGE),)
 # The size that each batch has in the log of a voter, and its bound: it is bounded by number alone.
 BATCH_BYTES = 1
 MAX_LOG_BYTES = 1 << 20
--- a/hollybay/consensus/change_builder.py
+++ b/hollybay/consensus/change_builder.py
@@ -10,11 +10,11 @@
 from hollybay.resources.model import (
     CHANGE_ID_BYTES,
     Change,
+    ChangeProblem,
     ChangeRejectedError,
     Delete,
     Kind,
     Operation,
-    Problem,
     Upsert,
 )
 from hollybay.resources.state import ResourceState
@@ -69,7 +69,7 @@
         One of them does not exist.
     """
     operations: list[Operation] = []
-    problems: list[Problem] = []
+    problems: list[ChangeProblem] = []
     for text in dict.fromkeys(names):
         kind, _, name = text.partition("/")
         resource = state.get(Kind(kind), name) if kind in KINDS else None
@@ -78,7 +78,7 @@
             continue
         hint = "" if kind in KINDS else f"; kinds are {', '.join(sorted(KINDS))}"
         reason = f"there is no such resource{hint}"
-        problems.append(Problem(text[:MAX_QUOTED_NAME_LENGTH], "", reason))
+        problems.append(ChangeProblem(text[:MAX_QUOTED_NAME_LENGTH], "", reason))
     if problems:
         raise ChangeRejectedError(tuple(problems))
     return tuple(operations)
--- a/hollybay/consensus/group_commit.py
+++ b/hollybay/consensus/group_commit.py
@@ -24,7 +24,7 @@
 from itertools import takewhile
 
 from hollybay.resources.batch import Assembled, Batch, assemble
-from hollybay.resources.model import CHANGE, Change, ChangeRejectedError, Problem
+from hollybay.resources.model import CHANGE, Change, ChangeProblem, ChangeRejectedError
 from hollybay.resources.rejection_reasons import CannotBeServed, TooLarge
 from hollybay.resources.state import ResourceState
 from hollybay.resources.wire import encode_change
@@ -50,7 +50,7 @@
 __all__ = ["ProposalQueue"]
 
 # Why a change is rejected that was alone in a dropped batch, where no node gave a reason.
-CANNOT_BE_SERVED = Problem.because(CannotBeServed(), CHANGE)
+CANNOT_BE_SERVED = ChangeProblem.because(CannotBeServed(), CHANGE)
 
 
 @dataclass(slots=True)
@@ -137,7 +137,7 @@
         size = len(encode_change(change))
         if size > self.settings.max_change_bytes:
             reason = TooLarge(size, self.settings.max_change_bytes)
-            return RejectedNow((Problem.because(reason, CHANGE),))
+            return RejectedNow((ChangeProblem.because(reason, CHANGE),))
         waiting_bytes = self.bytes - self._under_way_bytes
         wait = self._estimated_wait_ns(len(self._waiting) + 1, waiting_bytes + size, now)
         if self._is_full(size) or wait > self.settings.max_wait_ns:
@@ -268,9 +268,9 @@
     def batch_dropped(
         self,
         batch: Batch,
-        reasons: Mapping[bytes, tuple[Problem, ...]],
+        reasons: Mapping[bytes, tuple[ChangeProblem, ...]],
         now: int,
-        problems: tuple[Problem, ...] = (),
+        problems: tuple[ChangeProblem, ...] = (),
     ) -> None:
         """A batch, of this voter or of another one, was given up because a node cannot serve it.
 
--- a/hollybay/consensus/operator_messages.py
+++ b/hollybay/consensus/operator_messages.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from hollybay.resources.model import Problem
+from hollybay.resources.model import ChangeProblem
 
 from .message_fields import MAX_SERVERS, MAX_VOTERS, Address, Digest, Message, Name, Text, UploadId
 
@@ -182,7 +182,7 @@
         In force: the epoch since which it is, or a later one; under way: the epoch that names it.
     wait_ms : int
         Until it is decided, estimated.
-    problems : list of Problem
+    problems : list of ChangeProblem
     """
 
     id: str
@@ -190,7 +190,7 @@
     policy: str = ""
     epoch: int = 0
     wait_ms: int = 0
-    problems: list[Problem] = msgspec.field(default_factory=list)
+    problems: list[ChangeProblem] = msgspec.field(default_factory=list)
 
 
 class DropCall(Message, frozen=True, rename={"forwarded": "passed"}):
--- a/hollybay/consensus/planted_batch_defects.py
+++ b/hollybay/consensus/planted_batch_defects.py
@@ -6,7 +6,7 @@
 from dataclasses import replace
 
 from hollybay.resources.batch import Batch, BatchMismatchError
-from hollybay.resources.model import Change, ChangeRejectedError, Problem
+from hollybay.resources.model import Change, ChangeProblem, ChangeRejectedError
 from hollybay.resources.state import ResourceState
 
 from .batch_model import CANNOT, Delivery, Parts, Replica
@@ -34,9 +34,9 @@
     def batch_dropped(
         self,
         batch: Batch,
-        reasons: Mapping[bytes, tuple[Problem, ...]],
+        reasons: Mapping[bytes, tuple[ChangeProblem, ...]],
         now: int,
-        problems: tuple[Problem, ...] = (),
+        problems: tuple[ChangeProblem, ...] = (),
     ) -> None:
         named = {change.id: CANNOT for change in batch.changes} if reasons else {}
         super().batch_dropped(batch, named, now, problems)
@@ -90,7 +90,7 @@
     def offer(self, change: Change, state: ResourceState, now: int) -> OfferReply:
         for change_id, waiting in list(self._waiting.items()):
             if now - waiting.offered_at > PATIENCE_STEPS:
-                self._finish(change_id, Rejected((Problem("change", "", "waited too long"),)), now)
+                self._finish(change_id, Rejected((ChangeProblem("change", "", "waited too long"),)), now)
         return super().offer(change, state, now)
 
 
--- a/hollybay/consensus/proposal_outcomes.py
+++ b/hollybay/consensus/proposal_outcomes.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from hollybay.resources.model import Problem
+from hollybay.resources.model import ChangeProblem
 
 __all__ = [
     "AlreadyDecided",
@@ -63,7 +63,7 @@
 class RejectedNow:
     """The change may not be applied, or was rejected before; nothing was queued."""
 
-    problems: tuple[Problem, ...]
+    problems: tuple[ChangeProblem, ...]
 
 
 @dataclass(frozen=True, slots=True)
@@ -119,7 +119,7 @@
 class Rejected:
     """The change was not applied and this voter will not propose it. Final for the queue of this voter."""
 
-    problems: tuple[Problem, ...]
+    problems: tuple[ChangeProblem, ...]
 
 
 @dataclass(frozen=True, slots=True)
@@ -146,7 +146,7 @@
         for outcome in known:
             if isinstance(outcome, kind):
                 return outcome
-    problems: list[Problem] = []
+    problems: list[ChangeProblem] = []
     for outcome in known:
         if isinstance(outcome, Rejected):
             problems += [problem for problem in outcome.problems if problem not in problems]
--- a/hollybay/consensus/proposals.py
+++ b/hollybay/consensus/proposals.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 
 from hollybay.resources.batch import Batch
-from hollybay.resources.model import CHANGE, CHANGE_ID_BYTES, Change, Problem
+from hollybay.resources.model import CHANGE, CHANGE_ID_BYTES, Change, ChangeProblem
 from hollybay.resources.rejection_reasons import DroppedByOperator
 from hollybay.resources.state import EMPTY, ResourceState
 from hollybay.units import MS, SECOND
@@ -29,12 +29,12 @@
 
 # How long a voter accepts no change after its disk could not store an entry.
 STORAGE_RETRY_NS = 2 * SECOND
-DROPPED_BY_OPERATOR = (Problem.because(DroppedByOperator(), CHANGE),)
+DROPPED_BY_OPERATOR = (ChangeProblem.because(DroppedByOperator(), CHANGE),)
 
 
-def problems_of(reasons: Sequence[Reason]) -> tuple[Problem, ...]:
+def problems_of(reasons: Sequence[Reason]) -> tuple[ChangeProblem, ...]:
     """Reasons why nodes cannot serve a change, as problems of it."""
-    return tuple(Problem(CHANGE, "", str(reason)) for reason in reasons[:MAX_REASONS])
+    return tuple(ChangeProblem(CHANGE, "", str(reason)) for reason in reasons[:MAX_REASONS])
 
 
 @dataclass(slots=True)
--- a/hollybay/proxy/operator_file.py
+++ b/hollybay/proxy/operator_file.py
@@ -15,7 +15,7 @@
 from hollybay.routing.admission_control import AdmissionControl
 from hollybay.routing.compiled_policy import CompiledPolicy
 from hollybay.routing.policy_compiler import compile_file
-from hollybay.routing.problems import OperatorError, Problem
+from hollybay.routing.problems import FileProblem, OperatorError
 
 from . import system
 from .config import ConfigError
@@ -148,7 +148,9 @@
         try:
             data = self._read_settled()
         except (OSError, ValueError) as error:
-            raise OperatorError(str(self.path), [Problem("", "", None, f"cannot be read: {error}")]) from None
+            raise OperatorError(
+                str(self.path), [FileProblem("", "", None, f"cannot be read: {error}")]
+            ) from None
         return compile_file(data, self.settings, str(self.path))
 
     def _read_settled(self) -> bytes:
--- a/hollybay/resources/model.py
+++ b/hollybay/resources/model.py
@@ -17,12 +17,12 @@
     "MAX_OPERATIONS",
     "MAX_TEXT_LENGTH",
     "Change",
+    "ChangeProblem",
     "ChangeRejectedError",
     "Delete",
     "Key",
     "Kind",
     "Operation",
-    "Problem",
     "Resource",
     "Upsert",
     "check_change",
@@ -131,7 +131,7 @@
     operations: Annotated[tuple[Operation, ...], msgspec.Meta(min_length=1, max_length=MAX_OPERATIONS)]
 
 
-class Problem(msgspec.Struct, frozen=True, array_like=True):
+class ChangeProblem(msgspec.Struct, frozen=True, array_like=True):
     """Why a change is rejected, as published: the resource, its field ("": all of it), the reason's text."""
 
     resource: str
@@ -139,7 +139,7 @@
     reason: str
 
     @classmethod
-    def because(cls, reason: RejectionReason, resource: str, field: str = "") -> Problem:
+    def because(cls, reason: RejectionReason, resource: str, field: str = "") -> ChangeProblem:
         """The problem of a resource, or of the change itself (`CHANGE`), for a reason."""
         return cls(resource, field, str(reason))
 
@@ -150,7 +150,7 @@
 class ChangeRejectedError(ValueError):
     """A change may not be applied; none of it was. problems: all reasons that were found."""
 
-    def __init__(self, problems: tuple[Problem, ...]) -> None:
+    def __init__(self, problems: tuple[ChangeProblem, ...]) -> None:
         super().__init__("; ".join(str(problem) for problem in problems))
         self.problems = problems
 
@@ -163,31 +163,31 @@
     ChangeRejectedError
         An operation or a text is malformed, or a resource stands twice.
     """
-    problems: list[Problem] = []
+    problems: list[ChangeProblem] = []
     seen: set[Key] = set()
     for operation in change.operations:
         if operation.key in seen:
-            problems.append(Problem.because(Duplicate(), str(operation.key)))
+            problems.append(ChangeProblem.because(Duplicate(), str(operation.key)))
         seen.add(operation.key)
         problems += _operation_problems(operation)
     for field, text in (("reason", change.reason), ("author", change.author)):
         if not text.isprintable():
-            problems.append(Problem.because(NotPlainText(), CHANGE, field))
+            problems.append(ChangeProblem.because(NotPlainText(), CHANGE, field))
     if not change.reason.strip():
-        problems.append(Problem.because(Missing(), CHANGE, "reason"))
+        problems.append(ChangeProblem.because(Missing(), CHANGE, "reason"))
     if problems:
         raise ChangeRejectedError(tuple(problems))
 
 
-def _operation_problems(operation: Operation) -> list[Problem]:
+def _operation_problems(operation: Operation) -> list[ChangeProblem]:
     """What is wrong with one operation by itself."""
-    problems: list[Problem] = []
+    problems: list[ChangeProblem] = []
     key = operation.key
     if bool(key.name) == (key.kind in SINGLETONS):
         reason = MustBeEmpty() if key.name else Missing()
-        problems.append(Problem.because(reason, str(key), "name"))
+        problems.append(ChangeProblem.because(reason, str(key), "name"))
     if not key.name.isprintable():
-        problems.append(Problem.because(NotPlainText(), key.kind.value, "name"))
+        problems.append(ChangeProblem.because(NotPlainText(), key.kind.value, "name"))
     if isinstance(operation, Upsert) and key.kind is Kind.DRAINED_SERVER and operation.body:
-        problems.append(Problem.because(MustBeEmpty(), str(key), "body"))
+        problems.append(ChangeProblem.because(MustBeEmpty(), str(key), "body"))
     return problems
--- a/hollybay/resources/state.py
+++ b/hollybay/resources/state.py
@@ -18,11 +18,11 @@
 from .model import (
     CHANGE,
     Change,
+    ChangeProblem,
     ChangeRejectedError,
     Key,
     Kind,
     Operation,
-    Problem,
     Resource,
     Upsert,
     check_change,
@@ -97,7 +97,7 @@
         """
         check_change(change)
         if change.id in self.revision_by_change_id:
-            raise ChangeRejectedError((Problem.because(AlreadyDecided(), CHANGE, "id"),))
+            raise ChangeRejectedError((ChangeProblem.because(AlreadyDecided(), CHANGE, "id"),))
         problems = self._revision_problems(change.base_revision)
         for operation in change.operations:
             problem = self._conflict(operation)
@@ -106,18 +106,18 @@
         if problems:
             raise ChangeRejectedError(tuple(problems))
 
-    def _revision_problems(self, base_revision: int) -> list[Problem]:
+    def _revision_problems(self, base_revision: int) -> list[ChangeProblem]:
         """Why a change may not be made on a revision."""
-        problems: list[Problem] = []
+        problems: list[ChangeProblem] = []
         if base_revision > self.revision:
             reason: RejectionReason = BaseRevisionTooNew(base_revision, self.revision)
-            problems.append(Problem.because(reason, CHANGE, "made_on"))
+            problems.append(ChangeProblem.because(reason, CHANGE, "made_on"))
         if base_revision < self.revision - REMEMBERED_REVISIONS:
             reason = BaseRevisionTooOld(base_revision, self.revision)
-            problems.append(Problem.because(reason, CHANGE, "made_on"))
+            problems.append(ChangeProblem.because(reason, CHANGE, "made_on"))
         return problems
 
-    def _conflict(self, operation: Operation) -> Problem | None:
+    def _conflict(self, operation: Operation) -> ChangeProblem | None:
         """Why an operation does not fit the present version of its resource."""
         resource = self.resources.get(operation.key)
         present = resource.version if resource is not None else 0
@@ -129,7 +129,7 @@
             reason = ResourceExists(present)
         else:
             reason = VersionConflict(operation.base_version, present)
-        return Problem.because(reason, str(operation.key), "version")
+        return ChangeProblem.because(reason, str(operation.key), "version")
 
     def with_batch(self, changes: Iterable[Change], revision: int) -> ResourceState:
         """The state after a batch of changes, which are checked one after another.
--- a/hollybay/routing/checks.py
+++ b/hollybay/routing/checks.py
@@ -14,7 +14,7 @@
 from hollybay.units import MS, SECOND
 
 from .limits import FILE_KEYS, LimitSettings
-from .problems import Problem
+from .problems import FileProblem
 
 __all__ = [
     "DURATION_LIMITS",
@@ -65,7 +65,7 @@
     request_class: api.RequestClass
     limits: LimitSettings
 
-    def problem(self, field: str, reason: str) -> Problem:
+    def problem(self, field: str, reason: str) -> FileProblem:
         """Return a problem at the table that states a limit, naming this one where that is another."""
         value = getattr(self.limits, field)
         table = self.limits.sources[field]
@@ -73,7 +73,7 @@
             reason = f"{reason} (in force for [{self.table}])"
         if field in DURATION_LIMITS:
             value = format_duration(value)
-        return Problem(table, FILE_KEYS[field], value, reason)
+        return FileProblem(table, FILE_KEYS[field], value, reason)
 
     def is_specific(self, field: str) -> bool:
         """Tell whether a limit is stated for the class or route, and not inherited from [defaults]."""
@@ -84,7 +84,7 @@
         return self.limits.sources.get(first) == self.limits.sources.get(second)
 
 
-def check_limits(checked: CheckedLimits, settings: api.Settings) -> Iterator[Problem]:
+def check_limits(checked: CheckedLimits, settings: api.Settings) -> Iterator[FileProblem]:
     """Yield everything in these limits that may not take effect."""
     yield from _check_repeated_effects(checked)
     yield from _check_lost_requests(checked)
@@ -94,7 +94,7 @@
     yield from _check_attempts_within_budget(checked)
 
 
-def _check_repeated_effects(checked: CheckedLimits) -> Iterator[Problem]:
+def _check_repeated_effects(checked: CheckedLimits) -> Iterator[FileProblem]:
     """Rule 2, by the effect that requests of the class have."""
     effect = checked.request_class.effect
     if effect == api.Effect.UNSAFE:
@@ -105,7 +105,7 @@
         yield from _check_keyed(checked)
 
 
-def _check_unsafe(checked: CheckedLimits) -> Iterator[Problem]:
+def _check_unsafe(checked: CheckedLimits) -> Iterator[FileProblem]:
     """An unsafe request is never retried."""
     limits = checked.limits
     name = checked.request_class.name
@@ -120,7 +120,7 @@
             yield checked.problem(field, f"permits a repeat: {why}")
 
 
-def _check_safe(checked: CheckedLimits) -> Iterator[Problem]:
+def _check_safe(checked: CheckedLimits) -> Iterator[FileProblem]:
     """A safe request may be retried anywhere, so that bounds on where are a mistake."""
     reason = f"class {checked.request_class.name!r} is safe to repeat anywhere: nothing to narrow"
     for field in ("retry_window", "retry_scope"):
@@ -128,7 +128,7 @@
             yield checked.problem(field, reason)
 
 
-def _check_keyed(checked: CheckedLimits) -> Iterator[Problem]:
+def _check_keyed(checked: CheckedLimits) -> Iterator[FileProblem]:
     """A keyed request is retried only where, and while, servers drop its duplicates."""
     limits, request_class = checked.limits, checked.request_class
     name = request_class.name
@@ -155,7 +155,7 @@
         yield checked.problem("hedge_delay", f"a copy of {name!r} {past} runs a second time (rule 2)")
 
 
-def _check_lost_requests(checked: CheckedLimits) -> Iterator[Problem]:
+def _check_lost_requests(checked: CheckedLimits) -> Iterator[FileProblem]:
     """Rule 1: no answer is given up before its promised time, none comes after the deadline."""
     limits, request_class = checked.limits, checked.request_class
     objective, deadline = request_class.latency_objective, request_class.deadline
@@ -173,7 +173,7 @@
         yield checked.problem("request_timeout", reason)
 
 
-def _check_platform_caps(checked: CheckedLimits, settings: api.Settings) -> Iterator[Problem]:
+def _check_platform_caps(checked: CheckedLimits, settings: api.Settings) -> Iterator[FileProblem]:
     """What the settings and the node allow."""
     limits = checked.limits
     if limits.attempts is not None and limits.attempts > settings.max_attempts:
@@ -193,7 +193,7 @@
             yield checked.problem("retry_after", "least is more than most")
 
 
-def _check_contradictions(checked: CheckedLimits) -> Iterator[Problem]:
+def _check_contradictions(checked: CheckedLimits) -> Iterator[FileProblem]:
     """Time-outs and hedges against the limits beside them."""
     limits = checked.limits
     total = limits.request_timeout
@@ -207,7 +207,7 @@
             yield checked.problem("hedges", "a retry_budget of 0 allows none")
 
 
-def _check_hedge_delay(checked: CheckedLimits, settings: api.Settings) -> Iterator[Problem]:
+def _check_hedge_delay(checked: CheckedLimits, settings: api.Settings) -> Iterator[FileProblem]:
     """A delay of hedges needs hedges, and time for one."""
     limits, request_class = checked.limits, checked.request_class
     if limits.hedge_delay is None:
@@ -225,7 +225,7 @@
         yield checked.problem("hedge_delay", reason)
 
 
-def _check_attempts_within_budget(checked: CheckedLimits) -> Iterator[Problem]:
+def _check_attempts_within_budget(checked: CheckedLimits) -> Iterator[FileProblem]:
     """More than one attempt needs a retry budget."""
     limits = checked.limits
     if limits.attempts is not None and limits.attempts > 1 and limits.retry_budget == 0:
--- a/hollybay/routing/class_declarations.py
+++ b/hollybay/routing/class_declarations.py
@@ -8,7 +8,7 @@
 from hollybay.units import SECOND
 
 from .checks import format_duration
-from .problems import Problem
+from .problems import FileProblem
 from .schema import ClassTable, OperatorTables
 
 __all__ = ["declaration_problems", "declared_settings", "quoted_names"]
@@ -37,7 +37,7 @@
     )
 
 
-def declaration_problems(tables: Mapping[str, ClassTable], settings: api.Settings) -> list[Problem]:
+def declaration_problems(tables: Mapping[str, ClassTable], settings: api.Settings) -> list[FileProblem]:
     """Return where the declarations of classes differ from the settings.
 
     Parameters
@@ -45,19 +45,19 @@
     tables
         The tables of classes, by the class's name.
     """
-    problems: list[Problem] = []
+    problems: list[FileProblem] = []
     classes = {request_class.name: request_class for request_class in settings.classes}
     for name, table in tables.items():
         request_class = classes.get(name)
         if request_class is None:
             reason = f"no such class; the settings have {quoted_names(classes)}"
-            problems.append(Problem(f"class.{name}", "", None, reason))
+            problems.append(FileProblem(f"class.{name}", "", None, reason))
         else:
             problems += _differences(f"class.{name}", table, request_class)
     return problems
 
 
-def _differences(at: str, table: ClassTable, request_class: api.RequestClass) -> Iterator[Problem]:
+def _differences(at: str, table: ClassTable, request_class: api.RequestClass) -> Iterator[FileProblem]:
     """Yield the fields in which a declaration differs from a class of the settings."""
     effect, scope = request_class.effect, request_class.deduplication_scope
     if table.effect is not None and EFFECTS[table.effect] != effect:
@@ -76,8 +76,8 @@
         yield _differs(at, "window", table.window, format_duration(window))
 
 
-def _differs(at: str, key: str, declared: object, actual: str) -> Problem:
-    return Problem(at, key, declared, f"the settings say {actual}")
+def _differs(at: str, key: str, declared: object, actual: str) -> FileProblem:
+    return FileProblem(at, key, declared, f"the settings say {actual}")
 
 
 def quoted_names(names: Mapping[str, object]) -> str:
--- a/hollybay/routing/policy_compiler.py
+++ b/hollybay/routing/policy_compiler.py
@@ -14,7 +14,7 @@
 from .limits import EffectiveLimits
 from .matcher import Matcher
 from .paths import PathOptions
-from .problems import OperatorError, Problem
+from .problems import FileProblem, OperatorError
 from .route_compiler import (
     LimitsContext,
     compile_class_limits,
@@ -58,7 +58,7 @@
     tables: OperatorTables,
     settings: api.Settings | None,
     file: str = "operator file",
-    known: Sequence[Problem] = (),
+    known: Sequence[FileProblem] = (),
 ) -> CompiledPolicy:
     """Check and compile the tables of a file.
 
@@ -111,9 +111,9 @@
     return PathOptions(table.encoded_slash == "keep", table.empty_segments == "keep")
 
 
-def overlap_problem(first: Route, second: Route) -> Problem:
+def overlap_problem(first: Route, second: Route) -> FileProblem:
     """Return the problem of two routes of equal precedence that match one request."""
-    return Problem(
+    return FileProblem(
         second.table,
         "path",
         second.pattern.text,
@@ -122,29 +122,31 @@
     )
 
 
-def unique_problems(problems: Sequence[Problem]) -> list[Problem]:
+def unique_problems(problems: Sequence[FileProblem]) -> list[FileProblem]:
     """Return each problem once, though a value of [defaults] is in force for many routes."""
-    seen: dict[tuple[str, str, str], Problem] = {}
+    seen: dict[tuple[str, str, str], FileProblem] = {}
     for problem in problems:
         reason = problem.reason.split(" (in force for", 1)[0]
         seen.setdefault((problem.table, problem.key, reason), problem)
     return list(seen.values())
 
 
-def _settings_of_file(tables: OperatorTables, file: str, known: Sequence[Problem]) -> api.Settings:
+def _settings_of_file(tables: OperatorTables, file: str, known: Sequence[FileProblem]) -> api.Settings:
     if not tables.classes:
-        no_classes = Problem("", "class", None, "declares no class, and no settings say what there is")
+        no_classes = FileProblem("", "class", None, "declares no class, and no settings say what there is")
         raise OperatorError(file, [*known, no_classes])
     return declared_settings(tables)
 
 
-def _compile_routes(tables: OperatorTables, context: LimitsContext, problems: list[Problem]) -> list[Route]:
+def _compile_routes(
+    tables: OperatorTables, context: LimitsContext, problems: list[FileProblem]
+) -> list[Route]:
     routes: list[Route] = []
     names: set[str] = set()
     for table in tables.routes:
         is_duplicate = table.name in names
         if is_duplicate:
-            problems.append(Problem(f"route {table.name!r}", "name", table.name, "another route has it"))
+            problems.append(FileProblem(f"route {table.name!r}", "name", table.name, "another route has it"))
         names.add(table.name)
         route = compile_route(table, context, problems)
         if route is not None and not is_duplicate:
@@ -158,35 +160,35 @@
     return frozenset(headers)
 
 
-def _tenant_problems(tenants: dict[str, TenantTable]) -> Iterator[Problem]:
+def _tenant_problems(tenants: dict[str, TenantTable]) -> Iterator[FileProblem]:
     reason = "is no name of a tenant: 1 to 253 printable characters"
     for name in tenants:
         if not 0 < len(name) <= MAX_TENANT_NAME or not name.isprintable():
-            yield Problem(f"tenant.{name[:SHOWN_TENANT_NAME]}", "", None, reason)
+            yield FileProblem(f"tenant.{name[:SHOWN_TENANT_NAME]}", "", None, reason)
 
 
-def _consensus_problems(table: ConsensusTable | None) -> Iterator[Problem]:
+def _consensus_problems(table: ConsensusTable | None) -> Iterator[FileProblem]:
     """Yield the problems of the [accord] table."""
     if table is None:
         return
     count = len(table.voters)
     if count % 2 == 0:
         reason = "an even number: with one more, no more may fail"
-        yield Problem("accord", "keepers", count, reason)
+        yield FileProblem("accord", "keepers", count, reason)
     if len(set(table.voters)) < count:
-        yield Problem("accord", "keepers", table.voters, "one stands twice")
+        yield FileProblem("accord", "keepers", table.voters, "one stands twice")
     for key, value, (least, most) in (
         ("lease", table.lease, LEASE_BOUNDS),
         ("narrow_for", table.grace, GRACE_BOUNDS),
     ):
         if not least <= value <= most:
             reason = f"must be from {least // MS} ms to {most // MS} ms"
-            yield Problem("accord", key, value, reason)
+            yield FileProblem("accord", key, value, reason)
 
 
-def _peers_problems(table: PeersTable | None) -> Iterator[Problem]:
+def _peers_problems(table: PeersTable | None) -> Iterator[FileProblem]:
     """Yield the problems of the [peers] table."""
     if table is None or table.forget >= 2 * table.every:
         return
     reason = f"is under twice [peers] every ({table.every} ns): one lost datagram would silence a node"
-    yield Problem("peers", "forget", table.forget, reason)
+    yield FileProblem("peers", "forget", table.forget, reason)
--- a/hollybay/routing/policy_update.py
+++ b/hollybay/routing/policy_update.py
@@ -16,8 +16,7 @@
 from immutables import Map
 
 from hollybay.balancing import interface as api
-from hollybay.resources.model import ChangeRejectedError, Key, Kind
-from hollybay.resources.model import Problem as ResourceProblem
+from hollybay.resources.model import ChangeProblem, ChangeRejectedError, Key, Kind
 from hollybay.resources.state import ResourceState
 
 from .class_declarations import declaration_problems
@@ -25,7 +24,7 @@
 from .incremental_policy import IncrementalPolicy, PolicyChange, StateTenants
 from .limits import EffectiveLimits
 from .policy_compiler import overlap_problem, path_options, unique_problems
-from .problems import Problem
+from .problems import FileProblem
 from .resource_tables import DEFAULTS, PATHS, decode_table
 from .route_compiler import (
     LimitsContext,
@@ -82,8 +81,8 @@
         self.policy = policy
         self.state = state
         self.settings = settings
-        self.invalid_bodies: list[ResourceProblem] = []
-        self.problems: list[Problem] = []  # of tables that may not take effect
+        self.invalid_bodies: list[ChangeProblem] = []
+        self.problems: list[FileProblem] = []  # of tables that may not take effect
         self.class_tables = dict(policy.class_tables)
         self.defaults = policy.defaults
         self.paths = policy.paths
@@ -256,7 +255,7 @@
         found = unique_problems(self.problems)
         problems = [*self.invalid_bodies, *(_resource_problem(problem) for problem in found)]
         if len(problems) > MAX_PROBLEMS:
-            more = ResourceProblem("", "", f"{len(problems) - MAX_PROBLEMS} further problems")
+            more = ChangeProblem("", "", f"{len(problems) - MAX_PROBLEMS} further problems")
             problems = [*problems[:MAX_PROBLEMS], more]
         if problems:
             raise ChangeRejectedError(tuple(problems))
@@ -320,20 +319,20 @@
     return old if old is not None and old == new else new
 
 
-def _resource_problem(problem: Problem) -> ResourceProblem:
+def _resource_problem(problem: FileProblem) -> ChangeProblem:
     """Return a problem of a table as one of its resource."""
     table = problem.table
     reason = problem.reason_with_value
     if table == "defaults":
-        return ResourceProblem(str(DEFAULTS), problem.key, reason)
+        return ChangeProblem(str(DEFAULTS), problem.key, reason)
     if table.startswith("class."):
         name = table.removeprefix("class.").removesuffix(".limits")
         field = "limits" if table.endswith(".limits") else ""
-        return ResourceProblem(str(Key(Kind.CLASS, name)), _join_fields(field, problem.key), reason)
+        return ChangeProblem(str(Key(Kind.CLASS, name)), _join_fields(field, problem.key), reason)
     # A route's name has no quotes.
     _, name, rest = table.split("'", 2)
     field = _join_fields(rest.removeprefix("."), problem.key)
-    return ResourceProblem(str(Key(Kind.ROUTE, name)), field, reason)
+    return ChangeProblem(str(Key(Kind.ROUTE, name)), field, reason)
 
 
 def _join_fields(*fields: str) -> str:
--- a/hollybay/routing/problems.py
+++ b/hollybay/routing/problems.py
@@ -5,7 +5,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-__all__ = ["OperatorError", "Problem"]
+__all__ = ["FileProblem", "OperatorError"]
 
 # Problems reported of one file.
 MAX_PROBLEMS = 200
@@ -13,7 +13,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Problem:
+class FileProblem:
     """One thing that is not valid.
 
     Attributes
@@ -61,11 +61,11 @@
         All problems found; the first `MAX_PROBLEMS` are reported.
     """
 
-    def __init__(self, file: str, problems: Sequence[Problem]) -> None:
+    def __init__(self, file: str, problems: Sequence[FileProblem]) -> None:
         self.file = file
         reported = problems[:MAX_PROBLEMS]
         if len(problems) > MAX_PROBLEMS:
-            more = Problem("", "", None, f"{len(problems) - MAX_PROBLEMS} further problems")
+            more = FileProblem("", "", None, f"{len(problems) - MAX_PROBLEMS} further problems")
             reported = [*reported, more]
         self.problems = tuple(reported)
         super().__init__("\n".join(f"{file}: {problem}" for problem in self.problems))
--- a/hollybay/routing/resource_tables.py
+++ b/hollybay/routing/resource_tables.py
@@ -16,12 +16,12 @@
 from hollybay.resources.model import (
     MAX_BODY_BYTES,
     MAX_NAME_LENGTH,
+    ChangeProblem,
     ChangeRejectedError,
     Delete,
     Key,
     Kind,
     Operation,
-    Problem,
     Upsert,
 )
 from hollybay.resources.state import ResourceState
@@ -142,7 +142,7 @@
 
 
 def _rejection(key: Key, field: str, reason: str) -> ChangeRejectedError:
-    return ChangeRejectedError((Problem(str(key), field, reason),))
+    return ChangeRejectedError((ChangeProblem(str(key), field, reason),))
 
 
 @cache
@@ -168,7 +168,9 @@
         reported = problems[:MAX_PROBLEMS]
         raise ChangeRejectedError(
             tuple(
-                Problem(str(key), ".".join(filter(None, (found.table, found.key))) or "body", found.reason)
+                ChangeProblem(
+                    str(key), ".".join(filter(None, (found.table, found.key))) or "body", found.reason
+                )
                 for found in reported
             )
         )
@@ -184,7 +186,7 @@
         Two routes have one name, or a name or table is too long for a resource.
     """
     found: dict[Key, bytes] = {}
-    problems: list[Problem] = []
+    problems: list[ChangeProblem] = []
     if tables.defaults != LimitsTable():
         found[DEFAULTS] = encode_table(tables.defaults)
     if tables.paths != PathsTable():
@@ -196,7 +198,7 @@
     for route in tables.routes:
         key = Key(Kind.ROUTE, route.name)
         if key in found:
-            problems.append(Problem(str(key), "name", "another route has it"))
+            problems.append(ChangeProblem(str(key), "name", "another route has it"))
         found[key] = encode_table(route)
     problems += _size_problems(found)
     if problems:
@@ -204,13 +206,13 @@
     return found
 
 
-def _size_problems(bodies: Mapping[Key, bytes]) -> Iterator[Problem]:
+def _size_problems(bodies: Mapping[Key, bytes]) -> Iterator[ChangeProblem]:
     """Yield bodies and names that are too long for a resource."""
     for key, body in bodies.items():
         if len(body) > MAX_BODY_BYTES:
-            yield Problem(str(key), "body", f"{len(body)} bytes, {MAX_BODY_BYTES} at most")
+            yield ChangeProblem(str(key), "body", f"{len(body)} bytes, {MAX_BODY_BYTES} at most")
         if key not in (DEFAULTS, PATHS) and not 0 < len(key.name) <= MAX_NAME_LENGTH:
-            yield Problem(str(key), "name", f"must have 1 to {MAX_NAME_LENGTH} characters")
+            yield ChangeProblem(str(key), "name", f"must have 1 to {MAX_NAME_LENGTH} characters")
 
 
 def tables_of(state: ResourceState) -> OperatorTables:
--- a/hollybay/routing/route_compiler.py
+++ b/hollybay/routing/route_compiler.py
@@ -13,7 +13,7 @@
 from .limits import EffectiveLimits, effective_limits, inherit_limits
 from .matcher import HeaderMatch
 from .paths import Pattern, parse_pattern
-from .problems import Problem
+from .problems import FileProblem
 from .schema import ClassTable, HeaderTable, LimitsTable, RouteTable
 
 __all__ = [
@@ -66,7 +66,7 @@
         return [(f"class.{name}.limits", limits), ("defaults", self.defaults)]
 
 
-def compile_class_limits(index: int, context: LimitsContext, problems: list[Problem]) -> EffectiveLimits:
+def compile_class_limits(index: int, context: LimitsContext, problems: list[FileProblem]) -> EffectiveLimits:
     """Return the limits of requests of a class that no route matches; problems found are appended."""
     request_class = context.settings.classes[index]
     limits = inherit_limits(context.levels(request_class.name))
@@ -76,7 +76,7 @@
 
 
 def compile_route_limits(
-    table: RouteTable, index: int, context: LimitsContext, problems: list[Problem]
+    table: RouteTable, index: int, context: LimitsContext, problems: list[FileProblem]
 ) -> EffectiveLimits:
     """Return the limits of a route for requests of a class; problems found are appended."""
     request_class = context.settings.classes[index]
@@ -86,7 +86,7 @@
     return effective_limits(table.name, index, limits)
 
 
-def compile_route(table: RouteTable, context: LimitsContext, problems: list[Problem]) -> Route | None:
+def compile_route(table: RouteTable, context: LimitsContext, problems: list[FileProblem]) -> Route | None:
     """Compile one route; problems found are appended.
 
     Returns
@@ -109,9 +109,9 @@
             limits_by_class[index] = compile_route_limits(table, index, context, problems)
         elif class_index is not None:
             reason = f"requests of class {request_class.name!r} come by {method}"
-            problems.append(Problem(at, "methods", table.methods, reason))
+            problems.append(FileProblem(at, "methods", table.methods, reason))
     if not limits_by_class and len(problems) == problems_before:
-        problems.append(Problem(at, "methods", table.methods, "no class has requests of these methods"))
+        problems.append(FileProblem(at, "methods", table.methods, "no class has requests of these methods"))
     return Route(
         table.name,
         at,
@@ -138,34 +138,36 @@
     return names
 
 
-def _compile_pattern(table: RouteTable, at: str, problems: list[Problem]) -> Pattern | None:
+def _compile_pattern(table: RouteTable, at: str, problems: list[FileProblem]) -> Pattern | None:
     path = table.path
     candidates = (("exact", path.exact), ("prefix", path.prefix), ("template", path.template))
     stated = [(kind, text) for kind, text in candidates if text is not None]
     if len(stated) != 1:
-        problems.append(Problem(f"{at}.path", "", None, "one of exact, prefix and template is needed"))
+        problems.append(FileProblem(f"{at}.path", "", None, "one of exact, prefix and template is needed"))
         return None
     kind, text = stated[0]
     try:
         return parse_pattern(kind, text)
     except ValueError as error:
-        problems.append(Problem(f"{at}.path", kind, text, str(error)))
+        problems.append(FileProblem(f"{at}.path", kind, text, str(error)))
         return None
 
 
 def _compile_headers(
-    tables: Sequence[HeaderTable], at: str, problems: list[Problem]
+    tables: Sequence[HeaderTable], at: str, problems: list[FileProblem]
 ) -> tuple[HeaderMatch, ...]:
     found: dict[bytes, HeaderMatch] = {}
     for table in tables:
         where = f"{at}.headers {table.name!r}"
         name = table.name.lower().encode()
         if (table.exact is None) == (table.present is None):
-            problems.append(Problem(where, "", None, "one of exact and present is needed"))
+            problems.append(FileProblem(where, "", None, "one of exact and present is needed"))
         elif name in FRAMING_HEADERS:
-            problems.append(Problem(where, "name", table.name, "frames the message: match by hosts or paths"))
+            problems.append(
+                FileProblem(where, "name", table.name, "frames the message: match by hosts or paths")
+            )
         elif name in found:
-            problems.append(Problem(where, "name", table.name, "stands twice"))
+            problems.append(FileProblem(where, "name", table.name, "stands twice"))
         else:
             value = None if table.exact is None else table.exact.encode("latin-1")
             found[name] = HeaderMatch(name, value)
@@ -177,7 +179,7 @@
     pattern: Pattern,
     class_indexes: Mapping[str, int],
     at: str,
-    problems: list[Problem],
+    problems: list[FileProblem],
 ) -> tuple[int | None, list[int]]:
     """Return the class that a route gives its requests (None: the path names it), and all possible ones."""
     first = pattern.segments[0] if pattern.segments else None
@@ -192,13 +194,13 @@
             f"missing: the first part of the path, {first!r}, names no class "
             f"(the settings have {quoted_names(class_indexes)})"
         )
-        problems.append(Problem(at, "class", None, reason))
+        problems.append(FileProblem(at, "class", None, reason))
         return None, []
     return index, [index]
 
 
 def _stated_class(
-    name: str, first: str | None, class_indexes: Mapping[str, int], at: str, problems: list[Problem]
+    name: str, first: str | None, class_indexes: Mapping[str, int], at: str, problems: list[FileProblem]
 ) -> int | None:
     """Return the class that a route states, unless the first segment of its paths may name another."""
     index = class_indexes.get(name)
@@ -213,5 +215,5 @@
         reason = f"the path is of class {first!r}"
     else:
         return index
-    problems.append(Problem(at, "class", name, reason))
+    problems.append(FileProblem(at, "class", name, reason))
     return None
--- a/hollybay/routing/schema.py
+++ b/hollybay/routing/schema.py
@@ -12,7 +12,7 @@
 
 from hollybay.units import MS
 
-from .problems import OperatorError, Problem
+from .problems import FileProblem, OperatorError
 from .typed_tables import Duration, Size, Table, parse_duration, parse_size, read_tables
 
 __all__ = [
@@ -224,7 +224,7 @@
     return tables
 
 
-def read_all(text: str | bytes, file: str = "operator file") -> tuple[OperatorTables, list[Problem]]:
+def read_all(text: str | bytes, file: str = "operator file") -> tuple[OperatorTables, list[FileProblem]]:
     """Read a file as far as it is valid, so that the rest can still be checked for its meaning.
 
     A route is left out where what it matches is not valid; elsewhere an invalid value counts as absent.
--- a/hollybay/routing/state_compiler.py
+++ b/hollybay/routing/state_compiler.py
@@ -13,7 +13,7 @@
 from .matcher import Matcher
 from .paths import PathOptions
 from .policy_update import update_policy
-from .problems import Problem
+from .problems import FileProblem
 from .route_compiler import LimitsContext, compile_class_limits
 from .schema import LimitsTable, PathsTable
 
@@ -61,7 +61,7 @@
 def _empty_policy(settings: api.Settings) -> IncrementalPolicy:
     """Return the policy of a state without resources."""
     context = LimitsContext.of(settings, {}, LimitsTable())
-    problems: list[Problem] = []
+    problems: list[FileProblem] = []
     routes_by_name: Map[str, Route] = Map()
     class_indexes = range(len(settings.classes))
     return IncrementalPolicy(
--- a/hollybay/routing/typed_tables.py
+++ b/hollybay/routing/typed_tables.py
@@ -18,7 +18,7 @@
 
 from hollybay.units import MS, SECOND
 
-from .problems import OperatorError, Problem
+from .problems import FileProblem, OperatorError
 
 __all__ = ["Duration", "Size", "Table", "parse_duration", "parse_size", "read_plain", "read_tables"]
 
@@ -84,7 +84,7 @@
 T = TypeVar("T", bound=Table)
 
 
-def read_tables(table_type: type[T], text: str | bytes, file: str) -> tuple[T, list[Problem]]:
+def read_tables(table_type: type[T], text: str | bytes, file: str) -> tuple[T, list[FileProblem]]:
     """Read a file; what is valid can still be checked for its meaning.
 
     Parameters
@@ -105,17 +105,17 @@
         The file is no TOML at all, or too long.
     """
     if len(text) > MAX_FILE_BYTES:
-        raise OperatorError(file, [Problem("", "", None, f"longer than {MAX_FILE_BYTES >> 20} MiB")])
+        raise OperatorError(file, [FileProblem("", "", None, f"longer than {MAX_FILE_BYTES >> 20} MiB")])
     try:
         data = tomllib.loads(text.decode("utf-8") if isinstance(text, bytes) else text)
     except (ValueError, RecursionError) as error:  # TOML and UTF-8 errors are ValueErrors
-        raise OperatorError(file, [Problem("", "", None, f"no TOML: {error}")]) from None
-    problems: list[Problem] = []
+        raise OperatorError(file, [FileProblem("", "", None, f"no TOML: {error}")]) from None
+    problems: list[FileProblem] = []
     table = _read_table(table_type, data, "", problems)
     return table if table is not None else table_type(), problems
 
 
-def read_plain(table_type: type[T], data: object) -> tuple[T | None, list[Problem]]:
+def read_plain(table_type: type[T], data: object) -> tuple[T | None, list[FileProblem]]:
     """Read a table from plain values: durations in ns, sizes in bytes.
 
     Returns
@@ -123,7 +123,7 @@
     tuple
         The table (None: it is not valid at all), to be used only without problems; and all problems.
     """
-    problems: list[Problem] = []
+    problems: list[FileProblem] = []
     return _read_table(table_type, data, "", problems, has_units=False), problems
 
 
@@ -182,11 +182,11 @@
 
 
 def _read_table(
-    table_type: type[T], data: object, table: str, problems: list[Problem], has_units: bool = True
+    table_type: type[T], data: object, table: str, problems: list[FileProblem], has_units: bool = True
 ) -> T | None:
     """Read one table; problems found are appended. None: it is not valid."""
     if not isinstance(data, dict):
-        problems.append(Problem(table, "", data, "is no table"))
+        problems.append(FileProblem(table, "", data, "is no table"))
         return None
     fields = _fields_of(table_type, has_units)
     problems += [
@@ -201,7 +201,7 @@
             if value is not None:
                 values[field.name] = value
         elif field.required:
-            problems.append(Problem(table, key, None, "missing"))
+            problems.append(FileProblem(table, key, None, "missing"))
         if len(problems) > problems_before:
             invalid.add(key)
             if field.required:
@@ -213,34 +213,36 @@
 
 def _unknown_key(
     table: str, key: object, value: object, fields: Mapping[str, _Field], has_units: bool
-) -> Problem:
+) -> FileProblem:
     """Return the problem of a key that no field has, naming the nearest known one in files with units."""
     if not has_units or not isinstance(key, str):
         shown = key if isinstance(key, str) and key.isprintable() else repr(key)
-        return Problem(table, shown[:MAX_SHOWN_NAME], value, "unknown field")
+        return FileProblem(table, shown[:MAX_SHOWN_NAME], value, "unknown field")
     closest = difflib.get_close_matches(key, fields, n=1, cutoff=0.0)
-    return Problem(table, key, value, f"unknown key; the nearest known one is {closest[0]!r}")
+    return FileProblem(table, key, value, f"unknown key; the nearest known one is {closest[0]!r}")
 
 
-def _read_value(field: _Field, value: object, table: str, key: str, problems: list[Problem]) -> Any:
+def _read_value(field: _Field, value: object, table: str, key: str, problems: list[FileProblem]) -> Any:
     """Read the value of a field; problems found are appended. None: it is not valid."""
     inner = f"{table}.{key}" if table else key
     if field.table_type is not None:
         return _read_table(field.table_type, value, inner, problems, field.has_units)
     if field.values_type is not None:
         if not isinstance(value, dict):
-            problems.append(Problem(table, key, value, "is no table of tables"))
+            problems.append(FileProblem(table, key, value, "is no table of tables"))
             return None
         return _read_dict(field, value, inner, problems)
     if field.item_type is not None:
         if not isinstance(value, list):
-            problems.append(Problem(table, key, value, "is no list of tables"))
+            problems.append(FileProblem(table, key, value, "is no list of tables"))
             return None
         return _read_list(field, value, inner, problems)
     return _read_plain_value(field.value_type, value, table, key, problems, field.parser)
 
 
-def _read_dict(field: _Field, data: dict[str, object], table: str, problems: list[Problem]) -> dict[str, Any]:
+def _read_dict(
+    field: _Field, data: dict[str, object], table: str, problems: list[FileProblem]
+) -> dict[str, Any]:
     """Read a table of tables or of plain values, without those that are not valid."""
     read: dict[str, Any] = {}
     for name, item in data.items():
@@ -253,7 +255,7 @@
     return read
 
 
-def _read_list(field: _Field, data: list[object], table: str, problems: list[Problem]) -> list[Any]:
+def _read_list(field: _Field, data: list[object], table: str, problems: list[FileProblem]) -> list[Any]:
     """Read a list of tables, without those that are not valid."""
     assert field.item_type is not None
     items = (
@@ -268,7 +270,7 @@
     value: object,
     table: str,
     key: str,
-    problems: list[Problem],
+    problems: list[FileProblem],
     parser: Callable[[object], int] | None = None,
 ) -> Any:
     """Read a value that is no table; problems found are appended. None: it is not valid."""
@@ -281,9 +283,9 @@
         reason = str(error).split(" - at `$")[0]
         if parser is not None:
             reason += " in ns" if parser is parse_duration else " in bytes"
-        problems.append(Problem(table, key, value, reason[:1].lower() + reason[1:]))
+        problems.append(FileProblem(table, key, value, reason[:1].lower() + reason[1:]))
     except (ValueError, OverflowError) as error:
-        problems.append(Problem(table, key, value, str(error)))
+        problems.append(FileProblem(table, key, value, str(error)))
     return None
 
 
--- a/tests/golden/build.py
+++ b/tests/golden/build.py
@@ -58,7 +58,7 @@
 from hollybay.proxy.assembly import assemble
 from hollybay.proxy.config import load
 from hollybay.proxy.consensus_member import ConsensusMember
-from hollybay.resources.model import Change, Delete, Kind, Problem, Upsert
+from hollybay.resources.model import Change, ChangeProblem, Delete, Kind, Upsert
 from hollybay.resources.state import EMPTY, ResourceState
 from hollybay.simulation import accord_rehearsal as rehearsal
 
@@ -180,7 +180,7 @@
         "changing.uploaded": w.ChangeCall("", UPLOAD_ID),
         **{
             f"became_of.{outcome.value.replace(' ', '_')}": w.ChangeReply(
-                CHANGE_ID.hex(), outcome, NEW, 5, 120, [Problem("route 'x'", "class", "is missing")]
+                CHANGE_ID.hex(), outcome, NEW, 5, 120, [ChangeProblem("route 'x'", "class", "is missing")]
             )
             for outcome in w.ChangeOutcome
         },
--- a/tests/test_group_commit.py
+++ b/tests/test_group_commit.py
@@ -25,13 +25,13 @@
 )
 from hollybay.consensus.queue_settings import QueueSettings
 from hollybay.resources.batch import Assembled, apply_batch, assemble
-from hollybay.resources.model import Change, Delete, Kind, Operation, Problem, Upsert
+from hollybay.resources.model import Change, ChangeProblem, Delete, Kind, Operation, Upsert
 from hollybay.resources.state import EMPTY, ResourceState
 from hollybay.resources.wire import encode_change
 from hollybay.units import MS, SECOND
 
 NO_LINGER = QueueSettings(linger_ns=0)
-CANNOT = (Problem("route 'r'", "match", "overlaps"),)
+CANNOT = (ChangeProblem("route 'r'", "match", "overlaps"),)
 
 
 def change_of(number: int, *operations: Operation, made_on: int = 0) -> Change:
--- a/tests/test_resource_plan.py
+++ b/tests/test_resource_plan.py
@@ -16,12 +16,12 @@
 from hollybay.resources.batch import assemble
 from hollybay.resources.model import (
     Change,
+    ChangeProblem,
     ChangeRejectedError,
     Delete,
     Key,
     Kind,
     Operation,
-    Problem,
     Upsert,
 )
 from hollybay.resources.state import EMPTY, ResourceState
@@ -295,7 +295,9 @@
         }
 
 
-def refused_alike(problems: tuple[Problem, ...], told: list[tuple[str, str]], changed: set[str]) -> None:
+def refused_alike(
+    problems: tuple[ChangeProblem, ...], told: list[tuple[str, str]], changed: set[str]
+) -> None:
     """The same problems; of overlaps at least one, of a pair that the whole compile finds too."""
     word = "overlaps route"
     found = {(problem.resource, plain(problem.reason)) for problem in problems if word not in problem.reason}
--- a/tests/test_resources.py
+++ b/tests/test_resources.py
@@ -14,12 +14,12 @@
 from hollybay.resources.batch import Batch, BatchMismatchError, apply_batch, assemble
 from hollybay.resources.model import (
     Change,
+    ChangeProblem,
     ChangeRejectedError,
     Delete,
     Key,
     Kind,
     Operation,
-    Problem,
     Resource,
     Upsert,
 )
@@ -203,7 +203,7 @@
     def accept(state: ResourceState, change: Change) -> None:
         assert state.revision_of(change.id) == 1  # it is the state after the change
         if state.get(Kind.ROUTE, "bad") is not None:
-            raise ChangeRejectedError((Problem("route 'bad'", "path", "no"),))
+            raise ChangeRejectedError((ChangeProblem("route 'bad'", "path", "no"),))
 
     proposed = [
         change_of(Upsert(Kind.ROUTE, name, 0, b""), number=n) for n, name in enumerate(("a", "bad", "c"))
