--- a/hollybay/resources/rejection_reasons.py
+++ b/hollybay/resources/rejection_reasons.py
@@ -1,7 +1,8 @@
 """Why a change is rejected: a class for each reason, and its published text, `str(reason)`.
 
 A `model.ChangeProblem` says where a reason applies (the resource and its field) and carries its text, as it
-goes over the wire. What is wrong with the body of a resource is said by `hollybay.routing`, which knows tables.
+goes over the wire. What is wrong with the body of a resource is said by `hollybay.routing`, which knows
+tables.
 """
 
 from __future__ import annotations
