--- a/hollybay/admin/__init__.py
+++ b/hollybay/admin/__init__.py
@@ -6,6 +6,8 @@
 -------
 requests
     Parsing of admin requests.
+responses
+    Responses to them.
 administrative_drains
     Servers that operators have drained, as an overlay over the server list of discovery.
 metrics
--- a/hollybay/hollow/node.py
+++ b/hollybay/hollow/node.py
@@ -12,13 +12,14 @@
 from pathlib import Path
 
 from hollybay.admin.requests import AdminOperation, AdminRequest
+from hollybay.admin.responses import AdminResponse
 from hollybay.balancing.interface import Settings
 from hollybay.consensus.interfaces import MemberSettings, OperatorFileChanges
 from hollybay.consensus.log_entry import Entry
 from hollybay.consensus.messages import MAX_CALL_BYTES
 from hollybay.consensus.service import Service
 from hollybay.proxy.admin_client import call_policy
-from hollybay.proxy.admin_server import AdminResponse, AdminServer
+from hollybay.proxy.admin_server import AdminServer
 from hollybay.proxy.compiled_policies import CompiledPolicies, read_operator_file
 from hollybay.proxy.consensus_setup import MAX_POLICY_CONNECTIONS, POLICY_BACKLOG
 from hollybay.proxy.system import boot_time_ns
--- a/hollybay/proxy/admin_service.py
+++ b/hollybay/proxy/admin_service.py
@@ -15,10 +15,11 @@
 
 from hollybay.admin.metrics import CONTENT_TYPE, MetricsCollector, NodeMetrics
 from hollybay.admin.requests import AdminOperation, AdminRequest
+from hollybay.admin.responses import AdminResponse
 from hollybay.balancing.interface import ServerId
 from hollybay.proxy.downstream.listener import ClientListener
 
-from .admin_server import AdminResponse, AdminServer
+from .admin_server import AdminServer
 from .config import Config
 from .consensus_port import PolicyRequestHandler
 from .drain_file import DrainFile
--- a/hollybay/proxy/consensus_member.py
+++ b/hollybay/proxy/consensus_member.py
@@ -18,6 +18,7 @@
 import structlog
 
 from hollybay.admin.requests import AdminRequest
+from hollybay.admin.responses import JSON_CONTENT_TYPE, AdminResponse
 from hollybay.balancing.interface import Settings
 from hollybay.consensus.interfaces import DataPlane, MemberSettings, OperatorFileChanges
 from hollybay.consensus.log_entry import Entry
@@ -31,7 +32,6 @@
 
 from . import system
 from .admin_client import call_policy
-from .admin_server import JSON_CONTENT_TYPE, AdminResponse
 from .admin_service import AdminService
 from .compiled_policies import CompiledPolicies, read_operator_file
 from .config import ConfigError
--- a/hollybay/proxy/consensus_port.py
+++ b/hollybay/proxy/consensus_port.py
@@ -9,8 +9,7 @@
 from typing import Protocol
 
 from hollybay.admin.requests import AdminRequest
-
-from .admin_server import AdminResponse
+from hollybay.admin.responses import AdminResponse
 
 __all__ = ["PolicyRequestHandler"]
 
--- a/tests/test_hollow.py
+++ b/tests/test_hollow.py
@@ -21,13 +21,13 @@
 import pytest
 
 from hollybay.admin.requests import AdminRequest
+from hollybay.admin.responses import AdminResponse
 from hollybay.consensus import messages
 from hollybay.hollow.fleet import FleetFailed, fleet
 from hollybay.hollow.messages import Report, ReportNow, Reset, decode_command
 from hollybay.hollow.node import HollowNode
 from hollybay.hollow.wire import Conversation, MeteredLoop
 from hollybay.proxy.admin_client import call_policy
-from hollybay.proxy.admin_server import AdminResponse
 from hollybay.testbed.loopback import LIMIT, Registry, settings
 from hollybay.units import MS
 
