--- a/hollybay/proxy/admin_client.py
+++ b/hollybay/proxy/admin_client.py
@@ -16,6 +16,8 @@
 from hollybay.consensus.policy import RejectedError
 from hollybay.consensus.requests import CallFailedError
 
+from .http_parsers import new_response_parser
+
 __all__ = ["call_policy"]
 
 MAX_RESPONSE_BYTES = MAX_CALL_BYTES
@@ -73,7 +75,7 @@
         self.path = path
         self.body = body
         self.caller = caller
-        self.http = h11.Connection(h11.CLIENT)
+        self.http = new_response_parser()
         self.response_body: asyncio.Future[bytes] = asyncio.get_running_loop().create_future()
         self.status = 0
         self.chunks: list[bytes] = []
--- a/hollybay/proxy/discovery_connection.py
+++ b/hollybay/proxy/discovery_connection.py
@@ -9,7 +9,8 @@
 import h11
 
 from .addresses import Address
-from .message_limits import MAX_HEAD_BYTES, READ_SIZE_BYTES
+from .http_parsers import new_response_parser
+from .message_limits import READ_SIZE_BYTES
 
 __all__ = ["DiscoveryConnection", "DiscoveryResponse"]
 
@@ -81,7 +82,7 @@
 
 
 async def _get(streams: _Streams, host: str, path: str) -> DiscoveryResponse:
-    http = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES)
+    http = new_response_parser()
     request = h11.Request(method="GET", target=path, headers=[("Host", host)])
     streams.writer.write(http.send(request) or b"")
     http.send(h11.EndOfMessage())
--- a/hollybay/proxy/downstream/connection.py
+++ b/hollybay/proxy/downstream/connection.py
@@ -16,7 +16,8 @@
 from .. import system
 from ..flow_control import BodySource
 from ..http_messages import ForwardedResponse, Headers
-from ..message_limits import MAX_HEAD_BYTES, MAX_HELD_BODY_BYTES, SMALL_BODY_BYTES
+from ..http_parsers import new_request_parser
+from ..message_limits import MAX_HELD_BODY_BYTES, SMALL_BODY_BYTES
 from ..ports import ClientPresence
 from ..streaming_body import StreamingBody
 from ..tcp_connection import TcpConnection
@@ -83,7 +84,7 @@
     def __init__(self, clients: ClientContext[ClientConnection], sock: socket.socket) -> None:
         super().__init__(sock)
         self.clients = clients
-        self.http = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEAD_BYTES)
+        self.http = new_request_parser()
         self.state = ConnectionState.READING
         self.phase: OrderedDict[ClientConnection, float] | None = None
         self.request: ClientRequest | None = None
@@ -457,7 +458,7 @@
         self.state = next_state(self.state, ConnectionEvent.ANSWER_TAKEN)
         # A new parser for each message, as answers are not written through it.
         rest, _ = self.http.trailing_data
-        self.http = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEAD_BYTES)
+        self.http = new_request_parser()
         if rest:
             self.http.receive_data(rest)
         self.clients.move(self, self.clients.idle)
--- a/hollybay/proxy/upstream/connection.py
+++ b/hollybay/proxy/upstream/connection.py
@@ -19,7 +19,8 @@
 
 from .. import system
 from ..http_messages import ForwardedRequest, ForwardedResponse, Headers, end_to_end_headers
-from ..message_limits import MAX_BODY_BYTES, MAX_HEAD_BYTES, MAX_HELD_BODY_BYTES
+from ..http_parsers import new_response_parser
+from ..message_limits import MAX_BODY_BYTES, MAX_HELD_BODY_BYTES
 from ..name_table import NameTable
 from ..ports import Client
 from ..streaming_body import StreamingBody
@@ -125,7 +126,7 @@
         self.owner = owner
         self.endpoint = endpoint
         self.attempt: Attempt | None = None
-        self.http = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES)
+        self.http = new_response_parser()
         self.pieces: list[bytes] = []
         self.timer: asyncio.TimerHandle | None = None
         self.streaming_body: StreamingBody | None = None
@@ -220,7 +221,7 @@
         self.bytes_received = 0
         self.last_received_at = self.owner.loop.time()
         self.min_hold_s = 0.0 if attempt.repeatable else LAST_BYTE_HOLD_S
-        self.http = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES)
+        self.http = new_response_parser()
         streaming_body = message.streaming_body
         if streaming_body is None:
             headers = headers_with_time_left(message, attempt.deadline)
