--- a/hollybay/balancing/bench_codec.py
+++ b/hollybay/balancing/bench_codec.py
@@ -15,7 +15,7 @@
     500: api.Result.ERROR,
     503: api.Result.REJECTED,
     504: api.Result.TIMEOUT,
-    502: api.Result.CONNECT_FAILED,
+    502: api.Result.NOT_DELIVERED,
     598: api.Result.RESET,
     499: api.Result.CANCELLED,
     410: api.Result.NOT_SENT,
--- a/hollybay/balancing/cross_zone.py
+++ b/hollybay/balancing/cross_zone.py
@@ -129,7 +129,7 @@
         """Return the share (0 to 1) of requests that go remote first, by a request's attempts so far."""
         if attempts:
             last = attempts[-1]
-            if last.result == Result.CONNECT_FAILED and last.zone == self.settings.zone:
+            if last.result == Result.NOT_DELIVERED and last.zone == self.settings.zone:
                 return 1.0
         return self.estimates.zone_reachability.remote_first_share(self.remote_share)
 
--- a/hollybay/balancing/estimates.py
+++ b/hollybay/balancing/estimates.py
@@ -49,7 +49,7 @@
 # Results that tell nothing of the server.
 UNINFORMATIVE_RESULTS = frozenset({Result.CANCELLED, Result.NOT_SENT})
 # Results that tell nothing of load: a connection that broke would not be mended by shedding.
-CONNECTION_RESULTS = frozenset({Result.RESET, Result.CONNECT_FAILED})
+CONNECTION_RESULTS = frozenset({Result.RESET, Result.NOT_DELIVERED})
 
 
 def answer_weight(request_rate: float) -> float:
@@ -178,7 +178,7 @@
 
     def _observe_connect(self, server: Server, result: Result, local: bool, now: int) -> None:
         """Record whether the server's zone is reachable, and whether the server has restarted."""
-        if result == Result.CONNECT_FAILED:
+        if result == Result.NOT_DELIVERED:
             self.zone_reachability.observe_connect(local, True, self.answer_weight)
             server.consecutive_connect_failures += 1
             self.connection_capacity.connect_refused(now)
@@ -204,7 +204,7 @@
             self.offered_weight += self.answer_weight * (cls.priority_weight - self.offered_weight)
             self.load_outcomes += 1
         self._update_loss_share()
-        if result == Result.CONNECT_FAILED:
+        if result == Result.NOT_DELIVERED:
             return
         if local:
             self.local_lateness += self.answer_weight * (late - self.local_lateness)
@@ -241,7 +241,7 @@
     ) -> bool:
         """Learn from an attempt that failed; True where its server is ejected now."""
         result = event.result
-        if result != Result.TIMEOUT and result != Result.CONNECT_FAILED:
+        if result != Result.TIMEOUT and result != Result.NOT_DELIVERED:
             server.last_answer_at = now
         # A failing server has few attempts in flight, and must not look idle for it.
         server.idle_from = max(server.idle_from, now + REVIEW_INTERVAL_NS)
--- a/hollybay/balancing/settings.py
+++ b/hollybay/balancing/settings.py
@@ -78,14 +78,14 @@
     ERROR = 1  # a response that says that the request failed
     REJECTED = 2  # the server says that it has not run the request
     TIMEOUT = 3  # no response in time, after the last byte was sent
-    CONNECT_FAILED = 4  # it ended before the last byte was sent: no connection, a break, or no time left
+    NOT_DELIVERED = 4  # it ended before the last byte was sent: no connection, a break, or no time left
     RESET = 5  # the connection broke after the last byte was sent
     CANCELLED = 6  # by the balancer
     NOT_SENT = 7  # the node has sent nothing
 
 
 # Results that prove that an attempt had no effect; after any other it may have run.
-NEVER_RAN = frozenset({Result.REJECTED, Result.CONNECT_FAILED, Result.NOT_SENT})
+NEVER_RAN = frozenset({Result.REJECTED, Result.NOT_DELIVERED, Result.NOT_SENT})
 
 
 @dataclass(frozen=True, slots=True)
--- a/hollybay/mutation/planted.py
+++ b/hollybay/mutation/planted.py
@@ -183,8 +183,8 @@
     Defect(
         "reset-taken-for-unsent",
         ATTEMPT,
-        "elif result == api.Result.CONNECT_FAILED and self.request_written:",
-        "elif result == api.Result.CONNECT_FAILED and not self.request_written:",
+        "elif result == api.Result.NOT_DELIVERED and self.request_written:",
+        "elif result == api.Result.NOT_DELIVERED and not self.request_written:",
     ),
     Defect(
         "silence-taken-for-unsent",
--- a/hollybay/proxy/upstream/attempt.py
+++ b/hollybay/proxy/upstream/attempt.py
@@ -127,7 +127,7 @@
 
     def connection_lost(self) -> None:
         """End because the connection is gone, or because what came on it is no response."""
-        self.end(api.Result.CONNECT_FAILED)
+        self.end(api.Result.NOT_DELIVERED)
 
     def set_reading(self, reading: bool) -> None:
         """Apply the back-pressure of the client that the response is passed on to."""
@@ -139,8 +139,8 @@
         if self.result is not None:
             return
         if result == api.Result.TIMEOUT and not self.request_written:
-            result = api.Result.CONNECT_FAILED  # a server begins a request when its last byte has come
-        elif result == api.Result.CONNECT_FAILED and self.request_written:
+            result = api.Result.NOT_DELIVERED  # a server begins a request when its last byte has come
+        elif result == api.Result.NOT_DELIVERED and self.request_written:
             result = api.Result.RESET
         self.result = result
         self.message = None
--- a/hollybay/proxy/upstream/connection.py
+++ b/hollybay/proxy/upstream/connection.py
@@ -201,7 +201,7 @@
         if self.endpoint.draining is not None and self.owner.loop.time() >= self.endpoint.closes:
             # The timer that withdraws what is not yet written is due, and has not been called yet.
             self.close()
-            attempt.end(api.Result.CONNECT_FAILED)
+            attempt.end(api.Result.NOT_DELIVERED)
             return
         if not attempt.observer.is_awaited(attempt):
             # Its client left while the connection came up, which is as good for the next one.
--- a/hollybay/proxy/upstream/pools.py
+++ b/hollybay/proxy/upstream/pools.py
@@ -96,7 +96,7 @@
     def _withdraw(self, endpoint: Endpoint) -> None:
         # A request that is still being written when the grace is over would reach a server that drains.
         for attempt in list(endpoint.unwritten_attempts):
-            attempt.end(api.Result.CONNECT_FAILED)
+            attempt.end(api.Result.NOT_DELIVERED)
 
     def send(self, attempt: Attempt) -> None:
         """Start an attempt."""
@@ -170,14 +170,14 @@
         except OSError:  # TimeoutError is one, too
             sock.close()
             attempt.connecting = None
-            attempt.end(api.Result.CONNECT_FAILED)
+            attempt.end(api.Result.NOT_DELIVERED)
             return
         except asyncio.CancelledError:
             sock.close()
             raise
         attempt.connecting = None
         if connection.state is ConnectionState.CLOSED:
-            attempt.end(api.Result.CONNECT_FAILED)
+            attempt.end(api.Result.NOT_DELIVERED)
         else:
             connection.begin(attempt)
 
--- a/hollybay/testbed/world.py
+++ b/hollybay/testbed/world.py
@@ -44,7 +44,7 @@
 # A class for each effect and scope.
 CLASSES = (SAFE, UNSAFE, CELL, ZONE, ALL)
 # Results that prove that the server did not run the request.
-NEVER_RAN = (api.Result.REJECTED, api.Result.CONNECT_FAILED, api.Result.NOT_SENT)
+NEVER_RAN = (api.Result.REJECTED, api.Result.NOT_DELIVERED, api.Result.NOT_SENT)
 
 
 def make_settings(**changes: object) -> api.Settings:
--- a/tests/made_up_world.py
+++ b/tests/made_up_world.py
@@ -290,10 +290,10 @@
         chance = self.chance
         result = Result.OK
         if chance.random() < self.lost or (line[0] == ["s05"] and self.now // SECOND % 4 == 1):
-            results = (Result.REJECTED, Result.ERROR, Result.CONNECT_FAILED, Result.RESET, Result.NOT_SENT)
+            results = (Result.REJECTED, Result.ERROR, Result.NOT_DELIVERED, Result.RESET, Result.NOT_SENT)
             result, takes = chance.choice(results), takes // 4
         if line[1] == 1 and self.now // SECOND % 7 == 5:
-            result, takes = Result.CONNECT_FAILED, 3 * MS  # a zone is lost
+            result, takes = Result.NOT_DELIVERED, 3 * MS  # a zone is lost
         if line[0] == ["s09"] and self.now // SECOND % 5 == 3:
             takes = 100 * SECOND  # it is silent
         return result, takes
--- a/tests/scripted_streams.py
+++ b/tests/scripted_streams.py
@@ -163,7 +163,7 @@
         while refused < count:
             script.ask()
             sent = script.in_flight[-1]
-            script.end(sent, Result.CONNECT_FAILED, MS)
+            script.end(sent, Result.NOT_DELIVERED, MS)
             refused += 1
             for other in script.in_flight[:]:
                 script.end(other, Result.OK, MS)
--- a/tests/test_cold_sum.py
+++ b/tests/test_cold_sum.py
@@ -47,7 +47,7 @@
                 for n, tried in enumerate(book.attempts):
                     if tried.result is None and node.now - tried.sent >= WORK:
                         lost = self.chance.random() < failing
-                        node.answer(rid, n, api.Result.CONNECT_FAILED if lost else api.Result.OK)
+                        node.answer(rid, n, api.Result.NOT_DELIVERED if lost else api.Result.OK)
 
 
 def sent_to_cold(
--- a/tests/test_fleet_shares.py
+++ b/tests/test_fleet_shares.py
@@ -64,7 +64,7 @@
     for rid, book in list(node.books.items()):
         for n, tried in enumerate(book.attempts):
             if tried.result is None and tried.server in down:
-                node.answer(rid, n, api.Result.CONNECT_FAILED)
+                node.answer(rid, n, api.Result.NOT_DELIVERED)
             elif tried.result is None and node.now - tried.sent >= WORK:
                 node.answer(rid, n)
 
@@ -126,7 +126,7 @@
     node.ask(1)
     first = node.books[1].attempts[0]
     assert node.lines[first.server].zone == 0
-    node.answer(1, 0, api.Result.CONNECT_FAILED)
+    node.answer(1, 0, api.Result.NOT_DELIVERED)
     assert node.lines[node.books[1].attempts[1].server].zone == 1
 
 
@@ -154,7 +154,7 @@
     play(node, node.now + SECOND, 20 * MS)
     down = frozenset([b"s00"])
     play(node, node.now + 4 * SECOND, 20 * MS, down=down, first=1000)
-    assert sum(a.result == api.Result.CONNECT_FAILED for b in node.books.values() for a in b.attempts) >= 2
+    assert sum(a.result == api.Result.NOT_DELIVERED for b in node.books.values() for a in b.attempts) >= 2
     back = node.now
     play(node, node.now + 2 * SECOND, 20 * MS, first=2000)
     again = sum(sid == b"s00" for at, _, sid in node.sent if at >= back)
--- a/tests/test_limits_module.py
+++ b/tests/test_limits_module.py
@@ -45,7 +45,7 @@
 def test_an_attempt_that_never_ran_counts_too() -> None:
     node = node_of()
     node.ask(1, WRITE, limits=api.Limits(attempts=1))
-    node.answer(1, 0, api.Result.CONNECT_FAILED)
+    node.answer(1, 0, api.Result.NOT_DELIVERED)
     assert node.finals == [(1, "Reject")]
 
 
