--- a/hollybay/balancing/discovery_polling.py
+++ b/hollybay/balancing/discovery_polling.py
@@ -28,8 +28,6 @@
 QUEUED_FAILURE_NS = 1_500_000_000
 # The longest backoff (ns) after such polls: several in a row show that the queue is too long for all.
 MAX_BACKOFF_NS = 8_000_000_000
-# A backoff doubles at most this many times.
-MAX_DOUBLINGS = 6
 # A backoff is drawn from this share of its span to the whole.
 MIN_JITTER_SHARE = 0.75
 
@@ -54,6 +52,13 @@
     return int(max(0.0, rank - 0.5 / nodes) * span)
 
 
+def doubled(span: int, times: int, longest: int) -> int:
+    """Return a span (ns, at least 1) doubled so many times, and at most the longest one (ns)."""
+    if times >= longest.bit_length():
+        return longest
+    return min(span << times, longest)
+
+
 class PollSchedule:
     """The polls of one node, and the delay of the next one after a failure.
 
@@ -115,7 +120,7 @@
         span = min(self.nodes * POLL_SERVICE_TIME_NS, longest)
         if watch_broke:
             return int(self.rank * span)  # what broke one watch may have broken all of them
-        span = min(max(span, FIRST_BACKOFF_NS << min(self.failures - 1, MAX_DOUBLINGS)), longest)
+        span = max(span, doubled(FIRST_BACKOFF_NS, self.failures - 1, longest))
         if self.queued_failures > 1:
-            span = min(span << min(self.queued_failures - 1, MAX_DOUBLINGS), MAX_BACKOFF_NS)
+            span = doubled(span, self.queued_failures - 1, MAX_BACKOFF_NS)
         return int(span * (MIN_JITTER_SHARE + (1.0 - MIN_JITTER_SHARE) * chance))
--- a/tests/move_constants.py
+++ b/tests/move_constants.py
@@ -2,8 +2,8 @@
 
 Moves each numeric constant of a module of balancing up by a tenth (a whole number by one at least), one at a
 time and in a process of its own, and plays the recorded streams until one is answered otherwise. It prints
-one line for each constant, then those unseen; with names, only constants of these names are moved. Why some
-stay unseen says tests/golden/decisions/README.md.
+one line for each constant, then those unseen; with names, only constants of these names are moved. A constant
+that is unseen needs a stream (tests/scripted_streams.py), or decides nothing and goes.
 """
 
 from __future__ import annotations
