--- a/tests/scripted_streams.py
+++ b/tests/scripted_streams.py
@@ -546,7 +546,7 @@
     """A server on probation answers, and a request is tried at all servers in turn before the next review."""
     script = Script(balancer, classes=ZONE_CLASSES, weight_mode=WeightMode.NOMINAL, max_attempts=7, nodes=1)
     # With the share of a server on probation the first one has about the capacity of the others.
-    script.list([server(0)] + [server(n, weight=0.045 + 0.002 * n) for n in range(1, 7)])
+    script.update_servers([server(0)] + [server(n, weight=0.045 + 0.002 * n) for n in range(1, 7)])
     for _ in range(3):
         script.ask()
         for result in (Result.RESET, Result.OK):
@@ -568,7 +568,7 @@
     objective = 10_000 * SECOND
     long_classes = (RequestClass("long", Effect.SAFE, 1.0, objective, 10 * objective),)
     script = Script(balancer, classes=long_classes, nodes=1)
-    script.list(servers(3))
+    script.update_servers(servers(3))
     # Ten nanoseconds less than the lateness from which on a node that was never late rejects.
     almost_late = objective // 10 * 11 // 10 - 10
     for waited in (objective, almost_late):
@@ -580,7 +580,7 @@
 def small_rejection_share(balancer: type) -> Script:
     """A tenant's rejections, of which the first counts for about a millionth when the next ones come."""
     script = Script(balancer, classes=CLASSES, tenants=TENANTS, max_attempts=1, nodes=1)
-    script.list(servers(3))
+    script.update_servers(servers(3))
     for rejected in [True] + [False] * ACCEPTED_AFTER_REJECTION + [bit == "1" for bit in REJECTIONS]:
         script.ask(HIGH)
         script.end(script.in_flight[-1], Result.REJECTED if rejected else Result.OK, MS)
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -98,7 +98,7 @@
             await node.until(lambda: any(backend.heads for backend in backends))
             (open_,) = node.dispatcher.requests.values()
             first = open_.attempts[0]
-            assert first is not None
+            assert isinstance(first, Attempt)
             next(b for b in backends if b.heads).writers[0].transport.abort()
             await node.until(lambda: gate.waiting > 0)
             while time.monotonic_ns() - first.sent_at < window:
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -179,6 +179,7 @@
             send = node.dispatcher.pools.send
 
             def note(attempt: Attempt) -> None:
+                assert attempt.request is not None
                 begun.append(attempt.request.id)
                 send(attempt)
 
