--- a/hollybay/proxy/downstream/client_context.py
+++ b/hollybay/proxy/downstream/client_context.py
@@ -18,7 +18,7 @@
     # The pure package of the operator file, which a node without one does not import.
     from hollybay.routing.admission_control import AdmissionControl
 
-__all__ = ["ACCEPT_BATCH", "ClientContext", "ClosableConnection", "PhaseLimits"]
+__all__ = ["ACCEPT_BATCH", "ClientContext", "ClosableConnection", "PhaseTimeouts"]
 
 # Connections accepted at once beyond those that there is room for; others are closed for them.
 ACCEPT_BATCH = 8
@@ -29,10 +29,10 @@
 
 
 @dataclass(slots=True)
-class PhaseLimits:
+class PhaseTimeouts:
     """How long (s) a connection may stay in a phase without progress.
 
-    The limits guard against connections that send nothing, half requests, bodies that never end, and clients
+    They guard against connections that send nothing, half requests, bodies that never end, and clients
     that do not read. They harm a client that needs longer for one request of 64 KiB, or that pauses between
     two requests (it then opens a new connection).
 
@@ -88,6 +88,8 @@
         more, none would be left to accept others on.
     share
         Connections that may be kept between requests or wait for an answer before idle ones are closed early.
+    phase_timeouts
+        How long a connection may stay in a phase.
     budget, streaming_budget
         Memory for bodies that are held until they are complete, and for those that are streamed.
     admission
@@ -115,7 +117,7 @@
         self.budget = BodyBudget(config.body_budget)
         self.streaming_budget = RetentionBudget(config.body_budget // 2)
         self.recent_ids = RecentRequestIds()
-        self.limits = PhaseLimits()
+        self.phase_timeouts = PhaseTimeouts()
         self.admission: AdmissionControl | None = None
         self.policy_agreement: PolicyAgreement | None = None
         self.service_state = ServiceState.SERVING
@@ -167,7 +169,7 @@
         """
         excess = len(self.idle) + self.dispatcher.unfinished_requests - self.share
         if excess > 0:
-            before = self.loop.time() - self.limits.idle_when_crowded
+            before = self.loop.time() - self.phase_timeouts.idle_when_crowded
             for conn in self.overdue(self.idle, before)[:excess]:
                 conn.close_if_idle()
 
--- a/hollybay/proxy/downstream/connection.py
+++ b/hollybay/proxy/downstream/connection.py
@@ -142,7 +142,7 @@
         """Tell whether a request comes too slowly by a loop time (s), unless the node leaves it unread."""
         if self.request is None or self.phase is None:
             return True
-        allowed = self.clients.limits.unfinished + self.request.size / MIN_BODY_BYTES_PER_S
+        allowed = self.clients.phase_timeouts.unfinished + self.request.size / MIN_BODY_BYTES_PER_S
         return self.reading and now - self.phase[self] > allowed
 
     def close_if_idle(self) -> None:
--- a/hollybay/proxy/downstream/listener.py
+++ b/hollybay/proxy/downstream/listener.py
@@ -165,12 +165,12 @@
         """Close connections that have stayed in their phase for too long."""
         self.sweeper = self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
         now = self.loop.time()
-        for conn in self.overdue(self.unfinished, now - self.limits.unfinished):
+        for conn in self.overdue(self.unfinished, now - self.phase_timeouts.unfinished):
             if conn.is_slow(now):
                 conn.reject_unfinished()
-        for conn in self.overdue(self.silent, now - self.limits.silent):
+        for conn in self.overdue(self.silent, now - self.phase_timeouts.silent):
             conn.close_if_idle()
-        for conn in self.overdue(self.idle, now - self.limits.idle):
+        for conn in self.overdue(self.idle, now - self.phase_timeouts.idle):
             conn.close_if_idle()
-        for conn in self.overdue(self.writing, now - self.limits.writing):
+        for conn in self.overdue(self.writing, now - self.phase_timeouts.writing):
             conn.abort()
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -94,7 +94,7 @@
 def test_silence_and_half_requests_end_at_their_phase_s_deadline(sent: bytes, tmp_path: Path) -> None:
     async def play() -> None:
         async with running(tmp_path / "c.json", Registry(), Backend("s-1")) as node:
-            node.clients.limits.silent = node.clients.limits.unfinished = 0.0
+            node.clients.phase_timeouts.silent = node.clients.phase_timeouts.unfinished = 0.0
             answer = await node.ask(sent)
             assert answer.startswith(b"HTTP/1.1 408") if sent else answer == b""
 
@@ -122,7 +122,7 @@
 def test_a_kept_connection_is_closed_after_its_rest(tmp_path: Path) -> None:
     async def play() -> None:
         async with running(tmp_path / "c.json", Registry(), Backend("s-1")) as node:
-            node.clients.limits.idle = 0.0
+            node.clients.phase_timeouts.idle = 0.0
             reader, writer = await node.connect()
             writer.write(request())
             async with asyncio.timeout(LIMIT):
@@ -155,7 +155,7 @@
 def test_those_who_ask_once_and_stay_leave_room_for_the_next(tmp_path: Path) -> None:
     async def play() -> None:
         async with running(tmp_path / "c.json", Registry(), Backend("s-1")) as node:
-            node.clients.limits.idle_when_crowded = 0.0
+            node.clients.phase_timeouts.idle_when_crowded = 0.0
             stay = []
             async with asyncio.timeout(LIMIT):
                 for n in range(100):
--- a/tests/test_upload.py
+++ b/tests/test_upload.py
@@ -243,7 +243,7 @@
     async def play() -> None:
         server = Taker("s-1")
         async with running(tmp_path / "c.json", Registry(), server) as node:  # type: ignore[arg-type]
-            node.clients.limits.unfinished = 0.0
+            node.clients.phase_timeouts.unfinished = 0.0
             reader, writer = await node.connect()
             writer.write(
                 request("send", body=BODY)[:100_000]
