--- a/tests/loopback_day.py
+++ b/tests/loopback_day.py
@@ -10,9 +10,9 @@
     CLASSES,
     LIMIT,
     OK,
-    Backend,
-    Registry,
+    FakeDiscovery,
     Running,
+    ScriptedServer,
     read_message,
     request,
     running,
@@ -27,7 +27,7 @@
 FAILED = b"HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n"
 
 
-class Worker(Backend):
+class Worker(ScriptedServer):
     """A server whose answers follow from how many it has given, each after some milliseconds."""
 
     def __init__(self, name: str, number: int) -> None:
@@ -85,7 +85,7 @@
         writer.transport.abort()
 
 
-async def lists(registry: Registry, workers: list[Worker]) -> None:
+async def lists(registry: FakeDiscovery, workers: list[Worker]) -> None:
     """The list changes: a server drains, is gone, and is back."""
     for out in range(3):
         await asyncio.sleep(0.15)
@@ -99,7 +99,7 @@
 
 async def loopback_day(path: Path) -> None:
     """Play it."""
-    registry = Registry()
+    registry = FakeDiscovery()
     workers = [Worker(f"s-{n}", n) for n in range(SERVERS)]
     changed: dict[str, Any] = loopback_settings(categories=CLASSES)
     changed["caps"] |= {"may-duplicate": True}
