--- a/hollybay/proxy/request_dispatcher.py
+++ b/hollybay/proxy/request_dispatcher.py
@@ -10,6 +10,7 @@
 import asyncio
 import logging
 from collections.abc import Callable
+from typing import TypeVarTuple
 
 from hollybay.balancing import Balancer
 from hollybay.balancing import interface as api
@@ -38,6 +39,9 @@
 BAD_GATEWAY = 502
 GATEWAY_TIMEOUT = 504
 
+# What a final answer consists of: a response, a status, a time; nothing where it ends a streamed response.
+Answer = TypeVarTuple("Answer")
+
 _CONCLUDED = RequestEvent.CONCLUDED
 
 
@@ -298,12 +302,12 @@
     def _reject(self, action: api.Reject) -> None:
         client = self._take_unanswered(action.id, self.counters.rejected)
         if client is not None:
-            self._write(client, lambda: client.reject(action.retry_after))
+            self._answer(client, client.reject, action.retry_after)
 
     def _fail(self, action: api.Fail) -> None:
         client = self._take_unanswered(action.id, self.counters.failed)
         if client is not None:
-            self._write(client, lambda: client.fail(BAD_GATEWAY))
+            self._answer(client, client.fail, BAD_GATEWAY)
 
     def _close_idle(self, action: api.CloseIdle) -> None:
         self.pools.close_idle(action.server)
@@ -331,13 +335,13 @@
         return request.client
 
     @staticmethod
-    def _write(client: Client, write: Callable[[], None]) -> None:
-        """Write a final answer; one that cannot be written costs its connection.
+    def _answer(client: Client, write: Callable[[*Answer], None], *answer: *Answer) -> None:
+        """Write a final answer to a client; one that cannot be written costs its connection.
 
         The balancer still hears of the end, or it would count the attempt as in flight for ever.
         """
         try:
-            write()
+            write(*answer)
         except Exception:
             log.exception("an answer cannot be worded")
             client.break_off()
@@ -355,7 +359,7 @@
             return
         client = self._take_unanswered(request.id, self.counters.failed)
         if client is not None:
-            self._write(client, lambda: client.fail(GATEWAY_TIMEOUT))
+            self._answer(client, client.fail, GATEWAY_TIMEOUT)
         self.feed(api.ClientDisconnected(request.id))
 
     def _expire(self, request: PendingRequest) -> None:
@@ -443,11 +447,11 @@
         if request.streamed_attempt is attempt:
             self._conclude(request)
             (self.counters.served if is_complete else self.counters.failed)[request.class_index] += 1
-            self._write(client, client.finish_response if is_complete else client.break_off)
+            self._answer(client, client.finish_response if is_complete else client.break_off)
         elif is_complete and response is not None:
             self.counters.served[request.class_index] += 1
             self._conclude(request)
-            self._write(client, lambda: client.respond(response))
+            self._answer(client, client.respond, response)
 
 
 def _response_time(attempt: Attempt) -> int:
--- a/hollybay/proxy/upstream/connection.py
+++ b/hollybay/proxy/upstream/connection.py
@@ -114,8 +114,12 @@
         Bytes of the response as they came on the wire, and when (s, the loop's clock) the last ones came.
     response_ended_at
         When (s, the loop's clock) the last response ended.
+    http
+        The parser of the response; there is one from the first request on, and a new one for each.
     """
 
+    http: h11.Connection
+
     def __init__(
         self, owner: ConnectionOwner, endpoint: Endpoint, opened_for: Attempt, sock: socket.socket
     ) -> None:
@@ -125,7 +129,6 @@
         self.owner = owner
         self.endpoint = endpoint
         self.attempt: Attempt | None = None
-        self.http = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES)
         self.pieces: list[bytes] = []
         self.timer: asyncio.TimerHandle | None = None
         self.streaming_body: StreamingBody | None = None
@@ -140,13 +143,10 @@
         self.last_received_at = 0.0
         self.response_ended_at = 0.0
 
-    def _advance(self, event: ConnectionEvent) -> None:
-        self.state = next_state(self.state, event)
-
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Count as a connection from here on."""
         super().connection_made(transport)
-        self._advance(ConnectionEvent.CONNECTED)
+        self.state = next_state(self.state, ConnectionEvent.CONNECTED)
         # From here on it counts as a connection; counted twice, a burst would seem to use up the descriptors.
         self.owner.connections.add(self)
         if self.opened_for is not None:
@@ -155,7 +155,7 @@
 
     def connection_lost(self, _exc: Exception | None) -> None:
         """End the attempt that the connection carries, if there is one."""
-        self._advance(ConnectionEvent.LOST)
+        self.state = next_state(self.state, ConnectionEvent.LOST)
         self.stop_timer()
         self.owner.dropped(self)
         if self.attempt is not None:
@@ -179,7 +179,7 @@
             self.streaming_body.detach(self)
             self.streaming_body = None
         self.owner.unpool(self)
-        self._advance(ConnectionEvent.CLOSE_REQUESTED)
+        self.state = next_state(self.state, ConnectionEvent.CLOSE_REQUESTED)
         if self.state is not ConnectionState.CLOSED:
             self.transport.abort()
 
@@ -209,7 +209,7 @@
             return
         message = attempt.message
         assert message is not None
-        self._advance(ConnectionEvent.REQUEST_STARTED)
+        self.state = next_state(self.state, ConnectionEvent.REQUEST_STARTED)
         self.attempt = attempt
         attempt.connection = self
         self.response = None
@@ -288,7 +288,7 @@
         if self.is_write_buffered or self.timer is not None:
             return
         if len(self.pieces) == 1:
-            self._advance(ConnectionEvent.LAST_PIECE_LEFT)
+            self.state = next_state(self.state, ConnectionEvent.LAST_PIECE_LEFT)
             hold = self._hold_time()
             if hold > 0.0:
                 self.start_timer(hold, self._write_last_piece)
@@ -324,7 +324,7 @@
         # The kernel may take the byte and the loop tell of it a turn later: whatever ends the attempt in
         # between, it may have run.
         attempt.request_written = True
-        self._advance(ConnectionEvent.REQUEST_SENT)
+        self.state = next_state(self.state, ConnectionEvent.REQUEST_SENT)
         self.transport.write(self.pieces.pop())
         if self.transport.is_closing():
             attempt.request_written = False  # refused at once
@@ -424,7 +424,7 @@
         check_framing(found)
         headers = end_to_end_headers(found.headers, self.owner.not_for_clients)
         self.response = ForwardedResponse(STATUS_OK, headers, None, found.length)
-        self._advance(ConnectionEvent.RESPONSE_STARTED)
+        self.state = next_state(self.state, ConnectionEvent.RESPONSE_STARTED)
         if attempt.streamed:
             self._start_stream(attempt)
 
@@ -451,7 +451,7 @@
         if self.client is None:
             attempt.cancel()
             return
-        self._advance(ConnectionEvent.STREAM_STARTED)
+        self.state = next_state(self.state, ConnectionEvent.STREAM_STARTED)
         if self.body_pieces:
             self.client.write(b"".join(self.body_pieces))
             self.body_pieces = []
@@ -475,14 +475,15 @@
         attempt.read_delay = self.read_delay()[1] * MS
         is_message_over = self.http.their_state is h11.DONE and not self.http.trailing_data[0]
         reusable = attempt.request_written and is_message_over
-        response = None
-        if self.response is not None and self.client is None:
-            response = ForwardedResponse(STATUS_OK, self.response.headers, self.body_pieces)
+        response = self.response if self.client is None else None
+        if response is not None:
+            response.body = self.body_pieces
+        self.response = None
         self.body_pieces = []
         self.response_ended_at = self.owner.loop.time()
         self.attempt = attempt.connection = None
         if reusable:
-            self._advance(ConnectionEvent.RESPONSE_COMPLETED)
+            self.state = next_state(self.state, ConnectionEvent.RESPONSE_COMPLETED)
             self.owner.pool(self)
         else:
             self.close()
--- a/hollybay/proxy/upstream/request_encoding.py
+++ b/hollybay/proxy/upstream/request_encoding.py
@@ -15,6 +15,8 @@
 __all__ = ["StreamingBodyEncoder", "encode_request", "headers_with_time_left"]
 
 CHUNKED_END = b"0\r\n\r\n"
+# Of the method and the target.
+_REQUEST_LINE = b"%s %s HTTP/1.1"
 
 
 def headers_with_time_left(message: ForwardedRequest, deadline: int) -> Headers:
@@ -37,7 +39,8 @@
     """
     if message.method != b"GET" or message.size:
         headers.append((b"content-length", b"%d" % message.size))
-    pieces = [encode_head(_request_line(message), headers), *message.body]
+    request_line = _REQUEST_LINE % (message.method, message.target)
+    pieces = [encode_head(request_line, headers), *message.body]
     if message.size <= SMALL_BODY_BYTES:
         pieces = [b"".join(pieces)]
     if is_last_byte_held:
@@ -68,7 +71,7 @@
         framing = (b"transfer-encoding", b"chunked")
         if self._length is not None:
             framing = (b"content-length", b"%d" % self._length)
-        return encode_head(_request_line(message), [*headers, framing])
+        return encode_head(_REQUEST_LINE % (message.method, message.target), [*headers, framing])
 
     def encode(self, data: bytes) -> bytes:
         """Return what is to be written now that some more of the body has come; it may be empty."""
@@ -81,7 +84,3 @@
     def last_piece(self) -> bytes:
         """Return the piece that completes the request, once all of the body was encoded."""
         return CHUNKED_END if self._is_chunked else self._held_byte
-
-
-def _request_line(message: ForwardedRequest) -> bytes:
-    return b"%s %s HTTP/1.1" % (message.method, message.target)
--- a/tests/test_upstream_states.py
+++ b/tests/test_upstream_states.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from hollybay.proxy.upstream.connection import ServerConnection
+from hollybay.proxy.upstream import connection as connection_module
 from hollybay.proxy.upstream.states import (
     TRANSITIONS,
     ConnectionEvent,
@@ -49,13 +49,12 @@
 
 def test_every_state_is_reached_over_sockets(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     reached = {ConnectionState.CONNECTING}
-    advance = ServerConnection._advance
 
-    def note(connection: ServerConnection, event: ConnectionEvent) -> None:
-        advance(connection, event)
-        reached.add(connection.state)
+    def note(state: ConnectionState, event: ConnectionEvent) -> ConnectionState:
+        reached.add(next_state(state, event))
+        return next_state(state, event)
 
-    monkeypatch.setattr(ServerConnection, "_advance", note)
+    monkeypatch.setattr(connection_module, "next_state", note)
     long_answer = b"HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n" + b"x" * 200_000
 
     async def play() -> None:
