--- /dev/null
+++ b/hollybay/balancing/attempt_tracking.py
@@ -0,0 +1,95 @@
+"""The attempts of requests: each is sent, counted at its server while it runs, and learned from."""
+
+from __future__ import annotations
+
+from .decision_context import DecisionContext
+from .interface import AttemptFinished, RequestCompleted, ResponseStarted, Send, ServerState
+from .server_pool import remove_from_idle
+from .slow_start import SlowStart
+from .state import Attempt, PendingRequest, Server
+
+__all__ = ["AttemptTracker"]
+
+
+class AttemptTracker:
+    """Sends attempts, and keeps count of those in flight.
+
+    Parameters
+    ----------
+    context
+        The node's state and parts, and the event that is being handled.
+    """
+
+    def __init__(self, context: DecisionContext) -> None:
+        self.context = context
+        self.requests = context.requests
+        self.endpoints = context.endpoints
+        self.estimates = context.estimates
+        self.retry_policy = context.retry_policy
+        self.selector = context.selector
+        self.queueing_delay = context.load_shedder.queueing_delay
+
+    def send(self, request: PendingRequest, server: Server) -> None:
+        """Start an attempt of a request at a server."""
+        now = self.context.now
+        write_deadline = self.retry_policy.write_deadline(request)
+        attempt = Attempt(server, now)
+        request.attempts.append(attempt)
+        request.in_flight_attempts += 1
+        self.estimates.traffic_share.record_attempt()
+        if not request.body_pending:
+            self._count(attempt)
+        if server.slow_start_factor < 1.0:
+            SlowStart.record_send(server, now)
+        limits = request.limits
+        timeout = limits.attempt_timeout if limits is not None else 0
+        self.context.actions.append(Send(request.id, server.id, timeout, write_deadline))
+
+    def on_request_completed(self, event: RequestCompleted) -> None:
+        """A server begins its work with the last byte of a request's body."""
+        request = self.requests.get(event.id)
+        if request is None or not request.body_pending:
+            return
+        request.body_pending = False
+        for attempt in request.attempts:
+            if attempt.result is None:
+                self._count(attempt)
+
+    def on_response_started(self, event: ResponseStarted) -> None:
+        """The server of a streamed response has done its work; the rest comes at the client's pace."""
+        request = self.requests.get(event.id)
+        if request is None or event.attempt >= len(request.attempts):
+            return
+        request.streaming = True
+        attempt = request.attempts[event.attempt]
+        self._discount(attempt)
+        self.selector.schedule_idle(attempt.server)
+
+    def finish(self, request: PendingRequest, attempt: Attempt, event: AttemptFinished) -> None:
+        """Record a result, learn from it, and take its server for idle again, eject it or forget it."""
+        attempt.result = event.result
+        request.in_flight_attempts -= 1
+        server = self.endpoints.servers.get(event.server)
+        if server is None:
+            return
+        self._discount(attempt)
+        if self.estimates.observe(server, request, event, self.context.now, self.endpoints.stale):
+            self.selector.eject(server)
+        if server.state == ServerState.GONE and not server.in_flight:
+            del self.endpoints.servers[server.id]
+        else:
+            self.selector.schedule_idle(server)
+
+    def _count(self, attempt: Attempt) -> None:
+        """Count an attempt among those in flight at its server."""
+        attempt.is_counted = True
+        self.queueing_delay.attempt_started(self.context.now)
+        attempt.server.in_flight += 1
+        remove_from_idle(attempt.server)
+
+    def _discount(self, attempt: Attempt) -> None:
+        """Take an attempt out of those in flight at its server."""
+        if attempt.is_counted:
+            attempt.is_counted = False
+            self.queueing_delay.attempt_ended(self.context.now)
+            attempt.server.in_flight = max(0, attempt.server.in_flight - 1)
--- /dev/null
+++ b/hollybay/balancing/final_answers.py
@@ -0,0 +1,58 @@
+"""How a request ends: its final answer, and the cancelling of its attempts that are still in flight."""
+
+from __future__ import annotations
+
+from .decision_context import DecisionContext
+from .interface import Action, Cancel, ClientDisconnected, Fail, Reject
+from .retries import is_client_retry_harmless
+from .state import PendingRequest, RequestPhase
+
+__all__ = ["FinalAnswers"]
+
+
+class FinalAnswers:
+    """Ends requests, each once.
+
+    Parameters
+    ----------
+    context
+        The node's state and parts, and the event that is being handled.
+    """
+
+    def __init__(self, context: DecisionContext) -> None:
+        self.context = context
+        self.settings = context.settings
+        self.requests = context.requests
+        self.load_shedder = context.load_shedder
+
+    def reject(self, request: PendingRequest) -> None:
+        """Reject a request for overload."""
+        self.finish(request, Reject(request.id, self.load_shedder.retry_after(request)))
+
+    def give_up(self, request: PendingRequest) -> None:
+        """Give the final answer of a request that gets no further attempt."""
+        if not is_client_retry_harmless(self.settings.classes[request.class_index], request.attempts):
+            self.finish(request, Fail(request.id))
+        elif self.load_shedder.is_overloaded:
+            self.reject(request)
+        else:
+            self.finish(request, Reject(request.id, 0))
+
+    def finish(self, request: PendingRequest, action: Action | None) -> None:
+        """End a request with an action, or with None where the client has its answer or has left."""
+        request.phase = RequestPhase.FINISHED
+        actions = self.context.actions
+        if action is not None:
+            actions.append(action)
+        if not request.in_flight_attempts:
+            self.requests.pop(request.id, None)
+        elif self.settings.cancel_allowed:
+            for number, attempt in enumerate(request.attempts):
+                if attempt.result is None:
+                    actions.append(Cancel(request.id, number))
+
+    def on_client_disconnected(self, event: ClientDisconnected) -> None:
+        """End a request that has no client any more."""
+        request = self.requests.get(event.id)
+        if request is not None and request.phase is not RequestPhase.FINISHED:
+            self.finish(request, None)
--- /dev/null
+++ b/hollybay/balancing/further_attempts.py
@@ -0,0 +1,127 @@
+"""What follows an attempt that has ended, is slow or found no server: another one, a wait, or the end."""
+
+from __future__ import annotations
+
+from .attempt_tracking import AttemptTracker
+from .decision_context import DecisionContext
+from .final_answers import FinalAnswers
+from .interface import AttemptFinished
+from .load_shedding import SHEDDING_LOSS_SHARE
+from .retries import ANYWHERE, RetryScope, is_client_retry_harmless
+from .state import PendingRequest, RequestPhase, Server
+from .units import MS
+from .wakeups import WakeupKind
+
+__all__ = ["FurtherAttempts"]
+
+# A request without a server is tried again after this many ticks of the clock, and at least this time (ns).
+SERVER_WAIT_TICKS = 4
+MIN_SERVER_WAIT_NS = 20 * MS
+# It is given up where less than this many such waits are left.
+MIN_WAITS_LEFT = 2
+# A retry needs more than this many ticks before the deadline.
+MIN_RETRY_TICKS = 2
+
+
+class FurtherAttempts:
+    """Decides whether a request gets a retry, a hedge or a wait for a server.
+
+    Parameters
+    ----------
+    context
+        The node's state and parts, and the event that is being handled.
+    attempts
+        Sends attempts.
+    answers
+        Ends requests.
+    """
+
+    def __init__(self, context: DecisionContext, attempts: AttemptTracker, answers: FinalAnswers) -> None:
+        self.context = context
+        self.settings = context.settings
+        self.requests = context.requests
+        self.wakeups = context.wakeups
+        self.retry_policy = context.retry_policy
+        self.load_shedder = context.load_shedder
+        self.selector = context.selector
+        self.hedging = context.hedging
+        self.attempts = attempts
+        self.answers = answers
+        self.server_wait = max(SERVER_WAIT_TICKS * context.settings.tick, MIN_SERVER_WAIT_NS)  # ns
+
+    def on_attempt_finished(self, event: AttemptFinished) -> None:
+        """Record a result, and end the request, retry it or leave it to its other attempts."""
+        request = self.requests.get(event.id)
+        if request is None or event.attempt >= len(request.attempts):
+            return
+        attempt = request.attempts[event.attempt]
+        if attempt.result is not None:
+            return
+        self.attempts.finish(request, attempt, event)
+        if request.phase is RequestPhase.FINISHED:
+            if not request.in_flight_attempts:
+                self.requests.pop(request.id, None)
+        elif event.final:
+            self.answers.finish(request, None)
+        elif not request.in_flight_attempts:
+            self._retry(request)
+
+    def on_wakeup(self, kind: WakeupKind, request_id: int) -> None:
+        """Hedge a request, or try again to find a server for it."""
+        request = self.requests.get(request_id)
+        if request is None or request.phase is RequestPhase.FINISHED:
+            return
+        if kind == WakeupKind.HEDGE:
+            server = self.hedging.pick(request, self.context.now)
+            if server is not None:
+                self.attempts.send(request, server)
+        elif request.phase is RequestPhase.WAITING:
+            request.phase = RequestPhase.ACTIVE
+            self._retry(request)
+
+    def wait(self, request: PendingRequest) -> None:
+        """Hold a request for which no server may be used, while there is time, or give it up."""
+        request.phase = RequestPhase.WAITING
+        now = self.context.now
+        if request.deadline - now <= MIN_WAITS_LEFT * self.server_wait:
+            self.answers.give_up(request)
+            return
+        self.wakeups.schedule(now + self.server_wait, WakeupKind.SERVER_WAIT, request.id)
+
+    def _retry(self, request: PendingRequest) -> None:
+        """Send a request with no attempt in flight again where that is safe and allowed, or give it up."""
+        scope = self.retry_policy.scope_of(request, self.context.now, self.settings.hedging_allowed)
+        if scope is None or not self._may_retry(request):
+            self.answers.give_up(request)
+            return
+        server = self._pick(request, scope)
+        if server is None:
+            if request.attempts and scope is not ANYWHERE:
+                self.answers.give_up(request)
+            else:
+                self.wait(request)
+            return
+        if request.attempts:
+            if not self.retry_policy.withdraw(request.limits):
+                self.answers.give_up(request)
+                return
+            self.retry_policy.retry_tokens -= 1.0
+        self.attempts.send(request, server)
+
+    def _may_retry(self, request: PendingRequest) -> bool:
+        """Whether there is time for a further attempt, and a retry left where it is one."""
+        if request.deadline - self.context.now <= MIN_RETRY_TICKS * self.settings.tick:
+            return False
+        if not request.attempts:
+            return True
+        if self.retry_policy.retry_tokens < 1.0:
+            return False
+        # While load is shed all servers are full: retries would only feed the congestion.
+        if self.load_shedder.shed_share <= SHEDDING_LOSS_SHARE:
+            return True
+        return not is_client_retry_harmless(self.settings.classes[request.class_index], request.attempts)
+
+    def _pick(self, request: PendingRequest, scope: RetryScope) -> Server | None:
+        if scope is ANYWHERE:
+            return self.selector.pick(request, self.context.now)
+        return self.selector.pick_within(request, scope, self.context.now)
--- a/hollybay/mutation/planted.py
+++ b/hollybay/mutation/planted.py
@@ -26,10 +26,11 @@
 SHRINK_TIMEOUT_S = 1500.0
 MAX_SHRINK_RUNS = 1500
 
-BALANCER = "hollybay/balancing/balancer.py"
+ATTEMPT_TRACKING = "hollybay/balancing/attempt_tracking.py"
 ENDPOINTS = "hollybay/balancing/endpoints.py"
 ESTIMATES = "hollybay/balancing/estimates.py"
 EVENT_LOOP_DELAY = "hollybay/balancing/event_loop_delay.py"
+FURTHER_ATTEMPTS = "hollybay/balancing/further_attempts.py"
 POOL_BUILDER = "hollybay/balancing/pool_builder.py"
 RETRIES = "hollybay/balancing/retries.py"
 SLOW_START = "hollybay/balancing/slow_start.py"
@@ -132,13 +133,13 @@
     ),
     Defect(
         "held-for-ever",
-        BALANCER,
+        ATTEMPT_TRACKING,
         "attempt.server.in_flight = max(0, attempt.server.in_flight - 1)",
         "attempt.server.in_flight = max(0, attempt.server.in_flight)",
     ),
     Defect(
         "requests-kept",
-        BALANCER,
+        FURTHER_ATTEMPTS,
         "        if request.phase is RequestPhase.FINISHED:\n"
         "            if not request.in_flight_attempts:\n"
         "                self.requests.pop",
--- a/tests/test_move_constants.py
+++ b/tests/test_move_constants.py
@@ -21,7 +21,7 @@
 def test_the_constants_are_those_of_the_modules_that_decide() -> None:
     found = constants()
     assert len(found) == len(set(found)) > 100
-    assert Constant("balancer", "MIN_WAITS_LEFT") in found
+    assert Constant("further_attempts", "MIN_WAITS_LEFT") in found
     assert Constant("server_selection", "MAX_PICKS") in found
     assert not any(constant.module.startswith("bench_") for constant in found)
 
