--- a/hollybay/balancing/settings.py
+++ b/hollybay/balancing/settings.py
@@ -151,9 +151,9 @@
     name
         For messages.
     share
-        Its share (0 to 1) of the service.
+        Its share (0 to 1) of the service. Accepted and ignored.
     allowance
-        Requests a second over all nodes, 0: not known.
+        Requests a second over all nodes, 0: not known. Accepted and ignored.
     """
 
     name: str
@@ -167,12 +167,14 @@
 
     Attributes
     ----------
-    cross_zone, handshake, probe
-        Per request: a request to another zone, a new connection, a probe.
+    cross_zone
+        Per request to another zone.
+    handshake, probe
+        Per new connection, and per probe. Accepted and ignored.
     connection
-        Per 100 connections of a server.
+        Per 100 connections of a server. Accepted and ignored.
     waste, late_failure
-        Of wasted work, and of a late failure.
+        Of wasted work, and of a late failure. Accepted and ignored.
     """
 
     cross_zone: float = 0.0
@@ -189,8 +191,8 @@
 
     Some settings are only carried here, as they come with the others from the operators. No decision reads
     `connect_timeout`, `drain_grace` and `report_mode`, which the proxy uses, nor `answer_grace` and
-    `overload_window`, by which the testbed checks what nodes did. Nothing reads `streams`, `probes_allowed`,
-    `over_share_weight`, `weight_by_work`, the values of tenants, and the prices other than `cross_zone`.
+    `overload_window`, by which the testbed checks what nodes did. Those that nothing reads are marked as
+    accepted and ignored: their published keys stay valid, and their values are checked when they are parsed.
 
     Attributes
     ----------
@@ -210,14 +212,16 @@
         Whether discovery has to be asked for the server list.
     max_attempts
         The most attempts of a request.
-    hedging_allowed, cancel_allowed, probes_allowed
-        Whether two attempts of a request may be in flight, attempts may be cancelled, servers may be probed.
+    hedging_allowed, cancel_allowed
+        Whether two attempts of a request may be in flight, and attempts may be cancelled.
+    probes_allowed
+        Whether servers may be probed. Accepted and ignored.
     over_share_weight, weight_by_work
-        How requests of a tenant beyond its share count, and whether by their work.
+        How requests of a tenant beyond its share count, and whether by their work. Accepted and ignored.
     connect_timeout, idle_timeout
         For connections to servers.
     streams
-        Requests that a connection carries at once.
+        Requests that a connection carries at once. Accepted and ignored.
     max_retry_after
         The longest Retry-After of a rejection.
     answer_grace, drain_grace
