--- a/hollybay/balancing/attempt_tracking.py
+++ b/hollybay/balancing/attempt_tracking.py
@@ -6,7 +6,7 @@
 from .interface import AttemptFinished, RequestCompleted, ResponseStarted, Send, ServerState
 from .server_pool import remove_from_idle
 from .slow_start import SlowStart
-from .state import Attempt, PendingRequest, Server
+from .state import TrackedAttempt, TrackedRequest, TrackedServer
 
 __all__ = ["AttemptTracker"]
 
@@ -29,11 +29,11 @@
         self.selector = context.selector
         self.queueing_delay = context.load_shedder.queueing_delay
 
-    def send(self, request: PendingRequest, server: Server) -> None:
+    def send(self, request: TrackedRequest, server: TrackedServer) -> None:
         """Start an attempt of a request at a server."""
         now = self.context.now
         write_deadline = self.retry_policy.write_deadline(request)
-        attempt = Attempt(server, now)
+        attempt = TrackedAttempt(server, now)
         request.attempts.append(attempt)
         request.in_flight_attempts += 1
         self.estimates.traffic_share.record_attempt()
@@ -65,7 +65,7 @@
         self._discount(attempt)
         self.selector.schedule_idle(attempt.server)
 
-    def finish(self, request: PendingRequest, attempt: Attempt, event: AttemptFinished) -> None:
+    def finish(self, request: TrackedRequest, attempt: TrackedAttempt, event: AttemptFinished) -> None:
         """Record a result, learn from it, and take its server for idle again, eject it or forget it."""
         attempt.result = event.result
         request.in_flight_attempts -= 1
@@ -80,14 +80,14 @@
         else:
             self.selector.schedule_idle(server)
 
-    def _count(self, attempt: Attempt) -> None:
+    def _count(self, attempt: TrackedAttempt) -> None:
         """Count an attempt among those in flight at its server."""
         attempt.is_counted = True
         self.queueing_delay.attempt_started(self.context.now)
         attempt.server.in_flight += 1
         remove_from_idle(attempt.server)
 
-    def _discount(self, attempt: Attempt) -> None:
+    def _discount(self, attempt: TrackedAttempt) -> None:
         """Take an attempt out of those in flight at its server."""
         if attempt.is_counted:
             attempt.is_counted = False
--- a/hollybay/balancing/balancer.py
+++ b/hollybay/balancing/balancer.py
@@ -35,7 +35,7 @@
 )
 from .request_acceptance import RequestAcceptance
 from .server_updates import ServerUpdates
-from .state import Server
+from .state import TrackedServer
 from .wakeup_dispatch import WakeupDispatch
 
 __all__ = ["Balancer"]
@@ -69,7 +69,7 @@
         self.settings = settings
         self.random = context.random
         self.requests = context.requests
-        self.servers: dict[ServerId, Server] = context.endpoints.servers
+        self.servers: dict[ServerId, TrackedServer] = context.endpoints.servers
         self.estimates = context.estimates
         self.retry_policy = context.retry_policy
         self.load_shedder = context.load_shedder
--- a/hollybay/balancing/cross_zone.py
+++ b/hollybay/balancing/cross_zone.py
@@ -6,7 +6,7 @@
 
 from .estimates import REVIEW_INTERVAL_NS, Estimates
 from .interface import Result, Settings, WeightMode
-from .state import Attempt, Server
+from .state import TrackedAttempt, TrackedServer
 
 __all__ = ["SPEED_CLASS_RATIO", "CrossZoneRouter", "expected_queue"]
 
@@ -36,7 +36,7 @@
 REPORTED_LOAD_REMAINING = 0.25
 
 
-def expected_queue(server: Server) -> float:
+def expected_queue(server: TrackedServer) -> float:
     """Return the requests likely at a server: those known in flight, or what is left of the reported load."""
     return max(float(server.in_flight), REPORTED_LOAD_REMAINING * server.reported_load)
 
@@ -125,7 +125,7 @@
                 error = 0.5 * (load_error + error)
         return max(-1.0, min(1.0, error))
 
-    def remote_first_share(self, attempts: list[Attempt]) -> float:
+    def remote_first_share(self, attempts: list[TrackedAttempt]) -> float:
         """Return the share (0 to 1) of requests that go remote first, by a request's attempts so far."""
         if attempts:
             last = attempts[-1]
@@ -133,7 +133,7 @@
                 return 1.0
         return self.estimates.zone_reachability.remote_first_share(self.remote_share)
 
-    def prefer(self, class_index: int, local: Server, remote: Server | None) -> Server:
+    def prefer(self, class_index: int, local: TrackedServer, remote: TrackedServer | None) -> TrackedServer:
         """Return a remote server in place of a busy local one where that is worth the price of crossing.
 
         The share that crosses follows answers, and lags seconds behind a queue of this node's own. What the
@@ -149,7 +149,7 @@
         price = MIN_SAVING_PER_PRICE * self.settings.prices.cross_zone * self.estimates.offered_weight
         return remote if saved > price else local
 
-    def _late_probability(self, class_index: int, server: Server) -> float:
+    def _late_probability(self, class_index: int, server: TrackedServer) -> float:
         """Return how likely one more request there is late, were response times exponential."""
         service_time = self.estimates.service_times.by_class[class_index]
         mean = service_time * (1.0 + expected_queue(server)) / (server.size * server.slow_start_factor)
--- a/hollybay/balancing/decision_context.py
+++ b/hollybay/balancing/decision_context.py
@@ -12,7 +12,7 @@
 from .load_shedding import LoadShedder
 from .retries import RetryPolicy
 from .server_selection import ServerSelector
-from .state import PendingRequest
+from .state import TrackedRequest
 from .wakeups import WakeupQueue
 
 __all__ = ["DecisionContext"]
@@ -63,7 +63,7 @@
         self.random = Random(seed)
         self.now = now
         self.actions: list[Action] = []
-        self.requests: dict[int, PendingRequest] = {}
+        self.requests: dict[int, TrackedRequest] = {}
         self.wakeups = WakeupQueue()
         self.endpoints = Endpoints(settings, now)
         self.estimates = Estimates(settings, now)
--- a/hollybay/balancing/endpoints.py
+++ b/hollybay/balancing/endpoints.py
@@ -8,7 +8,7 @@
 from .interface import Server as ServerEntry
 from .outlier_ejection import FIRST_EJECTION_NS
 from .rendezvous import rendezvous_rank
-from .state import Server
+from .state import TrackedServer
 from .units import SECOND
 
 __all__ = ["Endpoints"]
@@ -47,7 +47,7 @@
 
     def __init__(self, settings: Settings, now: int) -> None:
         self.settings = settings
-        self.servers: dict[ServerId, Server] = {}
+        self.servers: dict[ServerId, TrackedServer] = {}
         self.returned: list[ServerId] = []
         self.listed_at = now
         self.list_interval = float(SECOND)
@@ -74,12 +74,12 @@
                     server.state = ServerState.GONE
         self._remove_gone()
 
-    def _add(self, server_id: ServerId) -> Server:
-        server = self.servers[server_id] = Server(server_id, FIRST_EJECTION_NS)
+    def _add(self, server_id: ServerId) -> TrackedServer:
+        server = self.servers[server_id] = TrackedServer(server_id, FIRST_EJECTION_NS)
         server.ownership_rank = rendezvous_rank(server_id, self.settings.node, self.settings.nodes)
         return server
 
-    def _update(self, server: Server, entry: ServerEntry, now: int) -> None:
+    def _update(self, server: TrackedServer, entry: ServerEntry, now: int) -> None:
         """Take over what a list says of a server."""
         if entry.up_since and entry.up_since > server.up_since:
             self._restarted(server, entry.up_since, now)
@@ -99,7 +99,7 @@
         else:
             server.nominal_size = entry.weight
 
-    def _restarted(self, server: Server, up_since: int, now: int) -> None:
+    def _restarted(self, server: TrackedServer, up_since: int, now: int) -> None:
         """Forget what was known of a server's old process."""
         server.slowdown = 1.0
         server.failure_rate = 0.0
--- a/hollybay/balancing/estimates.py
+++ b/hollybay/balancing/estimates.py
@@ -7,7 +7,7 @@
 from .outlier_ejection import OutlierEjector
 from .reported_failures import REPORT_LIFETIME_NS, ReportedFailures
 from .service_times import ServiceTimes
-from .state import PendingRequest, Server
+from .state import TrackedRequest, TrackedServer
 from .tenant_rejections import TENANT_EXCLUSION_NS, TenantRejections
 from .traffic_share import TrafficShare
 from .units import SECOND
@@ -132,7 +132,7 @@
     # Results of attempts
 
     def observe(
-        self, server: Server, request: PendingRequest, event: AttemptFinished, now: int, stale: bool
+        self, server: TrackedServer, request: TrackedRequest, event: AttemptFinished, now: int, stale: bool
     ) -> bool:
         """Take in how an attempt ended.
 
@@ -176,7 +176,7 @@
             return False
         return self._observe_failure(server, request, event, now)
 
-    def _observe_connect(self, server: Server, result: Result, local: bool, now: int) -> None:
+    def _observe_connect(self, server: TrackedServer, result: Result, local: bool, now: int) -> None:
         """Record whether the server's zone is reachable, and whether the server has restarted."""
         if result == Result.CONNECT_FAILED:
             self.zone_reachability.observe_connect(local, True, self.answer_weight)
@@ -213,7 +213,7 @@
             self.remote_lateness += weight * (late - self.remote_lateness)
 
     def _observe_success(
-        self, server: Server, request: PendingRequest, event: AttemptFinished, now: int, stale: bool
+        self, server: TrackedServer, request: TrackedRequest, event: AttemptFinished, now: int, stale: bool
     ) -> None:
         """Learn from a full answer: the server is healthy, and has this speed."""
         index = request.class_index
@@ -237,7 +237,7 @@
             self.mean_slowdown += KIND_SLOWDOWN_WEIGHT * (slowdown - self.mean_slowdown)
 
     def _observe_failure(
-        self, server: Server, request: PendingRequest, event: AttemptFinished, now: int
+        self, server: TrackedServer, request: TrackedRequest, event: AttemptFinished, now: int
     ) -> bool:
         """Learn from an attempt that failed; True where its server is ejected now."""
         result = event.result
@@ -252,7 +252,7 @@
             self._observe_timeout(server, request, event.rtt)
         return self.outlier_ejector.observe_failure(server, request.attempts[event.attempt], result, now)
 
-    def _observe_timeout(self, server: Server, request: PendingRequest, rtt: int) -> None:
+    def _observe_timeout(self, server: TrackedServer, request: TrackedRequest, rtt: int) -> None:
         """Learn a server's slowdown from an attempt that was given up after a time (ns)."""
         mean = self.response_times[request.class_index]
         if mean > 0.0:
--- a/hollybay/balancing/final_answers.py
+++ b/hollybay/balancing/final_answers.py
@@ -5,7 +5,7 @@
 from .decision_context import DecisionContext
 from .interface import Action, Cancel, ClientDisconnected, Fail, Reject
 from .retries import is_client_retry_harmless
-from .state import PendingRequest, RequestPhase
+from .state import RequestPhase, TrackedRequest
 
 __all__ = ["FinalAnswers"]
 
@@ -25,11 +25,11 @@
         self.requests = context.requests
         self.load_shedder = context.load_shedder
 
-    def reject(self, request: PendingRequest) -> None:
+    def reject(self, request: TrackedRequest) -> None:
         """Reject a request for overload."""
         self.finish(request, Reject(request.id, self.load_shedder.retry_after(request)))
 
-    def give_up(self, request: PendingRequest) -> None:
+    def give_up(self, request: TrackedRequest) -> None:
         """Give the final answer of a request that gets no further attempt."""
         if not is_client_retry_harmless(self.settings.classes[request.class_index], request.attempts):
             self.finish(request, Fail(request.id))
@@ -38,7 +38,7 @@
         else:
             self.finish(request, Reject(request.id, 0))
 
-    def finish(self, request: PendingRequest, action: Action | None) -> None:
+    def finish(self, request: TrackedRequest, action: Action | None) -> None:
         """End a request with an action, or with None where the client has its answer or has left."""
         request.phase = RequestPhase.FINISHED
         actions = self.context.actions
--- a/hollybay/balancing/further_attempts.py
+++ b/hollybay/balancing/further_attempts.py
@@ -8,7 +8,7 @@
 from .interface import AttemptFinished
 from .load_shedding import SHEDDING_LOSS_SHARE
 from .retries import ANYWHERE, RetryScope, is_client_retry_harmless
-from .state import PendingRequest, RequestPhase, Server
+from .state import RequestPhase, TrackedRequest, TrackedServer
 from .units import MS
 from .wakeups import WakeupKind
 
@@ -79,7 +79,7 @@
             request.phase = RequestPhase.ACTIVE
             self._retry(request)
 
-    def wait(self, request: PendingRequest) -> None:
+    def wait(self, request: TrackedRequest) -> None:
         """Hold a request for which no server may be used, while there is time, or give it up."""
         request.phase = RequestPhase.WAITING
         now = self.context.now
@@ -88,7 +88,7 @@
             return
         self.wakeups.schedule(now + self.server_wait, WakeupKind.SERVER_WAIT, request.id)
 
-    def _retry(self, request: PendingRequest) -> None:
+    def _retry(self, request: TrackedRequest) -> None:
         """Send a request with no attempt in flight again where that is safe and allowed, or give it up."""
         scope = self.retry_policy.scope_of(request, self.context.now, self.settings.hedging_allowed)
         if scope is None or not self._may_retry(request):
@@ -108,7 +108,7 @@
             self.retry_policy.retry_tokens -= 1.0
         self.attempts.send(request, server)
 
-    def _may_retry(self, request: PendingRequest) -> bool:
+    def _may_retry(self, request: TrackedRequest) -> bool:
         """Whether there is time for a further attempt, and a retry left where it is one."""
         if request.deadline - self.context.now <= MIN_RETRY_TICKS * self.settings.tick:
             return False
@@ -121,7 +121,7 @@
             return True
         return not is_client_retry_harmless(self.settings.classes[request.class_index], request.attempts)
 
-    def _pick(self, request: PendingRequest, scope: RetryScope) -> Server | None:
+    def _pick(self, request: TrackedRequest, scope: RetryScope) -> TrackedServer | None:
         if scope is ANYWHERE:
             return self.selector.pick(request, self.context.now)
         return self.selector.pick_within(request, scope, self.context.now)
--- a/hollybay/balancing/hedging.py
+++ b/hollybay/balancing/hedging.py
@@ -9,7 +9,7 @@
 from .interface import Effect, Limits, RequestClass, Settings
 from .retries import ANYWHERE, RetryPolicy
 from .server_selection import ServerSelector
-from .state import PendingRequest, Server
+from .state import TrackedRequest, TrackedServer
 
 __all__ = ["Hedging"]
 
@@ -53,7 +53,7 @@
             return None
         return limits.hedge_delay or cls.latency_objective // OBJECTIVE_DIVISOR
 
-    def pick(self, request: PendingRequest, now: int) -> Server | None:
+    def pick(self, request: TrackedRequest, now: int) -> TrackedServer | None:
         """Return the server of a request's hedge, and charge the budgets for it; None for no hedge."""
         policy = self.retry_policy
         if request.in_flight_attempts != 1 or request.streaming or policy.hedge_tokens < 1.0:
--- a/hollybay/balancing/load_shedding.py
+++ b/hollybay/balancing/load_shedding.py
@@ -15,7 +15,7 @@
 from .interface import Request, Settings
 from .priority_distribution import ascending_priority, distribute_by_priority
 from .queueing_delay import QueueingDelay
-from .state import PendingRequest, Server
+from .state import TrackedRequest, TrackedServer
 
 __all__ = ["SHEDDING_LOSS_SHARE", "LoadShedder"]
 
@@ -168,7 +168,7 @@
                 return True
         return event.free_slot_share < self.min_free_slots[event.class_index]
 
-    def rejects_for_load(self, class_index: int, server: Server | None, now: int) -> bool:
+    def rejects_for_load(self, class_index: int, server: TrackedServer | None, now: int) -> bool:
         """Whether a request is rejected for the servers' load.
 
         Parameters
@@ -194,7 +194,7 @@
         """Whether attempts take the shortest latency objective or longer at present."""
         return self.queueing_delay.estimate(now) >= self.shortest_objective
 
-    def retry_after(self, request: PendingRequest) -> int:
+    def retry_after(self, request: TrackedRequest) -> int:
         """Return the time (ns) after which a client rejected for overload may come back."""
         if request.limits is None or not request.limits.retry_after[1]:
             return self.settings.max_retry_after
--- a/hollybay/balancing/outlier_ejection.py
+++ b/hollybay/balancing/outlier_ejection.py
@@ -7,7 +7,7 @@
 from __future__ import annotations
 
 from .interface import Result
-from .state import Attempt, Server
+from .state import TrackedAttempt, TrackedServer
 from .units import SECOND
 
 __all__ = ["FIRST_EJECTION_NS", "OutlierEjector"]
@@ -48,7 +48,7 @@
         self.unresponsive_after = unresponsive_after
         self.failure_rate = 0.0
 
-    def observe_success(self, server: Server, now: int) -> None:
+    def observe_success(self, server: TrackedServer, now: int) -> None:
         """Record a full answer that came at a time (ns)."""
         self.failure_rate *= 1.0 - OVERALL_FAILURE_WEIGHT
         server.failure_rate *= 1.0 - FAILURE_WEIGHT
@@ -61,7 +61,9 @@
         server.consecutive_timeouts = 0
         server.last_answer_at = now
 
-    def observe_failure(self, server: Server, attempt: Attempt, result: Result, now: int) -> bool:
+    def observe_failure(
+        self, server: TrackedServer, attempt: TrackedAttempt, result: Result, now: int
+    ) -> bool:
         """Record a failed attempt, other than a rejection.
 
         Parameters
@@ -93,14 +95,14 @@
         server.on_probation = True
         return True
 
-    def _is_unresponsive(self, server: Server, now: int) -> bool:
+    def _is_unresponsive(self, server: TrackedServer, now: int) -> bool:
         """Whether timeouts are failures: an overloaded server still answers some, a dead one none."""
         return (
             server.consecutive_timeouts >= MAX_CONSECUTIVE_TIMEOUTS
             and now - server.last_answer_at >= self.unresponsive_after
         )
 
-    def _is_outlier(self, server: Server, attempt: Attempt, now: int) -> bool:
+    def _is_outlier(self, server: TrackedServer, attempt: TrackedAttempt, now: int) -> bool:
         if server.consecutive_timeouts >= MAX_CONSECUTIVE_TIMEOUTS:
             return True
         if server.on_probation:
--- a/hollybay/balancing/pool_builder.py
+++ b/hollybay/balancing/pool_builder.py
@@ -15,7 +15,7 @@
 from .reported_failures import EXCLUSION_FAILURE_RATE, EXPIRED_REPORT_DECAY
 from .server_pool import ServerPool
 from .slow_start import SlowStart
-from .state import Server, SpeedClass
+from .state import SpeedClass, TrackedServer
 from .units import SECOND
 
 __all__ = ["PoolBuilder", "Pools"]
@@ -116,11 +116,11 @@
 
     # Sizes and loads
 
-    def _update_sizes(self, now: int) -> list[Server]:
+    def _update_sizes(self, now: int) -> list[TrackedServer]:
         """Take all servers out of their speed classes, and renew size and load of those that are ready."""
         endpoints = self.endpoints
         freshness = endpoints.update_freshness(now)
-        ready: list[Server] = []
+        ready: list[TrackedServer] = []
         for server in endpoints.servers.values():
             server.idle_position = -1
             server.speed_class = None
@@ -136,19 +136,19 @@
         return ready
 
     @staticmethod
-    def _without_ejected(ready: list[Server], total_size: float, now: int) -> list[Server]:
+    def _without_ejected(ready: list[TrackedServer], total_size: float, now: int) -> list[TrackedServer]:
         ejected_size = _total_size([server for server in ready if server.ejected_until > now])
         if ejected_size > MAX_EJECTED_SHARE * total_size:
             return ready
         return [server for server in ready if server.ejected_until <= now]
 
-    def _by_zone(self, servers: list[Server]) -> tuple[list[Server], list[Server]]:
+    def _by_zone(self, servers: list[TrackedServer]) -> tuple[list[TrackedServer], list[TrackedServer]]:
         zone = self.settings.zone
         local = [server for server in servers if server.zone == zone]
         remote = [server for server in servers if server.zone != zone]
         return local, remote
 
-    def _reported_loads(self, ready: list[Server]) -> tuple[float, float]:
+    def _reported_loads(self, ready: list[TrackedServer]) -> tuple[float, float]:
         """Return the requests at the servers of the local and of the remote zones, relative to cores."""
         local = remote = 0.0
         for server in ready:
@@ -170,7 +170,7 @@
     # Pools
 
     def _build_pool(
-        self, servers: list[Server], requests: float, now: int, reporting_peers: int
+        self, servers: list[TrackedServer], requests: float, now: int, reporting_peers: int
     ) -> tuple[ServerPool, float]:
         """Return the pool of some servers, and their mean load, where `requests` are at them."""
         if not servers:
@@ -179,7 +179,7 @@
         speed_classes = self._build_speed_classes(servers, now, reporting_peers)
         all_excluded = all(server.reported_failure_rate >= EXCLUSION_FAILURE_RATE for server in servers)
         cumulative_capacity: list[float] = []
-        drawn: list[Server] = []
+        drawn: list[TrackedServer] = []
         capacity = 0.0
         for server in servers:
             excluded = server.reported_failure_rate >= EXCLUSION_FAILURE_RATE and not all_excluded
@@ -190,7 +190,7 @@
         pool = ServerPool(speed_classes, cumulative_capacity, drawn, self.random)
         return pool, requests / sum(server.size * server.slow_start_factor for server in servers)
 
-    def _update_capacities(self, servers: list[Server], now: int) -> None:
+    def _update_capacities(self, servers: list[TrackedServer], now: int) -> None:
         """Renew each server's effective capacity: by its age, load, speed and failures."""
         endpoints, estimates = self.endpoints, self.estimates
         size = sum(server.size for server in servers)
@@ -213,7 +213,9 @@
             if server.on_probation:
                 server.effective_capacity *= PROBATION_CAPACITY_SHARE
 
-    def _build_speed_classes(self, servers: list[Server], now: int, reporting_peers: int) -> list[SpeedClass]:
+    def _build_speed_classes(
+        self, servers: list[TrackedServer], now: int, reporting_peers: int
+    ) -> list[SpeedClass]:
         """Sort servers into speed classes, the fastest first, and list the idle ones."""
         estimates = self.estimates
         # Which nodes list a server as idle: few, or where nodes report their load all whose connections fit.
@@ -238,7 +240,7 @@
             heapify(speed_class.pending_idle)
         return [by_speed[speed] for speed in sorted(by_speed, reverse=True)]
 
-    def _list_idle(self, server: Server, speed_class: SpeedClass, now: int) -> None:
+    def _list_idle(self, server: TrackedServer, speed_class: SpeedClass, now: int) -> None:
         if server.slow_start_factor < 1.0:
             server.idle_from = max(server.idle_from, server.slow_start_send_at)
         if server.idle_from <= now:
@@ -248,14 +250,14 @@
             speed_class.pending_idle.append((server.idle_from, next(self.tie_breaks), server))
 
 
-def _total_size(servers: list[Server]) -> float:
+def _total_size(servers: list[TrackedServer]) -> float:
     total = 0.0
     for server in servers:
         total += server.size
     return total
 
 
-def _failure_rate(server: Server, now: int) -> float:
+def _failure_rate(server: TrackedServer, now: int) -> float:
     """Return the failure rate that the server reports, or else that of this node's attempts there."""
     if server.reported_failure_until > now:
         return server.reported_failure_rate
@@ -264,7 +266,7 @@
     return server.failure_rate
 
 
-def _in_idle_index(server: Server, index_share: float) -> bool:
+def _in_idle_index(server: TrackedServer, index_share: float) -> bool:
     """Whether this node may list a server as idle: as one of its owners, or on probation, or starting."""
     if server.on_probation:
         return True
--- a/hollybay/balancing/request_acceptance.py
+++ b/hollybay/balancing/request_acceptance.py
@@ -7,7 +7,7 @@
 from .final_answers import FinalAnswers
 from .further_attempts import FurtherAttempts
 from .interface import Fail, Request
-from .state import PendingRequest
+from .state import TrackedRequest
 from .wakeups import WakeupKind
 
 __all__ = ["RequestAcceptance"]
@@ -53,7 +53,7 @@
         now = self.context.now
         self.estimates.arrivals += 1
         self.retry_policy.record_request()
-        request = self.requests[event.id] = PendingRequest(event, now)
+        request = self.requests[event.id] = TrackedRequest(event, now)
         if event.class_index >= len(self.settings.classes):
             self.answers.finish(request, Fail(event.id))
             return
--- a/hollybay/balancing/retries.py
+++ b/hollybay/balancing/retries.py
@@ -8,7 +8,7 @@
 
 from .interface import NEVER_RAN, DeduplicationScope, Effect, Limits, RequestClass, Settings
 from .retry_budgets import RetryBudgets
-from .state import Attempt, PendingRequest, Server
+from .state import TrackedAttempt, TrackedRequest, TrackedServer
 
 __all__ = ["ANYWHERE", "RetryPolicy", "RetryScope", "allowed_scope", "is_client_retry_harmless"]
 
@@ -30,7 +30,7 @@
         self.zone = zone
         self.cell = cell
 
-    def allows(self, server: Server) -> bool:
+    def allows(self, server: TrackedServer) -> bool:
         """Whether a server is within the scope."""
         return (self.zone < 0 or server.zone == self.zone) and (self.cell < 0 or server.cell == self.cell)
 
@@ -38,12 +38,12 @@
 ANYWHERE = RetryScope()
 
 
-def may_have_run(attempt: Attempt) -> bool:
+def may_have_run(attempt: TrackedAttempt) -> bool:
     """Whether an attempt, finished or in flight, can have had an effect."""
     return attempt.result not in NEVER_RAN
 
 
-def deduplication_deadline(first: Attempt, cls: RequestClass, route_window: int, slack: int) -> int:
+def deduplication_deadline(first: TrackedAttempt, cls: RequestClass, route_window: int, slack: int) -> int:
     """Return the time (ns) after which servers may not recognise a duplicate any more.
 
     Parameters
@@ -62,7 +62,7 @@
 
 def allowed_scope(
     cls: RequestClass,
-    attempts: list[Attempt],
+    attempts: list[TrackedAttempt],
     now: int,
     hedging_allowed: bool,
     max_attempts: int,
@@ -92,7 +92,7 @@
     """
     if len(attempts) >= max_attempts:
         return None
-    first: Attempt | None = None
+    first: TrackedAttempt | None = None
     for attempt in attempts:
         if attempt.result is None and not hedging_allowed:
             return None
@@ -111,7 +111,7 @@
 
 def narrowed_scope(
     cls: RequestClass,
-    attempts: list[Attempt],
+    attempts: list[TrackedAttempt],
     now: int,
     scope: RetryScope | None,
     limits: Limits,
@@ -135,7 +135,7 @@
     return scope
 
 
-def is_client_retry_harmless(cls: RequestClass, attempts: list[Attempt]) -> bool:
+def is_client_retry_harmless(cls: RequestClass, attempts: list[TrackedAttempt]) -> bool:
     """Whether a client may be told that trying again is harmless."""
     if cls.effect == Effect.SAFE:
         return True
@@ -171,7 +171,7 @@
         self.hedge_tokens = min(self.hedge_tokens + HEDGES_PER_REQUEST, MAX_SAVED_HEDGES)
         self.retry_tokens = min(self.retry_tokens + RETRIES_PER_REQUEST, MAX_SAVED_RETRIES)
 
-    def scope_of(self, request: PendingRequest, now: int, hedging_allowed: bool) -> RetryScope | None:
+    def scope_of(self, request: TrackedRequest, now: int, hedging_allowed: bool) -> RetryScope | None:
         """Return where a further attempt may go by the request's class, the settings and its route."""
         settings = self.settings
         cls = settings.classes[request.class_index]
@@ -182,7 +182,7 @@
             scope = narrowed_scope(cls, attempts, now, scope, request.limits, slack)
         return scope
 
-    def write_deadline(self, request: PendingRequest) -> int:
+    def write_deadline(self, request: TrackedRequest) -> int:
         """Return when (ns) the last byte of a further attempt must be sent; 0 for no such time."""
         if not request.attempts:
             return 0
--- a/hollybay/balancing/server_pool.py
+++ b/hollybay/balancing/server_pool.py
@@ -10,7 +10,7 @@
 from heapq import heappop, heappush
 from random import Random
 
-from .state import Server, SpeedClass
+from .state import SpeedClass, TrackedServer
 
 __all__ = ["ServerPool", "remove_from_idle", "schedule_idle"]
 
@@ -18,7 +18,7 @@
 WEIGHTED_DRAWS = 4
 
 
-def remove_from_idle(server: Server) -> None:
+def remove_from_idle(server: TrackedServer) -> None:
     """Take a server that has an attempt in flight off the list of idle ones."""
     if server.idle_position < 0 or server.speed_class is None:
         return
@@ -30,7 +30,7 @@
     server.idle_position = -1
 
 
-def schedule_idle(server: Server, tie_break: int) -> None:
+def schedule_idle(server: TrackedServer, tie_break: int) -> None:
     """Have a server taken for idle from its time on, if it may be and nothing is in flight there.
 
     Parameters
@@ -67,7 +67,7 @@
         self,
         speed_classes: list[SpeedClass],
         cumulative_capacity: list[float],
-        servers: list[Server],
+        servers: list[TrackedServer],
         random: Random,
     ) -> None:
         self.speed_classes = speed_classes
@@ -75,7 +75,7 @@
         self.servers = servers
         self.random = random
 
-    def pick_idle(self, now: int) -> Server | None:
+    def pick_idle(self, now: int) -> TrackedServer | None:
         """Return a uniformly random idle server of the fastest speed class that has one."""
         for speed_class in self.speed_classes:
             pending = speed_class.pending_idle
@@ -94,7 +94,7 @@
                 return idle[int(self.random.random() * len(idle))]
         return None
 
-    def draw(self, now: int, keepalive: int) -> Server | None:
+    def draw(self, now: int, keepalive: int) -> TrackedServer | None:
         """Return a server drawn by capacity: of a few draws the first that needs no new connection.
 
         A connection costs the server work, the first request time, and all nodes together a price. Drawn from
@@ -110,7 +110,7 @@
         if not self.servers:
             return None
         sums = self.cumulative_capacity
-        first: Server | None = None
+        first: TrackedServer | None = None
         for _ in range(WEIGHTED_DRAWS):
             position = bisect_right(sums, self.random.random() * sums[-1])
             server = self.servers[min(position, len(self.servers) - 1)]
--- a/hollybay/balancing/server_selection.py
+++ b/hollybay/balancing/server_selection.py
@@ -18,7 +18,7 @@
 from .reported_failures import UNSAFE_FAILURE_RATE
 from .retries import ANYWHERE, RetryScope
 from .server_pool import remove_from_idle, schedule_idle
-from .state import PendingRequest, Server
+from .state import TrackedRequest, TrackedServer
 
 __all__ = ["ServerSelector"]
 
@@ -74,7 +74,7 @@
         """Build the pools anew: at each review and each list."""
         self.local, self.remote, self.largest_size = self.builder.build(now, self.reporting_peers)
 
-    def schedule_idle(self, server: Server) -> None:
+    def schedule_idle(self, server: TrackedServer) -> None:
         """Have a server taken for idle again, once its time has come."""
         schedule_idle(server, next(self.tie_breaks))
 
@@ -92,18 +92,18 @@
             else:
                 self.schedule_idle(server)
 
-    def eject(self, server: Server) -> None:
+    def eject(self, server: TrackedServer) -> None:
         """Stop sending to a server, until a review finds its ejection over."""
         remove_from_idle(server)
         server.speed_class = None
 
     # Picks
 
-    def pick_idle_local(self, now: int) -> Server | None:
+    def pick_idle_local(self, now: int) -> TrackedServer | None:
         """Return an idle server of the fastest local speed class that has one."""
         return self.local.pick_idle(now)
 
-    def pick(self, request: PendingRequest, now: int) -> Server | None:
+    def pick(self, request: TrackedRequest, now: int) -> TrackedServer | None:
         """Return the server of a request's next attempt, wherever it may go; None where none may be used."""
         attempts = request.attempts
         if self.endpoints.returned and not attempts:
@@ -111,7 +111,7 @@
             if returned is not None:
                 return returned
         remote_share = self.cross_zone.remote_first_share(attempts) if self.remote.speed_classes else 0.0
-        server: Server | None = None
+        server: TrackedServer | None = None
         for _ in range(MAX_PICKS):
             server = self._pick_any(request, remote_share, now)
             if server is None:
@@ -123,16 +123,16 @@
             return self.pick_within(request, ANYWHERE, now) or server
         return server
 
-    def _pick_any(self, request: PendingRequest, remote_share: float, now: int) -> Server | None:
+    def _pick_any(self, request: TrackedRequest, remote_share: float, now: int) -> TrackedServer | None:
         """Return a server, remote first for a share of requests."""
-        server: Server | None = None
+        server: TrackedServer | None = None
         if remote_share > 0.0 and self.random.random() < remote_share:
             server = self._pick_remote(now)
         if server is None:
             server = self.local.pick_idle(now) or self._draw_local(request, now)
         return server or self._pick_remote(now)
 
-    def _draw_local(self, request: PendingRequest, now: int) -> Server | None:
+    def _draw_local(self, request: TrackedRequest, now: int) -> TrackedServer | None:
         """Return a local server by capacity, or a remote one where it is busy and that is worth the price."""
         server = self.local.draw(now, self.keepalive)
         if server is None or not server.in_flight or not self.remote.speed_classes:
@@ -141,10 +141,10 @@
             return server
         return self.cross_zone.prefer(request.class_index, server, self._pick_remote(now))
 
-    def _pick_remote(self, now: int) -> Server | None:
+    def _pick_remote(self, now: int) -> TrackedServer | None:
         return self.remote.pick_idle(now) or self.remote.draw(now, self.keepalive)
 
-    def _pick_returned(self, request: PendingRequest, now: int) -> Server | None:
+    def _pick_returned(self, request: TrackedRequest, now: int) -> TrackedServer | None:
         """Return a server that came back from draining, once.
 
         How it does is not known yet, and if it is slow or remote the other picks may not reach it for long.
@@ -165,7 +165,7 @@
             return server
         return None
 
-    def pick_within(self, request: PendingRequest, scope: RetryScope, now: int) -> Server | None:
+    def pick_within(self, request: TrackedRequest, scope: RetryScope, now: int) -> TrackedServer | None:
         """Return a server within a scope that has not been tried; keyed retries are rare, so it scans all."""
         tried = [attempt.server for attempt in request.attempts]
         candidates = [
@@ -188,7 +188,7 @@
             ),
         )
 
-    def _excludes(self, server: Server, request: PendingRequest, now: int) -> bool:
+    def _excludes(self, server: TrackedServer, request: TrackedRequest, now: int) -> bool:
         """Whether a server lately rejected the request's tenant, or may fail what must not be retried."""
         if server.reported_failure_rate > UNSAFE_FAILURE_RATE:
             unsafe = self.settings.classes[request.class_index].effect == Effect.UNSAFE
--- a/hollybay/balancing/service_times.py
+++ b/hollybay/balancing/service_times.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Sequence
 
-from .state import Server
+from .state import TrackedServer
 
 __all__ = ["MIN_SAMPLES", "ServiceTimes"]
 
@@ -72,7 +72,13 @@
             self.mean = self._longest_objective
 
     def observe(
-        self, server: Server, class_index: int, rtt: int, in_flight: int, stale: bool, servers_busy: bool
+        self,
+        server: TrackedServer,
+        class_index: int,
+        rtt: int,
+        in_flight: int,
+        stale: bool,
+        servers_busy: bool,
     ) -> None:
         """Take in an answer.
 
--- a/hollybay/balancing/slow_start.py
+++ b/hollybay/balancing/slow_start.py
@@ -10,7 +10,7 @@
 from random import Random
 
 from .interface import Settings
-from .state import Server
+from .state import TrackedServer
 
 __all__ = ["SLOW_START_BUDGET_SHARE", "SlowStart", "send_interval"]
 
@@ -58,7 +58,7 @@
         self.settings = settings
         self.random = random
 
-    def factor(self, server: Server, now: int) -> float:
+    def factor(self, server: TrackedServer, now: int) -> float:
         """Return the least share (0 to 1) of its size that a server can do at its age.
 
         It grows linearly from cold_share to 1 over the warm-up time.
@@ -70,7 +70,7 @@
         cold_share = self.settings.cold_share
         return cold_share + (1.0 - cold_share) * max(0, age) / warm_up
 
-    def update_interval(self, server: Server, service_time: float, nodes: float, now: int) -> None:
+    def update_interval(self, server: TrackedServer, service_time: float, nodes: float, now: int) -> None:
         """Renew the send interval of a starting server.
 
         Parameters
@@ -93,7 +93,7 @@
             server.slow_start_send_at = now + int(self.random.random() * interval)
 
     @staticmethod
-    def record_send(server: Server, now: int) -> None:
+    def record_send(server: TrackedServer, now: int) -> None:
         """Charge one request that was sent to a starting server at a time (ns)."""
         server.slow_start_send_at = max(server.slow_start_send_at, now) + server.slow_start_interval
         server.idle_from = max(server.idle_from, server.slow_start_send_at)
--- a/hollybay/balancing/state.py
+++ b/hollybay/balancing/state.py
@@ -11,16 +11,16 @@
 from .interface import Limits, Request, Result, ServerId, ServerState
 
 __all__ = [
-    "Attempt",
-    "PendingRequest",
     "RequestPhase",
-    "Server",
     "SpeedClass",
+    "TrackedAttempt",
+    "TrackedRequest",
+    "TrackedServer",
 ]
 
 
-class Server:
-    """What this node knows of a server.
+class TrackedServer:
+    """What the balancer knows of a server.
 
     Parameters
     ----------
@@ -129,8 +129,8 @@
     __slots__ = ("idle", "pending_idle")
 
     def __init__(self) -> None:
-        self.idle: list[Server] = []
-        self.pending_idle: list[tuple[int, int, Server]] = []
+        self.idle: list[TrackedServer] = []
+        self.pending_idle: list[tuple[int, int, TrackedServer]] = []
 
 
 class RequestPhase(Enum):
@@ -141,8 +141,8 @@
     FINISHED = 2  # answered, or the client has left; attempts may still be in flight
 
 
-class PendingRequest:
-    """A request that this node has to answer, or whose attempts are still in flight."""
+class TrackedRequest:
+    """What the balancer knows of a request that has no final answer, or has attempts in flight."""
 
     __slots__ = (
         "attempts",
@@ -168,16 +168,16 @@
         self.phase = RequestPhase.ACTIVE
         self.body_pending = event.body_pending  # its last byte has not come yet
         self.streaming = False  # an attempt's response has begun
-        self.attempts: list[Attempt] = []
+        self.attempts: list[TrackedAttempt] = []
         self.in_flight_attempts = 0
 
 
-class Attempt:
-    """One attempt of a request at a server."""
+class TrackedAttempt:
+    """What the balancer knows of one attempt of a request at a server."""
 
     __slots__ = ("cell", "in_flight_at_send", "is_counted", "result", "sent_at", "server", "zone")
 
-    def __init__(self, server: Server, sent_at: int) -> None:
+    def __init__(self, server: TrackedServer, sent_at: int) -> None:
         self.server = server
         self.zone = server.zone  # of the server when it was sent
         self.cell = server.cell
--- a/hollybay/cluster/planted.py
+++ b/hollybay/cluster/planted.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from hollybay.balancing.server_selection import ServerSelector
-from hollybay.balancing.state import Server
+from hollybay.balancing.state import TrackedServer
 from hollybay.balancing.traffic_share import TrafficShare
 from hollybay.gossip import RemoteLoad
 
@@ -20,7 +20,7 @@
     """All nodes draw the same random numbers, and begin them anew with each request."""
     old = ServerSelector.pick
 
-    def pick(self: ServerSelector, request: Any, now: int) -> Server | None:
+    def pick(self: ServerSelector, request: Any, now: int) -> TrackedServer | None:
         self.random.seed(now // 1_000_000_000)
         return old(self, request, now)
 
@@ -30,7 +30,7 @@
 def _least_loaded() -> None:
     """Every node takes the server that the list tells to have the least in hand."""
 
-    def pick(self: ServerSelector, request: Any, now: int) -> Server | None:
+    def pick(self: ServerSelector, request: Any, now: int) -> TrackedServer | None:
         fit = [s for s in self.endpoints.servers.values() if s.speed_class is not None]
         return min(fit, key=lambda s: (s.reported_load, s.id)) if fit else None
 
@@ -54,7 +54,7 @@
     """Every node keeps to the first quarter of the servers."""
     old = ServerSelector.pick
 
-    def pick(self: ServerSelector, request: Any, now: int) -> Server | None:
+    def pick(self: ServerSelector, request: Any, now: int) -> TrackedServer | None:
         names = sorted(
             str(s) for s, server in self.endpoints.servers.items() if server.speed_class is not None
         )
--- a/tests/test_guard.py
+++ b/tests/test_guard.py
@@ -8,19 +8,19 @@
 
 from hollybay.balancing import interface as api
 from hollybay.balancing.retries import allowed_scope, is_client_retry_harmless
-from hollybay.balancing.state import Attempt, Server
+from hollybay.balancing.state import TrackedAttempt, TrackedServer
 from hollybay.testbed.world import MS, NEVER_RAN, SECOND
 
 WINDOW = 2 * SECOND
 RESULTS = [None, *api.Result]
 
 
-def tries_of(results: tuple[api.Result | None, ...]) -> list[Attempt]:
+def tries_of(results: tuple[api.Result | None, ...]) -> list[TrackedAttempt]:
     tries = []
     for n, result in enumerate(results):
-        server = Server(b"%d" % n, first_ejection=SECOND)
+        server = TrackedServer(b"%d" % n, first_ejection=SECOND)
         server.zone, server.cell = 1, 7
-        t = Attempt(server, n * MS)
+        t = TrackedAttempt(server, n * MS)
         t.result = result
         tries.append(t)
     return tries
--- a/tests/test_learning_in_a_jam.py
+++ b/tests/test_learning_in_a_jam.py
@@ -9,7 +9,7 @@
 from hollybay.balancing import interface as api
 from hollybay.balancing.estimates import IDLE_MEAN_LOAD
 from hollybay.balancing.service_times import MIN_SAMPLES
-from hollybay.balancing.state import Server
+from hollybay.balancing.state import TrackedServer
 from hollybay.testbed.world import MS, SECOND, Node, make_settings
 
 ONE = (api.RequestClass("w", api.Effect.SAFE, 1.0, SECOND, 3 * SECOND),)
@@ -42,7 +42,7 @@
                         node.answer(r, n)
 
 
-def start_cold(node: Node) -> Server:
+def start_cold(node: Node) -> TrackedServer:
     """A server that has just started, as the node takes it."""
     node.tell((*WARM, api.Server(b"new", kind=0, up_since=node.now)))
     return node.balancer.servers[b"new"]
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -7,7 +7,7 @@
 import pytest
 
 from hollybay.balancing.slow_start import SlowStart
-from hollybay.balancing.state import Server
+from hollybay.balancing.state import TrackedServer
 from hollybay.testbed.world import MS, SECOND, Node, fleet, make_settings
 
 
@@ -16,7 +16,7 @@
     [(-SECOND, 0.3), (0, 0.3), (4 * SECOND, 0.65), (8 * SECOND, 1.0), (9 * SECOND, 1.0)],
 )
 def test_the_factor_grows_from_the_cold_share_to_one(age: int, factor: float) -> None:
-    server = Server(b"s", SECOND)
+    server = TrackedServer(b"s", SECOND)
     server.up_since = 20 * SECOND - age
     slow_start = SlowStart(make_settings(), random.Random(1))
     assert slow_start.factor(server, 20 * SECOND) == pytest.approx(factor)
