--- a/hollybay/balancing/connection_capacity.py
+++ b/hollybay/balancing/connection_capacity.py
@@ -57,7 +57,7 @@
             return max(self._recovered_share(now), least)
         return least
 
-    def connect_refused(self, now: int) -> None:
+    def record_refusal(self, now: int) -> None:
         """Record a refused connect at a time (ns)."""
         self.share = max(MIN_SHARE, self._recovered_share(now) * REFUSAL_FACTOR)
 
--- a/hollybay/balancing/estimates.py
+++ b/hollybay/balancing/estimates.py
@@ -181,7 +181,7 @@
         if result == Result.CONNECT_FAILED:
             self.zone_reachability.observe_connect(local, True, self.answer_weight)
             server.consecutive_connect_failures += 1
-            self.connection_capacity.connect_refused(now)
+            self.connection_capacity.record_refusal(now)
         elif result != Result.TIMEOUT:  # which on an old connection tells nothing of new ones
             self.zone_reachability.observe_connect(local, False, self.answer_weight)
             if server.consecutive_connect_failures >= RESTART_CONNECT_FAILURES:
@@ -194,11 +194,11 @@
         """Record the priority weight lost to load, and how late answers are."""
         result = event.result
         cls = self.settings.classes[class_index]
-        late = event.rtt / cls.latency_objective
-        if result == Result.REJECTED or late > MAX_LATENESS:
-            late = MAX_LATENESS
+        lateness = event.rtt / cls.latency_objective
+        if result == Result.REJECTED or lateness > MAX_LATENESS:
+            lateness = MAX_LATENESS
         if result not in CONNECTION_RESULTS:
-            lost_if_answered = 1.0 - cls.late_weight if late > 1.0 else 0.0
+            lost_if_answered = 1.0 - cls.late_weight if lateness > 1.0 else 0.0
             lost = lost_if_answered if result == Result.OK else 1.0
             self.lost_weight += self.answer_weight * (cls.priority_weight * lost - self.lost_weight)
             self.offered_weight += self.answer_weight * (cls.priority_weight - self.offered_weight)
@@ -207,10 +207,10 @@
         if result == Result.CONNECT_FAILED:
             return
         if local:
-            self.local_lateness += self.answer_weight * (late - self.local_lateness)
+            self.local_lateness += self.answer_weight * (lateness - self.local_lateness)
         else:
             weight = REMOTE_ANSWER_FACTOR * self.answer_weight
-            self.remote_lateness += weight * (late - self.remote_lateness)
+            self.remote_lateness += weight * (lateness - self.remote_lateness)
 
     def _observe_success(
         self, server: TrackedServer, request: TrackedRequest, event: AttemptFinished, now: int, stale: bool
--- a/tests/test_room.py
+++ b/tests/test_room.py
@@ -18,7 +18,7 @@
     for after, refused in events:
         now += after
         if refused:
-            room.connect_refused(now)
+            room.record_refusal(now)
         part = room.idle_index_share(now, 8 * least, 8.0, 3)
         assert least <= part <= 1.0 and room.idle_index_share(
             now, 8 * least, 8.0, 0
@@ -32,7 +32,7 @@
 def test_all_of_it_is_back_after_a_time_without_refusals() -> None:
     room = ConnectionCapacity(8)
     for _ in range(3):
-        room.connect_refused(SECOND)
+        room.record_refusal(SECOND)
     assert room.idle_index_share(SECOND, 0.8, 8.0, 3) == REFUSAL_FACTOR**3
     assert room.idle_index_share(SECOND + DOUBLING_TIME_NS, 0.8, 8.0, 3) == min(1.0, 2 * REFUSAL_FACTOR**3)
     assert room.idle_index_share(SECOND + 3 * DOUBLING_TIME_NS, 0.8, 8.0, 3) == 1.0
