--- a/hollybay/proxy/upstream/connection.py
+++ b/hollybay/proxy/upstream/connection.py
@@ -1,15 +1,13 @@
-"""One connection to a server: writes requests, holds back the last byte while that is safe, reads responses.
+"""One connection to a server: begins requests, which its base class writes, and reads the responses.
 
-Which events lead to which state stands in `states`; this module holds what each event does. The piece with
-the last byte of a request is written last, as a server begins with that byte: until then, whatever breaks,
-nothing has run.
+Which events lead to which state stands in `states`; this module and `request_sender` hold what each event
+does.
 """
 
 from __future__ import annotations
 
 import asyncio
 import socket
-from collections.abc import Callable
 from typing import Protocol
 
 import h11
@@ -18,16 +16,15 @@
 from hollybay.units import MS
 
 from .. import system
-from ..http_messages import ForwardedRequest, ForwardedResponse, Headers, end_to_end_headers
+from ..http_messages import ForwardedResponse, end_to_end_headers
 from ..message_limits import MAX_BODY_BYTES, MAX_HEAD_BYTES, MAX_HELD_BODY_BYTES
 from ..name_table import NameTable
 from ..ports import Client
-from ..streaming_body import StreamingBody
-from ..tcp_connection import TcpConnection
 from . import response_limits
 from .attempt import Attempt
-from .endpoint import Endpoint, PooledConnection
-from .request_encoding import StreamingBodyEncoder, encode_request, headers_with_time_left
+from .endpoint import Endpoint
+from .request_encoding import encode_request, headers_with_time_left
+from .request_sender import RequestSender, SenderOwner
 from .response_head import (
     INFORMATIONAL_FIRST_DIGITS,
     PLACEHOLDER_REQUEST,
@@ -36,51 +33,25 @@
     read_head,
     result_of_failure,
 )
-from .states import ConnectionEvent, ConnectionState, next_state
+from .states import ConnectionEvent, next_state
 
-__all__ = ["ConnectionOwner", "ServerConnection", "connection_price"]
+__all__ = ["ConnectionOwner", "ServerConnection"]
 
-# How long the last byte of a request that must not be repeated freely is held back: about a round trip and
-# the peer's waking up. A connection that is already dead, or reset by its first byte, breaks within it, while
-# it is still certain that nothing ran.
-LAST_BYTE_HOLD_S = 0.003
-# A server that sends more than belongs to an answer (a second copy, noise) may do so some milliseconds late.
-# A connection is settled when its last answer ended so long ago (s). A settled one is taken before one that
-# is not; on one that is not, the last byte of a request of whatever class is held until it is: what comes
-# before that byte is no answer to it.
-SETTLE_S = 0.012
-# A server's requests are held for as long as this many connections take to settle, together, before another
-# connection is opened to it instead; see HoldAccount.
-SETTLES_PER_CONNECTION = 2.0
 
-
-class ConnectionOwner(Protocol):
+class ConnectionOwner(SenderOwner, Protocol):
     """What a connection asks of the pools that it belongs to."""
 
-    loop: asyncio.AbstractEventLoop
     names: NameTable
     load_header: bytes
     not_for_clients: frozenset[bytes]
-    written: int
     connections: set[ServerConnection]
     opening: set[Attempt]
 
-    def pool(self, connection: PooledConnection) -> None:
-        """Keep a connection for the next request to its server."""
-
-    def unpool(self, connection: PooledConnection) -> None:
-        """Take a connection out of the pool, if it is there."""
-
     def dropped(self, connection: ServerConnection) -> None:
         """Forget a connection that is gone."""
 
 
-def connection_price() -> float:
-    """Return for how long (s), together, requests are held before another connection is opened."""
-    return SETTLES_PER_CONNECTION * SETTLE_S
-
-
-class ServerConnection(TcpConnection):
+class ServerConnection(RequestSender):
     """One connection to a server; it carries one attempt at a time.
 
     Parameters
@@ -96,14 +67,6 @@
 
     Attributes
     ----------
-    attempt
-        The attempt that it carries; None: it is idle.
-    pieces
-        What is still to be written of the request, the last piece first.
-    streaming_body, body_encoder
-        The request's body that is being forwarded while it comes, and what frames it.
-    min_hold_s
-        How long (s) the last byte of the request is held back at least.
     response, failure
         The head of the response, or what a head that brings no response to forward says of the attempt.
     body_pieces, body_size
@@ -112,28 +75,18 @@
         Where the response goes once it is streamed.
     bytes_received, last_received_at
         Bytes of the response as they came on the wire, and when (s, the loop's clock) the last ones came.
-    response_ended_at
-        When (s, the loop's clock) the last response ended.
     http
         The parser of the response; there is one from the first request on, and a new one for each.
     """
 
+    owner: ConnectionOwner
     http: h11.Connection
 
     def __init__(
         self, owner: ConnectionOwner, endpoint: Endpoint, opened_for: Attempt, sock: socket.socket
     ) -> None:
-        super().__init__(sock)
-        self.state = ConnectionState.CONNECTING
+        super().__init__(owner, endpoint, sock)
         self.opened_for: Attempt | None = opened_for
-        self.owner = owner
-        self.endpoint = endpoint
-        self.attempt: Attempt | None = None
-        self.pieces: list[bytes] = []
-        self.timer: asyncio.TimerHandle | None = None
-        self.streaming_body: StreamingBody | None = None
-        self.body_encoder: StreamingBodyEncoder | None = None
-        self.min_hold_s = 0.0
         self.response: ForwardedResponse | None = None
         self.failure: api.Result | None = None
         self.body_pieces: list[bytes] = []
@@ -141,7 +94,6 @@
         self.client: Client | None = None
         self.bytes_received = 0
         self.last_received_at = 0.0
-        self.response_ended_at = 0.0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Count as a connection from here on."""
@@ -161,41 +113,6 @@
         if self.attempt is not None:
             self._fail()
 
-    def is_alive(self) -> bool:
-        """Tell whether the kernel knows the connection as open and has nothing to read.
-
-        A close or bytes may have come that the loop has not seen yet.
-        """
-        if self.state is ConnectionState.CLOSED or not self.is_connected():
-            return False
-        # Nothing has been asked in full: bytes that wait to be read belong to no request, and would be taken
-        # for the answer to the next one.
-        return not self.unread_bytes()
-
-    def close(self) -> None:
-        """Close at once; what is unsent is dropped."""
-        self.stop_timer()
-        if self.streaming_body is not None:
-            self.streaming_body.detach(self)
-            self.streaming_body = None
-        self.owner.unpool(self)
-        self.state = next_state(self.state, ConnectionEvent.CLOSE_REQUESTED)
-        if self.state is not ConnectionState.CLOSED:
-            self.transport.abort()
-
-    def stop_timer(self) -> None:
-        """Cancel the timer of the connection, if it runs."""
-        if self.timer is not None:
-            self.timer.cancel()
-            self.timer = None
-
-    def start_timer(self, delay: float, call: Callable[[], None]) -> None:
-        """Set the one timer of the connection; delay: s."""
-        self.stop_timer()
-        self.timer = self.owner.loop.call_later(delay, call)
-
-    # Writing
-
     def begin(self, attempt: Attempt) -> None:
         """Write a request, all but its last piece; see _write_last_piece."""
         if self.endpoint.draining is not None and self.owner.loop.time() >= self.endpoint.closes:
@@ -219,131 +136,16 @@
         self.client = None
         self.bytes_received = 0
         self.last_received_at = self.owner.loop.time()
-        self.min_hold_s = 0.0 if attempt.repeatable else LAST_BYTE_HOLD_S
         self.http = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES)
         streaming_body = message.streaming_body
         if streaming_body is None:
             headers = headers_with_time_left(message, attempt.deadline)
-            self.pieces = encode_request(message, headers, is_last_byte_held=self._hold_time() > 0.0)
+            self.pieces = encode_request(message, headers, is_last_byte_held=self._hold_time(attempt) > 0.0)
             self._write()
         else:
             headers = headers_with_time_left(message, min(attempt.deadline, streaming_body.client_deadline))
             self._begin_streaming(message, streaming_body, headers)
 
-    def return_unused(self, attempt: Attempt) -> None:
-        """Go back to the pool: nothing is to be written for an attempt after all."""
-        self.response_ended_at = self.owner.loop.time()
-        self.owner.pool(self)
-        attempt.end(api.Result.NOT_SENT)
-
-    def _begin_streaming(
-        self, message: ForwardedRequest, streaming_body: StreamingBody, headers: Headers
-    ) -> None:
-        assert self.attempt is not None
-        if streaming_body.is_taken:
-            # A part of it has gone while this connection came up.
-            self.attempt.end(api.Result.NOT_SENT)
-            return
-        self.pieces = []
-        self.streaming_body = streaming_body
-        self.body_encoder = StreamingBodyEncoder(streaming_body)
-        streaming_body.attach(self)
-        self.transport.write(self.body_encoder.encode_head(message, headers))
-        self._write()
-
-    def body_available(self) -> None:
-        """Go on with a streaming body: there is more of it, or it is complete."""
-        self._write()
-
-    def _write_available(self, streaming_body: StreamingBody, encoder: StreamingBodyEncoder) -> None:
-        """Write what has come of a streaming body, at the pace of the server, but for its last piece."""
-        while not self.is_write_buffered and not self.transport.is_closing():
-            data = streaming_body.pull()
-            if not data:
-                break
-            encoded = encoder.encode(data)
-            if encoded:
-                self.transport.write(encoded)
-        if streaming_body.is_exhausted and not self.is_write_buffered:
-            self.pieces = [encoder.last_piece()]
-            self.streaming_body = None
-            streaming_body.detach(self)
-
-    def resume_writing(self) -> None:
-        """Go on with the request: the kernel has taken all that was written."""
-        super().resume_writing()
-        self._write()
-
-    def _write(self) -> None:
-        attempt = self.attempt
-        if attempt is None:
-            return
-        if self.streaming_body is not None:
-            assert self.body_encoder is not None
-            self._write_available(self.streaming_body, self.body_encoder)
-            if self.streaming_body is not None:
-                return
-        while len(self.pieces) > 1 and not self.is_write_buffered and not self.transport.is_closing():
-            self.transport.write(self.pieces.pop())
-        if self.is_write_buffered or self.timer is not None:
-            return
-        if len(self.pieces) == 1:
-            self.state = next_state(self.state, ConnectionEvent.LAST_PIECE_LEFT)
-            hold = self._hold_time()
-            if hold > 0.0:
-                self.start_timer(hold, self._write_last_piece)
-            else:
-                self._write_last_piece()
-        elif not self.pieces:
-            self._note_written()
-
-    def settle_time_left(self) -> float:
-        """Return for how long (s) what comes may still belong to the last response; 0 or less: no longer."""
-        return SETTLE_S - (self.owner.loop.time() - self.response_ended_at)
-
-    def is_settled(self, now: float) -> bool:
-        """Tell whether nothing that comes at a loop time (s) can belong to the last response any more."""
-        return self.response_ended_at <= now - SETTLE_S
-
-    def _hold_time(self) -> float:
-        """Return for how long (s) the last byte of the present request is to be held; 0: not at all."""
-        return max(self.min_hold_s, self.settle_time_left())
-
-    def _write_last_piece(self) -> None:
-        """Write the piece with the last byte. Until the kernel has taken it, the request has not run."""
-        self.stop_timer()
-        if not self.is_alive():
-            self._fail()
-            return
-        attempt = self.attempt
-        if attempt is None:
-            return
-        if not attempt.observer.is_awaited(attempt) or 0 < attempt.write_deadline <= system.monotonic_ns():
-            attempt.end(api.Result.NOT_SENT)
-            return
-        # The kernel may take the byte and the loop tell of it a turn later: whatever ends the attempt in
-        # between, it may have run.
-        attempt.request_written = True
-        self.state = next_state(self.state, ConnectionEvent.REQUEST_SENT)
-        self.transport.write(self.pieces.pop())
-        if self.transport.is_closing():
-            attempt.request_written = False  # refused at once
-            self._fail()
-        elif not self.is_write_buffered:
-            self._note_written()
-
-    def _note_written(self) -> None:
-        attempt = self.attempt
-        if attempt is None or attempt not in self.endpoint.unwritten_attempts or self.transport.is_closing():
-            return
-        if attempt.message is not None and attempt.message.streaming_body is not None:
-            # A server begins with the last byte: how long the body was on its way says nothing of it.
-            attempt.sent_at = system.monotonic_ns()
-        self.owner.written += 1
-        self.endpoint.unwritten_attempts.pop(attempt)
-
-    # Reading
-
     def received(self, data: memoryview) -> None:
         """Read on in the response."""
         if self.attempt is None:
--- a/hollybay/proxy/upstream/pools.py
+++ b/hollybay/proxy/upstream/pools.py
@@ -15,10 +15,11 @@
 from ..http_messages import names_not_forwarded
 from ..name_table import DiscoveryUpdate, NameTable
 from .attempt import Attempt
-from .connection import ServerConnection, connection_price
+from .connection import ServerConnection
 from .connector import Establish, connect, establish
 from .endpoint import Endpoint, PooledConnection
 from .health_check import HEALTH_CHECK_LIMIT_NS, health_check
+from .request_sender import connection_price
 from .states import ConnectionState
 
 __all__ = ["DRAIN_GRACE_SHARE", "MAX_UNSETTLED", "UpstreamPools"]
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from hollybay.proxy.upstream import connection as module
+from hollybay.proxy.upstream import request_sender as module
 from hollybay.proxy.upstream.attempt import Attempt
 from hollybay.proxy.upstream.connection import ServerConnection
 from hollybay.proxy.upstream.pools import MAX_UNSETTLED
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -15,7 +15,7 @@
 from hollybay.proxy.downstream.connection import HIDDEN_CLOSE_BYTES, ClientConnection
 from hollybay.proxy.message_limits import SMALL_BODY_BYTES
 from hollybay.proxy.request_dispatcher import PRESENCE_VALID_NS
-from hollybay.proxy.upstream import connection as connection_module
+from hollybay.proxy.upstream import request_sender
 from hollybay.proxy.upstream.attempt import Attempt
 from hollybay.testbed.loopback import (
     LIMIT,
@@ -243,7 +243,7 @@
 
     async def play() -> None:
         server = Backend("s-1")
-        monkeypatch.setattr(connection_module, "LAST_BYTE_HOLD_S", 0.05)
+        monkeypatch.setattr(request_sender, "LAST_BYTE_HOLD_S", 0.05)
         async with running(tmp_path / "c.json", Registry(), server) as node:
             sock = call(node, request(cls, rid="r-1"))
             await node.until(lambda: any(conn.timer for conn in node.node.pools.connections))
--- a/tests/test_upload.py
+++ b/tests/test_upload.py
@@ -11,7 +11,7 @@
 
 from hollybay.proxy.message_limits import MAX_HELD_BODY_BYTES
 from hollybay.proxy.streaming_body import MAX_RETAINED_BYTES, WINDOW_BYTES, RetentionBudget, StreamingBody
-from hollybay.proxy.upstream import connection as connection_module
+from hollybay.proxy.upstream import request_sender
 from hollybay.testbed.loopback import LIMIT, OK, Backend, Listener, Registry, read_message, request, running
 
 
@@ -179,7 +179,7 @@
     """Kept whole, an unsafe request may go to another one; spent, its client is refused, never failed."""
     # The servers cut in this same loop: on a busy machine they come to it later than a hold of some ms, and
     # the last byte is then out before them, so that the request may have run.
-    monkeypatch.setattr(connection_module, "LAST_BYTE_HOLD_S", 0.5)
+    monkeypatch.setattr(request_sender, "LAST_BYTE_HOLD_S", 0.5)
 
     async def play() -> None:
         for keep in (True, False):
@@ -205,7 +205,7 @@
     chunked: bool, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Up to there nothing has run: a server that goes now costs a refusal, not a failure."""
-    monkeypatch.setattr(connection_module, "LAST_BYTE_HOLD_S", 10 * LIMIT)
+    monkeypatch.setattr(request_sender, "LAST_BYTE_HOLD_S", 10 * LIMIT)
 
     async def play() -> None:
         server = Taker("s-1")
--- a/tests/test_upstream_states.py
+++ b/tests/test_upstream_states.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from hollybay.proxy.upstream import connection as connection_module
+from hollybay.proxy.upstream import connection, request_sender
 from hollybay.proxy.upstream.states import (
     TRANSITIONS,
     ConnectionEvent,
@@ -54,7 +54,8 @@
         reached.add(next_state(state, event))
         return next_state(state, event)
 
-    monkeypatch.setattr(connection_module, "next_state", note)
+    for module in (connection, request_sender):
+        monkeypatch.setattr(module, "next_state", note)
     long_answer = b"HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n" + b"x" * 200_000
 
     async def play() -> None:
@@ -65,9 +66,9 @@
                     writer.write(request(cls, rid=f"r-{cls}"))
                     head, body = await read_message(reader)
                     assert b" 200 " in head and len(body) == 200_000
-                (connection,) = node.node.pools.connections
-                assert connection.state is ConnectionState.IDLE
-                connection.close()
+                (idle,) = node.node.pools.connections
+                assert idle.state is ConnectionState.IDLE
+                idle.close()
                 while node.node.pools.connections:
                     await asyncio.sleep(0)
             writer.transport.abort()
