--- a/hollybay/testbed/loopback.py
+++ b/hollybay/testbed/loopback.py
@@ -26,9 +26,9 @@
     "OK",
     "Backend",
     "ConnectBarrier",
+    "FakeDiscovery",
     "Held",
     "Listener",
-    "Registry",
     "Running",
     "call",
     "read_message",
@@ -39,7 +39,7 @@
 ]
 
 
-class Registry(Listener):
+class FakeDiscovery(Listener):
     """A discovery that pushes: a watch is answered as soon as there is something newer.
 
     Attributes
@@ -215,7 +215,7 @@
 @asynccontextmanager
 async def running(
     path: Path,
-    registry: Registry,
+    registry: FakeDiscovery,
     *backends: Backend,
     adjust: Callable[[Config], Config] = lambda config: config,
     **changes: Any,
--- a/tests/loopback_day.py
+++ b/tests/loopback_day.py
@@ -11,7 +11,7 @@
     LIMIT,
     OK,
     Backend,
-    Registry,
+    FakeDiscovery,
     Running,
     read_message,
     request,
@@ -85,7 +85,7 @@
         writer.transport.abort()
 
 
-async def lists(registry: Registry, workers: list[Worker]) -> None:
+async def lists(registry: FakeDiscovery, workers: list[Worker]) -> None:
     """The list changes: a server drains, is gone, and is back."""
     for out in range(3):
         await asyncio.sleep(0.15)
@@ -99,7 +99,7 @@
 
 async def loopback_day(path: Path) -> None:
     """Play it."""
-    registry = Registry()
+    registry = FakeDiscovery()
     workers = [Worker(f"s-{n}", n) for n in range(SERVERS)]
     changed: dict[str, Any] = loopback_settings(categories=CLASSES)
     changed["caps"] |= {"may-duplicate": True}
--- a/tests/test_admin_service.py
+++ b/tests/test_admin_service.py
@@ -21,7 +21,7 @@
 from hollybay.testbed.loopback import (
     LIMIT,
     Backend,
-    Registry,
+    FakeDiscovery,
     Running,
     read_message,
     request,
@@ -33,8 +33,8 @@
 @asynccontextmanager
 async def running_admin_service(
     tmp_path: Path, *backends: Backend, scratch: str = ""
-) -> AsyncIterator[tuple[Running, AdminService, Registry]]:
-    registry = Registry()
+) -> AsyncIterator[tuple[Running, AdminService, FakeDiscovery]]:
+    registry = FakeDiscovery()
     async with running(tmp_path / "c.json", registry, *backends) as node:
         config = replace(node.clients.config, admin=("127.0.0.1", 0), scratch_folder=scratch)
         service = AdminService(config, node.clients, node.node)
@@ -246,7 +246,7 @@
 
 def test_without_an_admin_address_none_of_it_is_loaded(tmp_path: Path) -> None:
     async def play() -> None:
-        async with running(tmp_path / "c.json", Registry(), Backend("s-1")) as node:
+        async with running(tmp_path / "c.json", FakeDiscovery(), Backend("s-1")) as node:
             config = node.clients.config
             assert config.admin is None and node.node.overlay is None
             assert await start_admin(config, node.clients, node.node) is None
@@ -266,7 +266,7 @@
 
 def test_an_invalid_admin_address_is_rejected_by_field(tmp_path: Path) -> None:
     path = tmp_path / "c.json"
-    registry = Registry()
+    registry = FakeDiscovery()
     registry.address = "127.0.0.1:1"
     for admin in ("nowhere", 7, "127.0.0.1:0", "127.0.0.1:99999"):
         write_config(path, registry, admin=admin)
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -22,9 +22,9 @@
     OK,
     Backend,
     ConnectBarrier,
+    FakeDiscovery,
     Held,
     Listener,
-    Registry,
     call,
     read_message,
     request,
@@ -48,7 +48,7 @@
     one_cell = [{**c, "group": "cell"} if c["name"] == "book" else c for c in CLASSES]
 
     async def play() -> None:
-        registry = Registry()
+        registry = FakeDiscovery()
         backends = Held("s-1"), Held("s-2")
         async with running(
             tmp_path / "c.json", registry, *backends,
@@ -90,7 +90,7 @@
     async def play() -> None:
         backends = Held("s-1"), Held("s-2")
         async with running(
-            tmp_path / "c.json", Registry(), *backends,
+            tmp_path / "c.json", FakeDiscovery(), *backends,
             settings=settings(categories=short, caps=caps()),
         ) as node:  # fmt: skip
             gate = ConnectBarrier(node, free=1)
@@ -119,7 +119,7 @@
 
     async def play() -> None:
         backends = Held("s-1"), Held("s-2")
-        async with running(tmp_path / "c.json", Registry(), *backends) as node:
+        async with running(tmp_path / "c.json", FakeDiscovery(), *backends) as node:
             asking = asyncio.ensure_future(node.ask(request("book", rid="r-1")))
             await node.until(lambda: any(backend.heads for backend in backends))
             first = next(b for b in backends if b.heads)
@@ -140,7 +140,7 @@
     """The loop is late: the timer that withdraws what is not written is due, and not yet called."""
 
     async def play() -> None:
-        registry = Registry()
+        registry = FakeDiscovery()
         server, other = Backend("s-1"), Backend("s-1")
         await other.start()
         rules = {"drain-grace": 40 * MS}
@@ -176,7 +176,9 @@
 def test_a_connection_that_comes_up_after_its_request_ended_writes_nothing(end: str, tmp_path: Path) -> None:
     async def play() -> None:
         server = Backend("s-1")
-        async with running(tmp_path / "c.json", Registry(), server, settings=settings(caps=caps())) as node:
+        async with running(
+            tmp_path / "c.json", FakeDiscovery(), server, settings=settings(caps=caps())
+        ) as node:
             gate = ConnectBarrier(node)
             left = b"X-Time-Left-Ms: 60\r\n" if end == "its time" else b""
             sock = call(node, request("send", rid="r-1", extra=left))
@@ -218,7 +220,7 @@
 
     async def play() -> None:
         server = Noisy(more)
-        async with running(tmp_path / "c.json", Registry(), server) as node:  # type: ignore[arg-type]
+        async with running(tmp_path / "c.json", FakeDiscovery(), server) as node:  # type: ignore[arg-type]
             reader, writer = await node.connect()
             async with asyncio.timeout(LIMIT):
                 writer.write(request(cls, rid="r-1"))
@@ -266,7 +268,7 @@
 
     async def play() -> None:
         server = Twice(OK.replace(b"ok", b"NO"))
-        async with running(tmp_path / "c.json", Registry(), server) as node:  # type: ignore[arg-type]
+        async with running(tmp_path / "c.json", FakeDiscovery(), server) as node:  # type: ignore[arg-type]
             reader, writer = await node.connect()
             async with asyncio.timeout(LIMIT):
                 for n in range(2):
@@ -300,7 +302,7 @@
 
     async def play() -> None:
         server = Later(OK.replace(b"ok", b"NO"))
-        async with running(tmp_path / "c.json", Registry(), server) as node:  # type: ignore[arg-type]
+        async with running(tmp_path / "c.json", FakeDiscovery(), server) as node:  # type: ignore[arg-type]
             for n in range(2):
                 answer = await node.ask(request(cls, rid=f"r-{n}"))
                 assert answer.startswith(b"HTTP/1.1 200 ") and answer.endswith(b"ok")
@@ -318,7 +320,7 @@
 
     async def play() -> None:
         server = Backend("s-1")
-        async with running(tmp_path / "c.json", Registry(), server) as node:
+        async with running(tmp_path / "c.json", FakeDiscovery(), server) as node:
             for n in range(30):
                 assert b" 200 " in await node.ask(request(rid=f"r-{n}"))
             if settle:
@@ -336,7 +338,7 @@
 
     async def play() -> None:
         server = Backend("s-1")
-        async with running(tmp_path / "c.json", Registry(), server) as node:
+        async with running(tmp_path / "c.json", FakeDiscovery(), server) as node:
             node.node.pools.limit = 1
             for n in range(10):
                 assert b" 200 " in await node.ask(request(rid=f"r-{n}"))
@@ -348,7 +350,7 @@
 def test_a_connection_that_rested_for_long_enough_is_taken_first(tmp_path: Path) -> None:
     async def play() -> None:
         server = Held("s-1")
-        async with running(tmp_path / "c.json", Registry(), server) as node:
+        async with running(tmp_path / "c.json", FakeDiscovery(), server) as node:
             asking = [asyncio.ensure_future(node.ask(request(rid=f"r-{n}"))) for n in range(3)]
             await server.until(lambda: len(server.heads) == 3)
             server.go.set()
@@ -383,7 +385,7 @@
         await asyncio.Event().wait()
 
     async def play() -> None:
-        async with running(tmp_path / "c.json", Registry(), Backend("s-1", script)) as node:
+        async with running(tmp_path / "c.json", FakeDiscovery(), Backend("s-1", script)) as node:
             answer = await node.ask(request("send"))
             ended = whole[:cut].partition(b"\r\n\r\n")
             if ended[1] and not reset:
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -9,7 +9,7 @@
 import pytest
 
 from hollybay.proxy.downstream.recent_request_ids import RecentRequestIds
-from hollybay.testbed.loopback import LIMIT, Backend, Held, Registry, read_message, request, running
+from hollybay.testbed.loopback import LIMIT, Backend, FakeDiscovery, Held, read_message, request, running
 
 HEAD = b"POST /send HTTP/1.1\r\nHost: h\r\nX-Correlation-Id: r-1\r\n"
 HIDDEN = b"0\r\n\r\nPOST /send HTTP/1.1\r\nHost: h\r\nX-Correlation-Id: r-2\r\nContent-Length: 0\r\n\r\n"
@@ -37,7 +37,7 @@
 def test_what_is_wrong_is_answered_4xx_and_never_passed_on(kind: str, tmp_path: Path) -> None:
     async def play() -> None:
         server = Backend("s-1")
-        async with running(tmp_path / "c.json", Registry(), server) as node:
+        async with running(tmp_path / "c.json", FakeDiscovery(), server) as node:
             assert (await node.ask(WRONG[kind])).startswith(b"HTTP/1.1 4")
             assert b" 200 " in await node.ask(request(rid="r-9"))
             assert [head.count(b"r-9") for head in server.heads] == [1]
@@ -53,7 +53,7 @@
 ) -> None:
     async def play() -> None:
         server = Backend("s-1")
-        async with running(tmp_path / "c.json", Registry(), server) as node:
+        async with running(tmp_path / "c.json", FakeDiscovery(), server) as node:
             answer = await node.ask(request().replace(b"HTTP/1.1", b"HTTP/" + version))
             assert answer.startswith(b"HTTP/1.1 %d " % status)
             health = await node.ask(b"GET /health/live HTTP/%s\r\nHost: h\r\n\r\n" % version)
@@ -66,7 +66,7 @@
 def test_an_id_that_another_open_request_has_is_turned_away(tmp_path: Path) -> None:
     async def play() -> None:
         server = Held("s-1")
-        async with running(tmp_path / "c.json", Registry(), server) as node:
+        async with running(tmp_path / "c.json", FakeDiscovery(), server) as node:
             first = asyncio.ensure_future(node.ask(request(rid="r-1")))
             await server.until(lambda: len(server.heads) == 1)
             assert (await node.ask(request("send", rid="r-1"))).startswith(b"HTTP/1.1 409")
@@ -93,7 +93,7 @@
 @pytest.mark.parametrize("sent", [b"", b"GET /vi", HEAD + b"Content-Length: 9\r\n\r\nhalf"])
 def test_silence_and_half_requests_end_at_their_phase_s_deadline(sent: bytes, tmp_path: Path) -> None:
     async def play() -> None:
-        async with running(tmp_path / "c.json", Registry(), Backend("s-1")) as node:
+        async with running(tmp_path / "c.json", FakeDiscovery(), Backend("s-1")) as node:
             node.clients.limits.silent = node.clients.limits.unfinished = 0.0
             answer = await node.ask(sent)
             assert answer.startswith(b"HTTP/1.1 408") if sent else answer == b""
@@ -103,7 +103,7 @@
 
 def test_a_trickle_does_not_put_the_deadline_off(tmp_path: Path) -> None:
     async def play() -> None:
-        async with running(tmp_path / "c.json", Registry(), Backend("s-1")) as node:
+        async with running(tmp_path / "c.json", FakeDiscovery(), Backend("s-1")) as node:
             reader, writer = await node.connect()
             writer.write(HEAD)
             async with asyncio.timeout(LIMIT):
@@ -121,7 +121,7 @@
 
 def test_a_kept_connection_is_closed_after_its_rest(tmp_path: Path) -> None:
     async def play() -> None:
-        async with running(tmp_path / "c.json", Registry(), Backend("s-1")) as node:
+        async with running(tmp_path / "c.json", FakeDiscovery(), Backend("s-1")) as node:
             node.clients.limits.idle = 0.0
             reader, writer = await node.connect()
             writer.write(request())
@@ -136,7 +136,7 @@
 def test_a_silent_crowd_does_not_displace_those_who_ask(tmp_path: Path) -> None:
     async def play() -> None:
         server = Held("s-1")
-        async with running(tmp_path / "c.json", Registry(), server) as node:
+        async with running(tmp_path / "c.json", FakeDiscovery(), server) as node:
             limit = node.clients.limit
             asking = [asyncio.ensure_future(node.ask(request(rid=f"r-{n}"))) for n in range(20)]
             await server.until(lambda: len(server.heads) == 20)
@@ -154,7 +154,7 @@
 
 def test_those_who_ask_once_and_stay_leave_room_for_the_next(tmp_path: Path) -> None:
     async def play() -> None:
-        async with running(tmp_path / "c.json", Registry(), Backend("s-1")) as node:
+        async with running(tmp_path / "c.json", FakeDiscovery(), Backend("s-1")) as node:
             node.clients.limits.idle_when_crowded = 0.0
             stay = []
             async with asyncio.timeout(LIMIT):
@@ -175,7 +175,7 @@
 
 def test_a_request_that_waits_unread_keeps_its_connection_open(tmp_path: Path) -> None:
     async def play() -> None:
-        async with running(tmp_path / "c.json", Registry(), Backend("s-1")) as node:
+        async with running(tmp_path / "c.json", FakeDiscovery(), Backend("s-1")) as node:
             reader, writer = await node.connect()
             async with asyncio.timeout(LIMIT):
                 writer.write(request(rid="r-1"))
@@ -199,7 +199,7 @@
     async def play() -> None:
         server = Held("s-1")
         async with running(
-            tmp_path / "c.json", Registry(), server, adjust=lambda c: replace(c, sockets=256)
+            tmp_path / "c.json", FakeDiscovery(), server, adjust=lambda c: replace(c, sockets=256)
         ) as node:
             # Clients hold 85; the last seven are left for who is to hear that there is no room.
             asking = [asyncio.ensure_future(node.ask(request("book", rid=f"r-{n}"))) for n in range(78)]
@@ -215,7 +215,7 @@
         server = Backend("s-1")
         body = b"x" * 65536
         async with running(
-            tmp_path / "c.json", Registry(), server, adjust=lambda c: replace(c, body_budget=200_000)
+            tmp_path / "c.json", FakeDiscovery(), server, adjust=lambda c: replace(c, body_budget=200_000)
         ) as node:
             asking = [node.ask(request("send", rid=f"r-{n}", body=body)) for n in range(12)]
             answers = await asyncio.gather(*asking)
--- a/tests/test_consensus_member.py
+++ b/tests/test_consensus_member.py
@@ -37,7 +37,7 @@
 from hollybay.resources.model import Change, Kind, Upsert
 from hollybay.routing.policy_compiler import compile_file
 from hollybay.routing.problems import OperatorError
-from hollybay.testbed.loopback import LIMIT, Backend, Registry, Running, request, running, settings
+from hollybay.testbed.loopback import LIMIT, Backend, FakeDiscovery, Running, request, running, settings
 from hollybay.testbed.world import make_settings
 from hollybay.units import MS
 
@@ -52,7 +52,7 @@
     """A node with an admin address, which is the only voter unless others are given."""
     raw_settings = settings()
     raw_settings["caps"] = raw_settings["caps"] | {"retry-after": True, "max-retry-after": 10**9}
-    async with running(tmp_path / f"{name}.json", Registry(), *backends, settings=raw_settings) as node:
+    async with running(tmp_path / f"{name}.json", FakeDiscovery(), *backends, settings=raw_settings) as node:
         path = tmp_path / f"{name}.toml"
         path.write_text(START)
         config = replace(node.clients.config, admin=("127.0.0.1", 0), name=name)
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -22,8 +22,8 @@
     OK,
     Backend,
     ConnectBarrier,
+    FakeDiscovery,
     Held,
-    Registry,
     Running,
     call,
     read_message,
@@ -99,7 +99,7 @@
 ) -> None:
     async def play() -> None:
         backends = Breaking("s-1"), Breaking("s-2")
-        async with running(tmp_path / "c.json", Registry(), *backends) as node:
+        async with running(tmp_path / "c.json", FakeDiscovery(), *backends) as node:
             sock = call(node, request(rid="r-1"))
             await node.until(lambda: any(backend.heads for backend in backends))
             conn = await paused(node, sock)
@@ -118,7 +118,7 @@
 
     async def play() -> None:
         backends = Breaking("s-1"), Backend("s-2")
-        async with running(tmp_path / "c.json", Registry(), *backends) as node:
+        async with running(tmp_path / "c.json", FakeDiscovery(), *backends) as node:
             backends[0].go.set()
             reader, writer = await node.connect()
             async with asyncio.timeout(LIMIT):
@@ -138,7 +138,7 @@
 
     async def play() -> None:
         backends = Breaking("s-1"), Breaking("s-2")
-        async with running(tmp_path / "c.json", Registry(), *backends) as node:
+        async with running(tmp_path / "c.json", FakeDiscovery(), *backends) as node:
             sock = socket.create_connection(("127.0.0.1", node.port))
             sock.setblocking(False)
             sock.send(request(rid="r-1"))
@@ -167,7 +167,7 @@
     """A request waits as no server is there. Its timer, the list and the close come in one turn."""
 
     async def play() -> None:
-        registry, server = Registry(), Backend("s-1")
+        registry, server = FakeDiscovery(), Backend("s-1")
         await server.start()
         async with running(tmp_path / "c.json", registry) as node:
             sock = call(node, request(rid="r-1"))
@@ -216,7 +216,9 @@
     async def play() -> None:
         server = Backend("s-1")
         caps = {**settings()["caps"], "cancel": cancel, "connect-timeout": 10**10}
-        async with running(tmp_path / "c.json", Registry(), server, settings=settings(caps=caps)) as node:
+        async with running(
+            tmp_path / "c.json", FakeDiscovery(), server, settings=settings(caps=caps)
+        ) as node:
             gate = ConnectBarrier(node)
             sock = call(node, request(cls, rid="r-1"))
             await node.until(lambda: gate.waiting > 0)
@@ -244,7 +246,7 @@
     async def play() -> None:
         server = Backend("s-1")
         monkeypatch.setattr(connection_module, "LAST_BYTE_HOLD_S", 0.05)
-        async with running(tmp_path / "c.json", Registry(), server) as node:
+        async with running(tmp_path / "c.json", FakeDiscovery(), server) as node:
             sock = call(node, request(cls, rid="r-1"))
             await node.until(lambda: any(conn.timer for conn in node.node.pools.connections))
             conn = await paused(node, sock)
@@ -260,7 +262,7 @@
 
     async def play() -> None:
         backends = Held("s-1"), Held("s-2")
-        async with running(tmp_path / "c.json", Registry(), *backends) as node:
+        async with running(tmp_path / "c.json", FakeDiscovery(), *backends) as node:
             sock = call(node, request(rid="r-1"))
             await node.until(lambda: any(backend.heads for backend in backends))
             conn = await paused(node, sock)
@@ -282,7 +284,7 @@
 
     async def play() -> None:
         server = Held("s-1")
-        async with running(tmp_path / "c.json", Registry(), server) as node:
+        async with running(tmp_path / "c.json", FakeDiscovery(), server) as node:
             sock = call(node, request(rid="r-1"))
             await server.until(lambda: len(server.heads) == 1)
             (open_,) = node.node.requests.values()
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -9,10 +9,10 @@
 import pytest
 
 from hollybay.proxy.discovery import NO_CHANGE_PAUSE_S
-from hollybay.testbed.loopback import Backend, Registry, read_message, request, running, settings
+from hollybay.testbed.loopback import Backend, FakeDiscovery, read_message, request, running, settings
 
 
-class Scripted(Registry):
+class Scripted(FakeDiscovery):
     """Gives its list once, then what the script holds, then its list again."""
 
     def __init__(self, *script: bytes) -> None:
--- a/tests/test_discovery_orders.py
+++ b/tests/test_discovery_orders.py
@@ -18,7 +18,7 @@
 from hollybay.testbed.loopback import (
     LIMIT,
     Backend,
-    Registry,
+    FakeDiscovery,
     Running,
     read_message,
     request,
@@ -37,7 +37,7 @@
     return settings(rules={"drain-grace": GRACE}, **changes)
 
 
-class Agent(Registry):
+class Agent(FakeDiscovery):
     """One whose calls can go unanswered: those that came meanwhile stay so, as where a machine was away."""
 
     def __init__(self, version: int = 1) -> None:
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -20,8 +20,8 @@
 from hollybay.testbed.loopback import (
     LIMIT,
     Backend,
+    FakeDiscovery,
     Listener,
-    Registry,
     read_message,
     request,
     running,
@@ -61,7 +61,7 @@
         def shared(config: Config) -> Config:
             return replace(config, admin=("127.0.0.1", 0))
 
-        async with running(tmp_path / "1" / "c.json", Registry(), first, adjust=shared) as old:
+        async with running(tmp_path / "1" / "c.json", FakeDiscovery(), first, adjust=shared) as old:
             old_group.join()
             old.clients.ready = True
             kept_reader, kept = await old.connect()
@@ -71,7 +71,7 @@
             def new_config(config: Config) -> Config:
                 return replace(shared(config), listen=("127.0.0.1", old.port))
 
-            async with running(tmp_path / "2" / "c.json", Registry(), second, adjust=new_config) as new:
+            async with running(tmp_path / "2" / "c.json", FakeDiscovery(), second, adjust=new_config) as new:
                 assert new.port == old.port
                 assert new.clients.listener is not None
                 assert new_group.take_new_connections(new.clients.listener, new_group.count_others())
@@ -184,7 +184,7 @@
     """Three good builds, one that does not start, and one that dies once it has taken the listener."""
 
     async def play(port: int, admins: list[int]) -> None:
-        registry = Registry()
+        registry = FakeDiscovery()
         servers = [Backend(f"s-{n}") for n in range(4)]
         listeners: list[Listener] = [registry, *servers]
         for listener in listeners:
--- a/tests/test_hollow.py
+++ b/tests/test_hollow.py
@@ -28,7 +28,7 @@
 from hollybay.hollow.wire import Conversation, MeteredLoop
 from hollybay.proxy.admin_client import call_policy
 from hollybay.proxy.admin_server import AdminResponse
-from hollybay.testbed.loopback import LIMIT, Registry, settings
+from hollybay.testbed.loopback import LIMIT, FakeDiscovery, settings
 from hollybay.units import MS
 
 LEASE_MS = 3_000
@@ -127,7 +127,7 @@
 @asynccontextmanager
 async def real_node(folder: Path, address: str, keepers: list[str]) -> AsyncIterator[None]:
     """A real node in a process of its own, named real."""
-    registry = Registry()
+    registry = FakeDiscovery()
     await registry.start()
     registry.tell()
     config = {
--- a/tests/test_lag.py
+++ b/tests/test_lag.py
@@ -15,8 +15,8 @@
     LIMIT,
     OK,
     Backend,
+    FakeDiscovery,
     Held,
-    Registry,
     call,
     read_message,
     request,
@@ -31,7 +31,7 @@
 def test_a_crowd_that_came_while_the_loop_was_busy_is_taken_in_at_once(tmp_path: Path) -> None:
     async def play() -> None:
         async with running(
-            tmp_path / "c.json", Registry(), Backend("s-1"), adjust=lambda c: replace(c, sockets=1024)
+            tmp_path / "c.json", FakeDiscovery(), Backend("s-1"), adjust=lambda c: replace(c, sockets=1024)
         ) as node:
             crowd = [call(node, b"") for _ in range(20 * ACCEPT_BATCH)]
             turns = 0
@@ -48,7 +48,9 @@
 def test_what_is_too_late_when_it_is_read_costs_no_attempt(tmp_path: Path) -> None:
     async def play() -> None:
         server = Backend("s-1")
-        async with running(tmp_path / "c.json", Registry(), server, settings=settings(caps=CAPS)) as node:
+        async with running(
+            tmp_path / "c.json", FakeDiscovery(), server, settings=settings(caps=CAPS)
+        ) as node:
             reader, writer = await node.connect()
             async with asyncio.timeout(LIMIT):
                 writer.write(request(rid="r-1"))
@@ -68,7 +70,7 @@
 def test_who_has_gone_before_the_request_was_read_costs_no_attempt(tmp_path: Path) -> None:
     async def play() -> None:
         server = Backend("s-1")
-        async with running(tmp_path / "c.json", Registry(), server) as node:
+        async with running(tmp_path / "c.json", FakeDiscovery(), server) as node:
             assert b" 200 " in await node.ask(request(rid="r-0"))
             call(node, request(rid="r-1")).close()
             assert b" 200 " in await node.ask(request(rid="r-2"))
@@ -89,7 +91,7 @@
             await go.wait()
 
         server = Backend("s-1", write_nothing)
-        async with running(tmp_path / "c.json", Registry(), server) as node:
+        async with running(tmp_path / "c.json", FakeDiscovery(), server) as node:
             asking = asyncio.ensure_future(node.ask(request()))
             await server.until(lambda: len(server.heads) == 1)
             (conn,) = node.node.pools.connections
@@ -110,7 +112,9 @@
     async def play() -> None:
         server = Backend("s-1")
         caps = {**CAPS, "connect-timeout": 1}
-        async with running(tmp_path / "c.json", Registry(), server, settings=settings(caps=caps)) as node:
+        async with running(
+            tmp_path / "c.json", FakeDiscovery(), server, settings=settings(caps=caps)
+        ) as node:
             assert b" 200 " in await node.ask(request("send"))
             assert server.accepted == 1
 
@@ -119,7 +123,7 @@
 
 def test_no_small_write_waits_for_an_acknowledgement(tmp_path: Path) -> None:
     async def play() -> None:
-        async with running(tmp_path / "c.json", Registry(), Backend("s-1")) as node:
+        async with running(tmp_path / "c.json", FakeDiscovery(), Backend("s-1")) as node:
             reader, writer = await node.connect()
             async with asyncio.timeout(LIMIT):
                 writer.write(request())
@@ -186,7 +190,9 @@
 def test_a_node_never_holds_all_the_connections_that_clients_have(tmp_path: Path) -> None:
     async def play() -> None:
         server = Held("s-1")
-        async with running(tmp_path / "c.json", Registry(), server, settings=settings(caps=CAPS)) as node:
+        async with running(
+            tmp_path / "c.json", FakeDiscovery(), server, settings=settings(caps=CAPS)
+        ) as node:
             third = node.clients.config.sockets // 3
             asking = [asyncio.ensure_future(node.ask(request("book", rid=f"r-{n}"))) for n in range(third)]
             await server.until(lambda: len(server.heads) + node.node.counters.rejected[2] == third)
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -9,12 +9,12 @@
 
 from hollybay.proxy.config import load
 from hollybay.proxy.life_cycle import serve
-from hollybay.testbed.loopback import LIMIT, Backend, Registry, request, running, write_config
+from hollybay.testbed.loopback import LIMIT, Backend, FakeDiscovery, request, running, write_config
 
 
 def test_the_watch_continues_at_the_new_discovery(tmp_path: Path) -> None:
     async def play() -> None:
-        old, new = Registry(version=900), Registry(version=3)
+        old, new = FakeDiscovery(version=900), FakeDiscovery(version=3)
         first, second = Backend("s-1"), Backend("s-2")
         async with running(tmp_path / "c.json", old, first) as node:
             assert b" 200 " in await node.ask(request(rid="r-1"))
@@ -36,7 +36,7 @@
 
 def test_sighup_rereads_and_a_bad_file_keeps_the_old_in_force(tmp_path: Path) -> None:
     async def play() -> None:
-        old, new = Registry(), Registry()
+        old, new = FakeDiscovery(), FakeDiscovery()
         await old.start()
         await new.start()
         path = tmp_path / "c.json"
--- a/tests/test_routes_node.py
+++ b/tests/test_routes_node.py
@@ -29,8 +29,8 @@
     LIMIT,
     OK,
     Backend,
+    FakeDiscovery,
     Held,
-    Registry,
     Running,
     read_message,
     request,
@@ -57,7 +57,7 @@
     path = folder / "operator.toml"
     path.write_text(text)
     known = settings(caps=CAPS, **more)
-    async with running(folder / "c.json", Registry(), *backends, settings=known) as node:
+    async with running(folder / "c.json", FakeDiscovery(), *backends, settings=known) as node:
         operator = OperatorFile(str(path), node.node.settings, 1, no_pause)
         node.clients.admission = operator.admission
         yield node, operator
@@ -385,7 +385,7 @@
         path.write_text(halves.pop(0) if halves else whole)
 
     write()
-    write_config(tmp_path / "c.json", _told(Registry()))
+    write_config(tmp_path / "c.json", _told(FakeDiscovery()))
     config = load({"BALANCER_CONFIG": str(tmp_path / "c.json")})
     plan = OperatorFile(str(path), config.settings, 1, write).admission.policy
     assert isinstance(plan, CompiledPolicy)
@@ -402,7 +402,7 @@
 def test_an_unsound_file_at_the_start_is_refused(tmp_path: Path) -> None:
     path = tmp_path / "operator.toml"
     path.write_text("[class.send.limits]\nattempts = 2\ncopies = 1")
-    write_config(tmp_path / "c.json", _told(Registry()))
+    write_config(tmp_path / "c.json", _told(FakeDiscovery()))
     config = load({"BALANCER_CONFIG": str(tmp_path / "c.json")})
     with pytest.raises(ConfigError) as caught:
         OperatorFile(str(path), config.settings, 1)
@@ -419,13 +419,13 @@
     assert done.returncode == 2 and "permits a repeat" in done.stderr
 
 
-def _told(registry: Registry) -> Registry:
+def _told(registry: FakeDiscovery) -> FakeDiscovery:
     registry.address = "127.0.0.1:1"
     return registry
 
 
 def test_without_a_file_nothing_of_it_is_imported(tmp_path: Path) -> None:
-    write_config(tmp_path / "c.json", _told(Registry()))
+    write_config(tmp_path / "c.json", _told(FakeDiscovery()))
     code = (
         "import sys, asyncio, os\n"
         "from hollybay.proxy import __main__, assembly as m\n"
@@ -458,7 +458,7 @@
 
 def test_sighup_reads_the_operators_file_again(tmp_path: Path) -> None:
     async def play() -> None:
-        registry, server = Registry(), Backend("s-1")
+        registry, server = FakeDiscovery(), Backend("s-1")
         await registry.start()
         await server.start()
         registry.tell(server)
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -21,8 +21,8 @@
     CLASSES,
     LIMIT,
     Backend,
+    FakeDiscovery,
     Held,
-    Registry,
     call,
     read_message,
     request,
@@ -51,7 +51,7 @@
     async def play() -> None:
         server = Backend("s-1")
         async with running(
-            tmp_path / "c.json", Registry(), server, adjust=lambda c: replace(c, sockets=FEW)
+            tmp_path / "c.json", FakeDiscovery(), server, adjust=lambda c: replace(c, sockets=FEW)
         ) as node:
             crowd = [call(node, request(rid=f"r-{n}")) for n in range(2 * node.clients.limit)]
             draining = asyncio.ensure_future(
@@ -72,7 +72,7 @@
 
     async def play() -> None:
         async with running(
-            tmp_path / "c.json", Registry(), Backend("s-1"), adjust=lambda c: replace(c, sockets=FEW)
+            tmp_path / "c.json", FakeDiscovery(), Backend("s-1"), adjust=lambda c: replace(c, sockets=FEW)
         ) as node:
             clients = node.clients
             clients.share = FEW  # none is thinned out before its time
@@ -120,7 +120,7 @@
 
     async def play() -> None:
         server = Backend("s-1")
-        async with running(tmp_path / "c.json", Registry(), server) as node:
+        async with running(tmp_path / "c.json", FakeDiscovery(), server) as node:
             sock = call(node, request(rid="r-1"))
             assert b" 200 " in await answer_of(sock)
             await node.until(lambda: bool(node.clients.idle))
@@ -152,7 +152,7 @@
     async def play() -> None:
         server = Backend("s-1")
         async with running(
-            tmp_path / "c.json", Registry(), server, settings=settings(categories=short)
+            tmp_path / "c.json", FakeDiscovery(), server, settings=settings(categories=short)
         ) as node:
             reader, writer = await node.connect()
             data = request("send", body=b"ab")
@@ -181,7 +181,7 @@
 
     async def play() -> None:
         backends = Held("s-1"), Held("s-2")
-        async with running(tmp_path / "c.json", Registry(), *backends) as node:
+        async with running(tmp_path / "c.json", FakeDiscovery(), *backends) as node:
             begun: list[Attempt] = []
             send = node.node.pools.send
 
@@ -225,7 +225,7 @@
     """stopped: the process stands still while they come, so that all are there in one turn of its loop."""
 
     async def play() -> None:
-        registry, server = Registry(), Held("s-1")
+        registry, server = FakeDiscovery(), Held("s-1")
         await registry.start()
         await server.start()
         registry.tell(server)
@@ -262,7 +262,7 @@
 
 def test_a_node_told_to_end_before_its_first_list_ends_in_order(tmp_path: Path) -> None:
     async def play() -> None:
-        registry = Registry()
+        registry = FakeDiscovery()
         await registry.start()
         write_config(tmp_path / "c.json", registry)
         config = json.loads((tmp_path / "c.json").read_text())
--- a/tests/test_upload.py
+++ b/tests/test_upload.py
@@ -12,7 +12,16 @@
 from hollybay.proxy.message_limits import MAX_HELD_BODY_BYTES
 from hollybay.proxy.streaming_body import MAX_RETAINED_BYTES, WINDOW_BYTES, RetentionBudget, StreamingBody
 from hollybay.proxy.upstream import connection as connection_module
-from hollybay.testbed.loopback import LIMIT, OK, Backend, Listener, Registry, read_message, request, running
+from hollybay.testbed.loopback import (
+    LIMIT,
+    OK,
+    Backend,
+    FakeDiscovery,
+    Listener,
+    read_message,
+    request,
+    running,
+)
 
 
 class Ends:
@@ -154,7 +163,7 @@
 def test_a_long_body_goes_on_as_it_comes_and_arrives_whole(cls: str, chunked: bool, tmp_path: Path) -> None:
     async def play() -> None:
         server = Taker("s-1")
-        async with running(tmp_path / "c.json", Registry(), server) as node:  # type: ignore[arg-type]
+        async with running(tmp_path / "c.json", FakeDiscovery(), server) as node:  # type: ignore[arg-type]
             reader, writer = await node.connect()
             async with asyncio.timeout(LIMIT):
                 for n in range(2):
@@ -186,7 +195,7 @@
             folder = tmp_path / str(keep)
             folder.mkdir()
             first, second = Taker("s-1", cut=200_000), Taker("s-2", cut=200_000)
-            async with running(folder / "c.json", Registry(), first, second) as node:  # type: ignore[arg-type]
+            async with running(folder / "c.json", FakeDiscovery(), first, second) as node:  # type: ignore[arg-type]
                 node.clients.streaming_budget.total = len(BODY) if keep else 0
                 answer = await node.ask(request("send", body=BODY))
                 if keep:
@@ -209,7 +218,7 @@
 
     async def play() -> None:
         server = Taker("s-1")
-        async with running(tmp_path / "c.json", Registry(), server) as node:  # type: ignore[arg-type]
+        async with running(tmp_path / "c.json", FakeDiscovery(), server) as node:  # type: ignore[arg-type]
             node.clients.streaming_budget.total = 0
             asked = asyncio.ensure_future(node.ask(worded("send", "r-1", chunked)))
             least = len(BODY) - (0 if chunked else 1)
@@ -225,7 +234,7 @@
 def test_a_client_that_leaves_in_the_middle_leaves_nothing_behind(tmp_path: Path) -> None:
     async def play() -> None:
         server = Taker("s-1")
-        async with running(tmp_path / "c.json", Registry(), server) as node:  # type: ignore[arg-type]
+        async with running(tmp_path / "c.json", FakeDiscovery(), server) as node:  # type: ignore[arg-type]
             _, writer = await node.connect()
             writer.write(request("send", body=BODY)[:200_000])
             await server.until(lambda: server.got > MAX_HELD_BODY_BYTES)
@@ -242,7 +251,7 @@
 def test_a_body_that_stands_still_is_given_up_and_one_that_comes_slowly_is_not(tmp_path: Path) -> None:
     async def play() -> None:
         server = Taker("s-1")
-        async with running(tmp_path / "c.json", Registry(), server) as node:  # type: ignore[arg-type]
+        async with running(tmp_path / "c.json", FakeDiscovery(), server) as node:  # type: ignore[arg-type]
             node.clients.limits.unfinished = 0.0
             reader, writer = await node.connect()
             writer.write(
@@ -264,7 +273,7 @@
 def test_a_body_beyond_all_measure_is_turned_away_before_it_is_read(tmp_path: Path) -> None:
     async def play() -> None:
         server = Backend("s-1")
-        async with running(tmp_path / "c.json", Registry(), server) as node:
+        async with running(tmp_path / "c.json", FakeDiscovery(), server) as node:
             data = request("send").replace(b"Content-Length: 0", b"Content-Length: 60000000")
             assert (await node.ask(data)).startswith(b"HTTP/1.1 413")
             assert not server.heads
