--- a/hollybay/testbed/loopback.py
+++ b/hollybay/testbed/loopback.py
@@ -24,12 +24,12 @@
     "CLASSES",
     "LIMIT",
     "OK",
-    "Backend",
     "ConnectBarrier",
     "FakeDiscovery",
     "Held",
     "Listener",
     "Running",
+    "ScriptedServer",
     "call",
     "read_message",
     "request",
@@ -58,7 +58,7 @@
         self.lines: list[dict[str, Any]] = []
         self.calls = 0
 
-    def tell(self, *backends: Backend, state: str = "SERVING") -> None:
+    def tell(self, *backends: ScriptedServer, state: str = "SERVING") -> None:
         """Replace the list by these servers, all in one state."""
         self.lines = [
             {"id": b.name, "addr": b.address, "zone": "a", "kind": "m", "cell": 0, "state": state}
@@ -87,7 +87,7 @@
 """Answers a request, given its head."""
 
 
-class Backend(Listener):
+class ScriptedServer(Listener):
     """A server: it notes each request's head and answers it as the script says."""
 
     def __init__(self, name: str, script: Script | bytes = OK) -> None:
@@ -108,7 +108,7 @@
                 await self.script(head, writer)
 
 
-class Held(Backend):
+class Held(ScriptedServer):
     """A server that notes requests and answers none of them before `go` is set."""
 
     def __init__(self, name: str) -> None:
@@ -216,7 +216,7 @@
 async def running(
     path: Path,
     registry: FakeDiscovery,
-    *backends: Backend,
+    *backends: ScriptedServer,
     adjust: Callable[[Config], Config] = lambda config: config,
     **changes: Any,
 ) -> AsyncIterator[Running]:
--- a/tests/loopback_day.py
+++ b/tests/loopback_day.py
@@ -10,9 +10,9 @@
     CLASSES,
     LIMIT,
     OK,
-    Backend,
     FakeDiscovery,
     Running,
+    ScriptedServer,
     read_message,
     request,
     running,
@@ -27,7 +27,7 @@
 FAILED = b"HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n"
 
 
-class Worker(Backend):
+class Worker(ScriptedServer):
     """A server whose answers follow from how many it has given, each after some milliseconds."""
 
     def __init__(self, name: str, number: int) -> None:
--- a/tests/test_admin_service.py
+++ b/tests/test_admin_service.py
@@ -20,9 +20,9 @@
 from hollybay.proxy.config import ConfigError, load
 from hollybay.testbed.loopback import (
     LIMIT,
-    Backend,
     FakeDiscovery,
     Running,
+    ScriptedServer,
     read_message,
     request,
     running,
@@ -32,7 +32,7 @@
 
 @asynccontextmanager
 async def running_admin_service(
-    tmp_path: Path, *backends: Backend, scratch: str = ""
+    tmp_path: Path, *backends: ScriptedServer, scratch: str = ""
 ) -> AsyncIterator[tuple[Running, AdminService, FakeDiscovery]]:
     registry = FakeDiscovery()
     async with running(tmp_path / "c.json", registry, *backends) as node:
@@ -72,7 +72,7 @@
 
 def test_a_drained_server_gets_no_requests_until_it_is_enabled(tmp_path: Path) -> None:
     async def play() -> None:
-        one, two = Backend("s-1"), Backend("s-2")
+        one, two = ScriptedServer("s-1"), ScriptedServer("s-2")
         async with running_admin_service(tmp_path, one, two) as (node, service, registry):
             for n in range(20):
                 assert b" 200 " in await node.ask(request(rid=f"a-{n}"))
@@ -106,10 +106,10 @@
         first.mkdir()
         second.mkdir()
         shared = str(tmp_path)
-        one, two = Backend("s-1"), Backend("s-2")
+        one, two = ScriptedServer("s-1"), ScriptedServer("s-2")
         async with running_admin_service(first, one, two, scratch=shared) as (_, service, _registry):
             await send_request(service, "POST /-/servers/s-1/disable")
-            three, four = Backend("s-1"), Backend("s-2")
+            three, four = ScriptedServer("s-1"), ScriptedServer("s-2")
             async with running_admin_service(second, three, four, scratch=shared) as (node, beside, _):
                 # Names and addresses of the two are one in truth; here they tell the folders apart.
                 assert beside.server_drains.drains.drained == {"s-1"}
@@ -132,7 +132,7 @@
 
 def test_a_drained_node_sends_clients_away_and_comes_back(tmp_path: Path) -> None:
     async def play() -> None:
-        async with running_admin_service(tmp_path, Backend("s-1")) as (node, service, _):
+        async with running_admin_service(tmp_path, ScriptedServer("s-1")) as (node, service, _):
             resting, resting_writer = await node.connect()
             busy, writer = await node.connect()
             async with asyncio.timeout(LIMIT):
@@ -167,7 +167,7 @@
             else:
                 writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 
-        server = Backend("s-1", script)
+        server = ScriptedServer("s-1", script)
         async with running_admin_service(tmp_path, server) as (node, service, _):
             for n in range(5):
                 assert b" 200 " in await node.ask(request(rid=f"r-{n}"))
@@ -184,7 +184,7 @@
 
 def test_silent_clients_keep_nobody_waiting(tmp_path: Path) -> None:
     async def play() -> None:
-        async with running_admin_service(tmp_path, Backend("s-1")) as (_, service, _registry):
+        async with running_admin_service(tmp_path, ScriptedServer("s-1")) as (_, service, _registry):
             silent = []
             for n in range(3 * admin_server.MAX_CONNECTIONS):
                 _, writer = await asyncio.open_connection("127.0.0.1", service.server.port)
@@ -200,7 +200,7 @@
 
 def test_an_invalid_request_is_rejected_and_the_server_stays_open(tmp_path: Path) -> None:
     async def play() -> None:
-        async with running_admin_service(tmp_path, Backend("s-1")) as (_, service, _registry):
+        async with running_admin_service(tmp_path, ScriptedServer("s-1")) as (_, service, _registry):
             assert (await send_request(service, "GET /-/drain"))[0] == 405
             assert (await send_request(service, "GET /nothing"))[0] == 404
             for noise in (b"\x00\xff\r\n\r\n", b"GET / HTTP/1.1\r\n" + b"A: " + b"x" * 20_000 + b"\r\n\r\n"):
@@ -219,7 +219,7 @@
 @pytest.mark.parametrize("target", ["/-/ready", "/-/metrics", "/-/none"])
 def test_a_head_request_gets_the_head_of_a_response(target: str, tmp_path: Path) -> None:
     async def play() -> None:
-        async with running_admin_service(tmp_path, Backend("s-1")) as (_, service, _):
+        async with running_admin_service(tmp_path, ScriptedServer("s-1")) as (_, service, _):
             answers = []
             for method in ("HEAD", "GET"):
                 reader, writer = await asyncio.open_connection("127.0.0.1", service.server.port)
@@ -236,7 +236,7 @@
 
 def test_the_server_list_shows_drained_servers(tmp_path: Path) -> None:
     async def play() -> None:
-        async with running_admin_service(tmp_path, Backend("s-1")) as (_, service, _registry):
+        async with running_admin_service(tmp_path, ScriptedServer("s-1")) as (_, service, _registry):
             await send_request(service, "POST /-/servers/s-1/disable")
             status, body = await send_request(service, "GET /-/servers")
             assert status == 200 and b'"id": "s-1"' in body and b'"disabled": true' in body
@@ -246,7 +246,7 @@
 
 def test_without_an_admin_address_none_of_it_is_loaded(tmp_path: Path) -> None:
     async def play() -> None:
-        async with running(tmp_path / "c.json", FakeDiscovery(), Backend("s-1")) as node:
+        async with running(tmp_path / "c.json", FakeDiscovery(), ScriptedServer("s-1")) as node:
             config = node.clients.config
             assert config.admin is None and node.node.overlay is None
             assert await start_admin(config, node.clients, node.node) is None
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -7,7 +7,16 @@
 
 import pytest
 
-from hollybay.testbed.loopback import LIMIT, OK, Backend, FakeDiscovery, Held, read_message, request, running
+from hollybay.testbed.loopback import (
+    LIMIT,
+    OK,
+    FakeDiscovery,
+    Held,
+    ScriptedServer,
+    read_message,
+    request,
+    running,
+)
 
 HEAD = b"HTTP/1.1 200 OK\r\n"
 SPOILT = {
@@ -39,7 +48,7 @@
             heads.append(head)
             writer.write(spoil.pop() if spoil else OK)
 
-        first, second = Backend("s-1", script), Backend("s-2", script)
+        first, second = ScriptedServer("s-1", script), ScriptedServer("s-2", script)
         async with running(tmp_path / "c.json", FakeDiscovery(), first, second) as node:
             answer = await node.ask(request(cls))
             assert answer.startswith(b"HTTP/1.1 502" if cls == "send" else b"HTTP/1.1 200")
@@ -63,7 +72,7 @@
         async def script(head: bytes, writer: asyncio.StreamWriter) -> None:
             writer.write(OK.replace(b"ok", b"%d!" % len(server.heads)))
 
-        server = Backend("s-1", script)
+        server = ScriptedServer("s-1", script)
         async with running(tmp_path / "c.json", FakeDiscovery(), server) as node:
             reader, writer = await node.connect()
             async with asyncio.timeout(LIMIT):
@@ -123,7 +132,7 @@
                 await writer.drain()
                 writer.close()
 
-        server = Backend("s-1", script)
+        server = ScriptedServer("s-1", script)
         async with running(tmp_path / "c.json", FakeDiscovery(), server) as node:
             reader, writer = await node.connect()
             async with asyncio.timeout(LIMIT):
@@ -145,7 +154,7 @@
             await writer.drain()
             writer.close()
 
-        async with running(tmp_path / "c.json", FakeDiscovery(), Backend("s-1", script)) as node:
+        async with running(tmp_path / "c.json", FakeDiscovery(), ScriptedServer("s-1", script)) as node:
             reader, writer = await node.connect()
             async with asyncio.timeout(LIMIT):
                 writer.write(request("send"))
@@ -171,7 +180,7 @@
             else:
                 writer.write(OK)
 
-        async with running(tmp_path / "c.json", FakeDiscovery(), Backend("s-1", script)) as node:
+        async with running(tmp_path / "c.json", FakeDiscovery(), ScriptedServer("s-1", script)) as node:
             reader, writer = await node.connect()
             async with asyncio.timeout(LIMIT):
                 writer.write(request(rid="r-long"))
@@ -199,7 +208,7 @@
                 await writer.drain()
                 wrote += 64 << 10
 
-        server = Backend("s-1", script)
+        server = ScriptedServer("s-1", script)
         async with running(tmp_path / "c.json", FakeDiscovery(), server) as node:
             reader, writer = await asyncio.open_connection("127.0.0.1", node.port, limit=16 << 10)
             async with asyncio.timeout(LIMIT):
@@ -219,7 +228,7 @@
 
 def test_an_answer_that_says_3_gb_is_none(tmp_path: Path) -> None:
     async def play() -> None:
-        server = Backend("s-1", HEAD + b"Content-Length: 3000000000\r\n\r\n" + LONG)
+        server = ScriptedServer("s-1", HEAD + b"Content-Length: 3000000000\r\n\r\n" + LONG)
         async with running(tmp_path / "c.json", FakeDiscovery(), server) as node:
             assert (await node.ask(request("send"))).startswith(b"HTTP/1.1 502")
 
@@ -231,7 +240,7 @@
         answer = b"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n" + OK.replace(
             b"\r\n\r\n", b"\r\nX-Backend-Load: TEXT q=\xff\xfe,,=1e999\r\n\r\n"
         )
-        server = Backend("s-1", answer)
+        server = ScriptedServer("s-1", answer)
         async with running(tmp_path / "c.json", FakeDiscovery(), server) as node:
             for n in range(3):
                 assert b" 200 " in await node.ask(request(rid=f"r-{n}"))
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -20,11 +20,11 @@
     CLASSES,
     LIMIT,
     OK,
-    Backend,
     ConnectBarrier,
     FakeDiscovery,
     Held,
     Listener,
+    ScriptedServer,
     call,
     read_message,
     request,
@@ -141,7 +141,7 @@
 
     async def play() -> None:
         registry = FakeDiscovery()
-        server, other = Backend("s-1"), Backend("s-1")
+        server, other = ScriptedServer("s-1"), ScriptedServer("s-1")
         await other.start()
         rules = {"drain-grace": 40 * MS}
         async with running(
@@ -175,7 +175,7 @@
 @pytest.mark.parametrize("end", ["its time", "its client"])
 def test_a_connection_that_comes_up_after_its_request_ended_writes_nothing(end: str, tmp_path: Path) -> None:
     async def play() -> None:
-        server = Backend("s-1")
+        server = ScriptedServer("s-1")
         async with running(
             tmp_path / "c.json", FakeDiscovery(), server, settings=settings(caps=caps())
         ) as node:
@@ -319,7 +319,7 @@
     monkeypatch.setattr(module, "SETTLE_S", settle)
 
     async def play() -> None:
-        server = Backend("s-1")
+        server = ScriptedServer("s-1")
         async with running(tmp_path / "c.json", FakeDiscovery(), server) as node:
             for n in range(30):
                 assert b" 200 " in await node.ask(request(rid=f"r-{n}"))
@@ -337,7 +337,7 @@
     monkeypatch.setattr(module, "SETTLE_S", 0.02)
 
     async def play() -> None:
-        server = Backend("s-1")
+        server = ScriptedServer("s-1")
         async with running(tmp_path / "c.json", FakeDiscovery(), server) as node:
             node.node.pools.limit = 1
             for n in range(10):
@@ -385,7 +385,7 @@
         await asyncio.Event().wait()
 
     async def play() -> None:
-        async with running(tmp_path / "c.json", FakeDiscovery(), Backend("s-1", script)) as node:
+        async with running(tmp_path / "c.json", FakeDiscovery(), ScriptedServer("s-1", script)) as node:
             answer = await node.ask(request("send"))
             ended = whole[:cut].partition(b"\r\n\r\n")
             if ended[1] and not reset:
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -9,7 +9,15 @@
 import pytest
 
 from hollybay.proxy.downstream.recent_request_ids import RecentRequestIds
-from hollybay.testbed.loopback import LIMIT, Backend, FakeDiscovery, Held, read_message, request, running
+from hollybay.testbed.loopback import (
+    LIMIT,
+    FakeDiscovery,
+    Held,
+    ScriptedServer,
+    read_message,
+    request,
+    running,
+)
 
 HEAD = b"POST /send HTTP/1.1\r\nHost: h\r\nX-Correlation-Id: r-1\r\n"
 HIDDEN = b"0\r\n\r\nPOST /send HTTP/1.1\r\nHost: h\r\nX-Correlation-Id: r-2\r\nContent-Length: 0\r\n\r\n"
@@ -36,7 +44,7 @@
 @pytest.mark.parametrize("kind", WRONG)
 def test_what_is_wrong_is_answered_4xx_and_never_passed_on(kind: str, tmp_path: Path) -> None:
     async def play() -> None:
-        server = Backend("s-1")
+        server = ScriptedServer("s-1")
         async with running(tmp_path / "c.json", FakeDiscovery(), server) as node:
             assert (await node.ask(WRONG[kind])).startswith(b"HTTP/1.1 4")
             assert b" 200 " in await node.ask(request(rid="r-9"))
@@ -52,7 +60,7 @@
     version: bytes, status: int, tmp_path: Path
 ) -> None:
     async def play() -> None:
-        server = Backend("s-1")
+        server = ScriptedServer("s-1")
         async with running(tmp_path / "c.json", FakeDiscovery(), server) as node:
             answer = await node.ask(request().replace(b"HTTP/1.1", b"HTTP/" + version))
             assert answer.startswith(b"HTTP/1.1 %d " % status)
@@ -93,7 +101,7 @@
 @pytest.mark.parametrize("sent", [b"", b"GET /vi", HEAD + b"Content-Length: 9\r\n\r\nhalf"])
 def test_silence_and_half_requests_end_at_their_phase_s_deadline(sent: bytes, tmp_path: Path) -> None:
     async def play() -> None:
-        async with running(tmp_path / "c.json", FakeDiscovery(), Backend("s-1")) as node:
+        async with running(tmp_path / "c.json", FakeDiscovery(), ScriptedServer("s-1")) as node:
             node.clients.limits.silent = node.clients.limits.unfinished = 0.0
             answer = await node.ask(sent)
             assert answer.startswith(b"HTTP/1.1 408") if sent else answer == b""
@@ -103,7 +111,7 @@
 
 def test_a_trickle_does_not_put_the_deadline_off(tmp_path: Path) -> None:
     async def play() -> None:
-        async with running(tmp_path / "c.json", FakeDiscovery(), Backend("s-1")) as node:
+        async with running(tmp_path / "c.json", FakeDiscovery(), ScriptedServer("s-1")) as node:
             reader, writer = await node.connect()
             writer.write(HEAD)
             async with asyncio.timeout(LIMIT):
@@ -121,7 +129,7 @@
 
 def test_a_kept_connection_is_closed_after_its_rest(tmp_path: Path) -> None:
     async def play() -> None:
-        async with running(tmp_path / "c.json", FakeDiscovery(), Backend("s-1")) as node:
+        async with running(tmp_path / "c.json", FakeDiscovery(), ScriptedServer("s-1")) as node:
             node.clients.limits.idle = 0.0
             reader, writer = await node.connect()
             writer.write(request())
@@ -154,7 +162,7 @@
 
 def test_those_who_ask_once_and_stay_leave_room_for_the_next(tmp_path: Path) -> None:
     async def play() -> None:
-        async with running(tmp_path / "c.json", FakeDiscovery(), Backend("s-1")) as node:
+        async with running(tmp_path / "c.json", FakeDiscovery(), ScriptedServer("s-1")) as node:
             node.clients.limits.idle_when_crowded = 0.0
             stay = []
             async with asyncio.timeout(LIMIT):
@@ -175,7 +183,7 @@
 
 def test_a_request_that_waits_unread_keeps_its_connection_open(tmp_path: Path) -> None:
     async def play() -> None:
-        async with running(tmp_path / "c.json", FakeDiscovery(), Backend("s-1")) as node:
+        async with running(tmp_path / "c.json", FakeDiscovery(), ScriptedServer("s-1")) as node:
             reader, writer = await node.connect()
             async with asyncio.timeout(LIMIT):
                 writer.write(request(rid="r-1"))
@@ -212,7 +220,7 @@
 
 def test_bodies_together_stay_within_their_budget(tmp_path: Path) -> None:
     async def play() -> None:
-        server = Backend("s-1")
+        server = ScriptedServer("s-1")
         body = b"x" * 65536
         async with running(
             tmp_path / "c.json", FakeDiscovery(), server, adjust=lambda c: replace(c, body_budget=200_000)
--- a/tests/test_consensus_member.py
+++ b/tests/test_consensus_member.py
@@ -37,7 +37,15 @@
 from hollybay.resources.model import Change, Kind, Upsert
 from hollybay.routing.policy_compiler import compile_file
 from hollybay.routing.problems import OperatorError
-from hollybay.testbed.loopback import LIMIT, Backend, FakeDiscovery, Running, request, running, settings
+from hollybay.testbed.loopback import (
+    LIMIT,
+    FakeDiscovery,
+    Running,
+    ScriptedServer,
+    request,
+    running,
+    settings,
+)
 from hollybay.testbed.world import make_settings
 from hollybay.units import MS
 
@@ -47,7 +55,7 @@
 
 @asynccontextmanager
 async def running_member(
-    tmp_path: Path, *backends: Backend, name: str = "n0", voters: tuple[str, ...] = ()
+    tmp_path: Path, *backends: ScriptedServer, name: str = "n0", voters: tuple[str, ...] = ()
 ) -> AsyncIterator[tuple[Running, ConsensusMember]]:
     """A node with an admin address, which is the only voter unless others are given."""
     raw_settings = settings()
@@ -99,7 +107,7 @@
 
 def test_a_node_that_cannot_know_refuses_at_once_and_serves_once_it_does(tmp_path: Path) -> None:
     async def play() -> None:
-        backend = Backend("s-1")
+        backend = ScriptedServer("s-1")
         async with running_member(tmp_path, backend) as (node, member):
             answer = await node.ask(request(rid="r-1"))
             assert answer.startswith(b"HTTP/1.1 503") and b"retry-after" in answer.lower()
@@ -218,7 +226,7 @@
     bad.write_text('[[route]]\nname = "x"\nclass = "nobody"\n')
 
     async def play() -> None:
-        backend = Backend("s-1")
+        backend = ScriptedServer("s-1")
         async with running_member(tmp_path, backend) as (node, member):
 
             async def did(*words: str) -> Result:
@@ -274,7 +282,7 @@
     bad.write_text('[[route]]\nname = "x"\nclass = "nobody"\n')
 
     async def play() -> None:
-        async with running_member(tmp_path, Backend("s-1")) as (_, member):
+        async with running_member(tmp_path, ScriptedServer("s-1")) as (_, member):
 
             async def did(*words: str) -> Result:
                 return await asyncio.to_thread(run, member, *words)
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -20,11 +20,11 @@
 from hollybay.testbed.loopback import (
     LIMIT,
     OK,
-    Backend,
     ConnectBarrier,
     FakeDiscovery,
     Held,
     Running,
+    ScriptedServer,
     call,
     read_message,
     request,
@@ -82,7 +82,7 @@
     return conn
 
 
-async def no_more_than(node: Running, backends: tuple[Backend, ...], rid: bytes, heads: int) -> None:
+async def no_more_than(node: Running, backends: tuple[ScriptedServer, ...], rid: bytes, heads: int) -> None:
     """The request is over, and servers have had no more of it."""
     await node.until(lambda: not node.node.requests)
     # What was written before goes first on its connection: by now it would have come.
@@ -117,7 +117,7 @@
     """The look must not take for gone who is there."""
 
     async def play() -> None:
-        backends = Breaking("s-1"), Backend("s-2")
+        backends = Breaking("s-1"), ScriptedServer("s-2")
         async with running(tmp_path / "c.json", FakeDiscovery(), *backends) as node:
             backends[0].go.set()
             reader, writer = await node.connect()
@@ -167,7 +167,7 @@
     """A request waits as no server is there. Its timer, the list and the close come in one turn."""
 
     async def play() -> None:
-        registry, server = FakeDiscovery(), Backend("s-1")
+        registry, server = FakeDiscovery(), ScriptedServer("s-1")
         await server.start()
         async with running(tmp_path / "c.json", registry) as node:
             sock = call(node, request(rid="r-1"))
@@ -214,7 +214,7 @@
     """Also where the settings allow no cancel: what has not begun is none."""
 
     async def play() -> None:
-        server = Backend("s-1")
+        server = ScriptedServer("s-1")
         caps = {**settings()["caps"], "cancel": cancel, "connect-timeout": 10**10}
         async with running(
             tmp_path / "c.json", FakeDiscovery(), server, settings=settings(caps=caps)
@@ -244,7 +244,7 @@
     """The server has all but the last byte: it gets a request once that has come."""
 
     async def play() -> None:
-        server = Backend("s-1")
+        server = ScriptedServer("s-1")
         monkeypatch.setattr(connection_module, "LAST_BYTE_HOLD_S", 0.05)
         async with running(tmp_path / "c.json", FakeDiscovery(), server) as node:
             sock = call(node, request(cls, rid="r-1"))
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -9,7 +9,7 @@
 import pytest
 
 from hollybay.proxy.discovery import NO_CHANGE_PAUSE_S
-from hollybay.testbed.loopback import Backend, FakeDiscovery, read_message, request, running, settings
+from hollybay.testbed.loopback import FakeDiscovery, ScriptedServer, read_message, request, running, settings
 
 
 class Scripted(FakeDiscovery):
@@ -59,7 +59,7 @@
 @pytest.mark.parametrize("kind", NONSENSE)
 def test_nonsense_changes_nothing_and_the_watch_goes_on(kind: str, tmp_path: Path) -> None:
     async def play() -> None:
-        registry, server = Scripted(NONSENSE[kind]), Backend("s-1")
+        registry, server = Scripted(NONSENSE[kind]), ScriptedServer("s-1")
         async with running(tmp_path / "c.json", registry, server) as node:
             await registry.until(lambda: registry.calls >= 3)
             assert list(node.node.balancer.servers) == ["s-1"]
@@ -71,7 +71,7 @@
 def test_a_discovery_that_does_not_wait_is_not_polled_without_a_pause(tmp_path: Path) -> None:
     async def play() -> None:
         registry = Scripted()
-        async with running(tmp_path / "c.json", registry, Backend("s-1")):
+        async with running(tmp_path / "c.json", registry, ScriptedServer("s-1")):
             loop = asyncio.get_running_loop()
             seen, began = registry.calls, loop.time()
             await registry.until(lambda: registry.calls >= seen + 4)
@@ -87,7 +87,7 @@
         registry = Scripted(NONSENSE["an error"])
         registry.calls = 1  # the first call meets the script
         on_demand = settings(**{"membership-mode": "subscribe"})
-        async with running(tmp_path / "c.json", registry, Backend("s-1"), settings=on_demand) as node:
+        async with running(tmp_path / "c.json", registry, ScriptedServer("s-1"), settings=on_demand) as node:
             assert registry.calls >= 3
             assert b" 200 " in await node.ask(request())
 
--- a/tests/test_discovery_orders.py
+++ b/tests/test_discovery_orders.py
@@ -17,9 +17,9 @@
 from hollybay.proxy import discovery_connection
 from hollybay.testbed.loopback import (
     LIMIT,
-    Backend,
     FakeDiscovery,
     Running,
+    ScriptedServer,
     read_message,
     request,
     running,
@@ -83,7 +83,7 @@
     """Requests that it got while down are never answered, and a drain counts from the agent's return."""
 
     async def play() -> None:
-        agent, server = Agent(), Backend("s-1")
+        agent, server = Agent(), ScriptedServer("s-1")
         async with running(tmp_path / "c.json", agent, server, settings=short()) as node:
             await agent.until(lambda: "wait=1000" in agent.targets[-1])
             agent.begun, agent.silent = begun, True
@@ -126,7 +126,7 @@
     monkeypatch.setattr(module, "ON_DEMAND_WATCH_OVERDUE_S", 0.1)
 
     async def play() -> None:
-        agent, server = Agent(), Backend("s-1")
+        agent, server = Agent(), ScriptedServer("s-1")
         many = short(balancers=200, **{"membership-mode": "subscribe"})
         async with running(tmp_path / "c.json", agent, server, settings=many) as node:
             told: list[object] = []
@@ -149,7 +149,7 @@
 
     async def play() -> None:
         old, new = Agent(version=900), Agent(version=3)
-        first, second = Backend("s-1"), Backend("s-2")
+        first, second = ScriptedServer("s-1"), ScriptedServer("s-2")
         async with running(tmp_path / "c.json", old, first, settings=short()) as node:
             await old.until(lambda: "wait=" in old.targets[-1])
             old.silent = new.silent = True
@@ -184,7 +184,7 @@
 def test_the_complete_list_is_requested_after_versions_restart(on_demand: bool, tmp_path: Path) -> None:
     async def play() -> None:
         agent = RestartsVersions(version=40)
-        first, second = Backend("s-1"), Backend("s-2")
+        first, second = ScriptedServer("s-1"), ScriptedServer("s-2")
         await second.start()
         mode = {"membership-mode": "subscribe"} if on_demand else {}
         async with running(tmp_path / "c.json", agent, first, settings=settings(**mode)) as node:
@@ -203,7 +203,7 @@
     """Two requests are in flight, and the first one is answered last, with the list of its time."""
 
     async def play() -> None:
-        agent, server = Agent(version=5), Backend("s-1")
+        agent, server = Agent(version=5), ScriptedServer("s-1")
         async with running(tmp_path / "c.json", agent, server) as node:
             held = node.discovery.version
             new = node.discovery.names.parse_update(
@@ -233,7 +233,7 @@
 
 def test_no_change_is_lost_on_an_idle_connection_that_discovery_closed(tmp_path: Path) -> None:
     async def play() -> None:
-        agent, server = Closing(), Backend("s-1")
+        agent, server = Closing(), ScriptedServer("s-1")
         async with running(tmp_path / "c.json", agent, server) as node:
             calls = agent.calls
             await agent.until(lambda: agent.calls >= calls + 3)
@@ -256,7 +256,7 @@
     monkeypatch.setattr(discovery_connection, "_get", looked)
 
     async def play() -> None:
-        async with running(tmp_path / "c.json", Agent(), Backend("s-1")):
+        async with running(tmp_path / "c.json", Agent(), ScriptedServer("s-1")):
             assert seen and all(seen)
 
     asyncio.run(play())
@@ -267,7 +267,7 @@
     most = 192
 
     async def play() -> None:
-        agent, first, second = Agent(), Backend("s-1"), Backend("s-2")
+        agent, first, second = Agent(), ScriptedServer("s-1"), ScriptedServer("s-2")
         for listener in (agent, first, second):
             await listener.start()
         agent.tell(first)
@@ -331,7 +331,7 @@
             await node.stop()
 
     async def play() -> None:
-        agent, server = Agent(), Backend("s-1")
+        agent, server = Agent(), ScriptedServer("s-1")
         await agent.start()
         await server.start()
         agent.tell(server)
@@ -361,7 +361,7 @@
             await super().talk(reader, writer)
 
     async def play() -> None:
-        agent, old, new = Late(version=9), Backend("s-1"), Backend("s-2")
+        agent, old, new = Late(version=9), ScriptedServer("s-1"), ScriptedServer("s-2")
         agent.first = asyncio.Event()
         for listener in (agent, old, new):
             await listener.start()
@@ -408,7 +408,7 @@
         agent, loop = Busy(), asyncio.get_running_loop()
         began = loop.time()
         many = settings(balancers=200, **{"membership-mode": "subscribe"})
-        async with running(tmp_path / "c.json", agent, Backend("s-1"), settings=many):
+        async with running(tmp_path / "c.json", agent, ScriptedServer("s-1"), settings=many):
             assert agent.calls == 3 or agent.calls == 4  # the watch may be out
         assert loop.time() - began <= 10.0
 
--- a/tests/test_found_by_seeds.py
+++ b/tests/test_found_by_seeds.py
@@ -13,7 +13,7 @@
 from hollybay.balancing.estimates import REVIEW_INTERVAL_NS
 from hollybay.balancing.event_loop_delay import WINDOW_NS
 from hollybay.proxy import system
-from hollybay.testbed.loopback import CLASSES, Backend, FakeDiscovery, request, running, settings
+from hollybay.testbed.loopback import CLASSES, FakeDiscovery, ScriptedServer, request, running, settings
 from hollybay.testbed.world import MS, SAFE, SECOND, Node, fleet, make_settings
 
 
@@ -21,7 +21,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def play() -> None:
-        server = Backend("s-1")
+        server = ScriptedServer("s-1")
         async with running(tmp_path / "c.json", FakeDiscovery(), server) as node:
 
             def none_left(host: str) -> Any:
@@ -45,7 +45,7 @@
     streamed = [{**CLASSES[0], "streamed": True}, *CLASSES[1:]]
 
     async def play() -> None:
-        server = Backend("s-1", both)
+        server = ScriptedServer("s-1", both)
         words = settings(categories=streamed)
         async with running(tmp_path / "c.json", FakeDiscovery(), server, settings=words) as node:
             assert (await node.ask(request(rid="r-1"))).startswith(b"HTTP/1.1 503 ")
--- a/tests/test_graceful_shutdown.py
+++ b/tests/test_graceful_shutdown.py
@@ -10,9 +10,9 @@
 from hollybay.proxy.shutdown import shut_down_gracefully
 from hollybay.testbed.loopback import (
     LIMIT,
-    Backend,
     FakeDiscovery,
     Held,
+    ScriptedServer,
     call,
     read_message,
     request,
@@ -24,7 +24,7 @@
 
 def test_kept_connections_are_served_while_the_node_drains(tmp_path: Path) -> None:
     async def play() -> None:
-        async with running(tmp_path / "c.json", FakeDiscovery(), Backend("s-1")) as node:
+        async with running(tmp_path / "c.json", FakeDiscovery(), ScriptedServer("s-1")) as node:
             node.clients.ready = True
             reader, writer = await node.connect()
             async with asyncio.timeout(LIMIT):
@@ -75,7 +75,7 @@
 
 def test_who_waits_at_the_listener_when_it_closes_is_still_served(tmp_path: Path) -> None:
     async def play() -> None:
-        async with running(tmp_path / "c.json", FakeDiscovery(), Backend("s-1")) as node:
+        async with running(tmp_path / "c.json", FakeDiscovery(), ScriptedServer("s-1")) as node:
             crowd = [call(node, request(rid=f"r-{n}")) for n in range(30)]
             async with asyncio.timeout(LIMIT):
                 await shut_down_gracefully(node.clients, node.node, accept_period_s=0.0, final_period_s=10.0)
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -19,9 +19,9 @@
 from hollybay.proxy.shutdown import shut_down_gracefully
 from hollybay.testbed.loopback import (
     LIMIT,
-    Backend,
     FakeDiscovery,
     Listener,
+    ScriptedServer,
     read_message,
     request,
     running,
@@ -54,7 +54,7 @@
 def test_the_new_process_gets_all_new_connections_and_the_old_one_loses_none(tmp_path: Path) -> None:
     async def play() -> None:
         old_group, new_group = ListenerGroup(tmp_path, "node"), ListenerGroup(tmp_path, "node")
-        first, second = Backend("s-1"), Backend("s-1")
+        first, second = ScriptedServer("s-1"), ScriptedServer("s-1")
         (tmp_path / "1").mkdir()
         (tmp_path / "2").mkdir()
 
@@ -185,7 +185,7 @@
 
     async def play(port: int, admins: list[int]) -> None:
         registry = FakeDiscovery()
-        servers = [Backend(f"s-{n}") for n in range(4)]
+        servers = [ScriptedServer(f"s-{n}") for n in range(4)]
         listeners: list[Listener] = [registry, *servers]
         for listener in listeners:
             await listener.start()
--- a/tests/test_lag.py
+++ b/tests/test_lag.py
@@ -14,9 +14,9 @@
 from hollybay.testbed.loopback import (
     LIMIT,
     OK,
-    Backend,
     FakeDiscovery,
     Held,
+    ScriptedServer,
     call,
     read_message,
     request,
@@ -31,7 +31,10 @@
 def test_a_crowd_that_came_while_the_loop_was_busy_is_taken_in_at_once(tmp_path: Path) -> None:
     async def play() -> None:
         async with running(
-            tmp_path / "c.json", FakeDiscovery(), Backend("s-1"), adjust=lambda c: replace(c, sockets=1024)
+            tmp_path / "c.json",
+            FakeDiscovery(),
+            ScriptedServer("s-1"),
+            adjust=lambda c: replace(c, sockets=1024),
         ) as node:
             crowd = [call(node, b"") for _ in range(20 * ACCEPT_BATCH)]
             turns = 0
@@ -47,7 +50,7 @@
 
 def test_what_is_too_late_when_it_is_read_costs_no_attempt(tmp_path: Path) -> None:
     async def play() -> None:
-        server = Backend("s-1")
+        server = ScriptedServer("s-1")
         async with running(
             tmp_path / "c.json", FakeDiscovery(), server, settings=settings(caps=CAPS)
         ) as node:
@@ -69,7 +72,7 @@
 
 def test_who_has_gone_before_the_request_was_read_costs_no_attempt(tmp_path: Path) -> None:
     async def play() -> None:
-        server = Backend("s-1")
+        server = ScriptedServer("s-1")
         async with running(tmp_path / "c.json", FakeDiscovery(), server) as node:
             assert b" 200 " in await node.ask(request(rid="r-0"))
             call(node, request(rid="r-1")).close()
@@ -90,7 +93,7 @@
         async def write_nothing(_head: bytes, _writer: asyncio.StreamWriter) -> None:
             await go.wait()
 
-        server = Backend("s-1", write_nothing)
+        server = ScriptedServer("s-1", write_nothing)
         async with running(tmp_path / "c.json", FakeDiscovery(), server) as node:
             asking = asyncio.ensure_future(node.ask(request()))
             await server.until(lambda: len(server.heads) == 1)
@@ -110,7 +113,7 @@
 
 def test_a_connection_that_is_up_in_time_counts_however_late_the_loop_is(tmp_path: Path) -> None:
     async def play() -> None:
-        server = Backend("s-1")
+        server = ScriptedServer("s-1")
         caps = {**CAPS, "connect-timeout": 1}
         async with running(
             tmp_path / "c.json", FakeDiscovery(), server, settings=settings(caps=caps)
@@ -123,7 +126,7 @@
 
 def test_no_small_write_waits_for_an_acknowledgement(tmp_path: Path) -> None:
     async def play() -> None:
-        async with running(tmp_path / "c.json", FakeDiscovery(), Backend("s-1")) as node:
+        async with running(tmp_path / "c.json", FakeDiscovery(), ScriptedServer("s-1")) as node:
             reader, writer = await node.connect()
             async with asyncio.timeout(LIMIT):
                 writer.write(request())
--- a/tests/test_other_customers.py
+++ b/tests/test_other_customers.py
@@ -13,7 +13,7 @@
 from hollybay.balancing import interface as api
 from hollybay.proxy.config import settings_from_json
 from hollybay.proxy.upstream.pools import DRAIN_GRACE_SHARE
-from hollybay.testbed.loopback import Backend, FakeDiscovery, request, running
+from hollybay.testbed.loopback import FakeDiscovery, ScriptedServer, request, running
 from hollybay.testbed.world import MS
 from hollybay.units import SECOND
 from tests.test_rules import walk
@@ -162,7 +162,7 @@
     path: Path = tmp_path_factory.mktemp("node") / "c.json"
 
     async def play() -> None:
-        server = Backend("s-1")
+        server = ScriptedServer("s-1")
         async with running(path, FakeDiscovery(), server, settings={**given_, "report": {}}) as node:
             for n, line in enumerate(given_["categories"]):
                 method = b"GET" if line["effect"] == "retryable" else b"POST"
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -9,13 +9,13 @@
 
 from hollybay.proxy.config import load
 from hollybay.proxy.life_cycle import serve
-from hollybay.testbed.loopback import LIMIT, Backend, FakeDiscovery, request, running, write_config
+from hollybay.testbed.loopback import LIMIT, FakeDiscovery, ScriptedServer, request, running, write_config
 
 
 def test_the_watch_continues_at_the_new_discovery(tmp_path: Path) -> None:
     async def play() -> None:
         old, new = FakeDiscovery(version=900), FakeDiscovery(version=3)
-        first, second = Backend("s-1"), Backend("s-2")
+        first, second = ScriptedServer("s-1"), ScriptedServer("s-2")
         async with running(tmp_path / "c.json", old, first) as node:
             assert b" 200 " in await node.ask(request(rid="r-1"))
             await new.start()
--- a/tests/test_routes_node.py
+++ b/tests/test_routes_node.py
@@ -28,10 +28,10 @@
 from hollybay.testbed.loopback import (
     LIMIT,
     OK,
-    Backend,
     FakeDiscovery,
     Held,
     Running,
+    ScriptedServer,
     read_message,
     request,
     running,
@@ -51,7 +51,7 @@
 
 @asynccontextmanager
 async def routed(
-    folder: Path, text: str, *backends: Backend, **more: object
+    folder: Path, text: str, *backends: ScriptedServer, **more: object
 ) -> AsyncIterator[tuple[Running, OperatorFile]]:
     """A node under an operator's file; more: settings that are not the usual ones."""
     path = folder / "operator.toml"
@@ -88,7 +88,7 @@
     )
 
     async def play() -> None:
-        server = Backend("s-1")
+        server = ScriptedServer("s-1")
         async with routed(tmp_path, text, server) as (node, operator):
             reader, writer = await node.connect()
             answers = []
@@ -143,7 +143,7 @@
     )
 
     async def play() -> None:
-        server = Backend("s-1")
+        server = ScriptedServer("s-1")
         async with routed(tmp_path, text, server) as (node, _):
             assert b" 200 " in await node.ask(get(b"/venues/%37/slots?day=%2F..", "r-1"))
             assert server.heads[-1].startswith(b"GET /venues/%37/slots?day=%2F.. HTTP/1.1\r\n")
@@ -173,7 +173,7 @@
 )
 def test_ambiguous_paths_are_refused_before_anything_is_sent(tmp_path: Path, path: bytes) -> None:
     async def play() -> None:
-        server = Backend("s-1")
+        server = ScriptedServer("s-1")
         async with routed(tmp_path, "", server) as (node, _):
             said = await node.ask(get(path, "r-1"))
             assert b" 400 " in said and b"connection: close" in said.lower()
@@ -190,7 +190,7 @@
     )
 
     async def play() -> None:
-        server = Backend("s-1")
+        server = ScriptedServer("s-1")
         async with routed(tmp_path, text, server) as (node, _):
             assert b" 200 " in await node.ask(get(b"/view/a%2Fb", "r-1"))
             assert b" 200 " in await node.ask(get(b"/view//a", "r-2"))
@@ -209,7 +209,7 @@
     )
 
     async def play() -> None:
-        server = Backend("s-1")
+        server = ScriptedServer("s-1")
         async with routed(tmp_path, text, server) as (node, _):
             assert b" 200 " in await node.ask(request("send", "r-1", b"x" * 1024))
             assert b" 413 " in await node.ask(request("send", "r-2", b"x" * 1025))
@@ -241,7 +241,7 @@
             if asked > 1 and head.startswith(b"GET"):
                 writer.write(OK)
 
-        servers = [Backend("s-1", script), Backend("s-2", script)]
+        servers = [ScriptedServer("s-1", script), ScriptedServer("s-2", script)]
         async with routed(tmp_path, text, *servers) as (node, _):
             loop = asyncio.get_running_loop()
             begun = loop.time()
@@ -268,7 +268,7 @@
             await go.wait()
             writer.transport.abort()  # it may have run
 
-        servers = [Backend("s-1", script), Backend("s-2", script)]
+        servers = [ScriptedServer("s-1", script), ScriptedServer("s-2", script)]
 
         def heads(rid: bytes) -> int:
             return sum(rid in head for server in servers for head in server.heads)
@@ -297,7 +297,7 @@
     good = "[class.view.limits]\nrate = { per_second = 0.1, burst = %d }"
 
     async def play() -> None:
-        async with routed(tmp_path, good % 1, Backend("s-1")) as (node, operator):
+        async with routed(tmp_path, good % 1, ScriptedServer("s-1")) as (node, operator):
             plan = operator.admission.policy
             for bad in ("[class.send.limits]\nattempts = 2", (good % 1)[:-3], "\x00", "[class.nobody]"):
                 await reloaded(operator, bad)
@@ -329,7 +329,10 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def play() -> None:
-        async with routed(tmp_path, "[class.view.limits]\nin_flight = 3", Backend("s-1")) as (node, operator):
+        async with routed(tmp_path, "[class.view.limits]\nin_flight = 3", ScriptedServer("s-1")) as (
+            node,
+            operator,
+        ):
             plan = operator.admission.policy
             with monkeypatch.context() as patch:
                 patch.setattr("hollybay.proxy.operator_file.compile_file", lambda *args: 1 // 0)
@@ -351,7 +354,7 @@
     )
 
     async def play() -> None:
-        server = Backend("s-1")
+        server = ScriptedServer("s-1")
         tenants = [{"name": name, "share": 0.5}]
         async with routed(tmp_path, text, server, tenants=tenants) as (node, operator):
             reader, writer = await node.connect()
@@ -458,7 +461,7 @@
 
 def test_sighup_reads_the_operators_file_again(tmp_path: Path) -> None:
     async def play() -> None:
-        registry, server = FakeDiscovery(), Backend("s-1")
+        registry, server = FakeDiscovery(), ScriptedServer("s-1")
         await registry.start()
         await server.start()
         registry.tell(server)
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -20,9 +20,9 @@
 from hollybay.testbed.loopback import (
     CLASSES,
     LIMIT,
-    Backend,
     FakeDiscovery,
     Held,
+    ScriptedServer,
     call,
     read_message,
     request,
@@ -49,7 +49,7 @@
     """All of it is in the kernel's queue, with its requests, when the listener is to close."""
 
     async def play() -> None:
-        server = Backend("s-1")
+        server = ScriptedServer("s-1")
         async with running(
             tmp_path / "c.json", FakeDiscovery(), server, adjust=lambda c: replace(c, sockets=FEW)
         ) as node:
@@ -72,7 +72,10 @@
 
     async def play() -> None:
         async with running(
-            tmp_path / "c.json", FakeDiscovery(), Backend("s-1"), adjust=lambda c: replace(c, sockets=FEW)
+            tmp_path / "c.json",
+            FakeDiscovery(),
+            ScriptedServer("s-1"),
+            adjust=lambda c: replace(c, sockets=FEW),
         ) as node:
             clients = node.clients
             clients.share = FEW  # none is thinned out before its time
@@ -119,7 +122,7 @@
     order and nothing of an answer: a node may close between requests, and the request goes to another one."""
 
     async def play() -> None:
-        server = Backend("s-1")
+        server = ScriptedServer("s-1")
         async with running(tmp_path / "c.json", FakeDiscovery(), server) as node:
             sock = call(node, request(rid="r-1"))
             assert b" 200 " in await answer_of(sock)
@@ -150,7 +153,7 @@
     short = [{**cls, "slo": 10**8, "give-up": 2 * 10**8} for cls in CLASSES]
 
     async def play() -> None:
-        server = Backend("s-1")
+        server = ScriptedServer("s-1")
         async with running(
             tmp_path / "c.json", FakeDiscovery(), server, settings=settings(categories=short)
         ) as node:
--- a/tests/test_tenants.py
+++ b/tests/test_tenants.py
@@ -7,7 +7,7 @@
 
 from hollybay.balancing import Balancer
 from hollybay.balancing import interface as api
-from hollybay.testbed.loopback import OK, Backend, FakeDiscovery, request, running, settings
+from hollybay.testbed.loopback import OK, FakeDiscovery, ScriptedServer, request, running, settings
 from hollybay.testbed.world import MS, SECOND, fleet, make_settings
 
 AWAY = b"HTTP/1.1 503 Service Unavailable\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n"
@@ -18,10 +18,14 @@
         async def script(head: bytes, writer: asyncio.StreamWriter) -> None:
             writer.write(AWAY if b"x-tenant: b" in head.lower() else OK)
 
-        picky = [Backend(f"s-{n}", script) for n in range(6)]
+        picky = [ScriptedServer(f"s-{n}", script) for n in range(6)]
         tenants = [{"name": name, "share": 0.3} for name in ("a", "b", "c")]
         async with running(
-            tmp_path / "c.json", FakeDiscovery(), Backend("open"), *picky, settings=settings(tenants=tenants)
+            tmp_path / "c.json",
+            FakeDiscovery(),
+            ScriptedServer("open"),
+            *picky,
+            settings=settings(tenants=tenants),
         ) as node:
 
             async def ask(name: bytes, rid: str) -> bytes:
--- a/tests/test_upload.py
+++ b/tests/test_upload.py
@@ -15,9 +15,9 @@
 from hollybay.testbed.loopback import (
     LIMIT,
     OK,
-    Backend,
     FakeDiscovery,
     Listener,
+    ScriptedServer,
     read_message,
     request,
     running,
@@ -272,7 +272,7 @@
 
 def test_a_body_beyond_all_measure_is_turned_away_before_it_is_read(tmp_path: Path) -> None:
     async def play() -> None:
-        server = Backend("s-1")
+        server = ScriptedServer("s-1")
         async with running(tmp_path / "c.json", FakeDiscovery(), server) as node:
             data = request("send").replace(b"Content-Length: 0", b"Content-Length: 60000000")
             assert (await node.ask(data)).startswith(b"HTTP/1.1 413")
--- a/tests/test_upstream_states.py
+++ b/tests/test_upstream_states.py
@@ -15,7 +15,7 @@
     ConnectionState,
     next_state,
 )
-from hollybay.testbed.loopback import LIMIT, Backend, FakeDiscovery, read_message, request, running
+from hollybay.testbed.loopback import LIMIT, FakeDiscovery, ScriptedServer, read_message, request, running
 
 from .transitions import check_transition
 
@@ -59,7 +59,7 @@
     long_answer = b"HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n" + b"x" * 200_000
 
     async def play() -> None:
-        async with running(tmp_path / "c.json", FakeDiscovery(), Backend("s-1", long_answer)) as node:
+        async with running(tmp_path / "c.json", FakeDiscovery(), ScriptedServer("s-1", long_answer)) as node:
             reader, writer = await node.connect()
             async with asyncio.timeout(LIMIT):
                 for cls in ("view", "send"):
