--- a/hollybay/testbed/loopback.py
+++ b/hollybay/testbed/loopback.py
@@ -26,10 +26,10 @@
     "OK",
     "ConnectBarrier",
     "FakeDiscovery",
-    "Held",
     "Listener",
     "Running",
     "ScriptedServer",
+    "StalledServer",
     "call",
     "read_message",
     "request",
@@ -108,7 +108,7 @@
                 await self.script(head, writer)
 
 
-class Held(ScriptedServer):
+class StalledServer(ScriptedServer):
     """A server that notes requests and answers none of them before `go` is set."""
 
     def __init__(self, name: str) -> None:
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -11,8 +11,8 @@
     LIMIT,
     OK,
     FakeDiscovery,
-    Held,
     ScriptedServer,
+    StalledServer,
     read_message,
     request,
     running,
@@ -253,7 +253,7 @@
     """What is being opened counts once against the budget of descriptors."""
 
     async def play() -> None:
-        server = Held("s-1")
+        server = StalledServer("s-1")
         async with running(tmp_path / "c.json", FakeDiscovery(), server) as node:
             servers = node.node.pools
             servers.limit = 30
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -22,9 +22,9 @@
     OK,
     ConnectBarrier,
     FakeDiscovery,
-    Held,
     Listener,
     ScriptedServer,
+    StalledServer,
     call,
     read_message,
     request,
@@ -49,7 +49,7 @@
 
     async def play() -> None:
         registry = FakeDiscovery()
-        backends = Held("s-1"), Held("s-2")
+        backends = StalledServer("s-1"), StalledServer("s-2")
         async with running(
             tmp_path / "c.json", registry, *backends,
             settings=settings(categories=one_cell, rules={"drain-grace": 40 * MS}),
@@ -88,7 +88,7 @@
     short = [{**c, "window": window, "group": "all"} if c["name"] == "book" else c for c in CLASSES]
 
     async def play() -> None:
-        backends = Held("s-1"), Held("s-2")
+        backends = StalledServer("s-1"), StalledServer("s-2")
         async with running(
             tmp_path / "c.json", FakeDiscovery(), *backends,
             settings=settings(categories=short, caps=caps()),
@@ -118,7 +118,7 @@
     """The guard must not cost the repeats that are allowed."""
 
     async def play() -> None:
-        backends = Held("s-1"), Held("s-2")
+        backends = StalledServer("s-1"), StalledServer("s-2")
         async with running(tmp_path / "c.json", FakeDiscovery(), *backends) as node:
             asking = asyncio.ensure_future(node.ask(request("book", rid="r-1")))
             await node.until(lambda: any(backend.heads for backend in backends))
@@ -349,7 +349,7 @@
 
 def test_a_connection_that_rested_for_long_enough_is_taken_first(tmp_path: Path) -> None:
     async def play() -> None:
-        server = Held("s-1")
+        server = StalledServer("s-1")
         async with running(tmp_path / "c.json", FakeDiscovery(), server) as node:
             asking = [asyncio.ensure_future(node.ask(request(rid=f"r-{n}"))) for n in range(3)]
             await server.until(lambda: len(server.heads) == 3)
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -12,8 +12,8 @@
 from hollybay.testbed.loopback import (
     LIMIT,
     FakeDiscovery,
-    Held,
     ScriptedServer,
+    StalledServer,
     read_message,
     request,
     running,
@@ -73,7 +73,7 @@
 
 def test_an_id_that_another_open_request_has_is_turned_away(tmp_path: Path) -> None:
     async def play() -> None:
-        server = Held("s-1")
+        server = StalledServer("s-1")
         async with running(tmp_path / "c.json", FakeDiscovery(), server) as node:
             first = asyncio.ensure_future(node.ask(request(rid="r-1")))
             await server.until(lambda: len(server.heads) == 1)
@@ -143,7 +143,7 @@
 
 def test_a_silent_crowd_does_not_displace_those_who_ask(tmp_path: Path) -> None:
     async def play() -> None:
-        server = Held("s-1")
+        server = StalledServer("s-1")
         async with running(tmp_path / "c.json", FakeDiscovery(), server) as node:
             limit = node.clients.limit
             asking = [asyncio.ensure_future(node.ask(request(rid=f"r-{n}"))) for n in range(20)]
@@ -205,7 +205,7 @@
 
 def test_nearly_a_third_of_256_descriptors_may_wait_for_the_answers_of_most_worth(tmp_path: Path) -> None:
     async def play() -> None:
-        server = Held("s-1")
+        server = StalledServer("s-1")
         async with running(
             tmp_path / "c.json", FakeDiscovery(), server, adjust=lambda c: replace(c, sockets=256)
         ) as node:
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -22,9 +22,9 @@
     OK,
     ConnectBarrier,
     FakeDiscovery,
-    Held,
     Running,
     ScriptedServer,
+    StalledServer,
     call,
     read_message,
     request,
@@ -66,7 +66,7 @@
     busy_until(lambda: time.monotonic_ns() - open_.client_seen > PRESENCE_VALID_NS)
 
 
-class Breaking(Held):
+class Breaking(StalledServer):
     """A server that takes requests, and breaks the connection in place of an answer once `go` is set."""
 
     async def _wait(self, head: bytes, writer: asyncio.StreamWriter) -> None:
@@ -261,7 +261,7 @@
     """A second copy is an attempt like any other; here the node is asked for one directly."""
 
     async def play() -> None:
-        backends = Held("s-1"), Held("s-2")
+        backends = StalledServer("s-1"), StalledServer("s-2")
         async with running(tmp_path / "c.json", FakeDiscovery(), *backends) as node:
             sock = call(node, request(rid="r-1"))
             await node.until(lambda: any(backend.heads for backend in backends))
@@ -283,7 +283,7 @@
     """Long before its time, and its attempt with it: the place is free for others."""
 
     async def play() -> None:
-        server = Held("s-1")
+        server = StalledServer("s-1")
         async with running(tmp_path / "c.json", FakeDiscovery(), server) as node:
             sock = call(node, request(rid="r-1"))
             await server.until(lambda: len(server.heads) == 1)
--- a/tests/test_graceful_shutdown.py
+++ b/tests/test_graceful_shutdown.py
@@ -11,8 +11,8 @@
 from hollybay.testbed.loopback import (
     LIMIT,
     FakeDiscovery,
-    Held,
     ScriptedServer,
+    StalledServer,
     call,
     read_message,
     request,
@@ -51,7 +51,7 @@
 
 def test_the_end_of_a_drain_answers_what_is_out_and_closes_the_rest(tmp_path: Path) -> None:
     async def play() -> None:
-        server = Held("s-1")
+        server = StalledServer("s-1")
         async with running(tmp_path / "c.json", FakeDiscovery(), server) as node:
             idle, idle_writer = await node.connect()
             reader, writer = await node.connect()
--- a/tests/test_lag.py
+++ b/tests/test_lag.py
@@ -15,8 +15,8 @@
     LIMIT,
     OK,
     FakeDiscovery,
-    Held,
     ScriptedServer,
+    StalledServer,
     call,
     read_message,
     request,
@@ -192,7 +192,7 @@
 
 def test_a_node_never_holds_all_the_connections_that_clients_have(tmp_path: Path) -> None:
     async def play() -> None:
-        server = Held("s-1")
+        server = StalledServer("s-1")
         async with running(
             tmp_path / "c.json", FakeDiscovery(), server, settings=settings(caps=CAPS)
         ) as node:
--- a/tests/test_routes_node.py
+++ b/tests/test_routes_node.py
@@ -29,9 +29,9 @@
     LIMIT,
     OK,
     FakeDiscovery,
-    Held,
     Running,
     ScriptedServer,
+    StalledServer,
     read_message,
     request,
     running,
@@ -113,7 +113,7 @@
     text = "[[route]]\nname = 'r'\npath.prefix = '/view/x'\nlimits.in_flight = 2"
 
     async def play() -> None:
-        server = Held("s-1")
+        server = StalledServer("s-1")
         async with routed(tmp_path, text, server) as (node, operator):
             states = operator.admission.counters
             lines = [await node.connect() for _ in range(2)]
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -21,8 +21,8 @@
     CLASSES,
     LIMIT,
     FakeDiscovery,
-    Held,
     ScriptedServer,
+    StalledServer,
     call,
     read_message,
     request,
@@ -183,7 +183,7 @@
     """The deadline lies beyond the end: to the module there is time for another attempt."""
 
     async def play() -> None:
-        backends = Held("s-1"), Held("s-2")
+        backends = StalledServer("s-1"), StalledServer("s-2")
         async with running(tmp_path / "c.json", FakeDiscovery(), *backends) as node:
             begun: list[Attempt] = []
             send = node.node.pools.send
@@ -228,7 +228,7 @@
     """stopped: the process stands still while they come, so that all are there in one turn of its loop."""
 
     async def play() -> None:
-        registry, server = FakeDiscovery(), Held("s-1")
+        registry, server = FakeDiscovery(), StalledServer("s-1")
         await registry.start()
         await server.start()
         registry.tell(server)
