--- a/hollybay/testbed/loopback.py
+++ b/hollybay/testbed/loopback.py
@@ -27,7 +27,7 @@
     "ConnectBarrier",
     "FakeDiscovery",
     "Listener",
-    "Running",
+    "RunningNode",
     "ScriptedServer",
     "StalledServer",
     "call",
@@ -120,7 +120,7 @@
         writer.write(OK)
 
 
-class Running:
+class RunningNode:
     """A node that runs, with its parts in reach.
 
     Attributes
@@ -187,7 +187,7 @@
         How many connections have been held up.
     """
 
-    def __init__(self, node: Running, free: int = 0) -> None:
+    def __init__(self, node: RunningNode, free: int = 0) -> None:
         self.open = asyncio.Event()
         self.waiting = 0
         servers = node.node.pools
@@ -205,7 +205,7 @@
         servers.establish = establish_late
 
 
-def call(node: Running, data: bytes) -> socket.socket:
+def call(node: RunningNode, data: bytes) -> socket.socket:
     """Connect and send while the loop stands still: all of it waits in the kernel."""
     sock = socket.create_connection(("127.0.0.1", node.port))
     sock.sendall(data)
@@ -219,7 +219,7 @@
     *backends: ScriptedServer,
     adjust: Callable[[Config], Config] = lambda config: config,
     **changes: Any,
-) -> AsyncIterator[Running]:
+) -> AsyncIterator[RunningNode]:
     """Run a node that has heard of all these servers; on a free port, so that tests never meet.
 
     Parameters
@@ -248,7 +248,7 @@
     async with asyncio.timeout(LIMIT):
         await discovery.list_available.wait()
     try:
-        yield Running(clients, node, discovery, port, path)
+        yield RunningNode(clients, node, discovery, port, path)
     finally:
         await discovery.close()
         clients.close()
--- a/tests/loopback_day.py
+++ b/tests/loopback_day.py
@@ -11,7 +11,7 @@
     LIMIT,
     OK,
     FakeDiscovery,
-    Running,
+    RunningNode,
     ScriptedServer,
     read_message,
     request,
@@ -51,7 +51,7 @@
             writer.write(OK)
 
 
-async def client(node: Running, number: int) -> None:
+async def client(node: RunningNode, number: int) -> None:
     """One request after another of every class; some clients leave before they are answered."""
     for turn in range(ROUNDS):
         for cls in ("view", "send", "book"):
@@ -69,7 +69,7 @@
             writer.transport.abort()
 
 
-async def uploads(node: Running) -> None:
+async def uploads(node: RunningNode) -> None:
     """Long bodies that come in pieces."""
     for turn in range(6):
         reader, writer = await node.connect()
--- a/tests/test_admin_service.py
+++ b/tests/test_admin_service.py
@@ -21,7 +21,7 @@
 from hollybay.testbed.loopback import (
     LIMIT,
     FakeDiscovery,
-    Running,
+    RunningNode,
     ScriptedServer,
     read_message,
     request,
@@ -33,7 +33,7 @@
 @asynccontextmanager
 async def running_admin_service(
     tmp_path: Path, *backends: ScriptedServer, scratch: str = ""
-) -> AsyncIterator[tuple[Running, AdminService, FakeDiscovery]]:
+) -> AsyncIterator[tuple[RunningNode, AdminService, FakeDiscovery]]:
     registry = FakeDiscovery()
     async with running(tmp_path / "c.json", registry, *backends) as node:
         config = replace(node.clients.config, admin=("127.0.0.1", 0), scratch_folder=scratch)
--- a/tests/test_consensus_member.py
+++ b/tests/test_consensus_member.py
@@ -40,7 +40,7 @@
 from hollybay.testbed.loopback import (
     LIMIT,
     FakeDiscovery,
-    Running,
+    RunningNode,
     ScriptedServer,
     request,
     running,
@@ -56,7 +56,7 @@
 @asynccontextmanager
 async def running_member(
     tmp_path: Path, *backends: ScriptedServer, name: str = "n0", voters: tuple[str, ...] = ()
-) -> AsyncIterator[tuple[Running, ConsensusMember]]:
+) -> AsyncIterator[tuple[RunningNode, ConsensusMember]]:
     """A node with an admin address, which is the only voter unless others are given."""
     raw_settings = settings()
     raw_settings["caps"] = raw_settings["caps"] | {"retry-after": True, "max-retry-after": 10**9}
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -22,7 +22,7 @@
     OK,
     ConnectBarrier,
     FakeDiscovery,
-    Running,
+    RunningNode,
     ScriptedServer,
     StalledServer,
     call,
@@ -59,7 +59,7 @@
         assert time.monotonic() < end
 
 
-def left(node: Running, conn: ClientConnection) -> None:
+def left(node: RunningNode, conn: ClientConnection) -> None:
     """The kernel knows that the client has gone, and the last look at it is old."""
     busy_until(lambda: not conn.is_connected())
     (open_,) = node.node.requests.values()
@@ -74,7 +74,7 @@
         writer.transport.abort()
 
 
-async def paused(node: Running, sock: socket.socket) -> ClientConnection:
+async def paused(node: RunningNode, sock: socket.socket) -> ClientConnection:
     """Bytes of the next request have come, and reading is paused."""
     (conn,) = node.clients.connections
     sock.sendall(AHEAD)
@@ -82,7 +82,9 @@
     return conn
 
 
-async def no_more_than(node: Running, backends: tuple[ScriptedServer, ...], rid: bytes, heads: int) -> None:
+async def no_more_than(
+    node: RunningNode, backends: tuple[ScriptedServer, ...], rid: bytes, heads: int
+) -> None:
     """The request is over, and servers have had no more of it."""
     await node.until(lambda: not node.node.requests)
     # What was written before goes first on its connection: by now it would have come.
--- a/tests/test_discovery_orders.py
+++ b/tests/test_discovery_orders.py
@@ -18,7 +18,7 @@
 from hollybay.testbed.loopback import (
     LIMIT,
     FakeDiscovery,
-    Running,
+    RunningNode,
     ScriptedServer,
     read_message,
     request,
@@ -69,7 +69,7 @@
         return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
 
 
-async def known(node: Running, holds: Callable[[dict[Any, Any]], bool]) -> None:
+async def known(node: RunningNode, holds: Callable[[dict[Any, Any]], bool]) -> None:
     await node.until(lambda: holds(node.node.balancer.servers))
 
 
--- a/tests/test_routes_node.py
+++ b/tests/test_routes_node.py
@@ -29,7 +29,7 @@
     LIMIT,
     OK,
     FakeDiscovery,
-    Running,
+    RunningNode,
     ScriptedServer,
     StalledServer,
     read_message,
@@ -52,7 +52,7 @@
 @asynccontextmanager
 async def routed(
     folder: Path, text: str, *backends: ScriptedServer, **more: object
-) -> AsyncIterator[tuple[Running, OperatorFile]]:
+) -> AsyncIterator[tuple[RunningNode, OperatorFile]]:
     """A node under an operator's file; more: settings that are not the usual ones."""
     path = folder / "operator.toml"
     path.write_text(text)
