--- a/hollybay/testbed/world.py
+++ b/hollybay/testbed/world.py
@@ -24,7 +24,7 @@
     "UNSAFE",
     "ZONE",
     "Attempt",
-    "Node",
+    "BalancerHarness",
     "RequestRecord",
     "fleet",
     "make_settings",
@@ -116,7 +116,7 @@
     gone: bool = False
 
 
-class Node:
+class BalancerHarness:
     """One balancer, with a record of what it was told and did.
 
     Parameters
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -6,7 +6,7 @@
 from dataclasses import replace
 
 from hollybay.balancing import interface as api
-from hollybay.testbed.world import MS, SECOND, Node, fleet, make_settings
+from hollybay.testbed.world import MS, SECOND, BalancerHarness, fleet, make_settings
 
 ONE = (api.RequestClass("w", api.Effect.SAFE, 1.0, SECOND, 3 * SECOND),)
 
@@ -15,7 +15,7 @@
     return tuple(api.Server(b"s%d" % n, weight=size, **changes) for n, size in enumerate(sizes))  # type: ignore[arg-type]
 
 
-def steady(node: Node, count: int, every: int, work: int, first: int = 0) -> Counter[object]:
+def steady(node: BalancerHarness, count: int, every: int, work: int, first: int = 0) -> Counter[object]:
     """Requests at an even pace, each answered after the same time; how many went where."""
     for rid in range(first, first + count):
         node.ask(rid)
@@ -28,7 +28,9 @@
 
 
 def test_the_fastest_idle_class_comes_first() -> None:
-    node = Node(make_settings(classes=ONE, zones=1, kinds=1, nodes=1, weight_mode=api.WeightMode.NOMINAL))
+    node = BalancerHarness(
+        make_settings(classes=ONE, zones=1, kinds=1, nodes=1, weight_mode=api.WeightMode.NOMINAL)
+    )
     node.tell(servers([1.0] * 4 + [4.0] * 4))
     steady(node, 100, 20 * MS, 5 * MS)
     sent = steady(node, 400, 20 * MS, 5 * MS, first=1000)
@@ -37,7 +39,7 @@
 
 
 def test_all_busy_draws_by_capacity_not_by_depth() -> None:
-    node = Node(make_settings(classes=ONE, zones=1, kinds=1, weight_mode=api.WeightMode.NOMINAL))
+    node = BalancerHarness(make_settings(classes=ONE, zones=1, kinds=1, weight_mode=api.WeightMode.NOMINAL))
     node.tell(servers([1.0, 3.0]))
     for rid in range(2000):
         node.ask(rid)  # nothing is ever answered
@@ -48,7 +50,7 @@
 def test_draws_prefer_a_kept_connection_and_only_while_it_is_kept() -> None:
     """Where a node is on the idle list of hardly any server, nearly all is drawn, and each new one costs."""
     # Its lot for each of these servers is far down: it is on none of their idle lists.
-    node = Node(
+    node = BalancerHarness(
         make_settings(
             classes=ONE,
             zones=1,
@@ -70,7 +72,7 @@
     assert len(steady(node, 200, MS, SECOND, first=2000)) > 35
 
 
-def near_and_far(worth: float, price: float) -> Node:
+def near_and_far(worth: float, price: float) -> BalancerHarness:
     """A node that knows its two near and two far servers, all of one size, and how long they take."""
     classes = (api.RequestClass("w", api.Effect.SAFE, worth, 100 * MS, 3 * SECOND),)
     settings = make_settings(
@@ -81,7 +83,7 @@
         weight_mode=api.WeightMode.NOMINAL,
         prices=api.Prices(cross_zone=price),
     )
-    node = Node(settings, seed=3)
+    node = BalancerHarness(settings, seed=3)
     node.tell(tuple(api.Server(b"s%d" % n, zone=n // 2) for n in range(4)))
     steady(node, 200, 40 * MS, 30 * MS)
     return node
@@ -105,7 +107,9 @@
 
 
 def test_a_few_failures_of_any_server_pause_none_and_steady_ones_do() -> None:
-    node = Node(make_settings(classes=ONE, zones=1, kinds=1, nodes=1, weight_mode=api.WeightMode.NOMINAL))
+    node = BalancerHarness(
+        make_settings(classes=ONE, zones=1, kinds=1, nodes=1, weight_mode=api.WeightMode.NOMINAL)
+    )
     node.tell(servers([1.0] * 4))
     for rid in range(80):
         node.ask(rid)
@@ -129,7 +133,7 @@
 
 
 def test_within_a_class_the_choice_is_uniform() -> None:
-    node = Node(
+    node = BalancerHarness(
         make_settings(classes=ONE, zones=1, kinds=1, nodes=1, weight_mode=api.WeightMode.NOMINAL), seed=5
     )
     node.tell(servers([1.0] * 5))
@@ -139,7 +143,7 @@
 
 def test_a_server_that_errs_quickly_does_not_look_idle() -> None:
     """DESIGN: quick errors clear a server's count; it must not draw more work for it."""
-    node = Node(make_settings(classes=ONE, zones=1, kinds=1, weight_mode=api.WeightMode.NOMINAL))
+    node = BalancerHarness(make_settings(classes=ONE, zones=1, kinds=1, weight_mode=api.WeightMode.NOMINAL))
     node.tell(servers([1.0] * 4))
     for rid in range(400):
         node.ask(rid)
@@ -156,7 +160,7 @@
 
 
 def test_a_shared_fault_does_not_eject_the_fleet() -> None:
-    node = Node(make_settings(classes=ONE, zones=1, kinds=1, weight_mode=api.WeightMode.NOMINAL))
+    node = BalancerHarness(make_settings(classes=ONE, zones=1, kinds=1, weight_mode=api.WeightMode.NOMINAL))
     node.tell(servers([1.0] * 4))
     for rid in range(200):
         node.ask(rid)
@@ -176,7 +180,7 @@
 
 def test_an_overloaded_server_that_answers_some_is_not_paused() -> None:
     """Met on bc-rehearsal-web: time-outs of an overloaded zone paused two thirds of it."""
-    node = Node(make_settings(classes=ONE, zones=1, kinds=1, weight_mode=api.WeightMode.NOMINAL))
+    node = BalancerHarness(make_settings(classes=ONE, zones=1, kinds=1, weight_mode=api.WeightMode.NOMINAL))
     node.tell(servers([1.0, 1.0]))
     last: dict[object, int] = {}
     for rid in range(40):
@@ -192,7 +196,7 @@
 
 
 def test_a_silent_server_is_paused_and_tried_again() -> None:
-    node = Node(
+    node = BalancerHarness(
         make_settings(
             classes=ONE, zones=1, kinds=1, weight_mode=api.WeightMode.NOMINAL, hedging_allowed=False
         )
@@ -223,7 +227,7 @@
 
 def test_frozen_weights_fade_when_the_list_is_out_of_reach() -> None:
     """Met on cascadia-seats: with the list down, live weights froze and steered for 20 s."""
-    node = Node(make_settings(classes=ONE, zones=1, kinds=1, weight_mode=api.WeightMode.LIVE))
+    node = BalancerHarness(make_settings(classes=ONE, zones=1, kinds=1, weight_mode=api.WeightMode.LIVE))
     node.tell(servers([1.0] * 6), api.ListKind.CACHED)
     steady(node, 50, 20 * MS, 5 * MS)
     node.tell(servers([1.0] * 3 + [0.1] * 3))
@@ -235,7 +239,7 @@
 
 def test_an_overloaded_zone_spills_and_near_servers_come_first_otherwise() -> None:
     """Met on all three sites: home zones overloaded while far zones idled."""
-    node = Node(make_settings(classes=ONE, zones=2, kinds=1, weight_mode=api.WeightMode.NOMINAL))
+    node = BalancerHarness(make_settings(classes=ONE, zones=2, kinds=1, weight_mode=api.WeightMode.NOMINAL))
     fleet2 = tuple(api.Server(b"s%d" % n, zone=0 if n < 4 else 1) for n in range(8))
     node.tell(fleet2)
     steady(node, 300, 20 * MS, 5 * MS)
@@ -261,7 +265,9 @@
 def test_overload_sheds_the_least_worth_for_its_work_first() -> None:
     low = api.RequestClass("low", api.Effect.SAFE, 1.0, 100 * MS, 400 * MS)
     high = api.RequestClass("high", api.Effect.SAFE, 10.0, 100 * MS, 400 * MS)
-    node = Node(make_settings(classes=(low, high), zones=1, kinds=1, weight_mode=api.WeightMode.NOMINAL))
+    node = BalancerHarness(
+        make_settings(classes=(low, high), zones=1, kinds=1, weight_mode=api.WeightMode.NOMINAL)
+    )
     node.tell(servers([1.0] * 2))
     for rid in range(3000):
         node.ask(rid, rid % 2)
@@ -278,7 +284,9 @@
 
 def test_copies_only_from_silent_servers_while_answers_are_on_time() -> None:
     """Met on bc-rehearsal-web: copies at a tenth of requests fed the queues they fled from."""
-    node = Node(make_settings(classes=ONE, zones=1, kinds=1, nodes=1, weight_mode=api.WeightMode.NOMINAL))
+    node = BalancerHarness(
+        make_settings(classes=ONE, zones=1, kinds=1, nodes=1, weight_mode=api.WeightMode.NOMINAL)
+    )
     node.tell(servers([1.0] * 4))
     steady(node, 100, 20 * MS, 5 * MS)
     node.ask(1000, limits=api.Limits(hedges=1))
@@ -290,7 +298,7 @@
 
 
 def test_odd_input_does_no_harm() -> None:
-    node = Node(make_settings())
+    node = BalancerHarness(make_settings())
     node.tell(fleet(4))
     nan = float("nan")
     odd = (api.Server(b"odd", 99, 99, 9, weight=nan), api.Server(b"neg", 0, 0, 9, weight=-1.0))
@@ -317,7 +325,7 @@
 
 
 def test_an_unknown_class_fails_and_an_unknown_tenant_is_served() -> None:
-    node = Node(make_settings(tenants=(api.Tenant("a", 1.0),)))
+    node = BalancerHarness(make_settings(tenants=(api.Tenant("a", 1.0),)))
     node.tell(fleet(4))
     assert node.balancer.handle(node.now, api.Request(9, 77, SECOND)) == [api.Fail(9)]
     actions = node.balancer.handle(node.now, api.Request(10, 0, SECOND, tenant=50))
@@ -325,7 +333,7 @@
 
 
 def test_a_list_that_must_be_asked_is_watched_and_asked_again() -> None:
-    node = Node(make_settings(poll_required=True, poll_within=10 * SECOND))
+    node = BalancerHarness(make_settings(poll_required=True, poll_within=10 * SECOND))
     node.tell(fleet(4), api.ListKind.CACHED)
     node.run_to(node.now + SECOND)  # its turn among four nodes
     assert node.actions.count(api.WatchServers(True)) == 1
@@ -336,7 +344,7 @@
 
 def test_a_stream_that_began_is_not_copied() -> None:
     cls = api.RequestClass("s", api.Effect.SAFE, 1.0, 100 * MS, 400 * MS, streamed=True)
-    node = Node(make_settings(classes=(cls,)))
+    node = BalancerHarness(make_settings(classes=(cls,)))
     node.tell(fleet(4))
     node.ask(1)
     node.give(api.ResponseStarted(1, 0, node.books[1].attempts[0].server))
@@ -349,7 +357,9 @@
     """Met on bc-rehearsal-web at size: every node saw every server idle, and chance alone spread the work."""
     listed: Counter[object] = Counter()
     for number in range(40):
-        node = Node(make_settings(classes=ONE, zones=1, kinds=1, nodes=40, node=number), seed=number)
+        node = BalancerHarness(
+            make_settings(classes=ONE, zones=1, kinds=1, nodes=40, node=number), seed=number
+        )
         node.tell(servers([1.0] * 50))
         listed.update(s.id for s in node.balancer.servers.values() if s.idle_position >= 0)
     assert sum(listed.values()) / 50 < 5
@@ -357,7 +367,9 @@
 
 
 def test_a_failure_keeps_a_server_off_the_idle_list_until_the_next_review() -> None:
-    node = Node(make_settings(classes=ONE, zones=1, kinds=1, nodes=1, weight_mode=api.WeightMode.NOMINAL))
+    node = BalancerHarness(
+        make_settings(classes=ONE, zones=1, kinds=1, nodes=1, weight_mode=api.WeightMode.NOMINAL)
+    )
     node.tell(servers([1.0] * 3))
     node.ask(1)
     failed = node.books[1].attempts[0].server
@@ -375,7 +387,7 @@
         api.RequestClass("heavy", api.Effect.UNSAFE, 2.0, SECOND, 5 * SECOND),
         api.RequestClass("dear", api.Effect.KEYED, 10.0, SECOND, 5 * SECOND, deduplication_window=4 * SECOND),
     )
-    node = Node(
+    node = BalancerHarness(
         make_settings(
             classes=classes,
             zones=1,
@@ -413,7 +425,9 @@
 
 
 def test_a_server_that_is_back_from_a_drain_is_used_once_however_slow_it_is() -> None:
-    node = Node(make_settings(classes=ONE, zones=1, kinds=1, nodes=1, weight_mode=api.WeightMode.NOMINAL))
+    node = BalancerHarness(
+        make_settings(classes=ONE, zones=1, kinds=1, nodes=1, weight_mode=api.WeightMode.NOMINAL)
+    )
     node.tell(servers([4.0] * 4 + [1.0]))
     steady(node, 50, 20 * MS, 5 * MS)
     slow = api.Server(b"s4", weight=1.0)
@@ -425,7 +439,7 @@
 
 
 def test_a_body_on_its_way_keeps_no_server_busy_and_a_long_answer_frees_it() -> None:
-    node = Node(make_settings(classes=ONE, zones=1, kinds=1, nodes=1))
+    node = BalancerHarness(make_settings(classes=ONE, zones=1, kinds=1, nodes=1))
     node.tell(servers([1.0]))
     (s,) = node.balancer.servers.values()
     node.balancer.handle(node.now, api.Request(1, 0, 2 * SECOND, body_pending=True))
--- a/tests/test_cold_sum.py
+++ b/tests/test_cold_sum.py
@@ -10,7 +10,7 @@
 
 from hollybay.balancing import interface as api
 from hollybay.testbed.rules import cold_allowance
-from hollybay.testbed.world import MS, SECOND, Node, make_settings
+from hollybay.testbed.world import MS, SECOND, BalancerHarness, make_settings
 
 WORK = 50 * MS  # of a request, at a server of size 1
 ONE = (api.RequestClass("w", api.Effect.SAFE, 1.0, SECOND, 3 * SECOND),)
@@ -29,7 +29,7 @@
 class Client:
     """One node under its own traffic."""
 
-    def __init__(self, node: Node, chance: random.Random, rate: float) -> None:
+    def __init__(self, node: BalancerHarness, chance: random.Random, rate: float) -> None:
         self.node, self.chance, self.rate = node, chance, rate
         self.rid = 0
 
@@ -66,7 +66,7 @@
     for n in range(nodes):
         changes = {"classes": ONE, "kinds": 1, "nodes": told or nodes, "node": n, "hedging_allowed": True}
         settings = make_settings(**changes)
-        node = Node(settings, seed=1000 * seed + n)
+        node = BalancerHarness(settings, seed=1000 * seed + n)
         rate = max(0.2, total * weights[n] / sum(weights))
         client = Client(node, random.Random(f"{seed} {n}"), rate)
         began = node.now
@@ -77,7 +77,7 @@
         if n % 4 == 3:
             client.play(up + SECOND * 3 // 2, 0.02)
             sent += [(at, sid) for at, _, sid in node.sent]
-            node = Node(settings, seed=1000 * seed + n + 500, now=node.now)
+            node = BalancerHarness(settings, seed=1000 * seed + n + 500, now=node.now)
             client.node = node
             node.tell(lines(up), api.ListKind.CACHED)
         client.play(up + AFTER, 0.02)
--- a/tests/test_fleet_shares.py
+++ b/tests/test_fleet_shares.py
@@ -29,15 +29,17 @@
 from hollybay.balancing.traffic_share import TrafficShare
 from hollybay.balancing.zone_reachability import ZoneReachability
 from hollybay.proxy.name_table import NameTable
-from hollybay.testbed.world import MS, SECOND, UNSAFE, Node, make_settings
+from hollybay.testbed.world import MS, SECOND, UNSAFE, BalancerHarness, make_settings
 
 ONE = (api.RequestClass("w", api.Effect.SAFE, 1.0, SECOND, 3 * SECOND),)
 WORK = 50 * MS  # at a server of size 1
 
 
-def tier(count: int, **changes: object) -> list[Node]:
+def tier(count: int, **changes: object) -> list[BalancerHarness]:
     return [
-        Node(make_settings(**{"classes": ONE, "kinds": 1, "nodes": count, "node": n, **changes}), seed=n + 1)
+        BalancerHarness(
+            make_settings(**{"classes": ONE, "kinds": 1, "nodes": count, "node": n, **changes}), seed=n + 1
+        )
         for n in range(count)
     ]
 
@@ -50,7 +52,9 @@
     )
 
 
-def play(node: Node, until: int, every: int, down: frozenset[object] = frozenset(), first: int = 0) -> None:
+def play(
+    node: BalancerHarness, until: int, every: int, down: frozenset[object] = frozenset(), first: int = 0
+) -> None:
     """Requests at an even pace until a time; servers answer after WORK, no connect to those down succeeds."""
     rid = first
     while node.now < until:
@@ -60,7 +64,7 @@
         settle(node, down)
 
 
-def settle(node: Node, down: frozenset[object] = frozenset()) -> None:
+def settle(node: BalancerHarness, down: frozenset[object] = frozenset()) -> None:
     for rid, book in list(node.books.items()):
         for n, tried in enumerate(book.attempts):
             if tried.result is None and tried.server in down:
@@ -149,7 +153,7 @@
 
 
 def test_a_server_that_is_there_again_is_cold_before_a_list_tells() -> None:
-    node = Node(make_settings(classes=ONE, zones=1, kinds=1, nodes=4))
+    node = BalancerHarness(make_settings(classes=ONE, zones=1, kinds=1, nodes=4))
     node.tell(lines(4, zones=1))
     play(node, node.now + SECOND, 20 * MS)
     down = frozenset([b"s00"])
@@ -175,7 +179,7 @@
         report_mode=api.ReportMode.ANSWERS,
         report_fields=("errors", "rate", "queued"),
     )
-    node = Node(settings)
+    node = BalancerHarness(settings)
     node.tell(lines(10, zones=1))
     for rid in range(40):
         node.ask(rid)
@@ -210,7 +214,9 @@
 
 def test_shedding_ends_when_lists_tell_that_nothing_waits() -> None:
     """A node with few requests hears from its own answers seconds late that a jam is over."""
-    node = Node(make_settings(classes=ONE, zones=1, kinds=1, nodes=40, weight_mode=api.WeightMode.LIVE))
+    node = BalancerHarness(
+        make_settings(classes=ONE, zones=1, kinds=1, nodes=40, weight_mode=api.WeightMode.LIVE)
+    )
     node.tell(lines(8, zones=1))  # the most that is told of a kind is its size
     node.tell(lines(8, load=9.0, zones=1))
     for rid in range(200):
@@ -237,7 +243,9 @@
 
 def test_the_work_of_a_request_is_not_what_others_make_it_wait() -> None:
     """Of 40 nodes each finds others' requests at servers that it holds nothing at."""
-    node = Node(make_settings(classes=ONE, zones=1, kinds=1, nodes=40, weight_mode=api.WeightMode.LIVE))
+    node = BalancerHarness(
+        make_settings(classes=ONE, zones=1, kinds=1, nodes=40, weight_mode=api.WeightMode.LIVE)
+    )
     node.tell(lines(10, zones=1))
     node.tell(lines(10, load=1.0, zones=1))
     for rid in range(60):
@@ -348,7 +356,7 @@
 CALL = api.RequestClass("call", api.Effect.UNSAFE, 2.0, 720 * MS, 3 * SECOND, 0.2)
 
 
-def two_classes() -> Node:
+def two_classes() -> BalancerHarness:
     """A node of 40 that has learned that a view takes 20 ms and a call 80 ms."""
     settings = make_settings(
         classes=(VIEW, CALL),
@@ -358,7 +366,7 @@
         weight_mode=api.WeightMode.LIVE,
         hedging_allowed=False,
     )
-    node = Node(settings)
+    node = BalancerHarness(settings)
     node.tell(lines(20, zones=1))
     for rid in range(100):
         node.ask(rid, rid % 2)
@@ -400,7 +408,7 @@
         classes=ONE, zones=1, kinds=1, nodes=1, report_mode=api.ReportMode.ANSWERS,
         report_fields=("errors", "rate"),
     )  # fmt: skip
-    node = Node(settings)
+    node = BalancerHarness(settings)
     node.tell(lines(4, zones=1))
     rid = 0
     while not any(sid == b"s02" for _, _, sid in node.sent):
@@ -442,10 +450,10 @@
     assert first_poll_delay(0.5, 1, 10 * SECOND) == 0
 
 
-def asking(node: int) -> Node:
+def asking(node: int) -> BalancerHarness:
     """A node of 40 that is told that discovery must be asked."""
     settings = make_settings(classes=ONE, kinds=1, nodes=40, node=node, poll_required=True)
-    return Node(replace(settings, poll_within=10 * SECOND), seed=node + 1)
+    return BalancerHarness(replace(settings, poll_within=10 * SECOND), seed=node + 1)
 
 
 def queue(per_second: float, limit: int, seconds: int) -> tuple[int, int]:
@@ -456,7 +464,7 @@
     for node in tier40:
         node.tell(lines(4), api.ListKind.CACHED)
     free, answered, failed, step = began, 0, 0, 10 * MS
-    due: list[tuple[int, Node, bool]] = []
+    due: list[tuple[int, BalancerHarness, bool]] = []
     watched = dict.fromkeys(range(40), 0)
     for now in range(began, began + seconds * SECOND, step):
         for n, node in enumerate(tier40):
--- a/tests/test_found_by_seeds.py
+++ b/tests/test_found_by_seeds.py
@@ -14,7 +14,7 @@
 from hollybay.balancing.event_loop_delay import WINDOW_NS
 from hollybay.proxy import system
 from hollybay.testbed.loopback import CLASSES, FakeDiscovery, ScriptedServer, request, running, settings
-from hollybay.testbed.world import MS, SAFE, SECOND, Node, fleet, make_settings
+from hollybay.testbed.world import MS, SAFE, SECOND, BalancerHarness, fleet, make_settings
 
 
 def test_no_socket_for_a_server_ends_the_attempt_at_once(
@@ -55,7 +55,7 @@
     asyncio.run(play())
 
 
-def shedding(node: Node) -> None:
+def shedding(node: BalancerHarness) -> None:
     """Bring a module to shed nearly everything: all that is sent comes back late."""
     node.tell(fleet(4))
     for rid in range(400):
@@ -68,7 +68,7 @@
 
 
 def test_what_was_shed_is_served_again_after_a_calm_in_which_nothing_was_heard() -> None:
-    node = Node(make_settings(classes=(SAFE,)))
+    node = BalancerHarness(make_settings(classes=(SAFE,)))
     shedding(node)
     node.balancer.load_shedder.shed_share = 0.98
     node.balancer.estimates.loss_share = 0.9
@@ -79,7 +79,7 @@
 
 
 def test_evidence_does_not_fade_while_it_is_heard() -> None:
-    node = Node(make_settings(classes=(SAFE,)))
+    node = BalancerHarness(make_settings(classes=(SAFE,)))
     shedding(node)
     before = node.balancer.estimates.loss_share
     assert before > 0.3
@@ -89,7 +89,7 @@
 
 
 def test_lateness_is_as_old_as_the_time_without_requests() -> None:
-    node = Node(make_settings(classes=(SAFE,)))
+    node = BalancerHarness(make_settings(classes=(SAFE,)))
     node.tell(fleet(4))
     balancer = node.balancer
     balancer.load_shedder.event_loop_delay.shed_share = 0.9
@@ -104,7 +104,7 @@
 
 
 def test_a_class_without_an_answer_does_not_free_the_cold_budget() -> None:
-    node = Node(make_settings())
+    node = BalancerHarness(make_settings())
     balancer = node.balancer
     longest = max(c.latency_objective for c in balancer.settings.classes)
     balancer.estimates.offered = [5.0, 9.0, 0.0, 0.0, 0.0]
@@ -116,7 +116,7 @@
 
 
 def test_a_jam_does_not_teach_what_a_request_adds() -> None:
-    node = Node(make_settings(classes=(SAFE,)))
+    node = BalancerHarness(make_settings(classes=(SAFE,)))
     node.tell(fleet(4))
     balancer = node.balancer
     s = next(iter(balancer.servers.values()))
@@ -135,7 +135,7 @@
 
 
 def test_a_gap_that_shrinks_frees_a_cold_server_at_once() -> None:
-    node = Node(make_settings(cold_share=0.3, warm_up=8 * SECOND))
+    node = BalancerHarness(make_settings(cold_share=0.3, warm_up=8 * SECOND))
     node.tell(fleet(4, up_since=node.now))
     balancer = node.balancer
     cold = list(balancer.servers.values())
--- a/tests/test_learning_in_a_jam.py
+++ b/tests/test_learning_in_a_jam.py
@@ -10,7 +10,7 @@
 from hollybay.balancing.estimates import IDLE_MEAN_LOAD
 from hollybay.balancing.service_times import MIN_SAMPLES
 from hollybay.balancing.state import Server
-from hollybay.testbed.world import MS, SECOND, Node, make_settings
+from hollybay.testbed.world import MS, SECOND, BalancerHarness, make_settings
 
 ONE = (api.RequestClass("w", api.Effect.SAFE, 1.0, SECOND, 3 * SECOND),)
 WORK, JAM = 10 * MS, 200 * MS
@@ -18,16 +18,16 @@
 WARM = tuple(api.Server(b"s%02d" % n, kind=n % 2) for n in range(12))
 
 
-def node_of(weights: api.WeightMode = api.WeightMode.NOMINAL) -> Node:
+def node_of(weights: api.WeightMode = api.WeightMode.NOMINAL) -> BalancerHarness:
     """One of 32 nodes before a dozen servers of two kinds: it has at most one request at most of them."""
-    node = Node(
+    node = BalancerHarness(
         make_settings(classes=ONE, zones=1, kinds=2, nodes=32, weight_mode=weights, hedging_allowed=False)
     )
     node.tell(WARM)
     return node
 
 
-def play(node: Node, rids: Iterable[int], even: int, odd: int) -> None:
+def play(node: BalancerHarness, rids: Iterable[int], even: int, odd: int) -> None:
     """Requests at a steady pace; servers of the even and of the odd kind answer after so long (ns)."""
     for rid in rids:
         node.ask(rid)
@@ -42,7 +42,7 @@
                         node.answer(r, n)
 
 
-def start_cold(node: Node) -> Server:
+def start_cold(node: BalancerHarness) -> Server:
     """A server that has just started, as the node takes it."""
     node.tell((*WARM, api.Server(b"new", kind=0, up_since=node.now)))
     return node.balancer.servers[b"new"]
--- a/tests/test_limits_module.py
+++ b/tests/test_limits_module.py
@@ -8,13 +8,13 @@
 
 from hollybay.balancing import interface as api
 from hollybay.balancing import retry_budgets as budgets
-from hollybay.testbed.world import MS, SECOND, Node, fleet, make_settings
+from hollybay.testbed.world import MS, SECOND, BalancerHarness, fleet, make_settings
 
 READ, WRITE, CELL, ZONE, ALL = range(5)
 
 
-def node_of(**changes: object) -> Node:
-    node = Node(make_settings(**changes))
+def node_of(**changes: object) -> BalancerHarness:
+    node = BalancerHarness(make_settings(**changes))
     node.tell(fleet(12))
     return node
 
@@ -81,7 +81,7 @@
 
 def test_a_keyed_repeat_keeps_the_narrower_group() -> None:
     for seed in range(20):
-        node = Node(make_settings(hedging_allowed=False), seed=seed)
+        node = BalancerHarness(make_settings(hedging_allowed=False), seed=seed)
         node.tell(fleet(12))
         node.ask(1, ALL, limits=api.Limits(retry_scope=api.DeduplicationScope.CELL))
         first = node.lines[node.books[1].attempts[0].server]
--- a/tests/test_load_reports.py
+++ b/tests/test_load_reports.py
@@ -25,7 +25,7 @@
 from hollybay.routing.policy_compiler import compile_file
 from hollybay.routing.problems import OperatorError
 from hollybay.testbed.scene import settings
-from hollybay.testbed.world import MS, SECOND, Node, make_settings
+from hollybay.testbed.world import MS, SECOND, BalancerHarness, make_settings
 
 STATES = st.dictionaries(st.integers(0, 2**32 - 1), st.integers(1, 255), max_size=MAX_PARTS * MAX_ENTRIES)
 SERVERS = [f"s-{n}" for n in range(8)]
@@ -246,8 +246,8 @@
 READ = (api.RequestClass("r", api.Effect.SAFE, 1.0, SECOND, 3 * SECOND),)
 
 
-def talking(nodes: int = 40) -> Node:
-    node = Node(make_settings(classes=READ, zones=1, kinds=1, nodes=nodes))
+def talking(nodes: int = 40) -> BalancerHarness:
+    node = BalancerHarness(make_settings(classes=READ, zones=1, kinds=1, nodes=nodes))
     node.tell(tuple(api.Server(b"s%d" % n, weight=1.0) for n in range(4)))
     return node
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""Seeded random walks of legal events: the books in world.Node assert the four rules at every step."""
+"""Seeded random walks of legal events: the balancer's harness asserts the four rules at every step."""
 
 from __future__ import annotations
 
@@ -9,13 +9,15 @@
 from hypothesis import strategies as st
 
 from hollybay.balancing import interface as api
-from hollybay.testbed.world import MS, SECOND, Node, fleet, make_settings
+from hollybay.testbed.world import MS, SECOND, BalancerHarness, fleet, make_settings
 
 
-def walk(seed: int, settings: api.Settings, steps: int = 600, limits: api.Limits | None = None) -> Node:
+def walk(
+    seed: int, settings: api.Settings, steps: int = 600, limits: api.Limits | None = None
+) -> BalancerHarness:
     """Requests, all outcomes, drains, restarts, vanished and new servers, lost lists, clients that leave."""
     chance = random.Random(seed)
-    node = Node(settings, seed)
+    node = BalancerHarness(settings, seed)
     servers = {s.id: s for s in fleet(12)}
     node.tell(tuple(servers.values()), api.ListKind.CACHED)
     fresh = 100
@@ -91,7 +93,7 @@
     settings = make_settings(
         nodes=nodes, classes=(api.RequestClass("w", api.Effect.SAFE, 1.0, SECOND, 3 * SECOND),)
     )
-    node = Node(settings)
+    node = BalancerHarness(settings)
     warm = fleet(4)
     node.tell(warm, api.ListKind.CACHED)
     work = 50 * MS
@@ -124,7 +126,7 @@
 
 
 def test_nothing_goes_to_a_draining_server() -> None:
-    node = Node()
+    node = BalancerHarness()
     servers = fleet(6)
     node.tell(servers)
     gone = servers[0].id
@@ -135,7 +137,7 @@
 
 
 def test_held_requests_are_refused_in_time_when_there_is_no_server() -> None:
-    node = Node()
+    node = BalancerHarness()
     node.tell(())
     for rid in range(5):
         node.ask(rid, rid)
@@ -144,7 +146,7 @@
 
 
 def test_held_requests_go_out_once_a_server_appears() -> None:
-    node = Node()
+    node = BalancerHarness()
     node.tell(())
     node.ask(1, 1)
     node.tell(fleet(2))
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -8,7 +8,7 @@
 
 from hollybay.balancing.slow_start import SlowStart
 from hollybay.balancing.state import Server
-from hollybay.testbed.world import MS, SECOND, Node, fleet, make_settings
+from hollybay.testbed.world import MS, SECOND, BalancerHarness, fleet, make_settings
 
 
 @pytest.mark.parametrize(
@@ -23,7 +23,7 @@
 
 
 def test_without_a_warm_up_time_a_server_whose_clock_is_ahead_is_used_as_any_other() -> None:
-    node = Node(make_settings(warm_up=0))
+    node = BalancerHarness(make_settings(warm_up=0))
     node.tell(fleet(4, up_since=node.now + 300 * MS))
     node.ask(1)
     assert node.books[1].attempts
