--- a/hollybay/balancing/balancer.py
+++ b/hollybay/balancing/balancer.py
@@ -45,7 +45,7 @@
 from .server_pool import remove_from_idle
 from .server_selection import ServerSelector
 from .slow_start import SlowStart
-from .state import Attempt, PendingRequest, RequestPhase, Server
+from .state import ACTIVE, FINISHED, Attempt, PendingRequest, RequestPhase, Server
 from .units import MS
 from .wakeups import WakeupKind, WakeupQueue
 
@@ -144,14 +144,14 @@
 
     def _wake_request(self, kind: WakeupKind, request_id: int) -> None:
         request = self.requests.get(request_id)
-        if request is None or request.phase is RequestPhase.FINISHED:
+        if request is None or request.phase is FINISHED:
             return
         if kind == WakeupKind.HEDGE:
             server = self.hedging.pick(request, self.now)
             if server is not None:
                 self._send(request, server)
         elif request.phase is RequestPhase.WAITING:
-            request.phase = RequestPhase.ACTIVE
+            request.phase = ACTIVE
             self._retry(request)
 
     def _on_server_list(self, event: ServerList) -> None:
@@ -281,7 +281,7 @@
 
     def _finish(self, request: PendingRequest, action: Action | None) -> None:
         """End a request with an action, or with None where the client has its answer or has left."""
-        request.phase = RequestPhase.FINISHED
+        request.phase = FINISHED
         if action is not None:
             self.actions.append(action)
         if not request.in_flight_attempts:
@@ -293,7 +293,7 @@
 
     def _on_client_disconnected(self, event: ClientDisconnected) -> None:
         request = self.requests.get(event.id)
-        if request is not None and request.phase is not RequestPhase.FINISHED:
+        if request is not None and request.phase is not FINISHED:
             self._finish(request, None)
 
     # Attempts
@@ -344,7 +344,7 @@
         if server is not None:
             self._attempt_ended(attempt)
             self._observe_result(server, request, event)
-        if request.phase is RequestPhase.FINISHED:
+        if request.phase is FINISHED:
             if not request.in_flight_attempts:
                 self.requests.pop(request.id, None)
         elif event.final:
--- a/hollybay/balancing/state.py
+++ b/hollybay/balancing/state.py
@@ -11,6 +11,8 @@
 from .interface import Limits, Request, Result, ServerId, ServerState
 
 __all__ = [
+    "ACTIVE",
+    "FINISHED",
     "Attempt",
     "PendingRequest",
     "RequestPhase",
@@ -141,6 +143,11 @@
     FINISHED = 2  # answered, or the client has left; attempts may still be in flight
 
 
+# By names of this module: a look-up in an enum costs 0.2 µs, and each request makes several.
+ACTIVE = RequestPhase.ACTIVE
+FINISHED = RequestPhase.FINISHED
+
+
 class PendingRequest:
     """A request that this node has to answer, or whose attempts are still in flight."""
 
@@ -165,7 +172,7 @@
         self.cost = event.cost  # hint: work relative to others of its class, 0: none
         self.limits: Limits | None = event.limits
         self.deadline = now + event.time_left
-        self.phase = RequestPhase.ACTIVE
+        self.phase = ACTIVE
         self.body_pending = event.body_pending  # its last byte has not come yet
         self.streaming = False  # an attempt's response has begun
         self.attempts: list[Attempt] = []
--- a/hollybay/mutation/planted.py
+++ b/hollybay/mutation/planted.py
@@ -139,10 +139,10 @@
     Defect(
         "requests-kept",
         BALANCER,
-        "        if request.phase is RequestPhase.FINISHED:\n"
+        "        if request.phase is FINISHED:\n"
         "            if not request.in_flight_attempts:\n"
         "                self.requests.pop",
-        "        if request.phase is RequestPhase.FINISHED:\n"
+        "        if request.phase is FINISHED:\n"
         "            if request.in_flight_attempts:\n"
         "                self.requests.pop",
     ),
--- a/hollybay/proxy/downstream/connection.py
+++ b/hollybay/proxy/downstream/connection.py
@@ -51,6 +51,14 @@
 # is hidden: half of the smallest receive buffer that Linux gives a connection, of which it offers a half.
 HIDDEN_CLOSE_BYTES = 32 << 10
 
+# The states and events of each request, by names of this module: a look-up in an enum costs 0.2 µs.
+_READING_LARGE = ConnectionState.READING_LARGE
+_STREAMING = ConnectionState.STREAMING
+_ANSWERING = ConnectionState.ANSWERING
+_REQUEST_COMPLETED = ConnectionEvent.REQUEST_COMPLETED
+_ANSWER_COMPLETED = ConnectionEvent.ANSWER_COMPLETED
+_ANSWER_TAKEN = ConnectionEvent.ANSWER_TAKEN
+
 
 class ClientConnection(TcpConnection):
     """A connection from a client, which carries one request at a time.
@@ -253,12 +261,12 @@
         if self.streaming_body is not None:
             self.streaming_body.append(data)
             return
-        if self.state is ConnectionState.STREAMING:
+        if self.state is _STREAMING:
             return  # its client has gone
         request.body.append(data)
         if request.size > MAX_HELD_BODY_BYTES:
             self._start_streaming(request, just_read)
-        elif self.state is ConnectionState.READING_LARGE:
+        elif self.state is _READING_LARGE:
             self._charge(len(data))
         elif request.size > SMALL_BODY_BYTES:
             self.state = next_state(self.state, ConnectionEvent.BODY_CHARGED)
@@ -286,7 +294,7 @@
         """The last byte of a request has come."""
         request = self.request
         assert request is not None
-        self.state = next_state(self.state, ConnectionEvent.REQUEST_COMPLETED)
+        self.state = next_state(self.state, _REQUEST_COMPLETED)
         self.bytes_ahead = len(self.http.trailing_data[0])
         self.clients.budget.stop_waiting(self)
         self.set_reading(True)
@@ -432,7 +440,7 @@
 
     def _answer_completed(self) -> None:
         """An answer is written; the connection goes on when the kernel has taken it."""
-        self.state = next_state(self.state, ConnectionEvent.ANSWER_COMPLETED)
+        self.state = next_state(self.state, _ANSWER_COMPLETED)
         self._release_limits()
         self.request_id = 0
         self.body_source = None
@@ -451,10 +459,10 @@
         """The kernel has taken an answer: read the next request, or close."""
         if self.transport.is_closing() or self.state not in ANSWERING_STATES:
             return
-        if self.state is not ConnectionState.ANSWERING or self.http.their_state is not h11.DONE:
+        if self.state is not _ANSWERING or self.http.their_state is not h11.DONE:
             self._linger()
             return
-        self.state = next_state(self.state, ConnectionEvent.ANSWER_TAKEN)
+        self.state = next_state(self.state, _ANSWER_TAKEN)
         # A new parser for each message, as answers are not written through it.
         rest, _ = self.http.trailing_data
         self.http = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEAD_BYTES)
--- a/hollybay/proxy/upstream/connection.py
+++ b/hollybay/proxy/upstream/connection.py
@@ -53,6 +53,14 @@
 # connection is opened to it instead; see HoldAccount.
 SETTLES_PER_CONNECTION = 2.0
 
+# The state and the events of each request, by names of this module: a look-up in an enum costs 0.2 µs.
+_CLOSED = ConnectionState.CLOSED
+_REQUEST_STARTED = ConnectionEvent.REQUEST_STARTED
+_LAST_PIECE_LEFT = ConnectionEvent.LAST_PIECE_LEFT
+_REQUEST_SENT = ConnectionEvent.REQUEST_SENT
+_RESPONSE_STARTED = ConnectionEvent.RESPONSE_STARTED
+_RESPONSE_COMPLETED = ConnectionEvent.RESPONSE_COMPLETED
+
 
 class ConnectionOwner(Protocol):
     """What a connection asks of the pools that it belongs to."""
@@ -166,7 +174,7 @@
 
         A close or bytes may have come that the loop has not seen yet.
         """
-        if self.state is ConnectionState.CLOSED or not self.is_connected():
+        if self.state is _CLOSED or not self.is_connected():
             return False
         # Nothing has been asked in full: bytes that wait to be read belong to no request, and would be taken
         # for the answer to the next one.
@@ -180,7 +188,7 @@
             self.streaming_body = None
         self.owner.unpool(self)
         self._advance(ConnectionEvent.CLOSE_REQUESTED)
-        if self.state is not ConnectionState.CLOSED:
+        if self.state is not _CLOSED:
             self.transport.abort()
 
     def stop_timer(self) -> None:
@@ -209,7 +217,7 @@
             return
         message = attempt.message
         assert message is not None
-        self._advance(ConnectionEvent.REQUEST_STARTED)
+        self._advance(_REQUEST_STARTED)
         self.attempt = attempt
         attempt.connection = self
         self.response = None
@@ -288,7 +296,7 @@
         if self.is_write_buffered or self.timer is not None:
             return
         if len(self.pieces) == 1:
-            self._advance(ConnectionEvent.LAST_PIECE_LEFT)
+            self._advance(_LAST_PIECE_LEFT)
             hold = self._hold_time()
             if hold > 0.0:
                 self.start_timer(hold, self._write_last_piece)
@@ -324,7 +332,7 @@
         # The kernel may take the byte and the loop tell of it a turn later: whatever ends the attempt in
         # between, it may have run.
         attempt.written = True
-        self._advance(ConnectionEvent.REQUEST_SENT)
+        self._advance(_REQUEST_SENT)
         self.transport.write(self.pieces.pop())
         if self.transport.is_closing():
             attempt.written = False  # refused at once
@@ -427,7 +435,7 @@
         check_framing(found)
         headers = end_to_end_headers(found.headers, self.owner.not_for_clients)
         self.response = ForwardedResponse(STATUS_OK, headers, None, found.length)
-        self._advance(ConnectionEvent.RESPONSE_STARTED)
+        self._advance(_RESPONSE_STARTED)
         if attempt.streamed:
             self._start_stream(attempt)
 
@@ -484,7 +492,7 @@
         self.response_ended_at = self.owner.loop.time()
         self.attempt = attempt.connection = None
         if reusable:
-            self._advance(ConnectionEvent.RESPONSE_COMPLETED)
+            self._advance(_RESPONSE_COMPLETED)
             self.owner.pool(self)
         else:
             self.close()
