--- a/hollybay/balancing/final_answers.py
+++ b/hollybay/balancing/final_answers.py
@@ -5,7 +5,7 @@
 from .decision_context import DecisionContext
 from .interface import Action, Cancel, ClientDisconnected, Fail, Reject
 from .retries import is_client_retry_harmless
-from .state import RequestPhase, TrackedRequest
+from .state import FINISHED, TrackedRequest
 
 __all__ = ["FinalAnswers"]
 
@@ -40,7 +40,7 @@
 
     def finish(self, request: TrackedRequest, action: Action | None) -> None:
         """End a request with an action, or with None where the client has its answer or has left."""
-        request.phase = RequestPhase.FINISHED
+        request.phase = FINISHED
         actions = self.context.actions
         if action is not None:
             actions.append(action)
@@ -54,5 +54,5 @@
     def on_client_disconnected(self, event: ClientDisconnected) -> None:
         """End a request that has no client any more."""
         request = self.requests.get(event.id)
-        if request is not None and request.phase is not RequestPhase.FINISHED:
+        if request is not None and request.phase is not FINISHED:
             self.finish(request, None)
--- a/hollybay/balancing/further_attempts.py
+++ b/hollybay/balancing/further_attempts.py
@@ -8,7 +8,7 @@
 from .interface import AttemptFinished
 from .load_shedding import SHEDDING_LOSS_SHARE
 from .retries import ANYWHERE, RetryScope, is_client_retry_harmless
-from .state import RequestPhase, TrackedRequest, TrackedServer
+from .state import ACTIVE, FINISHED, RequestPhase, TrackedRequest, TrackedServer
 from .units import MS
 from .wakeups import WakeupKind
 
@@ -58,7 +58,7 @@
         if attempt.result is not None:
             return
         self.attempts.finish(request, attempt, event)
-        if request.phase is RequestPhase.FINISHED:
+        if request.phase is FINISHED:
             if not request.in_flight_attempts:
                 self.requests.pop(request.id, None)
         elif event.final:
@@ -69,14 +69,14 @@
     def on_wakeup(self, kind: WakeupKind, request_id: int) -> None:
         """Hedge a request, or try again to find a server for it."""
         request = self.requests.get(request_id)
-        if request is None or request.phase is RequestPhase.FINISHED:
+        if request is None or request.phase is FINISHED:
             return
         if kind == WakeupKind.HEDGE:
             server = self.hedging.pick(request, self.context.now)
             if server is not None:
                 self.attempts.send(request, server)
         elif request.phase is RequestPhase.WAITING:
-            request.phase = RequestPhase.ACTIVE
+            request.phase = ACTIVE
             self._retry(request)
 
     def wait(self, request: TrackedRequest) -> None:
--- a/hollybay/mutation/planted.py
+++ b/hollybay/mutation/planted.py
@@ -140,10 +140,10 @@
     Defect(
         "requests-kept",
         FURTHER_ATTEMPTS,
-        "        if request.phase is RequestPhase.FINISHED:\n"
+        "        if request.phase is FINISHED:\n"
         "            if not request.in_flight_attempts:\n"
         "                self.requests.pop",
-        "        if request.phase is RequestPhase.FINISHED:\n"
+        "        if request.phase is FINISHED:\n"
         "            if request.in_flight_attempts:\n"
         "                self.requests.pop",
     ),
--- a/hollybay/proxy/downstream/connection.py
+++ b/hollybay/proxy/downstream/connection.py
@@ -58,6 +58,15 @@
 BEING_SUBMITTED = -1
 
 
+# The states and events of each request, by names of this module: a look-up in an enum costs 0.2 µs.
+_READING_LARGE = ConnectionState.READING_LARGE
+_STREAMING = ConnectionState.STREAMING
+_RESPONDING = ConnectionState.RESPONDING
+_REQUEST_COMPLETED = ConnectionEvent.REQUEST_COMPLETED
+_RESPONSE_COMPLETED = ConnectionEvent.RESPONSE_COMPLETED
+_RESPONSE_FLUSHED = ConnectionEvent.RESPONSE_FLUSHED
+
+
 class ClientConnection(TcpConnection):
     """A connection from a client, which carries one request at a time.
 
@@ -262,12 +271,12 @@
         if self.streaming_body is not None:
             self.streaming_body.append(data)
             return
-        if self.state is ConnectionState.STREAMING:
+        if self.state is _STREAMING:
             return  # its client has gone
         request.body.append(data)
         if request.size > MAX_HELD_BODY_BYTES:
             self._start_streaming(request, just_read)
-        elif self.state is ConnectionState.READING_LARGE:
+        elif self.state is _READING_LARGE:
             self._charge(len(data))
         elif request.size > SMALL_BODY_BYTES:
             self.state = next_state(self.state, ConnectionEvent.BODY_CHARGED)
@@ -295,7 +304,7 @@
         """Take note that the last byte of a request has come, and have it answered."""
         request = self.request
         assert request is not None
-        self.state = next_state(self.state, ConnectionEvent.REQUEST_COMPLETED)
+        self.state = next_state(self.state, _REQUEST_COMPLETED)
         self.bytes_ahead = len(self.http.trailing_data[0])
         self.clients.budget.stop_waiting(self)
         self.set_reading(True)
@@ -447,7 +456,7 @@
 
     def _response_completed(self) -> None:
         """Forget the request; the connection goes on when the kernel has taken the response."""
-        self.state = next_state(self.state, ConnectionEvent.RESPONSE_COMPLETED)
+        self.state = next_state(self.state, _RESPONSE_COMPLETED)
         if self.request is not None:
             release_request(self.clients.admission, self.request)
             self.request = None
@@ -467,10 +476,10 @@
         """Read the next request, or close, as the kernel has taken the response."""
         if self.transport.is_closing() or self.state not in RESPONDING_STATES:
             return
-        if self.state is not ConnectionState.RESPONDING or self.http.their_state is not h11.DONE:
+        if self.state is not _RESPONDING or self.http.their_state is not h11.DONE:
             self._linger()
             return
-        self.state = next_state(self.state, ConnectionEvent.RESPONSE_FLUSHED)
+        self.state = next_state(self.state, _RESPONSE_FLUSHED)
         # A new parser for each message, as responses are not written through it.
         rest, _ = self.http.trailing_data
         self.http = new_request_parser()
--- a/hollybay/proxy/upstream/connection.py
+++ b/hollybay/proxy/upstream/connection.py
@@ -39,6 +39,12 @@
 __all__ = ["ConnectionOwner", "ServerConnection"]
 
 
+# The states and events of each request, by names of this module: a look-up in an enum costs 0.2 µs.
+_REQUEST_STARTED = ConnectionEvent.REQUEST_STARTED
+_RESPONSE_STARTED = ConnectionEvent.RESPONSE_STARTED
+_RESPONSE_COMPLETED = ConnectionEvent.RESPONSE_COMPLETED
+
+
 class ConnectionOwner(SenderOwner, Protocol):
     """What a connection asks of the pools that it belongs to."""
 
@@ -127,7 +133,7 @@
             return
         message = attempt.message
         assert message is not None
-        self.state = next_state(self.state, ConnectionEvent.REQUEST_STARTED)
+        self.state = next_state(self.state, _REQUEST_STARTED)
         self.attempt = attempt
         attempt.connection = self
         self.response = None
@@ -227,7 +233,7 @@
         check_framing(found)
         headers = end_to_end_headers(found.headers, self.owner.not_for_clients)
         self.response = ForwardedResponse(STATUS_OK, headers, None, found.length)
-        self.state = next_state(self.state, ConnectionEvent.RESPONSE_STARTED)
+        self.state = next_state(self.state, _RESPONSE_STARTED)
         if attempt.streamed:
             self._start_stream(attempt)
 
@@ -286,7 +292,7 @@
         self.response_ended_at = self.owner.loop.time()
         self.attempt = attempt.connection = None
         if reusable:
-            self.state = next_state(self.state, ConnectionEvent.RESPONSE_COMPLETED)
+            self.state = next_state(self.state, _RESPONSE_COMPLETED)
             self.owner.pool(self)
         else:
             self.close()
--- a/hollybay/proxy/upstream/request_sender.py
+++ b/hollybay/proxy/upstream/request_sender.py
@@ -38,6 +38,12 @@
 SETTLES_PER_CONNECTION = 2.0
 
 
+# The states and events of each request, by names of this module: a look-up in an enum costs 0.2 µs.
+_CLOSED = ConnectionState.CLOSED
+_LAST_PIECE_LEFT = ConnectionEvent.LAST_PIECE_LEFT
+_REQUEST_SENT = ConnectionEvent.REQUEST_SENT
+
+
 class SenderOwner(Protocol):
     """What a connection that writes requests asks of the pools that it belongs to."""
 
@@ -109,7 +115,7 @@
 
         A close or bytes may have come that the loop has not seen yet.
         """
-        if self.state is ConnectionState.CLOSED or not self.is_connected():
+        if self.state is _CLOSED or not self.is_connected():
             return False
         # Nothing has been asked in full: bytes that wait to be read belong to no request, and would be taken
         # for the answer to the next one.
@@ -123,7 +129,7 @@
             self.streaming_body = None
         self.owner.unpool(self)
         self.state = next_state(self.state, ConnectionEvent.CLOSE_REQUESTED)
-        if self.state is not ConnectionState.CLOSED:
+        if self.state is not _CLOSED:
             self.transport.abort()
 
     def stop_timer(self) -> None:
@@ -195,7 +201,7 @@
         if self.is_write_buffered or self.timer is not None:
             return
         if len(self.pieces) == 1:
-            self.state = next_state(self.state, ConnectionEvent.LAST_PIECE_LEFT)
+            self.state = next_state(self.state, _LAST_PIECE_LEFT)
             hold = self._hold_time(attempt)
             if hold > 0.0:
                 self.start_timer(hold, self._write_last_piece)
@@ -232,7 +238,7 @@
         # The kernel may take the byte and the loop tell of it a turn later: whatever ends the attempt in
         # between, it may have run.
         attempt.request_written = True
-        self.state = next_state(self.state, ConnectionEvent.REQUEST_SENT)
+        self.state = next_state(self.state, _REQUEST_SENT)
         self.transport.write(self.pieces.pop())
         if self.transport.is_closing():
             attempt.request_written = False  # refused at once
