--- a/hollybay/proxy/pending_request.py
+++ b/hollybay/proxy/pending_request.py
@@ -15,14 +15,17 @@
 from typing import Protocol
 
 from hollybay.balancing import interface as api
+from hollybay.units import MS
 
+from . import system
 from .http_messages import ForwardedRequest
-from .ports import Client
+from .ports import Client, ClientPresence
 from .state_machine import transition_function
 
 __all__ = [
     "FINISHED",
     "PENDING",
+    "PRESENCE_VALID_NS",
     "TRANSITIONS",
     "UNANSWERED_STATES",
     "PendingRequest",
@@ -32,6 +35,11 @@
     "next_state",
 ]
 
+# For so long it is believed that a client is there; then the kernel is asked again before a byte is sent on
+# for it. What a connection has not read yet, or does not read while a request is pending, only the kernel
+# tells.
+PRESENCE_VALID_NS = 10 * MS
+
 
 class RequestState(IntEnum):
     """Where a request is on its way to its final answer."""
@@ -168,6 +176,21 @@
         self.streamed_attempt: RequestAttempt | None = None
         self.timer: asyncio.TimerHandle | None = None
 
+    def check_client_presence(self) -> bool:
+        """Look whether the client is connected, and abandon one that has gone.
+
+        Where the kernel cannot tell, the answer is False as well: nothing more is sent for that client.
+        """
+        now = system.monotonic_ns()
+        if now - self.client_seen < PRESENCE_VALID_NS:
+            return True
+        presence = self.client.presence()
+        if presence is ClientPresence.CONNECTED:
+            self.client_seen = now
+        elif presence is ClientPresence.GONE:
+            self.client.abandon()
+        return presence is ClientPresence.CONNECTED
+
     def stop_timer(self) -> None:
         """Cancel the timer of the deadline, if it runs."""
         if self.timer is not None:
--- a/hollybay/proxy/request_dispatcher.py
+++ b/hollybay/proxy/request_dispatcher.py
@@ -21,21 +21,17 @@
 from .http_messages import ForwardedRequest, ForwardedResponse
 from .name_table import DiscoveryUpdate
 from .pending_request import FINISHED, PENDING, UNANSWERED_STATES, PendingRequest, RequestEvent, next_state
-from .ports import Client, ClientPresence, DiscoveryPort, LoadReporter
+from .ports import Client, DiscoveryPort, LoadReporter
 from .request_counters import RequestCounters
 from .upstream.attempt import Attempt
 from .upstream.pools import UpstreamPools
 
-__all__ = ["PRESENCE_VALID_NS", "RequestDispatcher"]
+__all__ = ["RequestDispatcher"]
 
 log = logging.getLogger("hollybay.proxy")
 
 # A final answer leaves this long before the client's deadline, so that it is there in time.
 ANSWER_MARGIN_NS = 4 * MS
-# For so long it is believed that a client is there; then the kernel is asked again before a byte is sent on
-# for it. What a connection has not read yet, or does not read while a request is pending, only the kernel
-# tells.
-PRESENCE_VALID_NS = 10 * MS
 BAD_GATEWAY = 502
 GATEWAY_TIMEOUT = 504
 
@@ -207,21 +203,6 @@
                 attempt.cancel()
         self.feed(api.ClientDisconnected(request_id))
 
-    def _check_client_presence(self, request: PendingRequest) -> bool:
-        """Look whether a request's client is connected, and abandon a client that has gone.
-
-        Where the kernel cannot tell, the answer is False as well: nothing more is sent for that client.
-        """
-        now = system.monotonic_ns()
-        if now - request.client_seen < PRESENCE_VALID_NS:
-            return True
-        presence = request.client.presence()
-        if presence is ClientPresence.CONNECTED:
-            request.client_seen = now
-        elif presence is ClientPresence.GONE:
-            request.client.abandon()
-        return presence is ClientPresence.CONNECTED
-
     def end_all_requests(self) -> None:
         """Give every request that has none its final answer now: the node is about to exit."""
         for request in list(self.requests.values()):
@@ -262,7 +243,7 @@
         """Tell whether another attempt may begin. The client is looked at, which may end the request."""
         if request.state is not PENDING:
             return False
-        if not self._check_client_presence(request):
+        if not request.check_client_presence():
             return False
         if len(request.attempts) >= self.settings.max_attempts:
             return False
@@ -391,7 +372,7 @@
         """Tell whether the client of an attempt is there: nothing is sent on for one that has gone."""
         request = attempt.request
         assert request is not None
-        return request.state is not FINISHED and self._check_client_presence(request)
+        return request.state is not FINISHED and request.check_client_presence()
 
     def response_started(self, attempt: Attempt, response: ForwardedResponse) -> Client | None:
         """Tie a request to the response that begins to come; return where it goes, None: nowhere."""
@@ -432,7 +413,7 @@
                 attempt.number,
                 attempt.server,
                 result,
-                _response_time(attempt),
+                attempt.response_time(),
                 request.state is FINISHED,
                 attempt.report,
             )
@@ -452,9 +433,3 @@
             self.counters.served[request.class_index] += 1
             self._conclude(request)
             self._answer(client, client.respond, response)
-
-
-def _response_time(attempt: Attempt) -> int:
-    """Return the time (ns) to the first bytes of a streamed response, else to the last ones."""
-    ended = attempt.response_started or system.monotonic_ns() - attempt.read_delay
-    return max(0, ended - attempt.sent_at)
--- a/hollybay/proxy/upstream/attempt.py
+++ b/hollybay/proxy/upstream/attempt.py
@@ -129,6 +129,11 @@
         """End because the connection is gone, or because what came on it is no response."""
         self.end(api.Result.NOT_DELIVERED)
 
+    def response_time(self) -> int:
+        """Return the time (ns) to the first bytes of a streamed response, else to the last ones, now."""
+        ended = self.response_started or system.monotonic_ns() - self.read_delay
+        return max(0, ended - self.sent_at)
+
     def set_reading(self, reading: bool) -> None:
         """Apply the back-pressure of the client that the response is passed on to."""
         if self.connection is not None:
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -14,7 +14,7 @@
 from hollybay.balancing import interface as api
 from hollybay.proxy.downstream.connection import HIDDEN_CLOSE_BYTES, ClientConnection
 from hollybay.proxy.message_limits import SMALL_BODY_BYTES
-from hollybay.proxy.request_dispatcher import PRESENCE_VALID_NS
+from hollybay.proxy.pending_request import PRESENCE_VALID_NS
 from hollybay.proxy.upstream import request_sender
 from hollybay.proxy.upstream.attempt import Attempt
 from hollybay.testbed.loopback import (
