--- a/hollybay/proxy/downstream/client_context.py
+++ b/hollybay/proxy/downstream/client_context.py
@@ -44,11 +44,11 @@
         From a request's first byte to the end of its head; its body has the time of `MIN_BODY_BYTES_PER_S`
         beside.
     idle
-        From an answer to the next request.
+        From a response to the next request.
     idle_when_crowded
         The same, while clients hold more connections than their share.
     writing
-        Nothing read of an answer.
+        Nothing read of a response.
     """
 
     silent: float = 2.0
@@ -84,10 +84,10 @@
     Attributes
     ----------
     places
-        Requests that may wait for their answer at once. Clients hold as many connections at most: with one
+        Requests that may wait for their response at once. Clients hold as many connections at most: with one
         more, none would be left to accept others on.
     share
-        Connections that may be kept between requests or wait for an answer before idle ones are closed early.
+        Connections that may be kept between requests or wait for a response; beyond, idle ones close early.
     phase_timeouts
         How long a connection may stay in a phase.
     budget, streaming_budget
@@ -103,7 +103,7 @@
     is_shutting_down
         The process is ending and is not put back into service. An operator may have drained it before.
     forwarding_stopped
-        The last answers are being given and the process is about to exit: no request is forwarded.
+        The last responses are being given and the process is about to exit: no request is forwarded.
     """
 
     def __init__(self, config: Config, dispatcher: RequestDispatcher, limit: int) -> None:
--- a/hollybay/proxy/downstream/connection.py
+++ b/hollybay/proxy/downstream/connection.py
@@ -1,4 +1,4 @@
-"""One client connection: reads a request, hands it to the node, and writes its response.
+"""One client connection: reads a request, hands it to the request dispatcher, and writes its response.
 
 The states and their transitions are in `states`.
 """
@@ -8,6 +8,7 @@
 import asyncio
 import socket
 from collections import OrderedDict
+from collections.abc import Sequence
 
 import h11
 
@@ -24,13 +25,13 @@
 from .client_context import ClientContext
 from .request import MIN_BODY_BYTES_PER_S, ClientRequest
 from .request_admission import admit_request, release_request
-from .request_validation import HEALTH_PATHS, RequestProblem
-from .responses import rejection_events, response_bytes, retry_after_header
+from .request_validation import HEALTH_PATHS, LIVENESS_PATH, RequestProblem
+from .responses import REJECTED_BODY, rejection_events, response_bytes, retry_after_header
 from .service_state import CLOSING_STATES
 from .states import (
-    ANSWERING_STATES,
     LINGERING_STATES,
     READING_STATES,
+    RESPONDING_STATES,
     ConnectionEvent,
     ConnectionState,
     next_state,
@@ -38,20 +39,24 @@
 
 __all__ = ["HIDDEN_CLOSE_BYTES", "ClientConnection"]
 
-# The kernel's buffer (bytes) for an answer that is streamed: with a larger one, a client that reads slowly
+# The kernel's buffer (bytes) for a response that is streamed: with a larger one, a client that reads slowly
 # would seem not to read at all for seconds.
 SEND_BUFFER_BYTES = 64 << 10
 # How long (s) a lingering connection reads on, and how much (bytes): with unread bytes a close is a reset,
-# which could destroy the answer on its way.
+# which could destroy the response on its way.
 LINGER_S = 1.0
 LINGER_BYTES = 128 << 10
-# The same (s) after an answer that was complete before the request's body: a client that writes its whole
+# The same (s) after a response that was complete before the request's body: a client that writes its whole
 # body first would never read it.
 LINGER_UPLOAD_S = 4.0
 # Unread bytes (with reading paused) beyond which the kernel may take no more, so that a close behind them
 # is hidden: half of the smallest receive buffer that Linux gives a connection, of which it offers a half.
 HIDDEN_CLOSE_BYTES = 32 << 10
 
+# Values of `ClientConnection.request_id` that are no number of a request.
+NO_REQUEST = 0
+BEING_SUBMITTED = -1
+
 
 class ClientConnection(TcpConnection):
     """A connection from a client, which carries one request at a time.
@@ -72,13 +77,20 @@
     request
         The present request, from its head to the end of its response.
     request_id
-        The request that the node works on, -1 while it is being submitted, 0: none.
+        Number of the request that the dispatcher works on; `BEING_SUBMITTED` until it is known, `NO_REQUEST`
+        if there is none.
+    http
+        Parser of the present request.
     bytes_ahead
-        Bytes read beyond the present request, or while lingering.
+        Bytes read beyond the present request.
+    lingering_bytes
+        Bytes read and dropped while lingering.
     streaming_body
         The body of the present request, if that is forwarded while it comes.
     body_source
         Where the body of a streamed response comes from.
+    linger_timer
+        Ends the connection if its client does not; None: it is not lingering.
     """
 
     def __init__(self, clients: ClientContext[ClientConnection], sock: socket.socket) -> None:
@@ -88,8 +100,9 @@
         self.state = ConnectionState.READING
         self.phase: OrderedDict[ClientConnection, float] | None = None
         self.request: ClientRequest | None = None
-        self.request_id = 0
+        self.request_id = NO_REQUEST
         self.bytes_ahead = 0
+        self.lingering_bytes = 0
         self.streaming_body: StreamingBody | None = None
         self.body_source: BodySource | None = None
         self.linger_timer: asyncio.TimerHandle | None = None
@@ -110,12 +123,11 @@
 
     def eof_received(self) -> bool:
         """Close: a client that shuts down its sending side does not wait for its response."""
-        self._abandon_request()
-        self.transport.abort()
+        self.abandon()
         return True
 
     def presence(self) -> ClientPresence:
-        """Tell whether the client waits for its answer; a close is not seen while reading is paused."""
+        """Tell whether the client waits for its response; a close is not seen while reading is paused."""
         if not self.is_connected():
             return ClientPresence.GONE
         if (
@@ -127,8 +139,9 @@
         return ClientPresence.CONNECTED
 
     def abandon(self) -> None:
-        """Close a connection whose client has gone, as the kernel tells."""
-        self.eof_received()
+        """Close a connection whose client has gone, and end its request."""
+        self._abandon_request()
+        self.transport.abort()
 
     def abort(self) -> None:
         """Close at once."""
@@ -142,8 +155,8 @@
         """Tell whether a request comes too slowly by a loop time (s), unless the node leaves it unread."""
         if self.request is None or self.phase is None:
             return True
-        allowed = self.clients.phase_timeouts.unfinished + self.request.size / MIN_BODY_BYTES_PER_S
-        return self.reading and now - self.phase[self] > allowed
+        allowed_s = self.clients.phase_timeouts.unfinished + self.request.size / MIN_BODY_BYTES_PER_S
+        return self.reading and now - self.phase[self] > allowed_s
 
     def close_if_idle(self) -> None:
         """Close a connection that has no request under way, unless one has just come.
@@ -164,22 +177,17 @@
         self.clients.touch(self)
         if self.body_source is not None:
             self.body_source.set_reading(True)
-        elif self.state in ANSWERING_STATES and not self.request_id:
-            self._answer_taken()
-
-    def _release_limits(self) -> None:
-        """End the present request for admission control."""
-        if self.request is not None:
-            release_request(self.clients.admission, self.request)
+        elif self.state in RESPONDING_STATES and not self.request_id:
+            self._response_flushed()
 
     def _abandon_request(self) -> None:
         """End the request of a client that has gone, or that gets no response."""
-        self._release_limits()
-        self.clients.budget.release(self)
         if self.request is not None:
+            release_request(self.clients.admission, self.request)
             self.request.body = []
+        self.clients.budget.release(self)
         streaming_body, self.streaming_body = self.streaming_body, None
-        request_id, self.request_id = self.request_id, 0
+        request_id, self.request_id = self.request_id, NO_REQUEST
         if request_id:
             self.clients.dispatcher.disconnect(request_id)
         if streaming_body is not None:
@@ -191,12 +199,12 @@
         """Read on in what the client sends."""
         state = self.state
         if state in LINGERING_STATES:
-            self.bytes_ahead += len(data)
-            if self.bytes_ahead > LINGER_BYTES and state is not ConnectionState.LINGERING_UPLOAD:
+            self.lingering_bytes += len(data)
+            if self.lingering_bytes > LINGER_BYTES and state is not ConnectionState.LINGERING_UPLOAD:
                 self.set_reading(False)
             return
         self.http.receive_data(data)
-        if state in ANSWERING_STATES:
+        if state in RESPONDING_STATES:
             # Bytes of the next request: a few may wait here, the others in the kernel.
             self.bytes_ahead += len(data)
             if self.bytes_ahead > SMALL_BODY_BYTES:
@@ -284,7 +292,7 @@
         self._submit(request, streaming_body, just_read)
 
     def _handle_end(self, just_read: bool) -> None:
-        """The last byte of a request has come."""
+        """Take note that the last byte of a request has come, and have it answered."""
         request = self.request
         assert request is not None
         self.state = next_state(self.state, ConnectionEvent.REQUEST_COMPLETED)
@@ -292,10 +300,8 @@
         self.clients.budget.stop_waiting(self)
         self.set_reading(True)
         self.clients.move(self, None)
-        path = request.path
-        if path in HEALTH_PATHS:
-            is_well = path == b"/health/live" or self.clients.is_healthy
-            self._respond(200 if is_well else 503, [], (b"ok\n" if is_well else b"not ready\n",))
+        if request.path in HEALTH_PATHS:
+            self._respond_to_health_check(request.path)
         elif self.streaming_body is not None:
             self.clients.dispatcher.complete_body(
                 self.request_id, request.time_left - self.read_delay()[1] * MS
@@ -304,12 +310,17 @@
         else:
             self._submit(request, None, just_read)
 
+    def _respond_to_health_check(self, path: bytes) -> None:
+        if path == LIVENESS_PATH or self.clients.is_healthy:
+            self._respond(200, [], (b"ok\n",))
+        else:
+            self._respond(503, [], (b"not ready\n",))
+
     def _submit(self, request: ClientRequest, streaming_body: StreamingBody | None, just_read: bool) -> None:
-        """Hand a request to the node, complete or with a long body that is still coming."""
+        """Admit and forward a request, complete or with a long body that is still coming, or reject it."""
         is_open, waited_ms = self.read_delay()
-        if not is_open:
-            # The client has gone while its request waited to be read.
-            self.eof_received()
+        if not is_open:  # the client has gone while its request waited to be read
+            self.abandon()
             return
         clients = self.clients
         if clients.recent_ids.check_and_add(request.values[b"x-correlation-id"], clients.loop.time()):
@@ -323,9 +334,11 @@
         retry_after = admit_request(clients.admission, request, tenant)
         if retry_after is not None:
             clients.dispatcher.counters.rejected[request.class_index] += 1
-            self._respond(429, retry_after_header(retry_after), (b"refused\n",))
+            self._respond(429, retry_after_header(retry_after), (REJECTED_BODY,))
             return
-        self._forward(request, streaming_body, tenant or 0, waited_ms * MS, just_read)
+        # A request that came behind another waited for its response, not for the loop.
+        waited = waited_ms * MS
+        self._forward(request, streaming_body, tenant or 0, waited, queued_time=waited if just_read else 0)
 
     def _forward(
         self,
@@ -333,15 +346,15 @@
         streaming_body: StreamingBody | None,
         tenant: int,
         waited: int,
-        just_read: bool,
+        queued_time: int,
     ) -> None:
-        """Submit an admitted request, whose last bytes have waited (ns) to be read."""
+        """Submit an admitted request, whose last bytes waited (ns) to be read: `queued_time` for the loop."""
         message = request.message(self.clients.host, streaming_body)
         time_left = request.time_left - waited
         if streaming_body is not None:
             streaming_body.client_deadline = system.monotonic_ns() + time_left
             time_left += request.remaining_body_time(streaming_body)
-        self.request_id = -1
+        self.request_id = BEING_SUBMITTED
         request_id = self.clients.dispatcher.submit(
             self,
             message,
@@ -351,8 +364,7 @@
             key=request.session_hash,
             cost=request.cost,
             is_retry=request.is_repeat,
-            # A request that came behind another waited for its answer, not for the loop.
-            queued_time=waited if just_read else 0,
+            queued_time=queued_time,
             limits=request.limits.balancer_limits if request.limits is not None else None,
             free_slot_share=self.clients.free_share,
             body_pending=streaming_body is not None,
@@ -360,22 +372,22 @@
         if self.request_id:  # it was not answered at once
             self.request_id = request_id
 
-    # Answers
+    # Responses
 
     def respond(self, response: ForwardedResponse) -> None:
-        """Write an answer that is complete."""
-        self._respond(response.status, response.headers, list(response.body or ()))
+        """Write a response that is complete."""
+        self._respond(response.status, response.headers, response.body or ())
 
     def reject(self, retry_after: int) -> None:
         """Answer 503: a retry is harmless. Retry-After in ns, 0: none."""
-        self._respond(503, retry_after_header(retry_after), (b"refused\n",))
+        self._respond(503, retry_after_header(retry_after), (REJECTED_BODY,))
 
     def fail(self, status: int) -> None:
         """Answer that the request failed."""
         self._respond(status, [], (b"failed\n",))
 
     def start_response(self, response: ForwardedResponse, body_source: BodySource) -> None:
-        """Begin to write an answer whose body is streamed."""
+        """Begin to write a response whose body is streamed."""
         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER_BYTES)
         headers = response.headers
         if response.length is not None:
@@ -385,7 +397,7 @@
         self.clients.move(self, self.clients.writing)
 
     def write(self, data: bytes) -> None:
-        """Write a part of a streamed answer; its source pauses while the client reads nothing."""
+        """Write a part of a streamed response; its source pauses while the client reads nothing."""
         self._write(h11.Data(data=data))
         if not self.is_write_buffered:
             self.clients.touch(self)
@@ -395,13 +407,14 @@
     def finish_response(self) -> None:
         """End a streamed response."""
         self._write(h11.EndOfMessage())
-        self._answer_completed()
+        self._response_completed()
 
     def break_off(self) -> None:
-        """Break off a streamed answer so that the client can tell, whatever the framing."""
-        self.request_id = 0
+        """Break off a streamed response so that the client can tell, whatever the framing."""
+        self.request_id = NO_REQUEST
         self.body_source = None
-        self._release_limits()
+        if self.request is not None:
+            release_request(self.clients.admission, self.request)
         self.transport.abort()
 
     def _write(self, *events: h11.Event) -> None:
@@ -409,54 +422,56 @@
         if data and not self.transport.is_closing():
             self.transport.write(data)
 
-    def _respond(self, status: int, headers: Headers, body: tuple[bytes, ...] | list[bytes]) -> None:
+    def _respond(self, status: int, headers: Headers, body: Sequence[bytes]) -> None:
+        """Write a whole response; only its headers to a HEAD request."""
         content = b"".join(body)
         headers = self._closing_headers([*headers, (b"content-length", b"%d" % len(content))])
         if self.request is not None and self.request.is_head:
             content = b""
         if not self.transport.is_closing():
             self.transport.write(response_bytes(status, headers, content))
-        self._answer_completed()
+        self._response_completed()
 
     def _closing_headers(self, headers: Headers) -> Headers:
-        """Return an answer's headers; those of the last answer say that the connection closes."""
+        """Return a response's headers; those of the last response say that the connection closes."""
         if self.clients.service_state in CLOSING_STATES or self.http.their_state is not h11.DONE:
-            self.state = next_state(self.state, ConnectionEvent.LAST_ANSWER_BEGUN)
+            self.state = next_state(self.state, ConnectionEvent.LAST_RESPONSE_BEGUN)
             return [*headers, (b"connection", b"close")]
         return headers
 
     def _reject_invalid(self, problem: RequestProblem) -> None:
-        """Answer what is no valid request, and close."""
+        """Respond to what is no valid request, and close."""
         if self.http.our_state in (h11.IDLE, h11.SEND_RESPONSE):
             self._write(*rejection_events(problem))
         self._linger()
 
-    def _answer_completed(self) -> None:
-        """An answer is written; the connection goes on when the kernel has taken it."""
-        self.state = next_state(self.state, ConnectionEvent.ANSWER_COMPLETED)
-        self._release_limits()
-        self.request_id = 0
+    def _response_completed(self) -> None:
+        """Forget the request; the connection goes on when the kernel has taken the response."""
+        self.state = next_state(self.state, ConnectionEvent.RESPONSE_COMPLETED)
+        if self.request is not None:
+            release_request(self.clients.admission, self.request)
+            self.request = None
+        self.request_id = NO_REQUEST
         self.body_source = None
         self.clients.budget.release(self)
         if self.streaming_body is not None:
             self.streaming_body.close()
             self.streaming_body = None
-        self.request = None
         if self.is_write_buffered:
             self.clients.move(self, self.clients.writing)
         else:
-            # Not at once: each of several requests that came together would be answered deeper in the stack.
-            self.clients.loop.call_soon(self._answer_taken)
+            # Not at once: each of several requests that came together would be handled deeper in the stack.
+            self.clients.loop.call_soon(self._response_flushed)
 
-    def _answer_taken(self) -> None:
-        """The kernel has taken an answer: read the next request, or close."""
-        if self.transport.is_closing() or self.state not in ANSWERING_STATES:
+    def _response_flushed(self) -> None:
+        """Read the next request, or close, as the kernel has taken the response."""
+        if self.transport.is_closing() or self.state not in RESPONDING_STATES:
             return
-        if self.state is not ConnectionState.ANSWERING or self.http.their_state is not h11.DONE:
+        if self.state is not ConnectionState.RESPONDING or self.http.their_state is not h11.DONE:
             self._linger()
             return
-        self.state = next_state(self.state, ConnectionEvent.ANSWER_TAKEN)
-        # A new parser for each message, as answers are not written through it.
+        self.state = next_state(self.state, ConnectionEvent.RESPONSE_FLUSHED)
+        # A new parser for each message, as responses are not written through it.
         rest, _ = self.http.trailing_data
         self.http = new_request_parser()
         if rest:
@@ -473,10 +488,9 @@
             return
         self.state = next_state(self.state, ConnectionEvent.SENDING_SHUT_DOWN)
         self._abandon_request()
-        self.bytes_ahead = 0
         self.clients.move(self, self.clients.ending)
-        wait = LINGER_UPLOAD_S if self.state is ConnectionState.LINGERING_UPLOAD else LINGER_S
-        self.linger_timer = self.clients.loop.call_later(wait, self.transport.abort)
+        linger_s = LINGER_UPLOAD_S if self.state is ConnectionState.LINGERING_UPLOAD else LINGER_S
+        self.linger_timer = self.clients.loop.call_later(linger_s, self.transport.abort)
         self.set_reading(True)
         try:
             self.transport.write_eof()
--- a/hollybay/proxy/downstream/connection_table.py
+++ b/hollybay/proxy/downstream/connection_table.py
@@ -44,9 +44,9 @@
     unfinished
         Part of a request was received.
     idle
-        Between an answer and the next request.
+        Between a response and the next request.
     writing
-        The client has yet to read its answer.
+        The client has yet to read its response.
     ending
         Lingering: sending is shut down.
     """
@@ -80,7 +80,7 @@
     def find_disposable(self) -> C | None:
         """Return the connection whose close costs least; None: each has a request under way or unread bytes.
 
-        Unread bytes may be a whole request, and a close over them is a reset, which could destroy an answer
+        Unread bytes may be a whole request, and a close over them is a reset, which could destroy a response
         on its way. Such connections are read within a turn of the loop.
         """
         return next((conn for conn in self._by_cost_of_close() if conn.is_disposable()), None)
--- a/hollybay/proxy/downstream/request.py
+++ b/hollybay/proxy/downstream/request.py
@@ -66,7 +66,7 @@
     class_index
         Index of the class in the settings.
     time_left
-        How long (ns) the client waits for its answer.
+        How long (ns) the client waits for its response.
     limits
         The limits of the operator file; None: it states none.
     counted_limits
@@ -183,7 +183,7 @@
 
     @property
     def is_head(self) -> bool:
-        """Whether its answer has no body."""
+        """Whether its response has no body."""
         return self.event.method == b"HEAD"
 
     @property
--- a/hollybay/proxy/downstream/request_validation.py
+++ b/hollybay/proxy/downstream/request_validation.py
@@ -21,9 +21,18 @@
 from ..message_limits import MAX_HEAD_BYTES, MAX_HELD_BODY_BYTES
 from ..name_table import NameTable
 
-__all__ = ["HEALTH_PATHS", "RequestProblem", "class_index_of", "is_health_check", "validate_head"]
-
-HEALTH_PATHS = (b"/health/live", b"/health/ready")
+__all__ = [
+    "HEALTH_PATHS",
+    "LIVENESS_PATH",
+    "RequestProblem",
+    "class_index_of",
+    "is_health_check",
+    "validate_head",
+]
+
+LIVENESS_PATH = b"/health/live"
+READINESS_PATH = b"/health/ready"
+HEALTH_PATHS = (LIVENESS_PATH, READINESS_PATH)
 # Headers that decide what a request is and where it ends: more than one of a kind is ambiguous.
 UNIQUE_HEADERS = (b"host", b"x-correlation-id", b"x-time-left-ms", b"idempotency-key", b"content-length")
 MAX_TIME_LEFT_MS = 86_400_000
--- a/hollybay/proxy/downstream/responses.py
+++ b/hollybay/proxy/downstream/responses.py
@@ -9,7 +9,15 @@
 from ..http_messages import Headers, encode_head
 from .request_validation import RequestProblem
 
-__all__ = ["rejection_events", "response_bytes", "retry_after_header"]
+__all__ = [
+    "REJECTED_BODY",
+    "rejection_events",
+    "response_bytes",
+    "retry_after_header",
+]
+
+REJECTED_BODY = b"refused\n"
+"""The body of a response that says that nothing ran."""
 
 _FIRST_LINES = {status: b"HTTP/1.1 %d " % status for status in (200, 429, 502, 503, 504)}
 
--- a/tests/test_downstream_states.py
+++ b/tests/test_downstream_states.py
@@ -5,9 +5,9 @@
 import pytest
 
 from hollybay.proxy.downstream.states import (
-    ANSWERING_STATES,
     LINGERING_STATES,
     READING_STATES,
+    RESPONDING_STATES,
     TRANSITIONS,
     ConnectionEvent,
     ConnectionState,
@@ -31,7 +31,7 @@
 
 
 def test_each_state_is_of_one_kind() -> None:
-    kinds = [READING_STATES, ANSWERING_STATES, LINGERING_STATES]
+    kinds = [READING_STATES, RESPONDING_STATES, LINGERING_STATES]
     assert [sum(state in kind for kind in kinds) for state in ConnectionState] == [1] * len(ConnectionState)
 
 
@@ -61,11 +61,11 @@
         for event, following in entries.items()
         if state not in READING_STATES and following in READING_STATES
     }
-    assert again == {(ConnectionState.ANSWERING, ConnectionEvent.ANSWER_TAKEN)}
+    assert again == {(ConnectionState.RESPONDING, ConnectionEvent.RESPONSE_FLUSHED)}
 
 
 def test_after_the_head_of_a_last_answer_no_further_request_is_read() -> None:
-    last = {ConnectionState.STREAMING_LAST, ConnectionState.ANSWERING_LAST, ConnectionState.DISCARDING}
+    last = {ConnectionState.STREAMING_LAST, ConnectionState.RESPONDING_LAST, ConnectionState.DISCARDING}
     for state in last:
         assert set(TRANSITIONS[state].values()) <= last | LINGERING_STATES
 
@@ -74,8 +74,8 @@
     state = ConnectionState.READING
     for event in (
         ConnectionEvent.BODY_STREAMED,
-        ConnectionEvent.LAST_ANSWER_BEGUN,
-        ConnectionEvent.ANSWER_COMPLETED,
+        ConnectionEvent.LAST_RESPONSE_BEGUN,
+        ConnectionEvent.RESPONSE_COMPLETED,
         ConnectionEvent.SENDING_SHUT_DOWN,
     ):
         state = next_state(state, event)
