--- a/tests/groups.py
+++ b/tests/groups.py
@@ -16,7 +16,7 @@
     "test_demo",
     "test_change_stream",
     "test_tier_scenes",
-    "test_accord_scenes",
+    "test_cluster_consensus",
     "test_handover",
     "test_shutdown",
     "test_capacity",
@@ -25,14 +25,14 @@
     "test_routes_node",
 )
 # The longest of the other modules, begun next.
-EARLY = ("test_simulation_node", "test_accord_rehearsal", "test_planted")
+EARLY = ("test_simulation_node", "test_simulation_consensus", "test_planted")
 # No sockets, no processes, no waiting: `make quick` runs these.
 PURE = frozenset(
     {
-        "test_accord_core",
-        "test_accord_fetch",
-        "test_accord_log",
-        "test_accord_store",
+        "test_consensus_core",
+        "test_consensus_log_fetch",
+        "test_consensus_log",
+        "test_consensus_store",
         "test_administrative_drains",
         "test_invalid_changes",
         "test_batch_model",
--- a/tests/test_change_stream.py
+++ b/tests/test_change_stream.py
@@ -13,7 +13,7 @@
 from hollybay.cluster.report import report_of
 from hollybay.cluster.rig import RigFailed
 
-from .test_accord_scenes import run_of
+from .test_cluster_consensus import run_of
 from .test_tier_scenes import fault, group
 
 NODES = 12
--- a/tests/test_accord_fetch.py
+++ b/tests/test_consensus_log_fetch.py
@@ -30,7 +30,7 @@
 )
 from hollybay.resources.wire import encode_snapshot
 
-from .test_accord_log import chain, change, filled, opened, state_of
+from .test_consensus_log import chain, change, filled, opened, state_of
 
 
 def unspoiled(_path: str, data: bytes) -> bytes:
