--- a/tests/groups.py
+++ b/tests/groups.py
@@ -15,7 +15,7 @@
     "test_hollow",
     "test_demo",
     "test_change_stream",
-    "test_tier_scenes",
+    "test_cluster_faults",
     "test_cluster_consensus",
     "test_handover",
     "test_shutdown",
@@ -61,8 +61,8 @@
         "test_simulation_oracles",
         "test_slow_start",
         "test_tenant_limits",
-        "test_tier_evenness",
-        "test_tier_records",
+        "test_cluster_evenness",
+        "test_cluster_records",
     }
 )
 
--- a/tests/test_change_stream.py
+++ b/tests/test_change_stream.py
@@ -14,7 +14,7 @@
 from hollybay.cluster.rig import RigFailed
 
 from .test_cluster_consensus import run_of
-from .test_tier_scenes import fault, group
+from .test_cluster_faults import fault, group
 
 NODES = 12
 FAULTS = (
--- a/tests/test_cluster_consensus.py
+++ b/tests/test_cluster_consensus.py
@@ -13,8 +13,8 @@
 
 from hollybay.cluster.report import Report
 
-from .test_tier_scenes import _played, fault, group
-from .test_tier_scenes import run_of as tier_run_of
+from .test_cluster_faults import _played, fault, group
+from .test_cluster_faults import run_of as tier_run_of
 
 SIDE_BY_SIDE = 10
 FILE = '[[route]]\\nname = \\"halls\\"\\npath = { prefix = \\"/view-schedule/halls\\" }\\n'
