--- a/hollybay/proxy/request_dispatcher.py
+++ b/hollybay/proxy/request_dispatcher.py
@@ -23,7 +23,7 @@
 from .pending_request import FINISHED, PENDING, UNANSWERED_STATES, PendingRequest, RequestEvent, next_state
 from .ports import Client, DiscoveryPort, LoadReporter
 from .request_counters import RequestCounters
-from .upstream.attempt import Attempt
+from .upstream.attempt import UpstreamAttempt
 from .upstream.pools import UpstreamPools
 
 __all__ = ["RequestDispatcher"]
@@ -254,12 +254,12 @@
 
     def _new_attempt(
         self, request: PendingRequest, message: ForwardedRequest, number: int, action: api.Send
-    ) -> Attempt:
+    ) -> UpstreamAttempt:
         request_class = self.settings.classes[request.class_index]
         deadline = request.deadline
         if action.timeout:
             deadline = min(deadline, system.monotonic_ns() + action.timeout)
-        return Attempt(
+        return UpstreamAttempt(
             message,
             action.server,
             deadline,
@@ -368,13 +368,13 @@
 
     # Observer of the attempts
 
-    def is_awaited(self, attempt: Attempt) -> bool:
+    def is_awaited(self, attempt: UpstreamAttempt) -> bool:
         """Tell whether the client of an attempt is there: nothing is sent on for one that has gone."""
         request = attempt.request
         assert request is not None
         return request.state is not FINISHED and request.check_client_presence()
 
-    def response_started(self, attempt: Attempt, response: ForwardedResponse) -> Client | None:
+    def response_started(self, attempt: UpstreamAttempt, response: ForwardedResponse) -> Client | None:
         """Tie a request to the response that begins to come; return where it goes, None: nowhere."""
         request = attempt.request
         assert request is not None
@@ -394,7 +394,7 @@
         request.client.start_response(response, attempt)
         return request.client
 
-    def attempt_finished(self, attempt: Attempt, response: ForwardedResponse | None) -> None:
+    def attempt_finished(self, attempt: UpstreamAttempt, response: ForwardedResponse | None) -> None:
         """Answer the client if the attempt succeeded, and tell the balancer of its end."""
         request = attempt.request
         assert request is not None
@@ -420,7 +420,7 @@
         )
 
     def _answer_with(
-        self, request: PendingRequest, attempt: Attempt, response: ForwardedResponse | None
+        self, request: PendingRequest, attempt: UpstreamAttempt, response: ForwardedResponse | None
     ) -> None:
         """Give the final answer if an attempt that has ended brings it."""
         client = request.client
--- a/hollybay/proxy/upstream/attempt.py
+++ b/hollybay/proxy/upstream/attempt.py
@@ -12,26 +12,26 @@
 from ..pending_request import PendingRequest
 from ..ports import Client
 
-__all__ = ["Attempt", "AttemptConnection", "AttemptObserver"]
+__all__ = ["AttemptConnection", "AttemptObserver", "UpstreamAttempt"]
 
 
 class AttemptObserver(Protocol):
     """Who is notified of how attempts go."""
 
-    def is_awaited(self, attempt: Attempt) -> bool:
+    def is_awaited(self, attempt: UpstreamAttempt) -> bool:
         """Tell whether anybody still waits for it; asked before its first byte, and before its last."""
 
-    def response_started(self, attempt: Attempt, response: ForwardedResponse) -> Client | None:
+    def response_started(self, attempt: UpstreamAttempt, response: ForwardedResponse) -> Client | None:
         """Take note that a streamed response begins; return where it goes, None to give the attempt up."""
 
-    def attempt_finished(self, attempt: Attempt, response: ForwardedResponse | None) -> None:
+    def attempt_finished(self, attempt: UpstreamAttempt, response: ForwardedResponse | None) -> None:
         """Take the result of an attempt, and its response where that was kept until it was whole."""
 
 
 class AttemptConnection(Protocol):
     """What an attempt asks of the connection that carries it."""
 
-    attempt: Attempt | None
+    attempt: UpstreamAttempt | None
 
     def set_reading(self, reading: bool) -> None:
         """Read from the socket, or leave to the kernel what comes."""
@@ -40,7 +40,7 @@
         """Close at once."""
 
 
-class Attempt:
+class UpstreamAttempt:
     """One attempt at a request. Ends exactly once, with a result.
 
     Parameters
@@ -119,7 +119,7 @@
         self.connecting: asyncio.Task[None] | None = None
         self.timer: asyncio.TimerHandle | None = None
         # The attempts at the same server that are not whole on the wire yet, this one among them.
-        self.unwritten_attempts: dict[Attempt, None] | None = None
+        self.unwritten_attempts: dict[UpstreamAttempt, None] | None = None
 
     def cancel(self) -> None:
         """Stop waiting; the connection is closed."""
--- a/hollybay/proxy/upstream/connection.py
+++ b/hollybay/proxy/upstream/connection.py
@@ -21,7 +21,7 @@
 from ..name_table import NameTable
 from ..ports import Client
 from . import response_limits
-from .attempt import Attempt
+from .attempt import UpstreamAttempt
 from .endpoint import Endpoint
 from .request_encoding import encode_request, headers_with_time_left
 from .request_sender import RequestSender, SenderOwner
@@ -33,7 +33,7 @@
     read_head,
     result_of_failure,
 )
-from .states import ConnectionEvent, next_state
+from .states import UpstreamConnectionEvent, next_state
 
 __all__ = ["ConnectionOwner", "ServerConnection"]
 
@@ -45,7 +45,7 @@
     load_header: bytes
     not_for_clients: frozenset[bytes]
     connections: set[ServerConnection]
-    opening: set[Attempt]
+    opening: set[UpstreamAttempt]
 
     def dropped(self, connection: ServerConnection) -> None:
         """Forget a connection that is gone."""
@@ -83,10 +83,10 @@
     http: h11.Connection
 
     def __init__(
-        self, owner: ConnectionOwner, endpoint: Endpoint, opened_for: Attempt, sock: socket.socket
+        self, owner: ConnectionOwner, endpoint: Endpoint, opened_for: UpstreamAttempt, sock: socket.socket
     ) -> None:
         super().__init__(owner, endpoint, sock)
-        self.opened_for: Attempt | None = opened_for
+        self.opened_for: UpstreamAttempt | None = opened_for
         self.response: ForwardedResponse | None = None
         self.failure: api.Result | None = None
         self.body_pieces: list[bytes] = []
@@ -98,7 +98,7 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Count as a connection from here on."""
         super().connection_made(transport)
-        self.state = next_state(self.state, ConnectionEvent.CONNECTED)
+        self.state = next_state(self.state, UpstreamConnectionEvent.CONNECTED)
         # From here on it counts as a connection; counted twice, a burst would seem to use up the descriptors.
         self.owner.connections.add(self)
         if self.opened_for is not None:
@@ -107,13 +107,13 @@
 
     def connection_lost(self, _exc: Exception | None) -> None:
         """End the attempt that the connection carries, if there is one."""
-        self.state = next_state(self.state, ConnectionEvent.LOST)
+        self.state = next_state(self.state, UpstreamConnectionEvent.LOST)
         self.stop_timer()
         self.owner.dropped(self)
         if self.attempt is not None:
             self._fail()
 
-    def begin(self, attempt: Attempt) -> None:
+    def begin(self, attempt: UpstreamAttempt) -> None:
         """Write a request, all but its last piece; see _write_last_piece."""
         if self.endpoint.draining is not None and self.owner.loop.time() >= self.endpoint.closes:
             # The timer that withdraws what is not yet written is due, and has not been called yet.
@@ -126,7 +126,7 @@
             return
         message = attempt.message
         assert message is not None
-        self.state = next_state(self.state, ConnectionEvent.REQUEST_STARTED)
+        self.state = next_state(self.state, UpstreamConnectionEvent.REQUEST_STARTED)
         self.attempt = attempt
         attempt.connection = self
         self.response = None
@@ -213,7 +213,7 @@
         if self.attempt is not None and self.failure is not None:
             self.attempt.end(self.failure)  # the head said all; the rest of its body is not worth waiting for
 
-    def _receive_head(self, attempt: Attempt, event: h11.Response) -> None:
+    def _receive_head(self, attempt: UpstreamAttempt, event: h11.Response) -> None:
         found = read_head(event, self.owner.load_header)
         if found.load_report is not None:
             attempt.report = self.endpoint.load_report(found.load_report, self.owner.names)
@@ -226,11 +226,11 @@
         check_framing(found)
         headers = end_to_end_headers(found.headers, self.owner.not_for_clients)
         self.response = ForwardedResponse(STATUS_OK, headers, None, found.length)
-        self.state = next_state(self.state, ConnectionEvent.RESPONSE_STARTED)
+        self.state = next_state(self.state, UpstreamConnectionEvent.RESPONSE_STARTED)
         if attempt.streamed:
             self._start_stream(attempt)
 
-    def _receive_body(self, attempt: Attempt, data: bytes) -> None:
+    def _receive_body(self, attempt: UpstreamAttempt, data: bytes) -> None:
         if self.failure is not None:
             return
         self.body_size += len(data)
@@ -244,7 +244,7 @@
         if self.body_size > MAX_HELD_BODY_BYTES:
             self._start_stream(attempt)
 
-    def _start_stream(self, attempt: Attempt) -> None:
+    def _start_stream(self, attempt: UpstreamAttempt) -> None:
         """Stream the response from here on: its class is streamed, or it is long."""
         assert self.response is not None
         self.start_timer(response_limits.STREAM_STALL_S, self._check_stall)
@@ -253,7 +253,7 @@
         if self.client is None:
             attempt.cancel()
             return
-        self.state = next_state(self.state, ConnectionEvent.STREAM_STARTED)
+        self.state = next_state(self.state, UpstreamConnectionEvent.STREAM_STARTED)
         if self.body_pieces:
             self.client.write(b"".join(self.body_pieces))
             self.body_pieces = []
@@ -272,7 +272,7 @@
             self.last_received_at = now
         self.start_timer(response_limits.stall_check_delay_s(now - self.last_received_at), self._check_stall)
 
-    def _complete(self, attempt: Attempt) -> None:
+    def _complete(self, attempt: UpstreamAttempt) -> None:
         self.stop_timer()
         attempt.read_delay = self.read_delay()[1] * MS
         is_message_over = self.http.their_state is h11.DONE and not self.http.trailing_data[0]
@@ -285,7 +285,7 @@
         self.response_ended_at = self.owner.loop.time()
         self.attempt = attempt.connection = None
         if reusable:
-            self.state = next_state(self.state, ConnectionEvent.RESPONSE_COMPLETED)
+            self.state = next_state(self.state, UpstreamConnectionEvent.RESPONSE_COMPLETED)
             self.owner.pool(self)
         else:
             self.close()
--- a/hollybay/proxy/upstream/endpoint.py
+++ b/hollybay/proxy/upstream/endpoint.py
@@ -8,7 +8,7 @@
 from hollybay.balancing import interface as api
 
 from ..name_table import NameTable
-from .attempt import Attempt
+from .attempt import UpstreamAttempt
 from .connection_wait import HoldAccount
 
 __all__ = ["Endpoint", "PooledConnection"]
@@ -35,7 +35,7 @@
     def stop_timer(self) -> None:
         """Cancel the timer of the connection."""
 
-    def begin(self, attempt: Attempt) -> None:
+    def begin(self, attempt: UpstreamAttempt) -> None:
         """Carry an attempt."""
 
     def close(self) -> None:
@@ -53,7 +53,7 @@
         self.draining: asyncio.TimerHandle | None = None  # not None: it drains, also after the timer fired
         self.closes = 0.0  # while it drains: from when on nothing is written to it (s, the loop's clock)
         self.idle: list[PooledConnection] = []  # the last one rested shortest and is taken first
-        self.unwritten_attempts: dict[Attempt, None] = {}  # in the order in which they were begun
+        self.unwritten_attempts: dict[UpstreamAttempt, None] = {}  # in the order in which they were begun
         self.holds = HoldAccount()
         self.last_report: tuple[bytes, tuple[float, ...]] = (b"", ())
 
--- a/hollybay/proxy/upstream/health_check.py
+++ b/hollybay/proxy/upstream/health_check.py
@@ -10,7 +10,7 @@
 from .. import system
 from ..http_messages import ForwardedRequest, ForwardedResponse
 from ..name_table import NameTable
-from .attempt import Attempt
+from .attempt import UpstreamAttempt
 
 __all__ = ["HEALTH_CHECK_LIMIT_NS", "health_check"]
 
@@ -21,7 +21,7 @@
 
 def health_check(
     server: api.ServerId, host: bytes, reports: bool, names: NameTable, feed: Callable[[api.Event], None]
-) -> Attempt:
+) -> UpstreamAttempt:
     """Make the attempt that checks a server; its result goes to `feed` as an `api.ProbeResult`.
 
     Parameters
@@ -38,7 +38,7 @@
     path = LOAD_REPORT_PATH if reports else LIVENESS_PATH
     message = ForwardedRequest(b"GET", path, [(b"host", host)], (), 0)
     deadline = system.monotonic_ns() + HEALTH_CHECK_LIMIT_NS
-    return Attempt(message, server, deadline, _HealthCheckObserver(names, feed))
+    return UpstreamAttempt(message, server, deadline, _HealthCheckObserver(names, feed))
 
 
 class _HealthCheckObserver:
@@ -48,13 +48,13 @@
         self.names = names
         self.feed = feed
 
-    def is_awaited(self, _attempt: Attempt) -> bool:
+    def is_awaited(self, _attempt: UpstreamAttempt) -> bool:
         return True
 
-    def response_started(self, _attempt: Attempt, _response: ForwardedResponse) -> None:
+    def response_started(self, _attempt: UpstreamAttempt, _response: ForwardedResponse) -> None:
         return None
 
-    def attempt_finished(self, attempt: Attempt, response: ForwardedResponse | None) -> None:
+    def attempt_finished(self, attempt: UpstreamAttempt, response: ForwardedResponse | None) -> None:
         assert attempt.result is not None
         report = attempt.report
         if response is not None and response.body and not report:
--- a/hollybay/proxy/upstream/pools.py
+++ b/hollybay/proxy/upstream/pools.py
@@ -14,13 +14,13 @@
 from .. import system
 from ..http_messages import names_not_forwarded
 from ..name_table import DiscoveryUpdate, NameTable
-from .attempt import Attempt
+from .attempt import UpstreamAttempt
 from .connection import ServerConnection
 from .connector import Establish, connect, establish
 from .endpoint import Endpoint, PooledConnection
 from .health_check import HEALTH_CHECK_LIMIT_NS, health_check
 from .request_sender import connection_price
-from .states import ConnectionState
+from .states import UpstreamConnectionState
 
 __all__ = ["DRAIN_GRACE_SHARE", "MAX_UNSETTLED", "UpstreamPools"]
 
@@ -61,7 +61,7 @@
         # Idle ones and since when, longest rest first.
         self.resting: OrderedDict[PooledConnection, float] = OrderedDict()
         self.sweeper: asyncio.TimerHandle | None = None
-        self.opening: set[Attempt] = set()  # attempts whose connection is not yet among the others
+        self.opening: set[UpstreamAttempt] = set()  # attempts whose connection is not yet among the others
 
     def apply(self, listing: DiscoveryUpdate) -> None:
         """Take a list over: addresses, and no rest for connections to what drains or is gone."""
@@ -99,7 +99,7 @@
         for attempt in list(endpoint.unwritten_attempts):
             attempt.end(api.Result.NOT_DELIVERED)
 
-    def send(self, attempt: Attempt) -> None:
+    def send(self, attempt: UpstreamAttempt) -> None:
         """Start an attempt."""
         endpoint = self.endpoints.get(attempt.server)
         if endpoint is None:
@@ -150,7 +150,7 @@
                 return connection
         return min(reversed(idle), key=lambda connection: connection.response_ended_at)
 
-    async def _connect(self, endpoint: Endpoint, attempt: Attempt) -> None:
+    async def _connect(self, endpoint: Endpoint, attempt: UpstreamAttempt) -> None:
         host, port = endpoint.address
         try:
             sock = system.tcp_socket(host)
@@ -177,7 +177,7 @@
             sock.close()
             raise
         attempt.connecting = None
-        if connection.state is ConnectionState.CLOSED:
+        if connection.state is UpstreamConnectionState.CLOSED:
             attempt.end(api.Result.NOT_DELIVERED)
         else:
             connection.begin(attempt)
--- a/hollybay/proxy/upstream/request_sender.py
+++ b/hollybay/proxy/upstream/request_sender.py
@@ -17,10 +17,10 @@
 from ..http_messages import ForwardedRequest, Headers
 from ..streaming_body import StreamingBody
 from ..tcp_connection import TcpConnection
-from .attempt import Attempt
+from .attempt import UpstreamAttempt
 from .endpoint import Endpoint, PooledConnection
 from .request_encoding import StreamingBodyEncoder
-from .states import ConnectionEvent, ConnectionState, next_state
+from .states import UpstreamConnectionEvent, UpstreamConnectionState, next_state
 
 __all__ = ["LAST_BYTE_HOLD_S", "RequestSender", "SenderOwner", "connection_price"]
 
@@ -86,17 +86,17 @@
 
     def __init__(self, owner: SenderOwner, endpoint: Endpoint, sock: socket.socket) -> None:
         super().__init__(sock)
-        self.state = ConnectionState.CONNECTING
+        self.state = UpstreamConnectionState.CONNECTING
         self.owner = owner
         self.endpoint = endpoint
-        self.attempt: Attempt | None = None
+        self.attempt: UpstreamAttempt | None = None
         self.timer: asyncio.TimerHandle | None = None
         self.pieces: list[bytes] = []
         self.streaming_body: StreamingBody | None = None
         self.body_encoder: StreamingBodyEncoder | None = None
         self.response_ended_at = 0.0
 
-    def begin(self, attempt: Attempt) -> None:
+    def begin(self, attempt: UpstreamAttempt) -> None:
         """Carry an attempt."""
         raise NotImplementedError
 
@@ -109,7 +109,7 @@
 
         A close or bytes may have come that the loop has not seen yet.
         """
-        if self.state is ConnectionState.CLOSED or not self.is_connected():
+        if self.state is UpstreamConnectionState.CLOSED or not self.is_connected():
             return False
         # Nothing has been asked in full: bytes that wait to be read belong to no request, and would be taken
         # for the answer to the next one.
@@ -122,8 +122,8 @@
             self.streaming_body.detach(self)
             self.streaming_body = None
         self.owner.unpool(self)
-        self.state = next_state(self.state, ConnectionEvent.CLOSE_REQUESTED)
-        if self.state is not ConnectionState.CLOSED:
+        self.state = next_state(self.state, UpstreamConnectionEvent.CLOSE_REQUESTED)
+        if self.state is not UpstreamConnectionState.CLOSED:
             self.transport.abort()
 
     def stop_timer(self) -> None:
@@ -137,7 +137,7 @@
         self.stop_timer()
         self.timer = self.owner.loop.call_later(delay, call)
 
-    def return_unused(self, attempt: Attempt) -> None:
+    def return_unused(self, attempt: UpstreamAttempt) -> None:
         """Go back to the pool: nothing is to be written for an attempt after all."""
         self.response_ended_at = self.owner.loop.time()
         self.owner.pool(self)
@@ -195,7 +195,7 @@
         if self.is_write_buffered or self.timer is not None:
             return
         if len(self.pieces) == 1:
-            self.state = next_state(self.state, ConnectionEvent.LAST_PIECE_LEFT)
+            self.state = next_state(self.state, UpstreamConnectionEvent.LAST_PIECE_LEFT)
             hold = self._hold_time(attempt)
             if hold > 0.0:
                 self.start_timer(hold, self._write_last_piece)
@@ -212,7 +212,7 @@
         """Tell whether nothing that comes at a loop time (s) can belong to the last response any more."""
         return self.response_ended_at <= now - SETTLE_S
 
-    def _hold_time(self, attempt: Attempt) -> float:
+    def _hold_time(self, attempt: UpstreamAttempt) -> float:
         """Return for how long (s) the last byte of a request is to be held; 0: not at all."""
         min_hold = 0.0 if attempt.repeatable else LAST_BYTE_HOLD_S
         return max(min_hold, self.settle_time_left())
@@ -232,7 +232,7 @@
         # The kernel may take the byte and the loop tell of it a turn later: whatever ends the attempt in
         # between, it may have run.
         attempt.request_written = True
-        self.state = next_state(self.state, ConnectionEvent.REQUEST_SENT)
+        self.state = next_state(self.state, UpstreamConnectionEvent.REQUEST_SENT)
         self.transport.write(self.pieces.pop())
         if self.transport.is_closing():
             attempt.request_written = False  # refused at once
--- a/hollybay/proxy/upstream/states.py
+++ b/hollybay/proxy/upstream/states.py
@@ -20,10 +20,16 @@
 
 from ..state_machine import InvalidTransitionError, transition_function
 
-__all__ = ["TRANSITIONS", "ConnectionEvent", "ConnectionState", "InvalidTransitionError", "next_state"]
+__all__ = [
+    "TRANSITIONS",
+    "InvalidTransitionError",
+    "UpstreamConnectionEvent",
+    "UpstreamConnectionState",
+    "next_state",
+]
 
 
-class ConnectionState(IntEnum):
+class UpstreamConnectionState(IntEnum):
     """What a connection to a server is doing."""
 
     CONNECTING = auto()  # the transport is not up yet
@@ -37,7 +43,7 @@
     CLOSED = auto()  # the transport is gone
 
 
-class ConnectionEvent(IntEnum):
+class UpstreamConnectionEvent(IntEnum):
     """What happens to a connection to a server."""
 
     CONNECTED = auto()  # the transport is up
@@ -51,13 +57,13 @@
     LOST = auto()  # the transport ended
 
 
-_S = ConnectionState
-_E = ConnectionEvent
+_S = UpstreamConnectionState
+_E = UpstreamConnectionEvent
 
 # From every state in which the connection is open.
 _ENDINGS = {_E.CLOSE_REQUESTED: _S.CLOSING, _E.LOST: _S.CLOSED}
 
-TRANSITIONS: Mapping[ConnectionState, Mapping[ConnectionEvent, ConnectionState]] = {
+TRANSITIONS: Mapping[UpstreamConnectionState, Mapping[UpstreamConnectionEvent, UpstreamConnectionState]] = {
     _S.CONNECTING: {_E.CONNECTED: _S.IDLE, **_ENDINGS},
     _S.IDLE: {_E.REQUEST_STARTED: _S.SENDING, **_ENDINGS},
     _S.SENDING: {_E.LAST_PIECE_LEFT: _S.HOLDING, **_ENDINGS},
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -12,10 +12,10 @@
 import pytest
 
 from hollybay.proxy.upstream import request_sender as module
-from hollybay.proxy.upstream.attempt import Attempt
+from hollybay.proxy.upstream.attempt import UpstreamAttempt
 from hollybay.proxy.upstream.connection import ServerConnection
 from hollybay.proxy.upstream.pools import MAX_UNSETTLED
-from hollybay.proxy.upstream.states import ConnectionState
+from hollybay.proxy.upstream.states import UpstreamConnectionState
 from hollybay.testbed.loopback import (
     CLASSES,
     LIMIT,
@@ -225,8 +225,8 @@
                 (conn,) = node.node.pools.connections
                 send = node.node.pools.send
 
-                def late(attempt: Attempt) -> None:
-                    if conn.state is not ConnectionState.CLOSED and not conn.unread_bytes():
+                def late(attempt: UpstreamAttempt) -> None:
+                    if conn.state is not UpstreamConnectionState.CLOSED and not conn.unread_bytes():
                         end = server.writers[0].get_extra_info("socket")
                         socket.socket(fileno=os.dup(end.fileno())).send(more)
                         while not conn.unread_bytes():
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -16,7 +16,7 @@
 from hollybay.proxy.message_limits import SMALL_BODY_BYTES
 from hollybay.proxy.pending_request import PRESENCE_VALID_NS
 from hollybay.proxy.upstream import request_sender
-from hollybay.proxy.upstream.attempt import Attempt
+from hollybay.proxy.upstream.attempt import UpstreamAttempt
 from hollybay.testbed.loopback import (
     LIMIT,
     OK,
@@ -178,7 +178,7 @@
             begun: list[int] = []
             send = node.node.pools.send
 
-            def note(attempt: Attempt) -> None:
+            def note(attempt: UpstreamAttempt) -> None:
                 begun.append(attempt.request.id)
                 send(attempt)
 
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -16,7 +16,7 @@
 from hollybay.proxy.downstream.connection import ClientConnection
 from hollybay.proxy.downstream.connection_table import SUSPECT_AFTER_S
 from hollybay.proxy.shutdown import shut_down_gracefully
-from hollybay.proxy.upstream.attempt import Attempt
+from hollybay.proxy.upstream.attempt import UpstreamAttempt
 from hollybay.testbed.loopback import (
     CLASSES,
     LIMIT,
@@ -182,10 +182,10 @@
     async def play() -> None:
         backends = Held("s-1"), Held("s-2")
         async with running(tmp_path / "c.json", Registry(), *backends) as node:
-            begun: list[Attempt] = []
+            begun: list[UpstreamAttempt] = []
             send = node.node.pools.send
 
-            def note(attempt: Attempt) -> None:
+            def note(attempt: UpstreamAttempt) -> None:
                 begun.append(attempt)
                 send(attempt)
 
--- a/tests/test_upstream_states.py
+++ b/tests/test_upstream_states.py
@@ -11,46 +11,51 @@
 from hollybay.proxy.upstream import connection, request_sender
 from hollybay.proxy.upstream.states import (
     TRANSITIONS,
-    ConnectionEvent,
-    ConnectionState,
+    UpstreamConnectionEvent,
+    UpstreamConnectionState,
     next_state,
 )
 from hollybay.testbed.loopback import LIMIT, Backend, Registry, read_message, request, running
 
 from .transitions import check_transition
 
-PAIRS = list(itertools.product(ConnectionState, ConnectionEvent))
+PAIRS = list(itertools.product(UpstreamConnectionState, UpstreamConnectionEvent))
 
 
 @pytest.mark.parametrize(("state", "event"), PAIRS)
-def test_each_pair_has_an_entry_or_is_refused(state: ConnectionState, event: ConnectionEvent) -> None:
+def test_each_pair_has_an_entry_or_is_refused(
+    state: UpstreamConnectionState, event: UpstreamConnectionEvent
+) -> None:
     check_transition(TRANSITIONS, next_state, state, event)
 
 
 def test_what_must_not_happen_is_refused() -> None:
     """No second request on a connection that carries one, and no response before its request is whole."""
-    open_states = set(ConnectionState) - {ConnectionState.CLOSING, ConnectionState.CLOSED}
+    open_states = set(UpstreamConnectionState) - {
+        UpstreamConnectionState.CLOSING,
+        UpstreamConnectionState.CLOSED,
+    }
     for event, sources in (
-        (ConnectionEvent.CONNECTED, {ConnectionState.CONNECTING}),
-        (ConnectionEvent.REQUEST_STARTED, {ConnectionState.IDLE}),
-        (ConnectionEvent.REQUEST_SENT, {ConnectionState.HOLDING}),
-        (ConnectionEvent.RESPONSE_STARTED, {ConnectionState.AWAITING}),
-        (ConnectionEvent.STREAM_STARTED, {ConnectionState.RECEIVING}),
+        (UpstreamConnectionEvent.CONNECTED, {UpstreamConnectionState.CONNECTING}),
+        (UpstreamConnectionEvent.REQUEST_STARTED, {UpstreamConnectionState.IDLE}),
+        (UpstreamConnectionEvent.REQUEST_SENT, {UpstreamConnectionState.HOLDING}),
+        (UpstreamConnectionEvent.RESPONSE_STARTED, {UpstreamConnectionState.AWAITING}),
+        (UpstreamConnectionEvent.STREAM_STARTED, {UpstreamConnectionState.RECEIVING}),
     ):
         assert {state for state in open_states if event in TRANSITIONS[state]} == sources
 
 
 def test_a_closed_connection_stays_closed() -> None:
-    for event in ConnectionEvent:
-        assert next_state(ConnectionState.CLOSED, event) is ConnectionState.CLOSED
-    for event in set(ConnectionEvent) - {ConnectionEvent.LOST}:
-        assert next_state(ConnectionState.CLOSING, event) is ConnectionState.CLOSING
+    for event in UpstreamConnectionEvent:
+        assert next_state(UpstreamConnectionState.CLOSED, event) is UpstreamConnectionState.CLOSED
+    for event in set(UpstreamConnectionEvent) - {UpstreamConnectionEvent.LOST}:
+        assert next_state(UpstreamConnectionState.CLOSING, event) is UpstreamConnectionState.CLOSING
 
 
 def test_every_state_is_reached_over_sockets(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    reached = {ConnectionState.CONNECTING}
+    reached = {UpstreamConnectionState.CONNECTING}
 
-    def note(state: ConnectionState, event: ConnectionEvent) -> ConnectionState:
+    def note(state: UpstreamConnectionState, event: UpstreamConnectionEvent) -> UpstreamConnectionState:
         reached.add(next_state(state, event))
         return next_state(state, event)
 
@@ -67,11 +72,11 @@
                     head, body = await read_message(reader)
                     assert b" 200 " in head and len(body) == 200_000
                 (idle,) = node.node.pools.connections
-                assert idle.state is ConnectionState.IDLE
+                assert idle.state is UpstreamConnectionState.IDLE
                 idle.close()
                 while node.node.pools.connections:
                     await asyncio.sleep(0)
             writer.transport.abort()
 
     asyncio.run(play())
-    assert reached == set(ConnectionState)
+    assert reached == set(UpstreamConnectionState)
