--- a/hollybay/proxy/upstream/request_sender.py
+++ b/hollybay/proxy/upstream/request_sender.py
@@ -17,10 +17,10 @@
 from ..http_messages import ForwardedRequest, Headers
 from ..streaming_body import StreamingBody
 from ..tcp_connection import TcpConnection
-from .attempt import Attempt
+from .attempt import UpstreamAttempt
 from .endpoint import Endpoint, PooledConnection
 from .request_encoding import StreamingBodyEncoder
-from .states import ConnectionEvent, ConnectionState, next_state
+from .states import UpstreamConnectionEvent, UpstreamConnectionState, next_state
 
 __all__ = ["LAST_BYTE_HOLD_S", "RequestSender", "SenderOwner", "connection_price"]
 
@@ -39,9 +39,9 @@
 
 
 # The states and events of each request, by names of this module: a look-up in an enum costs 0.2 µs.
-_CLOSED = ConnectionState.CLOSED
-_LAST_PIECE_LEFT = ConnectionEvent.LAST_PIECE_LEFT
-_REQUEST_SENT = ConnectionEvent.REQUEST_SENT
+_CLOSED = UpstreamConnectionState.CLOSED
+_LAST_PIECE_LEFT = UpstreamConnectionEvent.LAST_PIECE_LEFT
+_REQUEST_SENT = UpstreamConnectionEvent.REQUEST_SENT
 
 
 class SenderOwner(Protocol):
@@ -92,17 +92,17 @@
 
     def __init__(self, owner: SenderOwner, endpoint: Endpoint, sock: socket.socket) -> None:
         super().__init__(sock)
-        self.state = ConnectionState.CONNECTING
+        self.state = UpstreamConnectionState.CONNECTING
         self.owner = owner
         self.endpoint = endpoint
-        self.attempt: Attempt | None = None
+        self.attempt: UpstreamAttempt | None = None
         self.timer: asyncio.TimerHandle | None = None
         self.pieces: list[bytes] = []
         self.streaming_body: StreamingBody | None = None
         self.body_encoder: StreamingBodyEncoder | None = None
         self.response_ended_at = 0.0
 
-    def begin(self, attempt: Attempt) -> None:
+    def begin(self, attempt: UpstreamAttempt) -> None:
         """Carry an attempt."""
         raise NotImplementedError
 
@@ -128,7 +128,7 @@
             self.streaming_body.detach(self)
             self.streaming_body = None
         self.owner.unpool(self)
-        self.state = next_state(self.state, ConnectionEvent.CLOSE_REQUESTED)
+        self.state = next_state(self.state, UpstreamConnectionEvent.CLOSE_REQUESTED)
         if self.state is not _CLOSED:
             self.transport.abort()
 
@@ -143,7 +143,7 @@
         self.stop_timer()
         self.timer = self.owner.loop.call_later(delay, call)
 
-    def return_unused(self, attempt: Attempt) -> None:
+    def return_unused(self, attempt: UpstreamAttempt) -> None:
         """Go back to the pool: nothing is to be written for an attempt after all."""
         self.response_ended_at = self.owner.loop.time()
         self.owner.pool(self)
@@ -218,7 +218,7 @@
         """Tell whether nothing that comes at a loop time (s) can belong to the last response any more."""
         return self.response_ended_at <= now - SETTLE_S
 
-    def _hold_time(self, attempt: Attempt) -> float:
+    def _hold_time(self, attempt: UpstreamAttempt) -> float:
         """Return for how long (s) the last byte of a request is to be held; 0: not at all."""
         min_hold = 0.0 if attempt.repeatable else LAST_BYTE_HOLD_S
         return max(min_hold, self.settle_time_left())
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -12,10 +12,10 @@
 import pytest
 
 from hollybay.proxy.upstream import request_sender as module
-from hollybay.proxy.upstream.attempt import Attempt
+from hollybay.proxy.upstream.attempt import UpstreamAttempt
 from hollybay.proxy.upstream.connection import ServerConnection
 from hollybay.proxy.upstream.pools import MAX_UNSETTLED
-from hollybay.proxy.upstream.states import ConnectionState
+from hollybay.proxy.upstream.states import UpstreamConnectionState
 from hollybay.testbed.loopback import (
     CLASSES,
     LIMIT,
@@ -98,7 +98,7 @@
             await node.until(lambda: any(backend.heads for backend in backends))
             (open_,) = node.dispatcher.requests.values()
             first = open_.attempts[0]
-            assert isinstance(first, Attempt)
+            assert isinstance(first, UpstreamAttempt)
             next(b for b in backends if b.heads).writers[0].transport.abort()
             await node.until(lambda: gate.waiting > 0)
             while time.monotonic_ns() - first.sent_at < window:
@@ -228,8 +228,8 @@
                 (conn,) = node.dispatcher.pools.connections
                 send = node.dispatcher.pools.send
 
-                def late(attempt: Attempt) -> None:
-                    if conn.state is not ConnectionState.CLOSED and not conn.unread_bytes():
+                def late(attempt: UpstreamAttempt) -> None:
+                    if conn.state is not UpstreamConnectionState.CLOSED and not conn.unread_bytes():
                         end = server.writers[0].get_extra_info("socket")
                         socket.socket(fileno=os.dup(end.fileno())).send(more)
                         while not conn.unread_bytes():
--- a/tests/test_state_lookups.py
+++ b/tests/test_state_lookups.py
@@ -34,8 +34,8 @@
     pending_request.RequestEvent,
     downstream.ConnectionState,
     downstream.ConnectionEvent,
-    upstream.ConnectionState,
-    upstream.ConnectionEvent,
+    upstream.UpstreamConnectionState,
+    upstream.UpstreamConnectionEvent,
 )
 ROOT = Path(hollybay.__file__).parent
 NODE = tuple(f"{ROOT / package}/" for package in ("proxy", "balancing"))
