--- a/tests/test_discovery_orders.py
+++ b/tests/test_discovery_orders.py
@@ -244,7 +244,7 @@
 
 
 def test_no_request_waits_for_an_acknowledgement(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """TCP_NODELAY on the sockets to discovery; tests/test_lag.py has the others'."""
+    """TCP_NODELAY on the sockets to discovery; tests/test_event_loop_delay.py has the others'."""
     seen: list[int] = []
     get: Callable[..., Awaitable[discovery_connection.DiscoveryResponse]] = discovery_connection._get
 
