--- a/hollybay/proxy/downstream/client_context.py
+++ b/hollybay/proxy/downstream/client_context.py
@@ -22,8 +22,8 @@
 
 # Connections accepted at once beyond those that there is room for; others are closed for them.
 ACCEPT_BATCH = 8
-# Clients hold at most one descriptor in so many for requests.
-CLIENTS_DIVISOR = 3
+# Requests may be unfinished up to one for so many descriptors.
+UNFINISHED_REQUESTS_DIVISOR = 3
 # Client connections are kept between requests up to one descriptor in so many.
 KEPT_CONNECTIONS_DIVISOR = 4
 
@@ -46,7 +46,7 @@
     idle
         From a response to the next request.
     idle_when_crowded
-        The same, while clients hold more connections than their share.
+        The same, while there are more than `max_kept_connections`.
     writing
         Nothing read of a response.
     """
@@ -83,14 +83,14 @@
 
     Attributes
     ----------
-    places
+    max_unfinished_requests
         Requests that may wait for their response at once. Clients hold as many connections at most: with one
         more, none would be left to accept others on.
-    share
+    max_kept_connections
         Connections that may be kept between requests or wait for a response; beyond, idle ones close early.
     phase_timeouts
         How long a connection may stay in a phase.
-    budget, streaming_budget
+    body_budget, streaming_budget
         Memory for bodies that are held until they are complete, and for those that are streamed.
     admission
         Admission control by the operator file; None: there is no such file.
@@ -112,9 +112,11 @@
         self.dispatcher = dispatcher
         self.limit = limit
         self.host = config.listen[0].encode()
-        self.share = config.sockets // KEPT_CONNECTIONS_DIVISOR
-        self.places = min(limit - 2 * ACCEPT_BATCH, config.sockets // CLIENTS_DIVISOR)
-        self.budget = BodyBudget(config.body_budget)
+        self.max_kept_connections = config.sockets // KEPT_CONNECTIONS_DIVISOR
+        self.max_unfinished_requests = min(
+            limit - 2 * ACCEPT_BATCH, config.sockets // UNFINISHED_REQUESTS_DIVISOR
+        )
+        self.body_budget = BodyBudget(config.body_budget)
         self.streaming_budget = RetentionBudget(config.body_budget // 2)
         self.recent_ids = RecentRequestIds()
         self.phase_timeouts = PhaseTimeouts()
@@ -139,12 +141,12 @@
     @property
     def is_full(self) -> bool:
         """Whether one more pending request would leave no connection to accept others on."""
-        return self.dispatcher.unfinished_requests >= self.places
+        return self.dispatcher.unfinished_requests >= self.max_unfinished_requests
 
     @property
-    def free_share(self) -> float:
-        """The free part (0 to 1) of the places for requests."""
-        return max(0.0, 1.0 - self.dispatcher.unfinished_requests / self.places)
+    def free_slot_share(self) -> float:
+        """The free part (0 to 1) of `max_unfinished_requests`."""
+        return max(0.0, 1.0 - self.dispatcher.unfinished_requests / self.max_unfinished_requests)
 
     def admit(self, conn: C) -> None:
         """Add a new connection, closing others if there are too many."""
@@ -162,12 +164,12 @@
             self.remove(conn)
 
     def close_excess_idle(self) -> None:
-        """Close the connections that have been idle longest while clients hold more than their share.
+        """Close the connections that have been idle longest while there are too many to keep.
 
         Otherwise clients that send one request and stay would hold all connections that clients may have. A
         client that comes back to a closed one opens a new one, which costs it a round trip.
         """
-        excess = len(self.idle) + self.dispatcher.unfinished_requests - self.share
+        excess = len(self.idle) + self.dispatcher.unfinished_requests - self.max_kept_connections
         if excess > 0:
             before = self.loop.time() - self.phase_timeouts.idle_when_crowded
             for conn in self.overdue(self.idle, before)[:excess]:
--- a/hollybay/proxy/downstream/connection.py
+++ b/hollybay/proxy/downstream/connection.py
@@ -185,7 +185,7 @@
         if self.request is not None:
             release_request(self.clients.admission, self.request)
             self.request.body = []
-        self.clients.budget.release(self)
+        self.clients.body_budget.release(self)
         streaming_body, self.streaming_body = self.streaming_body, None
         request_id, self.request_id = self.request_id, NO_REQUEST
         if request_id:
@@ -275,7 +275,7 @@
 
     def _charge(self, size: int) -> None:
         """Charge bytes of a body to the budget, and pause reading while it has no room."""
-        if not self.clients.budget.charge(self, size):
+        if not self.clients.body_budget.charge(self, size):
             self.set_reading(False)
 
     def _start_streaming(self, request: ClientRequest, just_read: bool) -> None:
@@ -287,7 +287,7 @@
         for piece in request.body:
             streaming_body.append(piece)
         request.body = []
-        self.clients.budget.release(self)
+        self.clients.body_budget.release(self)
         self.set_reading(True)
         self._submit(request, streaming_body, just_read)
 
@@ -297,7 +297,7 @@
         assert request is not None
         self.state = next_state(self.state, ConnectionEvent.REQUEST_COMPLETED)
         self.bytes_ahead = len(self.http.trailing_data[0])
-        self.clients.budget.stop_waiting(self)
+        self.clients.body_budget.stop_waiting(self)
         self.set_reading(True)
         self.clients.move(self, None)
         if request.path in HEALTH_PATHS:
@@ -366,7 +366,7 @@
             is_retry=request.is_repeat,
             queued_time=queued_time,
             limits=request.limits.balancer_limits if request.limits is not None else None,
-            free_slot_share=self.clients.free_share,
+            free_slot_share=self.clients.free_slot_share,
             body_pending=streaming_body is not None,
         )
         if self.request_id:  # it was not answered at once
@@ -453,7 +453,7 @@
             self.request = None
         self.request_id = NO_REQUEST
         self.body_source = None
-        self.clients.budget.release(self)
+        self.clients.body_budget.release(self)
         if self.streaming_body is not None:
             self.streaming_body.close()
             self.streaming_body = None
--- a/hollybay/simulation/nodes.py
+++ b/hollybay/simulation/nodes.py
@@ -147,7 +147,7 @@
         servers = dispatcher.pools
         reason = budget_fault(
             {
-                "bytes of bodies": (clients.budget.used, clients.budget.total + (1 << 20)),
+                "bytes of bodies": (clients.body_budget.used, clients.body_budget.total + (1 << 20)),
                 "bytes of long bodies": (clients.streaming_budget.used, clients.streaming_budget.total),
                 "connections to servers": (_open(servers), servers.limit + 1),
                 "client connections": (len(clients.connections), clients.limit + 1),
@@ -182,8 +182,8 @@
             "attempts that the module counts": sum(s.in_flight for s in balancer.servers.values()),
             "client connections": len(clients.connections),
             "connections to servers": len(dispatcher.pools.connections) + len(dispatcher.pools.opening),
-            "bytes of the bodies' budget": clients.budget.used,
-            "bodies that wait": len(clients.budget.held) + len(clients.budget.waiting),
+            "bytes of the bodies' budget": clients.body_budget.used,
+            "bodies that wait": len(clients.body_budget.held) + len(clients.body_budget.waiting),
             "bytes of long bodies": clients.streaming_budget.used,
             "requests in flight under the operator's limits": _in_flight(clients),
             "descriptors beyond listener and discovery": max(0, len(self.machine.sockets) - 2),
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -220,6 +220,6 @@
             asking = [node.ask(request("send", rid=f"r-{n}", body=body)) for n in range(12)]
             answers = await asyncio.gather(*asking)
             assert all(b" 200 " in answer for answer in answers)
-            assert node.clients.budget.used == 0 and not node.clients.budget.held
+            assert node.clients.body_budget.used == 0 and not node.clients.body_budget.held
 
     asyncio.run(play())
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -75,7 +75,7 @@
             tmp_path / "c.json", Registry(), Backend("s-1"), adjust=lambda c: replace(c, sockets=FEW)
         ) as node:
             clients = node.clients
-            clients.share = FEW  # none is thinned out before its time
+            clients.max_kept_connections = FEW  # none is thinned out before its time
             first = {"idle": request(rid="a-%d"), "silent": b"", "unfinished": b"GET /vi"}[phase]
             then = b"ew HTTP/1.1\r\nHost: h\r\nX-Correlation-Id: b-%d\r\n\r\n"
             then = then if phase == "unfinished" else b"GET /vi" + then
