--- a/hollybay/testbed/listener.py
+++ b/hollybay/testbed/listener.py
@@ -5,7 +5,7 @@
 import asyncio
 from collections.abc import Callable
 
-__all__ = ["LIMIT", "OK", "Listener", "encode_ok", "read_message"]
+__all__ = ["LIMIT", "OK", "Listener", "encode_ok", "read_message", "request_once", "round_trip"]
 
 LIMIT = 20.0  # seconds; nothing is waited for longer: what waits then fails, it does not go on
 END_OF_HEAD = b"\r\n\r\n"
@@ -94,3 +94,26 @@
         if line.startswith(b"content-length:"):
             length = int(line.split(b":")[1])
     return head, await reader.readexactly(length)
+
+
+async def round_trip(
+    reader: asyncio.StreamReader, writer: asyncio.StreamWriter, data: bytes
+) -> tuple[bytes, bytes]:
+    """Send a request on an open connection; the head and the body of its response.
+
+    Raises
+    ------
+    asyncio.IncompleteReadError
+        The connection ended before that.
+    """
+    writer.write(data)
+    return await read_message(reader)
+
+
+async def request_once(port: int, data: bytes) -> tuple[bytes, bytes]:
+    """Send a request on a connection of its own to a port on loopback; the head and body of its response."""
+    reader, writer = await asyncio.open_connection("127.0.0.1", port)
+    try:
+        return await round_trip(reader, writer, data)
+    finally:
+        writer.transport.abort()
--- a/hollybay/testbed/loopback.py
+++ b/hollybay/testbed/loopback.py
@@ -17,7 +17,7 @@
 from hollybay.proxy.downstream.listener import ClientListener
 from hollybay.proxy.request_dispatcher import RequestDispatcher
 
-from .listener import LIMIT, OK, Listener, encode_ok, read_message
+from .listener import LIMIT, OK, Listener, encode_ok, read_message, request_once, round_trip
 from .loopback_config import CLASSES, request, settings, write_config
 
 __all__ = [
@@ -33,6 +33,8 @@
     "call",
     "read_message",
     "request",
+    "request_once",
+    "round_trip",
     "running",
     "settings",
     "write_config",
--- a/tests/test_admin_service.py
+++ b/tests/test_admin_service.py
@@ -25,6 +25,7 @@
     ScriptedServer,
     read_message,
     request,
+    round_trip,
     running,
     write_config,
 )
@@ -54,8 +55,8 @@
     """Send an admin request; return the status and body of its response."""
     reader, writer = await asyncio.open_connection("127.0.0.1", service.server.port)
     async with asyncio.timeout(LIMIT):
-        writer.write(f"{line} HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n".encode())
-        head, body = await read_message(reader)
+        data = f"{line} HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n".encode()
+        head, body = await round_trip(reader, writer, data)
         assert b"connection: close" in head.lower()
         assert await reader.read() == b""
     writer.close()
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -28,6 +28,7 @@
     call,
     read_message,
     request,
+    round_trip,
     running,
     settings,
 )
@@ -223,8 +224,7 @@
         async with running(tmp_path / "c.json", FakeDiscovery(), server) as node:  # type: ignore[arg-type]
             reader, writer = await node.connect()
             async with asyncio.timeout(LIMIT):
-                writer.write(request(cls, rid="r-1"))
-                await read_message(reader)
+                await round_trip(reader, writer, request(cls, rid="r-1"))
                 (conn,) = node.node.pools.connections
                 send = node.node.pools.send
 
@@ -237,8 +237,7 @@
                     send(attempt)
 
                 node.node.pools.send = late  # type: ignore[method-assign]
-                writer.write(request(cls, rid="r-2"))
-                head, body = await read_message(reader)
+                head, body = await round_trip(reader, writer, request(cls, rid="r-2"))
             assert b" 200 " in head and body == b"ok"
             assert sum(b"r-2" in got for got in server.heads) == 1
             writer.transport.abort()
@@ -272,8 +271,7 @@
             reader, writer = await node.connect()
             async with asyncio.timeout(LIMIT):
                 for n in range(2):
-                    writer.write(request(cls, rid=f"r-{n}"))
-                    head, body = await read_message(reader)
+                    head, body = await round_trip(reader, writer, request(cls, rid=f"r-{n}"))
                     assert b" 200 " in head and body == b"ok"
                     await asyncio.sleep(0.01)
             assert server.accepted == 2
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -16,6 +16,7 @@
     StalledServer,
     read_message,
     request,
+    round_trip,
     running,
 )
 
@@ -186,8 +187,7 @@
         async with running(tmp_path / "c.json", FakeDiscovery(), ScriptedServer("s-1")) as node:
             reader, writer = await node.connect()
             async with asyncio.timeout(LIMIT):
-                writer.write(request(rid="r-1"))
-                await read_message(reader)
+                await round_trip(reader, writer, request(rid="r-1"))
                 while not node.clients.idle:
                     await asyncio.sleep(0)
                 (conn,) = node.clients.idle
--- a/tests/test_discovery_orders.py
+++ b/tests/test_discovery_orders.py
@@ -22,6 +22,7 @@
     ScriptedServer,
     read_message,
     request,
+    request_once,
     running,
     settings,
     write_config,
@@ -291,10 +292,7 @@
                 while not second.heads:
                     for _ in range(8):
                         crowd.append(socket.create_connection(("127.0.0.1", node.port)))
-                    reader, writer = await asyncio.open_connection("127.0.0.1", node.port)
-                    writer.write(request(rid=f"r-{len(crowd)}"))
-                    head, _ = await read_message(reader)
-                    writer.transport.abort()
+                    head, _ = await request_once(node.port, request(rid=f"r-{len(crowd)}"))
                 assert b" 200 " in head
         finally:
             for sock in crowd:
@@ -321,10 +319,7 @@
         await node.start()
         try:
             while True:
-                reader, writer = await asyncio.open_connection("127.0.0.1", node.port)
-                writer.write(b"GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n")
-                head, _ = await read_message(reader)
-                writer.transport.abort()
+                head, _ = await request_once(node.port, b"GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n")
                 if b" 200 " in head:
                     return asyncio.get_running_loop().time() - began
         finally:
@@ -383,11 +378,8 @@
                 agent.first.set()
                 await starting
             for n in range(4):
-                reader, writer = await asyncio.open_connection("127.0.0.1", node.port)
-                writer.write(request(rid=f"r-{n}"))
-                head, _ = await read_message(reader)
+                head, _ = await request_once(node.port, request(rid=f"r-{n}"))
                 assert b" 200 " in head
-                writer.transport.abort()
         assert bool(old.heads) == away and bool(new.heads) != away
         assert await node.stop() == 0
         for listener in (agent, old, new):
--- a/tests/test_event_loop_delay.py
+++ b/tests/test_event_loop_delay.py
@@ -20,6 +20,7 @@
     call,
     read_message,
     request,
+    round_trip,
     running,
     settings,
 )
@@ -129,8 +130,7 @@
         async with running(tmp_path / "c.json", FakeDiscovery(), ScriptedServer("s-1")) as node:
             reader, writer = await node.connect()
             async with asyncio.timeout(LIMIT):
-                writer.write(request())
-                await read_message(reader)
+                await round_trip(reader, writer, request())
             peers = [*node.clients.connections, *node.node.pools.connections]
             assert len(peers) == 2
             assert all(peer.sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY) for peer in peers)
--- a/tests/test_graceful_shutdown.py
+++ b/tests/test_graceful_shutdown.py
@@ -16,6 +16,7 @@
     call,
     read_message,
     request,
+    round_trip,
     running,
 )
 
@@ -28,8 +29,7 @@
             node.clients.ready = True
             reader, writer = await node.connect()
             async with asyncio.timeout(LIMIT):
-                writer.write(request(rid="r-1"))
-                await read_message(reader)
+                await round_trip(reader, writer, request(rid="r-1"))
                 draining = asyncio.ensure_future(
                     shut_down_gracefully(node.clients, node.node, accept_period_s=0.0)
                 )
@@ -38,8 +38,7 @@
                 writer.write(READY)
                 assert b" 503 " in (await read_message(reader))[0]
                 for n in range(2, 5):
-                    writer.write(request(rid=f"r-{n}"))
-                    head, _ = await read_message(reader)
+                    head, _ = await round_trip(reader, writer, request(rid=f"r-{n}"))
                     assert b" 200 " in head and b"close" not in head
                 with pytest.raises(ConnectionRefusedError):
                     await node.connect()
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -11,7 +11,7 @@
 from hollybay.testbed import rules
 from hollybay.testbed.fake_server import FakeServer, ServerKind
 from hollybay.testbed.ledger import FinalOutcome, Ledger, RequestEntry, RuleLimits, ServerStart
-from hollybay.testbed.listener import LIMIT, read_message
+from hollybay.testbed.listener import LIMIT, round_trip
 from hollybay.units import MS, SECOND
 
 SAFE, UNSAFE, CELL, ALL = range(4)
@@ -175,13 +175,11 @@
         data = b"POST /send HTTP/1.1\r\nX-Correlation-Id: r-1\r\nContent-Length: 2\r\n\r\n{}"
         async with asyncio.timeout(LIMIT):
             for _ in range(2):
-                writer.write(data)
-                head, body = await read_message(reader)
+                head, body = await round_trip(reader, writer, data)
                 assert b" 200 " in head and body == b"r-1 from s-1\n"
             ledger.told("s-1", False, time.monotonic_ns() - 2 * SECOND)
             server.state = "DRAINING"
-            writer.write(data)
-            head, _ = await read_message(reader)
+            head, _ = await round_trip(reader, writer, data)
             assert b" 503 " in head and b"X-Unprocessed: 1" in head
         ledger.answered("r-1", FinalOutcome.SERVED, time.monotonic_ns())
         assert found(ledger) == {"dup": 1, "drain": 1}
--- a/tests/test_routes_node.py
+++ b/tests/test_routes_node.py
@@ -34,6 +34,7 @@
     StalledServer,
     read_message,
     request,
+    round_trip,
     running,
     settings,
     write_config,
@@ -94,8 +95,7 @@
             answers = []
             async with asyncio.timeout(LIMIT):
                 for n in range(12):
-                    writer.write(request(rid=f"r-{n}"))
-                    head, _ = await read_message(reader)
+                    head, _ = await round_trip(reader, writer, request(rid=f"r-{n}"))
                     answers.append(status(head))
                     if status(head) == 429:
                         after = float(head.lower().split(b"retry-after: ")[1].split(b"\r\n")[0])
@@ -360,8 +360,8 @@
             reader, writer = await node.connect()
 
             async def ask(path: bytes, account: str, rid: str) -> bytes:
-                writer.write(get(path, rid, b"X-Account: " + account.encode() + b"\r\n"))
-                head, _ = await read_message(reader)
+                data = get(path, rid, b"X-Account: " + account.encode() + b"\r\n")
+                head, _ = await round_trip(reader, writer, data)
                 return head
 
             async with asyncio.timeout(LIMIT):
@@ -478,8 +478,7 @@
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
 
             async def answer(n: int) -> int:
-                writer.write(request(rid=f"r-{n}"))
-                return status((await read_message(reader))[0])
+                return status((await round_trip(reader, writer, request(rid=f"r-{n}")))[0])
 
             assert [await answer(0), await answer(1)] == [200, 429]
             operator.write_text("")
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -26,6 +26,7 @@
     call,
     read_message,
     request,
+    round_trip,
     running,
     settings,
     write_config,
@@ -206,8 +207,7 @@
 async def asked(
     node: NodeProcess, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, rid: str
 ) -> bytes:
-    writer.write(request(rid=rid))
-    head, _ = await read_message(reader)
+    head, _ = await round_trip(reader, writer, request(rid=rid))
     return head
 
 
--- a/tests/test_upstream_states.py
+++ b/tests/test_upstream_states.py
@@ -15,7 +15,14 @@
     ConnectionState,
     next_state,
 )
-from hollybay.testbed.loopback import LIMIT, FakeDiscovery, ScriptedServer, read_message, request, running
+from hollybay.testbed.loopback import (
+    LIMIT,
+    FakeDiscovery,
+    ScriptedServer,
+    request,
+    round_trip,
+    running,
+)
 
 from .transitions import check_transition
 
@@ -63,8 +70,7 @@
             reader, writer = await node.connect()
             async with asyncio.timeout(LIMIT):
                 for cls in ("view", "send"):
-                    writer.write(request(cls, rid=f"r-{cls}"))
-                    head, body = await read_message(reader)
+                    head, body = await round_trip(reader, writer, request(cls, rid=f"r-{cls}"))
                     assert b" 200 " in head and len(body) == 200_000
                 (connection,) = node.node.pools.connections
                 assert connection.state is ConnectionState.IDLE
