--- a/hollybay/proxy/balancer_driver.py
+++ b/hollybay/proxy/balancer_driver.py
@@ -87,7 +87,7 @@
             for action in self.balancer.handle(now, event):
                 self._handlers[type(action)](action)
         except Exception:
-            log.exception("the module failed on %s", type(event).__name__)
+            log.exception("the balancer failed on %s", type(event).__name__)
             self._event_failed(event)
 
     def _set_timer(self, action: api.SetTimer) -> None:
--- a/hollybay/proxy/request_dispatcher.py
+++ b/hollybay/proxy/request_dispatcher.py
@@ -217,7 +217,7 @@
     def _send(self, action: api.Send) -> None:
         request = self.requests.get(action.id)
         if request is None:
-            log.error("the module sent a request that is over")
+            log.error("the balancer sent a request that is over")
             return
         number = len(request.attempts)
         message = request.message
@@ -324,7 +324,7 @@
         try:
             write(*answer)
         except Exception:
-            log.exception("an answer cannot be worded")
+            log.exception("a final answer could not be written")
             client.break_off()
 
     def _event_failed(self, event: api.Event) -> None:
