--- a/hollybay/testbed/loopback.py
+++ b/hollybay/testbed/loopback.py
@@ -217,7 +217,7 @@
 @asynccontextmanager
 async def running(
     path: Path,
-    registry: FakeDiscovery,
+    fake_discovery: FakeDiscovery,
     *backends: ScriptedServer,
     adjust: Callable[[Config], Config] = lambda config: config,
     **changes: Any,
@@ -228,7 +228,7 @@
     ----------
     path
         Where its configuration is written.
-    registry
+    fake_discovery
         Its discovery; started here, if it does not run yet.
     backends
         The servers; started here.
@@ -237,12 +237,12 @@
     changes
         Keys of the configuration to change.
     """
-    if not registry.address:
-        await registry.start()
+    if not fake_discovery.address:
+        await fake_discovery.start()
     for backend in backends:
         await backend.start()
-    registry.tell(*backends)
-    write_config(path, registry, **changes)
+    fake_discovery.tell(*backends)
+    write_config(path, fake_discovery, **changes)
     config = adjust(replace(load({"BALANCER_CONFIG": str(path)}), listen=("127.0.0.1", 0)))
     clients, dispatcher, discovery = assemble(config)
     port = await clients.listen()
@@ -254,5 +254,5 @@
     finally:
         await discovery.close()
         clients.close()
-        for listener in (registry, *backends):
+        for listener in (fake_discovery, *backends):
             await listener.stop()
--- a/tests/loopback_day.py
+++ b/tests/loopback_day.py
@@ -85,25 +85,27 @@
         writer.transport.abort()
 
 
-async def lists(registry: FakeDiscovery, workers: list[Worker]) -> None:
+async def lists(fake_discovery: FakeDiscovery, workers: list[Worker]) -> None:
     """The list changes: a server drains, is gone, and is back."""
     for out in range(3):
         await asyncio.sleep(0.15)
-        registry.tell(*workers)
-        registry.lines[out]["state"] = "DRAINING"
+        fake_discovery.tell(*workers)
+        fake_discovery.lines[out]["state"] = "DRAINING"
         await asyncio.sleep(0.15)
-        registry.tell(*workers[:out], *workers[out + 1 :])
+        fake_discovery.tell(*workers[:out], *workers[out + 1 :])
         await asyncio.sleep(0.15)
-        registry.tell(*workers)
+        fake_discovery.tell(*workers)
 
 
 async def loopback_day(path: Path) -> None:
     """Play it."""
-    registry = FakeDiscovery()
+    fake_discovery = FakeDiscovery()
     workers = [Worker(f"s-{n}", n) for n in range(SERVERS)]
     changed: dict[str, Any] = loopback_settings(categories=CLASSES)
     changed["caps"] |= {"may-duplicate": True}
-    async with running(path, registry, *workers, settings=changed) as node:
+    async with running(path, fake_discovery, *workers, settings=changed) as node:
         await asyncio.gather(
-            *(client(node, number) for number in range(CLIENTS)), uploads(node), lists(registry, workers)
+            *(client(node, number) for number in range(CLIENTS)),
+            uploads(node),
+            lists(fake_discovery, workers),
         )
--- a/tests/test_admin_service.py
+++ b/tests/test_admin_service.py
@@ -35,18 +35,18 @@
 async def running_admin_service(
     tmp_path: Path, *backends: ScriptedServer, scratch: str = ""
 ) -> AsyncIterator[tuple[RunningNode, AdminService, FakeDiscovery]]:
-    registry = FakeDiscovery()
-    async with running(tmp_path / "c.json", registry, *backends) as node:
+    fake_discovery = FakeDiscovery()
+    async with running(tmp_path / "c.json", fake_discovery, *backends) as node:
         config = replace(node.clients.config, admin=("127.0.0.1", 0), scratch_folder=scratch)
         service = AdminService(config, node.clients, node.dispatcher)
         await service.open()
-        registry.tell(*backends)
+        fake_discovery.tell(*backends)
         async with asyncio.timeout(LIMIT):
             while len(service.server_drains.drains.discovered) < len(backends):
                 await asyncio.sleep(0)
         node.clients.ready = True
         try:
-            yield node, service, registry
+            yield node, service, fake_discovery
         finally:
             service.close()
 
@@ -74,15 +74,15 @@
 def test_a_drained_server_gets_no_requests_until_it_is_enabled(tmp_path: Path) -> None:
     async def play() -> None:
         one, two = ScriptedServer("s-1"), ScriptedServer("s-2")
-        async with running_admin_service(tmp_path, one, two) as (node, service, registry):
+        async with running_admin_service(tmp_path, one, two) as (node, service, fake_discovery):
             for n in range(20):
                 assert b" 200 " in await node.ask(request(rid=f"a-{n}"))
             assert one.heads and two.heads
             assert await send_request(service, "POST /-/servers/s-1/disable") == (200, b"out\n")
             assert (await send_request(service, "POST /-/servers/s-1/disable"))[0] == 200
             before = len(one.heads)
-            registry.tell(one, two)  # discovery still says that it serves
-            await registry.until(lambda: registry.calls > 2)
+            fake_discovery.tell(one, two)  # discovery still says that it serves
+            await fake_discovery.until(lambda: fake_discovery.calls > 2)
             for n in range(20):
                 assert b" 200 " in await node.ask(request(rid=f"b-{n}"))
             assert len(one.heads) == before
@@ -108,7 +108,7 @@
         second.mkdir()
         shared = str(tmp_path)
         one, two = ScriptedServer("s-1"), ScriptedServer("s-2")
-        async with running_admin_service(first, one, two, scratch=shared) as (_, service, _registry):
+        async with running_admin_service(first, one, two, scratch=shared) as (_, service, _fake_discovery):
             await send_request(service, "POST /-/servers/s-1/disable")
             three, four = ScriptedServer("s-1"), ScriptedServer("s-2")
             async with running_admin_service(second, three, four, scratch=shared) as (node, beside, _):
@@ -185,7 +185,7 @@
 
 def test_silent_clients_keep_nobody_waiting(tmp_path: Path) -> None:
     async def play() -> None:
-        async with running_admin_service(tmp_path, ScriptedServer("s-1")) as (_, service, _registry):
+        async with running_admin_service(tmp_path, ScriptedServer("s-1")) as (_, service, _fake_discovery):
             silent = []
             for n in range(3 * admin_server.MAX_CONNECTIONS):
                 _, writer = await asyncio.open_connection("127.0.0.1", service.server.port)
@@ -201,7 +201,7 @@
 
 def test_an_invalid_request_is_rejected_and_the_server_stays_open(tmp_path: Path) -> None:
     async def play() -> None:
-        async with running_admin_service(tmp_path, ScriptedServer("s-1")) as (_, service, _registry):
+        async with running_admin_service(tmp_path, ScriptedServer("s-1")) as (_, service, _fake_discovery):
             assert (await send_request(service, "GET /-/drain"))[0] == 405
             assert (await send_request(service, "GET /nothing"))[0] == 404
             for noise in (b"\x00\xff\r\n\r\n", b"GET / HTTP/1.1\r\n" + b"A: " + b"x" * 20_000 + b"\r\n\r\n"):
@@ -237,7 +237,7 @@
 
 def test_the_server_list_shows_drained_servers(tmp_path: Path) -> None:
     async def play() -> None:
-        async with running_admin_service(tmp_path, ScriptedServer("s-1")) as (_, service, _registry):
+        async with running_admin_service(tmp_path, ScriptedServer("s-1")) as (_, service, _fake_discovery):
             await send_request(service, "POST /-/servers/s-1/disable")
             status, body = await send_request(service, "GET /-/servers")
             assert status == 200 and b'"id": "s-1"' in body and b'"disabled": true' in body
@@ -267,12 +267,12 @@
 
 def test_an_invalid_admin_address_is_rejected_by_field(tmp_path: Path) -> None:
     path = tmp_path / "c.json"
-    registry = FakeDiscovery()
-    registry.address = "127.0.0.1:1"
+    fake_discovery = FakeDiscovery()
+    fake_discovery.address = "127.0.0.1:1"
     for admin in ("nowhere", 7, "127.0.0.1:0", "127.0.0.1:99999"):
-        write_config(path, registry, admin=admin)
+        write_config(path, fake_discovery, admin=admin)
         with pytest.raises(ConfigError, match="^admin: "):
             load({"BALANCER_CONFIG": str(path)})
-    write_config(path, registry)
+    write_config(path, fake_discovery)
     config = load({"BALANCER_CONFIG": str(path), "BALANCER_ADMIN": "127.0.0.1:19000", "TMPDIR": "/t"})
     assert config.admin == ("127.0.0.1", 19000) and config.scratch_folder == "/t"
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -49,10 +49,10 @@
     one_cell = [{**c, "group": "cell"} if c["name"] == "book" else c for c in CLASSES]
 
     async def play() -> None:
-        registry = FakeDiscovery()
+        fake_discovery = FakeDiscovery()
         backends = StalledServer("s-1"), StalledServer("s-2")
         async with running(
-            tmp_path / "c.json", registry, *backends,
+            tmp_path / "c.json", fake_discovery, *backends,
             settings=settings(categories=one_cell, rules={"drain-grace": 40 * MS}),
         ) as node:  # fmt: skip
             left = b"X-Time-Left-Ms: %d\r\n" % (150 if end == "time-out" else 600)
@@ -63,9 +63,9 @@
             if end == "reset":
                 backend.writers[0].transport.abort()
             elif end == "withdrawn":
-                registry.lines = [line for line in registry.lines if line["id"] != backend.name]
-                registry.version += 1
-                registry.note()
+                fake_discovery.lines = [line for line in fake_discovery.lines if line["id"] != backend.name]
+                fake_discovery.version += 1
+                fake_discovery.note()
             elif end == "client left":
                 sock.close()
             if end != "client left":
@@ -141,12 +141,12 @@
     """The loop is late: the timer that withdraws what is not written is due, and not yet called."""
 
     async def play() -> None:
-        registry = FakeDiscovery()
+        fake_discovery = FakeDiscovery()
         server, other = ScriptedServer("s-1"), ScriptedServer("s-1")
         await other.start()
         rules = {"drain-grace": 40 * MS}
         async with running(
-            tmp_path / "c.json", registry, server, settings=settings(caps=caps(), rules=rules)
+            tmp_path / "c.json", fake_discovery, server, settings=settings(caps=caps(), rules=rules)
         ) as node:
             gate = ConnectBarrier(node)
             asked = request(cls, rid="r-1", extra=b"X-Time-Left-Ms: 500\r\n")
@@ -154,11 +154,11 @@
             await node.until(lambda: gate.waiting > 0)
             (backend,) = node.dispatcher.pools.endpoints.values()
             if change == "draining":
-                registry.tell(server, state="DRAINING")
+                fake_discovery.tell(server, state="DRAINING")
             elif change == "gone":
-                registry.tell()
+                fake_discovery.tell()
             else:
-                registry.tell(other)
+                fake_discovery.tell(other)
             await node.until(lambda: backend.draining is not None)
             assert backend.draining is not None
             backend.draining.cancel()  # as where it is called late
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -169,13 +169,13 @@
     """A request waits as no server is there. Its timer, the list and the close come in one turn."""
 
     async def play() -> None:
-        registry, server = FakeDiscovery(), ScriptedServer("s-1")
+        fake_discovery, server = FakeDiscovery(), ScriptedServer("s-1")
         await server.start()
-        async with running(tmp_path / "c.json", registry) as node:
+        async with running(tmp_path / "c.json", fake_discovery) as node:
             sock = call(node, request(rid="r-1"))
             await node.until(lambda: bool(node.dispatcher.requests))
             (conn,) = node.clients.connections
-            registry.tell(server)
+            fake_discovery.tell(server)
             await node.until(lambda: bool(node.dispatcher.balancer.servers))
             begun: list[int] = []
             send = node.dispatcher.pools.send
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -59,9 +59,9 @@
 @pytest.mark.parametrize("kind", NONSENSE)
 def test_nonsense_changes_nothing_and_the_watch_goes_on(kind: str, tmp_path: Path) -> None:
     async def play() -> None:
-        registry, server = Scripted(NONSENSE[kind]), ScriptedServer("s-1")
-        async with running(tmp_path / "c.json", registry, server) as node:
-            await registry.until(lambda: registry.calls >= 3)
+        fake_discovery, server = Scripted(NONSENSE[kind]), ScriptedServer("s-1")
+        async with running(tmp_path / "c.json", fake_discovery, server) as node:
+            await fake_discovery.until(lambda: fake_discovery.calls >= 3)
             assert list(node.dispatcher.balancer.servers) == ["s-1"]
             assert b" 200 " in await node.ask(request())
 
@@ -70,11 +70,11 @@
 
 def test_a_discovery_that_does_not_wait_is_not_polled_without_a_pause(tmp_path: Path) -> None:
     async def play() -> None:
-        registry = Scripted()
-        async with running(tmp_path / "c.json", registry, ScriptedServer("s-1")):
+        fake_discovery = Scripted()
+        async with running(tmp_path / "c.json", fake_discovery, ScriptedServer("s-1")):
             loop = asyncio.get_running_loop()
-            seen, began = registry.calls, loop.time()
-            await registry.until(lambda: registry.calls >= seen + 4)
+            seen, began = fake_discovery.calls, loop.time()
+            await fake_discovery.until(lambda: fake_discovery.calls >= seen + 4)
             assert loop.time() - began >= 2 * NO_CHANGE_PAUSE_S
 
     asyncio.run(play())
@@ -84,11 +84,13 @@
     """On demand the balancer watches once it has a list: with none from before it never would."""
 
     async def play() -> None:
-        registry = Scripted(NONSENSE["an error"])
-        registry.calls = 1  # the first call meets the script
+        fake_discovery = Scripted(NONSENSE["an error"])
+        fake_discovery.calls = 1  # the first call meets the script
         on_demand = settings(**{"membership-mode": "subscribe"})
-        async with running(tmp_path / "c.json", registry, ScriptedServer("s-1"), settings=on_demand) as node:
-            assert registry.calls >= 3
+        async with running(
+            tmp_path / "c.json", fake_discovery, ScriptedServer("s-1"), settings=on_demand
+        ) as node:
+            assert fake_discovery.calls >= 3
             assert b" 200 " in await node.ask(request())
 
     asyncio.run(play())
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -186,17 +186,17 @@
     """Three good builds, one that does not start, and one that dies once it has taken the listener."""
 
     async def play(port: int, admins: list[int]) -> None:
-        registry = FakeDiscovery()
+        fake_discovery = FakeDiscovery()
         servers = [ScriptedServer(f"s-{n}") for n in range(4)]
-        listeners: list[Listener] = [registry, *servers]
+        listeners: list[Listener] = [fake_discovery, *servers]
         for listener in listeners:
             await listener.start()
-        registry.tell(*servers)
+        fake_discovery.tell(*servers)
 
         def config(n: int, **changes: object) -> Path:
             path = tmp_path / f"{n}.json"
             listen, admin = f"127.0.0.1:{port}", f"127.0.0.1:{admins[n]}"
-            write_config(path, registry, listen=listen, admin=admin, **changes)
+            write_config(path, fake_discovery, listen=listen, admin=admin, **changes)
             return path
 
         old = NodeProcess(config(0), tmp_path)
--- a/tests/test_hollow.py
+++ b/tests/test_hollow.py
@@ -127,11 +127,11 @@
 @asynccontextmanager
 async def real_node(folder: Path, address: str, keepers: list[str]) -> AsyncIterator[None]:
     """A real node in a process of its own, named real."""
-    registry = FakeDiscovery()
-    await registry.start()
-    registry.tell()
+    fake_discovery = FakeDiscovery()
+    await fake_discovery.start()
+    fake_discovery.tell()
     config = {
-        "name": "real", "listen": free_address(), "discovery": registry.address, "seed": "7",
+        "name": "real", "listen": free_address(), "discovery": fake_discovery.address, "seed": "7",
         "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 512}, "settings": settings(), "admin": address,
     }  # fmt: skip
     (folder / "config.json").write_text(json.dumps(config))
@@ -150,7 +150,7 @@
     finally:
         process.kill()
         await process.wait()
-        await registry.stop()
+        await fake_discovery.stop()
 
 
 @asynccontextmanager
--- a/tests/test_routes_node.py
+++ b/tests/test_routes_node.py
@@ -422,9 +422,9 @@
     assert done.returncode == 2 and "permits a repeat" in done.stderr
 
 
-def _told(registry: FakeDiscovery) -> FakeDiscovery:
-    registry.address = "127.0.0.1:1"
-    return registry
+def _told(fake_discovery: FakeDiscovery) -> FakeDiscovery:
+    fake_discovery.address = "127.0.0.1:1"
+    return fake_discovery
 
 
 def test_without_a_file_nothing_of_it_is_imported(tmp_path: Path) -> None:
@@ -461,12 +461,12 @@
 
 def test_sighup_reads_the_operators_file_again(tmp_path: Path) -> None:
     async def play() -> None:
-        registry, server = FakeDiscovery(), ScriptedServer("s-1")
-        await registry.start()
+        fake_discovery, server = FakeDiscovery(), ScriptedServer("s-1")
+        await fake_discovery.start()
         await server.start()
-        registry.tell(server)
+        fake_discovery.tell(server)
         path, operator = tmp_path / "c.json", tmp_path / "operator.toml"
-        write_config(path, registry, listen="127.0.0.1:1")
+        write_config(path, fake_discovery, listen="127.0.0.1:1")
         operator.write_text("[class.view.limits]\nrate = { per_second = 0.001, burst = 1 }")
         environ = {"BALANCER_CONFIG": str(path), "HOLLYBAY_OPERATOR": str(operator)}
         config = load(environ)
@@ -474,7 +474,7 @@
         node = asyncio.ensure_future(serve(config, environ, started.put_nowait, port=0))
         async with asyncio.timeout(LIMIT):
             port = await started.get()
-            await registry.until(lambda: registry.calls >= 2)
+            await fake_discovery.until(lambda: fake_discovery.calls >= 2)
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
 
             async def answer(n: int) -> int:
@@ -489,7 +489,7 @@
             writer.transport.abort()
             os.kill(os.getpid(), signal.SIGTERM)
             await node
-        await registry.stop()
+        await fake_discovery.stop()
         await server.stop()
 
     asyncio.run(play())
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -230,12 +230,12 @@
     """stopped: the process stands still while they come, so that all are there in one turn of its loop."""
 
     async def play() -> None:
-        registry, server = FakeDiscovery(), StalledServer("s-1")
-        await registry.start()
+        fake_discovery, server = FakeDiscovery(), StalledServer("s-1")
+        await fake_discovery.start()
         await server.start()
-        registry.tell(server)
+        fake_discovery.tell(server)
         short = [{**cls, "slo": 10**8, "give-up": 15 * 10**7} for cls in CLASSES]
-        write_config(tmp_path / "c.json", registry, settings=settings(categories=short))
+        write_config(tmp_path / "c.json", fake_discovery, settings=settings(categories=short))
         config = json.loads((tmp_path / "c.json").read_text())
         node = NodeProcess(config, tmp_path)
         await node.start()
@@ -259,7 +259,7 @@
             assert await node.stop(signal.SIGCONT) == 0
         assert "drained in" in node.log.read_text()
         writer.transport.abort()
-        for listener in (registry, server):
+        for listener in (fake_discovery, server):
             await listener.stop()
 
     asyncio.run(play())
@@ -267,15 +267,15 @@
 
 def test_a_node_told_to_end_before_its_first_list_ends_in_order(tmp_path: Path) -> None:
     async def play() -> None:
-        registry = FakeDiscovery()
-        await registry.start()
-        write_config(tmp_path / "c.json", registry)
+        fake_discovery = FakeDiscovery()
+        await fake_discovery.start()
+        write_config(tmp_path / "c.json", fake_discovery)
         config = json.loads((tmp_path / "c.json").read_text())
         config["discovery"] = "127.0.0.1:1"  # nobody is there
         node = NodeProcess(config, tmp_path)
         await node.start()
         async with asyncio.timeout(LIMIT):
             assert await node.stop() == 0
-        await registry.stop()
+        await fake_discovery.stop()
 
     asyncio.run(play())
