--- a/benchmarks/capacity/servers.py
+++ b/benchmarks/capacity/servers.py
@@ -12,6 +12,7 @@
 from hollybay.balancing.estimates import REVIEW_INTERVAL_NS
 from hollybay.hollow.meter import metered
 from hollybay.proxy.discovery_connection import MAX_LIST_BYTES
+from hollybay.proxy.discovery_list import parse_discovery_list
 from hollybay.proxy.name_table import NameTable
 from hollybay.units import MS, SECOND
 
@@ -134,7 +135,7 @@
     body = json.dumps({"version": 1, "full": True, "servers": lines}).encode()
     names = NameTable({}, {}, {f"z{n}": n for n in range(17)}, {"m": 0}, ())
     with metered() as spent:
-        names.parse_update(json.loads(body))
+        parse_discovery_list(json.loads(body), names)
     return Figures(
         {"cpu_s": spent.cpu_s}, spent, {"body_mib": len(body) / MIB, "limit_mib": MAX_LIST_BYTES / MIB}
     )
--- a/hollybay/balancing/bench_adapter.py
+++ b/hollybay/balancing/bench_adapter.py
@@ -1,4 +1,7 @@
-"""Adapter from the simulator's wire to the decision module: it hosts balancers, and decides nothing."""
+"""What the platform's simulator, called the bench, starts: hosts balancers behind its wire, decides nothing.
+
+No node on sockets speaks this wire, and it is not that of discovery.
+"""
 
 from __future__ import annotations
 
--- a/hollybay/balancing/slow_start.py
+++ b/hollybay/balancing/slow_start.py
@@ -1,8 +1,9 @@
 """Slow start: how much a server that has just started can do, and the send rate that each node allows itself.
 
-A starting server has a budget of requests over all nodes (settings: overload_multiple). Nodes divide it by
-their number, as each estimates it (traffic_share), and keep an interval between their own sends, so that the
-sum holds without communication.
+All nodes together may send work to a starting server at a rate of overload_multiple (a ratio, see `Settings`)
+times its present capacity. Each node divides that rate by the number of nodes, as it estimates it
+(`traffic_share`), and keeps an interval (ns) between its own sends, so that the sum holds without
+communication.
 """
 
 from __future__ import annotations
@@ -14,9 +15,9 @@
 
 __all__ = ["SLOW_START_BUDGET_SHARE", "SlowStart", "send_interval"]
 
-# The share of a starting server's budget (its present capacity x overload_multiple) that all nodes together
-# plan to use. Servers often do more at their age than the least; the rest is slack for chance, for uneven
-# traffic, and for a service time that is estimated too low.
+# The share (0 to 1) of that rate that all nodes together plan to use: with an overload_multiple of 4, 1.6
+# times the server's present capacity. Servers often do more at their age than the least; the rest is slack
+# for chance, for uneven traffic, and for a service time that is estimated too low.
 SLOW_START_BUDGET_SHARE = 0.4
 
 
--- a/hollybay/consensus/__init__.py
+++ b/hollybay/consensus/__init__.py
@@ -17,4 +17,14 @@
 request of a lease          ask
 epoch barred from votes     mute (`last_barred_epoch`)
 time without a vote         quiet_s (`no_vote_before`)
+consensus group             accord
+addresses of the voters     keepers, board
+policy not serviceable      unfit
+coordinated policy          driving; log event "drives"
+leases that block a vote    waits
+leases on older epochs      older
+epoch learned               log event "hears"
+policies in force           serves, "serves nothing"
+drained servers             out
+intact record               sound
 """
--- a/hollybay/consensus/announcer.py
+++ b/hollybay/consensus/announcer.py
@@ -32,7 +32,7 @@
     environment : Environment
     replica : LogReplica
     peers : PeerClient
-    both_learn : callable
+    learn_as_voter_and_leaseholder : callable
         Lets this process itself learn of an epoch, from an address that has its policies.
     spawn : callable
         Starts a task.
@@ -43,13 +43,13 @@
         environment: Environment,
         replica: LogReplica,
         peers: PeerClient,
-        both_learn: Callable[[EpochState, str], Coroutine[Any, Any, None]],
+        learn_as_voter_and_leaseholder: Callable[[EpochState, str], Coroutine[Any, Any, None]],
         spawn: Callable[[Coroutine[Any, Any, Any]], object],
     ) -> None:
         self.environment = environment
         self.replica = replica
         self.peers = peers
-        self.both_learn = both_learn
+        self.learn_as_voter_and_leaseholder = learn_as_voter_and_leaseholder
         self.spawn = spawn
         self.own_address = environment.settings.address
 
@@ -72,7 +72,7 @@
             for address in remaining:
                 await self.peers.reaches(address, "know", body)
 
-        self.spawn(self.both_learn(state, self.own_address))
+        self.spawn(self.learn_as_voter_and_leaseholder(state, self.own_address))
         for _ in range(min(MAX_CONCURRENT_ANNOUNCEMENTS, len(addresses))):
             self.spawn(notify_next())
 
--- a/hollybay/consensus/coordinator.py
+++ b/hollybay/consensus/coordinator.py
@@ -58,7 +58,7 @@
         """Be a voter, if this process is named as one and is none yet."""
         ...
 
-    def both_learn(self, state: EpochState, source: str) -> Coroutine[Any, Any, None]:
+    def learn_as_voter_and_leaseholder(self, state: EpochState, source: str) -> Coroutine[Any, Any, None]:
         """The acceptor and the leaseholder learn of an epoch; a disk that fails is logged."""
         ...
 
@@ -112,7 +112,7 @@
         self.rng = environment.rng
         self.proposals = proposals
         self.propose_next = propose_next
-        self.announcer = Announcer(environment, replica, peers, voter.both_learn, spawn)
+        self.announcer = Announcer(environment, replica, peers, voter.learn_as_voter_and_leaseholder, spawn)
         self.ballots = BallotRunner(environment, process, voter, peers, self.announcer)
         self.pending: PendingChange | None = None
         self.dropping: set[str] = set()  # policies to be given up, by name
--- a/hollybay/consensus/leaseholder.py
+++ b/hollybay/consensus/leaseholder.py
@@ -59,7 +59,11 @@
     unserviceable_policies: frozenset[str] = frozenset()
 
     def policies_in_force(self, now: int) -> tuple[str, ...]:
-        """The policies that a request beginning now is served under; empty: none may begin."""
+        """The policies that a request beginning now is served under: the intersection of all of them.
+
+        Until `lease_end` those in force in the epoch; then until `grace_end` all that the epoch names, if
+        this process can serve each of them; after that none, and no request may begin.
+        """
         if self.effective_epoch is None or now >= max(self.lease_end, self.grace_end):
             return ()
         if now < self.lease_end:
--- a/hollybay/consensus/service.py
+++ b/hollybay/consensus/service.py
@@ -266,7 +266,7 @@
 
     async def _on_decided_notice(self, notice: messages.DecidedNotice) -> Response:
         """An epoch is decided; what follows from it takes its time."""
-        self.tasks.spawn(self.voter.both_learn(notice.state, notice.source))
+        self.tasks.spawn(self.voter.learn_as_voter_and_leaseholder(notice.state, notice.source))
         return Response(OK, b"{}")
 
     async def _on_upload(self, call: messages.UploadCall) -> Response:
--- a/hollybay/consensus/voter.py
+++ b/hollybay/consensus/voter.py
@@ -180,7 +180,7 @@
         """Bring an epoch to the leaseholder of this process."""
         await self._learn_as_leaseholder(state, source)
 
-    async def both_learn(self, state: EpochState, source: str) -> None:
+    async def learn_as_voter_and_leaseholder(self, state: EpochState, source: str) -> None:
         """Bring an epoch to the acceptor and to the leaseholder; a disk that fails is logged."""
         try:
             await self.acceptor_learns(state, source)
--- a/hollybay/mutation/planted.py
+++ b/hollybay/mutation/planted.py
@@ -151,8 +151,8 @@
     Defect(
         "expires-late",
         REQUEST_DISPATCHER,
-        "request.timer = self.loop.call_later(time_left / SECOND, self._expire, request)",
-        "request.timer = self.loop.call_later(time_left / SECOND + 2, self._expire, request)",
+        "request.timer = self.loop.call_later(time_left / SECOND, self._on_deadline, request)",
+        "request.timer = self.loop.call_later(time_left / SECOND + 2, self._on_deadline, request)",
     ),
     Defect(
         "forgets-nothing",
--- a/hollybay/proxy/config.py
+++ b/hollybay/proxy/config.py
@@ -12,7 +12,8 @@
 
 from . import system
 from .addresses import Address, parse_address
-from .name_table import DiscoveryUpdate, NameTable
+from .discovery_list import DiscoveryUpdate, parse_discovery_list
+from .name_table import NameTable
 from .settings_text import settings_text
 
 __all__ = ["Config", "ConfigError", "PeerFields", "load", "settings_from_json"]
@@ -184,7 +185,7 @@
     if data.get("known") is None:
         return None
     try:
-        return names.parse_update(data["known"], cached=True)
+        return parse_discovery_list(data["known"], names, cached=True)
     except ValueError as error:
         raise ConfigError(f"known: {error}") from None
 
--- a/hollybay/proxy/discovery.py
+++ b/hollybay/proxy/discovery.py
@@ -19,7 +19,8 @@
 
 from .addresses import Address
 from .discovery_connection import DiscoveryConnection
-from .name_table import DiscoveryUpdate, NameTable
+from .discovery_list import DiscoveryUpdate, parse_discovery_list
+from .name_table import NameTable
 from .request_dispatcher import RequestDispatcher
 
 __all__ = ["DiscoveryClient", "DiscoveryError", "DiscoveryTimeoutError"]
@@ -80,11 +81,11 @@
     """
 
     def __init__(
-        self, address: Address, names: NameTable, node: RequestDispatcher, on_demand: bool, version: int
+        self, address: Address, names: NameTable, dispatcher: RequestDispatcher, on_demand: bool, version: int
     ) -> None:
         self.address = address
         self.names = names
-        self.node = node
+        self.dispatcher = dispatcher
         self.on_demand = on_demand
         self.version = version
         self.list_available = asyncio.Event()
@@ -176,7 +177,7 @@
 
         The long one reaches an agent that is slow, the short one an agent that has just come back.
         """
-        grace_s = self.node.settings.drain_grace / SECOND
+        grace_s = self.dispatcher.settings.drain_grace / SECOND
         quick_timeout_s = grace_s * QUICK_TIMEOUT_GRACE_FRACTION
         quick_timeout_s = max(MIN_QUICK_TIMEOUT_S, min(quick_timeout_s, MAX_QUICK_TIMEOUT_S))
         pause_s = quick_timeout_s / 2
@@ -218,14 +219,14 @@
                     wait_ms = 0
         except DiscoveryError as error:
             log.info("discovery: %s", error)
-            self.node.discovery_failed()
+            self.dispatcher.discovery_failed()
 
     async def _fetch(self) -> None:
         try:
             await self._request(LIST_PATH, REQUEST_TIMEOUT_S, shared=False)
         except DiscoveryError as error:
             log.info("discovery: %s", error)
-            self.node.discovery_failed()
+            self.dispatcher.discovery_failed()
 
     # One request
 
@@ -277,7 +278,7 @@
         try:
             async with asyncio.timeout(timeout_s):
                 response = await connection.get(path)
-            return self.names.parse_update(json.loads(response.body)), response.reusable
+            return parse_discovery_list(json.loads(response.body), self.names), response.reusable
         except TimeoutError:
             raise DiscoveryTimeoutError(f"{path}: no answer within {timeout_s:.1f} s") from None
         except Exception as error:
@@ -297,4 +298,4 @@
         self.list_available.set()
         self.answered.set()
         if servers.servers or servers.kind or self.on_demand:
-            self.node.receive_update(update)
+            self.dispatcher.receive_update(update)
--- a/hollybay/proxy/downstream/connection.py
+++ b/hollybay/proxy/downstream/connection.py
@@ -25,8 +25,8 @@
 from .client_context import ClientContext
 from .request import MIN_BODY_BYTES_PER_S, ClientRequest
 from .request_admission import admit_request, release_request
-from .request_validation import HEALTH_PATHS, LIVENESS_PATH, RequestProblem
-from .responses import REJECTED_BODY, rejection_events, response_bytes, retry_after_header
+from .request_validation import HEALTH_PATHS, RequestProblem
+from .responses import REJECTED_BODY, health_response, rejection_events, response_bytes, retry_after_header
 from .service_state import CLOSING_STATES
 from .states import (
     LINGERING_STATES,
@@ -57,7 +57,6 @@
 NO_REQUEST = 0
 BEING_SUBMITTED = -1
 
-
 # The states and events of each request, by names of this module: a look-up in an enum costs 0.2 µs.
 _READING_LARGE = ConnectionState.READING_LARGE
 _STREAMING = ConnectionState.STREAMING
@@ -139,11 +138,8 @@
         """Tell whether the client waits for its response; a close is not seen while reading is paused."""
         if not self.is_connected():
             return ClientPresence.GONE
-        if (
-            not self.reading
-            and self.bytes_ahead > SMALL_BODY_BYTES
-            and self.unread_bytes() >= HIDDEN_CLOSE_BYTES
-        ):
+        may_hide_close = not self.reading and self.bytes_ahead > SMALL_BODY_BYTES
+        if may_hide_close and self.unread_bytes() >= HIDDEN_CLOSE_BYTES:
             return ClientPresence.UNKNOWN
         return ClientPresence.CONNECTED
 
@@ -160,8 +156,8 @@
         """Tell whether a close loses nothing: no request is under way, and no bytes are unread."""
         return self.streaming_body is None and not self.unread_bytes()
 
-    def is_slow(self, now: float) -> bool:
-        """Tell whether a request comes too slowly by a loop time (s), unless the node leaves it unread."""
+    def is_request_overdue(self, now: float) -> bool:
+        """Tell whether the rest of a request is due by a loop time (s); never while reading is paused."""
         if self.request is None or self.phase is None:
             return True
         allowed_s = self.clients.phase_timeouts.unfinished + self.request.size / MIN_BODY_BYTES_PER_S
@@ -310,7 +306,8 @@
         self.set_reading(True)
         self.clients.move(self, None)
         if request.path in HEALTH_PATHS:
-            self._respond_to_health_check(request.path)
+            status, body = health_response(request.path, self.clients.is_healthy)
+            self._respond(status, [], (body,))
         elif self.streaming_body is not None:
             self.clients.dispatcher.complete_body(
                 self.request_id, request.time_left - self.read_delay()[1] * MS
@@ -319,12 +316,6 @@
         else:
             self._submit(request, None, just_read)
 
-    def _respond_to_health_check(self, path: bytes) -> None:
-        if path == LIVENESS_PATH or self.clients.is_healthy:
-            self._respond(200, [], (b"ok\n",))
-        else:
-            self._respond(503, [], (b"not ready\n",))
-
     def _submit(self, request: ClientRequest, streaming_body: StreamingBody | None, just_read: bool) -> None:
         """Admit and forward a request, complete or with a long body that is still coming, or reject it."""
         is_open, waited_ms = self.read_delay()
--- a/hollybay/proxy/downstream/listener.py
+++ b/hollybay/proxy/downstream/listener.py
@@ -166,7 +166,7 @@
         self.sweeper = self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
         now = self.loop.time()
         for conn in self.overdue(self.unfinished, now - self.phase_timeouts.unfinished):
-            if conn.is_slow(now):
+            if conn.is_request_overdue(now):
                 conn.reject_unfinished()
         for conn in self.overdue(self.silent, now - self.phase_timeouts.silent):
             conn.close_if_idle()
--- a/hollybay/proxy/downstream/responses.py
+++ b/hollybay/proxy/downstream/responses.py
@@ -7,10 +7,11 @@
 from hollybay.units import SECOND
 
 from ..http_messages import Headers, encode_head
-from .request_validation import RequestProblem
+from .request_validation import LIVENESS_PATH, RequestProblem
 
 __all__ = [
     "REJECTED_BODY",
+    "health_response",
     "rejection_events",
     "response_bytes",
     "retry_after_header",
@@ -27,6 +28,13 @@
     return encode_head(_FIRST_LINES[status], headers) + content
 
 
+def health_response(path: bytes, is_healthy: bool) -> tuple[int, bytes]:
+    """Return the status and the body of the response to a health check: this process is always live."""
+    if path == LIVENESS_PATH or is_healthy:
+        return 200, b"ok\n"
+    return 503, b"not ready\n"
+
+
 def rejection_events(problem: RequestProblem) -> tuple[h11.Event, ...]:
     """Return the response to a request that is not valid, after which the connection closes."""
     body = problem.reason.encode("latin-1", "replace") + b"\n"
--- a/hollybay/proxy/request_dispatcher.py
+++ b/hollybay/proxy/request_dispatcher.py
@@ -18,8 +18,8 @@
 
 from . import system
 from .balancer_driver import ActionHandlers, BalancerDriver
+from .discovery_list import DiscoveryUpdate
 from .http_messages import ForwardedRequest, ForwardedResponse
-from .name_table import DiscoveryUpdate
 from .pending_request import FINISHED, PENDING, UNANSWERED_STATES, PendingRequest, RequestEvent, next_state
 from .ports import Client, DiscoveryPort, LoadReporter
 from .request_counters import RequestCounters
@@ -178,7 +178,7 @@
 
     def _start_timer(self, request: PendingRequest, time_left: int) -> None:
         request.deadline = system.monotonic_ns() + time_left
-        request.timer = self.loop.call_later(time_left / SECOND, self._expire, request)
+        request.timer = self.loop.call_later(time_left / SECOND, self._on_deadline, request)
 
     def complete_body(self, request_id: int, time_left: int) -> None:
         """Take note that the last byte of a streamed body has come, from which on its client waits (ns)."""
@@ -210,7 +210,7 @@
                 if request.streamed_attempt is not None:
                     request.streamed_attempt.end(api.Result.TIMEOUT)
                 else:
-                    self._expire(request)
+                    self._on_deadline(request)
 
     # Actions of the balancer
 
@@ -332,10 +332,10 @@
         request_id = getattr(event, "id", None)
         request = self.requests.get(request_id) if request_id is not None else None
         if request is not None and not request.in_flight:
-            self._time_out(request)
+            self._answer_without_balancer(request)
 
-    def _time_out(self, request: PendingRequest) -> None:
-        """Answer in place of the balancer, which did not in time or cannot, and tell it so."""
+    def _answer_without_balancer(self, request: PendingRequest) -> None:
+        """Answer 504 where the balancer has given no final answer, and tell it that the request is over."""
         if request.state is FINISHED:
             return
         client = self._take_unanswered(request.id, self.counters.failed)
@@ -343,14 +343,19 @@
             self._answer(client, client.fail, GATEWAY_TIMEOUT)
         self.feed(api.ClientDisconnected(request.id))
 
-    def _expire(self, request: PendingRequest) -> None:
-        """End the attempts at the deadline; what the balancer answers to that is still in time."""
+    def _on_deadline(self, request: PendingRequest) -> None:
+        """End all attempts but a streamed one at the deadline.
+
+        The balancer is told of each end, and gives the final answer as a rule before this returns: 503 where
+        a retry of the client is harmless, else 502. Where it gives none, as with no attempt in flight, the
+        answer is 504.
+        """
         request.state = next_state(request.state, RequestEvent.DEADLINE_PASSED)
         for attempt in request.attempts:
             if attempt is not None and attempt is not request.streamed_attempt:
                 attempt.end(api.Result.TIMEOUT)
         if request.streamed_attempt is None:
-            self._time_out(request)
+            self._answer_without_balancer(request)
 
     def _conclude(self, request: PendingRequest) -> None:
         request.state = next_state(request.state, _CONCLUDED)
--- a/hollybay/proxy/server_drains.py
+++ b/hollybay/proxy/server_drains.py
@@ -13,8 +13,8 @@
 
 from . import system
 from .addresses import Address
+from .discovery_list import DiscoveryUpdate
 from .drain_file import DrainFile
-from .name_table import DiscoveryUpdate
 from .request_dispatcher import RequestDispatcher
 
 __all__ = ["DrainNotPersistedError", "ServerDrains", "UnknownServerError"]
--- a/hollybay/proxy/shutdown.py
+++ b/hollybay/proxy/shutdown.py
@@ -19,9 +19,12 @@
 
 log = logging.getLogger("hollybay.proxy")
 
-# New connections keep coming for up to 0.4 s after SIGTERM.
+# SIGTERM | accept | serve open connections | final period | last answers | margin | SIGKILL
+#
+# Load balancers in front send new connections for up to 0.4 s after SIGTERM.
 ACCEPT_PERIOD_S = 0.55
-# SIGKILL comes this long after the longest deadline of a request, which counts as MAX_DEADLINE_S at most.
+# The platform sends SIGKILL this long after the longest request deadline, of which it counts MAX_DEADLINE_S
+# at most: a request with a longer one may be answered before its deadline, at the end of the process.
 KILL_DELAY_S = 0.7
 MAX_DEADLINE_S = 3.0
 KILL_MARGIN_S = 0.3  # before SIGKILL by which the process is done
--- a/hollybay/proxy/upstream/pools.py
+++ b/hollybay/proxy/upstream/pools.py
@@ -12,8 +12,9 @@
 from hollybay.units import SECOND
 
 from .. import system
+from ..discovery_list import DiscoveryUpdate
 from ..http_messages import names_not_forwarded
-from ..name_table import DiscoveryUpdate, NameTable
+from ..name_table import NameTable
 from .attempt import UpstreamAttempt
 from .connection import ServerConnection
 from .connector import Establish, connect, establish
--- a/hollybay/testbed/rules.py
+++ b/hollybay/testbed/rules.py
@@ -1,5 +1,10 @@
 """The four rules as pure functions over what is known of one request or one server.
 
+lost   each request gets exactly one final answer, in time (in `ledger`)
+dup    a request has no effect twice, and is not rejected as harmless to retry once it may have run
+drain  a server gets nothing later than the drain grace after the node was told that it drains
+cold   a starting server gets no more work in any window than its present capacity allows, by a multiple
+
 Times are integer nanoseconds on one monotonic clock. Source of the rules: the protocol page of the platform
 (outcomes and what they prove) and the settings (grace, window, group, cold share).
 """
--- a/tests/test_discovery_orders.py
+++ b/tests/test_discovery_orders.py
@@ -15,6 +15,7 @@
 from hollybay.balancing import interface as api
 from hollybay.proxy import discovery as module
 from hollybay.proxy import discovery_connection
+from hollybay.proxy.discovery_list import parse_discovery_list
 from hollybay.testbed.loopback import (
     LIMIT,
     FakeDiscovery,
@@ -207,11 +208,12 @@
         agent, server = Agent(version=5), ScriptedServer("s-1")
         async with running(tmp_path / "c.json", agent, server) as node:
             held = node.discovery.version
-            new = node.discovery.names.parse_update(
-                {"version": held + 2, "full": True, "servers": [{**agent.lines[0], "state": "DRAINING"}]}
+            new = parse_discovery_list(
+                {"version": held + 2, "full": True, "servers": [{**agent.lines[0], "state": "DRAINING"}]},
+                node.discovery.names,
             )
-            old = node.discovery.names.parse_update(
-                {"version": held + 1, "full": True, "servers": agent.lines}
+            old = parse_discovery_list(
+                {"version": held + 1, "full": True, "servers": agent.lines}, node.discovery.names
             )
             node.discovery._apply(new, held)
             node.discovery._apply(old, held)
--- a/tests/test_streaming_body.py
+++ b/tests/test_streaming_body.py
@@ -260,7 +260,7 @@
             await server.until(lambda: server.got > MAX_HELD_BODY_BYTES)
             (conn,) = node.clients.connections
             began = node.clients.unfinished[conn]
-            assert not conn.is_slow(began + 1.9) and conn.is_slow(began + 2.2)
+            assert not conn.is_request_overdue(began + 1.9) and conn.is_request_overdue(began + 2.2)
             node.clients.unfinished[conn] = began - 60.0
             async with asyncio.timeout(LIMIT):
                 assert (await reader.read()).startswith(b"HTTP/1.1 408")
