--- a/hollybay/balancing/retries.py
+++ b/hollybay/balancing/retries.py
@@ -68,7 +68,7 @@
     max_attempts: int,
     slack: int = 0,
 ) -> RetryScope | None:
-    """Return where a further attempt may go; the guard against effects that happen twice.
+    """Return where a further attempt may go; None refuses it, as it could have an effect twice.
 
     Parameters
     ----------
--- a/hollybay/proxy/request_dispatcher.py
+++ b/hollybay/proxy/request_dispatcher.py
@@ -264,7 +264,7 @@
             action.server,
             deadline,
             observer=self,
-            repeatable=request_class.effect == api.Effect.SAFE,
+            is_safe=request_class.effect == api.Effect.SAFE,
             streamed=request_class.streamed,
             request=request,
             number=number,
--- a/hollybay/proxy/upstream/attempt.py
+++ b/hollybay/proxy/upstream/attempt.py
@@ -53,8 +53,9 @@
         When the attempt ends at the latest, in ns of the monotonic clock.
     observer
         Who is notified of the response and of the result.
-    repeatable
-        Whether the request is safe to send again, whatever became of this attempt.
+    is_safe
+        Whether the request's class is SAFE; a KEYED one is held back like an UNSAFE one, though it may be
+        retried.
     streamed
         Whether the response is passed on as it comes.
     request
@@ -69,11 +70,11 @@
         "connecting",
         "connection",
         "deadline",
+        "is_safe",
         "message",
         "number",
         "observer",
         "read_delay",
-        "repeatable",
         "report",
         "request",
         "request_written",
@@ -93,7 +94,7 @@
         server: api.ServerId,
         deadline: int,
         observer: AttemptObserver,
-        repeatable: bool = True,
+        is_safe: bool = True,
         streamed: bool = False,
         request: PendingRequest | None = None,
         number: int = 0,
@@ -103,7 +104,7 @@
         self.server = server
         self.deadline = deadline
         self.observer = observer
-        self.repeatable = repeatable
+        self.is_safe = is_safe
         self.streamed = streamed
         self.request = request
         self.number = number
--- a/hollybay/proxy/upstream/connection.py
+++ b/hollybay/proxy/upstream/connection.py
@@ -54,7 +54,7 @@
     connections: set[ServerConnection]
     opening: set[UpstreamAttempt]
 
-    def dropped(self, connection: ServerConnection) -> None:
+    def connection_closed(self, connection: ServerConnection) -> None:
         """Forget a connection that is gone."""
 
 
@@ -116,13 +116,13 @@
         """End the attempt that the connection carries, if there is one."""
         self.state = next_state(self.state, UpstreamConnectionEvent.LOST)
         self.stop_timer()
-        self.owner.dropped(self)
+        self.owner.connection_closed(self)
         if self.attempt is not None:
             self._fail()
 
     def begin(self, attempt: UpstreamAttempt) -> None:
         """Write a request, all but its last piece; see _write_last_piece."""
-        if self.endpoint.draining is not None and self.owner.loop.time() >= self.endpoint.closes:
+        if self.endpoint.draining is not None and self.owner.loop.time() >= self.endpoint.write_cutoff:
             # The timer that withdraws what is not yet written is due, and has not been called yet.
             self.close()
             attempt.end(api.Result.NOT_DELIVERED)
@@ -170,7 +170,7 @@
         self._process_events()
         if begins and self.attempt is not None and self.timer is None:
             # Most answers are whole by now.
-            self.start_timer(response_limits.response_limit_s(self.attempt.repeatable), self._check_progress)
+            self.start_timer(response_limits.response_limit_s(self.attempt.is_safe), self._check_progress)
 
     def _check_progress(self) -> None:
         """End a response that has stalled before it was complete, and stream one that may be long."""
@@ -178,7 +178,7 @@
         attempt = self.attempt
         if attempt is None:
             return
-        limit = response_limits.response_limit_s(attempt.repeatable)
+        limit = response_limits.response_limit_s(attempt.is_safe)
         left = limit - (self.owner.loop.time() - self.last_received_at)
         if left <= response_limits.STALLED_SHARE * limit:
             self._fail()
--- a/hollybay/proxy/upstream/endpoint.py
+++ b/hollybay/proxy/upstream/endpoint.py
@@ -9,7 +9,7 @@
 
 from ..name_table import NameTable
 from .attempt import UpstreamAttempt
-from .connection_wait import HoldAccount
+from .hold_account import HoldAccount
 
 __all__ = ["Endpoint", "PooledConnection"]
 
@@ -45,13 +45,24 @@
 class Endpoint:
     """A server of the list."""
 
-    __slots__ = ("address", "closes", "draining", "holds", "id", "idle", "last_report", "unwritten_attempts")
+    __slots__ = (
+        "address",
+        "draining",
+        "holds",
+        "id",
+        "idle",
+        "last_report",
+        "unwritten_attempts",
+        "write_cutoff",
+    )
 
     def __init__(self, server: api.ServerId, address: tuple[str, int]) -> None:
         self.id = server
         self.address = address
         self.draining: asyncio.TimerHandle | None = None  # not None: it drains, also after the timer fired
-        self.closes = 0.0  # while it drains: from when on nothing is written to it (s, the loop's clock)
+        self.write_cutoff = (
+            0.0  # while it drains: from when on nothing is written to it (s, the loop's clock)
+        )
         self.idle: list[PooledConnection] = []  # the last one rested shortest and is taken first
         self.unwritten_attempts: dict[UpstreamAttempt, None] = {}  # in the order in which they were begun
         self.holds = HoldAccount()
--- a/hollybay/proxy/upstream/connection_wait.py
+++ b/hollybay/proxy/upstream/hold_account.py
@@ -4,16 +4,16 @@
 
 __all__ = ["HoldAccount"]
 
-# Part of the price of a connection that the account forgets each second: requests that are held now and then
-# never add up to one.
-FORGOTTEN = 1.0
+# Prices of a connection by which the account decays each second: requests that are held now and then never
+# add up to one.
+DECAY_PER_S = 1.0
 
 
 class HoldAccount:
     """How long the requests to one server were held lately, against the price of a connection.
 
-    The rule of ski rental: a connection is opened when the holds, with the one that is due, would have cost
-    more than it, and the account begins anew. Not thread-safe.
+    A connection is opened once the holds lately, with the one that is due, add up to more than its price (the
+    ski-rental algorithm), and the account begins anew. Not thread-safe.
     """
 
     __slots__ = ("at", "held")
@@ -25,11 +25,17 @@
     def allows(self, hold: float, price: float, now: float) -> bool:
         """Whether a request is to be held, which is then counted; False: a connection is to be opened.
 
-        hold: for how long it would be; price: the hold that is worth a connection; now: a monotonic clock.
-        All in s.
+        Parameters
+        ----------
+        hold
+            For how long (s) it would be held.
+        price
+            The hold (s) that is worth a connection.
+        now
+            The time (s) of a monotonic clock.
         """
-        forgotten = FORGOTTEN * price * max(0.0, now - self.at)
-        self.held = max(0.0, self.held - forgotten) + hold
+        decay = DECAY_PER_S * price * max(0.0, now - self.at)
+        self.held = max(0.0, self.held - decay) + hold
         self.at = now
         if self.held <= price:
             return True
--- a/hollybay/proxy/upstream/pools.py
+++ b/hollybay/proxy/upstream/pools.py
@@ -27,7 +27,7 @@
 
 log = logging.getLogger("hollybay.proxy")
 
-# Of one server's resting connections: where none of so many has settled, no further one is opened, and a
+# Of one server's idle connections: where none of so many has settled, no further one is opened, and a
 # request waits for the one that rested longest, which takes a part of SETTLE_S.
 MAX_UNSETTLED = 4
 SWEEP_INTERVAL_S = 0.25  # how often that is looked for
@@ -59,29 +59,29 @@
         self.loop = asyncio.get_running_loop()
         self.endpoints: dict[api.ServerId, Endpoint] = {}
         self.connections: set[ServerConnection] = set()
-        # Idle ones and since when, longest rest first.
-        self.resting: OrderedDict[PooledConnection, float] = OrderedDict()
+        # Idle ones and since when (s, the loop's clock), the longest idle first.
+        self.idle_since: OrderedDict[PooledConnection, float] = OrderedDict()
         self.sweeper: asyncio.TimerHandle | None = None
         self.opening: set[UpstreamAttempt] = set()  # attempts whose connection is not yet among the others
 
-    def apply(self, listing: DiscoveryUpdate) -> None:
-        """Take a list over: addresses, and no rest for connections to what drains or is gone."""
-        if listing.servers.kind != api.ListKind.CHANGES:
-            for server in [s for s in self.endpoints if s not in listing.addresses]:
-                self._drain(self.endpoints.pop(server))
-        for line in listing.servers.servers:
-            address = listing.addresses[str(line.id)]
-            endpoint = self.endpoints.get(line.id)
+    def apply(self, update: DiscoveryUpdate) -> None:
+        """Apply a server list: update addresses, and drain the servers that drain, are gone or have moved."""
+        if update.servers.kind != api.ListKind.CHANGES:
+            for server_id in [known for known in self.endpoints if known not in update.addresses]:
+                self._drain(self.endpoints.pop(server_id))
+        for server in update.servers.servers:
+            address = update.addresses[str(server.id)]
+            endpoint = self.endpoints.get(server.id)
             if endpoint is not None and endpoint.address != address:
-                self._drain(self.endpoints.pop(line.id))
+                self._drain(self.endpoints.pop(server.id))
                 endpoint = None
-            if line.state == api.ServerState.GONE:
+            if server.state == api.ServerState.GONE:
                 if endpoint is not None:
-                    self._drain(self.endpoints.pop(line.id))
+                    self._drain(self.endpoints.pop(server.id))
                 continue
             if endpoint is None:
-                endpoint = self.endpoints[line.id] = Endpoint(line.id, address)
-            if line.state == api.ServerState.DRAINING:
+                endpoint = self.endpoints[server.id] = Endpoint(server.id, address)
+            if server.state == api.ServerState.DRAINING:
                 self._drain(endpoint)
             elif endpoint.draining is not None:
                 endpoint.draining.cancel()
@@ -92,10 +92,10 @@
             connection.close()
         if endpoint.draining is None:
             grace = DRAIN_GRACE_SHARE * self.settings.drain_grace / SECOND
-            endpoint.closes = self.loop.time() + grace
-            endpoint.draining = self.loop.call_later(grace, self._withdraw, endpoint)
+            endpoint.write_cutoff = self.loop.time() + grace
+            endpoint.draining = self.loop.call_later(grace, self._end_unwritten_attempts, endpoint)
 
-    def _withdraw(self, endpoint: Endpoint) -> None:
+    def _end_unwritten_attempts(self, endpoint: Endpoint) -> None:
         # A request that is still being written when the grace is over would reach a server that drains.
         for attempt in list(endpoint.unwritten_attempts):
             attempt.end(api.Result.NOT_DELIVERED)
@@ -108,43 +108,43 @@
             return
         attempt.unwritten_attempts = endpoint.unwritten_attempts
         endpoint.unwritten_attempts[attempt] = None
-        connection = self._kept(endpoint)
+        connection = self._pick_idle(endpoint)
         if connection is not None:
             self.unpool(connection)
             connection.stop_timer()
             connection.begin(attempt)
             return
-        if self._full():
-            if not self.resting:
-                # The node's own want, which says nothing of the server.
+        if self._is_full():
+            if not self.idle_since:
+                # This node has no descriptor left; that is no failure of the server.
                 log.warning("no descriptor left for a connection to a server")
                 attempt.end(api.Result.NOT_SENT)
                 return
-            next(iter(self.resting)).close()
+            next(iter(self.idle_since)).close()
         self.opening.add(attempt)
         attempt.connecting = self.loop.create_task(self._connect(endpoint, attempt))
         # Not in a finally of the task: one that is cancelled before its first step runs none.
         attempt.connecting.add_done_callback(lambda _: self.opening.discard(attempt))
 
-    def _full(self) -> bool:
+    def _is_full(self) -> bool:
         """Whether there is no room for another connection."""
         return len(self.connections) + len(self.opening) >= self.limit
 
-    def _kept(self, endpoint: Endpoint) -> PooledConnection | None:
-        """The connection at rest that is to be used for a request; None: another one is to be opened."""
+    def _pick_idle(self, endpoint: Endpoint) -> PooledConnection | None:
+        """The idle connection to use for a request; None: another one is to be opened."""
         while endpoint.idle:
-            connection = self._settled(endpoint.idle)
+            connection = self._pick_settled(endpoint.idle)
             if not connection.is_alive():
                 connection.close()
                 continue
             hold = connection.settle_time_left()
-            if hold <= 0.0 or len(endpoint.idle) >= MAX_UNSETTLED or self._full():
+            if hold <= 0.0 or len(endpoint.idle) >= MAX_UNSETTLED or self._is_full():
                 return connection
             return connection if endpoint.holds.allows(hold, connection_price(), self.loop.time()) else None
         return None
 
-    def _settled(self, idle: list[PooledConnection]) -> PooledConnection:
-        """Of those at rest the last one that has settled; where none has, the one that will soonest."""
+    def _pick_settled(self, idle: list[PooledConnection]) -> PooledConnection:
+        """Of idle connections the last one that has settled; where none has, the one that will soonest."""
         now = self.loop.time()
         for connection in reversed(idle):
             if connection.is_settled(now):
@@ -156,8 +156,8 @@
         try:
             sock = system.tcp_socket(host)
         except OSError as error:
-            # The node's own want, which says nothing of the server. Raised on, it would leave the attempt and
-            # so its request without an end until its time is up.
+            # This node has no descriptor left; that is no failure of the server. Raised on, it would leave
+            # the attempt and so its request without an end until its time is up.
             log.warning("no socket for a connection to a server: %s", error)
             attempt.connecting = None
             attempt.end(api.Result.NOT_SENT)
@@ -190,36 +190,36 @@
             return
         connection.set_reading(True)
         connection.endpoint.idle.append(connection)
-        self.resting[connection] = connection.response_ended_at
+        self.idle_since[connection] = connection.response_ended_at
         if self.sweeper is None:
             self.sweeper = self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
 
     def _sweep(self) -> None:
-        """Close what has rested for nearly as long as its server lets it; one timer for all of them."""
+        """Close what has been idle for nearly as long as its server allows; one timer for all of them."""
         self.sweeper = None
         before = (
             self.loop.time() + SWEEP_INTERVAL_S - api.IDLE_CLOSE_SHARE * self.settings.idle_timeout / SECOND
         )
         for connection in list(
-            takewhile(lambda connection: self.resting[connection] <= before, self.resting)
+            takewhile(lambda connection: self.idle_since[connection] <= before, self.idle_since)
         ):
             connection.close()
-        if self.resting:
+        if self.idle_since:
             self.sweeper = self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
 
     def unpool(self, connection: PooledConnection) -> None:
         """Take a connection out of the pool, if it is there."""
-        if connection in self.resting:
-            del self.resting[connection]
+        if connection in self.idle_since:
+            del self.idle_since[connection]
             connection.endpoint.idle.remove(connection)
 
-    def dropped(self, connection: ServerConnection) -> None:
-        """A connection is gone."""
+    def connection_closed(self, connection: ServerConnection) -> None:
+        """Forget a connection that is closed."""
         self.unpool(connection)
         self.connections.discard(connection)
 
     def close_idle(self, server: api.ServerId) -> None:
-        """Close what rests at one server."""
+        """Close the idle connections to one server."""
         endpoint = self.endpoints.get(server)
         for connection in list(endpoint.idle) if endpoint is not None else ():
             connection.close()
--- a/hollybay/proxy/upstream/request_sender.py
+++ b/hollybay/proxy/upstream/request_sender.py
@@ -28,10 +28,9 @@
 # the peer's waking up. A connection that is already dead, or reset by its first byte, breaks within it, while
 # it is still certain that nothing ran.
 LAST_BYTE_HOLD_S = 0.003
-# A server that sends more than belongs to an answer (a second copy, noise) may do so some milliseconds late.
-# A connection is settled when its last answer ended so long ago (s). A settled one is taken before one that
-# is not; on one that is not, the last byte of a request of whatever class is held until it is: what comes
-# before that byte is no answer to it.
+# A server may send stray bytes (a duplicate response) some milliseconds after a response. A connection is
+# settled this long (s) after its last response ended. Settled ones are used first; on any other one the last
+# byte of a request is held until then, so that stray bytes come before it and are not taken for its response.
 SETTLE_S = 0.012
 # A server's requests are held for as long as this many connections take to settle, together, before another
 # connection is opened to it instead; see HoldAccount.
@@ -220,7 +219,7 @@
 
     def _hold_time(self, attempt: UpstreamAttempt) -> float:
         """Return for how long (s) the last byte of a request is to be held; 0: not at all."""
-        min_hold = 0.0 if attempt.repeatable else LAST_BYTE_HOLD_S
+        min_hold = 0.0 if attempt.is_safe else LAST_BYTE_HOLD_S
         return max(min_hold, self.settle_time_left())
 
     def _write_last_piece(self) -> None:
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -162,7 +162,7 @@
             await node.until(lambda: backend.draining is not None)
             assert backend.draining is not None
             backend.draining.cancel()  # as where it is called late
-            while node.dispatcher.loop.time() < backend.closes:
+            while node.dispatcher.loop.time() < backend.write_cutoff:
                 await asyncio.sleep(0.001)
             gate.open.set()
             answer = await asking
@@ -358,9 +358,9 @@
             now = servers.loop.time()
             for conn, rest in zip(idle, (3.0, 2.0, 0.0), strict=True):
                 conn.response_ended_at = now - rest * module.SETTLE_S
-            assert servers._settled(idle) is idle[1]
+            assert servers._pick_settled(idle) is idle[1]
             idle[0].response_ended_at = idle[1].response_ended_at = now
-            assert servers._settled(idle) is idle[2]
+            assert servers._pick_settled(idle) is idle[2]
 
     asyncio.run(play())
 
--- a/tests/test_connection_wait.py
+++ b/tests/test_hold_account.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from hollybay.proxy.upstream.connection_wait import FORGOTTEN, HoldAccount
+from hollybay.proxy.upstream.hold_account import DECAY_PER_S, HoldAccount
 
 PRICE = 0.024
 
@@ -22,7 +22,7 @@
 
 def test_holds_now_and_then_never_add_up_to_a_connection() -> None:
     account = HoldAccount()
-    apart = 0.012 / (FORGOTTEN * PRICE)
+    apart = 0.012 / (DECAY_PER_S * PRICE)
     assert all(account.allows(0.012, PRICE, n * apart) for n in range(1000))
 
 
