--- a/hollybay/proxy/admin_service.py
+++ b/hollybay/proxy/admin_service.py
@@ -82,7 +82,7 @@
             AdminOperation.RESUME_NODE: self._handle_resume_node,
             AdminOperation.POLICY: self._handle_policy,
         }
-        dispatcher.overlay = self.server_drains.apply
+        dispatcher.apply_drains = self.server_drains.apply
         if config.known_servers is not None:
             self.server_drains.apply(config.known_servers)
 
--- a/hollybay/proxy/request_dispatcher.py
+++ b/hollybay/proxy/request_dispatcher.py
@@ -61,7 +61,7 @@
         How many requests have no complete final answer, with those whose response is being streamed.
     discovery
         What watches and fetches the server list on demand of the balancer, if anything does.
-    overlay
+    apply_drains
         What lays drains by operators over an update of discovery; None: they can drain nothing.
     load_reporter
         What exchanges load reports with other nodes; None: nothing does.
@@ -72,7 +72,7 @@
         self.pools = pools
         self.counters = RequestCounters(len(settings.classes))
         self.discovery: DiscoveryPort | None = None
-        self.overlay: Callable[[DiscoveryUpdate], DiscoveryUpdate] | None = None
+        self.apply_drains: Callable[[DiscoveryUpdate], DiscoveryUpdate] | None = None
         self.load_reporter: LoadReporter | None = None
         self.requests: dict[int, PendingRequest] = {}
         self.unfinished_requests = 0
@@ -100,7 +100,7 @@
 
     def receive_update(self, update: DiscoveryUpdate) -> None:
         """Put an update of discovery in force, under the drains of operators."""
-        self.apply_update(update if self.overlay is None else self.overlay(update))
+        self.apply_update(update if self.apply_drains is None else self.apply_drains(update))
 
     def apply_update(self, update: DiscoveryUpdate) -> None:
         """Put an update of the server list in force, for the pools and for the balancer."""
--- a/hollybay/testbed/ledger.py
+++ b/hollybay/testbed/ledger.py
@@ -39,7 +39,7 @@
     ----------
     classes, drain_grace, cold_share, warm_up, max_attempts
         As in `hollybay.balancing.settings.Settings`.
-    fall_multiple, fall_span
+    overload_multiple, overload_window
         The settings' overload_multiple and overload_window.
     slack
         What clocks and the wire may add to a time.
@@ -51,8 +51,8 @@
     drain_grace: int
     cold_share: float
     warm_up: int
-    fall_multiple: float = 4.0
-    fall_span: int = 2_000_000_000
+    overload_multiple: float = 4.0
+    overload_window: int = 2_000_000_000
     max_attempts: int = 3
     slack: int = 50 * MS
     late: int = 50 * MS
@@ -117,7 +117,7 @@
     excused: bool = False
     retry_after: float | None = None
     status: int = 0
-    ran: list[rules.Place] = field(default_factory=list)
+    ran: list[rules.Execution] = field(default_factory=list)
     arrived: int = 0
 
 
@@ -251,7 +251,7 @@
             return
         entry.arrived += 1
         if runs:
-            place = rules.Place(at, zone, cell)
+            place = rules.Execution(at, zone, cell)
             reason = rules.repeat_violation(
                 self.limits.classes[entry.cls], entry.ran, place, self.limits.slack
             )
@@ -327,5 +327,9 @@
         """What the rule on cold servers counts for one start."""
         limits = self.limits
         return rules.ColdWindow(
-            start.capacity, limits.cold_share, limits.warm_up, limits.fall_multiple, limits.fall_span
+            start.capacity,
+            limits.cold_share,
+            limits.warm_up,
+            limits.overload_multiple,
+            limits.overload_window,
         )
--- a/hollybay/testbed/rules.py
+++ b/hollybay/testbed/rules.py
@@ -20,7 +20,7 @@
 
 __all__ = [
     "ColdWindow",
-    "Place",
+    "Execution",
     "cold_allowance",
     "cold_violation",
     "drain_violation",
@@ -31,7 +31,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Place:
+class Execution:
     """Where and when a request may have run: the zone and cell of the server, the time (ns)."""
 
     at: int
@@ -39,7 +39,9 @@
     cell: int = 0
 
 
-def repeat_violation(cls: api.RequestClass, ran: Sequence[Place], again: Place, slack: int = 0) -> str | None:
+def repeat_violation(
+    cls: api.RequestClass, ran: Sequence[Execution], again: Execution, slack: int = 0
+) -> str | None:
     """Why a request that may have run at these places must not run at a further one, or None.
 
     ran is in order of time; slack (ns) widens the window for clocks and the wire.
--- a/hollybay/testbed/world.py
+++ b/hollybay/testbed/world.py
@@ -205,9 +205,9 @@
         reason = rules.repeat_violation(cls, ran, self._place(server, self.now))
         assert reason is None, reason
 
-    def _place(self, server: api.ServerId, at: int) -> rules.Place:
+    def _place(self, server: api.ServerId, at: int) -> rules.Execution:
         line = self.lines[server]
-        return rules.Place(at, line.zone, line.cell)
+        return rules.Execution(at, line.zone, line.cell)
 
     def _check_refusal(self, book: RequestRecord) -> None:
         cls = self.settings.classes[book.cls]
--- a/tests/test_admin_service.py
+++ b/tests/test_admin_service.py
@@ -249,7 +249,7 @@
     async def play() -> None:
         async with running(tmp_path / "c.json", FakeDiscovery(), ScriptedServer("s-1")) as node:
             config = node.clients.config
-            assert config.admin is None and node.dispatcher.overlay is None
+            assert config.admin is None and node.dispatcher.apply_drains is None
             assert await start_admin(config, node.clients, node.dispatcher) is None
             assert not node.clients.listener or not node.clients.listener.getsockopt(
                 socket.SOL_SOCKET, socket.SO_REUSEPORT
