--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -2,10 +2,13 @@
 
 from __future__ import annotations
 
+import itertools
 import random
 
 import pytest
 
+from hollybay.balancing import Balancer
+from hollybay.balancing import interface as api
 from hollybay.balancing.slow_start import SlowStart
 from hollybay.balancing.state import TrackedServer
 from hollybay.testbed.world import MS, SECOND, BalancerHarness, fleet, make_settings
@@ -27,3 +30,36 @@
     node.tell(fleet(4, up_since=node.now + 300 * MS))
     node.ask(1)
     assert node.books[1].attempts
+
+
+@pytest.mark.parametrize("body_pending", [False, True])
+def test_a_starting_server_gets_one_request_an_interval_also_while_bodies_are_coming(
+    body_pending: bool,
+) -> None:
+    """Uploads are sent to a server before they are whole: each of them uses up its send interval at once."""
+    start = 20 * SECOND
+    balancer = Balancer(make_settings(), 1, start)
+    sends: dict[api.ServerId, list[int]] = {}
+    due: list[int] = []
+
+    def feed(now: int, event: api.Event) -> None:
+        for action in balancer.handle(now, event):
+            if isinstance(action, api.SetTimer):
+                due.append(now + action.delay)
+            elif isinstance(action, api.Send):
+                sends.setdefault(action.server, []).append(now)
+
+    feed(start, api.ServerList(api.ListKind.FULL, fleet(6, up_since=start - MS), 1))
+    for number in range(1, 3000):
+        now = start + number * MS
+        if due and due[-1] <= now:
+            due.clear()
+            feed(now, api.TimerFired(1))
+        if number % 5 == 0:
+            feed(now, api.Request(number, 1, 1200 * MS, key=number, body_pending=body_pending))
+    assert sends
+    for server, times in sends.items():
+        interval = balancer.servers[server].slow_start_interval
+        assert interval > SECOND
+        # One that shrinks at a review begins anew at a random point: half of it holds in any case here.
+        assert all(later - earlier > interval // 2 for earlier, later in itertools.pairwise(times))
