--- a/benchmarks/capacity/requests.py
+++ b/benchmarks/capacity/requests.py
@@ -7,7 +7,7 @@
 from hollybay.balancing import Balancer
 from hollybay.balancing import interface as api
 from hollybay.hollow.meter import metered
-from hollybay.routing.route_table import compile_file
+from hollybay.routing.policy_compiler import compile_file
 
 from .. import matcher
 from . import samples
@@ -27,7 +27,7 @@
     plan = compile_file(samples.short_routes_file(size), samples.settings())
     asks = matcher.targets(size)[:LOOKUPS]
     gc.collect()
-    apply = plan.apply
+    apply = plan.resolve
     best = float("inf")
     with metered() as spent:
         for _ in range(ROUNDS):
--- a/benchmarks/capacity/resource_states.py
+++ b/benchmarks/capacity/resource_states.py
@@ -9,9 +9,9 @@
 from collections.abc import Iterator
 
 from hollybay.hollow.meter import metered
-from hollybay.resources.batch import assemble, follow
+from hollybay.resources.batch import apply_batch, assemble
 from hollybay.resources.model import Change, Kind, Resource, Upsert
-from hollybay.resources.state import ResourceState, restored
+from hollybay.resources.state import ResourceState, restore_state
 from hollybay.resources.wire import WireError, decode_snapshot, encode_batch, encode_snapshot
 from hollybay.routing.resource_tables import encode_table
 
@@ -37,7 +37,7 @@
 
 def changed(size: int) -> Figures:
     """One route changed beside so many: a batch of one change assembled, sent, and followed by a node."""
-    state = restored(1, samples.route_resources(size), ())
+    state = restore_state(1, samples.route_resources(size), ())
     gc.collect()
     sent = 0
     with metered() as spent:
@@ -47,13 +47,13 @@
             change = Change(number.to_bytes(16, "big"), state.revision, "capacity", "rig", (operation,))
             batch = assemble(state, (change,)).batch
             sent += len(encode_batch(batch))
-            state = follow(state, batch)
+            state = apply_batch(state, batch)
     return Figures({"cpu_us": 1e6 * spent.cpu_s / CHANGES, "batch_bytes": sent / CHANGES}, spent)
 
 
 def snapshot_read(size: int) -> Figures:
     """A snapshot of so many routes, read and checked against its digest."""
-    state = restored(1, samples.route_resources(size), ())
+    state = restore_state(1, samples.route_resources(size), ())
     data = encode_snapshot(state)
     gc.collect()
     try:
@@ -67,7 +67,7 @@
 
 def _in_memory(resources: Iterator[Resource]) -> Figures:
     with metered(memory=True) as spent:
-        state = restored(1, resources, ())
+        state = restore_state(1, resources, ())
     assert state.revision == 1
     return Figures({"cpu_s": spent.cpu_s, "memory_kb": spent.memory / KIB}, spent)
 
--- a/benchmarks/capacity/routes.py
+++ b/benchmarks/capacity/routes.py
@@ -6,9 +6,10 @@
 
 from hollybay.balancing.interface import Settings
 from hollybay.hollow.meter import metered
-from hollybay.routing.admission_control import Gate
+from hollybay.routing.admission_control import AdmissionControl
+from hollybay.routing.compiled_policy import CompiledPolicy
+from hollybay.routing.policy_compiler import compile_file
 from hollybay.routing.problems import OperatorError
-from hollybay.routing.route_table import Plan, compile_file
 
 from . import samples
 from .measurement import Figures, RefusedSize
@@ -31,10 +32,10 @@
 def changed_route(size: int) -> Figures:
     """One route more or less, as it works with a file: all of it is read and compiled anew."""
     settings = samples.settings()
-    gate = Gate(_plan(samples.routes_file(size), settings), 1, 0)
+    gate = AdmissionControl(_plan(samples.routes_file(size), settings), 1, 0)
     text = samples.routes_file(size).replace("/halls/h0'", "/halls/other'", 1)
     with metered() as spent:
-        gate.take_over(_plan(text, settings))
+        gate.replace_policy(_plan(text, settings))
     return Figures({"cpu_s": spent.cpu_s}, spent)
 
 
@@ -48,7 +49,7 @@
     return Figures(values, spent, {"file_mib": len(text) / MIB, "peak_mb": spent.peak / MIB})
 
 
-def _plan(text: str, settings: Settings) -> Plan:
+def _plan(text: str, settings: Settings) -> CompiledPolicy:
     try:
         return compile_file(text, settings)
     except OperatorError as error:
--- a/benchmarks/capacity/starts.py
+++ b/benchmarks/capacity/starts.py
@@ -9,9 +9,10 @@
 
 import msgspec
 
-from hollybay.consensus.change_builder import founding_change
-from hollybay.consensus.log import PolicyLog, Snapshot
-from hollybay.consensus.policy import RejectedError, first
+from hollybay.consensus.change_builder import bootstrap_change
+from hollybay.consensus.log import PolicyLog
+from hollybay.consensus.log_entry import Snapshot
+from hollybay.consensus.policy import RejectedError, first_policy
 from hollybay.hollow.meter import Spent, metered
 from hollybay.resources.state import EMPTY
 from hollybay.resources.wire import encode_snapshot
@@ -32,15 +33,15 @@
 import hollybay.proxy.admin_service, hollybay.proxy.operator_file
 from hollybay.consensus.log import PolicyLog
 from benchmarks.capacity import samples
-from hollybay.routing.route_table import compile_file
-from hollybay.routing.resource_route_table import plan_of_state
+from hollybay.routing.policy_compiler import compile_file
+from hollybay.routing.policy_update import compile_state
 kind, folder, name = sys.argv[1:]
 if kind == "file":
     plan = compile_file((Path(folder) / name).read_bytes(), samples.settings())
 else:
     log = PolicyLog(Path(folder))
     log.open()
-    plan = plan_of_state(log.state(name), samples.settings())
+    plan = compile_state(log.state(name), samples.settings())
 print(time.process_time())
 """
 
@@ -56,13 +57,13 @@
     """A process that starts from the snapshot that its accord left on disk."""
     tables = read(samples.short_routes_file(size))
     try:
-        policy = first([founding_change(operations_between(EMPTY, resources_of(tables)))], KEEPERS)
+        policy = first_policy([bootstrap_change(operations_between(EMPTY, resources_of(tables)))], KEEPERS)
     except RejectedError as error:
         raise RefusedSize(str(error)) from None
-    state = EMPTY.applied(policy.changes or (), policy.version)
+    state = EMPTY.with_batch(policy.changes or (), policy.version)
     data = msgspec.msgpack.encode(Snapshot(policy.without_changes(), encode_snapshot(state)))
     with tempfile.TemporaryDirectory() as folder:
-        PolicyLog(Path(folder)).install(data)
+        PolicyLog(Path(folder)).install_snapshot(data)
         figures = _started("accord", folder, policy.name)
     return Figures(figures.values, figures.spent, {"snapshot_kib": len(data) / 1024})
 
--- a/benchmarks/capacity/streams.py
+++ b/benchmarks/capacity/streams.py
@@ -132,7 +132,7 @@
 async def _decided(running: Fleet, number: int, at: float, began: int, end: int) -> int | None:
     """Propose a change when it is due; the version that it is decided with. None: not in time."""
     await asyncio.sleep(max(0.0, at - (clock() - began) / SECOND))
-    operation = Upsert(Kind.SERVER_OUT, f"s-{number:06d}", 0, b"")
+    operation = Upsert(Kind.DRAINED_SERVER, f"s-{number:06d}", 0, b"")
     change = Change((number + 1).to_bytes(CHANGE_ID_BYTES, "big"), 0, "capacity", "rig", (operation,))
     while not await running.offer(change):
         if clock() > end:
--- a/benchmarks/matcher.py
+++ b/benchmarks/matcher.py
@@ -7,7 +7,8 @@
 import time
 
 from hollybay.balancing import interface as api
-from hollybay.routing.route_table import Plan, compile_file
+from hollybay.routing.compiled_policy import CompiledPolicy
+from hollybay.routing.policy_compiler import compile_file
 
 from .files import many_routes
 
@@ -41,9 +42,9 @@
     return found
 
 
-def measure(plan: Plan, asks: list[tuple[bytes, dict[bytes, bytes]]]) -> float:
+def measure(plan: CompiledPolicy, asks: list[tuple[bytes, dict[bytes, bytes]]]) -> float:
     """Nanoseconds a look-up: the median of rounds."""
-    apply = plan.apply
+    apply = plan.resolve
     rounds = []
     for _ in range(ROUNDS):
         begun = time.perf_counter_ns()
--- a/benchmarks/route_changes.py
+++ b/benchmarks/route_changes.py
@@ -17,7 +17,7 @@
 from hollybay.hollow.meter import memory_bytes
 from hollybay.resources.model import Change, Key, Kind, Upsert
 from hollybay.resources.state import EMPTY, ResourceState
-from hollybay.routing.resource_route_table import plan_after, plan_of_state
+from hollybay.routing.policy_update import compile_state, update_policy
 from hollybay.routing.resource_tables import decode_table, encode_table
 from hollybay.routing.schema import (
     LimitsTable,
@@ -74,11 +74,11 @@
     before = pss()
     wanted = routes(route_count) + tenants(tenant_count)
     operations = tuple(Upsert(key.kind, key.name, 0, body) for key, body in wanted)
-    state = EMPTY.applied([Change(b"%016d" % 0, 0, "all", "benchmark", operations)], 1)
+    state = EMPTY.with_batch([Change(b"%016d" % 0, 0, "all", "benchmark", operations)], 1)
     del wanted, operations
     in_state = pss() - before
     begun = time.process_time()
-    plan = plan_of_state(state, SETTINGS)
+    plan = compile_state(state, SETTINGS)
     compiled = time.process_time() - begun
     in_both = pss() - before
     chance = random.Random(1)
@@ -86,8 +86,8 @@
     for number in range(CHANGES if route_count else 0):
         change = changed(state, number, f"r{chance.randrange(route_count)}")
         begun_ns = time.process_time_ns()
-        after = state.applied([change], state.revision + 1)
-        plan = plan_after(plan, after, [change.operations[0].key], SETTINGS)
+        after = state.with_batch([change], state.revision + 1)
+        plan = update_policy(plan, after, [change.operations[0].key], SETTINGS)
         took.append((time.process_time_ns() - begun_ns) / MS)
         state = after
     return {
--- a/hollybay/admin/__init__.py
+++ b/hollybay/admin/__init__.py
@@ -1,4 +1,13 @@
-"""What operators ask of a running node, pure: calls, servers out by hand, figures, who shares its address.
+"""Administration of a running node, free of I/O: admin requests, administrative drains, metrics.
 
-Imported only where a node is given an address for operators (`admin` in its configuration).
+Imported only by a node whose configuration has an admin address (`admin`).
+
+Modules
+-------
+requests
+    Parsing of admin requests.
+administrative_drains
+    Servers that operators have drained, as an overlay over the server list of discovery.
+metrics
+    Metrics of the node in the Prometheus text format.
 """
--- a/hollybay/admin/administrative_drains.py
+++ b/hollybay/admin/administrative_drains.py
@@ -1,7 +1,7 @@
-"""Servers that operators have taken out by hand: an overlay over what discovery tells.
+"""Servers that operators have drained: an overlay over the server list that discovery reports.
 
-Pure. While a server is out, whoever asks is told that it drains, whatever discovery says; once it is back
-they are told what discovery said last. Times are ns on the node's monotonic clock.
+A drained server is reported as DRAINING whatever discovery says; once the drain ends, the state that
+discovery reported last applies again. Free of I/O; times are nanoseconds on the node's monotonic clock.
 """
 
 from __future__ import annotations
@@ -10,104 +10,142 @@
 from collections.abc import Callable, Iterable
 from dataclasses import replace
 from hashlib import blake2b
+from typing import TypeGuard
 
 from hollybay.balancing.interface import ListKind, Server, ServerId, ServerList, ServerState
 
-__all__ = ["Bans", "BansError", "pack", "unpack"]
+__all__ = ["AdministrativeDrains", "DrainFileError", "decode_drains", "encode_drains"]
 
-VERSION = 1
-# More than this many ids in a file is no list of servers that somebody took out by hand.
-MOST = 10_000
+FILE_VERSION = 1
+MAX_DRAINED_SERVERS = 10_000  # in a file; a longer list is taken for damage
+CHECKSUM_BYTES = 8
 
 
-class BansError(ValueError):
-    """A file of bans that does not hold; the text says why."""
+class DrainFileError(ValueError):
+    """The content of a drain file is invalid; the message gives the reason."""
 
 
-class Bans:
-    """The servers of the list, as discovery told them last, and those that are out."""
+class AdministrativeDrains:
+    """The discovered servers and the subset that operators have drained.
+
+    Attributes
+    ----------
+    discovered
+        Servers by id as discovery last reported them; servers reported as gone are not included.
+    drained
+        Ids of the drained servers, which need not be on the list of discovery any more.
+    """
 
     def __init__(self) -> None:
-        self.out: set[ServerId] = set()
-        self.lines: dict[
-            ServerId, Server
-        ] = {}  # as discovery told them last; DELETED ones are not among them
+        self.discovered: dict[ServerId, Server] = {}
+        self.drained: set[ServerId] = set()
 
-    def told(self, servers: ServerList) -> ServerList:
-        """Note a list of discovery; the list as it is in force."""
+    def update(self, servers: ServerList) -> ServerList:
+        """Record an update of discovery and return it with the drains applied."""
         if servers.kind == ListKind.FAILED:
             return servers
         if servers.kind != ListKind.CHANGES:
-            self.lines.clear()
-        for line in servers.servers:
-            if line.state == ServerState.GONE:
-                self.lines.pop(line.id, None)
+            self.discovered.clear()
+        for server in servers.servers:
+            if server.state == ServerState.GONE:
+                self.discovered.pop(server.id, None)
             else:
-                self.lines[line.id] = line
-        if not self.out:
+                self.discovered[server.id] = server
+        if not self.drained:
             return servers
-        return replace(servers, servers=tuple(self._overlaid(line) for line in servers.servers))
-
-    def _overlaid(self, line: Server) -> Server:
-        if line.id in self.out and line.state == ServerState.READY:
-            return replace(line, state=ServerState.DRAINING)
-        return line
-
-    def known(self, server: ServerId) -> bool:
-        """Whether anybody has this id: it is on the list, or out."""
-        return server in self.lines or server in self.out
-
-    def set(self, out: Iterable[ServerId], now: int) -> tuple[Server, ...]:
-        """Let exactly these be out; the lines that change by it, as they are in force from now on.
-
-        What is back counts as started now, unless discovery says later: operators take servers out to restart
-        them, and the list tells of that seconds late. A server that was not restarted is then spared for as
-        long as a warm-up takes, which costs less than pushing a cold one over.
+        return replace(servers, servers=tuple(self._with_drain(server) for server in servers.servers))
+
+    def _with_drain(self, server: Server) -> Server:
+        if server.id in self.drained and server.state == ServerState.READY:
+            return replace(server, state=ServerState.DRAINING)
+        return server
+
+    def is_known(self, server_id: ServerId) -> bool:
+        """Whether the id belongs to a discovered or a drained server."""
+        return server_id in self.discovered or server_id in self.drained
+
+    def set_drained(self, drained: Iterable[ServerId], now_ns: int) -> tuple[Server, ...]:
+        """Drain exactly the given servers.
+
+        A server whose drain ends counts as started now unless discovery reports a later start: operators
+        drain servers to restart them, and discovery reports the restart seconds later. A server that was not
+        restarted merely passes through slow start again.
+
+        Parameters
+        ----------
+        drained
+            Ids of all servers to be drained from now on.
+        now_ns
+            Time of the change.
+
+        Returns
+        -------
+        tuple of Server
+            The discovered servers whose drain began or ended, with their effective state.
         """
-        wanted = set(out)
-        changed = wanted ^ self.out
-        back = self.out - wanted
-        self.out = wanted
-        lines = []
-        for server in sorted(changed, key=repr):
-            line = self.lines.get(server)
-            if line is None:
+        wanted = set(drained)
+        changed = wanted ^ self.drained
+        resumed = self.drained - wanted
+        self.drained = wanted
+        effective = []
+        for server_id in sorted(changed, key=repr):
+            server = self.discovered.get(server_id)
+            if server is None:
                 continue
-            if server in back and line.state == ServerState.READY:
-                line = replace(line, up_since=max(line.up_since, now))
-            lines.append(self._overlaid(line))
-        return tuple(lines)
-
-    def avoided(self, avoids: Callable[[ServerId], bool]) -> int:
-        """How many servers of the list are not used, by hand or by the node's choice (avoids)."""
+            if server_id in resumed and server.state == ServerState.READY:
+                server = replace(server, up_since=max(server.up_since, now_ns))
+            effective.append(self._with_drain(server))
+        return tuple(effective)
+
+    def count_excluded(self, is_avoided: Callable[[ServerId], bool]) -> int:
+        """Count the discovered servers that get no requests.
+
+        Parameters
+        ----------
+        is_avoided
+            Whether the balancer avoids a server, for example as an outlier.
+        """
         return sum(
             1
-            for line in self.lines.values()
-            if line.id in self.out or (line.state == ServerState.READY and avoids(line.id))
+            for server in self.discovered.values()
+            if server.id in self.drained or (server.state == ServerState.READY and is_avoided(server.id))
         )
 
 
-def pack(out: Iterable[ServerId]) -> bytes:
-    """The ids as a file: JSON with a version and a checksum over the ids."""
-    ids = sorted(str(server) for server in out)
-    return json.dumps({"version": VERSION, "out": ids, "sum": _sum(ids)}).encode()
+def encode_drains(drained: Iterable[ServerId]) -> bytes:
+    """Encode the ids of drained servers as a file: JSON with a version and a checksum of the ids."""
+    ids = sorted(str(server_id) for server_id in drained)
+    return json.dumps({"version": FILE_VERSION, "out": ids, "sum": _checksum(ids)}).encode()
+
 
+def decode_drains(data: bytes) -> frozenset[str]:
+    """Decode the content of a drain file.
 
-def unpack(data: bytes) -> frozenset[str]:
-    """The ids that a file holds; BansError where it is of another version, damaged or senseless."""
+    Raises
+    ------
+    DrainFileError
+        The content is damaged or has another version.
+    """
     try:
-        held = json.loads(data.decode("utf-8"))
+        content = json.loads(data.decode("utf-8"))
     except ValueError as error:
-        raise BansError(f"no JSON: {error}") from None
-    if not isinstance(held, dict) or held.get("version") != VERSION:
-        raise BansError("not of this version")
-    ids = held.get("out")
-    if not isinstance(ids, list) or len(ids) > MOST or not all(isinstance(one, str) for one in ids):
-        raise BansError("out: no list of ids")
-    if held.get("sum") != _sum(ids):
-        raise BansError("the checksum does not fit")
+        raise DrainFileError(f"no JSON: {error}") from None
+    if not isinstance(content, dict) or content.get("version") != FILE_VERSION:
+        raise DrainFileError("not of this version")
+    ids = content.get("out")
+    if not _is_id_list(ids):
+        raise DrainFileError("out: no list of ids")
+    if content.get("sum") != _checksum(ids):
+        raise DrainFileError("the checksum does not fit")
     return frozenset(ids)
 
 
-def _sum(ids: list[str]) -> str:
-    return blake2b("\0".join(ids).encode("utf-8", "surrogatepass"), digest_size=8).hexdigest()
+def _is_id_list(ids: object) -> TypeGuard[list[str]]:
+    if not isinstance(ids, list) or len(ids) > MAX_DRAINED_SERVERS:
+        return False
+    return all(isinstance(server_id, str) for server_id in ids)
+
+
+def _checksum(ids: list[str]) -> str:
+    joined = "\0".join(ids).encode("utf-8", "surrogatepass")
+    return blake2b(joined, digest_size=CHECKSUM_BYTES).hexdigest()
--- a/hollybay/admin/metrics.py
+++ b/hollybay/admin/metrics.py
@@ -1,4 +1,4 @@
-"""The node's figures in the text form of Prometheus, from a snapshot; worded by prometheus_client."""
+"""Metrics of a node in the Prometheus text format, rendered by prometheus_client from a snapshot."""
 
 from __future__ import annotations
 
@@ -9,20 +9,38 @@
 from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily, Metric
 from prometheus_client.registry import Collector
 
-__all__ = ["CONTENT_TYPE", "PREFIX", "Exposition", "Figures"]
+__all__ = ["CONTENT_TYPE", "PREFIX", "MetricsCollector", "NodeMetrics"]
 
 PREFIX = "edge_balancer_"
-# The plain form: every reader of figures knows it.
+# The classic text format, which every scraper accepts.
 CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8"
 
 
 @dataclass(frozen=True, slots=True)
-class Figures:
-    """What a node counts, since its start; served, refused and failed by class, in the order of classes."""
+class NodeMetrics:
+    """Snapshot of a node's metrics; counters run from the start of the process.
+
+    Attributes
+    ----------
+    classes
+        Names of the request classes; `served`, `rejected` and `failed` are in their order.
+    served, rejected, failed
+        Requests by their final answer.
+    attempts
+        Attempts that were written completely to a server.
+    in_flight
+        Accepted requests without a final answer.
+    servers_known
+        Servers on the list of discovery.
+    servers_excluded
+        Listed servers that get no requests, drained by operators or avoided by the balancer.
+    reloads_ok, reloads_failed
+        Configuration reloads by their result.
+    """
 
     classes: Sequence[str]
     served: Sequence[int]
-    refused: Sequence[int]
+    rejected: Sequence[int]
     failed: Sequence[int]
     attempts: int
     in_flight: int
@@ -32,46 +50,61 @@
     reloads_failed: int
 
 
-class Exposition(Collector):
-    """Words the figures that `read` gives, each time anew: nothing is counted twice, nothing kept."""
+class MetricsCollector(Collector):
+    """Prometheus collector that takes a new snapshot for each scrape and keeps no state of its own.
+
+    Parameters
+    ----------
+    take_snapshot
+        Returns the current metrics of the node.
+    """
 
-    def __init__(self, read: Callable[[], Figures]) -> None:
-        self.read = read
+    def __init__(self, take_snapshot: Callable[[], NodeMetrics]) -> None:
+        self.take_snapshot = take_snapshot
         self.registry = CollectorRegistry(auto_describe=False)
         self.registry.register(self)
 
-    def text(self) -> bytes:
-        """All figures as of now."""
+    def render(self) -> bytes:
+        """Return the current metrics in the text format."""
         return generate_latest(self.registry)
 
     def describe(self) -> list[Metric]:
-        """Nothing beforehand: registering must not read the node, which may not have started."""
+        """Describe nothing: registration must not read a node that may not have started."""
         return []
 
     def collect(self) -> Iterator[Metric]:
-        figures = self.read()
-        for name, words, counts in (
-            ("served", "Requests served", figures.served),
-            ("refused", "Requests refused, which a client may try again", figures.refused),
-            ("failed", "Requests failed", figures.failed),
-        ):
-            counter = CounterMetricFamily(PREFIX + name, f"{words}.", labels=("class",))
-            for cls, count in zip(figures.classes, counts, strict=True):
-                counter.add_metric((cls,), count)
-            yield counter
-        for name, words, value in (
-            ("attempts", "Attempts written whole to servers", figures.attempts),
-            ("reloads_ok", "Configurations taken over while running", figures.reloads_ok),
-            ("reloads_failed", "Configurations that did not hold", figures.reloads_failed),
-        ):
-            yield CounterMetricFamily(PREFIX + name, f"{words}.", value=value)
-        for name, words, value in (
-            ("in_flight", "Requests taken and not yet ended", figures.in_flight),
-            ("servers_known", "Servers on the list", figures.servers_known),
-            (
-                "servers_excluded",
-                "Servers on the list that are not used, by hand or by choice",
-                figures.servers_excluded,
-            ),
-        ):
-            yield GaugeMetricFamily(PREFIX + name, f"{words}.", value=value)
+        """Yield the metric families of a new snapshot."""
+        metrics = self.take_snapshot()
+        classes = metrics.classes
+        yield _class_counter("served", "Requests served.", classes, metrics.served)
+        yield _class_counter(
+            "refused", "Requests refused, which a client may try again.", classes, metrics.rejected
+        )
+        yield _class_counter("failed", "Requests failed.", classes, metrics.failed)
+        yield _counter("attempts", "Attempts written whole to servers.", metrics.attempts)
+        yield _counter("reloads_ok", "Configurations taken over while running.", metrics.reloads_ok)
+        yield _counter("reloads_failed", "Configurations that did not hold.", metrics.reloads_failed)
+        yield _gauge("in_flight", "Requests taken and not yet ended.", metrics.in_flight)
+        yield _gauge("servers_known", "Servers on the list.", metrics.servers_known)
+        yield _gauge(
+            "servers_excluded",
+            "Servers on the list that are not used, by hand or by choice.",
+            metrics.servers_excluded,
+        )
+
+
+def _class_counter(
+    name: str, documentation: str, classes: Sequence[str], counts: Sequence[int]
+) -> CounterMetricFamily:
+    family = CounterMetricFamily(PREFIX + name, documentation, labels=("class",))
+    for class_name, count in zip(classes, counts, strict=True):
+        family.add_metric((class_name,), count)
+    return family
+
+
+def _counter(name: str, documentation: str, value: int) -> CounterMetricFamily:
+    return CounterMetricFamily(PREFIX + name, documentation, value=value)
+
+
+def _gauge(name: str, documentation: str, value: int) -> GaugeMetricFamily:
+    return GaugeMetricFamily(PREFIX + name, documentation, value=value)
--- a/hollybay/admin/requests.py
+++ b/hollybay/admin/requests.py
@@ -1,16 +1,17 @@
-"""Operators' calls, as method and target name them. Pure."""
+"""Parsing of admin requests from their method and target, free of I/O."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 from enum import Enum
+from typing import NamedTuple
 from urllib.parse import unquote
 
-__all__ = ["Call", "Denied", "Kind", "is_policy", "parse"]
+__all__ = ["AdminOperation", "AdminRequest", "RejectedRequest", "is_policy_target", "parse_request"]
 
 
-class Kind(Enum):
-    """What a call asks for."""
+class AdminOperation(Enum):
+    """What an admin request asks for."""
 
     READY = "ready"
     METRICS = "metrics"
@@ -23,63 +24,100 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Call:
-    """A call; server: the id that it names, decoded, "" where it names none.
-
-    rest: of a policy call, what follows its name; body: what came with it, None for one that has none.
+class AdminRequest:
+    """A valid admin request.
+
+    Attributes
+    ----------
+    operation
+        What is asked for.
+    server
+        Percent-decoded id of the server that the target names; empty if it names none.
+    policy_path
+        Rest of the target after `/-/policy/`, for policy requests only.
+    body
+        Request body of a policy request by POST; None for every other request.
     """
 
-    kind: Kind
+    operation: AdminOperation
     server: str = ""
-    rest: str = ""
+    policy_path: str = ""
     body: bytes | None = None
 
 
 @dataclass(frozen=True, slots=True)
-class Denied:
-    """No call: the status, its reason in words, and the method that the path has, where it has one."""
+class RejectedRequest:
+    """An invalid admin request.
+
+    Attributes
+    ----------
+    status
+        HTTP status of the answer.
+    reason
+        Text for the body of the answer.
+    allowed_methods
+        Value of the `Allow` header; empty if there is none.
+    """
 
     status: int
     reason: str
-    allow: str = ""
+    allowed_methods: str = ""
+
 
+class _Endpoint(NamedTuple):
+    """The method and operation of a path."""
 
-_PLAIN = {
-    "/-/ready": ("GET", Kind.READY),
-    "/-/metrics": ("GET", Kind.METRICS),
-    "/-/servers": ("GET", Kind.SERVERS),
-    "/-/drain": ("POST", Kind.DRAIN),
-    "/-/resume": ("POST", Kind.RESUME),
+    method: str
+    operation: AdminOperation
+
+
+_ENDPOINTS = {
+    "/-/ready": _Endpoint("GET", AdminOperation.READY),
+    "/-/metrics": _Endpoint("GET", AdminOperation.METRICS),
+    "/-/servers": _Endpoint("GET", AdminOperation.SERVERS),
+    "/-/drain": _Endpoint("POST", AdminOperation.DRAIN),
+    "/-/resume": _Endpoint("POST", AdminOperation.RESUME),
+}
+_SERVER_ENDPOINTS = {
+    "disable": _Endpoint("POST", AdminOperation.DISABLE),
+    "enable": _Endpoint("POST", AdminOperation.ENABLE),
 }
-_OF_SERVER = {"disable": Kind.DISABLE, "enable": Kind.ENABLE}
-_SERVERS = "/-/servers/"
-_POLICY = "/-/policy"
+_SERVERS_PREFIX = "/-/servers/"
+_POLICY_PATH = "/-/policy"
 
 
-def is_policy(target: str) -> bool:
-    """Whether a call is one of those by which a policy is agreed on."""
-    path = target.split("?", 1)[0]
-    return path == _POLICY or path.startswith(_POLICY + "/")
+def is_policy_target(target: str) -> bool:
+    """Whether a request target is one of the replicated policy (`/-/policy`)."""
+    path = _path_of(target)
+    return path == _POLICY_PATH or path.startswith(_POLICY_PATH + "/")
 
 
-def parse(method: str, target: str) -> Call | Denied:
-    """The call that a request line asks for. A query is ignored; an id is percent-decoded."""
-    path = target.split("?", 1)[0]
-    if is_policy(path):
-        if method not in ("GET", "POST"):
-            return Denied(405, f"{path} takes GET and POST", "GET, POST")
-        return Call(Kind.POLICY, rest=path[len(_POLICY) + 1 :], body=b"" if method == "POST" else None)
-    plain = _PLAIN.get(path)
+def parse_request(method: str, target: str) -> AdminRequest | RejectedRequest:
+    """Parse an admin request; the query of the target is ignored."""
+    path = _path_of(target)
+    if is_policy_target(path):
+        return _parse_policy_request(method, path)
+    endpoint = _ENDPOINTS.get(path)
     server = ""
-    if plain is None and path.startswith(_SERVERS):
-        name, _, what = path[len(_SERVERS) :].rpartition("/")
-        kind = _OF_SERVER.get(what)
-        server = unquote(name, errors="replace")
-        if kind is not None and server:
-            plain = ("POST", kind)
-    if plain is None:
-        return Denied(404, "no such call")
-    allowed, kind = plain
-    if method != allowed:
-        return Denied(405, f"{path} takes {allowed}", allowed)
-    return Call(kind, server)
+    if endpoint is None and path.startswith(_SERVERS_PREFIX):
+        encoded_server, _, action = path[len(_SERVERS_PREFIX) :].rpartition("/")
+        server = unquote(encoded_server, errors="replace")
+        if server:
+            endpoint = _SERVER_ENDPOINTS.get(action)
+    if endpoint is None:
+        return RejectedRequest(404, "no such call")
+    if method != endpoint.method:
+        return RejectedRequest(405, f"{path} takes {endpoint.method}", endpoint.method)
+    return AdminRequest(endpoint.operation, server)
+
+
+def _parse_policy_request(method: str, path: str) -> AdminRequest | RejectedRequest:
+    if method not in ("GET", "POST"):
+        return RejectedRequest(405, f"{path} takes GET and POST", "GET, POST")
+    policy_path = path[len(_POLICY_PATH) + 1 :]
+    body = b"" if method == "POST" else None
+    return AdminRequest(AdminOperation.POLICY, policy_path=policy_path, body=body)
+
+
+def _path_of(target: str) -> str:
+    return target.split("?", 1)[0]
--- a/hollybay/balancing/__init__.py
+++ b/hollybay/balancing/__init__.py
@@ -1,7 +1,7 @@
 """Decisions of a reverse proxy that spreads requests over HTTP servers of several speeds."""
 
 from .balancer import Balancer
-from .interface import *  # noqa: F403
+from .interface import *
 
 __version__ = "0.1.0"
 __all__ = ["Balancer"]
--- a/hollybay/balancing/balancer.py
+++ b/hollybay/balancing/balancer.py
@@ -1,358 +1,373 @@
-"""The decisions of one node, joined: each event to the parts that it concerns. The interface is interface.py.
+"""The decisions of one node: events in, actions out, no I/O. Both are defined in `interface`.
 
-choice: which server. crossing: to which zone. learning: from what answers tell. admission: what is turned
-away. repeats: the guard over further attempts. roster: the list. Here: each request's way through them.
+This module leads each request and attempt through its life. What is decided on the way has modules of its
+own: `server_selection` (which server), `cross_zone` (which zone), `load_shedding` (what is rejected),
+`retries` and `hedging` (further attempts), `estimates` (what answers tell), `endpoints` (the server list),
+`discovery_polling` (when it is asked for).
 """
 
 from __future__ import annotations
 
 import random
-from heapq import heappop, heappush
-
-from .discovery_polling import Calls
-from .fair_shares import place
-
-from .load_shedding import SHED_FROM, Admission
-from .server_selection import Choice
-from .cross_zone import Crossing
+from collections.abc import Callable
+from typing import Any, ClassVar
+
+from .cross_zone import CrossZoneRouter
+from .discovery_polling import PollSchedule
+from .endpoints import Endpoints
+from .estimates import REVIEW_INTERVAL_NS, Estimates
+from .hedging import Hedging
 from .interface import (
     Action,
+    AttemptFinished,
     Cancel,
-    Effect,
-    PeerLoad,
+    ClientDisconnected,
     Event,
     Fail,
-    ClientDisconnected,
     ListKind,
-    AttemptFinished,
+    PeerLoad,
     Reject,
     Request,
+    RequestCompleted,
+    ResponseStarted,
     Send,
     ServerId,
     ServerList,
+    ServerState,
     SetTimer,
     Settings,
-    ResponseStarted,
-    ServerState,
     TimerFired,
     WatchServers,
-    RequestCompleted,
 )
-from .estimates import REVIEW, Learning
-from .state import MS, Owed, Server, Try
-from .retries import ANYWHERE, Repeats, may_refuse
-from .endpoints import Roster
+from .load_shedding import SHEDDING_LOSS_SHARE, LoadShedder
+from .rendezvous import rendezvous_rank
+from .retries import ANYWHERE, RetryPolicy, RetryScope, may_reject
+from .server_pool import remove_from_idle
+from .server_selection import ServerSelector
+from .slow_start import SlowStart
+from .state import MILLISECOND_NS, Attempt, PendingRequest, RequestPhase, Server
+from .wakeups import WakeupKind, WakeupQueue
 
 __all__ = ["Balancer"]
 
-# No copies while more than this share of attempts miss their aim.
-COPY_MISSING = 0.1
-
-TOKEN_WAKE = 1
-# What the module wakes for.
-WAKE_REVIEW, WAKE_COPY, WAKE_WAITING, WAKE_CALL = range(4)
+# The token of the one timer that a balancer sets.
+TIMER_TOKEN = 1
+# A request without a server is tried again after this many ticks of the clock, and at least this time (ns).
+SERVER_WAIT_TICKS = 4
+MIN_SERVER_WAIT_NS = 20 * MILLISECOND_NS
+# It is given up where less than this many such waits are left.
+MIN_WAITS_LEFT = 2
+# A retry needs more than this many ticks before the deadline.
+MIN_RETRY_TICKS = 2
 
 
 class Balancer:
-    """Decides for one node. handle() takes one event and returns what to do, in order."""
+    """Decides for one node.
+
+    Parameters
+    ----------
+    settings
+        The node's settings.
+    seed
+        Seed of its random numbers.
+    now
+        The time (ns) of the caller's clock.
+
+    Attributes
+    ----------
+    requests
+        Requests by id that have no final answer, or have attempts in flight.
+    """
 
     def __init__(self, settings: Settings, seed: int, now: int) -> None:
         self.settings = settings
         self.random = random.Random(seed)
         self.now = now
         self.actions: list[Action] = []
-        self.requests: dict[int, Owed] = {}
-        self.started = False
-        turn = place("calls", settings.node, settings.nodes)
-        self.calls = Calls(turn, settings.nodes, settings.poll_within)
-        self.wakes: list[tuple[int, int, int, int]] = []  # (due, tie-break, what, request id)
-        self.ties = 0
-        self.armed = 0  # the earliest time a timer is set for, 0: none
-        self.roster = Roster(settings, now)
-        self.learned = Learning(settings, now)
-        self.repeats = Repeats(settings)
-        self.crossing = Crossing(settings, self.learned, now)
-        self.admission = Admission(settings, self.learned, self.random, now)
-        self.choice = Choice(settings, self.roster, self.crossing, self.admission, self.random)
+        self.requests: dict[int, PendingRequest] = {}
+        self.list_received = False
+        self.wakeups = WakeupQueue()
+        rank = rendezvous_rank("calls", settings.node, settings.nodes)
+        self.poll_schedule = PollSchedule(rank, settings.nodes, settings.poll_within)
+        self.endpoints = Endpoints(settings, now)
+        self.estimates = Estimates(settings, now)
+        self.retry_policy = RetryPolicy(settings)
+        self.cross_zone = CrossZoneRouter(settings, self.estimates, now)
+        self.load_shedder = LoadShedder(settings, self.estimates, self.random, now)
+        self.selector = ServerSelector(
+            settings, self.endpoints, self.cross_zone, self.load_shedder, self.random
+        )
+        self.hedging = Hedging(settings, self.estimates, self.retry_policy, self.selector)
 
     @property
     def servers(self) -> dict[ServerId, Server]:
         """All servers that a list has named and that are not gone."""
-        return self.roster.servers
-
-    # Events
+        return self.endpoints.servers
 
     def handle(self, now: int, event: Event) -> list[Action]:
-        """Take one event; the actions that answer it."""
+        """Take one event at a time (ns), and return the actions that answer it, in order."""
         self.now = now
         self.actions = []
-        if type(event) is AttemptFinished:
-            self._outcome(event)
-        elif type(event) is Request:
-            self._request(event)
-        elif type(event) is TimerFired:
-            self._timer()
-        elif type(event) is ServerList:
-            self._server_list(event)
-        elif type(event) is ClientDisconnected:
-            self._gone(event)
-        elif type(event) is ResponseStarted:
-            self._started(event)
-        elif type(event) is RequestCompleted:
-            self._whole(event)
-        elif type(event) is PeerLoad:
-            self.choice.hear(event)
-        if self.wakes and (not self.armed or self.wakes[0][0] < self.armed):
-            self.armed = max(self.wakes[0][0], now + 1)
-            self.actions.append(SetTimer(self.armed - now, TOKEN_WAKE))
+        handler = self._handlers.get(type(event))
+        if handler is not None:
+            handler(self, event)
+        delay = self.wakeups.arm(now)
+        if delay:
+            self.actions.append(SetTimer(delay, TIMER_TOKEN))
         return self.actions
 
-    def avoids(self, server: ServerId) -> bool:
-        """Whether nothing new goes to a server that the list offers."""
-        s = self.servers.get(server)
-        return s is not None and s.group is None
-
-    def _wake(self, due: int, what: int, rid: int) -> None:
-        self.ties += 1
-        heappush(self.wakes, (due, self.ties, what, rid))
-
-    def _timer(self) -> None:
-        if self.armed and self.armed <= self.now:
-            self.armed = 0
-        while self.wakes and self.wakes[0][0] <= self.now:
-            _, _, what, rid = heappop(self.wakes)
-            request = self.requests.get(rid)
-            if what == WAKE_REVIEW:
+    def avoids(self, server_id: ServerId) -> bool:
+        """Whether nothing new goes to a server that lists offer."""
+        server = self.servers.get(server_id)
+        return server is not None and server.speed_class is None
+
+    # Timers and lists
+
+    def _on_timer_fired(self, _: TimerFired) -> None:
+        self.wakeups.timer_fired(self.now)
+        while (wakeup := self.wakeups.pop_due(self.now)) is not None:
+            if wakeup.kind == WakeupKind.REVIEW:
                 self._review()
-                self._wake(self.now + REVIEW, WAKE_REVIEW, 0)
-            elif what == WAKE_CALL:
-                self.calls.began(self.now)
+            elif wakeup.kind == WakeupKind.POLL:
+                self.poll_schedule.poll_started(self.now)
                 self.actions.append(WatchServers(True))
-            elif request is None or request.done:
-                continue
-            elif what == WAKE_COPY:
-                self._copy(request)
-            elif request.waiting:
-                request.waiting = False
-                self._again(request)
-
-    def _server_list(self, event: ServerList) -> None:
+            else:
+                self._wake_request(wakeup.kind, wakeup.request_id)
+
+    def _review(self) -> None:
+        if self.estimates.review(self.now):
+            self._update_cross_zone()
+            self.load_shedder.update(self.now)
+        self.selector.rebuild(self.now)
+        self.wakeups.schedule(self.now + REVIEW_INTERVAL_NS, WakeupKind.REVIEW)
+
+    def _wake_request(self, kind: WakeupKind, request_id: int) -> None:
+        request = self.requests.get(request_id)
+        if request is None or request.phase is RequestPhase.FINISHED:
+            return
+        if kind == WakeupKind.HEDGE:
+            server = self.hedging.pick(request, self.now)
+            if server is not None:
+                self._send(request, server)
+        elif request.phase is RequestPhase.WAITING:
+            request.phase = RequestPhase.ACTIVE
+            self._retry(request)
+
+    def _on_server_list(self, event: ServerList) -> None:
         now = self.now
-        if not self.started:
-            self.started = True
-            self._wake(now + REVIEW, WAKE_REVIEW, 0)
+        if not self.list_received:
+            self.list_received = True
+            self.wakeups.schedule(now + REVIEW_INTERVAL_NS, WakeupKind.REVIEW)
             if self.settings.must_poll and event.kind == ListKind.CACHED:
-                self._wake(now + self.calls.first(), WAKE_CALL, 0)
+                self.wakeups.schedule(now + self.poll_schedule.first_delay(), WakeupKind.POLL)
         if event.kind == ListKind.FAILED:
-            self._wake(now + self.calls.failed(now, self.random.random()), WAKE_CALL, 0)
+            delay = self.poll_schedule.poll_failed(now, self.random.random())
+            self.wakeups.schedule(now + delay, WakeupKind.POLL)
             return
         if event.kind != ListKind.CACHED:
-            self.calls.answered()
-        self.roster.take(event, now)
-        self.choice.rebuild(now)
-        self._cross()
+            self.poll_schedule.list_received()
+        self.endpoints.apply(event, now)
+        self.selector.rebuild(now)
+        self._update_cross_zone()
 
-    def _cross(self) -> None:
-        self.crossing.renew(self.now, self.roster.stale, bool(self.choice.far))
+    def _update_cross_zone(self) -> None:
+        self.cross_zone.update(self.now, self.endpoints.stale, self.selector.has_remote)
 
-    def _review(self) -> None:
-        if self.learned.review(self.now):
-            self._cross()
-            self.admission.steer(self.now)
-        self.choice.rebuild(self.now)
+    def _on_peer_load(self, event: PeerLoad) -> None:
+        self.selector.apply_peer_load(event)
 
     # Requests
 
-    def _request(self, event: Request) -> None:
-        self.learned.arrived += 1
-        self.repeats.arrived()
-        request = self.requests[event.id] = Owed(event, self.now)
+    def _on_request(self, event: Request) -> None:
+        self.estimates.arrivals += 1
+        self.retry_policy.record_request()
+        request = self.requests[event.id] = PendingRequest(event, self.now)
         if event.class_index >= len(self.settings.classes):
-            self._end(request, Fail(event.id))
+            self._finish(request, Fail(event.id))
             return
-        self.learned.count[event.class_index] += 1.0
-        if self.admission.turns_away(event, self.choice.fastest, self.now):
-            self._refuse(request)
+        self.estimates.offered[event.class_index] += 1.0
+        if self.load_shedder.rejects_for_node(event, self.selector.largest_size, self.now):
+            self._reject(request)
             return
-        limits = event.limits
-        self.repeats.save(limits)
-        s = self.choice.pick(request, self.now)
-        # What a cold server is to be given at its age was set apart for it, and keeps nobody waiting.
-        if (s is None or s.warmth >= 1.0) and self.admission.sheds(event.class_index, s, self.now):
-            self._refuse(request)
+        self.retry_policy.deposit(event.limits)
+        server = self.selector.pick(request, self.now)
+        # A starting server's budget was set apart for it, and keeps nobody waiting.
+        starting = server is not None and server.slow_start_factor < 1.0
+        if not starting and self.load_shedder.rejects_for_load(event.class_index, server, self.now):
+            self._reject(request)
             return
-        if s is None:
+        if server is None:
             self._wait(request)
             return
-        self._send(request, s)
-        # A delay alone asks for a copy, too.
-        if limits is not None and (limits.hedges if limits.hedges >= 0 else limits.hedge_delay):
-            cls = self.settings.classes[event.class_index]
-            if self.settings.hedging_allowed and cls.effect != Effect.UNSAFE:
-                self._wake(self.now + (limits.hedge_delay or cls.latency_objective // 2), WAKE_COPY, event.id)
-
-    def _send(self, request: Owed, s: Server) -> None:
-        tried, until = Try(s, self.now), self.repeats.until(request)
-        request.tries.append(tried)
-        request.out += 1
-        self.learned.census.sent()
-        if not request.sending:
-            self._count(tried)
-        if s.warmth < 1.0:
-            s.cold_at = max(s.cold_at, self.now) + s.cold_gap
-            s.free_at = max(s.free_at, s.cold_at)
+        self._send(request, server)
+        if event.limits is not None:
+            delay = self.hedging.delay(event.limits, self.settings.classes[event.class_index])
+            if delay is not None:
+                self.wakeups.schedule(self.now + delay, WakeupKind.HEDGE, event.id)
+
+    def _send(self, request: PendingRequest, server: Server) -> None:
+        send_deadline = self.retry_policy.send_deadline(request)
+        attempt = Attempt(server, self.now)
+        request.attempts.append(attempt)
+        request.in_flight_attempts += 1
+        self.estimates.traffic_share.record_attempt()
+        if not request.body_pending:
+            self._attempt_started(attempt)
+        if server.slow_start_factor < 1.0:
+            SlowStart.record_send(server, self.now)
         limits = request.limits
         timeout = limits.attempt_timeout if limits is not None else 0
-        self.actions.append(Send(request.id, s.id, timeout, until))
-
-    def _wait(self, request: Owed) -> None:
-        """No server may be used now: hold the request while there is time, then refuse it."""
-        request.waiting = True
-        left = request.deadline - self.now
-        step = max(4 * self.settings.tick, 20 * MS)
-        if left <= 2 * step:
-            self._give_up(request)
-            return
-        self._wake(self.now + step, WAKE_WAITING, request.id)
+        self.actions.append(Send(request.id, server.id, timeout, send_deadline))
 
-    def _again(self, request: Owed) -> None:
-        """A request with nothing out: another attempt where the guard allows it, else the final answer."""
-        scope = self.repeats.scope(request, self.now, self.settings.hedging_allowed)
-        if scope is None or request.deadline - self.now <= 2 * self.settings.tick:
+    def _wait(self, request: PendingRequest) -> None:
+        """Hold a request for which no server may be used, while there is time, or give it up."""
+        request.phase = RequestPhase.WAITING
+        wait = max(SERVER_WAIT_TICKS * self.settings.tick, MIN_SERVER_WAIT_NS)
+        if request.deadline - self.now <= MIN_WAITS_LEFT * wait:
             self._give_up(request)
             return
-        # While shedding, a full server is no reason to try the next: all are, and it would feed the jam.
-        cls = self.settings.classes[request.cls]
-        shedding = self.admission.shed > SHED_FROM and may_refuse(cls, request.tries)
-        if request.tries and (self.repeats.resends < 1.0 or shedding):
+        self.wakeups.schedule(self.now + wait, WakeupKind.SERVER_WAIT, request.id)
+
+    def _retry(self, request: PendingRequest) -> None:
+        """Send a request with no attempt in flight again where that is safe and allowed, or give it up."""
+        scope = self.retry_policy.scope_of(request, self.now, self.settings.hedging_allowed)
+        if scope is None or not self._may_retry(request):
             self._give_up(request)
             return
-        if scope is ANYWHERE:
-            s = self.choice.pick(request, self.now)
-        else:
-            s = self.choice.pick_within(request, scope, self.now)
-        if s is None:
-            if request.tries and scope is not ANYWHERE:
+        server = self._pick_retry(request, scope)
+        if server is None:
+            if request.attempts and scope is not ANYWHERE:
                 self._give_up(request)
             else:
                 self._wait(request)
             return
-        if request.tries:
-            if not self.repeats.spend(request.limits):
+        if request.attempts:
+            if not self.retry_policy.withdraw(request.limits):
                 self._give_up(request)
                 return
-            self.repeats.resends -= 1.0
-        self._send(request, s)
-
-    def _copy(self, request: Owed) -> None:
-        """A second copy of a request that takes long, where its route asks for one, the guard and the budget
-        allow it. Unasked it cost more than it saved on every day (docs/DESIGN-decisions.md).
-        """
-        if request.out != 1 or request.streaming or self.repeats.copies < 1.0:
-            return
-        # Slow answers everywhere mean overload, and copies would feed it; a server that answers others is
-        # not silent.
-        last = request.tries[-1]
-        if self.learned.missing > COPY_MISSING or last.server.answered > last.sent:
-            return
-        scope = self.repeats.scope(request, self.now, True)
-        if scope is None:
-            return
+            self.retry_policy.retry_tokens -= 1.0
+        self._send(request, server)
+
+    def _may_retry(self, request: PendingRequest) -> bool:
+        """Whether there is time for a further attempt, and a retry left where it is one."""
+        if request.deadline - self.now <= MIN_RETRY_TICKS * self.settings.tick:
+            return False
+        if not request.attempts:
+            return True
+        if self.retry_policy.retry_tokens < 1.0:
+            return False
+        # While load is shed all servers are full: retries would only feed the congestion.
+        if self.load_shedder.shed_share <= SHEDDING_LOSS_SHARE:
+            return True
+        return not may_reject(self.settings.classes[request.class_index], request.attempts)
+
+    def _pick_retry(self, request: PendingRequest, scope: RetryScope) -> Server | None:
         if scope is ANYWHERE:
-            s = self.choice.idle_near(self.now)
+            return self.selector.pick(request, self.now)
+        return self.selector.pick_within(request, scope, self.now)
+
+    def _reject(self, request: PendingRequest) -> None:
+        self._finish(request, Reject(request.id, self.load_shedder.retry_after(request)))
+
+    def _give_up(self, request: PendingRequest) -> None:
+        """Give the final answer of a request that gets no further attempt."""
+        if not may_reject(self.settings.classes[request.class_index], request.attempts):
+            self._finish(request, Fail(request.id))
+        elif self.load_shedder.is_overloaded:
+            self._reject(request)
         else:
-            s = self.choice.pick_within(request, scope, self.now)
-        if s is None or s.held or any(t.server is s for t in request.tries):
-            return
-        if not self.repeats.spend(request.limits):
-            return
-        self.repeats.copies -= 1.0
-        self._send(request, s)
+            self._finish(request, Reject(request.id, 0))
 
-    def _refuse(self, request: Owed) -> None:
-        self._end(request, Reject(request.id, self.admission.retry_after(request)))
-
-    def _give_up(self, request: Owed) -> None:
-        if not may_refuse(self.settings.classes[request.cls], request.tries):
-            self._end(request, Fail(request.id))
-        elif self.admission.short:
-            self._refuse(request)
-        else:
-            self._end(request, Reject(request.id, 0))
-
-    def _end(self, request: Owed, action: Action | None) -> None:
-        request.done = True
+    def _finish(self, request: PendingRequest, action: Action | None) -> None:
+        """End a request with an action, or with None where the client has its answer or has left."""
+        request.phase = RequestPhase.FINISHED
         if action is not None:
             self.actions.append(action)
-        if request.out and self.settings.cancel_allowed:
-            for n, t in enumerate(request.tries):
-                if t.result is None:
-                    self.actions.append(Cancel(request.id, n))
-        if not request.out:
+        if not request.in_flight_attempts:
             self.requests.pop(request.id, None)
+        elif self.settings.cancel_allowed:
+            for number, attempt in enumerate(request.attempts):
+                if attempt.result is None:
+                    self.actions.append(Cancel(request.id, number))
 
-    def _gone(self, event: ClientDisconnected) -> None:
+    def _on_client_disconnected(self, event: ClientDisconnected) -> None:
         request = self.requests.get(event.id)
-        if request is not None and not request.done:
-            self._end(request, None)
+        if request is not None and request.phase is not RequestPhase.FINISHED:
+            self._finish(request, None)
 
     # Attempts
 
-    def _started(self, event: ResponseStarted) -> None:
-        """A long answer has begun: its server has done the work, the rest comes at its client's pace."""
+    def _on_response_started(self, event: ResponseStarted) -> None:
+        """The server of a streamed response has done its work; the rest comes at the client's pace."""
         request = self.requests.get(event.id)
-        if request is None or event.attempt >= len(request.tries):
+        if request is None or event.attempt >= len(request.attempts):
             return
         request.streaming = True
-        tried = request.tries[event.attempt]
-        self._uncount(tried)
-        self.choice.rest(tried.server)
+        attempt = request.attempts[event.attempt]
+        self._attempt_ended(attempt)
+        self.selector.schedule_idle(attempt.server)
 
-    def _whole(self, event: RequestCompleted) -> None:
-        """A long body has come to its end, and its server begins."""
+    def _on_request_completed(self, event: RequestCompleted) -> None:
+        """A server begins its work with the last byte of a request's body."""
         request = self.requests.get(event.id)
-        if request is None or not request.sending:
+        if request is None or not request.body_pending:
             return
-        request.sending = False
-        for tried in request.tries:
-            if tried.result is None:
-                self._count(tried)
-
-    def _count(self, tried: Try) -> None:
-        tried.counted = True
-        self.admission.pressure.begin(self.now)
-        tried.server.held += 1
-        self.choice.unidle(tried.server)
-
-    def _uncount(self, tried: Try) -> None:
-        if tried.counted:
-            tried.counted = False
-            self.admission.pressure.end(self.now)
-            tried.server.held = max(0, tried.server.held - 1)
-
-    def _outcome(self, event: AttemptFinished) -> None:
+        request.body_pending = False
+        for attempt in request.attempts:
+            if attempt.result is None:
+                self._attempt_started(attempt)
+
+    def _attempt_started(self, attempt: Attempt) -> None:
+        """Count an attempt among those in flight at its server."""
+        attempt.is_counted = True
+        self.load_shedder.queueing_delay.attempt_started(self.now)
+        attempt.server.in_flight += 1
+        remove_from_idle(attempt.server)
+
+    def _attempt_ended(self, attempt: Attempt) -> None:
+        if attempt.is_counted:
+            attempt.is_counted = False
+            self.load_shedder.queueing_delay.attempt_ended(self.now)
+            attempt.server.in_flight = max(0, attempt.server.in_flight - 1)
+
+    def _on_attempt_finished(self, event: AttemptFinished) -> None:
         request = self.requests.get(event.id)
-        if request is None or event.attempt >= len(request.tries):
+        if request is None or event.attempt >= len(request.attempts):
             return
-        tried = request.tries[event.attempt]
-        if tried.result is not None:
+        attempt = request.attempts[event.attempt]
+        if attempt.result is not None:
             return
-        tried.result = event.result
-        request.out -= 1
-        s = self.servers.get(event.server)
-        if s is not None:
-            self._uncount(tried)
-            if self.learned.learn(s, request, event, self.now, self.roster.stale):
-                self.choice.leave_out(s)
-            if s.state == ServerState.GONE and not s.held:
-                del self.servers[s.id]
-            else:
-                self.choice.rest(s)
-        if request.done:
-            if not request.out:
+        attempt.result = event.result
+        request.in_flight_attempts -= 1
+        server = self.servers.get(event.server)
+        if server is not None:
+            self._attempt_ended(attempt)
+            self._observe_result(server, request, event)
+        if request.phase is RequestPhase.FINISHED:
+            if not request.in_flight_attempts:
                 self.requests.pop(request.id, None)
-            return
-        if event.final:
-            self._end(request, None)
-        elif not request.out:
-            self._again(request)
+        elif event.final:
+            self._finish(request, None)
+        elif not request.in_flight_attempts:
+            self._retry(request)
+
+    def _observe_result(self, server: Server, request: PendingRequest, event: AttemptFinished) -> None:
+        """Learn from an attempt's result, and take its server for idle again, eject it or forget it."""
+        if self.estimates.observe(server, request, event, self.now, self.endpoints.stale):
+            self.selector.eject(server)
+        if server.state == ServerState.GONE and not server.in_flight:
+            del self.servers[server.id]
+        else:
+            self.selector.schedule_idle(server)
+
+    # Plain functions, not bound methods: a balancer that is dropped leaves no reference cycle behind.
+    _handlers: ClassVar[dict[type, Callable[[Balancer, Any], None]]] = {
+        AttemptFinished: _on_attempt_finished,
+        Request: _on_request,
+        TimerFired: _on_timer_fired,
+        ServerList: _on_server_list,
+        ClientDisconnected: _on_client_disconnected,
+        ResponseStarted: _on_response_started,
+        RequestCompleted: _on_request_completed,
+        PeerLoad: _on_peer_load,
+    }
--- a/hollybay/balancing/connection_capacity.py
+++ b/hollybay/balancing/connection_capacity.py
@@ -1,50 +1,69 @@
-"""How many nodes may keep to one server, where servers hold fewer connections than there are nodes."""
+"""How many nodes may keep connections to one server, where a server accepts fewer than there are nodes."""
 
 from __future__ import annotations
 
-__all__ = ["Room"]
+__all__ = ["DOUBLING_TIME_NS", "REFUSAL_FACTOR", "ConnectionCapacity"]
 
-# What a refused connect leaves of the part of all nodes that may keep to a server, and the time (ns) in which
-# that part doubles again: long against the seconds for which connections are kept.
-LEAVES, DOUBLES = 0.8, 30_000_000_000
-# Word counts for nothing where there are so many times the nodes that have an address.
-STRANGERS = 1.5
+# What one refused connect leaves of the share of nodes that may list a server as idle.
+REFUSAL_FACTOR = 0.8
+# The time (ns) in which that share doubles again: long against the seconds for which connections are kept.
+DOUBLING_TIME_NS = 30_000_000_000
+# The share never falls below this, so that it can recover.
+MIN_SHARE = 1e-4
+# Load reports of peers are ignored where there are this many times as many nodes as configured.
+MAX_UNCONFIGURED_RATIO = 1.5
 
 
-class Room:
-    """The part of all nodes that may have a server on their idle lists, as this node takes it.
+class ConnectionCapacity:
+    """The share of all nodes that may have a server in their idle index, as estimated by this node.
 
-    Where nodes tell one another what they have at servers, an idle one is on everybody's list, and soon
-    everybody has a connection to the fastest: more than it holds, and whoever comes is refused while it has
-    time. Each refusal that this node meets lessens the part, wherever it was: a node of one request a second
-    would need minutes to learn it of each server. Who belongs to the part is drawn by lot, the same at all
-    nodes, so those that stay are those that have their connections. A server that is down refuses, too; the
-    part is less for a while then, which does no harm where it is still many nodes. Not thread-safe.
+    Where nodes tell each other their load, an idle server is in the index of all of them, and soon all of
+    them hold a connection to the fastest: more than it accepts, and a newcomer is refused while the server
+    has time. Each refusal that this node meets reduces the share for all servers, as a node with one request
+    a second would need minutes to learn it for each. Which nodes belong to the share follows from a hash that
+    all nodes compute alike, so those that stay are those that hold connections. A server that is down also
+    refuses; the share is lower for a while then, which is harmless while it still covers many nodes.
+
+    Parameters
+    ----------
+    configured_nodes
+        The number of nodes in the settings: so many have a known address.
     """
 
-    __slots__ = ("at", "part", "told")
+    __slots__ = ("configured_nodes", "share", "updated_at")
 
-    def __init__(self, told: int) -> None:
-        self.told = told  # the number of nodes in the settings: so many have an address
-        self.part = 1.0
-        self.at = 0
+    def __init__(self, configured_nodes: int) -> None:
+        self.configured_nodes = configured_nodes
+        self.share = 1.0
+        self.updated_at = 0
 
-    def listed(self, now: int, owners: float, nodes: float, heard: int) -> float:
-        """The part at this time (ns).
+    def idle_index_share(self, now: int, owners: float, nodes: float, reporting_peers: int) -> float:
+        """Return the share (0 to 1) of nodes that may list a server as idle.
 
-        owners: how many keep to a server where nodes do not talk, at the least; nodes: how many there are, as
-        far as this one knows; heard: how many have told what they have at servers. Where there are many more
-        nodes than the settings tell, most have no address and are heard by nobody: what seems idle is not.
+        Parameters
+        ----------
+        now
+            The time (ns).
+        owners
+            The least number of nodes that list a server, used where nodes do not report to each other.
+        nodes
+            The estimated number of nodes.
+        reporting_peers
+            The number of peers whose load is known. Where there are far more nodes than configured, most have
+            no known address and report to nobody: a server that looks idle may not be.
         """
         least = owners / nodes
-        return max(self._grown(now), least) if heard and nodes < STRANGERS * self.told else least
+        if reporting_peers and nodes < MAX_UNCONFIGURED_RATIO * self.configured_nodes:
+            return max(self._recovered_share(now), least)
+        return least
 
-    def refused(self, now: int) -> None:
-        """A connect was refused."""
-        self.part = max(1e-4, self._grown(now) * LEAVES)
+    def connect_refused(self, now: int) -> None:
+        """Record a refused connect at a time (ns)."""
+        self.share = max(MIN_SHARE, self._recovered_share(now) * REFUSAL_FACTOR)
 
-    def _grown(self, now: int) -> float:
-        if self.part < 1.0:
-            self.part = min(1.0, self.part * 2.0 ** (max(0, now - self.at) / DOUBLES))
-        self.at = now
-        return self.part
+    def _recovered_share(self, now: int) -> float:
+        if self.share < 1.0:
+            elapsed = max(0, now - self.updated_at)
+            self.share = min(1.0, self.share * 2.0 ** (elapsed / DOUBLING_TIME_NS))
+        self.updated_at = now
+        return self.share
--- a/hollybay/balancing/cross_zone.py
+++ b/hollybay/balancing/cross_zone.py
@@ -1,87 +1,156 @@
-"""Which requests cross to another zone: a share that follows loads and answers, and single ones at once."""
+"""Which requests go to another zone: a share that follows loads and answers, and single requests at once."""
 
 from __future__ import annotations
 
 from math import exp, log
 
-from .estimates import REVIEW, Learning
+from .estimates import REVIEW_INTERVAL_NS, Estimates
 from .interface import Result, Settings, WeightMode
-from .state import Server, Try
-
-__all__ = ["CLASS_RATIO", "Crossing", "ahead"]
-
-# Speeds within this ratio make one class, and loads within it are the same: less is noise of the estimates.
-CLASS_RATIO = 1.25
-# Crossing zones starts when near answers take this share of their aim, and this much more than far ones.
-SPILL_FROM, SPILL_MARGIN = 0.35, 0.1
-SPILL_SLOW, SPILL_FAST = 0.1, 0.7  # gains of that: per review, and at once
-# A request crosses zones at once where that saves this part of the price in worth that would come late; under
-# one, as a request that stays delays the others there, too.
-CROSS_PART = 0.5
-# Part of the load that a list told which is likely still there: it is old, and queues are worked off.
-TOLD_PART = 0.25
-
-
-def ahead(s: Server) -> float:
-    """Requests likely at a server now: this node's own, or what is left of those that a list told."""
-    return max(float(s.held), TOLD_PART * s.load)
-
-
-class Crossing:
-    """How much of a node's traffic goes to the other zones first."""
-
-    def __init__(self, settings: Settings, learned: Learning, now: int) -> None:
+from .state import Attempt, Server
+
+__all__ = ["SPEED_CLASS_RATIO", "CrossZoneRouter", "expected_queue"]
+
+# Speeds within this ratio form one class, and loads within it are equal: less is noise of the estimates.
+SPEED_CLASS_RATIO = 1.25
+# Traffic crosses zones where local lateness (response time / latency objective) exceeds both the least value
+# and the remote lateness by a margin.
+MIN_LATENESS = 0.35
+LATENESS_MARGIN = 0.1
+# Gains of the controller of the share: integral (per review) and proportional.
+INTEGRAL_GAIN = 0.1
+PROPORTIONAL_GAIN = 0.7
+# The least share of requests that stay local by the integral part alone.
+MIN_LOCAL_SHARE = 0.1
+# Lateness below this counts as this.
+MIN_MEASURED_LATENESS = 0.01
+# Remote lateness that is not observed approaches this share of the local one, by this weight per review.
+REMOTE_LATENESS_PRIOR = 0.5
+REMOTE_LATENESS_WEIGHT = 0.1
+# A load (requests per core) of remote zones beyond which the price of crossing does not matter.
+BASE_LOAD = 2.0
+LOAD_PER_PRICE = 10.0
+# A single request crosses where that saves this part of the price in priority weight that would be late.
+# Below one, as a request that stays also delays those behind it.
+MIN_SAVING_PER_PRICE = 0.5
+# The part of a load that a list reported which is likely still there: it is old, and queues are worked off.
+REPORTED_LOAD_REMAINING = 0.25
+
+
+def expected_queue(server: Server) -> float:
+    """Return the requests likely at a server: those known in flight, or what is left of the reported load."""
+    return max(float(server.in_flight), REPORTED_LOAD_REMAINING * server.reported_load)
+
+
+class CrossZoneRouter:
+    """Decides how much of a node's traffic goes to remote zones, and which busy local servers to bypass.
+
+    Parameters
+    ----------
+    settings
+        The node's settings; prices.crossing is the cost of a crossing in priority weight.
+    estimates
+        What the node has learned from answers.
+    now
+        The time (ns).
+
+    Attributes
+    ----------
+    local_share
+        The share (0 to 1) of requests that need not cross, negative: not known yet.
+    remote_share
+        The share (0 to 1) of requests that try remote zones first.
+    local_load, remote_load
+        Mean reported load (requests per core) of the servers.
+    """
+
+    def __init__(self, settings: Settings, estimates: Estimates, now: int) -> None:
         self.settings = settings
-        self.learned = learned
-        self.crossed = now
-        self.near_part = -1.0  # share of requests that need not cross, negative: not known yet
-        self.spill = 0.0  # share of requests sent to far zones
-        self.near_load = self.far_load = 0.0
-
-    def begin(self, here: float, total: float) -> None:
-        """Until loads are seen: as if every zone had the same traffic. here: of the total size, near."""
-        self.near_part = min(1.0, self.settings.zones * here / total)
-        self.spill = 1.0 - self.near_part
-
-    def renew(self, now: int, stale: bool, any_far: bool) -> None:
-        """Renew the share that crosses zones: when loads are told and at every review."""
-        if self.near_part < 0.0:
+        self.estimates = estimates
+        self.updated_at = now
+        self.local_share = -1.0
+        self.remote_share = 0.0
+        self.local_load = 0.0
+        self.remote_load = 0.0
+
+    def initialize(self, local_size: float, total_size: float) -> None:
+        """Set the shares as if each zone had the same traffic, until loads are known.
+
+        Parameters
+        ----------
+        local_size, total_size
+            The size of the servers in this node's zone, and of all.
+        """
+        self.local_share = min(1.0, self.settings.zones * local_size / total_size)
+        self.remote_share = 1.0 - self.local_share
+
+    def update(self, now: int, stale: bool, any_remote: bool) -> None:
+        """Renew the share that crosses: at each review and each list.
+
+        Parameters
+        ----------
+        now
+            The time (ns).
+        stale
+            Whether reported loads are outdated.
+        any_remote
+            Whether there are servers in remote zones.
+        """
+        if self.local_share < 0.0:
             return
-        learned = self.learned
+        estimates = self.estimates
+        error = self._error(stale)
+        span = min(REVIEW_INTERVAL_NS, now - self.updated_at) / REVIEW_INTERVAL_NS
+        self.updated_at = now
+        # Proportional and integral: the first responds to a queue that grows, the second holds what has to
+        # cross for long.
+        integral = self.local_share * exp(-INTEGRAL_GAIN * span * error)
+        self.local_share = min(1.0, max(MIN_LOCAL_SHARE, integral))
+        prior = REMOTE_LATENESS_PRIOR * estimates.local_lateness
+        estimates.remote_lateness += REMOTE_LATENESS_WEIGHT * span * (prior - estimates.remote_lateness)
+        if any_remote:
+            self.remote_share = max(0.0, 1.0 - self.local_share * min(1.0, exp(-PROPORTIONAL_GAIN * error)))
+        else:
+            self.remote_share = 0.0
+
+    def _error(self, stale: bool) -> float:
+        """Return the control error, -1 to 1: above 0 where more should cross."""
+        estimates = self.estimates
         price = self.settings.prices.crossing
-        error = 0.0
+        threshold = max(estimates.remote_lateness + LATENESS_MARGIN + price, MIN_LATENESS)
+        error = log(max(estimates.local_lateness, MIN_MEASURED_LATENESS) / threshold)
         if self.settings.weight_mode == WeightMode.LIVE and not stale:
-            error = log((1.0 + self.near_load) / max((1.0 + self.far_load) * CLASS_RATIO, 2.0 + 10.0 * price))
-        late = log(max(learned.near_late, 0.01) / max(learned.far_late + SPILL_MARGIN + price, SPILL_FROM))
-        # Proportional and integral: the first answers a queue that grows, the second holds what has to
-        # cross for long.
-        error = max(-1.0, min(1.0, late if error == 0.0 else 0.5 * (error + late)))
-        span = min(REVIEW, now - self.crossed) / REVIEW
-        self.crossed = now
-        self.near_part = min(1.0, max(0.1, self.near_part * exp(-SPILL_SLOW * span * error)))
-        learned.far_late += 0.1 * span * (0.5 * learned.near_late - learned.far_late)
-        self.spill = max(0.0, 1.0 - self.near_part * min(1.0, exp(-SPILL_FAST * error))) if any_far else 0.0
-
-    def away(self, tried: list[Try]) -> float:
-        """The share of requests that go far first: more than the load asks where the near zone is lost."""
-        if tried and tried[-1].result == Result.CONNECT_FAILED and tried[-1].zone == self.settings.zone:
-            return 1.0
-        return self.learned.reach.away(self.spill)
-
-    def across(self, cls: int, near: Server, far: Server | None) -> Server:
-        """A far server in place of a busy near one, where that is worth its price.
-
-        The share that crosses follows answers, and so lags by seconds behind a queue of this node's own. What
-        it holds itself it knows at once: how likely an answer is late follows from that.
+            remote = max((1.0 + self.remote_load) * SPEED_CLASS_RATIO, BASE_LOAD + LOAD_PER_PRICE * price)
+            load_error = log((1.0 + self.local_load) / remote)
+            if load_error != 0.0:
+                error = 0.5 * (load_error + error)
+        return max(-1.0, min(1.0, error))
+
+    def remote_first_share(self, attempts: list[Attempt]) -> float:
+        """Return the share (0 to 1) of requests that go remote first, by a request's attempts so far."""
+        if attempts:
+            last = attempts[-1]
+            if last.result == Result.CONNECT_FAILED and last.zone == self.settings.zone:
+                return 1.0
+        return self.estimates.zone_reachability.remote_first_share(self.remote_share)
+
+    def prefer(self, class_index: int, local: Server, remote: Server | None) -> Server:
+        """Return a remote server in place of a busy local one where that is worth the price of crossing.
+
+        The share that crosses follows answers, and lags seconds behind a queue of this node's own. What the
+        node itself has in flight it knows at once, and with it the probability of a late answer.
         """
-        if far is None:
-            return near
-        c = self.settings.classes[cls]
-        saved = c.priority_weight * (1.0 - c.late_weight) * (self._late(cls, near) - self._late(cls, far))
-        return far if saved > CROSS_PART * self.settings.prices.crossing * self.learned.worth_asked else near
-
-    def _late(self, cls: int, s: Server) -> float:
-        """How likely one more request there is late, were response times exponential."""
-        work = self.learned.work[cls]
-        mean = work * (1.0 + ahead(s)) / (s.size * s.warmth)
-        return exp(-self.settings.classes[cls].latency_objective / mean) if mean > 0.0 else 0.0
+        if remote is None:
+            return local
+        cls = self.settings.classes[class_index]
+        lost_if_late = cls.priority_weight * (1.0 - cls.late_weight)
+        saved = lost_if_late * (
+            self._late_probability(class_index, local) - self._late_probability(class_index, remote)
+        )
+        price = MIN_SAVING_PER_PRICE * self.settings.prices.crossing * self.estimates.offered_weight
+        return remote if saved > price else local
+
+    def _late_probability(self, class_index: int, server: Server) -> float:
+        """Return how likely one more request there is late, were response times exponential."""
+        service_time = self.estimates.service_times[class_index]
+        mean = service_time * (1.0 + expected_queue(server)) / (server.size * server.slow_start_factor)
+        return exp(-self.settings.classes[class_index].latency_objective / mean) if mean > 0.0 else 0.0
--- a/hollybay/balancing/endpoints.py
+++ b/hollybay/balancing/endpoints.py
@@ -1,83 +1,129 @@
-"""The servers as lists tell of them, and how old the news is."""
+"""The servers as discovery lists them, and how old that news is."""
 
 from __future__ import annotations
 
 from math import isfinite
 
-from .estimates import PAUSE_FIRST
-from .fair_shares import place
 from .interface import ListKind, ServerId, ServerList, ServerState, Settings, WeightMode
-from .state import SECOND, Server
+from .interface import Server as ServerEntry
+from .outlier_ejection import FIRST_EJECTION_NS
+from .rendezvous import rendezvous_rank
+from .state import SECOND_NS, Server
 
-__all__ = ["Roster"]
+__all__ = ["Endpoints"]
 
+# The weight of one gap between two lists in the usual one, and the longest gap (ns) that is counted.
+INTERVAL_WEIGHT = 0.2
+MAX_INTERVAL_NS = 2 * SECOND_NS
+# A list is overdue after this many usual intervals; each further one leaves this share of reported loads.
+OVERDUE_INTERVALS = 2.0
+OVERDUE_DECAY = 0.5
 
-class Roster:
-    """All servers that a list has named and that are not gone."""
+
+class Endpoints:
+    """All servers that a list has named and that are not gone.
+
+    Parameters
+    ----------
+    settings
+        The node's settings.
+    now
+        The time (ns).
+
+    Attributes
+    ----------
+    servers
+        The servers by id. One that is gone stays until no attempt is in flight there.
+    returned
+        Ids of servers that have come back from draining and have not been used since.
+    list_interval
+        The usual time (ns) between two lists.
+    stale
+        Whether the list is overdue by more than one usual interval.
+    size_of_kind
+        The largest weight seen, by kind of machine, where weights follow load (WeightMode.LIVE).
+    """
 
     def __init__(self, settings: Settings, now: int) -> None:
         self.settings = settings
         self.servers: dict[ServerId, Server] = {}
-        self.back: list[ServerId] = []  # those that came back from a drain and were not used since
-        self.listed = now  # the last list, and the usual time between two
-        self.list_every = float(SECOND)
+        self.returned: list[ServerId] = []
+        self.listed_at = now
+        self.list_interval = float(SECOND_NS)
         self.stale = False
         self.size_of_kind = [0.0] * settings.kinds
 
-    def take(self, event: ServerList, now: int) -> None:
-        """Take in a list."""
-        settings = self.settings
+    def apply(self, event: ServerList, now: int) -> None:
+        """Take in a list that came at a time (ns)."""
+        gap = min(now - self.listed_at, MAX_INTERVAL_NS)
+        self.list_interval += INTERVAL_WEIGHT * (gap - self.list_interval)
+        self.listed_at = now
         seen = set()
-        self.list_every += 0.2 * (min(now - self.listed, 2 * SECOND) - self.list_every)
-        self.listed = now
-        live = settings.weight_mode == WeightMode.LIVE
-        for line in event.servers:
-            s = self.servers.get(line.id)
-            if s is None:
-                if line.state == ServerState.GONE:
+        for entry in event.servers:
+            server = self.servers.get(entry.id)
+            if server is None:
+                if entry.state == ServerState.GONE:
                     continue
-                s = self.servers[line.id] = Server(line.id, PAUSE_FIRST)
-                s.lot = place(line.id, settings.node, settings.nodes)
-            seen.add(line.id)
-            if line.up_since and line.up_since > s.since:
-                # A new process: what was known of the old one no longer holds.
-                s.slow, s.fails, s.paused_until, s.pause, s.trial = 1.0, 0.0, 0, PAUSE_FIRST, False
-                s.denied = {}
-                s.since = line.up_since
-                if line.up_since + settings.warm_up > now:
-                    s.cold_at = -1
-            s.zone = line.zone
-            s.cell = line.cell
-            if s.state == ServerState.DRAINING and line.state == ServerState.READY:
-                self.back.append(s.id)
-            s.kind = line.kind if line.kind < settings.kinds else 0
-            s.state = line.state
-            if line.weight > 0.0 and isfinite(line.weight) and settings.weight_mode != WeightMode.NONE:
-                s.weight = line.weight
-                if live:
-                    self.size_of_kind[s.kind] = max(self.size_of_kind[s.kind], line.weight)
-                else:
-                    s.nominal = line.weight
+                server = self._add(entry.id)
+            seen.add(entry.id)
+            self._update(server, entry, now)
         if event.kind in (ListKind.FULL, ListKind.CACHED):
-            for s in self.servers.values():
-                if s.id not in seen:
-                    s.state = ServerState.GONE
-        gone = [s.id for s in self.servers.values() if s.state == ServerState.GONE and not s.held]
-        for sid in gone:
-            del self.servers[sid]
-
-    def freshness(self, now: int) -> float:
-        """What remains of the loads that lists told: they fade once a list is overdue, as while it is out of
-        reach they would steer for long."""
-        overdue = max(0.0, now - self.listed - 2.0 * self.list_every) / self.list_every
+            for server in self.servers.values():
+                if server.id not in seen:
+                    server.state = ServerState.GONE
+        self._remove_gone()
+
+    def _add(self, server_id: ServerId) -> Server:
+        server = self.servers[server_id] = Server(server_id, FIRST_EJECTION_NS)
+        server.ownership_rank = rendezvous_rank(server_id, self.settings.node, self.settings.nodes)
+        return server
+
+    def _update(self, server: Server, entry: ServerEntry, now: int) -> None:
+        """Take over what a list says of a server."""
+        if entry.up_since and entry.up_since > server.up_since:
+            self._restarted(server, entry.up_since, now)
+        server.zone = entry.zone
+        server.cell = entry.cell
+        if server.state == ServerState.DRAINING and entry.state == ServerState.READY:
+            self.returned.append(server.id)
+        server.kind = entry.kind if entry.kind < self.settings.kinds else 0
+        server.state = entry.state
+        if self.settings.weight_mode == WeightMode.NONE or not (
+            entry.weight > 0.0 and isfinite(entry.weight)
+        ):
+            return
+        server.weight = entry.weight
+        if self.settings.weight_mode == WeightMode.LIVE:
+            self.size_of_kind[server.kind] = max(self.size_of_kind[server.kind], entry.weight)
+        else:
+            server.nominal_size = entry.weight
+
+    def _restarted(self, server: Server, up_since: int, now: int) -> None:
+        """Forget what was known of a server's old process."""
+        server.slowdown = 1.0
+        server.failure_rate = 0.0
+        server.ejected_until = 0
+        server.next_ejection = FIRST_EJECTION_NS
+        server.on_probation = False
+        server.rejected_tenants = {}
+        server.up_since = up_since
+        if up_since + self.settings.warm_up > now:
+            server.slow_start_send_at = -1
+
+    def _remove_gone(self) -> None:
+        gone = [
+            server.id
+            for server in self.servers.values()
+            if server.state == ServerState.GONE and not server.in_flight
+        ]
+        for server_id in gone:
+            del self.servers[server_id]
+
+    def update_freshness(self, now: int) -> float:
+        """Renew `stale`, and return the share (0 to 1) of reported loads that still counts.
+
+        Loads fade once a list is overdue: while discovery is unreachable they would mislead for long.
+        """
+        overdue = max(0.0, now - self.listed_at - OVERDUE_INTERVALS * self.list_interval) / self.list_interval
         self.stale = overdue > 1.0
-        return float(0.5**overdue)
-
-    def warmth(self, s: Server, now: int) -> float:
-        """Least share of its capacity that a server can do at its age."""
-        warm_up = self.settings.warm_up
-        age = now - s.since
-        if not s.since or age >= warm_up:
-            return 1.0
-        cold = self.settings.cold_share
-        return cold + (1.0 - cold) * max(0, age) / warm_up
+        return float(OVERDUE_DECAY**overdue)
--- a/hollybay/balancing/estimates.py
+++ b/hollybay/balancing/estimates.py
@@ -1,259 +1,333 @@
-"""What one node learns from its own answers: lateness, work, speeds, failures, and who is turned away."""
+"""What one node learns from its own answers: lateness, lost work, service times and the speed of servers."""
 
 from __future__ import annotations
 
-from .connection_capacity import Room
-from .fair_shares import heed
+from .connection_capacity import ConnectionCapacity
 from .interface import AttemptFinished, Result, Settings
-from .outlier_shares import Shares
-from .reported_failures import SPAN, Failures
-from .state import SECOND, Owed, Server
-from .traffic_share import Census
-from .zone_reachability import Reach
+from .outlier_ejection import OutlierEjector
+from .reported_failures import REPORT_LIFETIME_NS, ReportedFailures
+from .state import SECOND_NS, PendingRequest, Server
+from .tenant_rejections import TENANT_EXCLUSION_NS, TenantRejections
+from .traffic_share import TrafficShare
+from .zone_reachability import ZoneReachability
 
-__all__ = ["PAUSE_FIRST", "REVIEW", "Learning"]
+__all__ = ["MIN_SERVICE_TIME_SAMPLES", "REVIEW_INTERVAL_NS", "Estimates", "answer_weight"]
 
-# How often estimates, gaps and draw tables are renewed: often against troubles of seconds, rarely for CPU.
-REVIEW = SECOND // 2
-# With fewer outcomes than this in a review's span what was lost before is no evidence of the present, and
-# fades: else a share that leaves no request to learn from would be shed for ever.
-SHED_HEARD, SHED_FADE = 8, 0.8
-# A response counts as twice its aim at most, so that one straggler does not decide.
-LATE_MOST = 2.0
-# Load (requests held for each core) under which a server counts as idle when work is learned: as lists tell
-# it, or else the mean of the fleet. The least weight of an answer, and how many are taken at any mean.
-IDLE_LOAD, IDLE_MEAN, WORK_WEIGHT, WORK_FEW = 2.0, 1.0, 0.02, 8
-KIND_WEIGHT = 0.005  # of one answer in what is learned of its kind of machine
-# First pause after a server failed, doubled up to the longest.
-PAUSE_FIRST, PAUSE_MOST = SECOND, 8 * SECOND
-# A failure's weight in the running share of failures, and the share at which a server is paused.
-FAIL_WEIGHT, FAIL_LIMIT = 0.2, 0.45
-FAIL_WELL = 0.3  # under this a paused server that answers is taken back at once
-# A server is paused only if it fails this many times as often as the fleet: a shared cause is not its fault.
-FAIL_EXCESS = 2.0
-# Time-outs in a row, with no answer between, after which a server is taken for silent.
-SILENT_LIMIT = 3
-# Connects in a row that fail before an answer after which a server is taken for started anew.
-REFUSED_LIMIT = 2
-# Rejections meet one tenant alone where its share of them is above the second and so many times that of the
-# middle one of the others; the first is the weight of one answer in that. The server is then left out for
-# that tenant for so long, and nothing is learned of load.
-#
-# A guard against servers that turn a tenant away for what it is, and fast: a quota, a lock, a release that
-# does not know it. Taken for want of room it would shed everybody's work, and the request would not be tried
-# where it is welcome. It would do harm where one tenant's requests are too much for a server that has room
-# for the others'.
-TURNED_WEIGHT, TURNED_FROM, TURNED_EXCESS = 0.05, 0.2, 3.0
-TURNED_PAUSE = 4 * SECOND
+# The time (ns) between reviews, which renew estimates, send intervals and the selection tables: short against
+# troubles of seconds, long for the CPU.
+REVIEW_INTERVAL_NS = SECOND_NS // 2
+# With fewer outcomes than MIN_REVIEW_OUTCOMES between two reviews, earlier losses are no evidence of the
+# present and decay: else a share that leaves no request to learn from would be shed for ever.
+MIN_REVIEW_OUTCOMES = 8
+LOSS_DECAY = 0.8
+# The weight of one answer in the moving means of lateness: answers of this many seconds decide, within
+# bounds, as one answer is no evidence. Over a fixed number of answers, a node with few of them would learn of
+# congestion, and of its end, seconds late.
+ANSWER_WINDOW_SECONDS = 0.5
+MIN_ANSWER_WEIGHT = 0.02
+MAX_ANSWER_WEIGHT = 0.1
+# The weight of one remote answer, as a multiple of that of a local one: there are fewer.
+REMOTE_ANSWER_FACTOR = 2.5
+# A response time counts as at most this many times its latency objective: one straggler does not decide.
+MAX_LATENESS = 2.0
+# The load (requests per core) below which a server counts as idle when service times are learned.
+IDLE_SERVER_LOAD = 2.0
+# The mean load of all servers from which answers hold a queue, where lists tell no load.
+IDLE_MEAN_LOAD = 1.0
+# The least weight of one answer in the service time, and the number of answers taken at any mean load.
+MIN_SERVICE_TIME_WEIGHT = 0.02
+MIN_SERVICE_TIME_SAMPLES = 8
+# The weight of one answer in the service time while none has found an idle server.
+QUEUED_SERVICE_TIME_WEIGHT = 0.1
+# The weight of one answer in the mean response time of its class, in its server's slowdown, and in that of
+# the server's kind of machine.
+RESPONSE_TIME_WEIGHT = 0.01
+SLOWDOWN_WEIGHT = 0.15
+KIND_SLOWDOWN_WEIGHT = 0.005
+# The largest slowdown of a server, and the factor by which a rejection raises it.
+MAX_SLOWDOWN = 8.0
+REJECTION_SLOWDOWN = 1.3
+# The weight of one review in the request rate.
+REQUEST_RATE_WEIGHT = 0.5
+# Failed connects in a row after which a server that answers is taken for restarted.
+RESTART_CONNECT_FAILURES = 2
+# Results that tell nothing of the server.
+UNINFORMATIVE_RESULTS = frozenset({Result.CANCELLED, Result.NOT_SENT})
+# Results that tell nothing of load: a connection that broke would not be mended by shedding.
+CONNECTION_RESULTS = frozenset({Result.RESET, Result.CONNECT_FAILED})
 
 
-class Learning:
-    """Running means over a node's own requests and answers, read by the parts that decide."""
+def answer_weight(request_rate: float) -> float:
+    """Return the weight (0 to 1) of one answer in moving means, for a node with so many requests a second."""
+    weight = 1.0 / (ANSWER_WINDOW_SECONDS * max(request_rate, 1.0))
+    return max(MIN_ANSWER_WEIGHT, min(MAX_ANSWER_WEIGHT, weight))
+
+
+class Estimates:
+    """Moving means over a node's own requests and answers, read by the modules that decide.
+
+    Parameters
+    ----------
+    settings
+        The node's settings.
+    now
+        The time (ns).
+    """
 
     def __init__(self, settings: Settings, now: int) -> None:
         classes = len(settings.classes)
         self.settings = settings
-        self.longest_aim = max(c.latency_objective for c in settings.classes)
-        self.failures = Failures(settings.report_fields)
-        self.reach = Reach()
-        self.room = Room(settings.nodes)
-        self.census = Census(settings.nodes, settings.report_fields, now)
-        self.nodes = float(settings.nodes)  # 1 over this node's share of all traffic
-        self.reviewed = now
-        self.arrived = 0  # requests since the last review
-        self.rate = 0.0  # requests a second, smoothed
-        self.heed = heed(0.0)  # weight of one answer in what is learned of lateness
-        self.near_late = 0.0  # mean response time as a share of the aim, near and far
-        self.far_late = 0.0
-        self.failing = 0.0  # share of attempts that fail, over all servers
-        self.turned = Shares(len(settings.tenants))  # share of answers that are rejections, by tenant
-        self.count = [0.0] * classes  # requests that came lately, by class, and those that were served
-        self.done = [0.0] * classes
-        self.worth_lost = self.worth_asked = 0.0  # worth of late and failed attempts, and of all
-        self.heard = 0  # outcomes that tell of load since the last review
-        self.missing = 0.0  # the first as a share of the second
-        self.ratio = 1.0  # mean of response times relative to their class's mean
-        self.slow_of_kind = [1.0] * settings.kinds  # response time relative to what its listed size promises
-        self.base = [0.0] * classes  # mean response time x size (x 1/cost hint), by class
-        # Mean time that one request takes at an idle server of size 1, by class, and how many told of it.
-        self.work: list[float] = [0.0] * classes
-        self.work_time, self.work_share = [0.0] * classes, [0.0] * classes
-        self.work_seen = [0] * classes
-        self.queue = 0.0  # mean load of a server as this node's own attempts tell, where lists do not
-        self.mean_work = 0.0
+        self.longest_objective = max(cls.latency_objective for cls in settings.classes)  # ns
+        self.reported_failures = ReportedFailures(settings.report_fields)
+        self.zone_reachability = ZoneReachability()
+        self.connection_capacity = ConnectionCapacity(settings.nodes)
+        self.traffic_share = TrafficShare(settings.nodes, settings.report_fields, now)
+        self.outlier_ejector = OutlierEjector(self.longest_objective)
+        self.tenant_rejections = TenantRejections(len(settings.tenants))
+        self.effective_nodes = float(settings.nodes)  # 1 / this node's share of all traffic
+
+        # Requests
+        self.reviewed_at = now
+        self.arrivals = 0  # since the last review
+        self.request_rate = 0.0  # per second, smoothed
+        self.answer_weight = answer_weight(0.0)  # of one answer in lateness and loss
+        self.offered = [0.0] * classes  # requests that came lately, by class, decaying
+        self.completed = [0.0] * classes  # those that were answered
+
+        # Lateness (response time / latency objective), and priority weight lost to load
+        self.local_lateness = 0.0
+        self.remote_lateness = 0.0
+        self.lost_weight = 0.0  # mean priority weight per attempt that was late or failed
+        self.offered_weight = 0.0  # mean priority weight per attempt
+        self.loss_share = 0.0  # the first as a share of the second
+        self.load_outcomes = 0  # since the last review, those that tell of load
+
+        # Response times (ns) x size / cost hint by class, and how servers compare
+        self.response_times = [0.0] * classes
+        self.mean_slowdown = 1.0  # mean of response times relative to their class's mean
+        self.slowdown_by_kind = [1.0] * settings.kinds  # of machine, relative to the listed size
+
+        # Service time: ns that one request takes at an idle server of size 1
+        self.service_times: list[float] = [0.0] * classes
+        self.service_time_sums = [0.0] * classes  # moving mean of response time x size
+        self.service_load_sums = [0.0] * classes  # moving mean of 1 + load
+        self.service_time_samples = [0] * classes
+        self.mean_service_time = 0.0  # over the classes, by their requests
+        self.mean_server_load = 0.0  # by this node's attempts in flight, where lists tell no load
+
+    # Periodic updates
 
     def review(self, now: int) -> bool:
-        """Renew the rate, and let loss fade of which nothing was heard; whether any time has passed."""
-        span = now - self.reviewed
+        """Renew the request rate, and decay losses where outcomes are few; False if no time has passed."""
+        span = now - self.reviewed_at
         if span <= 0:
             return False
-        measured = self.arrived * SECOND / span
-        self.rate = measured if self.rate == 0.0 else 0.5 * (self.rate + measured)
-        self.heed = heed(self.rate)
-        self.arrived = 0
-        self.reviewed = now
-        if self.heard < SHED_HEARD:
-            self.worth_lost *= SHED_FADE ** (1.0 - self.heard / SHED_HEARD)
-            self.missing = self.worth_lost / self.worth_asked if self.worth_asked > 0.0 else 0.0
-        self.heard = 0
+        rate = self.arrivals * SECOND_NS / span
+        if self.request_rate == 0.0:
+            self.request_rate = rate
+        else:
+            self.request_rate = REQUEST_RATE_WEIGHT * (self.request_rate + rate)
+        self.answer_weight = answer_weight(self.request_rate)
+        self.arrivals = 0
+        self.reviewed_at = now
+        if self.load_outcomes < MIN_REVIEW_OUTCOMES:
+            self.lost_weight *= LOSS_DECAY ** (1.0 - self.load_outcomes / MIN_REVIEW_OUTCOMES)
+            self._update_loss_share()
+        self.load_outcomes = 0
         return True
 
-    def renew_work(self) -> None:
-        """Renew the mean time that a request adds at a server of size 1, over the classes seen.
+    def _update_loss_share(self) -> None:
+        self.loss_share = self.lost_weight / self.offered_weight if self.offered_weight > 0.0 else 0.0
+
+    def update_mean_service_time(self) -> None:
+        """Renew the mean service time over the classes seen.
 
-        Not the response time: under overload that is mostly queue, and a fleet that has just been replaced
-        would be kept from its cold servers by the jam of the few warm ones.
+        Response times would not do: under overload they are mostly queue, and a fleet that has just been
+        replaced would be kept from its starting servers by the queues of the few warm ones.
         """
-        # Classes without an answer yet are left out: taken for free they would unguard a cold server.
-        seen = [(n, b) for n, b in zip(self.count, self.work, strict=True) if b > 0.0]
-        total = sum(n for n, _ in seen)
-        self.mean_work = sum(n * b for n, b in seen) / total if total > 0.0 else float(self.longest_aim)
+        # A class without an answer yet is left out: as free work it would void the budget of slow start.
+        seen = [
+            (requests, time)
+            for requests, time in zip(self.offered, self.service_times, strict=True)
+            if time > 0.0
+        ]
+        total = sum(requests for requests, _ in seen)
+        if total > 0.0:
+            self.mean_service_time = sum(requests * time for requests, time in seen) / total
+        else:
+            self.mean_service_time = float(self.longest_objective)
 
-    def learn_work(self, s: Server, cls: int, rtt: int, beside: int, stale: bool) -> None:
-        """What one request adds at a server, from those that found it idle as far as this node can tell.
+    # Results of attempts
 
-        Any other answer holds a queue of unknown length, so that under overload the work would seem to grow
-        with the jam, and cold servers would get ever less, when they are needed most. Until one has come,
-        what the others tell is taken: it is too much rather than too little.
-        """
-        work = rtt * s.size * s.warmth
-        known = self.work[cls]
-        queued = s.warmth >= 1.0 and self.queue >= IDLE_MEAN and self.work_seen[cls] >= WORK_FEW
-        if s.load + beside < IDLE_LOAD and not stale and not queued:
-            self.work_seen[cls] += 1
-            weight = max(WORK_WEIGHT, 1.0 / self.work_seen[cls])
-            self.work_time[cls] += weight * (work - self.work_time[cls])
-            self.work_share[cls] += weight * (1.0 + s.load + beside - self.work_share[cls])
-            self.work[cls] = self.work_time[cls] / self.work_share[cls]
-        elif not self.work_seen[cls]:
-            work /= 1.0 + s.load + beside
-            self.work[cls] = known + 0.1 * (work - known) if known > 0.0 else work
+    def observe(
+        self, server: Server, request: PendingRequest, event: AttemptFinished, now: int, stale: bool
+    ) -> bool:
+        """Take in how an attempt ended.
 
-    def _turned_away(self, tenant: int, rejected: bool) -> bool:
-        """Note an answer to a tenant; whether it is a rejection that meets this tenant alone."""
-        if tenant >= self.turned.count:
-            return False
-        share = self.turned.move(tenant, float(rejected), TURNED_WEIGHT)
-        if not rejected or share <= TURNED_FROM or self.turned.count < 2:
-            return False
-        return share > TURNED_EXCESS * self.turned.median_of_others(tenant)
+        Parameters
+        ----------
+        server
+            The attempt's server.
+        request
+            The request.
+        event
+            The result.
+        now
+            The time (ns).
+        stale
+            Whether the loads that lists reported are outdated.
 
-    def learn(self, s: Server, request: Owed, event: AttemptFinished, now: int, stale: bool) -> bool:
-        """Take in how an attempt ended; whether its server is to be left out for a pause."""
+        Returns
+        -------
+        bool
+            Whether the server is ejected now.
+        """
         result = event.result
-        if result == Result.CANCELLED or result == Result.NOT_SENT:
+        if result in UNINFORMATIVE_RESULTS:
             return False
-        told = self.failures.share(event.report) if event.report else None
-        if told is not None:
-            s.told, s.told_until = told, now + SPAN
-        self.census.hear(event.report, s.size)
+        rate = self.reported_failures.failure_rate(event.report) if event.report else None
+        if rate is not None:
+            server.reported_failure_rate = rate
+            server.reported_failure_until = now + REPORT_LIFETIME_NS
+        self.traffic_share.observe_report(event.report, server.size)
+        succeeded = result == Result.OK
         rejected = result == Result.REJECTED
-        if (rejected or result == Result.OK) and self._turned_away(request.tenant, rejected):
-            s.denied[request.tenant] = now + TURNED_PAUSE
-            s.answered = now
+        if (succeeded or rejected) and self.tenant_rejections.observe(request.tenant, rejected):
+            server.rejected_tenants[request.tenant] = now + TENANT_EXCLUSION_NS
+            server.last_answer_at = now
             return False
-        near = s.zone == self.settings.zone
-        self._learn_reach(s, result, near, now)
-        self._learn_load(request.cls, event, near)
-        if result == Result.OK:
-            self._learn_speed(s, request, event, now, stale)
+        local = server.zone == self.settings.zone
+        self._observe_connect(server, result, local, now)
+        self._observe_load(request.class_index, event, local)
+        if succeeded:
+            self._observe_success(server, request, event, now, stale)
             return False
-        return self._learn_failure(s, request, event, now)
+        return self._observe_failure(server, request, event, now)
 
-    def _learn_reach(self, s: Server, result: Result, near: bool, now: int) -> None:
-        """Whether its zone can be reached, and whether it is a new process."""
+    def _observe_connect(self, server: Server, result: Result, local: bool, now: int) -> None:
+        """Record whether the server's zone is reachable, and whether the server has restarted."""
         if result == Result.CONNECT_FAILED:
-            self.reach.note(near, True, self.heed)
-            s.refused += 1
-            self.room.refused(now)
+            self.zone_reachability.observe_connect(local, True, self.answer_weight)
+            server.consecutive_connect_failures += 1
+            self.connection_capacity.connect_refused(now)
         elif result != Result.TIMEOUT:  # which on an old connection tells nothing of new ones
-            self.reach.note(near, False, self.heed)
-            if s.refused >= REFUSED_LIMIT:
-                # It was not there, and is again: a new process, of which no list has told yet.
-                s.since = max(s.since, now)
-                s.cold_at = -1
-            s.refused = 0
+            self.zone_reachability.observe_connect(local, False, self.answer_weight)
+            if server.consecutive_connect_failures >= RESTART_CONNECT_FAILURES:
+                # It was away and is back: a new process, which no list has named yet.
+                server.up_since = max(server.up_since, now)
+                server.slow_start_send_at = -1
+            server.consecutive_connect_failures = 0
 
-    def _learn_load(self, number: int, event: AttemptFinished, near: bool) -> None:
-        """How much worth is lost to load, and how late answers are, near and far."""
+    def _observe_load(self, class_index: int, event: AttemptFinished, local: bool) -> None:
+        """Record the priority weight lost to load, and how late answers are."""
         result = event.result
-        cls = self.settings.classes[number]
+        cls = self.settings.classes[class_index]
         late = event.rtt / cls.latency_objective
-        late = LATE_MOST if result == Result.REJECTED or late > LATE_MOST else late
-        # A connection that broke says nothing of load, and shedding would not mend it.
-        if result != Result.RESET and result != Result.CONNECT_FAILED:
-            lost = 1.0 if result != Result.OK else 1.0 - cls.late_weight if late > 1.0 else 0.0
-            self.worth_lost += self.heed * (cls.priority_weight * lost - self.worth_lost)
-            self.worth_asked += self.heed * (cls.priority_weight - self.worth_asked)
-            self.heard += 1
-        self.missing = self.worth_lost / self.worth_asked if self.worth_asked > 0.0 else 0.0
-        if near and result != Result.CONNECT_FAILED:  # which says nothing of load
-            self.near_late += self.heed * (late - self.near_late)
-        elif result != Result.CONNECT_FAILED:
-            self.far_late += 2.5 * self.heed * (late - self.far_late)
+        if result == Result.REJECTED or late > MAX_LATENESS:
+            late = MAX_LATENESS
+        if result not in CONNECTION_RESULTS:
+            lost_if_answered = 1.0 - cls.late_weight if late > 1.0 else 0.0
+            lost = lost_if_answered if result == Result.OK else 1.0
+            self.lost_weight += self.answer_weight * (cls.priority_weight * lost - self.lost_weight)
+            self.offered_weight += self.answer_weight * (cls.priority_weight - self.offered_weight)
+            self.load_outcomes += 1
+        self._update_loss_share()
+        if result == Result.CONNECT_FAILED:
+            return
+        if local:
+            self.local_lateness += self.answer_weight * (late - self.local_lateness)
+        else:
+            weight = REMOTE_ANSWER_FACTOR * self.answer_weight
+            self.remote_lateness += weight * (late - self.remote_lateness)
 
-    def _learn_speed(self, s: Server, request: Owed, event: AttemptFinished, now: int, stale: bool) -> None:
-        """From an answer in full: the server is well, and so fast."""
-        self.failing *= 0.99
-        self.done[request.cls] += 1.0
-        s.fails *= 1.0 - FAIL_WEIGHT
-        if s.fails < FAIL_WELL:
-            # Answers to what was out when it was paused show that it is well: it failed by chance.
-            s.paused_until = min(s.paused_until, now)
-        if s.paused_until <= now:
-            s.pause = PAUSE_FIRST
-            s.trial = False
-        s.silent = 0
-        s.answered = now
-        sample = event.rtt * s.size / (request.cost or 1)
-        self.learn_work(s, request.cls, event.rtt, request.tries[event.attempt].beside, stale)
-        base = self.base[request.cls]
-        if base <= 0.0:
-            self.base[request.cls] = sample
+    def _observe_success(
+        self, server: Server, request: PendingRequest, event: AttemptFinished, now: int, stale: bool
+    ) -> None:
+        """Learn from a full answer: the server is healthy, and has this speed."""
+        index = request.class_index
+        self.outlier_ejector.observe_success(server, now)
+        self.completed[index] += 1.0
+        in_flight = request.attempts[event.attempt].in_flight_at_send
+        self.observe_service_time(server, index, event.rtt, in_flight, stale)
+        sample = event.rtt * server.size / (request.cost or 1)
+        mean = self.response_times[index]
+        if mean <= 0.0:
+            self.response_times[index] = sample
             return
-        self.base[request.cls] = base + 0.01 * (sample - base)
-        ratio = min(sample / base, 8.0)
-        s.slow += 0.15 * (ratio - s.slow)
-        # By kind there are answers enough to correct the size that the list gives, but for those of queues.
-        if self.queue < IDLE_MEAN:
-            kind = self.slow_of_kind[s.kind]
-            self.slow_of_kind[s.kind] = kind * (1.0 + KIND_WEIGHT * (ratio / self.ratio - 1.0))
-            self.ratio += KIND_WEIGHT * (ratio - self.ratio)
+        self.response_times[index] = mean + RESPONSE_TIME_WEIGHT * (sample - mean)
+        slowdown = min(sample / mean, MAX_SLOWDOWN)
+        server.slowdown += SLOWDOWN_WEIGHT * (slowdown - server.slowdown)
+        # A kind of machine has answers enough to correct the listed size; those that queued say nothing.
+        if self.mean_server_load < IDLE_MEAN_LOAD:
+            relative = slowdown / self.mean_slowdown
+            self.slowdown_by_kind[server.kind] *= 1.0 + KIND_SLOWDOWN_WEIGHT * (relative - 1.0)
+            self.mean_slowdown += KIND_SLOWDOWN_WEIGHT * (slowdown - self.mean_slowdown)
+
+    def observe_service_time(
+        self, server: Server, class_index: int, rtt: int, in_flight: int, stale: bool
+    ) -> None:
+        """Learn the service time from answers that found their server idle, as far as this node can tell.
+
+        Other answers hold a queue of unknown length: under overload the service time would seem to grow, and
+        starting servers would get ever less when they are needed most. Until an idle server has answered the
+        others are used, which gives too much rather than too little.
 
-    def _learn_failure(self, s: Server, request: Owed, event: AttemptFinished, now: int) -> bool:
-        """From an attempt that failed; whether its server is to be left out for a pause."""
+        Parameters
+        ----------
+        server
+            The server.
+        class_index
+            The request's class.
+        rtt
+            The response time (ns).
+        in_flight
+            Attempts that were in flight there when it was sent.
+        stale
+            Whether the loads that lists reported are outdated.
+        """
+        sample = rtt * server.size * server.slow_start_factor
+        samples = self.service_time_samples[class_index]
+        load = server.reported_load + in_flight
+        queued = (
+            server.slow_start_factor >= 1.0
+            and self.mean_server_load >= IDLE_MEAN_LOAD
+            and samples >= MIN_SERVICE_TIME_SAMPLES
+        )
+        if load < IDLE_SERVER_LOAD and not stale and not queued:
+            samples += 1
+            self.service_time_samples[class_index] = samples
+            weight = max(MIN_SERVICE_TIME_WEIGHT, 1.0 / samples)
+            sums, loads = self.service_time_sums, self.service_load_sums
+            sums[class_index] += weight * (sample - sums[class_index])
+            loads[class_index] += weight * (1.0 + server.reported_load + in_flight - loads[class_index])
+            self.service_times[class_index] = sums[class_index] / loads[class_index]
+        elif not samples:
+            sample /= 1.0 + server.reported_load + in_flight
+            known = self.service_times[class_index]
+            if known > 0.0:
+                sample = known + QUEUED_SERVICE_TIME_WEIGHT * (sample - known)
+            self.service_times[class_index] = sample
+
+    def _observe_failure(
+        self, server: Server, request: PendingRequest, event: AttemptFinished, now: int
+    ) -> bool:
+        """Learn from an attempt that failed; True where its server is ejected now."""
         result = event.result
         if result != Result.TIMEOUT and result != Result.CONNECT_FAILED:
-            s.answered = now
-        # A failing server clears its count quickly and must not look idle for it.
-        s.free_at = max(s.free_at, now + REVIEW)
+            server.last_answer_at = now
+        # A failing server has few attempts in flight, and must not look idle for it.
+        server.idle_from = max(server.idle_from, now + REVIEW_INTERVAL_NS)
         if result == Result.REJECTED:
-            s.slow = min(8.0, 1.3 * s.slow)
+            server.slowdown = min(MAX_SLOWDOWN, REJECTION_SLOWDOWN * server.slowdown)
             return False
         if result == Result.TIMEOUT:
-            # An overloaded server still answers some; a silent one none. Only the latter is paused.
-            base = self.base[request.cls]
-            if base > 0.0:
-                ratio = min(max(event.rtt * s.size / (request.cost or 1) / base, s.slow), 8.0)
-                s.slow += 0.15 * (ratio - s.slow)
-            s.silent += 1
-            if (s.silent < SILENT_LIMIT or now - s.answered < self.longest_aim) and not s.trial:
-                return False
-        self.failing += 0.01 * (1.0 - self.failing)
-        s.fails += FAIL_WEIGHT * (1.0 - s.fails)
-        # On trial only what was sent since counts: what was out when it was paused says nothing new.
-        if not (
-            (s.trial and request.tries[event.attempt].sent >= s.paused_until)
-            or s.silent >= SILENT_LIMIT
-            or (
-                not s.trial
-                and s.fails >= FAIL_LIMIT
-                and s.fails > FAIL_EXCESS * self.failing
-                and (s.told >= FAIL_LIMIT or s.told_until <= now)  # it tells better than so few answers
-            )
-        ):
-            return False
-        s.paused_until = now + s.pause
-        s.pause = min(2 * s.pause, PAUSE_MOST)
-        s.trial = True
-        return True
+            self._observe_timeout(server, request, event.rtt)
+        return self.outlier_ejector.observe_failure(server, request.attempts[event.attempt], result, now)
+
+    def _observe_timeout(self, server: Server, request: PendingRequest, rtt: int) -> None:
+        """Learn a server's slowdown from an attempt that was given up after a time (ns)."""
+        mean = self.response_times[request.class_index]
+        if mean > 0.0:
+            relative = rtt * server.size / (request.cost or 1) / mean
+            slowdown = min(max(relative, server.slowdown), MAX_SLOWDOWN)
+            server.slowdown += SLOWDOWN_WEIGHT * (slowdown - server.slowdown)
--- /dev/null
+++ b/hollybay/balancing/hedging.py
@@ -0,0 +1,80 @@
+"""Hedging: a second attempt of a request whose first one takes long, where its route asks for it.
+
+Hedges are not sent unasked: docs/DESIGN-decisions.md.
+"""
+
+from __future__ import annotations
+
+from .estimates import Estimates
+from .interface import Effect, Limits, RequestClass, Settings
+from .retries import ANYWHERE, RetryPolicy
+from .server_selection import ServerSelector
+from .state import PendingRequest, Server
+
+__all__ = ["Hedging"]
+
+# No hedges while attempts lose more than this share of their priority weight: where answers are slow
+# everywhere there is overload, which hedges would feed.
+MAX_LOSS_SHARE = 0.1
+# Without a delay of the route a request is hedged after its latency objective divided by this.
+OBJECTIVE_DIVISOR = 2
+
+
+class Hedging:
+    """Decides when a request is hedged, and at which server.
+
+    Parameters
+    ----------
+    settings
+        The node's settings; hedging_allowed must be set for any hedge.
+    estimates
+        What the node has learned from answers.
+    retry_policy
+        The guard and the budgets of further attempts.
+    selector
+        Picks servers.
+    """
+
+    def __init__(
+        self, settings: Settings, estimates: Estimates, retry_policy: RetryPolicy, selector: ServerSelector
+    ) -> None:
+        self.settings = settings
+        self.estimates = estimates
+        self.retry_policy = retry_policy
+        self.selector = selector
+
+    def delay(self, limits: Limits | None, cls: RequestClass) -> int | None:
+        """Return the time (ns) after which a request of a class is to be hedged; None for never."""
+        if limits is None or limits.hedges == 0:
+            return None
+        if limits.hedges < 0 and not limits.hedge_delay:
+            return None
+        if not self.settings.hedging_allowed or cls.effect == Effect.UNSAFE:
+            return None
+        return limits.hedge_delay or cls.latency_objective // OBJECTIVE_DIVISOR
+
+    def pick(self, request: PendingRequest, now: int) -> Server | None:
+        """Return the server of a request's hedge, and charge the budgets for it; None for no hedge."""
+        policy = self.retry_policy
+        if request.in_flight_attempts != 1 or request.streaming or policy.hedge_tokens < 1.0:
+            return None
+        if self.estimates.loss_share > MAX_LOSS_SHARE:
+            return None
+        last = request.attempts[-1]
+        if last.server.last_answer_at > last.sent_at:
+            return None  # it answers others, and is only slow
+        scope = policy.scope_of(request, now, hedging_allowed=True)
+        if scope is None:
+            return None
+        if scope is ANYWHERE:
+            server = self.selector.pick_idle_local(now)
+        else:
+            server = self.selector.pick_within(request, scope, now)
+        if server is None or server.in_flight:
+            return None
+        if any(attempt.server is server for attempt in request.attempts):
+            return None
+        if not policy.withdraw(request.limits):
+            return None
+        policy.hedge_tokens -= 1.0
+        return server
--- /dev/null
+++ b/hollybay/balancing/pool_builder.py
@@ -0,0 +1,272 @@
+"""Builds the pools that servers are picked from, by what lists and answers tell; at each review and list."""
+
+from __future__ import annotations
+
+from collections.abc import Iterator
+from heapq import heapify
+from math import log
+from random import Random
+from typing import NamedTuple
+
+from .cross_zone import SPEED_CLASS_RATIO, CrossZoneRouter
+from .endpoints import Endpoints
+from .interface import ServerState, Settings, WeightMode
+from .load_shedding import LoadShedder
+from .reported_failures import EXCLUSION_FAILURE_RATE, EXPIRED_REPORT_DECAY
+from .server_pool import ServerPool
+from .slow_start import SlowStart
+from .state import SECOND_NS, Server, SpeedClass
+
+__all__ = ["PoolBuilder", "Pools"]
+
+# Nodes of a zone that have a server in their idle index, on average: with one, chance leaves a third of the
+# servers without an owner, with three a twentieth; with many, none knows what the others have in flight.
+OWNERS_PER_ZONE = 3.0
+# The share of its capacity that is offered to a server on probation.
+PROBATION_CAPACITY_SHARE = 0.1
+# The weight of one review in the mean load of a server.
+MEAN_LOAD_WEIGHT = 0.4
+# Above this share of ejected capacity a common cause is likelier than bad servers: none is ejected any more.
+MAX_EJECTED_SHARE = 0.5
+# Bounds of the factor by which a server's load relative to the mean changes its capacity.
+MIN_LOAD_FACTOR = 0.1
+MAX_LOAD_FACTOR = 2.0
+# The exponent of a server's speed relative to the mean in its capacity.
+SPEED_EXPONENT = 0.5
+
+
+class Pools(NamedTuple):
+    """The pools of the local and the remote zones, and the size of the largest server."""
+
+    local: ServerPool
+    remote: ServerPool
+    largest_size: float
+
+
+class PoolBuilder:
+    """Renews the servers' sizes and capacities, and builds pools from them.
+
+    Parameters
+    ----------
+    settings
+        The node's settings.
+    endpoints
+        The servers.
+    cross_zone
+        Receives the mean loads of the local and the remote zones.
+    load_shedder
+        Its queue limits are renewed.
+    random
+        The node's source of random numbers.
+    tie_breaks
+        Gives larger numbers each time, which order servers that become idle at the same time.
+    """
+
+    def __init__(
+        self,
+        settings: Settings,
+        endpoints: Endpoints,
+        cross_zone: CrossZoneRouter,
+        load_shedder: LoadShedder,
+        random: Random,
+        tie_breaks: Iterator[int],
+    ) -> None:
+        self.settings = settings
+        self.endpoints = endpoints
+        self.estimates = cross_zone.estimates
+        self.cross_zone = cross_zone
+        self.load_shedder = load_shedder
+        self.slow_start = SlowStart(settings, random)
+        self.random = random
+        self.tie_breaks = tie_breaks
+        self.live_weights = settings.weight_mode == WeightMode.LIVE
+
+    def empty(self) -> Pools:
+        """Return pools without servers."""
+        return Pools(self._empty_pool(), self._empty_pool(), 1.0)
+
+    def _empty_pool(self) -> ServerPool:
+        return ServerPool([], [], [], self.random)
+
+    def build(self, now: int, reporting_peers: int) -> Pools:
+        """Renew all estimates that lists and reviews change, and return new pools.
+
+        Parameters
+        ----------
+        now
+            The time (ns).
+        reporting_peers
+            The number of other nodes that report their load.
+        """
+        ready = self._update_sizes(now)
+        total_size = _total_size(ready)
+        local, remote = self._by_zone(self._without_ejected(ready, total_size, now))
+        local_load, remote_load = self._reported_loads(ready)
+        if not local:
+            local, remote = remote, []
+            local_load, remote_load = remote_load, 0.0
+        if self.cross_zone.local_share < 0.0 and ready:
+            self.cross_zone.initialize(sum(server.size for server in local), total_size)
+        self._update_estimates(len(ready), total_size, now)
+        self.load_shedder.update_queue_limits()
+        local_pool, self.cross_zone.local_load = self._build_pool(local, local_load, now, reporting_peers)
+        remote_pool, self.cross_zone.remote_load = self._build_pool(remote, remote_load, now, reporting_peers)
+        return Pools(local_pool, remote_pool, max((server.size for server in ready), default=1.0))
+
+    # Sizes and loads
+
+    def _update_sizes(self, now: int) -> list[Server]:
+        """Take all servers out of their speed classes, and renew size and load of those that are ready."""
+        endpoints = self.endpoints
+        freshness = endpoints.update_freshness(now)
+        ready: list[Server] = []
+        for server in endpoints.servers.values():
+            server.idle_position = -1
+            server.speed_class = None
+            if server.state != ServerState.READY:
+                continue
+            if self.live_weights:
+                # A live weight is size / (1 + requests per core).
+                server.nominal_size = endpoints.size_of_kind[server.kind] or 1.0
+                load = max(0.0, server.nominal_size / server.weight - 1.0)
+                server.reported_load = load * freshness
+            server.size = server.nominal_size / self.estimates.slowdown_by_kind[server.kind]
+            ready.append(server)
+        return ready
+
+    @staticmethod
+    def _without_ejected(ready: list[Server], total_size: float, now: int) -> list[Server]:
+        ejected_size = _total_size([server for server in ready if server.ejected_until > now])
+        if ejected_size > MAX_EJECTED_SHARE * total_size:
+            return ready
+        return [server for server in ready if server.ejected_until <= now]
+
+    def _by_zone(self, servers: list[Server]) -> tuple[list[Server], list[Server]]:
+        zone = self.settings.zone
+        local = [server for server in servers if server.zone == zone]
+        remote = [server for server in servers if server.zone != zone]
+        return local, remote
+
+    def _reported_loads(self, ready: list[Server]) -> tuple[float, float]:
+        """Return the requests at the servers of the local and of the remote zones, relative to cores."""
+        local = remote = 0.0
+        for server in ready:
+            if server.zone == self.settings.zone:
+                local += server.reported_load * server.size
+            else:
+                remote += server.reported_load * server.size
+        return local, remote
+
+    def _update_estimates(self, ready: int, total_size: float, now: int) -> None:
+        estimates = self.estimates
+        estimates.update_mean_service_time()
+        estimates.effective_nodes = estimates.traffic_share.effective_nodes(now, total_size)
+        if not self.live_weights and ready:
+            # Attempts in flight per server, were all nodes like this one.
+            load = estimates.effective_nodes * self.load_shedder.queueing_delay.in_flight / ready
+            estimates.mean_server_load += MEAN_LOAD_WEIGHT * (load - estimates.mean_server_load)
+
+    # Pools
+
+    def _build_pool(
+        self, servers: list[Server], requests: float, now: int, reporting_peers: int
+    ) -> tuple[ServerPool, float]:
+        """Return the pool of some servers, and their mean load, where `requests` are at them."""
+        if not servers:
+            return self._empty_pool(), 0.0
+        self._update_capacities(servers, now)
+        speed_classes = self._build_speed_classes(servers, now, reporting_peers)
+        all_excluded = all(server.reported_failure_rate >= EXCLUSION_FAILURE_RATE for server in servers)
+        cumulative_capacity: list[float] = []
+        drawn: list[Server] = []
+        capacity = 0.0
+        for server in servers:
+            excluded = server.reported_failure_rate >= EXCLUSION_FAILURE_RATE and not all_excluded
+            if not server.on_probation and not excluded:
+                capacity += server.effective_capacity
+                cumulative_capacity.append(capacity)
+                drawn.append(server)
+        pool = ServerPool(speed_classes, cumulative_capacity, drawn, self.random)
+        return pool, requests / sum(server.size * server.slow_start_factor for server in servers)
+
+    def _update_capacities(self, servers: list[Server], now: int) -> None:
+        """Renew each server's effective capacity: by its age, load, speed and failures."""
+        endpoints, estimates = self.endpoints, self.estimates
+        size = sum(server.size for server in servers)
+        mean_load = sum(server.reported_load * server.size for server in servers) / size
+        mean_slowdown = sum(server.slowdown * server.size for server in servers) / size
+        by_speed = endpoints.stale or not self.live_weights
+        # Requests that a server gets while a list is on its way, were all nodes like this one. What it holds
+        # above the mean is worked off over that time; a stronger response would oscillate.
+        rate = estimates.effective_nodes * estimates.request_rate / len(endpoints.servers)
+        turnover = max(1.0, rate * (SECOND_NS + endpoints.list_interval) / SECOND_NS)
+        for server in servers:
+            relative = 1.0 + (mean_load - server.reported_load) / turnover
+            factor = max(MIN_LOAD_FACTOR, min(MAX_LOAD_FACTOR, relative))
+            if by_speed:
+                factor *= (mean_slowdown / server.slowdown) ** SPEED_EXPONENT
+            server.slow_start_factor = self.slow_start.factor(server, now)
+            server.effective_capacity = (
+                server.size * server.slow_start_factor * factor * (1.0 - _failure_rate(server, now))
+            )
+            if server.on_probation:
+                server.effective_capacity *= PROBATION_CAPACITY_SHARE
+
+    def _build_speed_classes(self, servers: list[Server], now: int, reporting_peers: int) -> list[SpeedClass]:
+        """Sort servers into speed classes, the fastest first, and list the idle ones."""
+        estimates = self.estimates
+        # Which nodes list a server as idle: few, or where nodes report their load all whose connections fit.
+        index_share = estimates.connection_capacity.idle_index_share(
+            now, OWNERS_PER_ZONE * self.settings.zones, estimates.effective_nodes, reporting_peers
+        )
+        slow_start_nodes = estimates.traffic_share.slow_start_nodes(estimates.effective_nodes)
+        class_width = log(SPEED_CLASS_RATIO)
+        by_speed: dict[int, SpeedClass] = {}
+        for server in servers:
+            speed = round(log(server.size) / class_width)
+            speed_class = by_speed.get(speed)
+            if speed_class is None:
+                speed_class = by_speed[speed] = SpeedClass()
+            server.speed_class = speed_class
+            server.in_idle_index = _in_idle_index(server, index_share)
+            if server.slow_start_factor < 1.0:
+                self.slow_start.update_interval(server, estimates.mean_service_time, slow_start_nodes, now)
+            if server.in_idle_index and not server.in_flight:
+                self._list_idle(server, speed_class, now)
+        for speed_class in by_speed.values():
+            heapify(speed_class.pending_idle)
+        return [by_speed[speed] for speed in sorted(by_speed, reverse=True)]
+
+    def _list_idle(self, server: Server, speed_class: SpeedClass, now: int) -> None:
+        if server.slow_start_factor < 1.0:
+            server.idle_from = max(server.idle_from, server.slow_start_send_at)
+        if server.idle_from <= now:
+            server.idle_position = len(speed_class.idle)
+            speed_class.idle.append(server)
+        else:
+            speed_class.pending_idle.append((server.idle_from, next(self.tie_breaks), server))
+
+
+def _total_size(servers: list[Server]) -> float:
+    total = 0.0
+    for server in servers:
+        total += server.size
+    return total
+
+
+def _failure_rate(server: Server, now: int) -> float:
+    """Return the failure rate that the server reports, or else that of this node's attempts there."""
+    if server.reported_failure_until > now:
+        return server.reported_failure_rate
+    # An expired report fades: else a server that is avoided could not show that it has recovered.
+    server.reported_failure_rate *= EXPIRED_REPORT_DECAY
+    return server.failure_rate
+
+
+def _in_idle_index(server: Server, index_share: float) -> bool:
+    """Whether this node may list a server as idle: as one of its owners, or on probation, or starting."""
+    if server.on_probation:
+        return True
+    if server.reported_failure_rate >= EXCLUSION_FAILURE_RATE:
+        return False
+    return server.ownership_rank < index_share or server.slow_start_factor < 1.0
--- a/hollybay/balancing/priority_distribution.py
+++ b/hollybay/balancing/priority_distribution.py
@@ -1,24 +1,49 @@
-"""A share that is given up, dealt by worth: pure reckoning, for all that turns requests away."""
+"""Distribution of a rejected share over request classes, lowest priority first."""
 
 from __future__ import annotations
 
 from collections.abc import Sequence
 
-__all__ = ["by_worth", "deal"]
+__all__ = ["ascending_priority", "distribute_by_priority"]
 
 
-def by_worth(worths: Sequence[float], costs: Sequence[float]) -> list[int]:
-    """The classes, the least worth for its cost first."""
-    return sorted(range(len(worths)), key=lambda c: worths[c] / max(costs[c], 1.0))
+def ascending_priority(priority_weights: Sequence[float], costs: Sequence[float]) -> list[int]:
+    """Return the class indexes in the order of priority weight per cost, the lowest first.
 
+    Parameters
+    ----------
+    priority_weights
+        The value of an answer, by class.
+    costs
+        The work of a request (ns at a server of size 1, or 1 where all cost the same), by class.
+    """
+    return sorted(
+        range(len(priority_weights)), key=lambda index: priority_weights[index] / max(costs[index], 1.0)
+    )
 
-def deal(
-    share: float, amounts: Sequence[float], worths: Sequence[float], costs: Sequence[float]
+
+def distribute_by_priority(
+    share: float, amounts: Sequence[float], priority_weights: Sequence[float], costs: Sequence[float]
 ) -> list[float]:
-    """A share of all amounts as one share of each class's, the least worth for its cost first."""
+    """Turn one share of all work into a share of each class's work, lowest priority first.
+
+    Parameters
+    ----------
+    share
+        The part (0 to 1) of the sum of all amounts that is to be given up.
+    amounts
+        The work offered, by class, in any one unit.
+    priority_weights, costs
+        As in `ascending_priority`.
+
+    Returns
+    -------
+    list of float
+        The part (0 to 1) of each class's work that is given up.
+    """
     shares = [0.0] * len(amounts)
-    left = share * sum(amounts)
-    for c in by_worth(worths, costs):
-        shares[c] = min(1.0, left / amounts[c]) if amounts[c] > 0.0 else 0.0
-        left = max(0.0, left - amounts[c])
+    remaining = share * sum(amounts)
+    for index in ascending_priority(priority_weights, costs):
+        shares[index] = min(1.0, remaining / amounts[index]) if amounts[index] > 0.0 else 0.0
+        remaining = max(0.0, remaining - amounts[index])
     return shares
--- a/hollybay/balancing/queueing_delay.py
+++ b/hollybay/balancing/queueing_delay.py
@@ -1,76 +1,111 @@
-"""How long a request waits now, as a node's own open attempts tell: sooner than answers and lists."""
+"""How long an attempt takes at present, from the number of a node's own attempts in flight.
+
+Answers tell of a queue only once they have passed it, and server lists later still. The number in flight
+grows with the queue.
+"""
 
 from __future__ import annotations
 
-__all__ = ["Pressure"]
+__all__ = ["QueueingDelay"]
+
+NS_PER_SECOND = 1e9
+# The window (ns) over which attempts are counted, and the weight of one window in the moving send rate.
+WINDOW_NS = 250_000_000
+WINDOW_WEIGHT = 0.3
+# The rejected share grows linearly with the delay beyond its limit, and is 1 at this many times the limit.
+FULL_REJECTION_RATIO = 3.0
+# Attempts added to those in flight where usually none is: at one request a second, one attempt in flight is
+# no queue. They count for less the more are usually in flight, and for nothing from one on.
+PRIOR_IN_FLIGHT = 1.0
+# What a window leaves of the baseline counts, and the attempts that must be counted before it is used.
+BASELINE_DECAY = 0.98
+MIN_BASELINE_ATTEMPTS = 4.0
+# Below this send rate (attempts a second) no delay is estimated.
+MIN_RATE = 1.0
+
 
-# The spans (ns) over which attempts are counted, and the weight of one in the running mean.
-SPAN, WEIGHT = 250_000_000, 0.3
-# A class is refused the likelier the further the wait is beyond what it may be, and wholly at so many times
-# that.
-WHOLLY = 3.0
-# What is usual counts as so many attempts seen where usually none is out: at one request a second one that is
-# out is no queue. It counts the less the more are usually out, and not from one on: they tell by themselves.
-PRIOR = 1.0
-# What a span leaves of what is taken for usual, and of how many attempts that must be known.
-USUAL_KEEP, USUAL_LEAST = 0.98, 4.0
+class QueueingDelay:
+    """Little's law over a node's own attempts: time in flight = number in flight / send rate.
 
+    It holds for any number of nodes, as each samples all servers. Where that sample is small, the usual
+    (baseline) time of an attempt is added as a prior.
 
-class Pressure:
-    """Little's law over a node's own attempts: what is out, by what is sent a second, is the time of one.
+    Parameters
+    ----------
+    now
+        The time (ns).
 
-    Answers tell of a queue when they have gone through it, and lists later still; what is out grows with the
-    queue. It holds at any number of nodes: each sees a sample of all servers. Where that sample is small,
-    what was usual for this node stands beside it.
+    Attributes
+    ----------
+    in_flight
+        Attempts in flight.
+    rate
+        The moving send rate, attempts a second.
+    baseline_time, baseline_attempts
+        Decaying sums: ns that attempts were in flight, and their number. Their ratio is the usual time.
     """
 
-    __slots__ = ("area", "begun", "last", "out", "rate", "sent", "since")
+    __slots__ = (
+        "baseline_attempts",
+        "baseline_time",
+        "in_flight",
+        "rate",
+        "updated_at",
+        "window_attempts",
+        "window_start",
+    )
 
     def __init__(self, now: int) -> None:
-        self.out = 0
-        self.sent = 0
-        self.rate = 0.0  # attempts a second
-        self.since = now
-        self.last = now
-        self.area = (
-            0.0  # ns that attempts were out, all together, and how many: fading, the usual time of one
-        )
-        self.begun = 0.0
-
-    def begin(self, now: int) -> None:
-        """An attempt is out."""
-        self._pass(now)
-        self.out += 1
-        self.sent += 1
-        self.begun += 1.0
-
-    def end(self, now: int) -> None:
-        """It is back, however it ended."""
-        self._pass(now)
-        self.out = max(0, self.out - 1)
-
-    def _pass(self, now: int) -> None:
-        self.area += self.out * max(0, now - self.last)
-        self.last = max(self.last, now)
-
-    def wait(self, now: int) -> float:
-        """The mean time (ns) that an attempt takes now; 0 where too little was sent to tell."""
-        span = now - self.since
-        if span >= SPAN:
-            weight = 1.0 - (1.0 - WEIGHT) ** (span / SPAN)
-            self.rate += weight * (self.sent * 1e9 / span - self.rate)
-            self.sent = 0
-            self.since = now
-            keep = USUAL_KEEP ** (span / SPAN)
-            self.area *= keep
-            self.begun *= keep
-        if self.rate <= 1.0:
+        self.in_flight = 0
+        self.rate = 0.0
+        self.window_attempts = 0
+        self.window_start = now
+        self.updated_at = now
+        self.baseline_time = 0.0
+        self.baseline_attempts = 0.0
+
+    def attempt_started(self, now: int) -> None:
+        """Record that an attempt was sent at a time (ns)."""
+        self._advance(now)
+        self.in_flight += 1
+        self.window_attempts += 1
+        self.baseline_attempts += 1.0
+
+    def attempt_ended(self, now: int) -> None:
+        """Record that an attempt ended, with whatever result, at a time (ns)."""
+        self._advance(now)
+        self.in_flight = max(0, self.in_flight - 1)
+
+    def _advance(self, now: int) -> None:
+        self.baseline_time += self.in_flight * max(0, now - self.updated_at)
+        self.updated_at = max(self.updated_at, now)
+
+    def estimate(self, now: int) -> float:
+        """Return the mean time (ns) that an attempt takes now; 0 where too few were sent to tell."""
+        if now - self.window_start >= WINDOW_NS:
+            self._close_window(now)
+        if self.rate <= MIN_RATE:
             return 0.0
-        usual = self.area / self.begun if self.begun >= USUAL_LEAST else 0.0
-        few = PRIOR * max(0.0, 1.0 - self.rate * usual / 1e9) if usual > 0.0 else 0.0
-        beside = few * 1e9 / usual if few else 0.0
-        return (self.out + few) * 1e9 / (self.rate + beside)
-
-    def refuses(self, now: int, most: float) -> float:
-        """The share of a class to refuse whose requests may keep others waiting for so long (ns)."""
-        return max(0.0, min(1.0, (self.wait(now) / most - 1.0) / (WHOLLY - 1.0)))
+        usual = (
+            self.baseline_time / self.baseline_attempts
+            if self.baseline_attempts >= MIN_BASELINE_ATTEMPTS
+            else 0.0
+        )
+        prior = PRIOR_IN_FLIGHT * max(0.0, 1.0 - self.rate * usual / NS_PER_SECOND) if usual > 0.0 else 0.0
+        prior_rate = prior * NS_PER_SECOND / usual if prior else 0.0
+        return (self.in_flight + prior) * NS_PER_SECOND / (self.rate + prior_rate)
+
+    def _close_window(self, now: int) -> None:
+        """Take the window that ends now into the moving rate, and decay the baseline."""
+        span = now - self.window_start
+        weight = 1.0 - (1.0 - WINDOW_WEIGHT) ** (span / WINDOW_NS)
+        self.rate += weight * (self.window_attempts * NS_PER_SECOND / span - self.rate)
+        self.window_attempts = 0
+        self.window_start = now
+        keep = BASELINE_DECAY ** (span / WINDOW_NS)
+        self.baseline_time *= keep
+        self.baseline_attempts *= keep
+
+    def rejection_share(self, now: int, limit: float) -> float:
+        """Return the share (0 to 1) of a class to reject that may keep others waiting for `limit` (ns)."""
+        return max(0.0, min(1.0, (self.estimate(now) / limit - 1.0) / (FULL_REJECTION_RATIO - 1.0)))
--- a/hollybay/balancing/reported_failures.py
+++ b/hollybay/balancing/reported_failures.py
@@ -1,37 +1,51 @@
-"""What servers tell of their failures: they see those of all nodes, one node too few to judge."""
+"""Failure rates that servers report: they count the attempts of all nodes, one node sees too few to judge."""
 
 from __future__ import annotations
 
 from collections.abc import Sequence
 
-__all__ = ["BAD", "FADE", "FAILING", "SPAN", "Failures"]
-
-# Share of failures from which a server gets nothing that must not be repeated.
-FAILING = 0.1
-# The share from which it gets nothing at all while others are there, and is not taken for idle.
-BAD = 0.4
-# For how long (ns) a report counts: a server that is avoided sends few new ones, and must be able to return.
-SPAN = 4_000_000_000
-# What each review leaves of the share after that.
-FADE = 0.8
-# Answers a second, failures included, of which a report must be made to tell anything.
-LEAST = 1.0
-
-
-class Failures:
-    """Reads the share of failures from reports whose fields stand in the order of the settings."""
-
-    __slots__ = ("errors", "rate")
+__all__ = [
+    "EXCLUSION_FAILURE_RATE",
+    "EXPIRED_REPORT_DECAY",
+    "REPORT_LIFETIME_NS",
+    "UNSAFE_FAILURE_RATE",
+    "ReportedFailures",
+]
+
+# The failure rate above which a server gets no request that must not be retried.
+UNSAFE_FAILURE_RATE = 0.1
+# The failure rate from which a server is not idle, and gets nothing while others are available.
+EXCLUSION_FAILURE_RATE = 0.4
+# How long (ns) a report is valid. A server that is avoided sends few new ones and must be able to return.
+REPORT_LIFETIME_NS = 4_000_000_000
+# What each review leaves of the failure rate of an expired report.
+EXPIRED_REPORT_DECAY = 0.8
+# A report over fewer answers a second than this, failures included, is taken for a failure rate of 0.
+MIN_ANSWERS_PER_SECOND = 1.0
+
+
+class ReportedFailures:
+    """Reads failure rates from load reports.
+
+    Parameters
+    ----------
+    fields
+        The names of a report's values, in order. "errors" and "rate" (both per second) are used.
+    """
+
+    __slots__ = ("errors_field", "rate_field")
 
     def __init__(self, fields: Sequence[str]) -> None:
-        self.errors = fields.index("errors") if "errors" in fields else -1
-        self.rate = fields.index("rate") if "rate" in fields else -1
+        self.errors_field = fields.index("errors") if "errors" in fields else -1
+        self.rate_field = fields.index("rate") if "rate" in fields else -1
 
-    def share(self, report: Sequence[float]) -> float | None:
-        """Failures as a share of all answers; None where the report does not say, or says what cannot be."""
-        if self.errors < 0 or self.rate < 0 or len(report) <= max(self.errors, self.rate):
+    def failure_rate(self, report: Sequence[float]) -> float | None:
+        """Return failures as a share (0 to 1) of all answers; None where a report has no valid values."""
+        if self.errors_field < 0 or self.rate_field < 0:
+            return None
+        if len(report) <= max(self.errors_field, self.rate_field):
             return None
-        errors, served = report[self.errors], report[self.rate]
-        if not (errors >= 0.0 and served >= 0.0):
+        errors, served = report[self.errors_field], report[self.rate_field]
+        if not (errors >= 0.0 and served >= 0.0):  # also where one is not a number
             return None
-        return errors / (errors + served) if errors + served > LEAST else 0.0
+        return errors / (errors + served) if errors + served > MIN_ANSWERS_PER_SECOND else 0.0
--- a/hollybay/balancing/retries.py
+++ b/hollybay/balancing/retries.py
@@ -1,21 +1,28 @@
-"""The guard over repeats and refusals, and the budgets of further attempts."""
+"""Which further attempts and which rejections are safe, and the node's budgets of retries and hedges.
+
+A request may run twice only where its class allows it: SAFE ones anywhere, KEYED ones where servers drop the
+duplicate (deduplication scope and window), UNSAFE ones only if no earlier attempt can have had an effect.
+"""
 
 from __future__ import annotations
 
 from .interface import NEVER_RAN, DeduplicationScope, Effect, Limits, RequestClass, Settings
-from .retry_budgets import Budgets
-from .state import Owed, Server, Try
+from .retry_budgets import RetryBudgets
+from .state import Attempt, PendingRequest, Server
 
-__all__ = ["ANYWHERE", "Repeats", "Scope", "may_refuse", "resend_scope"]
+__all__ = ["ANYWHERE", "RetryPolicy", "RetryScope", "allowed_scope", "may_reject"]
 
-# Further copies per request: enough for rare stragglers, too few to make a storm.
-COPY_BUDGET, COPY_SAVED = 0.1, 10.0
-# Resends per request on average, and the most that may be saved up.
-RESEND_BUDGET, RESEND_SAVED = 0.5, 50.0
+# Hedges allowed per request, and the most that are saved up: enough for rare stragglers, too few for a storm.
+HEDGES_PER_REQUEST = 0.1
+MAX_SAVED_HEDGES = 10.0
+# Retries allowed per request, the most that are saved up, and those that a new node has.
+RETRIES_PER_REQUEST = 0.5
+MAX_SAVED_RETRIES = 50.0
+INITIAL_RETRIES = 10.0
 
 
-class Scope:
-    """Where a further attempt may go: anywhere, or within one zone or cell."""
+class RetryScope:
+    """Where a further attempt may go: anywhere, or within one zone or cell (-1: any)."""
 
     __slots__ = ("cell", "zone")
 
@@ -24,104 +31,174 @@
         self.cell = cell
 
     def allows(self, server: Server) -> bool:
+        """Whether a server is within the scope."""
         return (self.zone < 0 or server.zone == self.zone) and (self.cell < 0 or server.cell == self.cell)
 
 
-ANYWHERE = Scope()
-
-
-def closes(first: Try, cls: RequestClass, own: int, slack: int) -> int:
-    """When the window of a keyed class is over; own: its route's (ns), 0 for none."""
-    return first.sent + (min(own, cls.deduplication_window) if own else cls.deduplication_window) - slack
-
-
-def resend_scope(
-    cls: RequestClass, tries: list[Try], now: int, hedging_allowed: bool, most: int, slack: int = 0
-) -> Scope | None:
-    """The guard of every further attempt: where it may go, or None. Against effects that happen twice."""
-    if len(tries) >= most:
+ANYWHERE = RetryScope()
+
+
+def may_have_run(attempt: Attempt) -> bool:
+    """Whether an attempt, finished or in flight, can have had an effect."""
+    return attempt.result not in NEVER_RAN
+
+
+def deduplication_deadline(first: Attempt, cls: RequestClass, route_window: int, slack: int) -> int:
+    """Return the time (ns) after which servers may not recognise a duplicate any more.
+
+    Parameters
+    ----------
+    first
+        The first attempt that may have run.
+    cls
+        The request's class, which has a deduplication window.
+    route_window
+        The window (ns) that the route allows, 0 for no limit; it only shortens that of the class.
+    slack
+        Time (ns) kept back for the resolution of the clock.
+    """
+    window = min(route_window, cls.deduplication_window) if route_window else cls.deduplication_window
+    return first.sent_at + window - slack
+
+
+def allowed_scope(
+    cls: RequestClass,
+    attempts: list[Attempt],
+    now: int,
+    hedging_allowed: bool,
+    max_attempts: int,
+    slack: int = 0,
+) -> RetryScope | None:
+    """Return where a further attempt may go; the guard against effects that happen twice.
+
+    Parameters
+    ----------
+    cls
+        The request's class.
+    attempts
+        Its attempts so far.
+    now
+        The time (ns).
+    hedging_allowed
+        Whether there may be two attempts in flight.
+    max_attempts
+        The most attempts that a request may have.
+    slack
+        Time (ns) kept back from the deduplication window.
+
+    Returns
+    -------
+    RetryScope or None
+        None where there may be no further attempt.
+    """
+    if len(attempts) >= max_attempts:
         return None
-    first: Try | None = None
-    for t in tries:
-        if t.result is None and not hedging_allowed:
+    first: Attempt | None = None
+    for attempt in attempts:
+        if attempt.result is None and not hedging_allowed:
             return None
-        if first is None and t.result not in NEVER_RAN:
-            first = t
+        if first is None and may_have_run(attempt):
+            first = attempt
     if first is None or cls.effect == Effect.SAFE:
         return ANYWHERE
-    if cls.effect == Effect.UNSAFE or now >= closes(first, cls, 0, slack):
+    if cls.effect == Effect.UNSAFE or now >= deduplication_deadline(first, cls, 0, slack):
         return None
     if cls.deduplication_scope == DeduplicationScope.CELL:
-        return Scope(cell=first.cell)
+        return RetryScope(cell=first.cell)
     if cls.deduplication_scope == DeduplicationScope.ZONE:
-        return Scope(zone=first.zone)
+        return RetryScope(zone=first.zone)
     return ANYWHERE
 
 
-def limited_scope(
-    cls: RequestClass, tries: list[Try], now: int, scope: Scope | None, limits: Limits, slack: int
-) -> Scope | None:
-    """What an operator's limits leave of a further attempt that the guard allows; they only narrow it."""
-    if scope is None or (limits.attempts and len(tries) >= limits.attempts):
+def narrowed_scope(
+    cls: RequestClass,
+    attempts: list[Attempt],
+    now: int,
+    scope: RetryScope | None,
+    limits: Limits,
+    slack: int,
+) -> RetryScope | None:
+    """Return what a route's limits leave of an allowed scope; they can only narrow it.
+
+    Parameters are those of `allowed_scope`; `scope` is its result.
+    """
+    if scope is None or (limits.attempts and len(attempts) >= limits.attempts):
         return None
-    first = next((t for t in tries if t.result not in NEVER_RAN), None)
+    first = next(filter(may_have_run, attempts), None)
     if first is None or cls.effect != Effect.KEYED:
         return scope
-    if now >= closes(first, cls, limits.retry_window, slack):
+    if now >= deduplication_deadline(first, cls, limits.retry_window, slack):
         return None
     if limits.retry_scope == DeduplicationScope.CELL:
-        return Scope(scope.zone, first.cell)
+        return RetryScope(scope.zone, first.cell)
     if limits.retry_scope == DeduplicationScope.ZONE and scope.cell < 0:
-        return Scope(zone=first.zone)
+        return RetryScope(zone=first.zone)
     return scope
 
 
-def may_refuse(cls: RequestClass, tries: list[Try]) -> bool:
-    """The guard of every refusal, which tells the client that trying again is harmless."""
+def may_reject(cls: RequestClass, attempts: list[Attempt]) -> bool:
+    """Whether a client may be told that trying again is harmless."""
     if cls.effect == Effect.SAFE:
         return True
     if cls.effect == Effect.KEYED and cls.deduplication_scope == DeduplicationScope.ALL:
         return True
-    return all(t.result in NEVER_RAN for t in tries)
+    return not any(may_have_run(attempt) for attempt in attempts)
+
 
+class RetryPolicy:
+    """What further attempts are safe under the settings, and what the budgets have left.
 
-class Repeats:
-    """What further attempts a node has left, of its own and by route."""
+    Attributes
+    ----------
+    hedge_tokens, retry_tokens
+        Hedges and retries that the node has left.
+    route_budgets
+        Retries and hedges that routes with a budget have left.
+    """
 
     def __init__(self, settings: Settings) -> None:
         self.settings = settings
-        self.copies = 0.0
-        self.resends = RESEND_SAVED / 5
-        self.routes = Budgets()  # repeats that routes with a retry budget have left
+        self.hedge_tokens = 0.0
+        self.retry_tokens = INITIAL_RETRIES
+        self.route_budgets = RetryBudgets()
 
-    def arrived(self) -> None:
-        """Each request adds to the node's budgets."""
-        self.copies = min(self.copies + COPY_BUDGET, COPY_SAVED)
-        self.resends = min(self.resends + RESEND_BUDGET, RESEND_SAVED)
+    def record_request(self) -> None:
+        """Credit the node's budgets for a request that has come."""
+        self.hedge_tokens = min(self.hedge_tokens + HEDGES_PER_REQUEST, MAX_SAVED_HEDGES)
+        self.retry_tokens = min(self.retry_tokens + RETRIES_PER_REQUEST, MAX_SAVED_RETRIES)
 
-    def scope(self, request: Owed, now: int, hedging_allowed: bool) -> Scope | None:
-        """Where a further attempt of a request may go by its class, the settings and its route."""
+    def scope_of(self, request: PendingRequest, now: int, hedging_allowed: bool) -> RetryScope | None:
+        """Return where a further attempt may go by the request's class, the settings and its route."""
         settings = self.settings
-        cls, tries, slack = settings.classes[request.cls], request.tries, settings.tick
-        scope = resend_scope(cls, tries, now, hedging_allowed, settings.max_attempts, slack)
+        cls = settings.classes[request.class_index]
+        attempts = request.attempts
+        slack = settings.tick
+        scope = allowed_scope(cls, attempts, now, hedging_allowed, settings.max_attempts, slack)
         if request.limits is not None:
-            scope = limited_scope(cls, tries, now, scope, request.limits, slack)
+            scope = narrowed_scope(cls, attempts, now, scope, request.limits, slack)
         return scope
 
-    def until(self, request: Owed) -> int:
-        """When a keyed request's window is over, for the last byte of a further attempt; 0: never."""
-        cls, limits = self.settings.classes[request.cls], request.limits
-        ran = (t for t in request.tries if t.result not in NEVER_RAN)
-        first = next(ran, None) if cls.effect == Effect.KEYED else None
+    def send_deadline(self, request: PendingRequest) -> int:
+        """Return when (ns) the last byte of a further attempt must be sent; 0 for no such time."""
+        if not request.attempts:
+            return 0
+        cls = self.settings.classes[request.class_index]
+        if cls.effect != Effect.KEYED:
+            return 0
+        first = next(filter(may_have_run, request.attempts), None)
         if first is None:
             return 0
-        return closes(first, cls, limits.retry_window if limits is not None else 0, self.settings.tick)
+        limits = request.limits
+        route_window = limits.retry_window if limits is not None else 0
+        return deduplication_deadline(first, cls, route_window, self.settings.tick)
 
-    def save(self, limits: Limits | None) -> None:
-        """A request adds to its route's retry budget, where there is one."""
+    def deposit(self, limits: Limits | None) -> None:
+        """Credit the request's route budget, where it has one."""
         if limits is not None and limits.retry_share >= 0.0:
-            self.routes.save(limits.budget, limits.retry_share)
+            self.route_budgets.deposit(limits.budget, limits.retry_share)
 
-    def spend(self, limits: Limits | None) -> bool:
-        """Take a repeat from its route's retry budget, where there is one; False: none is left."""
-        return limits is None or limits.retry_share < 0.0 or self.routes.spend(limits.budget)
+    def withdraw(self, limits: Limits | None) -> bool:
+        """Charge a retry or hedge to the request's route budget, where it has one; False: none is left."""
+        if limits is None or limits.retry_share < 0.0:
+            return True
+        return self.route_budgets.withdraw(limits.budget)
--- a/hollybay/balancing/retry_budgets.py
+++ b/hollybay/balancing/retry_budgets.py
@@ -1,33 +1,50 @@
-"""Budgets of repeats by name: each request saves a part of one, each repeat spends one."""
+"""Named retry budgets: a token bucket per name, filled by requests and drained by retries and hedges."""
 
 from __future__ import annotations
 
-__all__ = ["BUDGETS", "SAVED", "Budgets"]
+__all__ = ["MAX_BUDGETS", "MAX_TOKENS", "RetryBudgets"]
 
-# Repeats that one budget saves up at most, and how many budgets are kept: those that nobody has used for
-# longest go first, as names that are used no more do.
-SAVED, BUDGETS = 10.0, 4096
+# The tokens (retries) that one budget holds at most.
+MAX_TOKENS = 10.0
+# A budget that is seen for the first time starts with this many tokens.
+INITIAL_TOKENS = 1.0
+# The number of budgets kept; beyond it the least recently credited one is dropped, as its name is out of use.
+MAX_BUDGETS = 4096
 
 
-class Budgets:
-    """What each name has left."""
+class RetryBudgets:
+    """Retry tokens by budget name.
 
-    __slots__ = ("saved",)
+    Attributes
+    ----------
+    tokens
+        Tokens left by name, in the order of the last deposit.
+    """
+
+    __slots__ = ("tokens",)
 
     def __init__(self) -> None:
-        self.saved: dict[str, float] = {}
-
-    def save(self, name: str, part: float) -> None:
-        """A request adds a part of a repeat."""
-        saved = self.saved.pop(name, 1.0) + part
-        self.saved[name] = min(saved, SAVED)
-        if len(self.saved) > BUDGETS:
-            del self.saved[next(iter(self.saved))]
-
-    def spend(self, name: str) -> bool:
-        """Take a repeat; False: none is left."""
-        saved = self.saved.get(name, 0.0)
-        if saved < 1.0:
+        self.tokens: dict[str, float] = {}
+
+    def deposit(self, name: str, share: float) -> None:
+        """Credit a budget for one request.
+
+        Parameters
+        ----------
+        name
+            The budget.
+        share
+            Tokens that the request adds (retries allowed per request).
+        """
+        tokens = self.tokens.pop(name, INITIAL_TOKENS) + share
+        self.tokens[name] = min(tokens, MAX_TOKENS)
+        if len(self.tokens) > MAX_BUDGETS:
+            del self.tokens[next(iter(self.tokens))]
+
+    def withdraw(self, name: str) -> bool:
+        """Take one token for a retry; False, and nothing is taken, where less than one is left."""
+        tokens = self.tokens.get(name, 0.0)
+        if tokens < 1.0:
             return False
-        self.saved[name] = saved - 1.0
+        self.tokens[name] = tokens - 1.0
         return True
--- /dev/null
+++ b/hollybay/balancing/settings.py
@@ -0,0 +1,297 @@
+"""What a node is told at its start, and the values that events and actions share with it.
+
+Times and durations are integer nanoseconds on the caller's monotonic clock.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Hashable
+from dataclasses import dataclass, field
+from enum import IntEnum
+
+# The share of the idle timeout after which a node closes an idle connection itself; the rest is for clocks
+# and the network. Until then the balancer takes the connection for open.
+IDLE_CLOSE_SHARE = 0.8
+
+ServerId = Hashable
+Report = tuple[float, ...]
+
+
+class Effect(IntEnum):
+    """Whether a request of a class may run more than once: always, with a deduplication key, never."""
+
+    SAFE = 0
+    KEYED = 1
+    UNSAFE = 2
+
+
+class DeduplicationScope(IntEnum):
+    """Which servers recognise the duplicate of a keyed request: all, those of one zone, those of one cell."""
+
+    ALL = 0
+    ZONE = 1
+    CELL = 2
+
+
+class WeightMode(IntEnum):
+    """What a listed weight means: nothing, the size, roughly the size, or size / (1 + requests per core)."""
+
+    NONE = 0
+    NOMINAL = 1
+    ROUGH = 2
+    LIVE = 3
+
+
+class ReportMode(IntEnum):
+    """Where load reports come from: nowhere, responses, or probes."""
+
+    NONE = 0
+    ANSWERS = 1
+    PROBES = 2
+
+
+class ServerState(IntEnum):
+    """State of a server in the list; a draining one gets no new requests."""
+
+    GONE = 0
+    READY = 1
+    DRAINING = 2
+
+
+class ListKind(IntEnum):
+    """What a list is: changed entries, all entries, all entries from a cache, or a failed poll."""
+
+    CHANGES = 0
+    FULL = 1
+    CACHED = 2
+    FAILED = 3
+
+
+class Result(IntEnum):
+    """How an attempt ended."""
+
+    OK = 0
+    ERROR = 1
+    REJECTED = 2
+    TIMEOUT = 3
+    CONNECT_FAILED = 4
+    RESET = 5
+    CANCELLED = 6
+    NOT_SENT = 7
+
+
+# Results that prove that an attempt had no effect; after any other it may have run.
+NEVER_RAN = frozenset({Result.REJECTED, Result.CONNECT_FAILED, Result.NOT_SENT})
+
+
+@dataclass(frozen=True, slots=True)
+class RequestClass:
+    """A kind of request.
+
+    Attributes
+    ----------
+    name
+        For messages.
+    effect
+        Whether it may run more than once.
+    priority_weight
+        The value of an answer, relative to other classes.
+    latency_objective
+        The response time (ns) up to which an answer has its full value.
+    deadline
+        The time (ns) after which clients give up.
+    late_weight
+        The share (0 to 1) of its value that a late answer has.
+    deduplication_scope, deduplication_window
+        Which servers recognise a duplicate of a keyed request, and for how long (ns) after the first attempt.
+    streamed
+        Whether responses are streams.
+    """
+
+    name: str
+    effect: Effect
+    priority_weight: float
+    latency_objective: int
+    deadline: int
+    late_weight: float = 0.0
+    deduplication_scope: DeduplicationScope = DeduplicationScope.ALL
+    deduplication_window: int = 0
+    streamed: bool = False
+
+    def validate(self) -> None:
+        """Raise ValueError where a value is out of range."""
+        if self.latency_objective < 1 or self.deadline < 1:
+            raise ValueError(f"classes.{self.name}: latency_objective and deadline must be at least 1 ns")
+        if not self.priority_weight >= 0.0:
+            raise ValueError(f"classes.{self.name}: priority_weight must not be negative")
+
+
+@dataclass(frozen=True, slots=True)
+class Tenant:
+    """A customer that shares the service.
+
+    Attributes
+    ----------
+    name
+        For messages.
+    share
+        Its share (0 to 1) of the service.
+    allowance
+        Requests a second over all nodes, 0: not known.
+    """
+
+    name: str
+    share: float
+    allowance: float = 0.0
+
+
+@dataclass(frozen=True, slots=True)
+class Prices:
+    """Costs in units of priority weight.
+
+    Attributes
+    ----------
+    crossing, handshake, probe
+        Per request: a request to another zone, a new connection, a probe.
+    connection
+        Per 100 connections of a server.
+    waste, late_failure
+        Of wasted work, and of a late failure.
+    """
+
+    crossing: float = 0.0
+    handshake: float = 0.0
+    connection: float = 0.0
+    waste: float = 0.0
+    late_failure: float = 0.0
+    probe: float = 0.0
+
+
+@dataclass(frozen=True, slots=True)
+class Settings:
+    """What a node is configured with at its start; durations in ns.
+
+    Attributes
+    ----------
+    classes, tenants
+        Request classes and tenants, by number.
+    zones, kinds
+        The number of zones, and of kinds of machines.
+    zone, node, nodes
+        This node's zone and number, and the number of nodes.
+    tick
+        The resolution of the clock.
+    weight_mode
+        What listed weights mean.
+    report_mode, report_fields
+        Where load reports come from, and the names of their values in order.
+    must_poll
+        Whether discovery has to be asked for the server list.
+    max_attempts
+        The most attempts of a request.
+    hedging_allowed, cancel_allowed, probes_allowed
+        Whether two attempts of a request may be in flight, attempts may be cancelled, servers may be probed.
+    over_share_weight, weight_by_work
+        How requests of a tenant beyond its share count, and whether by their work.
+    connect_timeout, idle_timeout
+        For connections to servers.
+    streams
+        Requests that a connection carries at once.
+    max_retry_after
+        The longest Retry-After of a rejection.
+    answer_grace, drain_grace
+        How long after a deadline an answer may come, and after a drain a request may still reach its server.
+    cold_share, warm_up
+        The share (0 to 1) of its capacity that a server has at its start, and how long it takes to reach all.
+    overload_multiple, overload_window
+        The multiple of its capacity up to which a starting server may get requests, and over which time.
+    poll_within
+        The longest allowed time without a poll, 0 for no limit.
+    prices
+        Costs that decisions weigh.
+    """
+
+    classes: tuple[RequestClass, ...]
+    tenants: tuple[Tenant, ...] = ()
+    zones: int = 1
+    kinds: int = 1
+    zone: int = 0
+    node: int = 0
+    nodes: int = 1
+    tick: int = 1_000_000
+    weight_mode: WeightMode = WeightMode.NONE
+    report_mode: ReportMode = ReportMode.NONE
+    report_fields: tuple[str, ...] = ()
+    must_poll: bool = False
+    max_attempts: int = 3
+    hedging_allowed: bool = False
+    cancel_allowed: bool = True
+    probes_allowed: bool = False
+    over_share_weight: float = 1.0
+    weight_by_work: bool = False
+    connect_timeout: int = 250_000_000
+    idle_timeout: int = 15_000_000_000
+    streams: int = 1
+    max_retry_after: int = 0
+    answer_grace: int = 0
+    drain_grace: int = 0
+    cold_share: float = 1.0
+    warm_up: int = 0
+    overload_multiple: float = 4.0
+    overload_window: int = 2_000_000_000
+    poll_within: int = 0
+    prices: Prices = field(default_factory=Prices)
+
+    def __post_init__(self) -> None:
+        """Raise ValueError where a value is out of range."""
+        if not self.classes:
+            raise ValueError("classes: at least one request class is needed")
+        for name in (
+            "zones",
+            "kinds",
+            "nodes",
+            "tick",
+            "max_attempts",
+            "streams",
+            "connect_timeout",
+            "overload_window",
+        ):
+            if getattr(self, name) < 1:
+                raise ValueError(f"{name}: must be at least 1, is {getattr(self, name)}")
+        if not 0 <= self.node < self.nodes:
+            raise ValueError(f"node: {self.node} is not among {self.nodes} nodes")
+        if not 0 <= self.zone < self.zones:
+            raise ValueError(f"zone: {self.zone} is not among {self.zones} zones")
+        if not 0.0 < self.cold_share <= 1.0:
+            raise ValueError(f"cold_share: must be above 0 and at most 1, is {self.cold_share}")
+        if not self.overload_multiple > 0.0:
+            raise ValueError(f"overload_multiple: must be above 0, is {self.overload_multiple}")
+        for cls in self.classes:
+            cls.validate()
+
+
+@dataclass(frozen=True, slots=True)
+class Server:
+    """One entry of the server list.
+
+    Attributes
+    ----------
+    id
+        The server's id.
+    zone, kind, cell
+        Where it is, and its kind of machine.
+    state
+        Whether it takes requests.
+    weight
+        As Settings.weight_mode says.
+    up_since
+        When (ns) its process started, 0: long ago.
+    """
+
+    id: ServerId
+    zone: int = 0
+    kind: int = 0
+    cell: int = 0
+    state: ServerState = ServerState.READY
+    weight: float = 1.0
+    up_since: int = 0
--- /dev/null
+++ b/hollybay/balancing/slow_start.py
@@ -0,0 +1,99 @@
+"""Slow start: how much a server that has just started can do, and the send rate that each node allows itself.
+
+A starting server has a budget of requests over all nodes (settings: overload_multiple). Nodes divide it by
+their number, as each estimates it (traffic_share), and keep an interval between their own sends, so that the
+sum holds without communication.
+"""
+
+from __future__ import annotations
+
+from random import Random
+
+from .interface import Settings
+from .state import Server
+
+__all__ = ["COLD_BUDGET_SHARE", "SlowStart", "send_interval"]
+
+# The share of a starting server's budget (its present capacity x overload_multiple) that all nodes together
+# plan to use. Servers often do more at their age than the least; the rest is slack for chance, for uneven
+# traffic, and for a service time that is estimated too low.
+COLD_BUDGET_SHARE = 0.4
+
+
+def send_interval(service_time: float, size: float, factor: float, multiple: float, nodes: float) -> int:
+    """Return the time (ns) between two sends of one node to a starting server.
+
+    A node's part of less than one request becomes a longer interval, never one request from every node.
+
+    Parameters
+    ----------
+    service_time
+        Time (ns) that a request takes at a server of size 1.
+    size
+        The server's size when warm.
+    factor
+        The share (0 to 1) of its size that it has now, at the least.
+    multiple
+        Settings.overload_multiple.
+    nodes
+        The number of nodes that share the budget.
+    """
+    return int(service_time / size / (COLD_BUDGET_SHARE * multiple * factor / nodes))
+
+
+class SlowStart:
+    """Keeps each server's slow-start state up to date.
+
+    Parameters
+    ----------
+    settings
+        warm_up (ns), cold_share (0 to 1) and overload_multiple are used.
+    random
+        The node's source of random numbers.
+    """
+
+    __slots__ = ("random", "settings")
+
+    def __init__(self, settings: Settings, random: Random) -> None:
+        self.settings = settings
+        self.random = random
+
+    def factor(self, server: Server, now: int) -> float:
+        """Return the least share (0 to 1) of its size that a server can do at its age.
+
+        It grows linearly from cold_share to 1 over the warm-up time.
+        """
+        warm_up = self.settings.warm_up
+        age = now - server.up_since
+        if not server.up_since or age >= warm_up:
+            return 1.0
+        cold_share = self.settings.cold_share
+        return cold_share + (1.0 - cold_share) * max(0, age) / warm_up
+
+    def update_interval(self, server: Server, service_time: float, nodes: float, now: int) -> None:
+        """Renew the send interval of a starting server.
+
+        Parameters
+        ----------
+        server
+            A server with a slow-start factor below 1.
+        service_time
+            Time (ns) that a request takes at a server of size 1.
+        nodes
+            The number of nodes that share the server's budget.
+        now
+            The time (ns).
+        """
+        interval = send_interval(
+            service_time, server.size, server.slow_start_factor, self.settings.overload_multiple, nodes
+        )
+        server.slow_start_interval = interval
+        # It is new, or the interval has shrunk since: a random start keeps nodes from sending all at once.
+        if server.slow_start_send_at < 0 or server.slow_start_send_at > now + interval:
+            server.slow_start_send_at = now + int(self.random.random() * interval)
+
+    @staticmethod
+    def record_send(server: Server, now: int) -> None:
+        """Charge one request that was sent to a starting server at a time (ns)."""
+        server.slow_start_send_at = max(server.slow_start_send_at, now) + server.slow_start_interval
+        server.idle_from = max(server.idle_from, server.slow_start_send_at)
