--- a/hollybay/consensus/log.py
+++ b/hollybay/consensus/log.py
@@ -1,12 +1,12 @@
-"""The replicated log on disk: one entry after another, and from time to time a snapshot of the resources.
+"""The replicated log of one process: entries on disk, and snapshots that replace the oldest of them.
 
-The files are those of `log_files`. Quarantined files count as absent and are fetched again from other
-processes.
+`log_files` reads and writes the files. Quarantined files count as absent; their entries are fetched again
+from other processes.
 
-Entries form chains by the digests of their parents: the chain of decided entries, and beside it proposals
-that were dropped. An entry is appended only if the resources before it are here and its changes lead to the
-digest that it states. A snapshot stands for all entries up to its own; these are removed once they take more
-bytes than the snapshot.
+Each entry holds the digest of its parent. Besides the chain of decided entries the log may hold proposals
+that were dropped. An entry is appended only if the resources of its parent are in memory and its changes
+produce the digest that it states. A snapshot holds the resources after one entry; older entries are removed
+once they take more bytes than the snapshot.
 """
 
 from __future__ import annotations
@@ -35,33 +35,34 @@
     "PolicyLog",
 ]
 
-# How many of the newest entries are kept in memory with the resources after them.
+# Number of the newest entries that are kept in memory with the resources after them.
 MAX_STATES_IN_MEMORY = 32
-# Old entries are removed at once when they take more bytes than a snapshot, and than this, or are so many.
+# Old entries are replaced by a snapshot once they take more bytes than both the largest snapshot and
+# SNAPSHOT_FLOOR_BYTES, or once there are more than MAX_LOG_ENTRIES of them.
 SNAPSHOT_FLOOR_BYTES = 64 << 10
 MAX_LOG_ENTRIES = 1024
 
 
 class LogTruncatedError(Exception):
-    """The entries or the snapshot that were asked for are not in this log."""
+    """The requested entries or snapshot are no longer in this log."""
 
 
 class PolicyLog:
     """The log of one process, in a folder of entries and snapshots.
 
-    Methods that change the log may be called from several threads: a process is leaseholder and voter, and
-    both may fetch the same entry.
+    Methods that change the log may be called from several threads: a process can be both leaseholder and
+    voter, and both roles may fetch the same entry.
 
     Parameters
     ----------
     folder
-        Where the files are.
+        The folder of the files.
     before_step
-        Called before each announced step on the disk, as in `record_folder.RecordFolder`.
+        Called before each write and flush, as in `record_folder.RecordFolder`; tests inject faults with it.
     max_states_in_memory
-        How many of the newest entries are kept with the resources after them.
+        Number of the newest entries that are kept in memory with the resources after them.
     snapshot_floor_bytes
-        Entries of fewer bytes are never replaced by a snapshot.
+        Entries that take fewer bytes in total are not replaced by a snapshot.
     """
 
     def __init__(
@@ -81,13 +82,13 @@
 
     @property
     def quarantined(self) -> dict[str, str]:
-        """Files that held no usable record, and why."""
+        """Files that were quarantined, with the reason."""
         return self._files.quarantined
 
-    # Opening
+    # Loading from disk
 
     def open(self) -> None:
-        """Load what is on disk: snapshots, then the entries that follow them.
+        """Load the snapshots and then the entries on disk.
 
         Raises
         ------
@@ -105,18 +106,18 @@
                 raise StoreError(f"{self.folder}: {error}") from None
 
     def _open_snapshot(self, name: str) -> None:
-        found = self._files.read_snapshot(name)
-        if found is not None:
-            self._add_snapshot(*found)
+        loaded = self._files.read_snapshot(name)
+        if loaded is not None:
+            self._add_snapshot(*loaded)
 
     def _open_entry(self, name: str) -> None:
-        found = self._files.read_entry(name)
-        if found is None:
+        loaded = self._files.read_entry(name)
+        if loaded is None:
             return
-        policy, size_bytes = found
-        with_snapshot = self._entries.get(name)
-        if with_snapshot is not None:
-            self._entries[name] = with_snapshot.with_changes_of(policy, size_bytes)
+        policy, size_bytes = loaded
+        snapshot_entry = self._entries.get(name)
+        if snapshot_entry is not None:
+            self._entries[name] = snapshot_entry.with_changes_of(policy, size_bytes)
             return
         try:
             state = self._state_after(policy)
@@ -128,39 +129,39 @@
     # Reading
 
     def names(self) -> list[str]:
-        """The names of the entries that are here, the oldest first."""
+        """The names of all entries in the log, oldest first."""
         return sorted(list(self._entries), key=age_order)
 
     def policy(self, name: str) -> PolicyVersion | None:
-        """A policy without its changes; None: it is not here."""
+        """The policy of an entry without its changes, or None if the log does not hold it."""
         entry = self._entries.get(name)
         return entry.policy if entry is not None else None
 
     def entry(self, name: str) -> Entry | None:
-        """An entry; None: it is not here."""
+        """An entry, or None if the log does not hold it."""
         return self._entries.get(name)
 
     def state(self, name: str) -> ResourceState | None:
-        """The resources after an entry; None: they are not here."""
+        """The resources after an entry, or None if they are not in memory."""
         entry = self._entries.get(name)
         return entry.state if entry is not None else None
 
     def read_entry(self, name: str) -> PolicyVersion | None:
-        """A policy with its changes, from the disk; None: it is not there. Reads a file."""
+        """Read a policy with its changes from disk; None if there is no usable file."""
         return self._files.find_entry(name) if is_name(name) else None
 
     # Appending
 
     def append(self, policy: PolicyVersion) -> Entry:
-        """Add an entry, on disk first; once this returns it is durable.
+        """Add an entry: write it to disk, then to memory. It is durable once this returns.
 
         Raises
         ------
         StoreError
-            It could not be written.
+            The entry could not be written.
         RejectedError
-            Its parent is not here (a gap), or its changes do not lead to the digest that it states. The log
-            is unchanged.
+            The log lacks its parent (a gap), or its changes do not produce the digest that it states. The
+            log is unchanged.
         """
         with self._lock:
             present = self._entries.get(policy.name)
@@ -172,14 +173,14 @@
     def install_snapshot(
         self, data: bytes, parsed: tuple[PolicyVersion, ResourceState] | None = None
     ) -> Entry:
-        """Add a snapshot, on disk first.
+        """Add a snapshot: write it to disk, then to memory.
 
         Parameters
         ----------
         data
             The encoded snapshot.
         parsed
-            The result of `Snapshot.decode`, where it is known already.
+            The result of `Snapshot.decode`, if the caller has decoded it already.
 
         Raises
         ------
@@ -206,7 +207,7 @@
         return entry
 
     def _state_after(self, policy: PolicyVersion) -> ResourceState:
-        """The resources after an entry. RejectedError: as for `append`."""
+        """The resources after a policy is applied to its parent's. RejectedError: as for `append`."""
         state: ResourceState | None = EMPTY
         if policy.version > 1:
             parent = self._entries.get(policy.parent_name)
@@ -214,7 +215,7 @@
                 raise LogGapError(f"a gap: {policy.parent_name}, which {policy.name} follows, is not here")
             state = parent.state
         if state is None:
-            raise LogGapError(f"a gap: the resources of {policy.parent_name} are not kept any more")
+            raise LogGapError(f"a gap: the resources after {policy.parent_name} are no longer in memory")
         try:
             return apply_batch(state, policy.batch)
         except BatchMismatchError as error:
@@ -223,25 +224,25 @@
     # Serving other processes
 
     def encoded_delta(self, version: int, name: str) -> bytes:
-        """The encoded entries after a version up to the one of this name. Reads files.
+        """Read and encode the entries after a version, up to and including the named one.
 
-        As entries are removed once they take more bytes than a snapshot, a delta is not much longer than one.
+        A delta is not much longer than a snapshot, since entries that take more bytes than one are removed.
 
         Raises
         ------
         LogTruncatedError
-            They are not all here.
+            The log no longer holds all of them.
         """
         encoded = []
         for entry in self._chain_since(version, name):
             data = self._files.entry_bytes(entry.policy.name)
             if data is None:
-                raise LogTruncatedError(f"{entry.policy.name} cannot be read here")
+                raise LogTruncatedError(f"the entry {entry.policy.name} cannot be read from disk")
             encoded.append(msgspec.Raw(data))
         return msgspec.msgpack.encode(encoded)
 
     def _chain_since(self, version: int, name: str) -> list[Entry]:
-        """The entries after a version up to the one of this name, the oldest first."""
+        """The entries after a version, up to and including the named one, oldest first."""
         chain: list[Entry] = []
         entry = self._entries.get(name)
         while entry is not None and entry.size_bytes and entry.policy.version > version:
@@ -254,35 +255,35 @@
         return chain[::-1]
 
     def newest_snapshot(self, name: str) -> tuple[str, bytes]:
-        """The name and bytes of the newest snapshot at or before an entry. Reads a file.
+        """Read the newest snapshot at or before an entry; returns its name and its bytes.
 
         Raises
         ------
         LogTruncatedError
-            There is none.
+            The log holds no such snapshot.
         """
         entry = self._entries.get(name)
         while entry is not None:
-            at = entry.policy.name
-            if at in self._snapshot_sizes:
-                data = self._files.snapshot_bytes(at)
+            ancestor = entry.policy.name
+            if ancestor in self._snapshot_sizes:
+                data = self._files.snapshot_bytes(ancestor)
                 if data is not None:
-                    return at, data
+                    return ancestor, data
             entry = self._entries.get(entry.policy.parent_name)
         raise LogTruncatedError(f"no snapshot at or before {name} here")
 
     # Compaction
 
     def prune(self, needed: Iterable[str]) -> None:
-        """Remove what is neither needed nor among the newest. Writes and removes files.
+        """Free memory and disk space of entries that are neither needed nor among the newest.
 
-        The resources after older entries leave the memory. Where entries take more bytes than a snapshot, one
-        is written and they leave the disk.
+        The resources after such entries are dropped from memory. Once older entries take more bytes than a
+        snapshot, a snapshot is written and the entries before it are removed from disk.
 
         Raises
         ------
         StoreError
-            The snapshot could not be written; nothing is lost.
+            The snapshot could not be written; no entry was removed.
         """
         with self._lock:
             needed_names = {name for name in needed if name in self._entries}
@@ -297,21 +298,21 @@
                 self._compact(min(needed_names, key=age_order))
 
     def _compact(self, name: str) -> None:
-        """Replace entries by a snapshot at the oldest ancestor of an entry that has resources.
+        """Replace old entries by a snapshot at the oldest ancestor of an entry with resources in memory.
 
-        Nothing happens where a snapshot is not worth it.
+        Does nothing if the entries that it would replace are few and small.
         """
         base = self._oldest_with_state(self._entries[name])
         if base.state is None:
             return
-        at = base.policy.name
+        base_name = base.policy.name
         older = [other for other in self.names() if version_of(other) < base.policy.version]
-        if at not in self._snapshot_sizes:
-            if not self._is_snapshot_worth_it(older):
+        if base_name not in self._snapshot_sizes:
+            if not self._is_snapshot_worthwhile(older):
                 return
             data = Snapshot.encode(base.policy, base.state)
-            self._files.write_snapshot(at, data)
-            self._snapshot_sizes[at] = len(data)
+            self._files.write_snapshot(base_name, data)
+            self._snapshot_sizes[base_name] = len(data)
         for other in older:
             del self._entries[other]
             self._snapshot_sizes.pop(other, None)
@@ -324,8 +325,8 @@
                 return entry
             entry = parent
 
-    def _is_snapshot_worth_it(self, older: list[str]) -> bool:
-        """Whether the entries that a snapshot would replace are too many or take more bytes than one."""
+    def _is_snapshot_worthwhile(self, older: list[str]) -> bool:
+        """Whether the entries that a snapshot would replace exceed the bound in bytes or in number."""
         freed_bytes = sum(self._entries[name].size_bytes for name in older)
         sizes = (self._snapshot_sizes[name] for name in older if name in self._snapshot_sizes)
         largest_snapshot_bytes = max(sizes, default=0)
--- a/hollybay/consensus/log_events.py
+++ b/hollybay/consensus/log_events.py
@@ -1,4 +1,4 @@
-"""The events of the replicated log that a node writes to its own log."""
+"""The events of the consensus group that a node writes to its own log."""
 
 from __future__ import annotations
 
@@ -9,55 +9,55 @@
 
 @unique
 class LogEvent(StrEnum):
-    """What happened; the value is the text of the log line, its fields follow as `key=value`."""
+    """The event of a log line. The value is the text of the line; fields follow as `key=value`."""
 
     BOOTSTRAPPED = "founded"
-    """A group has begun, under its first policy."""
+    """A group was bootstrapped with its first policy."""
 
     QUEUED = "queued"
-    """A change waits for its batch."""
+    """A change was queued for a batch."""
 
     PROPOSED = "proposed"
-    """A policy is to be brought in force."""
+    """A policy is about to be proposed to the group."""
 
     COORDINATING = "drives"
-    """This voter begins a ballot to bring the group one epoch further."""
+    """This voter begins a ballot for the next epoch."""
 
     DECIDED = "decided"
-    """A quorum has voted for an epoch that this voter proposed."""
+    """A quorum voted for an epoch that this voter proposed."""
 
     EPOCH_LEARNED = "hears"
-    """The leaseholder has learned of a later epoch."""
+    """The leaseholder learned of a later epoch."""
 
     IN_FORCE = "serves"
-    """Requests are served under these policies from here on."""
+    """From now on requests are served under these policies."""
 
     NOTHING_IN_FORCE = "serves nothing"
-    """No policy is in force here any more: requests are rejected."""
+    """No policy is in force at this node any more: requests are rejected."""
 
     VOTER_STARTED = "voter started"
-    """This process is a voter; its epoch is -1 while it knows nothing."""
+    """This process acts as a voter. The epoch is -1 if it has no state yet."""
 
     VOTER_RECOVERED = "voter recovered"
-    """A voter without a record has taken up what the others know."""
+    """A voter without a record restored its state from the other voters."""
 
     VOTER_STORAGE_FAILED = "voter storage failed"
-    """The voter's record could not be read or written; it promises and votes for nothing on it."""
+    """The voter's record could not be read or written; the voter makes no promise and casts no vote on it."""
 
     VOTER_FOLDER_LOCKED = "another process of this name is its keeper"
-    """The folder is locked by another process, and this one is no voter."""
+    """Another process holds the lock of the folder; this one does not act as a voter."""
 
     LOG_NOT_OPENED = "log not opened"
-    """The log could not be read; the process goes on without it."""
+    """The log could not be read; the process continues without it."""
 
     QUARANTINED = "quarantined"
-    """A file that holds nothing usable was renamed."""
+    """A file without a valid record was renamed, see `record_folder`."""
 
     PRUNING_FAILED = "log not pruned"
-    """The disk failed while entries that are no longer needed were dropped."""
+    """A disk error occurred while unneeded log entries were removed."""
 
     GRACE_MEMORY_FAILED = "grace time not persisted"
     """The record of the grace time after a lease could not be read or written."""
 
     TASK_FAILED = "failed"
-    """A background task has raised an exception: a fault of this program."""
+    """A background task raised an unexpected exception: a bug."""
--- a/hollybay/consensus/log_fetch.py
+++ b/hollybay/consensus/log_fetch.py
@@ -1,8 +1,9 @@
-"""Fetching the part of the log that a process lacks: a delta, or a snapshot and the entries after it.
+"""Fetching missing log entries from other processes: as a delta, or as a snapshot and the entries after it.
 
-Every reply is verified before any of it is stored: it must end with the requested entry, each entry must hold
-the digest of the one before it, and the first must follow an entry that is here. A delta with a gap, a digest
-that does not match and a reply that is too long are rejected with a reason, and the next voter is asked.
+A reply is verified completely before any part of it is stored: it must end with the requested entry, each
+entry must hold the digest of its predecessor, and the first one must follow an entry in the local log. A
+reply with a gap or a wrong digest, or one that is too long, is rejected with a reason, and the next address
+is asked.
 """
 
 from __future__ import annotations
@@ -31,18 +32,18 @@
 
 __all__ = ["LOG_TRUNCATED_STATUS", "MAX_DELTA_BYTES", "FetchResult", "Fetcher", "parse_delta"]
 
-# The longest delta.
+# The longest delta that is accepted, in bytes.
 MAX_DELTA_BYTES = 2 * MAX_BATCH_BYTES
-# HTTP status of a reply that the log does not reach back so far.
+# HTTP status of a reply to a request for entries that the other log no longer holds.
 LOG_TRUNCATED_STATUS = GONE
-# How many deltas are requested, from ever older entries, before a snapshot is.
+# Number of deltas that are requested, each from an older version, before a snapshot is requested.
 MAX_DELTA_REQUESTS = 2
-# How many addresses' failures are remembered, and the longest text of one in characters.
+# Number of addresses whose last failure is kept, and the longest text of a failure in characters.
 MAX_FAILURES = 16
 MAX_FAILURE_LENGTH = 400
 
 T = TypeVar("T")
-# Makes a call, by address and path.
+# Requests a path from an address; returns the body of the reply.
 Call = Callable[[str, str], Awaitable[bytes]]
 
 
@@ -53,9 +54,9 @@
     Parameters
     ----------
     policy
-        The requested entry; None: nobody had it.
+        The requested entry; None if no address had it.
     problem
-        Why the entry is not on this disk; None: it is, or nobody had it.
+        Why a fetched entry could not be stored on disk; None if it was stored, or if no address had it.
     """
 
     policy: PolicyVersion | None
@@ -64,14 +65,14 @@
 
 @dataclass(frozen=True, slots=True)
 class _FetchedChain:
-    """Verified entries, after a snapshot or after an entry that is here.
+    """Verified entries that follow a snapshot or an entry of the local log.
 
     Parameters
     ----------
     entries
-        In order; may be empty where there is a snapshot.
+        In order; may be empty if there is a snapshot.
     snapshot
-        An encoded snapshot; empty: there is none.
+        The encoded snapshot; empty if there is none.
     parsed_snapshot
         The policy and the resources of the snapshot.
     """
@@ -98,19 +99,19 @@
 
 
 def parse_delta(data: bytes) -> list[PolicyVersion]:
-    """The entries of an encoded delta. MalformedDataError: it holds none."""
+    """Decode a delta. MalformedDataError: the bytes are not a list of entries."""
     try:
         encoded: list[msgspec.Raw] = msgspec.msgpack.decode(data, type=list[msgspec.Raw])
     except (msgspec.DecodeError, RecursionError) as error:
-        raise MalformedDataError(f"no entries: {error}") from None
+        raise MalformedDataError(f"not a list of entries: {error}") from None
     return [decode_policy(bytes(entry)) for entry in encoded]
 
 
 def check_links(entries: list[PolicyVersion], name: str) -> None:
-    """Check that entries form a chain that ends with the one of this name. LogGapError: they do not."""
+    """Check that the entries form a chain that ends with `name`. LogGapError: they do not."""
     if not entries or entries[-1].name != name:
         last = entries[-1].name if entries else "nothing"
-        raise LogGapError(f"a delta that ends with {last}, and not {name}")
+        raise LogGapError(f"the delta ends with {last} instead of {name}")
     for before, after in pairwise(entries):
         if after.version != before.version + 1 or after.parent != before.digest:
             raise LogGapError(f"a gap: {after.name} does not follow {before.name}")
@@ -118,20 +119,20 @@
 
 @dataclass
 class Fetcher:
-    """Fetches entries for one process; concurrent requests for one entry share a fetch.
+    """Fetches entries for one process; concurrent requests for the same entry share one fetch.
 
     Parameters
     ----------
     log
-        Where entries are stored.
+        The local log, in which entries are stored.
     call
-        Makes a call, by address and path.
+        Requests a path from an address.
     run_blocking
-        Runs a function in a thread: what uses the disk or takes long.
+        Runs a function that uses the disk or takes long in a thread.
     spawn
         Starts a task that is cancelled when the process ends.
     failures
-        Why the last reply of an address was rejected.
+        By address: why the last fetch from it failed. The oldest are dropped, see MAX_FAILURES.
     """
 
     log: PolicyLog
@@ -142,7 +143,7 @@
     _in_flight: dict[str, asyncio.Task[FetchResult]] = field(default_factory=dict)
 
     async def fetch(self, name: str, addresses: Iterable[str]) -> FetchResult:
-        """An entry, stored here if possible, from the first of these addresses that has it."""
+        """Get an entry from the local log, or fetch and store it from the first address that has it."""
         policy = self.log.policy(name)
         if policy is not None:
             return FetchResult(policy)
@@ -179,7 +180,10 @@
             del self.failures[next(iter(self.failures))]
 
     async def _fetch_chain(self, address: str, name: str) -> _FetchedChain:
-        """What this log lacks for an entry. CallFailedError, RejectedError: the address does not give it."""
+        """Fetch the missing entries up to the named one.
+
+        CallFailedError, RejectedError: the address has no usable chain.
+        """
         for version in self._versions_before(name):
             try:
                 entries = await self._fetch_delta(address, version, name)
@@ -192,7 +196,7 @@
         return await self._fetch_snapshot(address, name)
 
     def _versions_before(self, name: str) -> list[int]:
-        """The newest versions here that may precede an entry, the newest first; [0] where there is none."""
+        """The newest local versions before an entry that have resources, newest first; [0] if none has."""
         target = version_of(name)
         versions: set[int] = set()
         for other in self.log.names():
@@ -203,7 +207,7 @@
         return sorted(versions, reverse=True)[:MAX_DELTA_REQUESTS] or [0]
 
     def _has_parent(self, entry: PolicyVersion) -> bool:
-        """Whether the resources that an entry was made on are here."""
+        """Whether the resources that an entry is based on are in memory."""
         if entry.version == 1:
             return True
         parent = self.log.policy(entry.parent_name)
@@ -237,7 +241,7 @@
         return _FetchedChain(entries, data, parsed)
 
     async def _compute(self, work: Callable[[], T]) -> T:
-        """The result of a function that takes long, computed in a thread."""
+        """Run a slow function in a thread and return its result."""
         results: list[T] = []
         await self.run_blocking(lambda: results.append(work()))
         return results[0]
--- a/hollybay/consensus/log_files.py
+++ b/hollybay/consensus/log_files.py
@@ -1,7 +1,7 @@
-"""The files of the replicated log: an entry is a record under its name, a snapshot one under NAME.snapshot.
+"""The files of the replicated log: one record per file, NAME for an entry and NAME.snapshot for a snapshot.
 
-What is read is verified by itself; whether an entry follows another one is for `log.PolicyLog`. A file that
-holds nothing usable is quarantined, see `record_folder`.
+Each file is verified on its own when it is read; `log.PolicyLog` checks whether an entry follows another one.
+A file without a valid record is quarantined, see `record_folder`.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 __all__ = ["LogFiles"]
 
 _SNAPSHOT_SUFFIX = ".snapshot"
-# Suffix of a quarantined entry whose parent is not here.
+# Suffix of a quarantined entry whose parent is missing.
 _ORPHAN_SUFFIX = "orphan"
 
 
@@ -41,11 +41,11 @@
 
     @property
     def quarantined(self) -> dict[str, str]:
-        """Files that held nothing usable, and why."""
+        """Files that were quarantined, with the reason."""
         return self._records.quarantined
 
     def list_all(self) -> tuple[list[str], list[str]]:
-        """The names of all snapshots, and of all entries, the oldest first. OSError: they cannot be read."""
+        """The names of all snapshots and of all entries, oldest first. OSError: the folder is unreadable."""
         files = self._records.files()
         snapshots = [file.removesuffix(_SNAPSHOT_SUFFIX) for file in sorted(files) if _is_snapshot(file)]
         return snapshots, sorted(filter(is_name, files), key=age_order)
@@ -53,7 +53,7 @@
     # Reading
 
     def read_snapshot(self, name: str) -> tuple[PolicyVersion, ResourceState, int] | None:
-        """A snapshot and its size in bytes; None: it is quarantined. OSError: it cannot be read."""
+        """Read a snapshot and its size in bytes; None if it was quarantined. OSError: it is unreadable."""
         file = _snapshot_file(name)
         data = self._records.read(file, MAX_SNAPSHOT_BYTES)
         if data is None:
@@ -64,26 +64,26 @@
             self._records.quarantine(file, RecordIntegrity.TORN.value, str(error))
             return None
         if policy.name != name:
-            self._records.quarantine(file, RecordIntegrity.FOREIGN.value, f"it is {policy.name}")
+            self._records.quarantine(file, RecordIntegrity.FOREIGN.value, f"the file holds {policy.name}")
             return None
         return policy, state, len(data)
 
     def read_entry(self, name: str) -> tuple[PolicyVersion, int] | None:
-        """An entry and its size in bytes; None: it is quarantined. OSError: it cannot be read."""
+        """Read an entry and its size in bytes; None if it was quarantined. OSError: it is unreadable."""
         data = self._records.read(name, MAX_ENTRY_BYTES)
         if data is None:
             return None
         try:
             policy = decode_policy(data)
             if policy.name != name:
-                raise RejectedError(f"it is {policy.name}")
+                raise RejectedError(f"the file holds {policy.name}")
         except RejectedError as error:
             self._records.quarantine(name, RecordIntegrity.TORN.value, str(error))
             return None
         return policy, len(data)
 
     def find_entry(self, name: str) -> PolicyVersion | None:
-        """An entry; None: no file holds it."""
+        """Read an entry; None if there is no valid file of this name."""
         data = self.entry_bytes(name)
         try:
             policy = decode_policy(data) if data is not None else None
@@ -92,11 +92,11 @@
         return policy if policy is not None and policy.name == name else None
 
     def entry_bytes(self, name: str) -> bytes | None:
-        """An encoded entry; None: it cannot be read."""
+        """The bytes of an entry, or None if it cannot be read."""
         return self._read_or_none(name, MAX_ENTRY_BYTES)
 
     def snapshot_bytes(self, name: str) -> bytes | None:
-        """An encoded snapshot; None: it cannot be read."""
+        """The bytes of a snapshot, or None if it cannot be read."""
         return self._read_or_none(_snapshot_file(name), MAX_SNAPSHOT_BYTES)
 
     def _read_or_none(self, file: str, max_bytes: int) -> bytes | None:
@@ -108,21 +108,21 @@
     # Writing
 
     def write_entry(self, policy: PolicyVersion) -> int:
-        """Write an entry; its size in bytes. StoreError: it may not be on the disk."""
+        """Write an entry; returns its size in bytes. StoreError: it may not be on disk."""
         data = msgspec.msgpack.encode(policy)
         self._records.write(policy.name, data, MAX_ENTRY_BYTES)
         return len(data)
 
     def write_snapshot(self, name: str, data: bytes) -> None:
-        """Write an encoded snapshot. StoreError: it may not be on the disk."""
+        """Write an encoded snapshot. StoreError: it may not be on disk."""
         self._records.write(_snapshot_file(name), data, MAX_SNAPSHOT_BYTES)
 
     def quarantine_orphan(self, name: str, reason: str) -> None:
-        """An entry without its parent is of no use; it is fetched again if it is needed."""
+        """Quarantine an entry whose parent is missing; it is fetched again if it is needed."""
         self._records.quarantine(name, _ORPHAN_SUFFIX, reason)
 
     def remove(self, name: str) -> None:
-        """Remove the snapshot and the entry of a name, where they are there."""
+        """Remove the snapshot and the entry of this name, if they exist."""
         self._records.remove(_snapshot_file(name))
         self._records.remove(name)
 
--- a/hollybay/consensus/log_replica.py
+++ b/hollybay/consensus/log_replica.py
@@ -1,4 +1,4 @@
-"""The process's replica of the policy log, and who the voters are by what the log holds."""
+"""The local replica of the policy log, and the voters that its policies name."""
 
 from __future__ import annotations
 
@@ -19,21 +19,21 @@
 
 
 def voter_set(policy: PolicyVersion) -> frozenset[int]:
-    """The numbers of a policy's voters."""
+    """The process numbers of a policy's voters."""
     return frozenset(number_of(address) for address in policy.voters)
 
 
 class LogReplica:
-    """The policies that this process has, and how it gets those that it lacks.
+    """The policies that this process has; fetches missing ones from other processes.
 
     Parameters
     ----------
     environment : Environment
     log : PolicyLog
     fetcher : Fetcher
-        Brings entries from other processes.
+        Fetches entries from other processes.
     latest_epoch : callable
-        The latest epoch that the leaseholder knows; its voters are asked before others.
+        Returns the latest epoch that the leaseholder knows; its voters are asked before other addresses.
     """
 
     def __init__(
@@ -53,7 +53,7 @@
     # Voters
 
     def voter_addresses(self, state: EpochState | None) -> list[str]:
-        """The voters of an epoch; of one that is not known here, all voters that ever were."""
+        """The addresses of an epoch's voters; all known voter addresses if its policies are not here."""
         addresses: set[str] = set()
         for name in policies_named(state) if state is not None else ():
             policy = self.log.policy(name)
@@ -61,18 +61,18 @@
         return sorted(addresses or self.known_addresses)
 
     def other_voters(self, state: EpochState) -> list[str]:
-        """The voters of an epoch without this process."""
+        """The addresses of an epoch's voters, except this process."""
         return [address for address in self.voter_addresses(state) if address != self.own_address]
 
     def voter_sets(self, state: EpochState) -> VoterSets:
-        """The voter sets of those policies of an epoch that are here."""
+        """The voter sets of the policies that an epoch names, as far as the log holds them."""
         policies = [self.log.policy(name) for name in policies_named(state)]
         return tuple(voter_set(policy) for policy in policies if policy is not None)
 
     # Entries
 
     async def fetch(self, name: str, source: str) -> FetchResult:
-        """A policy, from the own disk, from an address that should have it, or from any voter."""
+        """Get a policy from the local log, else from `source`, else from any known voter."""
         voters = self.voter_addresses(self.latest_epoch())
         addresses = dict.fromkeys([source, *voters, *sorted(self.known_addresses)])
         return await self.fetcher.fetch(
@@ -80,12 +80,12 @@
         )
 
     async def fetch_all(self, state: EpochState, source: str) -> bool:
-        """Bring the policies that an epoch names to the disk; whether all are there.
+        """Store the policies that an epoch names on disk; False if one of them could not be fetched.
 
         Raises
         ------
         StoreError
-            It could not be written.
+            A policy was fetched but could not be written.
         """
         for name in policies_named(state):
             fetched = await self.fetch(name, source)
@@ -96,15 +96,15 @@
         return True
 
     async def store(self, policy: PolicyVersion) -> Entry:
-        """Bring a policy that was made here to the disk. StoreError: it is not there."""
+        """Store a locally created policy on disk. StoreError: it could not be written."""
         return await run_on_disk(self.environment.disk, lambda: self.log.append(policy))
 
     async def read(self, name: str) -> PolicyVersion | None:
-        """A policy with its changes, from the disk."""
+        """Read a policy with its changes from disk; None if it is not there."""
         return await run_on_disk(self.environment.disk, lambda: self.log.read_entry(name))
 
     async def prune(self, needed: set[str]) -> None:
-        """Drop entries that are no longer needed; a disk that fails is logged."""
+        """Remove entries that are no longer needed; a disk error is logged."""
         try:
             await self.environment.disk(lambda: self.log.prune(needed))
         except StoreError as error:
@@ -116,7 +116,7 @@
         Raises
         ------
         RejectedError
-            It is not on this disk.
+            The entry or its resources are not in the log.
         """
         entry = self.log.entry(state.policy)
         if entry is None or entry.state is None:
--- a/hollybay/consensus/log_server.py
+++ b/hollybay/consensus/log_server.py
@@ -1,4 +1,4 @@
-"""Serving entries and snapshots of the log in chunks; long replies are cached for a while."""
+"""Serves entries and snapshots of the log to other processes in chunks."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 __all__ = ["LogServer", "is_number"]
 
-# How long a reply that is longer than one chunk is cached for its further chunks.
+# How long a reply of several chunks is cached, so that the later chunks come from the same data.
 TRANSFER_CACHE_S = 10.0
 MAX_CACHED_TRANSFERS = 2
 MAX_NUMBER_DIGITS = 12
@@ -24,7 +24,7 @@
 
 
 def is_number(text: str) -> bool:
-    """Whether a segment of a path is a number of a permitted size."""
+    """Whether a path segment is a decimal number of at most MAX_NUMBER_DIGITS digits."""
     return text.isascii() and text.isdecimal() and len(text) <= MAX_NUMBER_DIGITS
 
 
@@ -37,9 +37,9 @@
     kind
         `since/VERSION`, `snapshot` or `draft`.
     name
-        The entry or the draft.
+        The name of the entry, or the id of the draft.
     offset
-        Of the chunk, in bytes.
+        The offset of the chunk, in bytes.
     """
 
     kind: str
@@ -48,20 +48,20 @@
 
     @property
     def cache_key(self) -> str:
-        """Where the whole reply is cached."""
+        """The key under which the complete reply is cached."""
         return f"{self.kind}/{self.name}"
 
 
 @dataclass(frozen=True, slots=True)
 class _Reply:
-    """A whole reply, under its own name."""
+    """A complete reply; name: the entry or the draft that it ends with."""
 
     name: str
     data: bytes
 
 
 def _parse_path(path: str) -> _Request | None:
-    """The request of a path; None: it is none."""
+    """Parse the path of a request; None if it is not a valid one."""
     kind, *segments = path.split("/")
     if kind == _SINCE and segments:
         version = segments.pop(0)
@@ -80,9 +80,9 @@
     Parameters
     ----------
     log
-        What is served.
+        The log to serve.
     run_blocking
-        Runs a function in a thread: what uses the disk or takes long.
+        Runs a function that uses the disk or takes long in a thread.
     """
 
     def __init__(self, log: PolicyLog, run_blocking: Callable[[Callable[[], None]], Awaitable[None]]) -> None:
@@ -91,17 +91,17 @@
         self._cached: dict[str, _Reply] = {}
 
     async def chunk(self, path: str) -> Chunk | None:
-        """The chunk of since/VERSION/NAME[/OFFSET], snapshot/NAME[/OFFSET] or draft/ID[/OFFSET].
+        """The chunk at since/VERSION/NAME[/OFFSET], snapshot/NAME[/OFFSET] or draft/ID[/OFFSET].
 
         Returns
         -------
         Chunk or None
-            None: there is no such path, or the draft has expired.
+            None if there is no such path, or if the draft has expired.
 
         Raises
         ------
         LogTruncatedError
-            The log does not reach back so far.
+            The log no longer holds the requested entries.
         RejectedError
             No chunk begins at the offset.
         """
@@ -114,7 +114,7 @@
         return chunk_at(reply.name, reply.data, request.offset) if reply is not None else None
 
     async def _read(self, request: _Request) -> _Reply:
-        """The whole reply, from the disk."""
+        """Read the complete reply from disk; cache it if it is longer than one chunk."""
         replies: list[_Reply] = []
 
         def read() -> None:
@@ -127,12 +127,12 @@
         await self.run_blocking(read)
         reply = replies[0]
         if len(reply.data) > PIECE_BYTES:
-            # The further chunks of a snapshot are requested by its own name.
+            # The later chunks of a snapshot are requested by the name of the snapshot itself.
             self.cache(f"{request.kind}/{reply.name}", reply.name, reply.data)
         return reply
 
     def cache(self, path: str, name: str, data: bytes) -> None:
-        """Cache a reply for its further chunks, for `TRANSFER_CACHE_SECONDS`."""
+        """Cache a reply for `TRANSFER_CACHE_S`, so that its later chunks can be served."""
         while len(self._cached) >= MAX_CACHED_TRANSFERS:
             del self._cached[next(iter(self._cached))]
         self._cached[path] = _Reply(name, data)
--- a/hollybay/consensus/policy.py
+++ b/hollybay/consensus/policy.py
@@ -1,12 +1,13 @@
-"""A version of the policy: one entry of the replicated log, as it is stored and sent.
+"""A version of the policy: one entry of the replicated log, as it is stored and sent. Pure.
 
-It holds a batch of resource changes and the voters for the next entry. What requests are served under is made
-of it by the data plane: a `hollybay.routing.compiled_policy.CompiledPolicy`.
+An entry holds a batch of resource changes and the addresses of the voters that decide the next entry. The
+data plane compiles the resources into the `hollybay.routing.compiled_policy.CompiledPolicy` that requests are
+served under.
 
-Pure. Each entry holds the digest of the entry before it (a hash chain) and the digests of the resources
-before and after it. Two policies are equal if their digests are: BLAKE2b over all fields, where the changes
-stand with a digest of their own, so that an entry can be verified without its changes (it came with a
-snapshot).
+Each entry holds the digest of its predecessor (a hash chain) and the digests of the resources before and
+after it. Two policies are equal if their digests are equal. The digest is BLAKE2b over all fields; the
+changes enter it by a digest of their own, so that an entry that came with a snapshot can be verified without
+them.
 """
 
 from __future__ import annotations
@@ -39,9 +40,9 @@
 
 # The longest reason, author and voter address, in characters.
 MAX_TEXT_LENGTH = 400
-# The longest encoded entry: a batch and the other fields.
+# The longest encoded entry, in bytes: a batch and 64 KiB for the other fields.
 MAX_ENTRY_BYTES = MAX_BATCH_BYTES + (64 << 10)
-# Permitted numbers of voters: an even number tolerates no more failures than the odd one below it.
+# Permitted numbers of voters. Even numbers are excluded: they tolerate no more failures than one voter fewer.
 VOTER_COUNTS = (1, 3, 5)
 
 
@@ -53,19 +54,19 @@
     Parameters
     ----------
     version
-        1 for the first entry, one more for each successor; the revision of the resources after it.
+        1 for the first entry, then increasing by one; also the revision of the resources after the entry.
     parent
-        Digest of the entry before it; empty for the first.
+        Digest of the previous entry; empty for the first one.
     before, after
-        Digests of the resources before and after it.
+        Digests of the resources before and after the entry.
     changes_digest
         Digest of the changes.
     reason, author
         Shown in the history.
     voters
-        Addresses of those who decide the next entry, in order.
+        Addresses of the voters that decide the next entry, sorted.
     changes
-        The batch; None where it is not at hand.
+        The batch; None if it is not loaded.
     """
 
     version: int
@@ -80,7 +81,7 @@
 
     @cached_property
     def digest(self) -> bytes:
-        """Identity of the entry, 32 bytes."""
+        """The digest that identifies the entry, 32 bytes."""
         parts = (
             b"%d" % self.version,
             self.parent,
@@ -94,7 +95,7 @@
         )
         hasher = blake2b(digest_size=DIGEST_BYTES, person=b"hollybay.policy")
         for part in parts:
-            # Each part with its length, so that different policies never hash the same bytes.
+            # Each part is prefixed with its length, so that different policies never hash the same bytes.
             hasher.update(len(part).to_bytes(8, "big"))
             hasher.update(part)
         return hasher.digest()
@@ -106,20 +107,20 @@
 
     @property
     def parent_name(self) -> str:
-        """The name of the entry before it; empty for the first."""
+        """The name of the previous entry; empty for the first one."""
         return f"{self.version - 1}-{self.parent.hex()[:12]}" if self.version > 1 else ""
 
     @property
     def batch(self) -> Batch:
-        """Its changes as a batch.
+        """The changes as a batch.
 
         Raises
         ------
         RejectedError
-            The changes are not at hand.
+            The changes are not loaded.
         """
         if self.changes is None:
-            raise RejectedError(f"changes: those of {self.name} are not at hand")
+            raise RejectedError(f"changes: those of {self.name} are not loaded")
         return Batch(self.version, self.before, self.changes, self.after)
 
     def without_changes(self) -> PolicyVersion:
@@ -128,12 +129,12 @@
 
 
 def version_of(name: str) -> int:
-    """The version of a policy, by its name."""
+    """The version in the name of a policy."""
     return int(name.partition("-")[0])
 
 
 def changed_keys(changes: Iterable[Change]) -> frozenset[Key]:
-    """The resources that changes touch."""
+    """The keys of the resources that the changes modify."""
     return frozenset(operation.key for change in changes for operation in change.operations)
 
 
@@ -143,7 +144,7 @@
 
 
 def _validated(policy: PolicyVersion) -> PolicyVersion:
-    """The policy, if each of its fields is within its bounds; else RejectedError names the field."""
+    """Return the policy if all fields are within bounds; otherwise raise RejectedError with the field."""
     _check_digests(policy)
     _check_voters(policy.voters)
     _check_text("reason", policy.reason)
@@ -156,53 +157,53 @@
 
 def _check_digests(policy: PolicyVersion) -> None:
     if policy.version < 1:
-        raise RejectedError(f"version: {policy.version} is under 1")
+        raise RejectedError(f"version: {policy.version}, expected 1 or more")
     if len(policy.parent) != (DIGEST_BYTES if policy.version > 1 else 0):
-        raise RejectedError(f"parent: {len(policy.parent)} bytes are no digest")
+        raise RejectedError(f"parent: {len(policy.parent)} bytes, expected {DIGEST_BYTES} (version 1: 0)")
     for field, digest in (
         ("before", policy.before),
         ("after", policy.after),
         ("content", policy.changes_digest),
     ):
         if len(digest) != DIGEST_BYTES:
-            raise RejectedError(f"{field}: {len(digest)} bytes are no digest")
+            raise RejectedError(f"{field}: {len(digest)} bytes, expected a digest of {DIGEST_BYTES}")
     if policy.version == 1 and policy.before != EMPTY.digest:
-        raise RejectedError("before: the first entry begins with no resources")
+        raise RejectedError("before: version 1 must begin with the digest of no resources")
 
 
 def _check_voters(voters: tuple[str, ...]) -> None:
     if voters and len(voters) not in VOTER_COUNTS:
         counts = ", ".join(map(str, VOTER_COUNTS))
-        raise RejectedError(f"keepers: {len(voters)}, and there may be {counts}")
+        raise RejectedError(f"keepers: {len(voters)} voters, expected {counts}")
     if list(voters) != sorted(set(voters)):
-        raise RejectedError("keepers: not in order, or one stands twice")
+        raise RejectedError("keepers: the voters are not sorted, or one is repeated")
 
 
 def _check_text(field: str, text: str) -> None:
     if len(text) > MAX_TEXT_LENGTH or not text.isprintable():
-        raise RejectedError(f"{field}: {text[:40]!r} is too long, or no plain text")
+        raise RejectedError(f"{field}: {text[:40]!r} is over {MAX_TEXT_LENGTH} characters or not printable")
     try:
         text.encode()
     except UnicodeEncodeError:
-        raise RejectedError(f"{field}: {text[:40]!r} is no plain text") from None
+        raise RejectedError(f"{field}: {text[:40]!r} cannot be encoded as UTF-8") from None
 
 
 def _check_changes(policy: PolicyVersion) -> None:
     if policy.changes is None:
         return
     if len(policy.changes) > MAX_BATCH_CHANGES:
-        raise RejectedError(f"changes: {len(policy.changes)}, {MAX_BATCH_CHANGES} at most")
+        raise RejectedError(f"changes: {len(policy.changes)}, expected {MAX_BATCH_CHANGES} at most")
     if _digest_of_changes(policy.changes) != policy.changes_digest:
-        raise RejectedError("content: it is not the digest of the changes")
+        raise RejectedError("content: not the digest of the changes")
 
 
 def first_policy(changes: Iterable[Change] = (), voters: Iterable[str] = ()) -> PolicyVersion:
-    """The policy that a cluster begins with.
+    """The first policy of a cluster.
 
     Raises
     ------
     RejectedError
-        A change does not fit, or a field is out of bounds.
+        A change does not apply, or a field is out of bounds.
     """
     policy, _ = _next_policy(None, EMPTY, changes, "first", "", tuple(sorted(voters)))
     return policy
@@ -221,16 +222,16 @@
     Parameters
     ----------
     old, state
-        The policy before, and the resources after it.
+        The preceding policy, and the resources after it.
     voters
-        Addresses of those who decide the next policy; None: the same as before.
+        Addresses of the voters that decide the policy after this one; None for those of `old`.
     reason
-        Shown in the history; None: the one of the change, where it is a single one.
+        Shown in the history; None for the reason of the change if there is only one, else a summary.
 
     Raises
     ------
     RejectedError
-        A change does not fit, nothing changes, or the voters change by more than one replacement.
+        A change does not apply, nothing changes, or too many voters change at once.
     """
     batch_changes = tuple(changes)
     new_voters = old.voters if voters is None else tuple(sorted(voters))
@@ -245,22 +246,23 @@
 
 
 def _check_voter_change(old: tuple[str, ...], new: tuple[str, ...]) -> None:
-    """RejectedError: more voters change than may change at once."""
+    """Check that no more voters change than may change at once. RejectedError: more do."""
     if not old:
         return
     added, removed = set(new) - set(old), set(old) - set(new)
-    # One replacement, or two additions or removals, which keep the number odd: more new voters could outvote
+    # One replacement, or two additions or removals, which keep the number odd. More new voters could outvote
     # the old ones before they have the log.
     if len(added) + len(removed) > 2:
         raise RejectedError(
-            f"keepers: {len(added)} come and {len(removed)} go; one at a time may be replaced, or two added"
+            f"keepers: {len(added)} voters added and {len(removed)} removed; at most one may be replaced, "
+            "or two added or removed, in one change"
         )
     if not new:
-        raise RejectedError("keepers: none")
+        raise RejectedError("keepers: no voters, expected at least one")
 
 
 def _summary(changes: tuple[Change, ...]) -> tuple[str, str]:
-    """The reason and the author that an entry with these changes shows."""
+    """The reason and the author of an entry with these changes, for the history."""
     if len(changes) == 1:
         return changes[0].reason, changes[0].author
     return f"{len(changes)} changes", ""
@@ -274,7 +276,7 @@
     author: str,
     voters: tuple[str, ...],
 ) -> tuple[PolicyVersion, ResourceState]:
-    """The policy with these changes after `old` (None: the first one), and the resources after it."""
+    """The policy that follows `old` (None for the first one), and the resources after it."""
     try:
         assembled = assemble(state, changes)
     except ChangeRejectedError as error:
@@ -300,12 +302,12 @@
 
 
 def decode_policy(data: bytes) -> PolicyVersion:
-    """A policy from its MessagePack form.
+    """Decode a policy from MessagePack.
 
     Raises
     ------
     MalformedDataError
-        The bytes are none.
+        The bytes are not a policy.
     RejectedError
         A field is out of bounds.
     """
--- a/hollybay/consensus/transfer.py
+++ b/hollybay/consensus/transfer.py
@@ -1,7 +1,7 @@
-"""Transfers that are longer than one call: replies are downloaded, and calls uploaded, in chunks.
+"""Chunked transfers: downloads of long replies and uploads of long request bodies.
 
-Each chunk but the last has exactly PIECE_BYTES, and each states the total size: so a transfer ends within its
-bound however the other side answers.
+Each chunk except the last has exactly PIECE_BYTES, and each states the total size. A transfer therefore ends
+within its size bound, whatever the other side sends.
 """
 
 from __future__ import annotations
@@ -17,15 +17,15 @@
 
 __all__ = ["MAX_UPLOADS", "MAX_UPLOAD_BYTES", "Uploads", "chunk_at", "download", "upload_calls"]
 
-# One upload: an operator file of the largest supported size, or a change made of one.
+# The longest upload: an operator file of the largest supported size, or a change built from one.
 MAX_UPLOAD_BYTES = 64 << 20
 MAX_UPLOADS = 2
-# An upload without progress for so long is discarded.
+# Uploads that receive no chunk for this time are discarded.
 UPLOAD_IDLE_NS = 60 * SECOND
 
 
 def chunk_at(name: str, data: bytes, offset: int) -> Chunk:
-    """The chunk of a reply at an offset. RejectedError: no chunk begins there."""
+    """The chunk of a reply at an offset. RejectedError: no chunk begins at this offset."""
     if offset % PIECE_BYTES or not 0 <= offset <= len(data):
         raise RejectedError(f"offset: {offset} of {len(data)} bytes begins no piece")
     part = data[offset : offset + PIECE_BYTES]
@@ -33,7 +33,7 @@
 
 
 def _decoded_data(chunk: Chunk | UploadCall, max_bytes: int) -> bytes:
-    """The bytes of a chunk. RejectedError: the total is too large, or the chunk has another length."""
+    """Decode the bytes of a chunk. RejectedError: the total is too large, or the chunk's length is wrong."""
     if chunk.total > max_bytes:
         raise MalformedDataError(f"total: {chunk.total} bytes, {max_bytes} at most")
     try:
@@ -56,18 +56,18 @@
     Parameters
     ----------
     call
-        Makes a call by its path.
+        Requests a path.
     path
-        Of the first chunk.
+        The path of the first chunk.
     next_path
-        The path of the further chunks without their offset, by the name that the first one stated.
+        Returns the path of the later chunks without the offset, given the name in the first one.
     max_bytes
         The longest permitted reply.
 
     Returns
     -------
     tuple of str and bytes
-        The name that the reply states, and the whole of it.
+        The name that the reply states, and its complete content.
 
     Raises
     ------
@@ -76,14 +76,14 @@
     """
     first = decode(await call(path), Chunk)
     if first.offset:
-        raise MalformedDataError(f"offset: {first.offset} in the first piece")
+        raise MalformedDataError(f"offset: {first.offset} in the first chunk, expected 0")
     parts = [_decoded_data(first, max_bytes)]
     offset = len(parts[0])
     while offset < first.total:
         chunk = decode(await call(f"{next_path(first.name)}/{offset}"), Chunk)
         if (chunk.name, chunk.total, chunk.offset) != (first.name, first.total, offset):
             raise RejectedError(
-                f"offset: a piece at {chunk.offset} of {chunk.total} where {offset} was asked for"
+                f"offset: a chunk at {chunk.offset} of {chunk.total} bytes, expected {offset}"
             )
         parts.append(_decoded_data(chunk, max_bytes))
         offset += len(parts[-1])
@@ -91,14 +91,14 @@
 
 
 def upload_calls(upload_id: str, data: bytes) -> list[UploadCall]:
-    """The calls that upload data under an id."""
+    """The requests that upload data under an id, one per chunk."""
     chunks = (chunk_at("", data, offset) for offset in range(0, max(1, len(data)), PIECE_BYTES))
     return [UploadCall(upload_id, len(data), chunk.offset, chunk.data) for chunk in chunks]
 
 
 @dataclass(slots=True)
 class _Upload:
-    """An upload in progress. last_chunk_at: ns."""
+    """An upload in progress. last_chunk_at: when its last chunk arrived, ns."""
 
     total: int
     last_chunk_at: int
@@ -107,18 +107,18 @@
 
 
 class Uploads:
-    """The uploads to this process; bounded in number, size and time."""
+    """The uploads to this process, bounded in number, size and idle time."""
 
     def __init__(self) -> None:
         self._by_id: dict[str, _Upload] = {}
 
     def add(self, chunk: UploadCall, now: int) -> None:
-        """Add a chunk; one that is repeated is ignored.
+        """Add a chunk; a repeated chunk is ignored.
 
         Parameters
         ----------
         now
-            The present time, ns.
+            The current time, ns.
 
         Raises
         ------
@@ -132,7 +132,7 @@
         upload = self._by_id.get(chunk.id)
         if upload is None:
             if len(self._by_id) >= MAX_UPLOADS:
-                raise RejectedError(f"{MAX_UPLOADS} uploads are under way; come again later")
+                raise RejectedError(f"{MAX_UPLOADS} uploads are in progress, the maximum; retry later")
             upload = self._by_id[chunk.id] = _Upload(chunk.total, now)
         if chunk.total != upload.total or chunk.offset > upload.size:
             raise RejectedError(
@@ -144,7 +144,7 @@
             upload.size += len(data)
 
     def content(self, upload_id: str) -> bytes:
-        """What was uploaded; it stays until it is discarded. RejectedError: it is not complete."""
+        """The content of a complete upload, which is kept until `discard`. RejectedError: not complete."""
         upload = self._by_id.get(upload_id)
         if upload is None or upload.size < upload.total:
             raise RejectedError(f"upload: {upload_id} is not here, or not whole")
--- a/hollybay/consensus/transfer_messages.py
+++ b/hollybay/consensus/transfer_messages.py
@@ -1,4 +1,4 @@
-"""Chunks of what is too long for one request or reply."""
+"""Messages of chunked transfers: parts of a body that is too long for one request or reply."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class UploadCall(Message, frozen=True):
-    """One piece of an upload. id: chosen by the sender; total, offset: bytes; data: base64."""
+    """One chunk of an upload. id: chosen by the sender; total, offset: in bytes; data: base64."""
 
     id: UploadId
     total: Count
@@ -17,7 +17,7 @@
 
 
 class Chunk(Message, frozen=True):
-    """One piece of a long reply. name: what it is a piece of; total, offset: bytes; data: base64."""
+    """One chunk of a long reply. name: the entry or draft; total, offset: in bytes; data: base64."""
 
     name: str
     total: Count
--- a/tests/test_consensus_store.py
+++ b/tests/test_consensus_store.py
@@ -191,9 +191,9 @@
         (([route("y")], None, "why", "w" * 401), "author: "),
         (([route("y", reason=" ")], None, "why", "who"), "change: reason: is missing"),
         (([], ["a:1", "b:1"], "why", "who"), "keepers: 2"),
-        (([], ["a:1", "d:1", "e:1"], "why", "who"), "keepers: 2 come and 2 go"),
+        (([], ["a:1", "d:1", "e:1"], "why", "who"), "keepers: 2 voters added and 2 removed"),
         (([], ["a:1", "b:1", "\ud800"], "why", "who"), "keepers: "),
-        (([], [], "why", "who"), "keepers: 0 come and 3 go"),
+        (([], [], "why", "who"), "keepers: 0 voters added and 3 removed"),
     ):
         with pytest.raises(RejectedError) as caught:
             policy.successor_policy(old, state, *words)
@@ -207,8 +207,8 @@
         ({"version": 2}, "parent: 0 bytes"),
         ({"parent": b"x"}, "parent: 1 bytes"),
         ({"after": b"x"}, "after: 1 bytes"),
-        ({"before": bytes(32) if any(good.before) else b"\1" * 32}, "before: the first entry"),
-        ({"voters": ("b:1", "a:1", "c:1")}, "keepers: not in order"),
+        ({"before": bytes(32) if any(good.before) else b"\1" * 32}, "before: version 1"),
+        ({"voters": ("b:1", "a:1", "c:1")}, "keepers: the voters are not sorted"),
         ({"reason": "x" * 401}, "reason: "),
     ):
         with pytest.raises(RejectedError) as caught:
