--- a/hollybay/consensus/announcer.py
+++ b/hollybay/consensus/announcer.py
@@ -1,4 +1,4 @@
-"""Telling voters and leaseholders of a decided epoch."""
+"""Announcement of decided epochs to voters and leaseholders."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 __all__ = ["Announcer", "announcement"]
 
 MAX_CONCURRENT_ANNOUNCEMENTS = 32
-# A leaseholder that was last in contact longer ago than so many leases is taken for gone.
+# Leaseholders without contact for this many lease and grace times are presumed gone and not notified.
 RECENT_LEASES = 3
 
 
 def announcement(state: EpochState, own_address: str) -> bytes:
-    """The body of the request that tells others of an epoch whose policies are to be had at an address."""
+    """Encode the notice of a decided epoch; its policies can be fetched from `own_address`."""
     return messages.encode(messages.DecidedNotice(messages.FORM, state, own_address))
 
 
@@ -33,9 +33,9 @@
     replica : LogReplica
     peers : PeerClient
     learn_as_voter_and_leaseholder : callable
-        Lets this process itself learn of an epoch, from an address that has its policies.
+        Passes an epoch to the voter and leaseholder of this process, with an address that has its policies.
     spawn : callable
-        Starts a task.
+        Starts a background task.
     """
 
     def __init__(
@@ -54,15 +54,15 @@
         self.own_address = environment.settings.address
 
     def announce(self, state: EpochState, acceptor: DurableAcceptor, voters: list[str] | None = None) -> None:
-        """Tell voters and leaseholders of an epoch, those first that were in contact last.
+        """Notify voters, then leaseholders by most recent contact, of an epoch.
 
         Parameters
         ----------
         state : EpochState
         acceptor : DurableAcceptor
-            The acceptor here, which knows the leaseholders.
+            The local acceptor, which knows the leaseholders.
         voters : list of str, optional
-            The voters' addresses, where they are not those of the epoch.
+            The addresses of the voters; by default those of the epoch.
         """
         body = announcement(state, self.own_address)
         addresses = self._addresses(state, acceptor, voters)
@@ -77,13 +77,13 @@
             self.spawn(notify_next())
 
     def notify(self, address: str, state: EpochState) -> None:
-        """Tell one process of an epoch."""
+        """Notify one process of an epoch."""
         self.spawn(self.peers.reaches(address, "know", announcement(state, self.own_address)))
 
     def _addresses(
         self, state: EpochState, acceptor: DurableAcceptor, voters: list[str] | None
     ) -> dict[str, None]:
-        """Whom to tell, in order: voters, and leaseholders that serve under an epoch before."""
+        """The addresses to notify, in order: voters, then leaseholders that serve under an earlier epoch."""
         settings = self.environment.settings
         recent = self.environment.clock() - RECENT_LEASES * (settings.lease_ns + settings.grace_ns)
         members = sorted(acceptor.reports.members.values(), key=lambda member: -member.last_contact)
--- a/hollybay/consensus/change_builder.py
+++ b/hollybay/consensus/change_builder.py
@@ -1,4 +1,4 @@
-"""Building changes: differences between resource states as operations. Pure."""
+"""Builds changes from the differences between resource states. Pure."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 ]
 
 KINDS = frozenset(kind.value for kind in Kind)
-# The most operations whose difference is shown.
+# Number of operations of which the difference is shown.
 MAX_SHOWN = 2000
 # The longest name of an unknown resource that is quoted.
 MAX_QUOTED_NAME_LENGTH = 80
@@ -43,7 +43,7 @@
 
 
 def drain_operations(state: ResourceState, servers: Iterable[str]) -> tuple[Operation, ...]:
-    """The operations after which exactly these servers are drained."""
+    """The operations that make exactly these servers the drained ones."""
     wanted, present = set(servers), set(drained_servers(state))
     operations: list[Operation] = [
         Upsert(Kind.DRAINED_SERVER, name, 0, b"") for name in sorted(wanted - present)
@@ -61,12 +61,12 @@
     Parameters
     ----------
     names
-        The resources, each KIND/NAME.
+        The resources, each as KIND/NAME.
 
     Raises
     ------
     ChangeRejectedError
-        One of them does not exist.
+        At least one of them does not exist.
     """
     operations: list[Operation] = []
     problems: list[ChangeProblem] = []
@@ -87,7 +87,7 @@
 def operations_to_match(state: ResourceState, target: ResourceState) -> tuple[Operation, ...]:
     """The operations that turn the resources of a state into those of another one.
 
-    The cost goes with the number of resources in both states.
+    The cost is linear in the number of resources of both states.
     """
     operations: list[Operation] = []
     for key, old in state.resources.items():
@@ -103,7 +103,7 @@
 
 
 def format_operations(state: ResourceState, operations: Sequence[Operation]) -> list[str]:
-    """Operations on a state as lines for people: removed, added and changed resources with their bodies."""
+    """Format operations as readable lines: removed, added and changed resources with their bodies."""
     lines: list[str] = []
     for operation in sorted(operations, key=lambda operation: operation.key)[:MAX_SHOWN]:
         old = state.resources.get(operation.key)
@@ -117,7 +117,7 @@
 
 
 def _format_body(body: bytes) -> str:
-    """A body as JSON, or its length if it is not MessagePack."""
+    """Format a body as JSON, or as its length if it is not MessagePack."""
     if not body:
         return ""
     try:
@@ -127,7 +127,7 @@
 
 
 def _change_id(*parts: bytes) -> bytes:
-    """An id that is the same for the same parts."""
+    """A deterministic change id: a digest of the parts."""
     hasher = blake2b(digest_size=CHANGE_ID_BYTES, person=b"hollybay.draft")
     for part in parts:
         hasher.update(len(part).to_bytes(8, "big"))
@@ -136,16 +136,16 @@
 
 
 def bootstrap_change(operations: tuple[Operation, ...]) -> Change:
-    """The change that a cluster begins with."""
+    """The first change of a cluster."""
     return Change(_change_id(msgspec.msgpack.encode(operations)), 0, "first", "", operations)
 
 
 def proposed_change(
     state: ResourceState, operations: tuple[Operation, ...], reason: str, author: str, parent: bytes
 ) -> Change:
-    """A change on a state, identified by its content and the policy that it was made on.
+    """A change whose id is derived from its content and from the policy that it is based on.
 
-    An operator that does not know the outcome and requests it again gets the same change.
+    If an operator does not know the outcome and repeats the request, the same change results.
 
     Parameters
     ----------
--- a/hollybay/consensus/change_requests.py
+++ b/hollybay/consensus/change_requests.py
@@ -1,4 +1,4 @@
-"""Requests for changes of resources: drafts of them, proposals that wait for a batch, and the next batch."""
+"""Handlers of requests that draft or propose resource changes, and the batches made of queued changes."""
 
 from __future__ import annotations
 
@@ -34,13 +34,13 @@
 
 __all__ = ["ChangeRequests"]
 
-MAX_DRAFT_BYTES = 64 << 10  # bytes of a change that a reply holds; a longer one is fetched in pieces
-MAX_LINES_BYTES = 128 << 10  # bytes of lines for people in a reply
-JSON_QUOTES_BYTES = 4  # that a line takes beside its characters
+MAX_DRAFT_BYTES = 64 << 10  # longest encoded change in a reply; a longer one is fetched in chunks
+MAX_LINES_BYTES = 128 << 10  # bytes of readable lines in a reply
+JSON_LINE_OVERHEAD_BYTES = 4  # bytes of each line in JSON besides its characters
 
 
 class ChangeRequests:
-    """Answers these requests at a voter, and proposes batches of the changes that wait."""
+    """Handles drafts and proposals of resource changes at a voter, and proposes queued changes in batches."""
 
     def __init__(
         self,
@@ -65,7 +65,7 @@
     # Drafts
 
     async def on_draft(self, call: messages.DraftCall) -> Response:
-        """The change that an operator wants, made on what is in force; nothing is proposed."""
+        """Build the requested change against the resources in force, without proposing it."""
         acceptor = self.voter.require_acceptor()
         if acceptor.state is None:
             raise RejectedError("this keeper knows nothing yet; `hollybay policy found` begins an accord")
@@ -73,7 +73,7 @@
         base = self.replica.base(acceptor.state.decided)
         state = base.state
         assert state is not None
-        operations = await self._drafted(call, base, state)
+        operations = await self._draft_operations(call, base, state)
         policy = base.policy.name
         if not operations:
             return ok(messages.DraftReply(policy, "", 0))
@@ -84,32 +84,32 @@
         data = encode_change(change)
         if len(data) <= MAX_DRAFT_BYTES:
             text = base64.b64encode(data).decode()
-            return ok(messages.DraftReply(policy, text, len(operations), _bounded(lines)))
+            return ok(messages.DraftReply(policy, text, len(operations), _truncated(lines)))
         draft = change.id.hex()
         self.log_server.cache(f"draft/{draft}", draft, data)
-        return ok(messages.DraftReply(policy, "", len(operations), _bounded(lines), draft))
+        return ok(messages.DraftReply(policy, "", len(operations), _truncated(lines), draft))
 
-    async def _drafted(
+    async def _draft_operations(
         self, call: messages.DraftCall, base: Entry, state: ResourceState
     ) -> tuple[Operation, ...]:
-        """The operations that a request asks for."""
+        """The operations that a request for a draft asks for."""
         operations: tuple[Operation, ...] = ()
         if call.like_policy:
             operations = await self.content.operations_to_match(state, call.like_policy)
         elif call.file is not None or call.upload:
-            operations = await self._drafted_from_file(call, base, state)
+            operations = await self._file_operations(call, base, state)
         operations += delete_operations(state, call.delete)
         if call.servers_out or call.servers_in:
             drained = (set(drained_servers(state)) | set(call.servers_out)) - set(call.servers_in)
             operations += drain_operations(state, drained)
         return operations
 
-    async def _drafted_from_file(
+    async def _file_operations(
         self, call: messages.DraftCall, base: Entry, state: ResourceState
     ) -> tuple[Operation, ...]:
         read = await self.content.read_file(call.file or "", call.upload, state)
         if read.voters is not None and set(read.voters) != set(base.policy.voters):
-            raise RejectedError("keepers: the file's [accord] names others; they change by --keeper")
+            raise RejectedError("keepers: the file's [accord] names other voters; change them with --keeper")
         if not call.partial:
             return read.operations
         return tuple(operation for operation in read.operations if isinstance(operation, Upsert))
@@ -117,12 +117,12 @@
     # Proposals
 
     async def on_change(self, call: messages.ChangeCall) -> Response:
-        """Somebody proposes a change of resources: it waits for the next batch."""
+        """Queue a proposed change of resources for the next batch."""
         acceptor = self.voter.require_acceptor()
         if acceptor.state is None:
             return busy("this keeper knows nothing yet", IDLE_INTERVAL_S)
         if self.proposals.is_storage_full:
-            raise StoreError("the disk took no entry a moment ago")
+            raise StoreError("a log entry could not be stored on disk a moment ago")
         change = await self.content.change(call.change, call.upload)
         state = self._decided_resources(acceptor)
         if change.base_revision > state.revision:
@@ -138,12 +138,12 @@
     def _offer(
         self, change: Change, upload: str, state: ResourceState, acceptor: DurableAcceptor
     ) -> Response:
-        """Put a change into the queue, if it takes it."""
+        """Offer a change to the queue and reply with the result."""
         offered = self.proposals.offer(change, state)
         self.content.uploads.discard(upload)
         change_id = change.id.hex()
         if isinstance(offered, Busy):
-            return busy("too many changes wait", offered.retry_after_ns / SECOND)
+            return busy("the proposal queue is full or its wait too long", offered.retry_after_ns / SECOND)
         if isinstance(offered, RejectedNow):
             problems = list(offered.problems)
             reply = messages.ChangeReply(change_id, messages.ChangeOutcome.REJECTED, problems=problems)
@@ -156,7 +156,7 @@
         return ok(self.proposals.change_status(change_id, acceptor), ACCEPTED)
 
     def _decided_resources(self, acceptor: DurableAcceptor) -> ResourceState:
-        """The resources of the policy that is decided, as far as this voter knows."""
+        """The resources of the latest decided policy that this voter knows."""
         assert acceptor.state is not None
         state = self.replica.base(acceptor.state.decided).state
         assert state is not None
@@ -165,17 +165,17 @@
     # Batches
 
     async def propose_next(self) -> bool:
-        """Make the next policy of the changes that wait, where the group is settled.
+        """Propose the next policy from the queued changes, if the group is settled.
 
         Returns
         -------
         bool
-            Whether there was anything to propose.
+            Whether a batch was formed, even if it was then rejected or superseded.
 
         Raises
         ------
         StoreError
-            The disk takes no entry.
+            The entry could not be stored on disk.
         """
         acceptor = self.voter.acceptor
         if acceptor is None or acceptor.state is None or self.proposals.has_active_batch:
@@ -188,7 +188,7 @@
         if batch is None:
             return False
         policy, _ = successor_policy(base.policy, base.state, batch.changes)
-        entry = await self._stored(policy)
+        entry = await self._store(policy)
         if not await self._is_serviceable(entry, batch):
             return True
         if acceptor.state.decided != decided or self.coordinator.pending is not None:
@@ -197,8 +197,8 @@
         self._begin(entry.policy, decided.epoch + 1, batch)
         return True
 
-    async def _stored(self, policy: PolicyVersion) -> Entry:
-        """Bring the next policy to the disk. StoreError: it takes no entry."""
+    async def _store(self, policy: PolicyVersion) -> Entry:
+        """Store the next policy on disk. StoreError: it could not be written."""
         try:
             return await self.replica.store(policy)
         except StoreError:
@@ -206,18 +206,19 @@
             raise
 
     async def _is_serviceable(self, entry: Entry, batch: Batch) -> bool:
-        """Whether the node here can serve an entry; if not, its batch is rejected."""
+        """Whether the local node can serve an entry; rejects the batch if it cannot."""
         reasons = await self.serviceability.prepare(entry)
         if not reasons:
             return True
         name = entry.policy.name
-        why = self.serviceability.unserviceable[name]
-        self.serviceability.clear(name)  # proposed again it is another policy, or holds
-        self.proposals.reject_batch(batch, why.culprits, reasons)
+        unserviceable = self.serviceability.unserviceable[name]
+        # The mark is not needed: a later batch is another policy, or one that the node can serve by then.
+        self.serviceability.clear(name)
+        self.proposals.reject_batch(batch, unserviceable.culprits, reasons)
         return False
 
     def _begin(self, policy: PolicyVersion, epoch: int, batch: Batch) -> None:
-        """Propose a policy, to begin with this epoch."""
+        """Have the coordinator propose a policy in this epoch."""
         self.coordinator.begin(policy, epoch)
         self.proposals.batch_proposed(policy.name, batch)
         self.environment.data_plane.log_event(
@@ -225,11 +226,11 @@
         )
 
 
-def _bounded(lines: list[str]) -> list[str]:
-    """Lines for people, as many as a reply holds."""
+def _truncated(lines: list[str]) -> list[str]:
+    """Truncate readable lines to MAX_LINES_BYTES."""
     left = MAX_LINES_BYTES
     for index, line in enumerate(lines):
-        left -= len(line) + JSON_QUOTES_BYTES
+        left -= len(line) + JSON_LINE_OVERHEAD_BYTES
         if left < 0:
             return [*lines[:index], f"and {len(lines) - index} more lines"]
     return lines
--- a/hollybay/consensus/change_tracker.py
+++ b/hollybay/consensus/change_tracker.py
@@ -1,7 +1,7 @@
-"""Changes from an operator's side: build them, propose them, and track them to their outcome.
+"""The operator's side of changes: builds them, proposes them, and tracks them to their outcome.
 
-An operator may lose the voter that was called at any step. What became of a change is judged from what is
-decided, see `verdict`.
+The voter that was called may become unreachable at any step. Therefore the outcome of a change is judged only
+from what is decided, see `verdict`.
 """
 
 from __future__ import annotations
@@ -37,26 +37,26 @@
 
 __all__ = ["ChangeRequest", "ChangeTracker", "PolicyProposal"]
 
-# A proposal that no voter knows of is made again after so long.
+# A proposal that no voter knows is made again after this time.
 REPROPOSE_AFTER_S = 2.0
 
 
 @dataclass(frozen=True, slots=True)
 class ChangeRequest:
-    """What an operator wants to change; see `messages.DraftCall`.
+    """A change of resources that an operator requests; see `messages.DraftCall`.
 
     Parameters
     ----------
     file
-        An operator file.
+        The content of an operator file.
     like_policy
         Restore the resources as they were after this policy.
     drain, undrain
-        Servers to take out of service, and to put back.
+        Servers to take out of service, and to put back into service.
     partial
-        Whether resources that the file does not hold stay as they are.
+        Whether resources that the file lacks are kept.
     delete
-        Resources to delete, each KIND/NAME.
+        Resources to delete, each as KIND/NAME.
     """
 
     file: bytes | None = None
@@ -69,21 +69,21 @@
 
 @dataclass(frozen=True, slots=True)
 class PolicyProposal:
-    """The next policy as an operator wants it, alone in its batch; see `messages.ProposeCall`.
+    """A next policy that an operator proposes, outside of group commit; see `messages.ProposeCall`.
 
     Parameters
     ----------
     reason, author
         Shown in the history.
     file
-        An operator file; None: what it holds stays.
+        The content of an operator file; None to keep the resources that it would define.
     drained
-        All servers that are out of service; None: unchanged.
+        All servers that are to be out of service; None to keep them.
     voters
-        All voters; None: unchanged.
+        The addresses of all voters; None to keep them.
     parent
-        The policy that the proposal was made on, its name or digest; rejected if another one is in force.
-        Empty: whichever is.
+        The name or digest of the policy that the proposal is based on; the proposal is rejected if another
+        one is in force. Empty for the one in force, whichever that is.
     like_policy
         Restore the resources as they were after this policy.
     """
@@ -110,23 +110,23 @@
 
 
 class ChangeTracker(VoterClient):
-    """Proposes changes for an operator and tracks what becomes of them."""
+    """Proposes changes for an operator and tracks them to their outcome."""
 
     async def propose(self, proposal: PolicyProposal, limit: float) -> Verdict:
-        """Propose the next policy on the one in force, and track it.
+        """Propose the next policy, based on the one in force, and track it.
 
         Parameters
         ----------
         limit
-            How long it is tracked, s; 0: it is only proposed.
+            How long to track it, s; 0 to return once it is proposed.
         """
         view = await self.refresh()
         latest = view.latest
         if latest is None:
-            return _unknown("no keeper answers" if view.statuses else "nobody answers")
+            return _unknown("no voter answered" if view.statuses else "no node answered")
         old = await self.fetch_policy(latest.policy)
         if old is None:
-            return _unknown(f"{latest.policy} is not to be had")
+            return _unknown(f"{latest.policy} could not be fetched from any node")
         digest = old.digest.hex()
         if proposal.parent and proposal.parent not in (old.name, digest):
             text = f"parent: made on {proposal.parent}, in force is {old.name}"
@@ -135,7 +135,7 @@
 
     async def _propose_to_any(self, view: ClusterView, body: bytes, limit: float) -> Verdict:
         """Make a proposal at the first voter that accepts it, and track it."""
-        verdict = _unknown("no keeper took it")
+        verdict = _unknown("no voter accepted the proposal")
         for address in view.voters:
             try:
                 reply = decode(await self.call(address, "propose", body), ProposeReply)
@@ -157,11 +157,12 @@
         Parameters
         ----------
         change, epoch
-            The policy that was proposed, and the epoch that it was to begin with.
+            The name of the proposed policy, and the epoch in which it was to begin.
         limit
             How long to wait, s.
         body
-            The proposal: made again, as the same change, if all voters that knew it are lost before it began.
+            The encoded proposal. It is sent again, as the same change, if all voters that knew it are lost
+            before it has begun.
         """
         loop = asyncio.get_running_loop()
         deadline = loop.time() + limit
@@ -189,14 +190,14 @@
             return
 
     async def bootstrap(self, address: str, file: bytes) -> bytes:
-        """Found the cluster at one of its voters; its reply. CallFailedError: the voter does not."""
+        """Bootstrap the cluster at one of its voters; returns the reply. CallFailedError: it failed."""
         argument = await self.file_argument(address, file)
         call = BootstrapCall(argument.text or "", argument.upload)
         return await self.call_until_done(address, "found", encode(call))
 
     async def diff(self, old: str, new: str) -> list[str]:
-        """The difference of two policies, for people. CallFailedError: no voter has both."""
-        failure = CallFailedError("no keeper answers")
+        """The difference of two policies as readable lines. CallFailedError: no voter has both."""
+        failure = CallFailedError("no voter answered")
         for address in self.voters_in_order(self.view):
             try:
                 return decode(await self.call(address, f"diff/{old}/{new}", None), list[str])
@@ -207,8 +208,8 @@
         raise failure
 
     async def drop(self, change: str) -> str:
-        """Give a change up; "" if a voter will, else why not."""
-        reason = "no keeper answers"
+        """Have a voter drop a change; returns "" if one accepted the request, else the reason."""
+        reason = "no voter answered"
         for address in list(dict.fromkeys([*self.view.voters, *self.addresses])):
             try:
                 await self.call(address, "drop", encode(DropCall(change)))
@@ -223,17 +224,17 @@
     async def build_change(
         self, reason: str, author: str, request: ChangeRequest
     ) -> tuple[DraftReply, Change | None]:
-        """Have a voter build the change that a request needs; None: nothing differs.
+        """Have a voter build the requested change; the change is None if nothing differs.
 
         Raises
         ------
         InvalidInputError
-            A voter rejects the request.
+            A voter rejected the request.
         CallFailedError
-            No voter answers.
+            No voter replied.
         """
         view = await self.refresh()
-        failure = CallFailedError("no keeper answers")
+        failure = CallFailedError("no voter answered")
         for address in self.voters_in_order(view):
             try:
                 draft = await self._draft_at(address, reason, author, request)
@@ -262,7 +263,7 @@
         return decode(await self.call_until_done(address, "draft", encode(call)), DraftReply)
 
     async def _drafted_change(self, address: str, draft: DraftReply) -> Change | None:
-        """The change of a draft; fetched in chunks where it is long."""
+        """The change of a draft, downloaded in chunks if it is not part of the reply; None if it is empty."""
         if draft.change:
             return change_from(draft.change)
         if not draft.draft:
--- a/hollybay/consensus/coordinator.py
+++ b/hollybay/consensus/coordinator.py
@@ -1,7 +1,7 @@
-"""Coordinating a change: bringing it from one epoch to the next until it is settled.
+"""Coordination of a change: the ballots that move the group from one epoch to the next until it is settled.
 
-A voter coordinates what was proposed to it, and takes over a change that nobody has coordinated for a while.
-Each step is a ballot (`ballots`).
+A voter coordinates the changes that were proposed to it, and takes over a change that no voter has
+coordinated for a while. Each step is one ballot (`ballots`).
 """
 
 from __future__ import annotations
@@ -31,52 +31,54 @@
 
 __all__ = ["IDLE_INTERVAL_S", "ChangeCoordinator", "CoordinatorHost", "PendingChange"]
 
-# Seconds after which a voter takes over a change that nobody coordinates, and more for each place among the
-# voters, so that they do not start at once.
+# Seconds after which a voter takes over a change that no voter coordinates. The stagger is added once per
+# place in the list of voters, so that they do not all take over at the same time.
 TAKE_OVER_AFTER_S, TAKE_OVER_STAGGER_S = 1.0, 0.4
-# Seconds between two looks for a change that nobody coordinates.
+# Seconds between two checks for a change that no voter coordinates; each is multiplied by a random factor
+# in the range of IDLE_JITTER.
 IDLE_INTERVAL_S = 0.25
 IDLE_JITTER = (0.8, 1.2)
 MIN_IDLE_S = 0.001
-# Seconds for which a superseded proposer leaves the way to the other one.
+# Range of seconds that a superseded proposer waits, so that the other one can finish.
 SUPERSEDED_BACKOFF_S = (0.01, 0.05)
-# Seconds after a failed ballot, doubled for each one in a row up to the maximum.
+# Range of seconds to wait after a failed ballot, doubled for each consecutive failure, MAX_DOUBLINGS times at
+# most.
 FAILED_BACKOFF_S = (0.02, 0.05)
 MAX_DOUBLINGS = 5
 
 
 class CoordinatorHost(Learner, Protocol):
-    """The voter that is coordinated for."""
+    """The voter on whose behalf changes are coordinated."""
 
     acceptor: DurableAcceptor | None
 
     def require_acceptor(self) -> DurableAcceptor:
-        """The acceptor here. NoVoterError: this process is no voter."""
+        """The acceptor of this process. NoVoterError: this process is not a voter."""
         ...
 
     def become_voter(self) -> None:
-        """Be a voter, if this process is named as one and is none yet."""
+        """Start to act as a voter, if a policy names this process as one and it does not yet."""
         ...
 
     def learn_as_voter_and_leaseholder(self, state: EpochState, source: str) -> Coroutine[Any, Any, None]:
-        """The acceptor and the leaseholder learn of an epoch; a disk that fails is logged."""
+        """Pass a decided epoch to the acceptor and the leaseholder; a disk error is logged."""
         ...
 
     async def recover_acceptor(self) -> None:
-        """An acceptor that knows nothing asks all others what they know."""
+        """Restore an acceptor without state from what the other voters know."""
         ...
 
 
 @dataclass(frozen=True, slots=True)
 class PendingChange:
-    """A policy that is to be proposed here, and the epoch that it is to begin with."""
+    """A policy to propose from this process, and the epoch to propose it in."""
 
     policy: PolicyVersion
     epoch: int
 
 
 class ChangeCoordinator:
-    """Coordinates changes for one voter, one at a time.
+    """Coordinates the changes of one voter, one at a time.
 
     Parameters
     ----------
@@ -84,13 +86,13 @@
     replica : LogReplica
     environment : Environment
     process : int
-        The number of this process, which its ballots carry.
+        The number of this process, part of its ballot numbers.
     proposals : Proposals
     peers : PeerClient
     propose_next : callable
-        Makes the next policy of the changes that wait; whether there was anything.
+        Proposes the next policy from the queued changes; returns whether there was a batch.
     spawn : callable
-        Starts a task.
+        Starts a background task.
     """
 
     def __init__(
@@ -115,46 +117,46 @@
         self.announcer = Announcer(environment, replica, peers, voter.learn_as_voter_and_leaseholder, spawn)
         self.ballots = BallotRunner(environment, process, voter, peers, self.announcer)
         self.pending: PendingChange | None = None
-        self.dropping: set[str] = set()  # policies to be given up, by name
-        self.coordinating = ""  # the policy that is coordinated here
-        self.rejected: dict[str, Reason] = {}  # policies that never began: why
+        self.dropping: set[str] = set()  # names of the policies to drop
+        self.coordinating = ""  # name of the policy that this process coordinates
+        self.rejected: dict[str, Reason] = {}  # by policy: why its change never began
         self.wakeup = asyncio.Event()
-        self._failed_ballots = 0  # one after another
+        self._failed_ballots = 0  # consecutive failures
 
-    # What the service asks for
+    # Requests from the service
 
     def wake(self) -> None:
-        """Look for work now."""
+        """Check for work now instead of at the next interval."""
         self.wakeup.set()
 
     def begin(self, policy: PolicyVersion, epoch: int) -> None:
-        """A policy is to be proposed, to begin with this epoch."""
+        """Make a policy the pending one, to be proposed in this epoch."""
         self.pending = PendingChange(policy, epoch)
         self.dropping.discard(policy.name)
 
     def is_pending(self, name: str) -> bool:
-        """Whether a policy is the one that is about to begin."""
+        """Whether this is the pending policy."""
         return self.pending is not None and self.pending.policy.name == name
 
     def other_pending(self, name: str) -> str:
-        """The policy that is about to begin, where it is another than this one; else empty."""
+        """The name of the pending policy if it is another one than `name`, else empty."""
         if self.pending is None or self.pending.policy.name == name:
             return ""
         return self.pending.policy.name
 
     def take_over(self, name: str) -> None:
-        """Coordinate the change to a policy from here, now."""
+        """Coordinate the change to a policy from this process, starting now."""
         self.coordinating = name
         self.wake()
 
     def end_drops(self) -> set[str]:
-        """A change is settled: the policies that were to be given up until then."""
+        """Clear the policies to drop, once an epoch has settled; returns them."""
         dropped = set(self.dropping)
         self.dropping.clear()
         return dropped
 
     def progress(self) -> ChangeProgress:
-        """The progress of changes here."""
+        """The progress of changes at this voter, for its status."""
         return ChangeProgress(
             queued=len(self.proposals),
             pending=self.pending.policy.name if self.pending is not None else "",
@@ -163,10 +165,10 @@
             blocking_leases=self.ballots.blocking_leases,
         )
 
-    # Steps
+    # Main loop
 
     async def run(self) -> None:
-        """Bring changes to their end: those that began here, and those that nobody else coordinates."""
+        """Coordinate changes until they settle: own ones, and those that no other voter coordinates."""
         while True:
             self.wakeup.clear()
             self.voter.become_voter()
@@ -181,7 +183,7 @@
             await wait_at_most(self.wakeup, self._idle_time())
 
     async def _step(self) -> bool:
-        """Do what is to be done now; whether there may be more at once."""
+        """Do the next piece of work; returns whether more may be due at once."""
         acceptor = self.voter.acceptor
         if acceptor is not None and acceptor.state is None:
             await self.voter.recover_acceptor()
@@ -192,13 +194,13 @@
         return await self.propose_next()
 
     def _idle_time(self) -> float:
-        """How long to wait for work, seconds."""
+        """The time to wait for work, in seconds."""
         idle = IDLE_INTERVAL_S * self.rng.uniform(*IDLE_JITTER)
         next_batch = self.proposals.next_batch_delay_ns() if self._may_propose() else None
         return idle if next_batch is None else min(idle, max(MIN_IDLE_S, next_batch / SECOND))
 
     def _may_propose(self) -> bool:
-        """Whether the next batch may be made here as soon as there is one."""
+        """Whether the next batch can be proposed as soon as it is ready."""
         acceptor = self.voter.acceptor
         return (
             acceptor is not None
@@ -208,25 +210,25 @@
         )
 
     def _has_work(self) -> bool:
-        """Whether there is a change to coordinate here, now."""
+        """Whether this process has a change to coordinate now."""
         acceptor = self.voter.acceptor
         if acceptor is None or acceptor.state is None:
             return False
         state = acceptor.state.decided
         if state.stage is Stage.SETTLED:
-            self._forget_overtaken(state)
+            self._clear_superseded(state)
             return self.pending is not None
-        self._join_change(state)
+        self._resolve_pending(state)
         if self.coordinating == state.new:
             return True
         voters = self.replica.voter_addresses(state)
         own_address = self.environment.settings.address
         index = voters.index(own_address) if own_address in voters else len(voters)
-        patience = TAKE_OVER_AFTER_S + TAKE_OVER_STAGGER_S * index
-        return self.clock() - acceptor.last_coordinated > patience * SECOND
+        take_over_after_s = TAKE_OVER_AFTER_S + TAKE_OVER_STAGGER_S * index
+        return self.clock() - acceptor.last_coordinated > take_over_after_s * SECOND
 
-    def _forget_overtaken(self, state: EpochState) -> None:
-        """Another change was decided before the pending one, or that one was and is over."""
+    def _clear_superseded(self, state: EpochState) -> None:
+        """Clear the pending policy if its epoch has passed: it has ended, or another change came first."""
         pending = self.pending
         if pending is None or pending.epoch == state.epoch + 1:
             return
@@ -235,8 +237,8 @@
         if name != state.policy and not self.proposals.is_proposing(name):
             self.rejected.setdefault(name, SupersededOrDropped())
 
-    def _join_change(self, state: EpochState) -> None:
-        """A change is under way: the pending one, which is coordinated here, or another."""
+    def _resolve_pending(self, state: EpochState) -> None:
+        """Clear the pending policy once a change has begun: it is that change, or was superseded by it."""
         if self.pending is None:
             return
         if self.pending.policy.name != state.new:
@@ -248,7 +250,7 @@
     # Ballots
 
     def _proposal(self, state: EpochState) -> EpochState:
-        """The epoch that should follow a decided one."""
+        """The epoch to propose after a decided one."""
         epoch = state.epoch + 1
         if state.stage is Stage.SETTLED:
             assert self.pending is not None
@@ -262,14 +264,14 @@
             return EpochState(epoch, Stage.JOINT, state.policy, state.new)
         return EpochState(epoch, Stage.SETTLED, state.new)
 
-    def _wanted(self, state: EpochState) -> EpochState | None:
-        """The epoch that should follow by now; None: nothing, as what was pending is not any more."""
+    def _current_proposal(self, state: EpochState) -> EpochState | None:
+        """The epoch to propose now, or None if a settled epoch has no pending policy to follow it."""
         if state.stage is Stage.SETTLED and self.pending is None:
             return None
         return self._proposal(state)
 
     async def _advance(self) -> None:
-        """Bring the group one epoch further, if a quorum votes for it."""
+        """Run one ballot for the next epoch."""
         acceptor = self.voter.require_acceptor()
         assert acceptor.state is not None
         acceptor.last_coordinated = self.clock()
@@ -282,7 +284,7 @@
             await asyncio.sleep(IDLE_INTERVAL_S)
             return
         if state.stage is not Stage.SETTLED:
-            self.announcer.announce(state, acceptor)  # whoever has not heard of it blocks the next one
+            self.announcer.announce(state, acceptor)  # leases on an earlier epoch block the next one
         self.data_plane.log_event(
             LogEvent.COORDINATING,
             epoch=proposal.epoch,
@@ -290,16 +292,16 @@
             change=proposal.new or proposal.policy,
         )
         outcome = await self.ballots.run(
-            acceptor, state, proposal, addresses, voter_sets, lambda: self._wanted(state)
+            acceptor, state, proposal, addresses, voter_sets, lambda: self._current_proposal(state)
         )
         await self._back_off_after(outcome, acceptor)
 
     async def _back_off_after(self, outcome: BallotOutcome, acceptor: DurableAcceptor) -> None:
-        """Wait before the next ballot, as the last one ended."""
+        """Wait before the next ballot, depending on the outcome of the last one."""
         if outcome is BallotOutcome.DECIDED:
             self._failed_ballots = 0
         elif outcome is BallotOutcome.SUPERSEDED:
-            # Another proposer is at work: two that went on would only supersede each other.
+            # Another proposer is active. If both continued, each would keep superseding the other's ballots.
             self.coordinating = ""
             acceptor.last_coordinated = self.clock()
             await asyncio.sleep(self.rng.uniform(*SUPERSEDED_BACKOFF_S))
--- a/hollybay/consensus/group_commit.py
+++ b/hollybay/consensus/group_commit.py
@@ -1,19 +1,19 @@
-"""Group commit: proposed changes wait in a queue at a voter, and one decision commits all of them as a batch.
+"""Group commit: proposed changes wait in a queue at a voter, and one decision commits a batch of them.
 
-The queue is pure: events go in, decisions come out. All times are ns of one monotonic clock that the caller
-reads. A change that was accepted (`Queued`) ends exactly once: `InForce` or `Rejected`.
+The queue is pure: it reads no clock and performs no I/O. All times are ns of one monotonic clock that the
+caller reads. A change that was accepted (`Queued`) has exactly one final outcome: `InForce` or `Rejected`.
 
 The proposer calls `next_batch` when the cluster is settled, has the batch decided, and reports the result:
 
     next_batch --> batch in progress --> decided     its changes are in force
-                                     --> dropped     the changes that nodes named are rejected, the rest waits
-                                     --> superseded  another voter's batch was decided first; all of it waits
+                                     --> dropped     the changes that nodes named are rejected; rest requeued
+                                     --> superseded  another voter's batch was decided first; all are requeued
 
-Changes that wait again keep their place before all later ones; their next batch is built on the newest state.
+Requeued changes keep their place before all later ones; their next batch is built on the newest state.
 
-A batch that is dropped without any node naming a change is split (binary splitting, as in group testing): the
-next batch is its first half, and so on until a batch of a single change is dropped, which is rejected. One
-bad change among n costs at most about 2 * log2(n) further batches; the others are decided.
+If a batch is dropped and no node named a change, it is split (binary splitting, as in group testing): the
+next batch is its first half, and so on, until a batch of a single change is dropped, which is then rejected.
+One bad change among n costs at most about 2 * log2(n) further batches; the other changes are decided.
 """
 
 from __future__ import annotations
@@ -49,24 +49,25 @@
 
 __all__ = ["ProposalQueue"]
 
-# Why a change is rejected that was alone in a dropped batch, where no node gave a reason.
+# The problem of a change that was alone in a dropped batch for which no node gave a reason.
 CANNOT_BE_SERVED = ChangeProblem.because(CannotBeServed(), CHANGE)
 
 
 @dataclass(slots=True)
 class _QueuedChange:
-    """A change that has not ended.
+    """A change without a final outcome.
 
     Parameters
     ----------
     size
-        Bytes of the change as encoded.
+        Size of the encoded change in bytes.
     sequence
-        Its place in the queue, given once.
+        Its position in order of arrival; never changes.
     offered_at
         When it was accepted, ns.
     group
-        Changes of one nonzero group are tried in a batch of their own; see `ProposalQueue._split_batch`.
+        If nonzero, the change shares a batch only with changes of the same group; see
+        `ProposalQueue._split_batch`.
     """
 
     change: Change
@@ -85,14 +86,14 @@
 
 
 class ProposalQueue:
-    """The changes that were proposed to one voter, first come first served; see the module.
+    """The queue of changes proposed to one voter, first in, first out; see the module.
 
     Attributes
     ----------
     average_batch_ns
         Average duration of a batch.
     bytes
-        Size of all changes that have not ended.
+        Total size of the changes without a final outcome.
     """
 
     def __init__(self, settings: QueueSettings | None = None) -> None:
@@ -108,18 +109,18 @@
         self._last_group = 0
 
     def __len__(self) -> int:
-        """How many changes have not ended, including those of the batch in progress."""
+        """Number of changes without a final outcome, including those of the batch in progress."""
         return len(self._waiting) + len(self._under_way)
 
     @property
     def batch_in_progress(self) -> Batch | None:
-        """The batch that was formed last and whose result was not reported yet."""
+        """The batch that was formed last, until its result is reported."""
         return self._in_progress.batch if self._in_progress is not None else None
 
     # Proposals
 
     def offer(self, change: Change, state: ResourceState, now: int) -> OfferReply:
-        """Queue a proposed change, or say why not.
+        """Queue a proposed change, or return the reason why it was not queued.
 
         Parameters
         ----------
@@ -145,7 +146,7 @@
         return Queued(self._position(self._enqueue(change, size, now)), wait)
 
     def _enqueue(self, change: Change, size: int, now: int) -> _QueuedChange:
-        """Add a change at the end of the queue."""
+        """Append a change to the queue."""
         self._last_sequence += 1
         queued = _QueuedChange(change, size, self._last_sequence, now)
         self._waiting[change.id] = queued
@@ -153,7 +154,7 @@
         return queued
 
     def _earlier_reply(self, change_id: bytes, state: ResourceState, now: int) -> OfferReply | None:
-        """The reply to a change that was offered before; None if it was not."""
+        """The reply to a change that was offered before, or None if it is new."""
         revision = state.revision_of(change_id)
         if revision is not None:
             self._finish(change_id, InForce(revision), now)
@@ -168,7 +169,7 @@
         return None
 
     def outcome(self, change_id: bytes, now: int) -> Outcome:
-        """What became of a change that was accepted here."""
+        """The state or final outcome of a change that this queue accepted."""
         self._ended.expire(now)
         if change_id in self._under_way and self._in_progress is not None:
             return UnderWay(self._in_progress.batch.revision)
@@ -181,7 +182,7 @@
     # Batches
 
     def next_batch_delay_ns(self, now: int) -> int | None:
-        """Time until `next_batch` may return a batch, 0: now; None: not before another event."""
+        """Time until `next_batch` may return a batch; 0 for now, None if only another event can allow one."""
         if self._in_progress is not None or not self._waiting:
             return None
         oldest = next(iter(self._waiting.values()))
@@ -190,12 +191,12 @@
         return max(0, oldest.offered_at + self.settings.linger_ns - now)
 
     def next_batch(self, state: ResourceState, now: int) -> Assembled | None:
-        """Form the next batch on the newest state; None: there is none now, see `next_batch_delay_ns`.
+        """Form the next batch on the newest state, or return None if none is due (`next_batch_delay_ns`).
 
-        Changes that no longer fit the state are rejected with their problems, or found to be in force. A
-        change that fits the state but conflicts with an earlier one of the batch waits until the batch has
-        ended, as it may be dropped or superseded. At most `max_batch_changes` are considered; the method may
-        be called again at once.
+        Changes that no longer apply to the state are rejected with their problems; changes that the state
+        already contains are recorded as in force. A change that applies to the state but conflicts with an
+        earlier one of the batch stays queued until the batch has ended, as that may be dropped or superseded.
+        At most `max_batch_changes` are considered per call; the method may be called again at once.
         """
         self._ended.expire(now)
         if self.next_batch_delay_ns(now) != 0:
@@ -211,7 +212,7 @@
         return replace(assembled, rejected=tuple(rejections))
 
     def _batch_candidates(self) -> list[_QueuedChange]:
-        """The first changes of the queue that form one batch by count, bytes and group."""
+        """The first changes of the queue, as many as one batch holds by count, bytes and group."""
         candidates: list[_QueuedChange] = []
         size = 0
         for queued in self._waiting.values():
@@ -224,7 +225,7 @@
         return candidates
 
     def _without_decided(self, changes: Iterable[Change], state: ResourceState, now: int) -> list[Change]:
-        """The changes that are not in force in a state; the others have ended."""
+        """The changes that a state does not contain; the others are recorded as in force."""
         undecided: list[Change] = []
         for change in changes:
             if not self._finish_if_decided(change.id, state, now):
@@ -234,7 +235,7 @@
     def _final_rejections(
         self, rejected: Iterable[tuple[Change, ChangeRejectedError]], state: ResourceState
     ) -> list[tuple[Change, ChangeRejectedError]]:
-        """Of the changes that do not fit their batch, those that do not fit the state by themselves."""
+        """Of the changes that do not apply within their batch, those that do not apply to the state alone."""
         rejections: list[tuple[Change, ChangeRejectedError]] = []
         for change, _ in rejected:
             try:
@@ -244,7 +245,7 @@
         return rejections
 
     def _start(self, batch: Batch, now: int) -> None:
-        """A batch is in progress from now on."""
+        """Make a batch the one in progress."""
         for change in batch.changes:
             queued = self._waiting.pop(change.id)
             self._under_way[change.id] = queued
@@ -254,9 +255,9 @@
     # Results of a batch
 
     def batch_decided(self, batch: Batch, now: int) -> None:
-        """A batch, of this voter or of another one, is in force.
+        """Record that a batch of this or another voter is in force.
 
-        If it is another voter's, the batch in progress here waits again.
+        If it is another voter's, the changes of the batch in progress are requeued.
         """
         self._ended.expire(now)
         if self._is_own(batch):
@@ -272,7 +273,7 @@
         now: int,
         problems: tuple[ChangeProblem, ...] = (),
     ) -> None:
-        """A batch, of this voter or of another one, was given up because a node cannot serve it.
+        """Record that a batch of this or another voter was dropped because a node cannot serve it.
 
         If no change is named, a batch of this voter is split.
 
@@ -282,7 +283,7 @@
             The problems of each change that a node named, by change id; ids that are not in the batch are
             ignored.
         problems
-            What nodes reported without naming a change.
+            Problems that nodes reported without naming a change.
         """
         self._ended.expire(now)
         is_own = self._is_own(batch)
@@ -294,7 +295,7 @@
         for change_id, change_problems in culprits.items():
             self._finish(change_id, Rejected(change_problems or (CANNOT_BE_SERVED,)), now)
         if is_own:
-            # This batch explains the earlier suspicion: nothing is known of the other changes.
+            # The change that caused an earlier split is in this batch: the others need no groups any more.
             for queued in self._waiting.values():
                 queued.group = 0
             if culprits:
@@ -304,9 +305,9 @@
         self._requeue()
 
     def batch_superseded(self, batch: Batch, state: ResourceState, now: int) -> None:
-        """The batch of this voter was not decided: another one was, and `state` is the one after it.
+        """Record that another batch was decided before this voter's; `state` is the state after it.
 
-        Changes that are in force in that state have ended; the others wait again.
+        Changes that the state contains are recorded as in force; the others are requeued.
         """
         self._ended.expire(now)
         if not self._is_own(batch):
@@ -316,25 +317,25 @@
         self._requeue()
 
     def _split_batch(self) -> None:
-        """Divide the changes of the batch in progress into two groups, tried one after the other."""
-        suspects = list(self._under_way.values())
-        half = (len(suspects) + 1) // 2
+        """Divide the changes of the batch in progress into two groups, proposed one after the other."""
+        members = list(self._under_way.values())
+        half = (len(members) + 1) // 2
         self._last_group += 2
-        for queued in suspects[:half]:
+        for queued in members[:half]:
             queued.group = self._last_group - 1
-        for queued in suspects[half:]:
+        for queued in members[half:]:
             queued.group = self._last_group
 
     def _ungroup_batch(self) -> None:
-        """The changes of the batch in progress belong to no group any more."""
+        """Remove the changes of the batch in progress from their group."""
         for queued in self._under_way.values():
             queued.group = 0
 
     def _requeue(self) -> None:
-        """The changes of the batch in progress wait again in their place, before all later ones."""
+        """Put the changes of the batch in progress back in their place, before all later ones."""
         if self._under_way:
             last_sequence = next(reversed(self._under_way.values())).sequence
-            # Changes between them that conflicted with the batch were left waiting.
+            # Changes between them that conflicted with the batch have stayed in the queue.
             between = takewhile(lambda queued: queued.sequence < last_sequence, self._waiting.values())
             front = sorted((*self._under_way.values(), *between), key=lambda queued: queued.sequence)
             for queued in reversed(front):
@@ -350,7 +351,7 @@
     # Outcomes
 
     def _finish(self, change_id: bytes, outcome: FinalOutcome, now: int) -> None:
-        """A change has ended; does nothing if it was not accepted here."""
+        """Record the final outcome of a change; does nothing if this queue does not hold it."""
         queued = self._waiting.pop(change_id, None)
         if queued is None:
             queued = self._under_way.pop(change_id, None)
@@ -361,7 +362,7 @@
         self._ended.add(change_id, outcome, now)
 
     def _finish_if_decided(self, change_id: bytes, state: ResourceState, now: int) -> bool:
-        """Whether a change is in force in a state; then it has ended."""
+        """Record a change as in force if a state contains it; returns whether it does."""
         revision = state.revision_of(change_id)
         if revision is None:
             return False
@@ -371,14 +372,14 @@
     # Estimates
 
     def _position(self, queued: _QueuedChange) -> int:
-        """An upper bound of the changes before one: sequences ascend, and some changes have ended."""
+        """An upper bound of the number of changes before one: some sequence numbers in between have ended."""
         return queued.sequence - next(iter(self._waiting.values())).sequence
 
     def _is_full(self, size: int) -> bool:
         return len(self) >= self.settings.max_changes or self.bytes + size > self.settings.max_bytes
 
     def _record_duration(self, now: int) -> None:
-        """Add the duration of the batch in progress, which has ended, to the average."""
+        """Add the duration of the batch in progress, which ends now, to the average."""
         if self._in_progress is not None:
             duration_ns = now - self._in_progress.started_at
             self.average_batch_ns = updated_average_ns(self.average_batch_ns, duration_ns)
@@ -387,7 +388,7 @@
         return estimated_wait_ns(self._backlog(now), changes, size, self.settings)
 
     def _backlog(self, now: int) -> Backlog:
-        """What has to be decided before a change that is offered now."""
+        """The work that precedes a change offered now."""
         oldest = [next(iter(queue.values())) for queue in (self._under_way, self._waiting) if queue]
         in_progress = self._in_progress
         return Backlog(
--- a/hollybay/consensus/invariants.py
+++ b/hollybay/consensus/invariants.py
@@ -1,10 +1,11 @@
-"""The invariants of a change of policy, checked over what all processes of a run observed. Pure.
+"""The invariants of a policy change, checked over the events that all processes of a run observed. Pure.
 
-A request begins under the policies of which it obeys the intersection. Alone means: under one policy.
+A request begins under one policy or several; it must obey the intersection of them. A policy is in force
+alone where a request begins under that policy only.
 
-1. Once a request has begun anywhere under a policy alone, none begins under policies that are all older: the
+1. Once a request has begun anywhere under one policy alone, no request begins under older policies only: the
    old and the new policy are never in force at the same time.
-2. A change that was reported as dropped or rejected was never in force alone, before or after.
+2. A change that was reported as dropped or rejected is never in force alone, before or after the report.
 3. Once a change is reported as in force everywhere, no request begins under an older policy.
 """
 
@@ -20,7 +21,7 @@
 
 
 class ReportedOutcome(Enum):
-    """What an operator was told of a change."""
+    """The outcome of a change as reported to an operator."""
 
     IN_FORCE = "in force everywhere"
     NOWHERE = "refused or dropped"
@@ -33,7 +34,7 @@
     Parameters
     ----------
     at
-        When, ns.
+        Time, ns.
     node
         The name of the node.
     policies
@@ -47,16 +48,16 @@
 
 @dataclass(frozen=True, slots=True)
 class OutcomeReported:
-    """An operator was told the outcome of a change.
+    """The outcome of a change was reported to an operator.
 
     Parameters
     ----------
     at
-        When, ns.
+        Time, ns.
     change
-        The name of the policy that it makes.
+        The name of the policy that the change creates.
     outcome
-        What the operator was told.
+        The reported outcome.
     """
 
     at: int
@@ -66,16 +67,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Violation:
-    """An invariant does not hold.
+    """A violation of an invariant.
 
     Parameters
     ----------
     at
-        When, ns.
+        Time, ns.
     node
-        Where; empty: not at one node.
+        The name of the node; empty if it concerns no single node.
     reason
-        What contradicts what, for people.
+        The observations that contradict each other, as readable text.
     """
 
     at: int
@@ -85,20 +86,20 @@
 
 @dataclass(slots=True)
 class _Observations:
-    """What was observed up to a point in time.
+    """The observations up to a point in time.
 
     Parameters
     ----------
     newest_alone
-        The newest policy under which alone a request has begun; empty: none has.
+        The newest policy that was in force alone; empty if none was.
     newest_alone_at
-        The node where one did first.
+        The first node where it was.
     reported_version
         The newest version that was reported as in force everywhere.
     dropped
         The changes that were reported as dropped or rejected.
     in_force_alone
-        All policies under which alone a request has begun.
+        All policies that were in force alone.
     """
 
     newest_alone: str = ""
@@ -110,7 +111,7 @@
 
     def on_request_begun(self, event: RequestBegun) -> None:
         if not event.policies:
-            self._violated(event.at, event.node, "a request begins though nothing is in force")
+            self._violated(event.at, event.node, "a request begins although no policy is in force")
             return
         self._check_not_superseded(event)
         self._check_not_older_than_reported(event)
@@ -127,14 +128,14 @@
 
     def _check_not_older_than_reported(self, event: RequestBegun) -> None:
         if min(map(version_of, event.policies)) < self.reported_version:
-            reported = f"version {self.reported_version} was said to hold everywhere"
-            reason = f"a request begins under {' and '.join(event.policies)}, and {reported}"
+            reported = f"version {self.reported_version} was reported as in force everywhere"
+            reason = f"a request begins under {' and '.join(event.policies)} although {reported}"
             self._violated(event.at, event.node, reason)
 
     def _note_alone(self, event: RequestBegun, policy: str) -> None:
         self.in_force_alone.add(policy)
         if policy in self.dropped:
-            self._violated(event.at, event.node, f"{policy} is in force, and was said to be nowhere")
+            self._violated(event.at, event.node, f"{policy} is in force, but was reported as dropped")
         if not self.newest_alone or version_of(policy) > version_of(self.newest_alone):
             self.newest_alone, self.newest_alone_at = policy, event.node
 
@@ -142,20 +143,20 @@
         if event.outcome is ReportedOutcome.IN_FORCE:
             self.reported_version = max(self.reported_version, version_of(event.change))
             if event.change in self.dropped:
-                self._violated(event.at, "", f"{event.change} holds, and was said to be nowhere")
+                self._violated(event.at, "", f"{event.change} is reported as both in force and dropped")
             return
         self.dropped.add(event.change)
         if event.change in self.in_force_alone:
-            self._violated(event.at, "", f"{event.change} is said to be nowhere, and was in force")
+            self._violated(event.at, "", f"{event.change} is reported as dropped, but was in force")
 
     def _violated(self, at: int, node: str, reason: str) -> None:
         self.violations.append(Violation(at, node, reason))
 
 
 def find_violations(events: Iterable[RequestBegun | OutcomeReported]) -> list[Violation]:
-    """The violations of the invariants by what was observed, in order of time."""
+    """Find all violations of the invariants in observed events, in order of time."""
     observations = _Observations()
-    # What was reported at a point in time counts for the requests that begin after it.
+    # A report counts only for requests that begin at a later time, so it sorts after requests of equal time.
     for event in sorted(events, key=lambda event: (event.at, isinstance(event, OutcomeReported))):
         if isinstance(event, OutcomeReported):
             observations.on_outcome_reported(event)
--- a/hollybay/consensus/policy_requests.py
+++ b/hollybay/consensus/policy_requests.py
@@ -1,4 +1,4 @@
-"""Operators' requests that change a policy as a whole (a file, other voters, an earlier state), and drops."""
+"""Handlers of requests that propose a policy as a whole (a file, voters, an earlier state) or drop one."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 class PolicyRequests:
-    """Answers these requests at a voter."""
+    """Handles these requests at a voter."""
 
     def __init__(
         self,
@@ -59,7 +59,7 @@
     # Proposals
 
     async def on_propose(self, call: messages.ProposeCall) -> Response:
-        """Propose the next policy, once it holds here; from then on the voters bring it to its end."""
+        """Propose the next policy if this node can serve it; the voters then coordinate the change."""
         acceptor = self.voter.require_acceptor()
         if acceptor.state is None:
             raise RejectedError("this keeper knows nothing yet; `hollybay policy found` begins an accord")
@@ -68,12 +68,12 @@
         base = self.replica.base(state)
         policy = await self._next_policy(call, base)
         if state.stage is not Stage.SETTLED:
-            if state.new == policy.name:  # requested again, by one who does not know what became of it
+            if state.new == policy.name:  # a repeated request: the operator does not know the outcome
                 return ok(messages.ProposeReply(policy.name, state.epoch), ACCEPTED)
-            raise RejectedError(f"{state.new} is under way; `status` ends it, `drop` gives it up")
+            raise RejectedError(f"{state.new} is under way; wait for its end, or use `hollybay policy drop`")
         other = self.coordinator.other_pending(policy.name)
         if other:
-            raise RejectedError(f"{other} is about to begin")
+            raise RejectedError(f"another proposal is pending: {other}")
         await self._add_voters(acceptor, state, base.policy, policy)
         reasons = await self.serviceability.prepare(await self.replica.store(policy))
         if reasons:
@@ -92,20 +92,20 @@
         self.coordinator.wake()
 
     async def _next_policy(self, call: messages.ProposeCall, base: Entry) -> PolicyVersion:
-        """The policy that a request proposes on the one in force."""
+        """The policy that a request proposes, based on the one in force."""
         old, resources = base.policy, base.state
         assert resources is not None
         parent = bytes.fromhex(call.parent)
         if parent != old.digest:
             raise RejectedError(f"parent: made on {parent.hex()[:12] or 'nothing'}, in force is {old.name}")
-        wanted = await self._wanted(call, resources)
-        voters = _voters(call.voters, wanted.voters)
-        change = proposed_change(resources, wanted.operations, call.reason, call.author, parent)
-        changes = (change,) if wanted.operations else ()
+        requested = await self._requested(call, resources)
+        voters = _voters(call.voters, requested.voters)
+        change = proposed_change(resources, requested.operations, call.reason, call.author, parent)
+        changes = (change,) if requested.operations else ()
         policy, _ = successor_policy(old, resources, changes, voters, call.reason, call.author)
         return policy
 
-    async def _wanted(self, call: messages.ProposeCall, state: ResourceState) -> OperatorFileChanges:
+    async def _requested(self, call: messages.ProposeCall, state: ResourceState) -> OperatorFileChanges:
         """The operations that a request asks for, and the voters that its file names."""
         operations: tuple[Operation, ...] = ()
         voters = None
@@ -121,12 +121,12 @@
     async def _add_voters(
         self, acceptor: DurableAcceptor, state: EpochState, old: PolicyVersion, new: PolicyVersion
     ) -> None:
-        """Let each new voter learn all before the policy that names it is proposed."""
+        """Have each new voter join and catch up before the policy that names it is proposed."""
         added = [address for address in new.voters if address not in old.voters]
         member_addresses = {member.address for member in acceptor.reports.members.values()}
         missing = [address for address in added if address not in member_addresses]
         if missing:
-            raise RejectedError(f"keepers: {', '.join(missing)} is no node that holds a lease here")
+            raise RejectedError(f"keepers: {', '.join(missing)}: no node there requests leases of this voter")
         for address in added:
             try:
                 await self.peers.call(address, "join", announcement(state, self.replica.own_address))
@@ -136,11 +136,11 @@
     # Drops
 
     async def on_drop(self, call: messages.DropCall) -> Response:
-        """Give a change up, unless it is decided already."""
+        """Drop a change, unless it is decided already."""
         acceptor = self.voter.require_acceptor()
         if acceptor.state is None:
             raise RejectedError("this keeper knows nothing yet")
-        # One that is about to begin does begin, and is then dropped: so all voters know what became of it.
+        # A pending change still begins and is dropped afterwards, so that all voters learn its outcome.
         is_pending = self.coordinator.is_pending(call.change)
         state = acceptor.state.decided
         if state.new != call.change and not is_pending and not call.forwarded:
@@ -152,10 +152,10 @@
         return Response(ACCEPTED, b"{}")
 
     async def _forward_drop(self, change: str, state: EpochState) -> None:
-        """Tell the other voters to give a change up; the one that coordinates it does.
+        """Forward a drop to the other voters; the one that coordinates the change carries it out.
 
-        Where one of them is not reached, which may be that one, this process coordinates. If all did, each
-        would supersede the promises made to the others.
+        If one of them, possibly the coordinator, cannot be reached, this process takes over. Otherwise it
+        does not: voters that coordinate at the same time supersede each other's ballots.
         """
         body = messages.encode(messages.DropCall(change, True))
         reached = await asyncio.gather(
@@ -166,7 +166,7 @@
 
 
 def _voters(requested: list[str] | None, voters_in_file: list[str] | None) -> list[str] | None:
-    """The voters that a request names, by itself or in its file; None: as they are."""
+    """The voters that a request names, directly or in its file; None to keep the present ones."""
     if requested is not None and voters_in_file is not None and set(requested) != set(voters_in_file):
-        raise RejectedError("keepers: the file's [accord] names others")
+        raise RejectedError("keepers: the file's [accord] names other voters than the request")
     return requested if requested is not None else voters_in_file
--- a/hollybay/consensus/proposal_outcomes.py
+++ b/hollybay/consensus/proposal_outcomes.py
@@ -1,7 +1,8 @@
-"""Answers of a proposal queue: the reply to an offered change, and what became of a queued one.
+"""Results of a proposal queue: the reply to an offered change, and the outcome of a queued one.
 
-A rejection holds for the queue of one voter. A proposer that got no answer and offered the same change at
-another voter too has been rejected only once all of these voters say so: see `combined_outcome`.
+A rejection holds for the queue of one voter. If a proposer got no reply and offered the same change to
+another voter as well, the change is rejected only once all of these voters have rejected it: see
+`combined_outcome`.
 """
 
 from __future__ import annotations
@@ -49,19 +50,19 @@
 
 @dataclass(frozen=True, slots=True)
 class AlreadyQueued:
-    """The change was offered before and has not ended."""
+    """The change was offered before and has no final outcome yet."""
 
 
 @dataclass(frozen=True, slots=True)
 class AlreadyDecided:
-    """The change was offered before and is in force since `revision`."""
+    """The change was offered before and was decided as part of `revision`."""
 
     revision: int
 
 
 @dataclass(frozen=True, slots=True)
 class RejectedNow:
-    """The change may not be applied, or was rejected before; nothing was queued."""
+    """The change does not apply, or was rejected before; nothing was queued."""
 
     problems: tuple[ChangeProblem, ...]
 
@@ -73,7 +74,7 @@
     Parameters
     ----------
     retry_after_ns
-        When the proposer may offer the change again.
+        Time after which the proposer may offer the change again.
     """
 
     retry_after_ns: int
@@ -87,12 +88,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Pending:
-    """The change waits for a batch.
+    """The change is queued for a later batch.
 
     Parameters
     ----------
     position
-        An upper bound of the number of changes before it.
+        An upper bound of the number of changes ahead of it.
     wait_ns
         Estimated time until the change is decided.
     """
@@ -103,21 +104,21 @@
 
 @dataclass(frozen=True, slots=True)
 class UnderWay:
-    """The change is part of the batch in progress, which would make `revision`."""
+    """The change is part of the batch in progress, which becomes `revision` if it is decided."""
 
     revision: int
 
 
 @dataclass(frozen=True, slots=True)
 class InForce:
-    """The change was decided as part of `revision`. Final."""
+    """Final: the change was decided as part of `revision`."""
 
     revision: int
 
 
 @dataclass(frozen=True, slots=True)
 class Rejected:
-    """The change was not applied and this voter will not propose it. Final for the queue of this voter."""
+    """The change was not applied, and this voter will not propose it. Final for this voter's queue only."""
 
     problems: tuple[ChangeProblem, ...]
 
@@ -131,15 +132,14 @@
 
 
 def combined_outcome(outcomes: Iterable[Outcome]) -> Outcome:
-    """Combine the outcomes of one change at every voter at which it was ever offered.
+    """Combine the outcomes of one change at all voters to which it was ever offered.
 
-    Of each voter counts what it answered after the last offer: a change that was rejected may fit again (a
-    conflicting resource is deleted), and an offer whose reply was lost may have been accepted.
+    For each voter only its reply after the last offer counts: a rejected change may apply again (after a
+    conflicting resource was deleted), and an offer whose reply was lost may have been accepted.
 
-    `InForce` at one voter is final. `Rejected` is final only where all voters rejected the change: a voter
-    that accepted it may still propose it, and one that restarted has forgotten what it accepted (`Unknown`)
-    while its last batch may still be decided. A proposer that gets `Unknown` offers the change again under
-    the same id.
+    `InForce` at one voter is final. `Rejected` is final only if all voters rejected the change: a voter that
+    accepted it may still propose it, and one that restarted has lost its queue (`Unknown`) although its last
+    batch may still be decided. A proposer that gets `Unknown` offers the change again under the same id.
     """
     known = list(outcomes)
     for kind in (InForce, UnderWay, Pending, Unknown):
--- a/hollybay/consensus/proposals.py
+++ b/hollybay/consensus/proposals.py
@@ -1,7 +1,7 @@
-"""The changes that were proposed to one voter: their queue, the batch that it proposes, and their status.
+"""The changes proposed to one voter: their queue, the batch that the voter proposes, and their status.
 
-Pure except for the clock (ns) that it is given. The service reports what was decided and asks for what to
-propose.
+Pure except for the clock (ns) that is passed in. The service reports decided epochs and requests the batches
+to propose.
 """
 
 from __future__ import annotations
@@ -27,13 +27,13 @@
 
 __all__ = ["Proposals", "problems_of"]
 
-# How long a voter accepts no change after its disk could not store an entry.
+# How long a voter accepts no changes after an entry could not be stored on its disk.
 STORAGE_RETRY_NS = 2 * SECOND
 DROPPED_BY_OPERATOR = (ChangeProblem.because(DroppedByOperator(), CHANGE),)
 
 
 def problems_of(reasons: Sequence[Reason]) -> tuple[ChangeProblem, ...]:
-    """Reasons why nodes cannot serve a change, as problems of it."""
+    """Convert reasons why nodes cannot serve a change into problems of the change."""
     return tuple(ChangeProblem(CHANGE, "", str(reason)) for reason in reasons[:MAX_REASONS])
 
 
@@ -46,7 +46,7 @@
     policy
         The name of the entry.
     has_begun
-        Whether an epoch names the entry.
+        Whether a decided epoch names the entry.
     """
 
     policy: str
@@ -62,7 +62,7 @@
     log
         The replicated log of this process.
     clock
-        The present time, ns.
+        Returns the current time, ns.
     """
 
     def __init__(self, log: PolicyLog, clock: Callable[[], int]) -> None:
@@ -73,7 +73,7 @@
         self._storage_full_until = 0
 
     def __len__(self) -> int:
-        """How many changes are waiting or under way."""
+        """Number of changes that are queued or under way."""
         return len(self.queue)
 
     @property
@@ -83,61 +83,61 @@
 
     @property
     def is_storage_full(self) -> bool:
-        """Whether changes are rejected because the disk could not store an entry a moment ago."""
+        """Whether new changes are rejected because an entry could not be stored a moment ago."""
         return self.clock() < self._storage_full_until
 
     def is_proposing(self, policy: str) -> bool:
-        """Whether this is the entry of the active batch."""
+        """Whether this is the name of the active batch's entry."""
         return self._active is not None and self._active.policy == policy
 
     def offer(self, change: Change, state: ResourceState) -> OfferReply:
-        """Queue a proposed change, or say why not; state: the newest that this voter knows."""
+        """Queue a proposed change, or return why not; state: the newest that this voter knows."""
         return self.queue.offer(change, state, self.clock())
 
     # Batches
 
     def next_batch_delay_ns(self) -> int | None:
-        """Time until there may be a batch; None: not before another event."""
+        """Time until there may be a batch; None if only another event can allow one."""
         return self.queue.next_batch_delay_ns(self.clock())
 
     def next_batch(self, state: ResourceState) -> Batch | None:
-        """Form the next batch on the state in force; None: there is none now."""
+        """Form the next batch on the state in force, or return None if none is due."""
         assembled = self.queue.next_batch(state, self.clock())
         return assembled.batch if assembled is not None else None
 
     def batch_proposed(self, policy: str, batch: Batch) -> None:
-        """The batch is proposed as the entry of this name."""
+        """Record that a batch is proposed as the entry of this name."""
         self._active = _ActiveBatch(policy, batch)
 
     def storage_failed(self) -> None:
-        """The disk cannot store an entry: forget the queue, so that proposers turn to other voters."""
+        """Discard the queue after an entry could not be stored, so that proposers turn to other voters."""
         self.queue = ProposalQueue()
         self._storage_full_until = self.clock() + STORAGE_RETRY_NS
 
     def reject_batch(
         self, batch: Batch, culprits: Mapping[str, Sequence[Reason]], reasons: Sequence[Reason]
     ) -> None:
-        """The batch cannot be served: the changes that were named are rejected, the others wait again.
+        """Record that a batch cannot be served: the named changes are rejected, the others requeued.
 
         Parameters
         ----------
         culprits
             Why each change cannot be served, by its id in hex.
         reasons
-            What nodes reported without naming a change.
+            Reasons that nodes reported without naming a change.
         """
         by_id = {bytes.fromhex(change_id): problems_of(reasons) for change_id, reasons in culprits.items()}
         self.queue.batch_dropped(batch, by_id, self.clock(), problems_of(reasons))
 
     def batch_superseded(self, batch: Batch, policy: str) -> None:
-        """Another entry than that of the batch is in force or under way: the batch waits again."""
+        """Requeue a batch: another entry, named `policy`, is in force or under way."""
         state = self.log.state(policy)
         self.queue.batch_superseded(batch, state if state is not None else EMPTY, self.clock())
 
     # Epochs
 
     def epoch_begun(self, state: EpochState) -> None:
-        """An epoch names a new entry: that of the active batch, or another one that came first."""
+        """Record that a decided epoch names a new entry: the active batch's, or one that came before it."""
         active = self._active
         if active is None:
             return
@@ -148,12 +148,12 @@
         self.batch_superseded(active.batch, state.policy)
 
     def epoch_settled(self, acceptor: DurableAcceptor, state: EpochState, dropped: Set[str]) -> None:
-        """An epoch has settled: the active batch was decided, superseded or dropped.
+        """Record that an epoch has settled: the active batch was decided, superseded or dropped.
 
         Parameters
         ----------
         dropped
-            The entries that an operator asked to drop.
+            Names of the entries that an operator asked to drop.
         """
         active = self._active
         if active is None:
@@ -168,10 +168,10 @@
             reasons = {change.id: DROPPED_BY_OPERATOR for change in batch.changes}
             self.queue.batch_dropped(batch, reasons, self.clock())
         else:
-            self._unserved(acceptor, active.policy, batch)
+            self._reject_unserviceable(acceptor, active.policy, batch)
 
-    def _unserved(self, acceptor: DurableAcceptor, name: str, batch: Batch) -> None:
-        """Reject the changes of a batch that nodes named; all, where a node can serve no new policy."""
+    def _reject_unserviceable(self, acceptor: DurableAcceptor, name: str, batch: Batch) -> None:
+        """Reject the changes that nodes named, or the whole batch if a node can serve no new policy."""
         culprits = acceptor.reports.culprits.get(name, {})
         reasons_for_all = acceptor.reports.cannot_serve_any.get(name)
         if reasons_for_all is not None:
@@ -183,7 +183,7 @@
     # Status of a change
 
     def change_status(self, change: str, acceptor: DurableAcceptor) -> ChangeReply:
-        """What became of one change, as far as this voter knows.
+        """The status of one change, as far as this voter knows.
 
         Parameters
         ----------
@@ -193,11 +193,11 @@
         Raises
         ------
         RejectedError
-            It is not an id, or this voter knows nothing yet.
+            The text is not an id, or this voter has no state yet.
         """
         change_id = _parse_change_id(change)
         if len(change_id) != CHANGE_ID_BYTES or acceptor.state is None:
-            raise RejectedError(f"change: {change[:40]!r} is no id, or this keeper knows nothing yet")
+            raise RejectedError(f"change: {change[:40]!r} is not an id, or this voter knows nothing yet")
         decided = acceptor.state.decided
         reply = self._decided_status(change, change_id, acceptor, decided)
         if reply is not None:
@@ -210,7 +210,7 @@
     def _decided_status(
         self, change: str, change_id: bytes, acceptor: DurableAcceptor, decided: EpochState
     ) -> ChangeReply | None:
-        """The status of a change by what is decided, whichever voter proposed it; None: no epoch has it."""
+        """The status of a change by the decided epoch, whichever voter proposed it; None if that lacks it."""
         for name in policies_named(decided):
             resources = self.log.state(name)
             revision = resources.revision_of(change_id) if resources is not None else None
@@ -224,7 +224,7 @@
     def _in_force(
         self, acceptor: DurableAcceptor, decided: EpochState, change: str, revision: int
     ) -> ChangeReply:
-        """The status of a change of a revision, with an epoch since which it is in force, or a later one."""
+        """The status of a change decided in a revision, with the earliest known epoch that contains it."""
         epochs = [
             entry.state.epoch for entry in acceptor.history if version_of(entry.state.policy) >= revision
         ]
@@ -232,7 +232,7 @@
         return ChangeReply(change, ChangeOutcome.IN_FORCE, name, min(epochs, default=decided.epoch))
 
     def _name_at_version(self, name: str, version: int) -> str:
-        """The name of the entry of a version on the chain that ends with `name`; empty if it was pruned."""
+        """The name of a version's entry in the chain that ends with `name`; empty if it was pruned."""
         policy = self.log.policy(name)
         while policy is not None and policy.version > version:
             policy = self.log.policy(policy.parent_name)
@@ -243,16 +243,16 @@
     try:
         return bytes.fromhex(text)
     except ValueError:
-        raise RejectedError(f"change: {text[:40]!r} is no id") from None
+        raise RejectedError(f"change: {text[:40]!r} is not an id") from None
 
 
 def _queue_status(change: str, outcome: Outcome) -> ChangeReply:
-    """The status of a change that is not in force, by its outcome in the queue."""
+    """The status of a change that no epoch names, by its outcome in the queue."""
     if isinstance(outcome, Rejected):
         return ChangeReply(change, ChangeOutcome.REJECTED, problems=list(outcome.problems))
     if isinstance(outcome, Pending):
         return ChangeReply(change, ChangeOutcome.QUEUED, wait_ms=outcome.wait_ns // MS)
     if isinstance(outcome, UnderWay):
-        # As far as this voter knows no epoch names it yet.
+        # The batch is being proposed, but this voter knows of no epoch that names it yet.
         return ChangeReply(change, ChangeOutcome.QUEUED)
     return ChangeReply(change, ChangeOutcome.UNKNOWN)
--- a/hollybay/consensus/queue_settings.py
+++ b/hollybay/consensus/queue_settings.py
@@ -11,7 +11,7 @@
 __all__ = ["QueueSettings"]
 
 
-# The most that an encoded batch needs beside its changes, in bytes.
+# Upper bound of the size of an encoded batch without its changes, in bytes.
 BATCH_OVERHEAD_BYTES = 1024
 
 
@@ -22,21 +22,21 @@
     Parameters
     ----------
     max_changes, max_bytes
-        What the queue holds, including the batch in progress.
+        Capacity of the queue, including the batch in progress.
     max_wait_ns
-        A proposal whose estimated wait is longer is rejected with a time to retry after.
+        A proposal with a longer estimated wait is rejected with a time to retry after.
     max_batch_changes, max_batch_bytes
-        What one batch holds; a single larger change is a batch of its own.
+        Capacity of one batch; a single larger change is a batch of its own.
     max_change_bytes
-        A larger change is rejected.
+        Larger changes are rejected.
     linger_ns
-        How long the first waiting change waits for others before a batch is formed.
+        How long the first queued change waits for others before a batch is formed.
     initial_batch_ns
-        The assumed duration of a batch before the first one has ended.
+        The assumed duration of a batch until the first one has ended.
     max_retry_after_ns
-        The longest time that a proposer is told to wait before it retries.
+        The longest time after which a proposer is told to retry.
     max_outcomes, outcome_ns
-        How many outcomes are remembered, and for how long.
+        How many final outcomes are kept, and for how long.
     """
 
     max_changes: int = 4096
@@ -52,19 +52,19 @@
     outcome_ns: int = 600 * SECOND
 
     def __post_init__(self) -> None:
-        """Check that the bounds agree with each other.
+        """Check that the bounds are consistent.
 
         Raises
         ------
         ValueError
-            They do not.
+            They are not.
         """
         if not 1 <= self.max_batch_changes <= MAX_BATCH_CHANGES:
             raise ValueError(f"max_batch_changes: {self.max_batch_changes} is not 1 to {MAX_BATCH_CHANGES}")
         largest = MAX_BATCH_BYTES - BATCH_OVERHEAD_BYTES
         if not 1 <= max(self.max_change_bytes, self.max_batch_bytes) <= largest:
-            raise ValueError(f"max_change_bytes and max_batch_bytes: not 1 to {largest}")
+            raise ValueError(f"max_change_bytes and max_batch_bytes: the larger one must be 1 to {largest}")
         if self.max_change_bytes > self.max_bytes:
-            raise ValueError(f"max_bytes: {self.max_bytes} is less than max_change_bytes")
+            raise ValueError(f"max_bytes: {self.max_bytes}, expected max_change_bytes or more")
         if self.max_changes < 1 or self.max_outcomes < 1:
-            raise ValueError("max_changes and max_outcomes: not 1 or more")
+            raise ValueError("max_changes and max_outcomes: both must be 1 or more")
--- a/hollybay/consensus/submission.py
+++ b/hollybay/consensus/submission.py
@@ -1,4 +1,4 @@
-"""The submission of one change of resources: it is offered to voters until its outcome is known."""
+"""Submission of one resource change: offers it to voters until its outcome is known."""
 
 from __future__ import annotations
 
@@ -28,13 +28,13 @@
 
 __all__ = ["ChangeSubmission"]
 
-# How long a change may wait at one voter before it is offered to another one; no queue holds one so long.
+# How long a change may wait at one voter before it is offered to another one; longer than queues should take.
 NEXT_VOTER_AFTER_S = 15.0
 _WAITING = (ChangeOutcome.QUEUED, ChangeOutcome.UNDER_WAY)
 
 
 class _OfferReaction(Enum):
-    """What follows from an error of a voter that a change was offered to."""
+    """How to proceed after a voter replied to an offer with an error."""
 
     TRY_NEXT = "try the next voter"
     ASK_OTHERS = "rejected by this voter: ask the others"
@@ -42,17 +42,17 @@
 
 
 class ChangeSubmission:
-    """A change of resources on its way to its outcome.
+    """One resource change that is being submitted.
 
-    The change may be offered to several voters under its one id, where some do not answer. It counts as
-    rejected only once all voters that may have it have rejected it.
+    The change may be offered to several voters under the same id if some do not reply. It counts as rejected
+    only once all voters that may have it have rejected it.
 
     Parameters
     ----------
     client
-        Calls the voters.
+        Sends requests to the voters.
     change
-        The change.
+        The change to submit.
     offered_to
         Voters to which it may have been offered before.
     """
@@ -62,9 +62,9 @@
         self.change = change
         self.id = change.id.hex()
         self._offered_to = set(offered_to)
-        self._rejections: dict[str, list[ReportedReason]] = {}  # the problems, by address
+        self._rejections: dict[str, list[ReportedReason]] = {}  # problems by address
         self._retry_after_s = 0.0
-        self._settled_epoch = 0  # the epoch since which it is in force; 0: none is known
+        self._settled_epoch = 0  # the earliest known epoch in which it is in force; 0 if none
 
     async def run(self, limit_s: float) -> Verdict:
         """Offer the change and wait for its outcome, for at most `limit_s`."""
@@ -79,7 +79,7 @@
             if verdict is not None and (verdict.is_final or loop.time() >= deadline):
                 return verdict
             if verdict is None or loop.time() >= next_voter_at:
-                # Unknown, or waiting without progress: perhaps that voter is cut off from the others.
+                # The change is unknown, or waits without progress: its voter may be cut off from the others.
                 next_voter_at = loop.time() + NEXT_VOTER_AFTER_S
                 verdict = await self._offer_to_any(view, only_new=verdict is not None)
                 if verdict.is_final or loop.time() >= deadline:
@@ -90,14 +90,14 @@
     # Status
 
     async def _status_at(self, address: str) -> ChangeReply | None:
-        """What a voter knows of the change; None: it does not answer."""
+        """The status of the change at a voter; None if it did not reply."""
         try:
             return decode(await self.client.call(address, f"change/{self.id}", None), ChangeReply)
         except (CallFailedError, RejectedError):
             return None
 
     async def _is_waiting(self) -> bool:
-        """Whether the change is waiting or under way at a voter: one short call for each poll."""
+        """Whether the change is queued or under way at a voter. Cheap enough for each poll."""
         for address in sorted(self._offered_to - self._rejections.keys()):
             reply = await self._status_at(address)
             if reply is not None and reply.outcome in _WAITING:
@@ -105,7 +105,7 @@
         return False
 
     async def _verdict(self, view: ClusterView) -> Verdict | None:
-        """What became of the change by what all voters know; None: it has to be offered, again or first."""
+        """The verdict by the replies of all voters; None if the change must be offered (again)."""
         if not self._offered_to:
             return None
         replies: dict[str, ChangeReply] = {}
@@ -126,15 +126,15 @@
         return self._rejection()
 
     async def _verdict_in_force(self, view: ClusterView, reply: ChangeReply) -> Verdict:
-        """Whether a change that is decided is in force at every node."""
-        # Where the log does not reach back to it, the voters of a later policy know as much.
+        """The verdict on a decided change: whether it is in force at every node."""
+        # If the log no longer holds its entry, the voters of a later policy serve as well.
         name = reply.policy or (view.latest.policy if view.latest is not None else "")
         await self.client.learn_voters(name)
         self._settled_epoch = min(self._settled_epoch or reply.epoch, reply.epoch)
         return judge_settled(view, name, self._settled_epoch, self._settled_epoch)
 
     def _rejection(self) -> Verdict | None:
-        """The verdict if all voters that may have the change rejected it; None: not all of them did."""
+        """The verdict if all voters that may have the change rejected it, else None."""
         if not self._offered_to or not self._offered_to <= self._rejections.keys():
             return None
         problems = [text for address in sorted(self._offered_to) for text in self._rejections[address]]
@@ -149,9 +149,9 @@
         Parameters
         ----------
         only_new
-            Pass over voters to which it was offered before.
+            Skip voters to which it was offered before.
         """
-        verdict = self._unknown("no keeper answers")
+        verdict = self._unknown("no voter answered")
         for address in self._offer_order(view, only_new):
             self._offered_to.add(address)
             try:
@@ -163,8 +163,8 @@
                     case _OfferReaction.TRY_NEXT:
                         verdict = self._unknown(f"{address}: {error}")
                     case _OfferReaction.ASK_OTHERS:
-                        # The others are asked before a verdict: it may have come to one of them.
-                        return self._unknown("refused by a keeper")
+                        # No verdict before the other voters are asked: one of them may have accepted it.
+                        return self._unknown("rejected by a voter")
                     case _OfferReaction.STOP:
                         return invalid_input(error).verdict()
             else:
@@ -172,7 +172,7 @@
         return verdict
 
     def _offer_order(self, view: ClusterView, only_new: bool) -> list[str]:
-        """The voters that have not rejected the change; those that may have it come first."""
+        """The voters that have not rejected the change, those that may already have it first."""
         addresses = [
             address for address in self.client.voters_in_order(view) if address not in self._rejections
         ]
@@ -183,7 +183,7 @@
     def _on_offer_failed(self, address: str, error: CallFailedError) -> _OfferReaction:
         wait_s = retry_after_s(error)
         if error.status:
-            self._offered_to.discard(address)  # it has answered that it did not accept the change
+            self._offered_to.discard(address)  # its reply says that it did not accept the change
         if error.status in (NO_ANSWER, INSUFFICIENT_STORAGE) or wait_s is not None:
             self._retry_after_s = wait_s or 0.0
             return _OfferReaction.TRY_NEXT
--- a/hollybay/consensus/verdict.py
+++ b/hollybay/consensus/verdict.py
@@ -1,6 +1,6 @@
-"""What became of a change, judged from the epochs and leases that voters know. Pure.
+"""The outcome of a change, judged from the epochs and leases that voters report. Pure.
 
-Nothing but decided epochs and leases counts, so that two operators never get different verdicts.
+Only decided epochs and leases count, so that two operators never get contradictory verdicts.
 """
 
 from __future__ import annotations
@@ -22,30 +22,30 @@
 
 
 class ExitStatus(IntEnum):
-    """What became of a change, as an exit status of the command."""
+    """The outcome of a change as the exit status of the command."""
 
     IN_FORCE = 0  # at every node
-    NOWHERE = 1
+    NOWHERE = 1  # rejected or dropped: in force at no node
     BAD_INPUT = 2
-    UNKNOWN = 3  # not decided, or not known yet
+    UNKNOWN = 3  # not decided yet, or the outcome is not known
 
 
 @dataclass(frozen=True, slots=True)
 class Verdict:
-    """What became of a change.
+    """The outcome of a change.
 
     Parameters
     ----------
     status
-        Whether it is in force.
+        Whether the change is in force.
     change
         The name of its policy, or its id.
     epoch
-        The epoch that it began with; 0: none is known.
+        The epoch in which it began; 0 if not known.
     text
-        Details for people.
+        Details for the operator.
     reasons
-        Why nodes cannot serve it, by node.
+        Why nodes cannot serve it, by the name of the node.
     """
 
     status: ExitStatus
@@ -61,21 +61,21 @@
 
     @property
     def is_final(self) -> bool:
-        """Whether it cannot change any more."""
+        """Whether the verdict cannot change any more."""
         return self.status is not ExitStatus.UNKNOWN
 
 
 class InvalidInputError(Exception):
-    """A voter rejected what an operator gave.
+    """A voter rejected an operator's input.
 
     Parameters
     ----------
     status
-        The exit status.
+        The exit status of the command.
     reason
-        For people.
+        The reason as readable text.
     problems
-        What is wrong with the input.
+        The problems of the input, one text each.
     """
 
     def __init__(self, status: ExitStatus, reason: str, problems: Iterable[str] = ()) -> None:
@@ -91,10 +91,10 @@
 
 
 def judge(view: ClusterView, change: str, epoch: int) -> Verdict:
-    """What became of a change that was to begin with an epoch, as far as it is decided."""
+    """The verdict on a change that was to begin in this epoch, as far as it is decided."""
     latest = view.latest
     if latest is None:
-        return Verdict(ExitStatus.UNKNOWN, change, epoch, "no keeper answers")
+        return Verdict(ExitStatus.UNKNOWN, change, epoch, "no voter answered")
     first = view.epochs.get(epoch)
     if first is not None and first.new != change:
         return Verdict(ExitStatus.NOWHERE, change, epoch, f"another change came first: {first.new}")
@@ -109,7 +109,7 @@
 
 
 def _settled_policy(view: ClusterView, epoch: int) -> str | None:
-    """The policy that was in force after a change that began with an epoch; None: it is not known yet."""
+    """The policy in force after the change that began in this epoch, or None if it is not known yet."""
     for following in (epoch + 1, epoch + 2):
         record = view.epochs.get(following)
         if record is None or (record.stage == _JOINT and following == epoch + 1):
@@ -124,19 +124,20 @@
     Parameters
     ----------
     epoch
-        The epoch that it began with.
+        The epoch in which it began.
     settled
         The epoch that settled it.
     """
     latest = view.latest
-    # No voter votes for the epoch after it while a lease on an earlier one runs; a node in its grace period
-    # may be left.
+    # Voters vote for the epoch after `settled` only once the leases on earlier epochs have ended. Nodes may
+    # still be serving in their grace period then.
     has_grace = any(voter.grace_s for voter in view.voters.values())
     if latest is not None and latest.epoch > settled and not has_grace:
-        text = "was in force everywhere, and a later change goes on or is in force"
+        text = "was in force everywhere; a later change is under way or in force"
         return Verdict(ExitStatus.IN_FORCE, change, epoch, text)
     voters = view.voters_by_policy.get(change, [])
-    # Voters that no longer grant leases on an earlier epoch, and whose earlier leases have ended.
+    # Voters that know the epoch `settled` and so grant no lease on an earlier one, whose wait after a restart
+    # is over, and whose leases on earlier epochs have ended.
     confirming = [
         address
         for address, voter in view.voters.items()
@@ -146,6 +147,6 @@
         and not any(lease.epoch < settled for lease in voter.older_leases)
     ]
     if 2 * len(confirming) <= len(voters) or not voters:
-        text = "in force, and some nodes may serve under the one before yet"
+        text = "in force, but some nodes may still serve under the previous policy"
         return Verdict(ExitStatus.UNKNOWN, change, epoch, text)
     return Verdict(ExitStatus.IN_FORCE, change, epoch, "in force everywhere")
--- a/tests/test_simulation_consensus.py
+++ b/tests/test_simulation_consensus.py
@@ -88,12 +88,12 @@
         ([RequestBegun(1, "a", (NEW,)), RequestBegun(2, "b", (OLD,))], "after one at a began under 2-"),
         ([RequestBegun(2, "a", (LATER,)), RequestBegun(3, "b", (OLD, NEW))], "after one at a began under 3-"),
         ([RequestBegun(1, "a", ("2-00000000000d",)), RequestBegun(2, "b", (OLD, NEW))], "after one at a"),
-        ([RequestBegun(1, "a", ())], "nothing is in force"),
-        ([in_force(1, NEW), RequestBegun(2, "a", (OLD, NEW))], "was said to hold everywhere"),
+        ([RequestBegun(1, "a", ())], "no policy is in force"),
+        ([in_force(1, NEW), RequestBegun(2, "a", (OLD, NEW))], "was reported as in force everywhere"),
         ([in_force(2, NEW), RequestBegun(2, "a", (OLD, NEW))], ""),
-        ([nowhere(1, NEW), RequestBegun(2, "a", (NEW,))], "was said to be nowhere"),
-        ([RequestBegun(1, "a", (NEW,)), nowhere(2, NEW)], "and was in force"),
-        ([nowhere(1, NEW), in_force(2, NEW)], "and was said to be nowhere"),
+        ([nowhere(1, NEW), RequestBegun(2, "a", (NEW,))], "was reported as dropped"),
+        ([RequestBegun(1, "a", (NEW,)), nowhere(2, NEW)], "but was in force"),
+        ([nowhere(1, NEW), in_force(2, NEW)], "is reported as both in force and dropped"),
     ],
 )
 def test_the_invariants(events: list[RequestBegun | OutcomeReported], reason: str) -> None:
