--- a/hollybay/consensus/batch_model.py
+++ b/hollybay/consensus/batch_model.py
@@ -1,8 +1,8 @@
-"""The state of the model check of group commit: voters with their queues, proposers, nodes and epochs.
+"""The state of the group commit model check: voters with their queues, proposers, nodes and epochs.
 
-The agreement on epochs has a model check of its own (`model_check`). Here it is given: epochs form one
-sequence, one batch at a time is proposed and then decided or dropped, and each voter learns of an epoch late,
-one after another or by a snapshot. Queues, states and batches are the real code.
+Agreement on epochs has a model check of its own (`model_check`) and is assumed here: epochs form one
+sequence, one batch at a time is proposed and then decided or dropped, and voters learn of epochs with a
+delay, one by one or by a snapshot. Queues, resource states and batches are the production code.
 """
 
 from __future__ import annotations
@@ -39,29 +39,30 @@
     "number_of",
 ]
 
-# Why nodes cannot serve a bad change.
+# The problems of a change that no node can serve.
 CANNOT = (ChangeProblem.because(CannotBeServed(), CHANGE),)
-# The size that each batch has in the log of a voter, and its bound: it is bounded by number alone.
+# Size of a batch in the log of a voter, and the bound of the log. The bound is out of reach, so that only the
+# number of batches limits the log.
 BATCH_BYTES = 1
 MAX_LOG_BYTES = 1 << 20
 
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """How far a walk goes.
+    """The bounds of a walk.
 
     Parameters
     ----------
     voters, nodes, changes, steps, crashes
-        How many there are of each.
+        Number of each; of crashes the maximum.
     offers
-        How often each change is offered.
+        Maximum number of offers of each change.
     bad
         The fraction of changes that no node can serve.
     log_batches
-        How many batches the log of a voter holds.
+        Number of batches that the log of a voter holds.
     settings
-        Of the queues.
+        The settings of the queues.
     """
 
     voters: int = 3
@@ -81,7 +82,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Delivery:
-    """What a node receives: consecutive batches, on a snapshot or on its own state."""
+    """A message to a node: consecutive batches that follow a snapshot or the node's own state."""
 
     snapshot: ResourceState | None
     batches: tuple[Batch, ...]
@@ -103,13 +104,13 @@
         self.state = state
 
     def after_snapshot(self, snapshot: ResourceState) -> ResourceState:
-        """The state of a snapshot; never an older one than the present."""
+        """The state after a snapshot is installed. BatchMismatchError: it is older than the present state."""
         if snapshot.revision < self.state.revision:
             raise BatchMismatchError(f"snapshot: {snapshot.revision} is before {self.state.revision}")
         return snapshot
 
     def after_batch(self, state: ResourceState, batch: Batch) -> ResourceState:
-        """The state after one more batch; one that it contains already is ignored."""
+        """The state after one more batch; a batch that it already contains is ignored."""
         if batch.revision <= state.revision:
             return state
         return apply_batch(state, batch)
@@ -117,18 +118,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Parts:
-    """What is searched: the real parts, or one with a defect.
+    """The components to check: the production ones, or some with a planted defect.
 
     Parameters
     ----------
     queue, replica
-        The classes.
+        The classes of queues and of the replicas of nodes.
     remembers_ids
-        Whether states know which changes were decided.
+        Whether resource states record the ids of decided changes.
     voids_answers
-        Whether a proposer that offers its change to a voter again forgets the earlier answer of that voter.
+        Whether a proposer that offers its change to a voter again discards the earlier answer of that voter.
     verdict
-        How a proposer judges the answers of all voters that it offered its change to.
+        Combines the answers of all voters to which a proposer offered its change.
     """
 
     queue: type[ProposalQueue] = ProposalQueue
@@ -140,7 +141,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Epoch:
-    """One epoch: a batch is proposed, or the tier is settled again, with it or without it."""
+    """One epoch: a batch is proposed, or the group is settled again, with the batch decided or dropped."""
 
     batch: Batch
     settled: bool
@@ -154,13 +155,13 @@
     Parameters
     ----------
     state, known_epochs
-        What it knows to be decided; both are on its disk.
+        What it knows to be decided; kept on its disk.
     log, snapshot
-        Its last batches, and the state before them.
+        Its latest batches, and the state before them.
     next_batch
-        The batch that it has formed and not proposed yet.
+        The batch that it has formed but not proposed yet.
     accepted
-        The changes that its queue accepted.
+        The ids of the changes that its queue accepted.
     """
 
     number: int
@@ -176,7 +177,7 @@
 
 @dataclass(slots=True)
 class Proposer:
-    """Who proposed one change. answers: the last outcome by voter, of all that it was offered to."""
+    """The proposer of one change. answers: the latest outcome from each voter to which it was offered."""
 
     change: Change
     bad: bool
@@ -186,13 +187,13 @@
 
     @property
     def is_answered(self) -> bool:
-        """Whether it was told what became of the change, for good."""
+        """Whether it has received a final outcome of its change."""
         return isinstance(self.verdict, InForce | Rejected)
 
 
 @dataclass(slots=True)
 class Node:
-    """A node. stored: what is on its disk; inbox: what is on its way to it."""
+    """A node. stored: the state on its disk; inbox: the deliveries in transit to it."""
 
     number: int
     replica: Replica
@@ -210,12 +211,12 @@
     return int.from_bytes(change_id, "big")
 
 
-# The name of a move, and what it does.
+# The name of a move, and the function that makes it.
 Move = tuple[str, Callable[[], None]]
 
 
 class ModelState:
-    """Everything at one moment of a walk."""
+    """The mutable state of the model during a walk."""
 
     def __init__(self, seed: int, bounds: Bounds, parts: Parts) -> None:
         self.random = random.Random(seed)
@@ -234,11 +235,11 @@
         return Voter(number, self.parts.queue(self.bounds.settings), state, self.new_log(), state)
 
     def new_log(self) -> BatchLog:
-        """An empty log of a voter."""
+        """An empty log for a voter."""
         return BatchLog(self.bounds.log_batches, MAX_LOG_BYTES)
 
     def seen(self, state: ResourceState) -> ResourceState:
-        """A state as the parts see it."""
+        """A resource state as the components see it: without change ids if they do not remember them."""
         return state if self.parts.remembers_ids else replace(state, revision_by_change_id=Map())
 
     def proposer_of(self, change_id: bytes) -> Proposer:
@@ -248,12 +249,12 @@
     def all_states(self) -> Iterator[tuple[str, ResourceState]]:
         """The state of each voter and node, with its name."""
         for voter in self.voters:
-            yield f"keeper {voter.number}", voter.state
+            yield f"voter {voter.number}", voter.state
         for node in self.nodes:
             yield f"node {node.number}", node.replica.state
 
     def ids_at(self, revision: int) -> tuple[bytes, ...]:
-        """The changes that were decided as a revision."""
+        """The ids of the changes that were decided in a revision."""
         if revision >= len(self.states):
             return ()
         return self.states[revision].change_ids_by_revision.get(revision, ())
--- a/hollybay/consensus/batch_model_check.py
+++ b/hollybay/consensus/batch_model_check.py
@@ -1,7 +1,7 @@
-"""Model check of group commit: walks with any order of events, drawn from seeds.
+"""Model check of group commit: random walks over the possible orders of events.
 
-A walk makes moves of the model (`batch_model_moves`) and then ends without faults: every change that was
-offered must be answered, and all states be equal (`batch_model_invariants`).
+A walk makes random moves of the model (`batch_model_moves`) and then continues without faults until the end:
+every offered change must then have a final outcome, and all states must be equal (`batch_model_invariants`).
 
     python -m hollybay.consensus.batch_model_check --walks 2000
 """
@@ -21,10 +21,10 @@
 __all__ = ["WEIGHTS", "Walk", "walk"]
 
 DESCRIPTION = (
-    "Group commit searched through: keepers with their queues, proposers and nodes, in any order of events."
+    "Model check of group commit: voters with their queues, proposers and nodes, in any order of events."
 )
 
-# How often a walk takes each kind of move.
+# Relative frequency of each kind of move in a walk.
 WEIGHTS = {
     "think": 2.0,
     "offer": 3.0,
@@ -55,9 +55,9 @@
     steps
         The names of all moves.
     wrong
-        The invariant that did not hold after them; empty: all did.
+        The invariant that did not hold after them; empty if all did.
     answered, revisions
-        How many changes were answered, and batches decided.
+        Number of changes with a final outcome, and of decided batches.
     """
 
     steps: list[str] = field(default_factory=list)
@@ -67,7 +67,7 @@
 
 
 def walk(seed: int, bounds: Bounds | None = None, parts: Parts | None = None) -> Walk:
-    """Walk a way drawn from a seed, first the kind of each move and then one of it; end it without faults."""
+    """Take one random walk: draws the kind of each move, then a move of this kind; ends without faults."""
     bounds = bounds or Bounds()
     world = World(seed, bounds, parts or Parts())
     result = Walk()
@@ -85,7 +85,7 @@
 
 
 def step(world: World) -> str:
-    """Make one move; its name."""
+    """Make one move; returns its name."""
     world.now += 1
     kinds: dict[str, list[Move]] = {}
     for name, move in world.moves():
@@ -97,7 +97,7 @@
 
 
 def main() -> int:
-    """Walk many seeds and print the result; 1 if an invariant did not hold."""
+    """Walk many seeds and print the result; returns 1 if an invariant did not hold."""
     parser = argparse.ArgumentParser(description=DESCRIPTION)
     parser.add_argument("--walks", type=int, default=2000)
     parser.add_argument("--first", type=int, default=0, help="the first seed")
@@ -108,7 +108,7 @@
         answered += result.answered
         revisions += result.revisions
         if result.wrong:
-            print(f"seed {seed}: {result.wrong}, by")
+            print(f"seed {seed}: {result.wrong}; steps:")
             for line in result.steps:
                 print(f"  {line}")
             return 1
--- a/hollybay/consensus/batch_model_log.py
+++ b/hollybay/consensus/batch_model_log.py
@@ -1,6 +1,6 @@
-"""The log of a voter in the model of group commit: the last batches, in memory.
+"""The log of a voter in the group commit model: the latest batches, in memory.
 
-It answers as `log.PolicyLog` does: with a delta, or that a snapshot is needed.
+Like `log.PolicyLog` it returns either a delta or the information that a snapshot is needed.
 """
 
 from __future__ import annotations
@@ -13,21 +13,21 @@
 
 
 class BatchLog:
-    """Consecutive batches, bounded in number and in bytes; the oldest are removed.
+    """Consecutive batches, bounded in number and in bytes by removing the oldest ones.
 
     Parameters
     ----------
     max_batches, max_bytes
         The bounds.
     newest
-        The revision of a snapshot after which the batches begin; 0: they begin at any revision.
+        The revision of the snapshot that the first batch must follow; 0 if it may have any revision.
 
     Attributes
     ----------
     newest
-        The revision of the last batch, also if that was removed.
+        The revision of the last batch, even if that batch was removed.
     bytes
-        Size of all batches as encoded.
+        Total size of the encoded batches.
     """
 
     def __init__(self, max_batches: int, max_bytes: int, newest: int = 0) -> None:
@@ -38,7 +38,7 @@
         self._batches: deque[tuple[Batch, int]] = deque()
 
     def append(self, batch: Batch, size: int) -> None:
-        """Add a batch; size: its bytes as encoded. ValueError: it does not follow the last one."""
+        """Append a batch. size: of the encoded batch, bytes. ValueError: it does not follow the last one."""
         if self.newest and batch.revision != self.newest + 1:
             raise ValueError(f"revision {batch.revision} does not follow {self.newest}")
         self.newest = batch.revision
@@ -49,7 +49,7 @@
             self.bytes -= removed_size
 
     def since(self, revision: int) -> tuple[Batch, ...] | None:
-        """The batches after a revision, in order; None: some are removed, and a snapshot is needed."""
+        """The batches after a revision, in order; None if some were removed, so that a snapshot is needed."""
         if revision >= self.newest:
             return ()
         if not self._batches:
@@ -60,5 +60,5 @@
         return tuple(batch for batch, _ in self._batches if batch.revision > revision)
 
     def bytes_since(self, revision: int) -> int:
-        """The size of all batches after a revision."""
+        """Total size of the batches after a revision, bytes."""
         return sum(size for batch, size in self._batches if batch.revision > revision)
--- a/hollybay/consensus/batch_model_moves.py
+++ b/hollybay/consensus/batch_model_moves.py
@@ -1,7 +1,7 @@
-"""The moves of the model check of group commit: all that may happen, with faults, and an end without.
+"""The moves of the group commit model: all events including faults, and a final phase without faults.
 
-Batches lose to others, and voters die with their queues; see `batch_model_proposers` and `batch_model_nodes`
-for what the others do.
+Here are the moves of voters: their batches may be superseded, and they may crash and lose their queues. The
+moves of proposers and nodes are in `batch_model_proposers` and `batch_model_nodes`.
 """
 
 from __future__ import annotations
@@ -24,19 +24,19 @@
 
 __all__ = ["World"]
 
-# How many events the end of a walk, without faults, may need for each change; many more than it does.
-ROUNDS_FOR_EACH = 40
-# How often a voter learns which changes nodes named.
+# Maximum number of rounds of the final phase per change, far more than it needs.
+MAX_FINAL_ROUNDS_PER_CHANGE = 40
+# Probability that a voter learns which change of a dropped batch nodes named.
 NAMING_PROBABILITY = 0.6
 
 
 class World(ProposerMoves, NodeMoves):
-    """A model state, and all that may happen next."""
+    """A model state with its moves."""
 
     # Moves
 
     def moves(self) -> Iterator[Move]:
-        """All that may happen now; the first word of each name is its kind."""
+        """All moves that are possible now; the first word of a move's name is its kind."""
         if len(self.proposers) < self.bounds.changes:
             yield "think", self.make_change
         if self.epochs and not self.epochs[-1].settled:
@@ -46,7 +46,7 @@
                 yield from self.proposer_moves(voter)
                 yield from self._voter_moves(voter)
             else:
-                yield f"return keeper {voter.number}", partial(self._restart_voter, voter)
+                yield f"return voter {voter.number}", partial(self._restart_voter, voter)
         for node in self.nodes:
             yield from self.node_moves(node)
 
@@ -80,12 +80,12 @@
             check_queue_rejection(voter, self.proposer_of(change_id).change)
 
     def _rejected_at(self, voter: Voter) -> set[bytes]:
-        """The changes that a voter accepted and then rejected."""
+        """The ids of the changes that a voter accepted and then rejected."""
         outcomes = {change_id: voter.queue.outcome(change_id, self.now) for change_id in voter.accepted}
         return {change_id for change_id, outcome in outcomes.items() if isinstance(outcome, Rejected)}
 
     def _propose(self, voter: Voter) -> None:
-        """A voter proposes its batch if it knows the last epoch; otherwise another batch came first."""
+        """A voter proposes its batch if it knows the last epoch; otherwise another batch supersedes it."""
         batch, voter.next_batch = voter.next_batch, None
         assert batch is not None
         if voter.known_epochs == len(self.epochs):
@@ -95,14 +95,14 @@
             voter.queue.batch_superseded(batch, self.seen(voter.state), self.now)
 
     def _propose_and_crash(self, voter: Voter) -> None:
-        """A voter proposes its batch and crashes before it knows the epoch."""
+        """A voter proposes its batch and crashes before it learns of the epoch."""
         known_epochs = voter.known_epochs
         self._propose(voter)
         voter.known_epochs = known_epochs
         self._crash(voter)
 
     def _settle(self) -> None:
-        """The proposed batch is decided, or dropped if nodes cannot serve it; its proposer may be down."""
+        """The proposed batch is decided, or dropped if nodes cannot serve it. Its proposer may be down."""
         batch = self.epochs[-1].batch
         if any(self.proposer_of(change_id).bad for change_id in ids_of(batch)):
             self.epochs.append(Epoch(batch, settled=True))
@@ -117,7 +117,7 @@
         self._learn(voter, names=self.random.random() < NAMING_PROBABILITY)
 
     def _learn(self, voter: Voter, names: bool) -> None:
-        """A voter learns of the next epoch; names: whether nodes told it which changes they cannot serve."""
+        """A voter learns of the next epoch. names: whether nodes named a change that they cannot serve."""
         epoch = self.epochs[voter.known_epochs]
         voter.known_epochs += 1
         voter.next_batch = None
@@ -136,7 +136,7 @@
         voter.queue.batch_dropped(epoch.batch, reasons, self.now, CANNOT)
 
     def _append(self, voter: Voter, batch: Batch) -> None:
-        """One more batch in a voter's log; where that is full it begins anew behind a snapshot."""
+        """Append a batch to a voter's log; if that is full, it is replaced by a snapshot first."""
         if voter.state.revision - voter.snapshot.revision >= self.bounds.log_batches:
             voter.snapshot = voter.state
             voter.log = self.new_log()
@@ -144,7 +144,7 @@
         voter.log.append(batch, 1)
 
     def _catch_up(self, voter: Voter) -> None:
-        """A voter that is behind takes a snapshot of the last state and hears nothing of the rest."""
+        """A voter that is behind installs a snapshot of the last state and skips the epochs before it."""
         voter.known_epochs = len(self.epochs)
         voter.next_batch = None
         if voter.state.revision < len(self.states) - 1:
@@ -155,7 +155,7 @@
             voter.queue.batch_superseded(own, self.seen(voter.state), self.now)
 
     def _crash(self, voter: Voter) -> None:
-        """A voter dies with its queue; what it knows to be decided is on its disk."""
+        """A voter crashes and loses its queue; its state is on its disk."""
         self.crashes += 1
         voter.alive = False
         voter.next_batch = None
@@ -165,16 +165,16 @@
         voter.queue = self.parts.queue(self.bounds.settings)
         voter.accepted = set()
 
-    # The end
+    # Final phase
 
     def finish(self) -> None:
-        """End the walk without faults until every change is answered. InvariantError: one never is."""
+        """Continue without faults until every offered change has an outcome. InvariantError: one has none."""
         for voter in self.voters:
             if not voter.alive:
                 self._restart_voter(voter)
-        for _ in range(ROUNDS_FOR_EACH * (len(self.proposers) + 1)):
+        for _ in range(MAX_FINAL_ROUNDS_PER_CHANGE * (len(self.proposers) + 1)):
             self.now += 1
-            if not self._run_quiet_round():
+            if not self._run_faultless_round():
                 break
         for proposer in self.proposers:
             number = number_of(proposer.change.id)
@@ -184,8 +184,8 @@
             node.replica.receive(delivery_from(self.voters[0], node.replica.state.revision))
         check_complete(self)
 
-    def _run_quiet_round(self) -> bool:
-        """Whether anything is left to do."""
+    def _run_faultless_round(self) -> bool:
+        """Run one round without faults; returns whether anything is left to do."""
         if self.epochs and not self.epochs[-1].settled:
             self._settle()
         for voter in self.voters:
@@ -199,5 +199,5 @@
             if voter.next_batch is not None:
                 self._propose(voter)
         check_state(self)
-        open_ones = any(proposer.answers and not proposer.is_answered for proposer in self.proposers)
-        return open_ones or any(voter.known_epochs < len(self.epochs) for voter in self.voters)
+        has_open_change = any(proposer.answers and not proposer.is_answered for proposer in self.proposers)
+        return has_open_change or any(voter.known_epochs < len(self.epochs) for voter in self.voters)
--- a/hollybay/consensus/batch_model_nodes.py
+++ b/hollybay/consensus/batch_model_nodes.py
@@ -1,6 +1,6 @@
-"""The nodes in the model of group commit: they receive deltas and snapshots, store them and restart.
+"""The nodes in the group commit model: they receive deltas and snapshots, store their state and restart.
 
-Deliveries arrive late, twice, out of order and from several voters.
+Deliveries may be late, duplicated, out of order and from several voters.
 """
 
 from __future__ import annotations
@@ -16,18 +16,18 @@
 
 __all__ = ["NodeMoves", "delivery_from"]
 
-# How many deliveries may be on their way to one node.
-INBOX = 4
-# How often a batch of a mixed delivery gets lost, and a delivery arrives only once.
+# Maximum number of deliveries in transit to one node.
+MAX_INBOX = 4
+# Probability that a batch of a mixed delivery is lost, and that a delivery arrives only once.
 LOST_BATCH_PROBABILITY = 0.5
 SINGLE_DELIVERY_PROBABILITY = 0.7
 
 
 class NodeMoves(ModelState):
-    """What nodes may do."""
+    """The moves of nodes."""
 
     def node_moves(self, node: Node) -> Iterator[Move]:
-        """What a node may do."""
+        """The possible moves of a node."""
         for voter in self.voters:
             if voter.alive and voter.state.revision:
                 yield "send", partial(self._send, node, voter)
@@ -39,12 +39,12 @@
             yield "restart", partial(self._restart_node, node)
 
     def _send(self, node: Node, voter: Voter) -> None:
-        """A voter answers what a node lacks, from the revision that it had when it asked."""
+        """A voter sends what a node lacks after the revision that it now has."""
         node.inbox.append(delivery_from(voter, node.replica.state.revision))
-        del node.inbox[:-INBOX]
+        del node.inbox[:-MAX_INBOX]
 
     def _send_mixed(self, node: Node, voter: Voter) -> None:
-        """The node asks one voter for a snapshot and another one for what it lacks, or a batch gets lost."""
+        """A node gets the snapshot of one voter with the batches of another one, or a delta lacks a batch."""
         other = self.random.choice([candidate for candidate in self.voters if candidate.alive])
         batches = list(delivery_from(voter, node.replica.state.revision).batches)
         snapshot: ResourceState | None = other.snapshot
@@ -52,10 +52,10 @@
             del batches[self.random.randrange(len(batches))]
             snapshot = None
         node.inbox.append(Delivery(snapshot, tuple(batches)))
-        del node.inbox[:-INBOX]
+        del node.inbox[:-MAX_INBOX]
 
     def _receive(self, node: Node) -> None:
-        """A delivery arrives; it may arrive again."""
+        """A node receives a delivery, which may arrive again later."""
         index = self.random.randrange(len(node.inbox))
         delivery = node.inbox[index]
         if self.random.random() < SINGLE_DELIVERY_PROBABILITY:
@@ -64,7 +64,7 @@
         try:
             node.replica.receive(delivery)
         except BatchMismatchError:
-            require(node.replica.state.revision == before, f"node {node.number} took in half of a delivery")
+            require(node.replica.state.revision == before, f"node {node.number} applied a part of a delivery")
         after = node.replica.state.revision
         require(after >= before, f"node {node.number} went back from {before} to {after}")
 
@@ -72,12 +72,12 @@
         node.stored = node.replica.state
 
     def _restart_node(self, node: Node) -> None:
-        """A node dies and starts from its disk; what was on its way may still arrive."""
+        """A node restarts from its disk; deliveries in transit may still arrive."""
         node.replica = self.parts.replica(node.stored)
 
 
 def delivery_from(voter: Voter, revision: int) -> Delivery:
-    """What a voter sends to one that has a revision: a delta, or its snapshot with all that follows it."""
+    """The delivery of a voter to a node at a revision: a delta, or a snapshot and all batches after it."""
     if revision >= voter.snapshot.revision:
         return Delivery(None, voter.log.since(revision) or ())
     return Delivery(voter.snapshot, voter.log.since(voter.snapshot.revision) or ())
--- a/hollybay/consensus/batch_model_proposers.py
+++ b/hollybay/consensus/batch_model_proposers.py
@@ -1,6 +1,6 @@
-"""The proposers in the model of group commit: they make changes, offer them to voters and poll for outcomes.
+"""The proposers in the group commit model: they create changes, offer them to voters and poll for outcomes.
 
-Answers are lost, and proposals are repeated at other voters.
+Replies may be lost, and a change may be offered again to the same or another voter.
 """
 
 from __future__ import annotations
@@ -16,17 +16,17 @@
 
 __all__ = ["ProposerMoves"]
 
-# The names of all routes.
+# The names of the routes that changes modify.
 NAMES = ("a", "b")
-# How often a change deletes a resource that exists.
+# Probability that a change of an existing resource deletes it.
 DELETE_PROBABILITY = 0.5
 
 
 class ProposerMoves(ModelState):
-    """What proposers may do."""
+    """The moves of proposers."""
 
     def proposer_moves(self, voter: Voter) -> Iterator[Move]:
-        """What proposers may do at a voter."""
+        """The possible moves of proposers at a voter."""
         for proposer in self.proposers:
             if proposer.is_answered:
                 continue
@@ -37,27 +37,27 @@
                 yield "ask", partial(self._poll, proposer, voter)
 
     def make_change(self) -> None:
-        """A proposer makes a change on the state that some voter knows."""
+        """A proposer creates a change based on the state of some voter."""
         state = self.random.choice(self.voters).state
         name = self.random.choice(NAMES)
-        there = state.resources.get(Key(Kind.ROUTE, name))
-        if there is not None and self.random.random() < DELETE_PROBABILITY:
-            operation: Operation = Delete(Kind.ROUTE, name, there.version)
+        existing = state.resources.get(Key(Kind.ROUTE, name))
+        if existing is not None and self.random.random() < DELETE_PROBABILITY:
+            operation: Operation = Delete(Kind.ROUTE, name, existing.version)
         else:
-            base = there.version if there is not None else 0
+            base = existing.version if existing is not None else 0
             operation = Upsert(Kind.ROUTE, name, base, b"%d" % len(self.proposers))
         change_id = len(self.proposers).to_bytes(CHANGE_ID_BYTES, "big")
         change = Change(change_id, state.revision, "why", "who", (operation,))
         self.proposers.append(Proposer(change, self.random.random() < self.bounds.bad))
 
     def _offer(self, proposer: Proposer, voter: Voter, is_reply_received: bool) -> None:
-        """A change is offered to a voter; is_reply_received: whether its answer arrives."""
+        """A proposer offers its change to a voter. is_reply_received: whether the reply arrives."""
         proposer.offers += 1
         if self.parts.voids_answers:
             proposer.answers[voter.number] = Unknown()
         proposer.answers.setdefault(voter.number, Unknown())
         if proposer.change.base_revision > voter.state.revision:
-            return  # a voter that is behind sends proposers away
+            return  # a voter that is behind queues nothing and tells proposers to retry later
         answer = voter.queue.offer(proposer.change, self.seen(voter.state), self.now)
         if isinstance(answer, Queued):
             voter.accepted.add(proposer.change.id)
@@ -69,11 +69,11 @@
         self._receive_answer(proposer, voter, outcome)
 
     def _poll(self, proposer: Proposer, voter: Voter) -> None:
-        """A proposer asks a voter for the outcome of its change."""
+        """A proposer requests the outcome of its change from a voter."""
         self._receive_answer(proposer, voter, self._outcome(voter, proposer.change.id))
 
     def _outcome(self, voter: Voter, change_id: bytes) -> Outcome:
-        """The outcome of a change as a voter knows it: by epochs first, then by its queue."""
+        """The outcome of a change as a voter knows it: by decided epochs first, then by its queue."""
         revision = voter.state.revision_of(change_id)
         if revision is not None:
             return InForce(revision)
@@ -88,7 +88,7 @@
         check_verdict(self, proposer)
 
     def poll_all(self, proposer: Proposer) -> None:
-        """A proposer asks all that it offered its change to, and offers it again where it is not known."""
+        """A proposer polls all voters that it offered its change to, and offers it again if unknown."""
         for number in list(proposer.answers):
             if proposer.is_answered:
                 return
--- a/hollybay/consensus/model_check.py
+++ b/hollybay/consensus/model_check.py
@@ -1,8 +1,8 @@
-"""The model check: searches through what voters, leaseholders and proposers can do, in any order.
+"""Model check of the consensus protocol: explores the interleavings of voters, leaseholders and proposers.
 
-Every state of the world (`model_world`, `model_moves`) is checked against the guarantee. `explore` searches
-breadth first through all states up to a bound; `walk` takes one long path drawn from a seed. Both report how
-a faulty state is reached as a list of steps.
+Every reached state (`model_world`, `model_moves`) is checked against the guarantee. `explore` is a
+breadth-first search up to a number of states; `walk` takes one long random path from a seed. Both report a
+violation with the steps that lead to it.
 
     python -m hollybay.consensus.model_check --states 3000000
 """
@@ -28,8 +28,8 @@
 
 DEFAULT_STATES = 100_000
 DEFAULT_STEPS = 400
-# How often a walk takes each kind of move. Nodes request leases often, and a change advances slowly;
-# otherwise leases would end before anything was done under them.
+# Relative frequency of each kind of move in a walk. Lease requests are frequent and a change advances slowly;
+# otherwise leases would end before they mattered.
 MOVE_WEIGHTS = {
     "time": 1.0,
     "asks": 3.0,
@@ -50,9 +50,9 @@
     Attributes
     ----------
     states, depth : int
-        How many states were seen, and how many steps deep.
+        Number of states reached, and depth in steps.
     fault : str
-        How the guarantee was violated; empty where it was kept.
+        How the guarantee was violated; empty if it was not.
     steps : list of str
         The steps that lead to the violation.
     """
@@ -63,14 +63,14 @@
     steps: list[str] = field(default_factory=list)
 
 
-# Breadth first
+# Breadth-first search
 
-# The state before each state that was seen, and the step between them; None at the beginning.
+# By reached state: its predecessor and the step between them; None for the initial state.
 _Seen = dict[World, tuple[World, str] | None]
 
 
 def explore(bounds: Bounds, parts: Parts | None = None, most: int = DEFAULT_STATES) -> Found:
-    """Search breadth first through all states, up to so many."""
+    """Search breadth first until a violation, or until `most` states were reached."""
     first = begin(bounds, parts or Parts())
     seen: _Seen = {first: None}
     queue = deque([(first, 0)])
@@ -99,11 +99,11 @@
     return steps[::-1]
 
 
-# Walks
+# Random walks
 
 
 def walk(seed: int, bounds: Bounds, parts: Parts | None = None, most: int = DEFAULT_STEPS) -> Found:
-    """Take one path of so many steps at the most, drawn from a seed."""
+    """Take one random path of at most `most` steps, until a violation."""
     steps: list[str] = []
     for depth, (name, world) in enumerate(walk_steps(seed, bounds, parts or Parts(), most), 1):
         steps.append(name)
@@ -116,7 +116,7 @@
 def walk_steps(
     seed: int, bounds: Bounds, parts: Parts, most: int = DEFAULT_STEPS
 ) -> Iterator[tuple[str, World]]:
-    """The steps of such a path and the states they lead to: first the kind of a move is drawn, then one."""
+    """The steps of a random path with the resulting states: draws the kind of a move first, then the move."""
     rng = random.Random(seed)
     world = begin(bounds, parts)
     weights = MOVE_WEIGHTS | {"hears": bounds.hear_weight}
@@ -132,7 +132,7 @@
 
 
 def _kind(name: str) -> str:
-    """The kind of a move: the first word of its name that is one of MOVE_WEIGHTS."""
+    """The kind of a move: the first word of its name that is a key of MOVE_WEIGHTS."""
     return next(word for word in name.replace(" goes", "").split() if word in MOVE_WEIGHTS)
 
 
@@ -140,7 +140,7 @@
 
 
 def settles(world: World, bounds: Bounds) -> bool:
-    """Whether a change comes to its end from a state, once all hear one another and nothing crashes."""
+    """Whether a change settles from a state if from then on no message is lost and nothing crashes."""
     run = _FaultlessRun(world, bounds)
     ticks = 12 + 4 * (bounds.lease + bounds.grace)
     for _ in range(ticks):
@@ -154,9 +154,9 @@
 
 
 class _FaultlessRun:
-    """What happens from a state on where nothing fails."""
+    """A run from a state on without any faults."""
 
-    ROUNDS_EACH = 2  # the first request may only tell a node of a later epoch
+    ROUNDS_EACH = 2  # the reply to the first request may only inform a node of a later epoch
 
     def __init__(self, world: World, bounds: Bounds) -> None:
         self.bounds = bounds
@@ -168,13 +168,13 @@
         )
 
     def spread_latest(self) -> EpochState:
-        """All voters learn the last epoch that any of them knows."""
+        """Pass the latest epoch that any voter knows to all voters."""
         latest = max(voter.decided for voter in self.voters)
         self.voters = [voter.on_decided(Decided(latest)) for voter in self.voters]
         return latest
 
     def renew_leases(self) -> None:
-        """All nodes request leases of all voters."""
+        """Have all nodes request leases from all voters."""
         for n in range(len(self.nodes)):
             for _ in range(self.ROUNDS_EACH):
                 self.nodes = replaced(self.nodes, n, self._renewed(self.nodes[n]))
@@ -191,12 +191,12 @@
         return node
 
     def all_serve(self, policy: str) -> bool:
-        """Whether all nodes that can serve a policy do, alone."""
+        """Whether a policy is in force alone at all nodes that can serve it."""
         able = [node for node in self.nodes if policy not in node.unserviceable_policies]
         return all(node.policies_in_force(self.now) == (policy,) for node in able)
 
     def propose_after(self, latest: EpochState) -> None:
-        """One proposer proposes the epoch that should follow."""
+        """Have one proposer propose the next epoch."""
         is_unserviceable = any(latest.new in node.unserviceable_policies for node in self.nodes)
         proposal = successors(latest)[-1 if is_unserviceable else 0]
         self.ballot_number += 1
@@ -225,16 +225,16 @@
 
 
 def main() -> int:
-    """Search, and report what was found; 1 if the guarantee was violated."""
+    """Search and print the results; returns 1 if the guarantee was violated."""
     parser = argparse.ArgumentParser(description=(__doc__ or "").split("\n")[0])
     parser.add_argument("--states", type=int, default=2_000_000)
     parser.add_argument("--walks", type=int, default=300)
     arguments = parser.parse_args()
-    nobody: frozenset[str] = frozenset()
-    for unserviceable in ((nobody, nobody), (nobody, frozenset({"p1"}))):
+    none: frozenset[str] = frozenset()
+    for unserviceable in ((none, none), (none, frozenset({"p1"}))):
         found = _search(unserviceable, arguments.states, arguments.walks)
         if found.fault:
-            print(f"{found.fault}, by")
+            print(f"{found.fault}; steps:")
             for step in found.steps:
                 print(f"  {step}")
             return 1
@@ -242,11 +242,11 @@
 
 
 def _search(unserviceable: tuple[frozenset[str], ...], states: int, walks: int) -> Found:
-    """Explore, then walk; the first violation, if there is one."""
+    """Explore, then walk; returns the result with the first violation, or else the last result."""
     started_at = time.monotonic()
     found = explore(Bounds(unserviceable=unserviceable), most=states)
     rate = found.states / (time.monotonic() - started_at)
-    print(f"breadth first: {found.states} states, {found.depth} deep, {rate:.0f} a second")
+    print(f"breadth first: {found.states} states, depth {found.depth}, {rate:.0f} states/s")
     if found.fault:
         return found
     steps = 0
@@ -256,7 +256,7 @@
         steps += found.depth
         if found.fault:
             break
-    print(f"walks: {steps} steps by {walks} seeds")
+    print(f"walks: {steps} steps, {walks} seeds")
     return found
 
 
--- a/hollybay/consensus/model_moves.py
+++ b/hollybay/consensus/model_moves.py
@@ -1,9 +1,9 @@
-"""All that may happen in the world of the model check.
+"""The transitions (moves) of the model check.
 
-Each move calls the real code (`core` and its roles) under a network that loses, duplicates, delays and
-reorders: a request is received by any part of the voters, and their replies by the sender or by nobody. A
-voter or a leaseholder crashes at any point, a voter may lose its disk, policies may name other voters, and
-time advances in ticks.
+Each move runs the production code (`core` and its roles) on a network that loses, duplicates, delays and
+reorders messages: any subset of the voters receives a request, and the sender receives their replies or does
+not. Voters and leaseholders may crash at any point, voters may lose their disks, policies may name other
+voters, and time advances in ticks.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
 
 
 def moves(world: World, bounds: Bounds, skips_joint: bool = False) -> Iterator[tuple[str, World]]:
-    """All that may happen next, each with its name and the state that it leads to."""
+    """All moves from a state, each as its name and the resulting state."""
     for name, after in _moves(world, bounds, skips_joint):
         yield name, with_newest_alone(after)
 
@@ -57,12 +57,12 @@
 
 
 def _parts_of(count: int) -> list[_VoterNumbers]:
-    """Which voters a request may reach: any, but none."""
+    """The sets of voters that a request may reach: all non-empty subsets."""
     return [part for size in range(1, count + 1) for part in combinations(range(count), size)]
 
 
 def replaced(items: tuple[_T, ...], n: int, item: _T) -> tuple[_T, ...]:
-    """Items with another one in place n."""
+    """A copy of `items` with `item` at index n."""
     return (*items[:n], item, *items[n + 1 :])
 
 
@@ -72,21 +72,21 @@
 def _voter_moves(world: World, bounds: Bounds, n: int, voter: Acceptor) -> Iterator[tuple[str, World]]:
     if world.disk_losses < bounds.disk_losses and None not in world.voters:
         without = replaced(world.voters, n, None)
-        yield f"keeper {n} loses its disk", world._replace(voters=without, disk_losses=world.disk_losses + 1)
+        yield f"voter {n} loses its disk", world._replace(voters=without, disk_losses=world.disk_losses + 1)
     latest = max(world.decided)
     if voter.decided.epoch < latest.epoch:
         voters = replaced(world.voters, n, voter.on_decided(Decided(latest)))
-        yield f"keeper {n} learns epoch {latest.epoch}", world._replace(voters=voters)
+        yield f"voter {n} learns epoch {latest.epoch}", world._replace(voters=voters)
     if world.crashes < bounds.crashes:
         restarted = voter.restarted(world.now, bounds.voter_lease + bounds.grace)
         voters = replaced(world.voters, n, restarted)
-        yield f"keeper {n} crashes and is back", world._replace(voters=voters, crashes=world.crashes + 1)
+        yield f"voter {n} crashes and restarts", world._replace(voters=voters, crashes=world.crashes + 1)
 
 
 def _recoveries(
     world: World, bounds: Bounds, n: int, parts: list[_VoterNumbers]
 ) -> Iterator[tuple[str, World]]:
-    """A voter without a disk learns from a quorum of the others."""
+    """A voter that lost its disk recovers its state from a quorum of the others."""
     for part in parts:
         others = [voter for k in part if k != n and (voter := world.voters[k]) is not None]
         if n in part or len(others) < len(part):
@@ -99,7 +99,7 @@
         kind = type(others[0])
         recovered = kind.recovered(n, world.now, bounds.voter_lease + bounds.grace, known)
         voters = replaced(world.voters, n, recovered)
-        yield f"keeper {n} learns all from {part}", world._replace(voters=voters)
+        yield f"voter {n} learns all from {part}", world._replace(voters=voters)
 
 
 # Moves of nodes
@@ -117,15 +117,15 @@
         yield f"node {n} asks", world._replace(nodes=nodes, requests=requests)
     if request is not None:
         for part in parts:
-            yield f"keepers {part} hear node {n}", _requested(world, bounds, n, request, part)
+            yield f"voters {part} hear node {n}", _requested(world, bounds, n, request, part)
     if world.replies[n]:
         yield f"node {n} hears", _replied(world, bounds, n)
     if world.crashes < bounds.crashes and node.round_number:
-        yield f"node {n} crashes and is back", _node_restarted(world, n)
+        yield f"node {n} crashes and restarts", _node_restarted(world, n)
 
 
 def _requested(world: World, bounds: Bounds, n: int, request: LeaseRequest, part: _VoterNumbers) -> World:
-    """Some voters receive a node's request; their replies are on their way."""
+    """Some voters receive a node's request and send their replies."""
     voters = world.voters
     replies = set(world.replies[n])
     for k in part:
@@ -144,7 +144,7 @@
 
 
 def _replied(world: World, bounds: Bounds, n: int) -> World:
-    """A node receives the replies that are on their way to it."""
+    """A node receives all replies in transit to it."""
     node = world.nodes[n]
     for reply in sorted(world.replies[n], key=grants_first):
         if isinstance(reply, LeaseGrant):
@@ -157,7 +157,7 @@
 
 
 def grants_first(reply: LeaseGrant | Decided) -> tuple[bool, str]:
-    """The order in which a node takes replies of one moment: grants before decisions, each by its content."""
+    """Sort key of simultaneous replies: grants before decisions, each by content."""
     return isinstance(reply, Decided), repr(reply)
 
 
@@ -180,7 +180,7 @@
 
 
 def successors(decided: EpochState) -> list[EpochState]:
-    """What a proposer may propose after an epoch; the last one aborts the change."""
+    """The epochs that may be proposed after a decided one; the last one aborts a change under way."""
     epoch = decided.epoch + 1
     if decided.stage is Stage.SETTLED:
         newer = POLICIES[POLICIES.index(decided.policy) + 1 :]
@@ -218,7 +218,7 @@
 def _prepared(
     world: World, n: int, proposer: Proposer, prepare: Prepare, part: _VoterNumbers
 ) -> Iterator[tuple[str, World]]:
-    """Some voters receive a request for promises, and the proposer their promises."""
+    """Some voters receive a request for promises, and the proposer receives their replies."""
     voters = world.voters
     for k in part:
         voter = voters[k]
@@ -230,12 +230,12 @@
             proposer, _ = proposer.on_promise(reply)
     if proposer.value is not None:
         proposers = replaced(world.proposers, n, proposer)
-        name = f"keepers {part} promise {proposer.ballot} for {_shown(proposer.proposal)}"
+        name = f"voters {part} promise {proposer.ballot} for {_shown(proposer.proposal)}"
         yield name, world._replace(voters=voters, proposers=proposers)
 
 
 def _accepted(world: World, n: int, accept: Accept, part: _VoterNumbers) -> Iterator[tuple[str, World]]:
-    """Some voters receive a request for votes, and the proposer their votes."""
+    """Some voters receive a request for votes, and the proposer receives their replies."""
     voters = world.voters
     proposer = world.proposers[n]
     has_votes = False
@@ -254,7 +254,7 @@
     if has_votes:
         next_world = world._replace(voters=voters, proposers=replaced(world.proposers, n, proposer))
         next_world = decide(next_world, decided) if decided is not None else next_world
-        yield f"keepers {part} vote for {_shown(accept.state)}", next_world
+        yield f"voters {part} vote for {_shown(accept.state)}", next_world
 
 
 def _shown(state: EpochState) -> str:
--- a/hollybay/consensus/model_world.py
+++ b/hollybay/consensus/model_world.py
@@ -1,6 +1,6 @@
-"""The world of the model check: voters, leaseholders and proposers, and the guarantee that must hold.
+"""The state space of the model check: voters, leaseholders and proposers, and the guarantee to check.
 
-What may happen to them is in `model_moves`.
+`model_moves` has the transitions between states.
 """
 
 from __future__ import annotations
@@ -33,36 +33,36 @@
 
 POLICIES = ("p0", "p1", "p2")
 PROPOSERS = 2
-# Ticks that a voter counts a lease longer than its holder.
+# Ticks by which a voter counts a lease longer than its holder does.
 CLOCK_MARGIN = 1
 
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """How far a search goes.
+    """The bounds of a search.
 
     Attributes
     ----------
     voters, nodes : int
-        Their numbers; a node is a leaseholder.
+        Number of voters, and of nodes (leaseholders).
     lease : int
-        Ticks that a lease lasts for its holder.
+        Duration of a lease for its holder, in ticks.
     ticks, epochs, crashes : int
-        The most of each in one run.
+        Maximum number of each in one run.
     rounds : int
-        The most rounds of requests of each node.
+        Maximum number of lease rounds of each node.
     ballots : int
-        The most ballots of each proposer, by epoch.
+        Maximum number of ballots of each proposer per epoch.
     unserviceable : tuple of frozenset
         The policies that each node cannot serve.
     hear_weight : float
-        How often, in a walk, a node receives what voters replied.
+        Weight of the move in which a node receives the replies of voters, in a walk.
     grace : int
-        Ticks that a node serves on after its lease.
+        Ticks for which a node continues to serve after its lease has ended.
     disk_losses : int
-        Voters that lose their disks.
+        Maximum number of voters that lose their disk.
     voter_sets : tuple
-        The voters of each policy; empty: all voters are of all policies.
+        The voters of each policy; empty if every voter is a voter of all policies.
     """
 
     voters: int = 3
@@ -81,7 +81,7 @@
 
     @property
     def voter_lease(self) -> int:
-        """Ticks that a voter counts a lease."""
+        """Duration of a lease for the voter that granted it, in ticks."""
         return self.lease + CLOCK_MARGIN
 
     def voter_sets_of(self, state: EpochState) -> VoterSets:
@@ -93,28 +93,28 @@
 
 # For long walks.
 LONG = Bounds(ticks=30, epochs=7, crashes=2, rounds=24, ballots=3)
-# Leases last longer than most changes take: a node that is silent meanwhile still serves as before.
+# Leases outlast most changes: a node that sends no request meanwhile still serves under its old epoch.
 SILENT = replace(LONG, lease=9, ticks=40)
-# And most replies are late: voters count on leases that their holders have not heard of.
+# In addition most replies are late: voters count leases whose grants their holders have not received.
 DEAF = replace(SILENT, hear_weight=0.25, rounds=40)
-# Nodes serve on in a grace time once their leases have ended.
+# Nodes continue to serve in a grace time after their leases.
 LATE = replace(LONG, lease=2, grace=25, ticks=50, hear_weight=0.3, rounds=30)
-# One voter after another gives way to a new one.
+# Voters are replaced by new ones, one after another.
 MOVED = replace(LONG, voters=5, voter_sets=((0, 1, 2), (0, 1, 3), (1, 3, 4)), ticks=24)
-# Disks are lost.
+# Voters lose their disks.
 LOST = replace(LONG, disk_losses=2, crashes=1, ticks=36)
 ALL_BOUNDS = (LONG, SILENT, DEAF, LATE, MOVED, LOST)
 
 
 @dataclass(frozen=True, slots=True)
 class Parts:
-    """What is searched: the protocol's own roles, or one with a defect.
+    """The roles to check: those of the protocol, or some with a planted defect.
 
     Attributes
     ----------
     acceptor, leaseholder, proposer : type
     skips_joint : bool
-        Whether proposers also propose the new policy right after PREPARE.
+        Whether proposers may also propose SETTLED on the new policy directly after PREPARE.
     """
 
     acceptor: type[Acceptor] = Acceptor
@@ -124,30 +124,30 @@
 
 
 class World(NamedTuple):
-    """One state of everything.
+    """One state of the modelled system.
 
     Attributes
     ----------
     now : int
         The time in ticks.
     voters : tuple of Acceptor or None
-        None: one that lost its disk and knows nothing.
+        None for a voter that lost its disk and has no state.
     nodes : tuple of Leaseholder
     proposers : tuple of Proposer
     requests : tuple of LeaseRequest or None
-        The requests of nodes that are under way.
+        The lease request of each node that is in transit.
     replies : tuple of frozenset
-        The replies that are on their way to each node.
+        The replies in transit to each node.
     decided : tuple of EpochState
-        Each epoch that a quorum voted for.
+        The epochs that a quorum voted for.
     crashes : int
-        Those that have happened.
+        Number of crashes so far.
     newest_alone : int
-        The newest policy that was ever served alone, by its place in POLICIES.
+        The newest policy that was ever in force alone, as an index into POLICIES.
     fault : str
-        How the guarantee was violated by a decision.
+        How a decision violated the guarantee; empty if none did.
     disk_losses : int
-        Those that have happened.
+        Number of lost disks so far.
     """
 
     now: int
@@ -163,12 +163,12 @@
     disk_losses: int = 0
 
     def known(self) -> list[Acceptor]:
-        """The voters that know anything."""
+        """The voters that have state."""
         return [voter for voter in self.voters if voter is not None]
 
 
 def begin(bounds: Bounds, parts: Parts) -> World:
-    """All at rest under the first policy, no lease granted."""
+    """The initial state: settled on the first policy, without leases."""
     first = EpochState(0, Stage.SETTLED, POLICIES[0])
     voter_sets = bounds.voter_sets_of(first)
     unserviceable = bounds.unserviceable
@@ -198,7 +198,7 @@
 
 
 def violation(world: World) -> str:
-    """How the guarantee is violated in a state; empty where it is kept."""
+    """How a state violates the guarantee; empty if it does not."""
     if world.fault:
         return world.fault
     serving = [(node, node.policies_in_force(world.now)) for node in world.nodes]
@@ -215,30 +215,32 @@
 
 
 def _violation_of(world: World, node: Leaseholder, policies: tuple[str, ...]) -> str:
-    """What a node must not serve under; empty: it may."""
+    """Why a node must not serve under its policies; empty if it may."""
     if len(policies) == 1 and POLICIES.index(policies[0]) < world.newest_alone:
         return f"{policies[0]} after {POLICIES[world.newest_alone]} was in force"
     if any(policy in node.unserviceable_policies for policy in policies):
-        return f"{policies}, which it cannot"
+        return f"{policies}, which it cannot serve"
     if node.effective_epoch not in world.decided:
         return f"{node.effective_epoch}, which was never decided"
     return ""
 
 
 def decide(world: World, state: EpochState) -> World:
-    """The state once a quorum has voted for an epoch."""
+    """The state after a quorum has voted for an epoch."""
     known = next((decided for decided in world.decided if decided.epoch == state.epoch), None)
     if known is not None:
-        return world if known == state else world._replace(fault=f"decided are {known} and {state}")
+        return world if known == state else world._replace(fault=f"two epochs decided: {known} and {state}")
     if state.stage is Stage.JOINT:
         for node in world.nodes:
             if _cannot_follow(world, node, state):
-                return world._replace(fault=f"{state.new} goes on though node {node.number} cannot serve it")
+                return world._replace(
+                    fault=f"{state.new} is joint although node {node.number} cannot serve it"
+                )
     return world._replace(decided=tuple(sorted((*world.decided, state))))
 
 
 def _cannot_follow(world: World, node: Leaseholder, state: EpochState) -> bool:
-    """Whether a node serves under the epoch before a joint one, and cannot serve its new policy."""
+    """Whether a node serves under the epoch before a joint one but cannot serve its new policy."""
     effective = node.effective_epoch
     return (
         bool(node.policies_in_force(world.now))
@@ -249,7 +251,7 @@
 
 
 def with_newest_alone(world: World) -> World:
-    """The state with what is served alone noted."""
+    """The state with `newest_alone` updated from the policies in force at its nodes."""
     newest = world.newest_alone
     for node in world.nodes:
         policies = node.policies_in_force(world.now)
--- a/hollybay/consensus/planted_batch_defects.py
+++ b/hollybay/consensus/planted_batch_defects.py
@@ -1,4 +1,4 @@
-"""Defects of group commit that its model check must find: each a part with one rule left out."""
+"""Planted defects of group commit that its model check must find: components that each omit one rule."""
 
 from __future__ import annotations
 
@@ -24,12 +24,12 @@
 
 __all__ = ["DEFECTS"]
 
-# Steps after which a queue with the defect gives a change up.
-PATIENCE_STEPS = 5
+# Steps after which `_RejectsLateChanges` rejects a queued change.
+MAX_WAIT_STEPS = 5
 
 
 class _RejectsWholeBatch(ProposalQueue):
-    """It rejects all changes of a batch when nodes name one of them."""
+    """Rejects all changes of a batch if nodes name one of them."""
 
     def batch_dropped(
         self,
@@ -43,14 +43,14 @@
 
 
 class _NeverSplits(ProposalQueue):
-    """It proposes the same batch again where nobody said which change was bad."""
+    """Proposes the same batch again if no node named a change."""
 
     def _split_batch(self) -> None:
         self._ungroup_batch()
 
 
 class _RejectsTooEarly(ProposalQueue):
-    """It rejects a change that conflicts with another one of its batch, which may never be decided."""
+    """Rejects a change that conflicts with another one of its batch, although that may never be decided."""
 
     def _final_rejections(
         self, rejected: Iterable[tuple[Change, ChangeRejectedError]], *_args: ResourceState
@@ -59,7 +59,7 @@
 
 
 class _LosesBatches(ProposalQueue):
-    """It forgets the changes of a batch that was superseded."""
+    """Loses the changes of a superseded batch."""
 
     def batch_superseded(self, batch: Batch, state: ResourceState, now: int) -> None:
         if self.batch_in_progress == batch:
@@ -69,7 +69,7 @@
 
 
 class _ReportsAnotherOutcome(ProposalQueue):
-    """It reports the outcome of the change that ended last."""
+    """Reports the outcome of the change that ended last instead of the requested one's."""
 
     def outcome(self, change_id: bytes, now: int) -> Outcome:
         outcome = super().outcome(change_id, now)
@@ -77,25 +77,25 @@
 
 
 class _ReportsTooEarly(ProposalQueue):
-    """It reports a change that is under way as in force."""
+    """Reports a change that is under way as in force."""
 
     def outcome(self, change_id: bytes, now: int) -> Outcome:
         outcome = super().outcome(change_id, now)
         return InForce(outcome.revision) if isinstance(outcome, UnderWay) else outcome
 
 
-class _GivesUp(ProposalQueue):
-    """It rejects what has waited long, though a batch from before a restart may still be decided."""
+class _RejectsLateChanges(ProposalQueue):
+    """Rejects changes that waited long, although a batch from before a restart may still be decided."""
 
     def offer(self, change: Change, state: ResourceState, now: int) -> OfferReply:
         for change_id, waiting in list(self._waiting.items()):
-            if now - waiting.offered_at > PATIENCE_STEPS:
+            if now - waiting.offered_at > MAX_WAIT_STEPS:
                 self._finish(change_id, Rejected((ChangeProblem("change", "", "waited too long"),)), now)
         return super().offer(change, state, now)
 
 
 class _AcceptsGaps(Replica):
-    """It applies batches whatever revision they were made on."""
+    """Applies batches regardless of the revision that they are based on."""
 
     def after_batch(self, state: ResourceState, batch: Batch) -> ResourceState:
         if batch.revision <= state.revision:
@@ -107,14 +107,14 @@
 
 
 class _AcceptsOldSnapshots(Replica):
-    """It applies a snapshot that is older than its state."""
+    """Installs a snapshot that is older than its state."""
 
     def after_snapshot(self, snapshot: ResourceState) -> ResourceState:
         return snapshot
 
 
-class _TrustsTheBase(Replica):
-    """It assumes that the delta beside a snapshot was made on that snapshot."""
+class _IgnoresDeltaBase(Replica):
+    """Assumes without a check that the batches of a delivery follow its snapshot."""
 
     def receive(self, delivery: Delivery) -> None:
         snapshot, batches = delivery.snapshot, delivery.batches
@@ -130,8 +130,8 @@
         super().receive(delivery)
 
 
-class _AppliesHalf(Replica):
-    """It applies the part of a delivery that fits."""
+class _AppliesPartially(Replica):
+    """Applies the first part of a delivery if the rest does not follow."""
 
     def after_snapshot(self, snapshot: ResourceState) -> ResourceState:
         self.state = super().after_snapshot(snapshot)
@@ -143,13 +143,13 @@
 
 
 def _first_rejection(outcomes: list[Outcome]) -> Outcome:
-    """It takes the rejection by one voter for that by all."""
+    """Takes a rejection by one voter for a rejection by all."""
     rejection = next((outcome for outcome in outcomes if isinstance(outcome, Rejected)), None)
     return rejection if rejection is not None else combined_outcome(outcomes)
 
 
 def _unknown_is_rejected(outcomes: list[Outcome]) -> Outcome:
-    """It takes a voter that has forgotten its change for one that rejected it."""
+    """Takes a voter that no longer knows the change for one that rejected it."""
     return combined_outcome(Rejected(()) if isinstance(outcome, Unknown) else outcome for outcome in outcomes)
 
 
@@ -160,12 +160,12 @@
     "a lost batch is not offered again": Parts(queue=_LosesBatches),
     "a proposer is told of another's outcome": Parts(queue=_ReportsAnotherOutcome),
     "in force before the decision": Parts(queue=_ReportsTooEarly),
-    "refused for its long wait": Parts(queue=_GivesUp),
+    "refused for its long wait": Parts(queue=_RejectsLateChanges),
     "a change is decided twice": Parts(remembers_ids=False),
     "a delta over a gap": Parts(replica=_AcceptsGaps),
     "a snapshot older than the state": Parts(replica=_AcceptsOldSnapshots),
-    "a snapshot older than the delta's base": Parts(replica=_TrustsTheBase),
-    "half of a delivery": Parts(replica=_AppliesHalf),
+    "a snapshot older than the delta's base": Parts(replica=_IgnoresDeltaBase),
+    "half of a delivery": Parts(replica=_AppliesPartially),
     "one refusal taken for all": Parts(verdict=_first_rejection),
     "a keeper that forgot taken for a no": Parts(verdict=_unknown_is_rejected),
     "an old refusal counted after a new offer": Parts(voids_answers=False),
--- a/hollybay/consensus/planted_defects.py
+++ b/hollybay/consensus/planted_defects.py
@@ -1,4 +1,4 @@
-"""Defects of the protocol that the model check must find: each a role with one rule left out."""
+"""Planted defects of the protocol that the model check must find: roles that each omit one rule."""
 
 from __future__ import annotations
 
@@ -30,28 +30,28 @@
 
 
 class _ForgetsVotes(Acceptor):
-    """It votes before its vote is on disk."""
+    """Votes before its vote is on disk."""
 
     def restarted(self, now: int, lease: int) -> Acceptor:
         return super().restarted(now, lease)._replace(promised=NO_BALLOT, accepted=None)
 
 
 class _ForgetsPromises(Acceptor):
-    """It promises before its promise is on disk."""
+    """Promises before its promise is on disk."""
 
     def restarted(self, now: int, lease: int) -> Acceptor:
         return super().restarted(now, lease)._replace(promised=NO_BALLOT)
 
 
 class _VotesAfterRestart(Acceptor):
-    """It votes after a restart without waiting for the leases that it granted before."""
+    """Votes after a restart without waiting for the end of leases that it granted before."""
 
     def restarted(self, now: int, lease: int) -> Acceptor:
         return super().restarted(now, lease)._replace(no_vote_before=0)
 
 
 class _IgnoresLeases(Acceptor):
-    """It votes though a silent node may still serve under an epoch before the decided one."""
+    """Votes although a silent node may still serve under an epoch before the decided one."""
 
     def may_vote(self, now: int, state: EpochState) -> bool:
         is_unserviceable = state.stage is Stage.JOINT and bool(self.nodes_unable_to_serve(now))
@@ -64,7 +64,7 @@
 
 
 class _GrantsAfterVote(Acceptor):
-    """It grants a lease to a node that cannot serve the new policy after it has voted for JOINT."""
+    """Grants a lease to a node that cannot serve the new policy after it has voted for JOINT."""
 
     def grant_lease(
         self, now: int, request: LeaseRequest, lease: int, grace: int = 0
@@ -76,15 +76,15 @@
         return after, reply
 
 
-class _IgnoresRefusals(Acceptor):
-    """It votes for JOINT though a node cannot serve the new policy."""
+class _IgnoresUnserviceable(Acceptor):
+    """Votes for JOINT although a node cannot serve the new policy."""
 
     def nodes_unable_to_serve(self, *_args: int) -> tuple[int, ...]:
         return ()
 
 
 class _IgnoresParent(Acceptor):
-    """It votes for any later epoch, whatever that follows."""
+    """Votes for any later epoch, even if it is no valid successor."""
 
     def may_vote(self, now: int, state: EpochState) -> bool:
         is_blocked = any(lease.epoch < self.decided.epoch and lease.lease_end > now for lease in self.leases)
@@ -92,14 +92,14 @@
 
 
 class _BreaksPromise(Acceptor):
-    """It votes under a ballot below the one that it promised."""
+    """Votes under a ballot below the one that it promised."""
 
     def on_accept(self, now: int, message: Accept) -> tuple[Acceptor, Accepted | Decided | None]:
         return Acceptor.on_accept(self._replace(promised=NO_BALLOT), now, message)
 
 
-class _HidesVote(Acceptor):
-    """It does not tell what it has voted for already."""
+class _OmitsVote(Acceptor):
+    """Omits its earlier vote from a promise."""
 
     def on_prepare(self, message: Prepare) -> tuple[Acceptor, Promise | Decided | None]:
         after, reply = super().on_prepare(message)
@@ -107,7 +107,7 @@
 
 
 class _GrantsOldEpochs(Acceptor):
-    """It grants leases on any epoch that is requested."""
+    """Grants leases on any requested epoch, even an old one."""
 
     def grant_lease(
         self, now: int, request: LeaseRequest, lease: int, grace: int = 0
@@ -118,7 +118,7 @@
 
 
 class _CountsShortLeases(Acceptor):
-    """It takes a lease for ended while its holder still counts on it."""
+    """Considers a lease ended while its holder still serves under it."""
 
     def grant_lease(
         self, now: int, request: LeaseRequest, lease: int, grace: int = 0
@@ -127,7 +127,7 @@
 
 
 class _VotesAfterDiskLoss(Acceptor):
-    """It votes at once after it lost its disk, though it may have voted before."""
+    """Votes at once after it lost its disk, although it may have voted before."""
 
     @staticmethod
     def recovered(
@@ -139,7 +139,7 @@
 
 
 class _IgnoresGrace(Acceptor):
-    """It takes a node whose lease has ended for silent, though that serves on in its grace time."""
+    """Ignores that a node still serves in its grace time after its lease has ended."""
 
     def blocking_leases(self, now: int, *_args: EpochState) -> tuple[Lease, ...]:
         return tuple(
@@ -151,22 +151,22 @@
 
 
 class _CountsFromReply(Leaseholder):
-    """It counts its lease from the reply, not from before its request."""
+    """Counts its lease from the reply instead of from before the request."""
 
     def on_grant(self, grant: LeaseGrant, lease: int, grace: int = 0) -> Leaseholder:
         return super().on_grant(grant, lease + 2, grace)
 
 
-class _TakesOneGrant(Leaseholder):
-    """One voter's grant is enough for it."""
+class _NeedsOneGrant(Leaseholder):
+    """Serves under the grant of a single voter."""
 
     def on_grant(self, grant: LeaseGrant, lease: int, grace: int = 0) -> Leaseholder:
-        alone = self._replace(voter_sets=(frozenset({grant.voter}),))
-        return Leaseholder.on_grant(alone, grant, lease, grace)._replace(voter_sets=self.voter_sets)
+        single_voter = self._replace(voter_sets=(frozenset({grant.voter}),))
+        return Leaseholder.on_grant(single_voter, grant, lease, grace)._replace(voter_sets=self.voter_sets)
 
 
 class _KeepsOldGrants(Leaseholder):
-    """It counts grants of an earlier round with those of the present one."""
+    """Counts grants of an earlier round together with those of the current one."""
 
     def begin_round(self, now: int) -> tuple[Leaseholder, LeaseRequest]:
         after, request = super().begin_round(now)
@@ -174,14 +174,14 @@
 
 
 class _IgnoresLeaseEnd(Leaseholder):
-    """It does not check the end of its lease when a request begins."""
+    """Does not check the end of its lease when a request begins."""
 
     def policies_in_force(self, *_args: int) -> tuple[str, ...]:
         return effective_policies(self.effective_epoch) if self.effective_epoch is not None else ()
 
 
-class _ServesAnything(Leaseholder):
-    """It serves under a policy that it cannot serve."""
+class _ServesUnserviceable(Leaseholder):
+    """Serves under a policy that it cannot serve."""
 
     def on_grant(self, grant: LeaseGrant, lease: int, grace: int = 0) -> Leaseholder:
         able = self._replace(unserviceable_policies=frozenset())
@@ -190,8 +190,8 @@
         )
 
 
-class _ClaimsToServe(Leaseholder):
-    """It states that it could serve any new policy."""
+class _ReportsServiceable(Leaseholder):
+    """Reports that it can serve any new policy."""
 
     def begin_round(self, now: int) -> tuple[Leaseholder, LeaseRequest]:
         after, request = super().begin_round(now)
@@ -201,8 +201,8 @@
 # Proposers
 
 
-class _TakesAnyVotes(Proposer):
-    """A majority of those that replied is enough for it: here, the first."""
+class _NeedsNoQuorum(Proposer):
+    """Takes a majority of the voters that replied for a quorum: here, the first vote."""
 
     def on_accepted(self, vote: Accepted) -> tuple[Proposer, Decided | None]:
         after, _ = super().on_accepted(vote)
@@ -210,7 +210,7 @@
 
 
 class _IgnoresVotes(Proposer):
-    """It puts its own proposal in the place of one that may have been decided."""
+    """Replaces a proposal that may have been decided by its own."""
 
     def on_promise(self, promise: Promise) -> tuple[Proposer, Accept | None]:
         return super().on_promise(promise._replace(accepted=None))
@@ -222,19 +222,19 @@
     "reborn and not quiet": Parts(acceptor=_VotesAfterRestart),
     "a silent node not waited for": Parts(acceptor=_IgnoresLeases),
     "a no heard too late": Parts(acceptor=_GrantsAfterVote),
-    "a no not heard": Parts(acceptor=_IgnoresRefusals),
+    "a no not heard": Parts(acceptor=_IgnoresUnserviceable),
     "parent not compared": Parts(acceptor=_IgnoresParent, skips_joint=True),
     "votes below its promise": Parts(acceptor=_BreaksPromise),
-    "votes not told": Parts(acceptor=_HidesVote),
+    "votes not told": Parts(acceptor=_OmitsVote),
     "leases on old epochs": Parts(acceptor=_GrantsOldEpochs),
     "leases over too soon": Parts(acceptor=_CountsShortLeases),
     "lease counted from the answer": Parts(leaseholder=_CountsFromReply),
-    "one grant enough": Parts(leaseholder=_TakesOneGrant),
+    "one grant enough": Parts(leaseholder=_NeedsOneGrant),
     "old grants counted": Parts(leaseholder=_KeepsOldGrants),
     "end of the lease not looked at": Parts(leaseholder=_IgnoresLeaseEnd),
-    "serves what it cannot": Parts(leaseholder=_ServesAnything),
-    "yes without looking": Parts(leaseholder=_ClaimsToServe),
-    "majority of those that answered": Parts(proposer=_TakesAnyVotes),
+    "serves what it cannot": Parts(leaseholder=_ServesUnserviceable),
+    "yes without looking": Parts(leaseholder=_ReportsServiceable),
+    "majority of those that answered": Parts(proposer=_NeedsNoQuorum),
     "in doubt and dropped": Parts(proposer=_IgnoresVotes),
     "votes with a lost disk": Parts(acceptor=_VotesAfterDiskLoss),
     "nodes that are late not waited for": Parts(acceptor=_IgnoresGrace),
--- a/tests/test_batch_model.py
+++ b/tests/test_batch_model.py
@@ -1,4 +1,4 @@
-"""The model check of group commit: the real parts pass it, and it finds each planted defect."""
+"""The model check of group commit: the production components pass it, and it finds each planted defect."""
 
 from __future__ import annotations
 
@@ -11,27 +11,27 @@
 from hollybay.consensus.planted_batch_defects import DEFECTS
 
 WALKS = 250
-# The seed by which each planted defect is found, and what is found.
+# For each planted defect: the seed of a walk that finds it, and a part of the violation's text.
 SEEDS = {
-    "one bad change drops its batch": (10, "refused with a bad one"),
+    "one bad change drops its batch": (10, "rejected because of another one"),
     "a batch is never divided": (90, "never answered"),
-    "refused for a batch that is not decided": (0, "fits what is decided"),
+    "refused for a batch that is not decided": (0, "although it applies to the decided state"),
     "a lost batch is not offered again": (0, "forgot change"),
-    "a proposer is told of another's outcome": (2, "told to be of revision"),
-    "in force before the decision": (0, "told to be in force and was not decided"),
-    "refused for its long wait": (99, "told to be refused and is in force"),
+    "a proposer is told of another's outcome": (2, "wrongly reported as part of revision"),
+    "in force before the decision": (0, "reported as in force but was not decided"),
+    "refused for its long wait": (99, "reported as rejected but is in force"),
     "a change is decided twice": (2, "decided twice"),
-    "a delta over a gap": (0, "another state"),
+    "a delta over a gap": (0, "has a state that was not decided"),
     "a snapshot older than the state": (0, "went back"),
-    "a snapshot older than the delta's base": (2, "another state"),
-    "half of a delivery": (119, "took in half"),
-    "one refusal taken for all": (4, "told to be refused and is in force"),
-    "a keeper that forgot taken for a no": (14, "told to be refused and is in force"),
-    "an old refusal counted after a new offer": (4580, "told to be refused and is in force"),
+    "a snapshot older than the delta's base": (2, "has a state that was not decided"),
+    "half of a delivery": (119, "applied a part of a delivery"),
+    "one refusal taken for all": (4, "reported as rejected but is in force"),
+    "a keeper that forgot taken for a no": (14, "reported as rejected but is in force"),
+    "an old refusal counted after a new offer": (4580, "reported as rejected but is in force"),
 }
 
 
-def test_the_real_parts_pass_the_search_and_the_search_goes_everywhere() -> None:
+def test_production_components_pass_and_walks_make_moves_of_all_kinds() -> None:
     kinds: Counter[str] = Counter()
     answered = revisions = 0
     for seed in range(WALKS):
@@ -49,13 +49,13 @@
     [Bounds(voters=2), Bounds(bad=0.0), Bounds(bad=1.0), Bounds(changes=24, steps=300, crashes=0)],
     ids=["two keepers", "none bad", "all bad", "many changes"],
 )
-def test_the_real_parts_pass_under_other_bounds(bounds: Bounds) -> None:
+def test_production_components_pass_under_other_bounds(bounds: Bounds) -> None:
     for seed in range(40):
         found = walk(seed, bounds)
         assert not found.wrong, (seed, found.wrong, found.steps)
 
 
-def test_a_seed_gives_the_same_walk_again() -> None:
+def test_a_seed_determines_the_walk() -> None:
     assert walk(7) == walk(7)
 
 
@@ -64,8 +64,8 @@
 
 
 @pytest.mark.parametrize("name", DEFECTS)
-def test_the_search_finds_a_planted_defect(name: str) -> None:
+def test_a_planted_defect_is_found(name: str) -> None:
     seed, text = SEEDS[name]
     found = walk(seed, parts=DEFECTS[name])
     assert text in found.wrong
-    assert not walk(seed, parts=Parts()).wrong  # it is the defect that breaks it
+    assert not walk(seed, parts=Parts()).wrong  # without the defect the same walk passes
--- a/tests/test_consensus_core.py
+++ b/tests/test_consensus_core.py
@@ -283,6 +283,6 @@
 
 def test_a_broken_state_is_told_with_its_steps() -> None:
     found = walk(0, LONG, DEFECTS["majority of those that answered"])
-    assert found.fault.startswith("decided are") and found.steps[-1].startswith("keepers ")
+    assert found.fault.startswith("two epochs decided") and found.steps[-1].startswith("voters ")
     *_, (name, world) = walk_steps(0, LONG, DEFECTS["majority of those that answered"], found.depth)
     assert name == found.steps[-1] and violation(world) == found.fault
