--- a/hollybay/cli/policy_output.py
+++ b/hollybay/cli/policy_output.py
@@ -23,7 +23,7 @@
 MAX_NAMES_SHOWN = 6
 TEXTS = {
     ExitStatus.IN_FORCE: "in force everywhere",
-    ExitStatus.NOWHERE: "nowhere",
+    ExitStatus.NOT_IN_FORCE: "nowhere",
     ExitStatus.BAD_INPUT: "bad input",
     ExitStatus.UNKNOWN: "not known yet",
 }
--- a/hollybay/cli/policy_proposals.py
+++ b/hollybay/cli/policy_proposals.py
@@ -148,7 +148,7 @@
     except CallFailedError as error:
         return unknown(str(error))
     if built is None:
-        return Verdict(ExitStatus.NOWHERE, text=f"says the same as {draft.policy}, which is in force")
+        return Verdict(ExitStatus.NOT_IN_FORCE, text=f"says the same as {draft.policy}, which is in force")
     return await cluster.submit(built, origin.limit)
 
 
--- a/hollybay/cluster/report.py
+++ b/hollybay/cluster/report.py
@@ -178,7 +178,7 @@
         find_violations,
     )
 
-    outcomes = {0: ReportedOutcome.IN_FORCE, 1: ReportedOutcome.NOWHERE}
+    outcomes = {0: ReportedOutcome.IN_FORCE, 1: ReportedOutcome.NOT_IN_FORCE}
     events: list[RequestBegun | OutcomeReported] = [
         RequestBegun(one.at, one.node, one.names) for one in books.began
     ]
--- a/hollybay/consensus/change_tracker.py
+++ b/hollybay/consensus/change_tracker.py
@@ -130,7 +130,7 @@
         digest = old.digest.hex()
         if proposal.parent and proposal.parent not in (old.name, digest):
             text = f"parent: made on {proposal.parent}, in force is {old.name}"
-            return Verdict(ExitStatus.NOWHERE, text=text)
+            return Verdict(ExitStatus.NOT_IN_FORCE, text=text)
         return await self._propose_to_any(view, encode(_propose_call(proposal, digest)), limit)
 
     async def _propose_to_any(self, view: ClusterView, body: bytes, limit: float) -> Verdict:
--- a/hollybay/consensus/coordinator.py
+++ b/hollybay/consensus/coordinator.py
@@ -149,7 +149,7 @@
         self.coordinating = name
         self.wake()
 
-    def end_drops(self) -> set[str]:
+    def clear_dropped(self) -> set[str]:
         """Clear the policies to drop, once an epoch has settled; returns them."""
         dropped = set(self.dropping)
         self.dropping.clear()
--- a/hollybay/consensus/invariants.py
+++ b/hollybay/consensus/invariants.py
@@ -24,7 +24,7 @@
     """The outcome of a change as reported to an operator."""
 
     IN_FORCE = "in force everywhere"
-    NOWHERE = "refused or dropped"
+    NOT_IN_FORCE = "refused or dropped"
 
 
 @dataclass(frozen=True, slots=True)
--- a/hollybay/consensus/log.py
+++ b/hollybay/consensus/log.py
@@ -22,7 +22,7 @@
 
 from .durable_file import no_step
 from .errors import LogGapError, RejectedError
-from .log_entry import Entry, Snapshot, age_order, is_name
+from .log_entry import Entry, Snapshot, age_order, is_policy_name
 from .log_files import LogFiles
 from .policy import PolicyVersion, version_of
 from .store import StoreError
@@ -148,7 +148,7 @@
 
     def read_entry(self, name: str) -> PolicyVersion | None:
         """Read a policy with its changes from disk; None if there is no usable file."""
-        return self._files.find_entry(name) if is_name(name) else None
+        return self._files.find_entry(name) if is_policy_name(name) else None
 
     # Appending
 
--- a/hollybay/consensus/log_entry.py
+++ b/hollybay/consensus/log_entry.py
@@ -14,14 +14,14 @@
 from .errors import MalformedDataError
 from .policy import PolicyVersion, changed_keys, decode_policy, version_of
 
-__all__ = ["Entry", "Snapshot", "age_order", "is_name"]
+__all__ = ["Entry", "Snapshot", "age_order", "is_policy_name"]
 
 # If an entry changes more resources than this, their keys are not kept in memory.
 MAX_CHANGED_KEYS = 4096
 _NAME = re.compile(r"[0-9]{1,12}-[0-9a-f]{12}")
 
 
-def is_name(text: str) -> bool:
+def is_policy_name(text: str) -> bool:
     """Whether a text has the form of a policy name."""
     return _NAME.fullmatch(text) is not None
 
--- a/hollybay/consensus/log_files.py
+++ b/hollybay/consensus/log_files.py
@@ -15,7 +15,7 @@
 from hollybay.resources.wire import MAX_SNAPSHOT_BYTES
 
 from .errors import RejectedError
-from .log_entry import Snapshot, age_order, is_name
+from .log_entry import Snapshot, age_order, is_policy_name
 from .policy import MAX_ENTRY_BYTES, PolicyVersion, decode_policy
 from .record import RecordIntegrity
 from .record_folder import RecordFolder
@@ -48,7 +48,7 @@
         """The names of all snapshots and of all entries, oldest first. OSError: the folder is unreadable."""
         files = self._records.files()
         snapshots = [file.removesuffix(_SNAPSHOT_SUFFIX) for file in sorted(files) if _is_snapshot(file)]
-        return snapshots, sorted(filter(is_name, files), key=age_order)
+        return snapshots, sorted(filter(is_policy_name, files), key=age_order)
 
     # Reading
 
@@ -132,4 +132,4 @@
 
 
 def _is_snapshot(file: str) -> bool:
-    return file.endswith(_SNAPSHOT_SUFFIX) and is_name(file.removesuffix(_SNAPSHOT_SUFFIX))
+    return file.endswith(_SNAPSHOT_SUFFIX) and is_policy_name(file.removesuffix(_SNAPSHOT_SUFFIX))
--- a/hollybay/consensus/log_server.py
+++ b/hollybay/consensus/log_server.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 
 from .log import PolicyLog
-from .log_entry import is_name
+from .log_entry import is_policy_name
 from .messages import PIECE_BYTES, Chunk
 from .transfer import chunk_at
 
@@ -109,7 +109,7 @@
         if request is None:
             return None
         reply = self._cached.get(request.cache_key)
-        if reply is None and request.kind != _DRAFT and is_name(request.name):
+        if reply is None and request.kind != _DRAFT and is_policy_name(request.name):
             reply = await self._read(request)
         return chunk_at(reply.name, reply.data, request.offset) if reply is not None else None
 
--- a/hollybay/consensus/queries.py
+++ b/hollybay/consensus/queries.py
@@ -10,7 +10,7 @@
 from .http_status import NOT_FOUND, OK
 from .interfaces import Response
 from .log import LogTruncatedError
-from .log_entry import is_name
+from .log_entry import is_policy_name
 from .log_fetch import LOG_TRUNCATED_STATUS
 from .log_replica import LogReplica
 from .log_server import LogServer
@@ -64,7 +64,7 @@
         if path == "history":
             return self._history()
         kind, _, name = path.partition("/")
-        if kind == "entry" and is_name(name):
+        if kind == "entry" and is_policy_name(name):
             return self._entry(name)
         if kind == "change":
             return ok(self.proposals.change_status(name, self.voter.require_acceptor()))
--- a/hollybay/consensus/service.py
+++ b/hollybay/consensus/service.py
@@ -285,7 +285,7 @@
     def _on_decided(self, acceptor: DurableAcceptor, state: EpochState) -> None:
         """The acceptor knows a later epoch to be decided."""
         if state.stage is Stage.SETTLED:
-            dropped = self.coordinator.end_drops()
+            dropped = self.coordinator.clear_dropped()
             self.tasks.spawn(self._prune(state))
             self.proposals.epoch_settled(acceptor, state, dropped)
         else:
--- a/hollybay/consensus/submission.py
+++ b/hollybay/consensus/submission.py
@@ -139,7 +139,7 @@
             return None
         problems = [text for address in sorted(self._offered_to) for text in self._rejections[address]]
         reasons = {"the keepers": list(dict.fromkeys(problems))}
-        return Verdict(ExitStatus.NOWHERE, self.id, text="refused", reasons=reasons)
+        return Verdict(ExitStatus.NOT_IN_FORCE, self.id, text="refused", reasons=reasons)
 
     # Offers
 
--- a/hollybay/consensus/verdict.py
+++ b/hollybay/consensus/verdict.py
@@ -25,7 +25,7 @@
     """The outcome of a change as the exit status of the command."""
 
     IN_FORCE = 0  # at every node
-    NOWHERE = 1  # rejected or dropped: in force at no node
+    NOT_IN_FORCE = 1  # rejected or dropped: in force at no node
     BAD_INPUT = 2
     UNKNOWN = 3  # not decided yet, or the outcome is not known
 
@@ -97,14 +97,14 @@
         return Verdict(ExitStatus.UNKNOWN, change, epoch, "no voter answered")
     first = view.epochs.get(epoch)
     if first is not None and first.new != change:
-        return Verdict(ExitStatus.NOWHERE, change, epoch, f"another change came first: {first.new}")
+        return Verdict(ExitStatus.NOT_IN_FORCE, change, epoch, f"another change came first: {first.new}")
     if latest.epoch < epoch:
         return Verdict(ExitStatus.UNKNOWN, change, epoch, NOT_BEGUN)
     settled_policy = _settled_policy(view, epoch)
     if settled_policy is None:
         return Verdict(ExitStatus.UNKNOWN, change, epoch, "under way", view.reasons(change))
     if settled_policy != change:
-        return Verdict(ExitStatus.NOWHERE, change, epoch, "dropped", view.reasons(change))
+        return Verdict(ExitStatus.NOT_IN_FORCE, change, epoch, "dropped", view.reasons(change))
     return judge_settled(view, change, epoch, epoch + 2)
 
 
--- a/hollybay/consensus/voter_client.py
+++ b/hollybay/consensus/voter_client.py
@@ -215,6 +215,6 @@
 def invalid_input(error: CallFailedError) -> InvalidInputError:
     """The error of a voter that rejected what an operator gave."""
     is_conflict = error.status in (CONFLICT, UNPROCESSABLE)
-    status = ExitStatus.NOWHERE if is_conflict else ExitStatus.BAD_INPUT
+    status = ExitStatus.NOT_IN_FORCE if is_conflict else ExitStatus.BAD_INPUT
     problems = problems_in(error) if "problems" in _details(error) else ()
     return InvalidInputError(status, reason_in(error), problems)
--- a/hollybay/simulation/accord_rehearsal.py
+++ b/hollybay/simulation/accord_rehearsal.py
@@ -489,7 +489,7 @@
             self.events.append(OutcomeReported(self.clock(), verdict.change, ReportedOutcome.IN_FORCE))
         elif verdict.code == 1:
             self.played.dropped += 1
-            self.events.append(OutcomeReported(self.clock(), verdict.change, ReportedOutcome.NOWHERE))
+            self.events.append(OutcomeReported(self.clock(), verdict.change, ReportedOutcome.NOT_IN_FORCE))
         else:
             self.played.open += 1
 
--- a/tests/test_consensus_log.py
+++ b/tests/test_consensus_log.py
@@ -16,7 +16,7 @@
 from hollybay.consensus import policy
 from hollybay.consensus.errors import RejectedError
 from hollybay.consensus.log import LogTruncatedError, PolicyLog
-from hollybay.consensus.log_entry import Snapshot, is_name
+from hollybay.consensus.log_entry import Snapshot, is_policy_name
 from hollybay.consensus.log_fetch import check_links, parse_delta
 from hollybay.consensus.policy import PolicyVersion
 from hollybay.consensus.record import encode_record
@@ -87,7 +87,7 @@
     assert (
         reopened.policy("../o.toml") is None
         and reopened.read_entry("../o.toml") is None
-        and not is_name("../o.toml")
+        and not is_policy_name("../o.toml")
     )
     assert reopened.policy("9-00000000000a") is None and not reopened.quarantined
 
--- a/tests/test_simulation_consensus.py
+++ b/tests/test_simulation_consensus.py
@@ -70,7 +70,7 @@
 
 
 def nowhere(at: int, change: str) -> OutcomeReported:
-    return OutcomeReported(at, change, ReportedOutcome.NOWHERE)
+    return OutcomeReported(at, change, ReportedOutcome.NOT_IN_FORCE)
 
 
 @pytest.mark.parametrize(
