--- a/hollybay/consensus/model_check.py
+++ b/hollybay/consensus/model_check.py
@@ -21,10 +21,10 @@
 from .core import Accept, Accepted, Decided, EpochState, LeaseGrant, Promise, Stage
 from .leaseholder import Leaseholder
 from .model_moves import moves, replaced, successors
-from .model_world import ALL_BOUNDS, Bounds, Parts, World, begin, violation
+from .model_world import ALL_BOUNDS, Bounds, Roles, World, initial_world, violation
 from .proposer import Proposer, highest_ballot_number
 
-__all__ = ["Found", "explore", "settles", "walk", "walk_steps"]
+__all__ = ["SearchResult", "explore", "settles", "walk", "walk_steps"]
 
 DEFAULT_STATES = 100_000
 DEFAULT_STEPS = 400
@@ -44,7 +44,7 @@
 
 
 @dataclass
-class Found:
+class SearchResult:
     """The result of a search.
 
     Attributes
@@ -69,9 +69,9 @@
 _Seen = dict[World, tuple[World, str] | None]
 
 
-def explore(bounds: Bounds, parts: Parts | None = None, most: int = DEFAULT_STATES) -> Found:
-    """Search breadth first until a violation, or until `most` states were reached."""
-    first = begin(bounds, parts or Parts())
+def explore(bounds: Bounds, roles: Roles | None = None, max_states: int = DEFAULT_STATES) -> SearchResult:
+    """Search breadth first until a violation, or until `max_states` states were reached."""
+    first = initial_world(bounds, roles or Roles())
     seen: _Seen = {first: None}
     queue = deque([(first, 0)])
     depth = 0
@@ -83,11 +83,11 @@
             seen[after] = (world, name)
             fault = violation(after)
             if fault:
-                return Found(len(seen), depth + 1, fault, _steps_to(seen, after))
-            if len(seen) >= most:
-                return Found(len(seen), depth + 1)
+                return SearchResult(len(seen), depth + 1, fault, _steps_to(seen, after))
+            if len(seen) >= max_states:
+                return SearchResult(len(seen), depth + 1)
             queue.append((after, depth + 1))
-    return Found(len(seen), depth)
+    return SearchResult(len(seen), depth)
 
 
 def _steps_to(seen: _Seen, world: World) -> list[str]:
@@ -102,27 +102,29 @@
 # Random walks
 
 
-def walk(seed: int, bounds: Bounds, parts: Parts | None = None, most: int = DEFAULT_STEPS) -> Found:
-    """Take one random path of at most `most` steps, until a violation."""
+def walk(
+    seed: int, bounds: Bounds, roles: Roles | None = None, max_steps: int = DEFAULT_STEPS
+) -> SearchResult:
+    """Take one random path of at most `max_steps` steps, until a violation."""
     steps: list[str] = []
-    for depth, (name, world) in enumerate(walk_steps(seed, bounds, parts or Parts(), most), 1):
+    for depth, (name, world) in enumerate(walk_steps(seed, bounds, roles or Roles(), max_steps), 1):
         steps.append(name)
         fault = violation(world)
         if fault:
-            return Found(depth, depth, fault, steps)
-    return Found(len(steps), len(steps))
+            return SearchResult(depth, depth, fault, steps)
+    return SearchResult(len(steps), len(steps))
 
 
 def walk_steps(
-    seed: int, bounds: Bounds, parts: Parts, most: int = DEFAULT_STEPS
+    seed: int, bounds: Bounds, roles: Roles, max_steps: int = DEFAULT_STEPS
 ) -> Iterator[tuple[str, World]]:
     """The steps of a random path with the resulting states: draws the kind of a move first, then the move."""
     rng = random.Random(seed)
-    world = begin(bounds, parts)
+    world = initial_world(bounds, roles)
     weights = MOVE_WEIGHTS | {"hears": bounds.hear_weight}
-    for _ in range(most):
+    for _ in range(max_steps):
         by_kind: dict[str, list[tuple[str, World]]] = {}
-        for name, after in moves(world, bounds, parts.skips_joint):
+        for name, after in moves(world, bounds, roles.skips_joint):
             by_kind.setdefault(_kind(name), []).append((name, after))
         if not by_kind:
             return
@@ -161,7 +163,7 @@
     def __init__(self, world: World, bounds: Bounds) -> None:
         self.bounds = bounds
         self.now = world.now
-        self.voters: list[Acceptor] = world.known()
+        self.voters: list[Acceptor] = world.voters_with_state()
         self.nodes: tuple[Leaseholder, ...] = world.nodes
         self.ballot_number = highest_ballot_number(
             [*(voter.promised for voter in self.voters), *(proposer.ballot for proposer in world.proposers)]
@@ -241,10 +243,10 @@
     return 0
 
 
-def _search(unserviceable: tuple[frozenset[str], ...], states: int, walks: int) -> Found:
+def _search(unserviceable: tuple[frozenset[str], ...], states: int, walks: int) -> SearchResult:
     """Explore, then walk; returns the result with the first violation, or else the last result."""
     started_at = time.monotonic()
-    found = explore(Bounds(unserviceable=unserviceable), most=states)
+    found = explore(Bounds(unserviceable=unserviceable), max_states=states)
     rate = found.states / (time.monotonic() - started_at)
     print(f"breadth first: {found.states} states, depth {found.depth}, {rate:.0f} states/s")
     if found.fault:
--- a/hollybay/consensus/model_moves.py
+++ b/hollybay/consensus/model_moves.py
@@ -44,21 +44,21 @@
 def _moves(world: World, bounds: Bounds, skips_joint: bool) -> Iterator[tuple[str, World]]:
     if world.now < bounds.ticks:
         yield "time goes on", world._replace(now=world.now + 1)
-    parts = _parts_of(bounds.voters)
+    subsets = _subsets_of(bounds.voters)
     for n in range(len(world.nodes)):
-        yield from _node_moves(world, bounds, n, parts)
+        yield from _node_moves(world, bounds, n, subsets)
     for n in range(len(world.proposers)):
-        yield from _proposer_moves(world, bounds, n, parts, skips_joint)
+        yield from _proposer_moves(world, bounds, n, subsets, skips_joint)
     for n, voter in enumerate(world.voters):
         if voter is None:
-            yield from _recoveries(world, bounds, n, parts)
+            yield from _recoveries(world, bounds, n, subsets)
         else:
             yield from _voter_moves(world, bounds, n, voter)
 
 
-def _parts_of(count: int) -> list[_VoterNumbers]:
+def _subsets_of(count: int) -> list[_VoterNumbers]:
     """The sets of voters that a request may reach: all non-empty subsets."""
-    return [part for size in range(1, count + 1) for part in combinations(range(count), size)]
+    return [subset for size in range(1, count + 1) for subset in combinations(range(count), size)]
 
 
 def replaced(items: tuple[_T, ...], n: int, item: _T) -> tuple[_T, ...]:
@@ -84,14 +84,14 @@
 
 
 def _recoveries(
-    world: World, bounds: Bounds, n: int, parts: list[_VoterNumbers]
+    world: World, bounds: Bounds, n: int, subsets: list[_VoterNumbers]
 ) -> Iterator[tuple[str, World]]:
     """A voter that lost its disk recovers its state from a quorum of the others."""
-    for part in parts:
-        others = [voter for k in part if k != n and (voter := world.voters[k]) is not None]
-        if n in part or len(others) < len(part):
+    for subset in subsets:
+        others = [voter for k in subset if k != n and (voter := world.voters[k]) is not None]
+        if n in subset or len(others) < len(subset):
             continue
-        if not has_quorum(bounds.voter_sets_of(max(voter.decided for voter in others)), part):
+        if not has_quorum(bounds.voter_sets_of(max(voter.decided for voter in others)), subset):
             continue
         known = [
             (voter.decided, voter.accepted[1] if voter.accepted is not None else None) for voter in others
@@ -99,14 +99,14 @@
         kind = type(others[0])
         recovered = kind.recovered(n, world.now, bounds.voter_lease + bounds.grace, known)
         voters = replaced(world.voters, n, recovered)
-        yield f"voter {n} learns all from {part}", world._replace(voters=voters)
+        yield f"voter {n} learns all from {subset}", world._replace(voters=voters)
 
 
 # Moves of nodes
 
 
 def _node_moves(
-    world: World, bounds: Bounds, n: int, parts: list[_VoterNumbers]
+    world: World, bounds: Bounds, n: int, subsets: list[_VoterNumbers]
 ) -> Iterator[tuple[str, World]]:
     node = world.nodes[n]
     request = world.requests[n]
@@ -116,19 +116,19 @@
         requests = replaced(world.requests, n, new_request)
         yield f"node {n} asks", world._replace(nodes=nodes, requests=requests)
     if request is not None:
-        for part in parts:
-            yield f"voters {part} hear node {n}", _requested(world, bounds, n, request, part)
+        for subset in subsets:
+            yield f"voters {subset} hear node {n}", _requested(world, bounds, n, request, subset)
     if world.replies[n]:
         yield f"node {n} hears", _replied(world, bounds, n)
     if world.crashes < bounds.crashes and node.round_number:
         yield f"node {n} crashes and restarts", _node_restarted(world, n)
 
 
-def _requested(world: World, bounds: Bounds, n: int, request: LeaseRequest, part: _VoterNumbers) -> World:
+def _requested(world: World, bounds: Bounds, n: int, request: LeaseRequest, subset: _VoterNumbers) -> World:
     """Some voters receive a node's request and send their replies."""
     voters = world.voters
     replies = set(world.replies[n])
-    for k in part:
+    for k in subset:
         voter = voters[k]
         if voter is None:
             continue
@@ -192,35 +192,35 @@
 
 
 def _proposer_moves(
-    world: World, bounds: Bounds, n: int, parts: list[_VoterNumbers], skips_joint: bool
+    world: World, bounds: Bounds, n: int, subsets: list[_VoterNumbers], skips_joint: bool
 ) -> Iterator[tuple[str, World]]:
     proposer = world.proposers[n]
     latest = max(world.decided)
     voter_sets = bounds.voter_sets_of(latest)
-    quorums = [part for part in parts if has_quorum(voter_sets, part)]
+    quorums = [subset for subset in subsets if has_quorum(voter_sets, subset)]
     if latest.epoch < bounds.epochs and proposer.ballot[0] < bounds.ballots * (latest.epoch + 1):
         proposals = successors(latest)
         if skips_joint and latest.stage is Stage.PREPARE:
             proposals.append(EpochState(latest.epoch + 1, Stage.SETTLED, latest.new))
         for proposal in proposals:
-            promised_number = highest_ballot_number(voter.promised for voter in world.known())
+            promised_number = highest_ballot_number(voter.promised for voter in world.voters_with_state())
             highest_number = max(promised_number, proposer.ballot[0])
             idle = proposer._replace(proposal=proposal, voter_sets=voter_sets, decided=None)
             begun, prepare = idle.begin_ballot(highest_number)
-            for part in quorums:
-                yield from _prepared(world, n, begun, prepare, part)
+            for subset in quorums:
+                yield from _prepared(world, n, begun, prepare, subset)
     if proposer.value is not None and proposer.decided is None:
         accept = Accept(proposer.ballot, proposer.value)
-        for part in parts:
-            yield from _accepted(world, n, accept, part)
+        for subset in subsets:
+            yield from _accepted(world, n, accept, subset)
 
 
 def _prepared(
-    world: World, n: int, proposer: Proposer, prepare: Prepare, part: _VoterNumbers
+    world: World, n: int, proposer: Proposer, prepare: Prepare, subset: _VoterNumbers
 ) -> Iterator[tuple[str, World]]:
     """Some voters receive a request for promises, and the proposer receives their replies."""
     voters = world.voters
-    for k in part:
+    for k in subset:
         voter = voters[k]
         if voter is None:
             continue
@@ -230,17 +230,17 @@
             proposer, _ = proposer.on_promise(reply)
     if proposer.value is not None:
         proposers = replaced(world.proposers, n, proposer)
-        name = f"voters {part} promise {proposer.ballot} for {_shown(proposer.proposal)}"
+        name = f"voters {subset} promise {proposer.ballot} for {_shown(proposer.proposal)}"
         yield name, world._replace(voters=voters, proposers=proposers)
 
 
-def _accepted(world: World, n: int, accept: Accept, part: _VoterNumbers) -> Iterator[tuple[str, World]]:
+def _accepted(world: World, n: int, accept: Accept, subset: _VoterNumbers) -> Iterator[tuple[str, World]]:
     """Some voters receive a request for votes, and the proposer receives their replies."""
     voters = world.voters
     proposer = world.proposers[n]
     has_votes = False
     decided: EpochState | None = None
-    for k in part:
+    for k in subset:
         voter = voters[k]
         if voter is None:
             continue
@@ -254,7 +254,7 @@
     if has_votes:
         next_world = world._replace(voters=voters, proposers=replaced(world.proposers, n, proposer))
         next_world = decide(next_world, decided) if decided is not None else next_world
-        yield f"voters {part} vote for {_shown(accept.state)}", next_world
+        yield f"voters {subset} vote for {_shown(accept.state)}", next_world
 
 
 def _shown(state: EpochState) -> str:
--- a/hollybay/consensus/model_world.py
+++ b/hollybay/consensus/model_world.py
@@ -15,18 +15,18 @@
 
 __all__ = [
     "ALL_BOUNDS",
-    "DEAF",
-    "LATE",
-    "LONG",
-    "LOST",
-    "MOVED",
+    "DISK_LOSSES",
+    "GRACE_TIMES",
+    "LATE_REPLIES",
+    "LONG_LEASES",
+    "LONG_WALKS",
     "POLICIES",
-    "SILENT",
+    "VOTER_CHANGES",
     "Bounds",
-    "Parts",
+    "Roles",
     "World",
-    "begin",
     "decide",
+    "initial_world",
     "violation",
     "with_newest_alone",
 ]
@@ -92,22 +92,22 @@
 
 
 # For long walks.
-LONG = Bounds(ticks=30, epochs=7, crashes=2, rounds=24, ballots=3)
+LONG_WALKS = Bounds(ticks=30, epochs=7, crashes=2, rounds=24, ballots=3)
 # Leases outlast most changes: a node that sends no request meanwhile still serves under its old epoch.
-SILENT = replace(LONG, lease=9, ticks=40)
+LONG_LEASES = replace(LONG_WALKS, lease=9, ticks=40)
 # In addition most replies are late: voters count leases whose grants their holders have not received.
-DEAF = replace(SILENT, hear_weight=0.25, rounds=40)
+LATE_REPLIES = replace(LONG_LEASES, hear_weight=0.25, rounds=40)
 # Nodes continue to serve in a grace time after their leases.
-LATE = replace(LONG, lease=2, grace=25, ticks=50, hear_weight=0.3, rounds=30)
+GRACE_TIMES = replace(LONG_WALKS, lease=2, grace=25, ticks=50, hear_weight=0.3, rounds=30)
 # Voters are replaced by new ones, one after another.
-MOVED = replace(LONG, voters=5, voter_sets=((0, 1, 2), (0, 1, 3), (1, 3, 4)), ticks=24)
+VOTER_CHANGES = replace(LONG_WALKS, voters=5, voter_sets=((0, 1, 2), (0, 1, 3), (1, 3, 4)), ticks=24)
 # Voters lose their disks.
-LOST = replace(LONG, disk_losses=2, crashes=1, ticks=36)
-ALL_BOUNDS = (LONG, SILENT, DEAF, LATE, MOVED, LOST)
+DISK_LOSSES = replace(LONG_WALKS, disk_losses=2, crashes=1, ticks=36)
+ALL_BOUNDS = (LONG_WALKS, LONG_LEASES, LATE_REPLIES, GRACE_TIMES, VOTER_CHANGES, DISK_LOSSES)
 
 
 @dataclass(frozen=True, slots=True)
-class Parts:
+class Roles:
     """The roles to check: those of the protocol, or some with a planted defect.
 
     Attributes
@@ -162,18 +162,18 @@
     fault: str = ""
     disk_losses: int = 0
 
-    def known(self) -> list[Acceptor]:
+    def voters_with_state(self) -> list[Acceptor]:
         """The voters that have state."""
         return [voter for voter in self.voters if voter is not None]
 
 
-def begin(bounds: Bounds, parts: Parts) -> World:
+def initial_world(bounds: Bounds, roles: Roles) -> World:
     """The initial state: settled on the first policy, without leases."""
     first = EpochState(0, Stage.SETTLED, POLICIES[0])
     voter_sets = bounds.voter_sets_of(first)
     unserviceable = bounds.unserviceable
     nodes = tuple(
-        parts.leaseholder(
+        roles.leaseholder(
             n,
             voter_sets,
             latest_epoch=first,
@@ -183,9 +183,9 @@
     )
     return World(
         now=0,
-        voters=tuple(parts.acceptor(n, first) for n in range(bounds.voters)),
+        voters=tuple(roles.acceptor(n, first) for n in range(bounds.voters)),
         nodes=nodes,
-        proposers=tuple(parts.proposer(n + 1, voter_sets, first) for n in range(PROPOSERS)),
+        proposers=tuple(roles.proposer(n + 1, voter_sets, first) for n in range(PROPOSERS)),
         requests=(None,) * bounds.nodes,
         replies=(frozenset(),) * bounds.nodes,
         decided=(first,),
--- a/hollybay/consensus/planted_defects.py
+++ b/hollybay/consensus/planted_defects.py
@@ -20,7 +20,7 @@
     is_valid_successor,
 )
 from .leaseholder import Leaseholder
-from .model_world import Parts
+from .model_world import Roles
 from .proposer import Proposer
 
 __all__ = ["DEFECTS"]
@@ -216,26 +216,26 @@
         return super().on_promise(promise._replace(accepted=None))
 
 
-DEFECTS: dict[str, Parts] = {
-    "voted before stored": Parts(acceptor=_ForgetsVotes),
-    "promised before stored": Parts(acceptor=_ForgetsPromises),
-    "reborn and not quiet": Parts(acceptor=_VotesAfterRestart),
-    "a silent node not waited for": Parts(acceptor=_IgnoresLeases),
-    "a no heard too late": Parts(acceptor=_GrantsAfterVote),
-    "a no not heard": Parts(acceptor=_IgnoresUnserviceable),
-    "parent not compared": Parts(acceptor=_IgnoresParent, skips_joint=True),
-    "votes below its promise": Parts(acceptor=_BreaksPromise),
-    "votes not told": Parts(acceptor=_OmitsVote),
-    "leases on old epochs": Parts(acceptor=_GrantsOldEpochs),
-    "leases over too soon": Parts(acceptor=_CountsShortLeases),
-    "lease counted from the answer": Parts(leaseholder=_CountsFromReply),
-    "one grant enough": Parts(leaseholder=_NeedsOneGrant),
-    "old grants counted": Parts(leaseholder=_KeepsOldGrants),
-    "end of the lease not looked at": Parts(leaseholder=_IgnoresLeaseEnd),
-    "serves what it cannot": Parts(leaseholder=_ServesUnserviceable),
-    "yes without looking": Parts(leaseholder=_ReportsServiceable),
-    "majority of those that answered": Parts(proposer=_NeedsNoQuorum),
-    "in doubt and dropped": Parts(proposer=_IgnoresVotes),
-    "votes with a lost disk": Parts(acceptor=_VotesAfterDiskLoss),
-    "nodes that are late not waited for": Parts(acceptor=_IgnoresGrace),
+DEFECTS: dict[str, Roles] = {
+    "voted before stored": Roles(acceptor=_ForgetsVotes),
+    "promised before stored": Roles(acceptor=_ForgetsPromises),
+    "reborn and not quiet": Roles(acceptor=_VotesAfterRestart),
+    "a silent node not waited for": Roles(acceptor=_IgnoresLeases),
+    "a no heard too late": Roles(acceptor=_GrantsAfterVote),
+    "a no not heard": Roles(acceptor=_IgnoresUnserviceable),
+    "parent not compared": Roles(acceptor=_IgnoresParent, skips_joint=True),
+    "votes below its promise": Roles(acceptor=_BreaksPromise),
+    "votes not told": Roles(acceptor=_OmitsVote),
+    "leases on old epochs": Roles(acceptor=_GrantsOldEpochs),
+    "leases over too soon": Roles(acceptor=_CountsShortLeases),
+    "lease counted from the answer": Roles(leaseholder=_CountsFromReply),
+    "one grant enough": Roles(leaseholder=_NeedsOneGrant),
+    "old grants counted": Roles(leaseholder=_KeepsOldGrants),
+    "end of the lease not looked at": Roles(leaseholder=_IgnoresLeaseEnd),
+    "serves what it cannot": Roles(leaseholder=_ServesUnserviceable),
+    "yes without looking": Roles(leaseholder=_ReportsServiceable),
+    "majority of those that answered": Roles(proposer=_NeedsNoQuorum),
+    "in doubt and dropped": Roles(proposer=_IgnoresVotes),
+    "votes with a lost disk": Roles(acceptor=_VotesAfterDiskLoss),
+    "nodes that are late not waited for": Roles(acceptor=_IgnoresGrace),
 }
--- a/tests/test_consensus_core.py
+++ b/tests/test_consensus_core.py
@@ -22,8 +22,18 @@
     is_valid_successor,
 )
 from hollybay.consensus.leaseholder import Leaseholder
-from hollybay.consensus.model_check import Found, explore, settles, walk, walk_steps
-from hollybay.consensus.model_world import DEAF, LATE, LONG, LOST, MOVED, SILENT, Bounds, Parts, violation
+from hollybay.consensus.model_check import SearchResult, explore, settles, walk, walk_steps
+from hollybay.consensus.model_world import (
+    DISK_LOSSES,
+    GRACE_TIMES,
+    LATE_REPLIES,
+    LONG_LEASES,
+    LONG_WALKS,
+    VOTER_CHANGES,
+    Bounds,
+    Roles,
+    violation,
+)
 from hollybay.consensus.planted_defects import DEFECTS
 from hollybay.consensus.proposer import Proposer
 
@@ -36,13 +46,13 @@
 NARROW = EpochState(2, Stage.JOINT, "p0", "p1")
 NEW = EpochState(3, Stage.SETTLED, "p1")
 BOUNDS = {
-    "long": LONG,
-    "long, unfit": replace(LONG, unserviceable=UNFIT),
-    "silent": SILENT,
-    "silent, unfit": replace(SILENT, unserviceable=UNFIT),
-    "late": LATE,
-    "moved": MOVED,
-    "lost, unfit": replace(LOST, unserviceable=UNFIT),
+    "long": LONG_WALKS,
+    "long, unfit": replace(LONG_WALKS, unserviceable=UNFIT),
+    "silent": LONG_LEASES,
+    "silent, unfit": replace(LONG_LEASES, unserviceable=UNFIT),
+    "late": GRACE_TIMES,
+    "moved": VOTER_CHANGES,
+    "lost, unfit": replace(DISK_LOSSES, unserviceable=UNFIT),
 }
 # The bounds and the seed by which each planted defect is found; `python -m hollybay.consensus.model_check`
 # searches on.
@@ -242,20 +252,20 @@
 def test_walks_keep_the_guarantee_and_a_change_ends_once_faults_end(label: str) -> None:
     bounds = BOUNDS[label]
     done = ended = 0
-    for seed in range(2 if bounds is MOVED else 5):
+    for seed in range(2 if bounds is VOTER_CHANGES else 5):
         found = walk(seed, bounds)
         assert not found.fault, (seed, found)
         if seed < 6:
-            *_, (_, world) = walk_steps(seed, bounds, Parts())
+            *_, (_, world) = walk_steps(seed, bounds, Roles())
             epoch = max(world.decided).epoch
             # Two of three keepers that lost their disks in one epoch cannot tell what was decided in it.
-            able = [keeper for keeper in world.known() if keeper.last_barred_epoch <= epoch]
+            able = [keeper for keeper in world.voters_with_state() if keeper.last_barred_epoch <= epoch]
             if 2 * len(able) > bounds.voters:
                 assert settles(world, bounds), seed
                 ended += 1
             done += world.newest_alone
     assert ended >= 1
-    deaf = walk(0, replace(DEAF, unserviceable=bounds.unserviceable))
+    deaf = walk(0, replace(LATE_REPLIES, unserviceable=bounds.unserviceable))
     assert not deaf.fault and deaf.depth > 50
 
 
@@ -263,14 +273,14 @@
     """Else they would show nothing."""
     alone = []
     for seed in range(16):
-        *_, (_, world) = walk_steps(seed, LONG, Parts())
+        *_, (_, world) = walk_steps(seed, LONG_WALKS, Roles())
         alone.append(world.newest_alone)
     assert sum(newest > 0 for newest in alone) >= 2
 
 
 def test_breadth_first_up_to_a_bound() -> None:
-    found = explore(Bounds(), most=12_000)
-    assert isinstance(found, Found) and found.states >= 12_000 and not found.fault
+    found = explore(Bounds(), max_states=12_000)
+    assert isinstance(found, SearchResult) and found.states >= 12_000 and not found.fault
 
 
 def test_each_planted_defect_is_found() -> None:
@@ -282,7 +292,7 @@
 
 
 def test_a_broken_state_is_told_with_its_steps() -> None:
-    found = walk(0, LONG, DEFECTS["majority of those that answered"])
+    found = walk(0, LONG_WALKS, DEFECTS["majority of those that answered"])
     assert found.fault.startswith("two epochs decided") and found.steps[-1].startswith("voters ")
-    *_, (name, world) = walk_steps(0, LONG, DEFECTS["majority of those that answered"], found.depth)
+    *_, (name, world) = walk_steps(0, LONG_WALKS, DEFECTS["majority of those that answered"], found.depth)
     assert name == found.steps[-1] and violation(world) == found.fault
