--- a/hollybay/consensus/batch_model.py
+++ b/hollybay/consensus/batch_model.py
@@ -24,14 +24,14 @@
 from .queue_settings import QueueSettings
 
 __all__ = [
-    "CANNOT",
+    "CANNOT_SERVE",
     "Bounds",
+    "Components",
     "Delivery",
     "Epoch",
     "ModelState",
     "Move",
     "Node",
-    "Parts",
     "Proposer",
     "Replica",
     "Voter",
@@ -40,7 +40,7 @@
 ]
 
 # The problems of a change that no node can serve.
-CANNOT = (ChangeProblem.because(CannotBeServed(), CHANGE),)
+CANNOT_SERVE = (ChangeProblem.because(CannotBeServed(), CHANGE),)
 # Size of a batch in the log of a voter, and the bound of the log. The bound is out of reach, so that only the
 # number of batches limits the log.
 BATCH_BYTES = 1
@@ -57,7 +57,7 @@
         Number of each; of crashes the maximum.
     offers
         Maximum number of offers of each change.
-    bad
+    unserviceable_fraction
         The fraction of changes that no node can serve.
     log_batches
         Number of batches that the log of a voter holds.
@@ -71,7 +71,7 @@
     steps: int = 150
     crashes: int = 4
     offers: int = 4
-    bad: float = 0.25
+    unserviceable_fraction: float = 0.25
     log_batches: int = 3
     settings: QueueSettings = field(
         default_factory=lambda: QueueSettings(
@@ -117,7 +117,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Parts:
+class Components:
     """The components to check: the production ones, or some with a planted defect.
 
     Parameters
@@ -126,7 +126,7 @@
         The classes of queues and of the replicas of nodes.
     remembers_ids
         Whether resource states record the ids of decided changes.
-    voids_answers
+    discards_earlier_answers
         Whether a proposer that offers its change to a voter again discards the earlier answer of that voter.
     verdict
         Combines the answers of all voters to which a proposer offered its change.
@@ -135,7 +135,7 @@
     queue: type[ProposalQueue] = ProposalQueue
     replica: type[Replica] = Replica
     remembers_ids: bool = True
-    voids_answers: bool = True
+    discards_earlier_answers: bool = True
     verdict: Callable[[list[Outcome]], Outcome] = combined_outcome
 
 
@@ -180,7 +180,7 @@
     """The proposer of one change. answers: the latest outcome from each voter to which it was offered."""
 
     change: Change
-    bad: bool
+    is_unserviceable: bool
     answers: dict[int, Outcome] = field(default_factory=dict)
     offers: int = 0
     verdict: Outcome = field(default_factory=Unknown)
@@ -218,29 +218,29 @@
 class ModelState:
     """The mutable state of the model during a walk."""
 
-    def __init__(self, seed: int, bounds: Bounds, parts: Parts) -> None:
+    def __init__(self, seed: int, bounds: Bounds, components: Components) -> None:
         self.random = random.Random(seed)
         self.bounds = bounds
-        self.parts = parts
+        self.components = components
         self.now = 0
         self.epochs: list[Epoch] = []
         self.states: list[ResourceState] = [EMPTY]  # by revision
         self.decided_ids: set[bytes] = set()
         self.voters = [self._new_voter(number, EMPTY) for number in range(bounds.voters)]
-        self.nodes = [Node(number, parts.replica(EMPTY), EMPTY) for number in range(bounds.nodes)]
+        self.nodes = [Node(number, components.replica(EMPTY), EMPTY) for number in range(bounds.nodes)]
         self.proposers: list[Proposer] = []
         self.crashes = 0
 
     def _new_voter(self, number: int, state: ResourceState) -> Voter:
-        return Voter(number, self.parts.queue(self.bounds.settings), state, self.new_log(), state)
+        return Voter(number, self.components.queue(self.bounds.settings), state, self.new_log(), state)
 
     def new_log(self) -> BatchLog:
         """An empty log for a voter."""
         return BatchLog(self.bounds.log_batches, MAX_LOG_BYTES)
 
-    def seen(self, state: ResourceState) -> ResourceState:
+    def visible_state(self, state: ResourceState) -> ResourceState:
         """A resource state as the components see it: without change ids if they do not remember them."""
-        return state if self.parts.remembers_ids else replace(state, revision_by_change_id=Map())
+        return state if self.components.remembers_ids else replace(state, revision_by_change_id=Map())
 
     def proposer_of(self, change_id: bytes) -> Proposer:
         """The proposer of a change."""
--- a/hollybay/consensus/batch_model_check.py
+++ b/hollybay/consensus/batch_model_check.py
@@ -14,7 +14,7 @@
 
 from hollybay.resources.batch import BatchMismatchError
 
-from .batch_model import Bounds, Move, Parts
+from .batch_model import Bounds, Components, Move
 from .batch_model_invariants import InvariantError, check_state
 from .batch_model_moves import World
 
@@ -54,22 +54,22 @@
     ----------
     steps
         The names of all moves.
-    wrong
+    violation
         The invariant that did not hold after them; empty if all did.
     answered, revisions
         Number of changes with a final outcome, and of decided batches.
     """
 
     steps: list[str] = field(default_factory=list)
-    wrong: str = ""
+    violation: str = ""
     answered: int = 0
     revisions: int = 0
 
 
-def walk(seed: int, bounds: Bounds | None = None, parts: Parts | None = None) -> Walk:
+def walk(seed: int, bounds: Bounds | None = None, components: Components | None = None) -> Walk:
     """Take one random walk: draws the kind of each move, then a move of this kind; ends without faults."""
     bounds = bounds or Bounds()
-    world = World(seed, bounds, parts or Parts())
+    world = World(seed, bounds, components or Components())
     result = Walk()
     try:
         for _ in range(bounds.steps):
@@ -78,7 +78,7 @@
         result.steps.append("faults end")
         world.finish()
     except (InvariantError, BatchMismatchError) as error:
-        result.wrong = str(error)
+        result.violation = str(error)
     result.answered = sum(proposer.is_answered for proposer in world.proposers)
     result.revisions = len(world.states) - 1
     return result
@@ -107,8 +107,8 @@
         result = walk(seed)
         answered += result.answered
         revisions += result.revisions
-        if result.wrong:
-            print(f"seed {seed}: {result.wrong}; steps:")
+        if result.violation:
+            print(f"seed {seed}: {result.violation}; steps:")
             for line in result.steps:
                 print(f"  {line}")
             return 1
--- a/hollybay/consensus/batch_model_invariants.py
+++ b/hollybay/consensus/batch_model_invariants.py
@@ -4,7 +4,7 @@
 
 from hollybay.resources.model import Change, ChangeRejectedError
 
-from .batch_model import CANNOT, ModelState, Proposer, Voter, number_of
+from .batch_model import CANNOT_SERVE, ModelState, Proposer, Voter, number_of
 from .proposal_outcomes import InForce, Rejected, Unknown
 
 __all__ = [
@@ -53,8 +53,8 @@
     elif isinstance(verdict, Rejected):
         is_decided = change_id in model.decided_ids
         require(not is_decided, f"{name} is reported as rejected but is in force")
-        if verdict.problems == CANNOT:
-            require(proposer.bad, f"{name} is rejected although nodes can serve it")
+        if verdict.problems == CANNOT_SERVE:
+            require(proposer.is_unserviceable, f"{name} is rejected although nodes can serve it")
 
 
 def check_queue_rejection(voter: Voter, change: Change) -> None:
@@ -76,9 +76,10 @@
             require(is_known, f"voter {voter.number} forgot change {number_of(change_id)}")
     for proposer in model.proposers:
         outcome = voter.queue.outcome(proposer.change.id, model.now)
-        if isinstance(outcome, Rejected) and outcome.problems == CANNOT:
+        if isinstance(outcome, Rejected) and outcome.problems == CANNOT_SERVE:
             require(
-                proposer.bad, f"change {number_of(proposer.change.id)} is rejected because of another one"
+                proposer.is_unserviceable,
+                f"change {number_of(proposer.change.id)} is rejected because of another one",
             )
 
 
--- a/hollybay/consensus/batch_model_moves.py
+++ b/hollybay/consensus/batch_model_moves.py
@@ -11,7 +11,7 @@
 
 from hollybay.resources.batch import Batch, apply_batch
 
-from .batch_model import CANNOT, Epoch, Move, Voter, ids_of, number_of
+from .batch_model import CANNOT_SERVE, Epoch, Move, Voter, ids_of, number_of
 from .batch_model_invariants import (
     check_complete,
     check_queue_rejection,
@@ -73,7 +73,7 @@
 
     def _form_batch(self, voter: Voter) -> None:
         before = self._rejected_at(voter)
-        assembled = voter.queue.next_batch(self.seen(voter.state), self.now)
+        assembled = voter.queue.next_batch(self.visible_state(voter.state), self.now)
         if assembled is not None:
             voter.next_batch = assembled.batch
         for change_id in self._rejected_at(voter) - before:
@@ -92,7 +92,7 @@
             self.epochs.append(Epoch(batch, settled=False))
             voter.known_epochs += 1
         else:
-            voter.queue.batch_superseded(batch, self.seen(voter.state), self.now)
+            voter.queue.batch_superseded(batch, self.visible_state(voter.state), self.now)
 
     def _propose_and_crash(self, voter: Voter) -> None:
         """A voter proposes its batch and crashes before it learns of the epoch."""
@@ -104,13 +104,13 @@
     def _settle(self) -> None:
         """The proposed batch is decided, or dropped if nodes cannot serve it. Its proposer may be down."""
         batch = self.epochs[-1].batch
-        if any(self.proposer_of(change_id).bad for change_id in ids_of(batch)):
+        if any(self.proposer_of(change_id).is_unserviceable for change_id in ids_of(batch)):
             self.epochs.append(Epoch(batch, settled=True))
             return
         for change_id in ids_of(batch):
             require(change_id not in self.decided_ids, f"change {change_id.hex()[-2:]} is decided twice")
             self.decided_ids.add(change_id)
-        self.states.append(apply_batch(self.seen(self.states[-1]), batch))
+        self.states.append(apply_batch(self.visible_state(self.states[-1]), batch))
         self.epochs.append(Epoch(batch, settled=True, decided=True))
 
     def _learn_by_chance(self, voter: Voter) -> None:
@@ -124,23 +124,25 @@
         own = voter.queue.batch_in_progress
         if not epoch.settled:
             if own is not None and own != epoch.batch:
-                voter.queue.batch_superseded(own, self.seen(voter.state), self.now)
+                voter.queue.batch_superseded(own, self.visible_state(voter.state), self.now)
             return
         if epoch.decided:
             if epoch.batch.revision == voter.state.revision + 1:
                 self._append(voter, epoch.batch)
             voter.queue.batch_decided(epoch.batch, self.now)
             return
-        bad = [change_id for change_id in ids_of(epoch.batch) if self.proposer_of(change_id).bad]
-        reasons = dict.fromkeys(bad[:1], CANNOT) if names else {}
-        voter.queue.batch_dropped(epoch.batch, reasons, self.now, CANNOT)
+        unserviceable = [
+            change_id for change_id in ids_of(epoch.batch) if self.proposer_of(change_id).is_unserviceable
+        ]
+        reasons = dict.fromkeys(unserviceable[:1], CANNOT_SERVE) if names else {}
+        voter.queue.batch_dropped(epoch.batch, reasons, self.now, CANNOT_SERVE)
 
     def _append(self, voter: Voter, batch: Batch) -> None:
         """Append a batch to a voter's log; if that is full, it is replaced by a snapshot first."""
         if voter.state.revision - voter.snapshot.revision >= self.bounds.log_batches:
             voter.snapshot = voter.state
             voter.log = self.new_log()
-        voter.state = apply_batch(self.seen(voter.state), batch)
+        voter.state = apply_batch(self.visible_state(voter.state), batch)
         voter.log.append(batch, 1)
 
     def _catch_up(self, voter: Voter) -> None:
@@ -152,7 +154,7 @@
             voter.log = self.new_log()
         own = voter.queue.batch_in_progress
         if own is not None:
-            voter.queue.batch_superseded(own, self.seen(voter.state), self.now)
+            voter.queue.batch_superseded(own, self.visible_state(voter.state), self.now)
 
     def _crash(self, voter: Voter) -> None:
         """A voter crashes and loses its queue; its state is on its disk."""
@@ -162,7 +164,7 @@
 
     def _restart_voter(self, voter: Voter) -> None:
         voter.alive = True
-        voter.queue = self.parts.queue(self.bounds.settings)
+        voter.queue = self.components.queue(self.bounds.settings)
         voter.accepted = set()
 
     # Final phase
--- a/hollybay/consensus/batch_model_nodes.py
+++ b/hollybay/consensus/batch_model_nodes.py
@@ -73,7 +73,7 @@
 
     def _restart_node(self, node: Node) -> None:
         """A node restarts from its disk; deliveries in transit may still arrive."""
-        node.replica = self.parts.replica(node.stored)
+        node.replica = self.components.replica(node.stored)
 
 
 def delivery_from(voter: Voter, revision: int) -> Delivery:
--- a/hollybay/consensus/batch_model_proposers.py
+++ b/hollybay/consensus/batch_model_proposers.py
@@ -12,7 +12,7 @@
 
 from .batch_model import ModelState, Move, Proposer, Voter, ids_of
 from .batch_model_invariants import check_verdict
-from .proposal_outcomes import Busy, InForce, Outcome, Queued, Rejected, RejectedNow, UnderWay, Unknown
+from .proposal_outcomes import Busy, InForce, OfferRejected, Outcome, Queued, Rejected, UnderWay, Unknown
 
 __all__ = ["ProposerMoves"]
 
@@ -48,23 +48,23 @@
             operation = Upsert(Kind.ROUTE, name, base, b"%d" % len(self.proposers))
         change_id = len(self.proposers).to_bytes(CHANGE_ID_BYTES, "big")
         change = Change(change_id, state.revision, "why", "who", (operation,))
-        self.proposers.append(Proposer(change, self.random.random() < self.bounds.bad))
+        self.proposers.append(Proposer(change, self.random.random() < self.bounds.unserviceable_fraction))
 
     def _offer(self, proposer: Proposer, voter: Voter, is_reply_received: bool) -> None:
         """A proposer offers its change to a voter. is_reply_received: whether the reply arrives."""
         proposer.offers += 1
-        if self.parts.voids_answers:
+        if self.components.discards_earlier_answers:
             proposer.answers[voter.number] = Unknown()
         proposer.answers.setdefault(voter.number, Unknown())
         if proposer.change.base_revision > voter.state.revision:
             return  # a voter that is behind queues nothing and tells proposers to retry later
-        answer = voter.queue.offer(proposer.change, self.seen(voter.state), self.now)
+        answer = voter.queue.offer(proposer.change, self.visible_state(voter.state), self.now)
         if isinstance(answer, Queued):
             voter.accepted.add(proposer.change.id)
         if not is_reply_received or isinstance(answer, Busy):
             return
         outcome = self._outcome(voter, proposer.change.id)
-        if isinstance(answer, RejectedNow) and not isinstance(outcome, InForce):
+        if isinstance(answer, OfferRejected) and not isinstance(outcome, InForce):
             outcome = Rejected(answer.problems)
         self._receive_answer(proposer, voter, outcome)
 
@@ -84,7 +84,7 @@
 
     def _receive_answer(self, proposer: Proposer, voter: Voter, outcome: Outcome) -> None:
         proposer.answers[voter.number] = outcome
-        proposer.verdict = self.parts.verdict(list(proposer.answers.values()))
+        proposer.verdict = self.components.verdict(list(proposer.answers.values()))
         check_verdict(self, proposer)
 
     def poll_all(self, proposer: Proposer) -> None:
--- a/hollybay/consensus/change_requests.py
+++ b/hollybay/consensus/change_requests.py
@@ -24,7 +24,7 @@
 from .log_replica import LogReplica
 from .log_server import LogServer
 from .policy import PolicyVersion, successor_policy
-from .proposal_outcomes import Busy, Queued, RejectedNow
+from .proposal_outcomes import Busy, OfferRejected, Queued
 from .proposals import Proposals
 from .replies import busy, ok
 from .request_content import RequestContent
@@ -144,7 +144,7 @@
         change_id = change.id.hex()
         if isinstance(offered, Busy):
             return busy("the proposal queue is full or its wait too long", offered.retry_after_ns / SECOND)
-        if isinstance(offered, RejectedNow):
+        if isinstance(offered, OfferRejected):
             problems = list(offered.problems)
             reply = messages.ChangeReply(change_id, messages.ChangeOutcome.REJECTED, problems=problems)
             return ok(reply, CONFLICT)
--- a/hollybay/consensus/group_commit.py
+++ b/hollybay/consensus/group_commit.py
@@ -35,12 +35,12 @@
     AlreadyQueued,
     Busy,
     InForce,
+    OfferRejected,
     OfferReply,
     Outcome,
     Pending,
     Queued,
     Rejected,
-    RejectedNow,
     UnderWay,
     Unknown,
 )
@@ -134,11 +134,11 @@
         try:
             state.check(change)
         except ChangeRejectedError as error:
-            return RejectedNow(error.problems)
+            return OfferRejected(error.problems)
         size = len(encode_change(change))
         if size > self.settings.max_change_bytes:
             reason = TooLarge(size, self.settings.max_change_bytes)
-            return RejectedNow((ChangeProblem.because(reason, CHANGE),))
+            return OfferRejected((ChangeProblem.because(reason, CHANGE),))
         waiting_bytes = self.bytes - self._under_way_bytes
         wait = self._estimated_wait_ns(len(self._waiting) + 1, waiting_bytes + size, now)
         if self._is_full(size) or wait > self.settings.max_wait_ns:
@@ -165,7 +165,7 @@
             case InForce(ended_revision):
                 return AlreadyDecided(ended_revision)
             case Rejected(problems):
-                return RejectedNow(problems)
+                return OfferRejected(problems)
         return None
 
     def outcome(self, change_id: bytes, now: int) -> Outcome:
--- a/hollybay/consensus/planted_batch_defects.py
+++ b/hollybay/consensus/planted_batch_defects.py
@@ -9,7 +9,7 @@
 from hollybay.resources.model import Change, ChangeProblem, ChangeRejectedError
 from hollybay.resources.state import ResourceState
 
-from .batch_model import CANNOT, Delivery, Parts, Replica
+from .batch_model import CANNOT_SERVE, Components, Delivery, Replica
 from .group_commit import ProposalQueue
 from .proposal_outcomes import (
     InForce,
@@ -38,7 +38,7 @@
         now: int,
         problems: tuple[ChangeProblem, ...] = (),
     ) -> None:
-        named = {change.id: CANNOT for change in batch.changes} if reasons else {}
+        named = {change.id: CANNOT_SERVE for change in batch.changes} if reasons else {}
         super().batch_dropped(batch, named, now, problems)
 
 
@@ -153,20 +153,20 @@
     return combined_outcome(Rejected(()) if isinstance(outcome, Unknown) else outcome for outcome in outcomes)
 
 
-DEFECTS: dict[str, Parts] = {
-    "one bad change drops its batch": Parts(queue=_RejectsWholeBatch),
-    "a batch is never divided": Parts(queue=_NeverSplits),
-    "refused for a batch that is not decided": Parts(queue=_RejectsTooEarly),
-    "a lost batch is not offered again": Parts(queue=_LosesBatches),
-    "a proposer is told of another's outcome": Parts(queue=_ReportsAnotherOutcome),
-    "in force before the decision": Parts(queue=_ReportsTooEarly),
-    "refused for its long wait": Parts(queue=_RejectsLateChanges),
-    "a change is decided twice": Parts(remembers_ids=False),
-    "a delta over a gap": Parts(replica=_AcceptsGaps),
-    "a snapshot older than the state": Parts(replica=_AcceptsOldSnapshots),
-    "a snapshot older than the delta's base": Parts(replica=_IgnoresDeltaBase),
-    "half of a delivery": Parts(replica=_AppliesPartially),
-    "one refusal taken for all": Parts(verdict=_first_rejection),
-    "a keeper that forgot taken for a no": Parts(verdict=_unknown_is_rejected),
-    "an old refusal counted after a new offer": Parts(voids_answers=False),
+DEFECTS: dict[str, Components] = {
+    "one bad change drops its batch": Components(queue=_RejectsWholeBatch),
+    "a batch is never divided": Components(queue=_NeverSplits),
+    "refused for a batch that is not decided": Components(queue=_RejectsTooEarly),
+    "a lost batch is not offered again": Components(queue=_LosesBatches),
+    "a proposer is told of another's outcome": Components(queue=_ReportsAnotherOutcome),
+    "in force before the decision": Components(queue=_ReportsTooEarly),
+    "refused for its long wait": Components(queue=_RejectsLateChanges),
+    "a change is decided twice": Components(remembers_ids=False),
+    "a delta over a gap": Components(replica=_AcceptsGaps),
+    "a snapshot older than the state": Components(replica=_AcceptsOldSnapshots),
+    "a snapshot older than the delta's base": Components(replica=_IgnoresDeltaBase),
+    "half of a delivery": Components(replica=_AppliesPartially),
+    "one refusal taken for all": Components(verdict=_first_rejection),
+    "a keeper that forgot taken for a no": Components(verdict=_unknown_is_rejected),
+    "an old refusal counted after a new offer": Components(discards_earlier_answers=False),
 }
--- a/hollybay/consensus/proposal_outcomes.py
+++ b/hollybay/consensus/proposal_outcomes.py
@@ -17,12 +17,12 @@
     "AlreadyQueued",
     "Busy",
     "InForce",
+    "OfferRejected",
     "OfferReply",
     "Outcome",
     "Pending",
     "Queued",
     "Rejected",
-    "RejectedNow",
     "UnderWay",
     "Unknown",
     "combined_outcome",
@@ -61,7 +61,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RejectedNow:
+class OfferRejected:
     """The change does not apply, or was rejected before; nothing was queued."""
 
     problems: tuple[ChangeProblem, ...]
@@ -80,7 +80,7 @@
     retry_after_ns: int
 
 
-OfferReply = Queued | AlreadyQueued | AlreadyDecided | RejectedNow | Busy
+OfferReply = Queued | AlreadyQueued | AlreadyDecided | OfferRejected | Busy
 
 
 # Outcomes of a queued change
--- a/tests/test_batch_model.py
+++ b/tests/test_batch_model.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from hollybay.consensus.batch_model import Bounds, Parts
+from hollybay.consensus.batch_model import Bounds, Components
 from hollybay.consensus.batch_model_check import WEIGHTS, walk
 from hollybay.consensus.planted_batch_defects import DEFECTS
 
@@ -36,7 +36,7 @@
     answered = revisions = 0
     for seed in range(WALKS):
         found = walk(seed)
-        assert not found.wrong, (seed, found.wrong, found.steps)
+        assert not found.violation, (seed, found.violation, found.steps)
         kinds.update(step.partition(" ")[0] for step in found.steps)
         answered += found.answered
         revisions += found.revisions
@@ -46,13 +46,18 @@
 
 @pytest.mark.parametrize(
     "bounds",
-    [Bounds(voters=2), Bounds(bad=0.0), Bounds(bad=1.0), Bounds(changes=24, steps=300, crashes=0)],
+    [
+        Bounds(voters=2),
+        Bounds(unserviceable_fraction=0.0),
+        Bounds(unserviceable_fraction=1.0),
+        Bounds(changes=24, steps=300, crashes=0),
+    ],
     ids=["two keepers", "none bad", "all bad", "many changes"],
 )
 def test_production_components_pass_under_other_bounds(bounds: Bounds) -> None:
     for seed in range(40):
         found = walk(seed, bounds)
-        assert not found.wrong, (seed, found.wrong, found.steps)
+        assert not found.violation, (seed, found.violation, found.steps)
 
 
 def test_a_seed_determines_the_walk() -> None:
@@ -66,6 +71,6 @@
 @pytest.mark.parametrize("name", DEFECTS)
 def test_a_planted_defect_is_found(name: str) -> None:
     seed, text = SEEDS[name]
-    found = walk(seed, parts=DEFECTS[name])
-    assert text in found.wrong
-    assert not walk(seed, parts=Parts()).wrong  # without the defect the same walk passes
+    found = walk(seed, components=DEFECTS[name])
+    assert text in found.violation
+    assert not walk(seed, components=Components()).violation  # without the defect the same walk passes
--- a/tests/test_group_commit.py
+++ b/tests/test_group_commit.py
@@ -15,10 +15,10 @@
     AlreadyQueued,
     Busy,
     InForce,
+    OfferRejected,
     Pending,
     Queued,
     Rejected,
-    RejectedNow,
     UnderWay,
     Unknown,
     combined_outcome,
@@ -106,7 +106,7 @@
     queue = ProposalQueue(NO_LINGER)
     wrong = change_of(1, Delete(Kind.ROUTE, "r", 3))
     rejected = queue.offer(wrong, EMPTY, 0)
-    assert isinstance(rejected, RejectedNow) and "no such resource" in rejected.problems[0].reason
+    assert isinstance(rejected, OfferRejected) and "no such resource" in rejected.problems[0].reason
     assert queue.outcome(wrong.id, 0) == Unknown()  # it was never accepted
     conflicting = [change_of(n, Upsert(Kind.ROUTE, "r", 0, b"%d" % n)) for n in (2, 3)]
     for one in conflicting:
@@ -121,7 +121,7 @@
     assert queue.next_batch(assembled.state, 0) is None
     outcome = queue.outcome(conflicting[1].id, 0)
     assert isinstance(outcome, Rejected) and "version 1 is there" in outcome.problems[0].reason
-    assert queue.offer(conflicting[1], assembled.state, 0) == RejectedNow(outcome.problems)
+    assert queue.offer(conflicting[1], assembled.state, 0) == OfferRejected(outcome.problems)
 
 
 def test_requeued_changes_and_conflicting_ones_keep_their_order() -> None:
@@ -250,7 +250,7 @@
     assert batches == [2, 1, 1, 1] and queue.bytes == 0
     too_large = change_of(6, Upsert(Kind.ROUTE, "larger", 0, b"x" * 8 * size))
     rejected = queue.offer(too_large, EMPTY, 0)
-    assert isinstance(rejected, RejectedNow) and "at most" in rejected.problems[0].reason
+    assert isinstance(rejected, OfferRejected) and "at most" in rejected.problems[0].reason
 
 
 def test_a_full_queue_or_too_long_a_wait_is_reported_as_busy() -> None:
@@ -414,7 +414,7 @@
         if change.id in self.decided:
             assert answer == AlreadyDecided(self.state.revision_of(change.id) or 0)
         elif change.id in self.ended:
-            assert isinstance(answer, RejectedNow)
+            assert isinstance(answer, OfferRejected)
         else:
             assert answer == AlreadyQueued()
 
