--- a/hollybay/consensus/batch_model_nodes.py
+++ b/hollybay/consensus/batch_model_nodes.py
@@ -39,7 +39,7 @@
             yield "restart", partial(self._restart_node, node)
 
     def _send(self, node: Node, voter: Voter) -> None:
-        """A voter sends what a node lacks after the revision that it now has."""
+        """A voter replies to a node's request with all that follows the node's revision at this time."""
         node.inbox.append(delivery_from(voter, node.replica.state.revision))
         del node.inbox[:-MAX_INBOX]
 
--- a/hollybay/consensus/log_server.py
+++ b/hollybay/consensus/log_server.py
@@ -54,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Reply:
-    """A complete reply; name: the entry or the draft that it ends with."""
+    """A complete reply. name: of the last entry, of the snapshot, or the id of the draft."""
 
     name: str
     data: bytes
--- a/hollybay/consensus/planted_defects.py
+++ b/hollybay/consensus/planted_defects.py
@@ -84,7 +84,7 @@
 
 
 class _IgnoresParent(Acceptor):
-    """Votes for any later epoch, even if it is no valid successor."""
+    """Votes for any later epoch, even for one that is not a valid successor."""
 
     def may_vote(self, now: int, state: EpochState) -> bool:
         is_blocked = any(lease.epoch < self.decided.epoch and lease.lease_end > now for lease in self.leases)
--- a/tests/test_group_commit.py
+++ b/tests/test_group_commit.py
@@ -448,15 +448,15 @@
         reasons = {bad[0]: CANNOT_SERVE} if named else {}
         self.queue.batch_dropped(assembled.batch, reasons, self.now, CANNOT_SERVE)
 
-    @rule(data=st.data(), told=st.booleans())
-    def another_voter_is_first(self, data: st.DataObject, told: bool) -> None:
+    @rule(data=st.data(), is_reported=st.booleans())
+    def another_voter_is_first(self, data: st.DataObject, is_reported: bool) -> None:
         """Another voter's batch is decided: it holds a change of its own and some that were offered here."""
         waiting = [one for key, one in self.changes.items() if key not in self.ended and key not in self.bad]
         some = data.draw(st.lists(st.sampled_from(waiting), unique_by=lambda one: one.id)) if waiting else []
         self.number += 1
         theirs = assemble(self.state, (*some, change_of(self.number, base_revision=self.state.revision)))
         self.decide(theirs)
-        if told:
+        if is_reported:
             self.queue.batch_decided(theirs.batch, self.now)
         elif self.assembled is not None:
             self.queue.batch_superseded(self.assembled.batch, self.state, self.now)
