--- a/hollybay/consensus/change_builder.py
+++ b/hollybay/consensus/change_builder.py
@@ -33,7 +33,7 @@
 KINDS = frozenset(kind.value for kind in Kind)
 # Number of operations of which the difference is shown.
 MAX_SHOWN = 2000
-# The longest name of an unknown resource that is quoted.
+# Names of unknown resources are quoted in problems up to this length, in characters.
 MAX_QUOTED_NAME_LENGTH = 80
 
 
--- a/hollybay/consensus/log_replica.py
+++ b/hollybay/consensus/log_replica.py
@@ -111,7 +111,7 @@
             self.environment.data_plane.log_event(LogEvent.PRUNING_FAILED, error=str(error))
 
     def base(self, state: EpochState) -> Entry:
-        """The entry that the next policy follows, with its resources.
+        """The entry of the policy in force, with its resources: the one that the next policy follows.
 
         Raises
         ------
@@ -120,5 +120,5 @@
         """
         entry = self.log.entry(state.policy)
         if entry is None or entry.state is None:
-            raise RejectedError(f"{state.policy} is not on this disk")
+            raise RejectedError(f"{state.policy} or its resources are missing in the local log")
         return entry
--- a/hollybay/consensus/proposal_outcomes.py
+++ b/hollybay/consensus/proposal_outcomes.py
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Queued:
-    """The change was accepted and will be decided.
+    """The change was queued and will get exactly one final outcome.
 
     Parameters
     ----------
--- a/hollybay/consensus/verdict.py
+++ b/hollybay/consensus/verdict.py
@@ -119,7 +119,7 @@
 
 
 def judge_settled(view: ClusterView, change: str, epoch: int, settled: int) -> Verdict:
-    """Whether a change is in force at every node.
+    """The verdict on a settled change: whether it is in force at every node.
 
     Parameters
     ----------
