--- a/hollybay/consensus/batch_model_proposers.py
+++ b/hollybay/consensus/batch_model_proposers.py
@@ -1,6 +1,6 @@
-"""The proposers in the model of group commit: they make changes, offer them to voters and poll for outcomes.
+"""The proposers in the group commit model: they create changes, offer them to voters and poll for outcomes.
 
-Answers are lost, and proposals are repeated at other voters.
+Replies may be lost, and a change may be offered again to the same or another voter.
 """
 
 from __future__ import annotations
@@ -12,21 +12,21 @@
 
 from .batch_model import ModelState, Move, Proposer, Voter, ids_of
 from .batch_model_invariants import check_verdict
-from .proposal_outcomes import Busy, InForce, Outcome, Queued, Rejected, RejectedNow, UnderWay, Unknown
+from .proposal_outcomes import Busy, InForce, OfferRejected, Outcome, Queued, Rejected, UnderWay, Unknown
 
 __all__ = ["ProposerMoves"]
 
-# The names of all routes.
+# The names of the routes that changes modify.
 NAMES = ("a", "b")
-# How often a change deletes a resource that exists.
+# Probability that a change of an existing resource deletes it.
 DELETE_PROBABILITY = 0.5
 
 
 class ProposerMoves(ModelState):
-    """What proposers may do."""
+    """The moves of proposers."""
 
     def proposer_moves(self, voter: Voter) -> Iterator[Move]:
-        """What proposers may do at a voter."""
+        """The possible moves of proposers at a voter."""
         for proposer in self.proposers:
             if proposer.is_answered:
                 continue
@@ -37,43 +37,43 @@
                 yield "ask", partial(self._poll, proposer, voter)
 
     def make_change(self) -> None:
-        """A proposer makes a change on the state that some voter knows."""
+        """A proposer creates a change based on the state of some voter."""
         state = self.random.choice(self.voters).state
         name = self.random.choice(NAMES)
-        there = state.resources.get(Key(Kind.ROUTE, name))
-        if there is not None and self.random.random() < DELETE_PROBABILITY:
-            operation: Operation = Delete(Kind.ROUTE, name, there.version)
+        existing = state.resources.get(Key(Kind.ROUTE, name))
+        if existing is not None and self.random.random() < DELETE_PROBABILITY:
+            operation: Operation = Delete(Kind.ROUTE, name, existing.version)
         else:
-            base = there.version if there is not None else 0
+            base = existing.version if existing is not None else 0
             operation = Upsert(Kind.ROUTE, name, base, b"%d" % len(self.proposers))
         change_id = len(self.proposers).to_bytes(CHANGE_ID_BYTES, "big")
         change = Change(change_id, state.revision, "why", "who", (operation,))
-        self.proposers.append(Proposer(change, self.random.random() < self.bounds.bad))
+        self.proposers.append(Proposer(change, self.random.random() < self.bounds.unserviceable_fraction))
 
     def _offer(self, proposer: Proposer, voter: Voter, is_reply_received: bool) -> None:
-        """A change is offered to a voter; is_reply_received: whether its answer arrives."""
+        """A proposer offers its change to a voter. is_reply_received: whether the reply arrives."""
         proposer.offers += 1
-        if self.parts.voids_answers:
+        if self.components.discards_earlier_answers:
             proposer.answers[voter.number] = Unknown()
         proposer.answers.setdefault(voter.number, Unknown())
         if proposer.change.base_revision > voter.state.revision:
-            return  # a voter that is behind sends proposers away
-        answer = voter.queue.offer(proposer.change, self.seen(voter.state), self.now)
+            return  # a voter that is behind queues nothing and tells proposers to retry later
+        answer = voter.queue.offer(proposer.change, self.visible_state(voter.state), self.now)
         if isinstance(answer, Queued):
             voter.accepted.add(proposer.change.id)
         if not is_reply_received or isinstance(answer, Busy):
             return
         outcome = self._outcome(voter, proposer.change.id)
-        if isinstance(answer, RejectedNow) and not isinstance(outcome, InForce):
+        if isinstance(answer, OfferRejected) and not isinstance(outcome, InForce):
             outcome = Rejected(answer.problems)
         self._receive_answer(proposer, voter, outcome)
 
     def _poll(self, proposer: Proposer, voter: Voter) -> None:
-        """A proposer asks a voter for the outcome of its change."""
+        """A proposer requests the outcome of its change from a voter."""
         self._receive_answer(proposer, voter, self._outcome(voter, proposer.change.id))
 
     def _outcome(self, voter: Voter, change_id: bytes) -> Outcome:
-        """The outcome of a change as a voter knows it: by epochs first, then by its queue."""
+        """The outcome of a change as a voter knows it: by decided epochs first, then by its queue."""
         revision = voter.state.revision_of(change_id)
         if revision is not None:
             return InForce(revision)
@@ -84,11 +84,11 @@
 
     def _receive_answer(self, proposer: Proposer, voter: Voter, outcome: Outcome) -> None:
         proposer.answers[voter.number] = outcome
-        proposer.verdict = self.parts.verdict(list(proposer.answers.values()))
+        proposer.verdict = self.components.verdict(list(proposer.answers.values()))
         check_verdict(self, proposer)
 
     def poll_all(self, proposer: Proposer) -> None:
-        """A proposer asks all that it offered its change to, and offers it again where it is not known."""
+        """A proposer polls all voters that it offered its change to, and offers it again if unknown."""
         for number in list(proposer.answers):
             if proposer.is_answered:
                 return
