--- a/hollybay/balancing/attempt_tracking.py
+++ b/hollybay/balancing/attempt_tracking.py
@@ -39,7 +39,7 @@
         server.open_attempts += 1
         self.estimates.traffic_share.record_attempt()
         if not request.body_pending:
-            self._count(attempt)
+            self._add_in_flight(attempt)
         if server.slow_start_factor < 1.0:
             SlowStart.record_send(server, now)
             self.selector.schedule_idle(server, now)  # an attempt whose body is pending does not unlist it
@@ -55,7 +55,7 @@
         request.body_pending = False
         for attempt in request.attempts:
             if attempt.result is None:
-                self._count(attempt)
+                self._add_in_flight(attempt)
 
     def on_response_started(self, event: ResponseStarted) -> None:
         """Stop counting a streamed attempt as in flight: what remains is sent at the pace of the client."""
@@ -64,7 +64,7 @@
             return
         request.streaming = True
         attempt = request.attempts[event.attempt]
-        self._discount(attempt)
+        self._remove_in_flight(attempt)
         self.selector.schedule_idle(attempt.server, self.context.now)
 
     def finish(self, request: TrackedRequest, attempt: TrackedAttempt, event: AttemptFinished) -> None:
@@ -73,20 +73,20 @@
         request.in_flight_attempts -= 1
         server = attempt.server
         server.open_attempts -= 1
-        self._discount(attempt)
+        self._remove_in_flight(attempt)
         if self.estimates.observe(server, request, event, self.context.now, self.endpoints.stale):
             self.selector.eject(server)
         self.endpoints.remove_if_gone(server)
         self.selector.schedule_idle(server, self.context.now)
 
-    def _count(self, attempt: TrackedAttempt) -> None:
+    def _add_in_flight(self, attempt: TrackedAttempt) -> None:
         """Count an attempt as in flight at its server."""
         attempt.is_counted = True
         self.queueing_delay.attempt_started(self.context.now)
         attempt.server.in_flight += 1
         remove_from_idle(attempt.server)
 
-    def _discount(self, attempt: TrackedAttempt) -> None:
+    def _remove_in_flight(self, attempt: TrackedAttempt) -> None:
         """Stop counting an attempt as in flight at its server."""
         if attempt.is_counted:
             attempt.is_counted = False
--- a/hollybay/balancing/bench_adapter.py
+++ b/hollybay/balancing/bench_adapter.py
@@ -17,15 +17,15 @@
 from .interface import Settings
 from .settings_parser import parse_settings
 
-__all__ = ["Link", "main", "serve"]
+__all__ = ["BalancerHost", "main", "serve"]
 
 
-class Link:
+class BalancerHost:
     """Hosts the balancers of one process, and replies to batches of events.
 
     Parameters
     ----------
-    make
+    create_balancer
         Creates a balancer from settings, a seed and the time (ns).
 
     Attributes
@@ -34,8 +34,8 @@
         Balancers by the number that the simulator assigned to them.
     """
 
-    def __init__(self, make: Callable[[Settings, int, int], Balancer] = Balancer) -> None:
-        self.make = make
+    def __init__(self, create_balancer: Callable[[Settings, int, int], Balancer] = Balancer) -> None:
+        self.create_balancer = create_balancer
         self.instances: dict[int, Balancer] = {}
         self.decoder = EventDecoder()
 
@@ -67,7 +67,9 @@
             return
         content = event.content
         if isinstance(content, Start):
-            self.instances[event.instance] = self.make(parse_settings(content.settings), content.seed, now)
+            self.instances[event.instance] = self.create_balancer(
+                parse_settings(content.settings), content.seed, now
+            )
             return
         instance = self.instances.get(event.instance)
         if instance is None or content is None:
@@ -78,9 +80,9 @@
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
     """Reply to batches until the input ends."""
-    link = Link()
+    host = BalancerHost()
     while (batch := wire.read_batch(source)) is not None:
-        sink.write(link.reply(batch))
+        sink.write(host.reply(batch))
         sink.flush()
 
 
--- a/hollybay/balancing/discovery_polling.py
+++ b/hollybay/balancing/discovery_polling.py
@@ -55,11 +55,11 @@
     return int(max(0.0, rank - 0.5 / nodes) * span)
 
 
-def doubled(span: int, times: int, longest: int) -> int:
+def exponential_backoff(span: int, doublings: int, longest: int) -> int:
     """Return a span (ns, at least 1) after a number of doublings, but at most the longest span (ns)."""
-    if times >= longest.bit_length():
+    if doublings >= longest.bit_length():
         return longest
-    return min(span << times, longest)
+    return min(span << doublings, longest)
 
 
 class PollSchedule:
@@ -105,14 +105,14 @@
         self.failures = 0
         self.queued_failures = 0
 
-    def poll_failed(self, now: int, chance: float) -> int:
+    def poll_failed(self, now: int, jitter: float) -> int:
         """Record that a poll failed or a watch broke, and return the delay (ns) of the next poll.
 
         Parameters
         ----------
         now
             The time (ns).
-        chance
+        jitter
             A uniform random number from 0 to 1.
         """
         self.failures += 1
@@ -123,7 +123,7 @@
         span = min(self.nodes * POLL_SERVICE_TIME_NS, longest)
         if watch_broke:
             return int(self.rank * span)  # the watches of all nodes may have broken at once
-        span = max(span, doubled(FIRST_BACKOFF_NS, self.failures - 1, longest))
+        span = max(span, exponential_backoff(FIRST_BACKOFF_NS, self.failures - 1, longest))
         if self.queued_failures > 1:
-            span = doubled(span, self.queued_failures - 1, MAX_BACKOFF_NS)
-        return int(span * (MIN_JITTER_SHARE + (1.0 - MIN_JITTER_SHARE) * chance))
+            span = exponential_backoff(span, self.queued_failures - 1, MAX_BACKOFF_NS)
+        return int(span * (MIN_JITTER_SHARE + (1.0 - MIN_JITTER_SHARE) * jitter))
--- a/hollybay/balancing/endpoints.py
+++ b/hollybay/balancing/endpoints.py
@@ -43,24 +43,24 @@
         The mean time (ns) between two lists.
     stale
         Whether the list is overdue by more than one mean interval.
-    size_of_kind
+    max_weight_by_kind
         The largest weight seen, by kind of machine, where weights follow load (WeightMode.LIVE).
     """
 
     def __init__(self, settings: Settings, now: int) -> None:
         self.settings = settings
         self.servers: dict[ServerId, TrackedServer] = {}
-        self.returned: list[ServerId] = []
-        self.listed_at = now
+        self.ready_after_drain: list[ServerId] = []
+        self.last_list_at = now
         self.list_interval = float(SECOND)
         self.stale = False
-        self.size_of_kind = [0.0] * settings.kinds
+        self.max_weight_by_kind = [0.0] * settings.kinds
 
     def apply(self, event: ServerList, now: int) -> None:
         """Apply a list that was received at a time (ns)."""
-        gap = min(now - self.listed_at, MAX_INTERVAL_NS)
+        gap = min(now - self.last_list_at, MAX_INTERVAL_NS)
         self.list_interval += INTERVAL_WEIGHT * (gap - self.list_interval)
-        self.listed_at = now
+        self.last_list_at = now
         seen = set()
         for entry in event.servers:
             server = self.servers.get(entry.id)
@@ -88,7 +88,7 @@
         server.zone = entry.zone
         server.cell = entry.cell
         if server.state == ServerState.DRAINING and entry.state == ServerState.READY:
-            self.returned.append(server.id)
+            self.ready_after_drain.append(server.id)
         server.kind = entry.kind if entry.kind < self.settings.kinds else 0
         server.state = entry.state
         if self.settings.weight_mode == WeightMode.NONE or not (
@@ -97,7 +97,7 @@
             return
         server.weight = entry.weight
         if self.settings.weight_mode == WeightMode.LIVE:
-            self.size_of_kind[server.kind] = max(self.size_of_kind[server.kind], entry.weight)
+            self.max_weight_by_kind[server.kind] = max(self.max_weight_by_kind[server.kind], entry.weight)
         else:
             server.nominal_size = entry.weight
 
@@ -127,6 +127,8 @@
 
         Loads fade once a list is overdue: while discovery is unreachable they would be wrong for a long time.
         """
-        overdue = max(0.0, now - self.listed_at - OVERDUE_INTERVALS * self.list_interval) / self.list_interval
+        overdue = (
+            max(0.0, now - self.last_list_at - OVERDUE_INTERVALS * self.list_interval) / self.list_interval
+        )
         self.stale = overdue > 1.0
         return float(OVERDUE_DECAY**overdue)
--- a/hollybay/balancing/final_answers.py
+++ b/hollybay/balancing/final_answers.py
@@ -29,7 +29,7 @@
         """Reject a request because of overload."""
         self.finish(request, Reject(request.id, self.load_shedder.retry_after(request)))
 
-    def give_up(self, request: TrackedRequest) -> None:
+    def reject_or_fail(self, request: TrackedRequest) -> None:
         """End a request that gets no further attempt: reject it if a client may retry it, else fail it."""
         if not is_client_retry_harmless(self.settings.classes[request.class_index], request.attempts):
             self.finish(request, Fail(request.id))
--- a/hollybay/balancing/further_attempts.py
+++ b/hollybay/balancing/further_attempts.py
@@ -85,7 +85,7 @@
         request.phase = RequestPhase.WAITING
         now = self.context.now
         if request.deadline - now <= MIN_WAITS_LEFT * self.server_wait:
-            self.answers.give_up(request)
+            self.answers.reject_or_fail(request)
             return
         self.wakeups.schedule(now + self.server_wait, WakeupKind.SERVER_WAIT, request.id)
 
@@ -93,18 +93,18 @@
         """Start another attempt of a request with none in flight if that is safe and allowed, or end it."""
         scope = self.retry_policy.scope_of(request, self.context.now, self.settings.hedging_allowed)
         if scope is None or not self._may_retry(request):
-            self.answers.give_up(request)
+            self.answers.reject_or_fail(request)
             return
         server = self._pick(request, scope)
         if server is None:
             if request.attempts and scope is not ANYWHERE:
-                self.answers.give_up(request)
+                self.answers.reject_or_fail(request)
             else:
                 self.wait(request)
             return
         if request.attempts:
             if not self.retry_policy.withdraw(request.limits):
-                self.answers.give_up(request)
+                self.answers.reject_or_fail(request)
                 return
             self.retry_policy.retry_tokens -= 1.0
         self.attempts.send(request, server)
--- a/hollybay/balancing/load_shedding.py
+++ b/hollybay/balancing/load_shedding.py
@@ -103,7 +103,7 @@
         load.
     queue_limits
         The largest queue (ns of work) ahead of a request, by class.
-    min_free_slots
+    min_free_slot_shares
         The free share (0 to 1) of request slots below which a class is rejected.
     limited
         Decaying count of requests that limits have rejected, comparable with `Estimates.offered`.
@@ -126,7 +126,7 @@
         self.queue_limits = [inf] * len(classes)
         self.limited = 0.0
         self.rejections = dict.fromkeys(RejectionCause, 0)
-        self.min_free_slots = [
+        self.min_free_slot_shares = [
             FREE_SLOT_THRESHOLD
             * (1.0 - sum(other < weight for other in self.priority_weights) / len(classes))
             for weight in self.priority_weights
@@ -199,7 +199,7 @@
             takes = self.estimates.response_times[event.class_index] * (event.cost or 1) / largest_size
             if event.time_left < MIN_TIME_LEFT_SHARE * takes:
                 return self._reject(RejectionCause.LITTLE_TIME)
-        if event.free_slot_share < self.min_free_slots[event.class_index]:
+        if event.free_slot_share < self.min_free_slot_shares[event.class_index]:
             return self._reject(RejectionCause.FEW_SLOTS)
         return False
 
@@ -245,7 +245,7 @@
         self.rejections[cause] += 1
         return True
 
-    def servers_are_full(self, now: int) -> bool:
+    def servers_are_saturated(self, now: int) -> bool:
         """Whether attempts take at least as long as the shortest latency objective at present."""
         return self.queueing_delay.estimate(now) >= self.shortest_objective
 
@@ -253,8 +253,8 @@
         """Return the Retry-After (ns) of a rejection because of overload."""
         if request.limits is None or not request.limits.retry_after[1]:
             return self.settings.max_retry_after
-        least, most = request.limits.retry_after
-        return least + int(self.random.random() * (most - least))
+        shortest, longest = request.limits.retry_after
+        return shortest + int(self.random.random() * (longest - shortest))
 
 
 def _products(counts: list[float], times: list[float]) -> list[float]:
--- a/hollybay/balancing/pool_builder.py
+++ b/hollybay/balancing/pool_builder.py
@@ -84,7 +84,7 @@
         self.tie_breaks = tie_breaks
         self.live_weights = settings.weight_mode == WeightMode.LIVE
 
-    def empty(self) -> Pools:
+    def empty_pools(self) -> Pools:
         """Return pools without servers."""
         return Pools(self._empty_pool(), self._empty_pool(), 1.0)
 
@@ -130,7 +130,7 @@
                 continue
             if self.live_weights:
                 # A live weight is size / (1 + requests per core).
-                server.nominal_size = endpoints.size_of_kind[server.kind] or 1.0
+                server.nominal_size = endpoints.max_weight_by_kind[server.kind] or 1.0
                 load = max(0.0, server.nominal_size / server.weight - 1.0)
                 server.reported_load = load * freshness
             server.size = server.nominal_size / self.estimates.slowdown_by_kind[server.kind]
@@ -172,7 +172,7 @@
     # Pools
 
     def _build_pool(
-        self, servers: list[TrackedServer], requests: float, now: int, reporting_peers: int
+        self, servers: list[TrackedServer], total_load: float, now: int, reporting_peers: int
     ) -> tuple[ServerPool, float]:
         """Return the pool of some servers, and their mean load, given their total load."""
         if not servers:
@@ -181,16 +181,16 @@
         speed_classes = self._build_speed_classes(servers, now, reporting_peers)
         all_excluded = all(server.reported_failure_rate >= EXCLUSION_FAILURE_RATE for server in servers)
         cumulative_capacity: list[float] = []
-        drawn: list[TrackedServer] = []
+        drawable: list[TrackedServer] = []
         capacity = 0.0
         for server in servers:
             excluded = server.reported_failure_rate >= EXCLUSION_FAILURE_RATE and not all_excluded
             if not server.on_probation and not excluded:
                 capacity += server.effective_capacity
                 cumulative_capacity.append(capacity)
-                drawn.append(server)
-        pool = ServerPool(speed_classes, cumulative_capacity, drawn, self.random)
-        return pool, requests / sum(server.size * server.slow_start_factor for server in servers)
+                drawable.append(server)
+        pool = ServerPool(speed_classes, cumulative_capacity, drawable, self.random)
+        return pool, total_load / sum(server.size * server.slow_start_factor for server in servers)
 
     def _update_capacities(self, servers: list[TrackedServer], now: int) -> None:
         """Update each server's effective capacity from its age, load, speed and failures."""
@@ -198,7 +198,7 @@
         size = sum(server.size for server in servers)
         mean_load = sum(server.reported_load * server.size for server in servers) / size
         mean_slowdown = sum(server.slowdown * server.size for server in servers) / size
-        by_speed = endpoints.stale or not self.live_weights
+        use_slowdown = endpoints.stale or not self.live_weights
         # The requests that a server gets until the next list takes effect, assuming that all nodes are like
         # this one. Load above the mean is corrected over that time; a stronger correction would oscillate.
         rate = estimates.effective_nodes * estimates.request_rate / len(endpoints.servers)
@@ -206,7 +206,7 @@
         for server in servers:
             relative = 1.0 + (mean_load - server.reported_load) / turnover
             factor = max(MIN_LOAD_FACTOR, min(MAX_LOAD_FACTOR, relative))
-            if by_speed:
+            if use_slowdown:
                 factor *= (mean_slowdown / server.slowdown) ** SPEED_EXPONENT
             server.slow_start_factor = self.slow_start.factor(server, now)
             server.effective_capacity = (
--- a/hollybay/balancing/server_selection.py
+++ b/hollybay/balancing/server_selection.py
@@ -61,7 +61,7 @@
         self.random = random
         self.tie_breaks = count(1)
         self.builder = PoolBuilder(settings, endpoints, cross_zone, load_shedder, random, self.tie_breaks)
-        self.local, self.remote, self.largest_size = self.builder.empty()
+        self.local, self.remote, self.largest_size = self.builder.empty_pools()
         self.keepalive = int(IDLE_CLOSE_SHARE * settings.idle_timeout)  # ns
         self.reporting_peers = 0  # other nodes that report their load
 
@@ -108,10 +108,10 @@
     def pick(self, request: TrackedRequest, now: int) -> TrackedServer | None:
         """Return a server for an attempt that may go anywhere; None if no server may be used."""
         attempts = request.attempts
-        if self.endpoints.returned and not attempts:
-            returned = self._pick_returned(request, now)
-            if returned is not None:
-                return returned
+        if self.endpoints.ready_after_drain and not attempts:
+            drained = self._pick_ready_after_drain(request, now)
+            if drained is not None:
+                return drained
         remote_share = self.cross_zone.remote_first_share(attempts) if self.remote.speed_classes else 0.0
         server: TrackedServer | None = None
         for _ in range(MAX_PICKS):
@@ -146,17 +146,17 @@
     def _pick_remote(self, now: int) -> TrackedServer | None:
         return self.remote.pick_idle(now) or self.remote.draw(now, self.keepalive)
 
-    def _pick_returned(self, request: TrackedRequest, now: int) -> TrackedServer | None:
+    def _pick_ready_after_drain(self, request: TrackedRequest, now: int) -> TrackedServer | None:
         """Return a server that has become ready after draining; each one is returned only once.
 
         Its present state is unknown, and the other picks may not reach a slow or remote server for a long
         time.
         """
-        returned = self.endpoints.returned
-        while returned:
-            server = self.endpoints.servers.get(returned[-1])
+        ready_after_drain = self.endpoints.ready_after_drain
+        while ready_after_drain:
+            server = self.endpoints.servers.get(ready_after_drain[-1])
             if server is None or server.state != ServerState.READY:
-                returned.pop()
+                ready_after_drain.pop()
                 continue
             if server.speed_class is None or server.in_flight:
                 return None
@@ -164,7 +164,7 @@
                 return None
             if self._excludes(server, request, now):
                 return None
-            returned.pop()
+            ready_after_drain.pop()
             return server
         return None
 
@@ -196,6 +196,6 @@
         if server.reported_failure_rate > UNSAFE_FAILURE_RATE:
             unsafe = self.settings.classes[request.class_index].effect == Effect.UNSAFE
             # While all servers are saturated, the risk of a failure is better than a rejection.
-            if unsafe and not self.load_shedder.servers_are_full(now):
+            if unsafe and not self.load_shedder.servers_are_saturated(now):
                 return True
         return bool(server.rejected_tenants) and server.rejected_tenants.get(request.tenant, 0) > now
--- a/hollybay/balancing/settings_parser.py
+++ b/hollybay/balancing/settings_parser.py
@@ -19,14 +19,14 @@
 T = TypeVar("T")
 
 EFFECTS = {"retryable": Effect.SAFE, "dedup": Effect.KEYED, "fragile": Effect.UNSAFE}
-WEIGHTS = {
+WEIGHT_MODES = {
     "silent": WeightMode.NONE,
     "nominal": WeightMode.NOMINAL,
     "rough": WeightMode.ROUGH,
     "live": WeightMode.LIVE,
 }
-MODES = {"silent": ReportMode.NONE, "piggyback": ReportMode.ANSWERS, "pull": ReportMode.PROBES}
-FIELDS = {
+REPORT_MODES = {"silent": ReportMode.NONE, "piggyback": ReportMode.ANSWERS, "pull": ReportMode.PROBES}
+REPORT_FIELDS = {
     "rif": "held",
     "q": "queued",
     "busy": "utilisation",
@@ -36,7 +36,7 @@
 }
 
 
-class _Reader:
+class _SettingsReader:
     """Reads typed values from path=value lines; each method raises a ValueError that names the path."""
 
     def __init__(self, text: str) -> None:
@@ -55,26 +55,26 @@
             return default
         return value
 
-    def number(self, path: str, default: float | None = None, least: float = 0.0) -> float:
+    def number(self, path: str, default: float | None = None, minimum: float = 0.0) -> float:
         """Return a finite number that is not below the minimum."""
         raw = self.text(path, None if default is None else str(default))
         try:
             value = float(raw)
         except ValueError:
             raise ValueError(f"{path}: {raw!r} is not a number") from None
-        if not math.isfinite(value) or value < least:
-            raise ValueError(f"{path}: {raw!r} is out of range (at least {least:g})")
+        if not math.isfinite(value) or value < minimum:
+            raise ValueError(f"{path}: {raw!r} is out of range (at least {minimum:g})")
         return value
 
-    def integer(self, path: str, default: int | None = None, least: int = 0) -> int:
+    def integer(self, path: str, default: int | None = None, minimum: int = 0) -> int:
         """Return an integer that is not below the minimum; a fractional number is truncated."""
         raw = self.text(path, None if default is None else str(default))
         try:
             value = int(raw)
         except ValueError:
-            return int(self.number(path, default, least))
-        if value < least:
-            raise ValueError(f"{path}: {raw!r} is out of range (at least {least})")
+            return int(self.number(path, default, minimum))
+        if value < minimum:
+            raise ValueError(f"{path}: {raw!r} is out of range (at least {minimum})")
         return value
 
     def boolean(self, path: str, default: bool) -> bool:
@@ -96,9 +96,9 @@
         return [name for name in self.text(path, "").split(",") if name]
 
 
-def _classes(reader: _Reader) -> tuple[RequestClass, ...]:
+def _classes(reader: _SettingsReader) -> tuple[RequestClass, ...]:
     classes = []
-    for number in range(reader.integer("categories.count", least=1)):
+    for number in range(reader.integer("categories.count", minimum=1)):
         prefix = f"categories.{number}."
         effect = reader.choice(prefix + "effect", EFFECTS)
         keyed = effect == Effect.KEYED
@@ -107,8 +107,8 @@
                 name=reader.text(prefix + "name", f"class-{number}"),
                 effect=effect,
                 priority_weight=reader.number(prefix + "worth", 1.0),
-                latency_objective=reader.integer(prefix + "slo", least=1),
-                deadline=reader.integer(prefix + "give-up", least=1),
+                latency_objective=reader.integer(prefix + "slo", minimum=1),
+                deadline=reader.integer(prefix + "give-up", minimum=1),
                 late_weight=reader.number(prefix + "late-worth", 0.0),
                 deduplication_scope=reader.choice(
                     prefix + "group", DEDUPLICATION_SCOPES, None if keyed else "all"
@@ -120,7 +120,7 @@
     return tuple(classes)
 
 
-def _tenants(reader: _Reader) -> tuple[Tenant, ...]:
+def _tenants(reader: _SettingsReader) -> tuple[Tenant, ...]:
     return tuple(
         Tenant(
             name=reader.text(f"tenants.{number}.name", f"tenant-{number}"),
@@ -131,13 +131,13 @@
     )
 
 
-def _max_retry_after(reader: _Reader) -> int:
+def _max_retry_after(reader: _SettingsReader) -> int:
     if not reader.boolean("caps.retry-after", False):
         return 0
     return reader.integer("caps.max-retry-after", 0)
 
 
-def _prices(reader: _Reader) -> Prices:
+def _prices(reader: _SettingsReader) -> Prices:
     return Prices(
         cross_zone=reader.number("deductions.cross-zone", 0.0),
         handshake=reader.number("deductions.handshake", 0.0),
@@ -156,7 +156,7 @@
     ValueError
         If a value is missing or invalid; the message names its path.
     """
-    reader = _Reader(text)
+    reader = _SettingsReader(text)
     tenants = _tenants(reader)
     return Settings(
         classes=_classes(reader),
@@ -165,28 +165,28 @@
         kinds=max(1, len(reader.names("kinds"))),
         zone=reader.integer("my-zone", 0),
         node=reader.integer("me", 0),
-        nodes=reader.integer("balancers", least=1),
-        tick=reader.integer("quantum", 1_000_000, least=1),
-        weight_mode=reader.choice("weights", WEIGHTS, "silent"),
-        report_mode=reader.choice("report.via", MODES, "silent"),
-        report_fields=tuple(FIELDS.get(name, "unknown") for name in reader.names("report.fields")),
+        nodes=reader.integer("balancers", minimum=1),
+        tick=reader.integer("quantum", 1_000_000, minimum=1),
+        weight_mode=reader.choice("weights", WEIGHT_MODES, "silent"),
+        report_mode=reader.choice("report.via", REPORT_MODES, "silent"),
+        report_fields=tuple(REPORT_FIELDS.get(name, "unknown") for name in reader.names("report.fields")),
         poll_required=reader.choice("membership-mode", {"automatic": False, "subscribe": True}, "automatic"),
-        max_attempts=reader.integer("caps.most-tries", 3, least=1),
+        max_attempts=reader.integer("caps.most-tries", 3, minimum=1),
         hedging_allowed=reader.boolean("caps.may-duplicate", False),
         cancel_allowed=reader.boolean("caps.cancel", False),
         probes_allowed=reader.boolean("caps.probes", False),
         over_share_weight=reader.number("over-share-worth", 1.0),
         weight_by_work=reader.choice("counted-by", {"request": False, "work": True}, "request"),
-        connect_timeout=reader.integer("caps.connect-timeout", 250_000_000, least=1),
-        idle_timeout=reader.integer("caps.conn-idle", 15_000_000_000, least=1),
-        streams=reader.integer("caps.max-streams", 1, least=1),
+        connect_timeout=reader.integer("caps.connect-timeout", 250_000_000, minimum=1),
+        idle_timeout=reader.integer("caps.conn-idle", 15_000_000_000, minimum=1),
+        streams=reader.integer("caps.max-streams", 1, minimum=1),
         max_retry_after=_max_retry_after(reader),
         answer_grace=reader.integer("rules.grace-to-answer", 0),
         drain_grace=reader.integer("rules.drain-grace", 0),
         cold_share=reader.number("rules.cold-share", 1.0),
         warm_up=reader.integer("rules.warm-up", 0),
         overload_multiple=reader.number("rules.fall-multiple", 4.0),
-        overload_window=reader.integer("rules.overload-for", 2_000_000_000, least=1),
+        overload_window=reader.integer("rules.overload-for", 2_000_000_000, minimum=1),
         poll_within=reader.integer("rules.must-ask-in", 0),
         prices=_prices(reader),
     )
--- a/tests/golden/build.py
+++ b/tests/golden/build.py
@@ -28,8 +28,7 @@
 from hollybay.admin.requests import RejectedRequest, parse_request
 from hollybay.balancing import interface as module
 from hollybay.balancing.bench_codec import encode_action
-from hollybay.balancing.settings_parser import FIELDS as REPORT_FIELDS
-from hollybay.balancing.settings_parser import parse_settings
+from hollybay.balancing.settings_parser import REPORT_FIELDS, parse_settings
 from hollybay.cli.main import main as command_line
 from hollybay.consensus import messages as words
 from hollybay.consensus.core import (
--- a/tests/test_bench_adapter.py
+++ b/tests/test_bench_adapter.py
@@ -220,17 +220,17 @@
         def handle(self, now: int, event: api.Event) -> list[api.Action]:
             raise RuntimeError("the cause")
 
-    link = benchlink.Link(Broken)  # type: ignore[arg-type]
+    host = benchlink.BalancerHost(Broken)  # type: ignore[arg-type]
     records, tail = start(0, 1)
-    _, out, text = replies(link.reply(wire.Batch(1, 5, 3, b"".join(records), tail)))[0]
+    _, out, text = replies(host.reply(wire.Batch(1, 5, 3, b"".join(records), tail)))[0]
     assert out[0][0] == wire.BUG and b"the cause" in text and b"Traceback" in text
 
 
 def test_senseless_settings_are_told_as_the_modules_fault() -> None:
-    link = benchlink.Link()
+    host = benchlink.BalancerHost()
     text = SETUP.replace("balancers=3", "balancers=none").encode()
     record = event(wire.ENLIST, struct.pack("<IQII", 0, 1, 0, len(text)))
-    _, out, tail = replies(link.reply(wire.Batch(1, 5, 1, record, text)))[0]
+    _, out, tail = replies(host.reply(wire.Batch(1, 5, 1, record, text)))[0]
     assert out[0][0] == wire.BUG and b"balancers" in tail
 
 
--- a/tests/test_discovery_polling.py
+++ b/tests/test_discovery_polling.py
@@ -10,7 +10,7 @@
     MAX_POLL_WAIT_NS,
     MAX_STALENESS_NS,
     PollSchedule,
-    doubled,
+    exponential_backoff,
 )
 
 
@@ -18,11 +18,11 @@
 @pytest.mark.parametrize("longest", [FIRST_BACKOFF_NS, MAX_BACKOFF_NS])
 def test_a_doubled_span_is_the_power_of_two_or_the_longest(span: int, longest: int) -> None:
     for times in range(100):
-        assert doubled(span, times, longest) == min(span * 2**times, longest)
+        assert exponential_backoff(span, times, longest) == min(span * 2**times, longest)
 
 
 def test_any_number_of_doublings_costs_the_same() -> None:
-    assert doubled(FIRST_BACKOFF_NS, 10**12, MAX_BACKOFF_NS) == MAX_BACKOFF_NS
+    assert exponential_backoff(FIRST_BACKOFF_NS, 10**12, MAX_BACKOFF_NS) == MAX_BACKOFF_NS
 
 
 def test_the_backoff_of_a_lone_node_doubles_up_to_its_bound() -> None:
