--- a/tests/move_constants.py
+++ b/tests/move_constants.py
@@ -1,9 +1,10 @@
-"""Show which constants of balancing no recorded stream sees: python -m tests.move_constants [NAME ...]
+"""Find constants of hollybay.balancing that no stream covers: python -m tests.move_constants [NAME ...]
 
-Moves each numeric constant of a module of balancing up by a tenth (a whole number by one at least), one at a
-time and in a process of its own, and plays the recorded streams until one is answered otherwise. It prints
-one line for each constant, then those unseen; with names, only constants of these names are moved. A constant
-that is unseen needs a stream (tests/scripted_streams.py), or decides nothing and goes.
+This mutation test increases each numeric constant by a tenth (an integer by at least one), one at a time and
+each in its own process, and replays the recorded streams until one leads to other decisions. It prints one
+line for each constant, then the constants without a difference (unseen); with NAMEs, only these constants are
+changed. An unseen constant needs a stream (tests/scripted_streams.py) or, if it has no effect on decisions,
+is removed.
 """
 
 from __future__ import annotations
@@ -23,16 +24,16 @@
 
 PACKAGE = "hollybay.balancing"
 FOLDER = Path(__file__).resolve().parent.parent / "hollybay" / "balancing"
-# The codec of the simulator's wire decides nothing, and recorded streams do not pass it.
+# The codec of the simulator's wire makes no decisions, and recorded streams do not pass through it.
 WIRE_PREFIX = "bench_"
 UNITS = "units"
 CONSTANT_NAME = re.compile(r"_?[A-Z][A-Z0-9_]*")
-MOVE = 0.1  # as a share of the value
+MOVE = 0.1  # the change as a share of the value
 PROCESSES = 2
 
 
 class Constant(NamedTuple):
-    """A constant of a module of balancing."""
+    """A constant of a module of hollybay.balancing."""
 
     module: str
     name: str
@@ -42,14 +43,14 @@
 
 
 def moved(value: float) -> float:
-    """Return a number a tenth larger; a whole number stays one."""
+    """Return a number increased by a tenth; an integer stays an integer."""
     if isinstance(value, int):
         return value + max(1, round(MOVE * value))
     return value * (1.0 + MOVE)
 
 
 def is_number(node: ast.expr) -> bool:
-    """Whether an expression is made of numbers, named constants and arithmetic alone."""
+    """Whether an expression consists only of numbers, named constants and arithmetic."""
     allowed = (ast.Constant, ast.Name, ast.BinOp, ast.UnaryOp, ast.operator, ast.unaryop, ast.expr_context)
     if not all(isinstance(part, allowed) for part in ast.walk(node)):
         return False
@@ -68,7 +69,7 @@
 
 
 def constants() -> list[Constant]:
-    """All numeric constants of the modules that decide, by module and line."""
+    """Return all numeric constants of the decision modules, by module and line."""
     return [
         Constant(path.stem, name)
         for path in sorted(FOLDER.glob("*.py"))
@@ -79,7 +80,7 @@
 
 
 class MovingLoader(SourceFileLoader):
-    """Loads a module with one of its constants moved; what is computed from it moves along."""
+    """Loads a module with one of its constants changed, before other values are computed from it."""
 
     constant: Constant
 
@@ -94,13 +95,13 @@
         return compile(ast.fix_missing_locations(tree), path, "exec", dont_inherit=True)
 
     def get_code(self, fullname: str) -> CodeType | None:
-        """Compile the source, never a cached file."""
+        """Compile the source instead of loading cached bytecode."""
         path = self.get_filename(fullname)
         return self.source_to_code(self.get_data(path), path)
 
 
 class MovingFinder(MetaPathFinder):
-    """Finds the module of a constant, to be loaded with it moved."""
+    """Finds the module of a constant, and has it loaded with the constant changed."""
 
     def __init__(self, constant: Constant) -> None:
         self.constant = constant
@@ -117,13 +118,14 @@
 
 
 def seen_by(constant: Constant) -> str | None:
-    """Return the first stream that is answered otherwise with a constant moved; for a process of its own."""
+    """Return the first stream with other decisions if a constant is changed; call it once per process."""
     assert PACKAGE not in sys.modules
     sys.meta_path.insert(0, MovingFinder(constant))
     from . import recorded_decisions as recorded
     from .show_first_difference import first_difference
 
-    # The made-up worlds see most.
+    # The streams of generated worlds (names from "world-" on) detect most changes, so they are replayed
+    # first.
     for name in reversed(recorded.names()):
         try:
             if first_difference(recorded.load(name)) is not None:
--- a/tests/recorded_decisions.py
+++ b/tests/recorded_decisions.py
@@ -30,7 +30,6 @@
     "Line",
     "Stream",
     "chained",
-    "covers",
     "decode_event",
     "decode_settings",
     "digest_of",
@@ -39,6 +38,7 @@
     "encode_event",
     "encode_settings",
     "load",
+    "missing_from_tables",
     "names",
     "replay",
     "save",
@@ -239,7 +239,7 @@
 _ACTION_NAMES = {shape.cls: name for name, shape in ACTIONS.items()}
 
 
-def covers() -> list[str]:
+def missing_from_tables() -> list[str]:
     """What the interface has and the tables lack: classes of events and actions, and fields."""
     known = {shape.cls for shape in _SHAPES}
     lacking = [cls.__name__ for cls in (*api.Event.__args__, *api.Action.__args__) if cls not in known]
--- a/tests/show_first_difference.py
+++ b/tests/show_first_difference.py
@@ -1,8 +1,8 @@
-"""Show the first event that does not lead to the actions recorded.
+"""Show the first event of each stream that does not lead to the recorded actions.
 
 python -m tests.show_first_difference [STREAM ...]
 
-It ends with 1 where one is found.
+The exit status is 1 if there is such an event.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Difference:
-    """The number of the event (from 0), and what was and is decided for it."""
+    """The number of the event (from 0), with the recorded and the present decision."""
 
     number: int
     recorded: Line
@@ -36,7 +36,7 @@
 
 
 def first_difference(stream: Stream) -> Difference | None:
-    """The first event that leads to other actions, chance draws or checksum; None: there is none."""
+    """Return the first event with other actions, random draws or checksum; None if there is none."""
     for number, (before, after) in enumerate(recorded.replay(stream)):
         same = before.actions == after.actions and before.draws == after.draws
         if not same or before.check != after.check:
@@ -45,7 +45,7 @@
 
 
 def digests() -> dict[str, tuple[int, str]]:
-    """By stream, its number of events and the digest over all of it."""
+    """Return the number of events and the digest of each stream, by its name."""
     rows = (row.split() for row in DIGESTS.read_text().splitlines())
     return {name: (int(events), digest) for name, events, digest in rows}
 
--- a/tests/test_attempt_tracking.py
+++ b/tests/test_attempt_tracking.py
@@ -1,4 +1,4 @@
-"""Attempts and their servers, where events come in rare orders: bodies that are late, servers that vanish."""
+"""Attempt tracking with events in unusual orders: late bodies, and servers that are removed meanwhile."""
 
 from __future__ import annotations
 
@@ -20,8 +20,8 @@
     assert fault is None, fault
 
 
-# Guards against: an attempt counted for ever, after which idle servers look full and requests are refused.
-def test_an_upload_whose_server_vanishes_counts_only_until_it_ends() -> None:
+# Guards against an attempt that is never uncounted: idle servers then look busy, and requests are rejected.
+def test_an_upload_to_a_removed_server_is_counted_only_until_it_ends() -> None:
     node = harness()
     for rid in range(20):
         node.ask(rid, 1, body_pending=True)
@@ -35,8 +35,8 @@
     check_records(node)
 
 
-# Guards against: a body whose end moves another server to a wrong place in the idle index.
-def test_a_body_that_completes_after_its_server_was_deleted_leaves_the_idle_index_whole() -> None:
+# Guards against a completed body that moves another server to a wrong position in the idle index.
+def test_a_body_completed_after_its_server_was_deleted_keeps_the_idle_index_consistent() -> None:
     node = harness()
     for rid in range(8):
         node.ask(rid, 1, body_pending=True)
@@ -48,8 +48,8 @@
         check_records(node)
 
 
-# Guards against: a server that fails uploads before their last byte, and is idle for each next one.
-def test_a_server_that_fails_while_a_body_is_coming_is_not_idle_for_the_next_request() -> None:
+# Guards against a server that fails uploads before their last byte and still looks idle for the next one.
+def test_a_server_that_fails_while_a_body_is_pending_is_not_idle_for_the_next_request() -> None:
     node = harness()
     node.ask(1, 1, body_pending=True)
     failed = node.books[1].attempts[0].server
@@ -61,11 +61,12 @@
     assert failed not in {server for _, _, server in node.sent}
 
 
-# Guards against: a hedge of a body that one attempt is still taking: it cannot be sent and uses up a retry.
-def test_a_request_whose_body_is_coming_is_not_hedged() -> None:
+# Guards against hedging a request whose body is still being received: the hedge cannot be sent and uses up a
+# retry.
+def test_a_request_whose_body_is_pending_is_not_hedged() -> None:
     node = harness(hedging_allowed=True)
     limits = api.Limits(hedges=1, hedge_delay=30 * MS)
-    for rid in range(10):  # the node earns its hedges by requests
+    for rid in range(10):  # requests credit the node's hedge budget
         node.ask(rid)
         node.answer(rid, 0)
     node.ask(20, limits=limits, body_pending=True)
--- a/tests/test_balancer_records.py
+++ b/tests/test_balancer_records.py
@@ -1,4 +1,4 @@
-"""The balancer's records agree after every event, over drawn streams in which bodies come late."""
+"""The balancer's records are consistent after every event of random streams in which bodies are late."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from hollybay.testbed.world import MS, SECOND, BalancerHarness, fleet, make_settings
 
 SERVERS = 5
-# The ends of an attempt; the server of one that was not sent has never heard of it.
+# The results of an attempt; with NOT_SENT its server has received nothing.
 RESULTS = st.sampled_from(sorted(api.Result))
 NUMBERS = st.integers(0, 30)
 CLASSES = st.integers(0, 4)
@@ -36,13 +36,13 @@
 
 
 class Stream:
-    """A balancer that plays drawn steps; its records are checked after each event."""
+    """A balancer that gets the events of random steps; its records are checked after each event."""
 
     def __init__(self, **changes: Any) -> None:
         self.node = BalancerHarness(make_settings(**changes))
         self.asked = 0
-        self.pending: set[int] = set()  # requests whose body is still coming
-        self.started: set[int] = set()  # requests whose response has begun
+        self.pending: set[int] = set()  # requests whose body is pending
+        self.started: set[int] = set()  # requests whose response has started
 
         def report(event: api.Event, fault: str) -> None:
             raise AssertionError(f"after {event}: {fault}")
@@ -67,7 +67,7 @@
             self.node.give(api.RequestCompleted(number))
 
     def _in_flight(self, number: int) -> tuple[int, int] | None:
-        """One attempt in flight: the request and the attempt's number."""
+        """Return one attempt in flight: the request's id and the attempt's number."""
         in_flight = [
             (rid, n)
             for rid, book in self.node.books.items()
@@ -123,5 +123,7 @@
     ]
 )
 @given(steps=STEPS)
-def test_servers_idle_index_and_attempts_agree_after_every_event(nodes: int, steps: list[Any]) -> None:
+def test_servers_idle_index_and_attempts_are_consistent_after_every_event(
+    nodes: int, steps: list[Any]
+) -> None:
     Stream(nodes=nodes, warm_up=4 * SECOND).play(steps)
--- a/tests/test_bench_adapter.py
+++ b/tests/test_bench_adapter.py
@@ -1,4 +1,4 @@
-"""Codec vectors, the settings reader, and the adapter as a process."""
+"""Codec test vectors, the settings parser, and the adapter as a process."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from hollybay.balancing import bench_adapter as benchlink
+from hollybay.balancing import bench_adapter
 from hollybay.balancing import bench_codec as codec
 from hollybay.balancing import bench_wire as wire
 from hollybay.balancing import interface as api
@@ -60,7 +60,7 @@
 
 
 def start(i: int, salt: int) -> tuple[list[bytes], bytes]:
-    """ENLIST, DIRECTORY and TOPOLOGY of an instance; the tail holds the settings and six servers."""
+    """ENLIST, DIRECTORY and TOPOLOGY of an instance; the tail contains the settings and six servers."""
     text = SETUP.replace("me=0", f"me={i}").encode()
     entries = b"".join(
         struct.pack("<6sBBHBfQ", b"\x0a\0\0%c\x23\x2b" % n, n % 2, n % 2, n // 3, 1, 1.0, 0) for n in range(6)
@@ -108,7 +108,7 @@
     return data
 
 
-def test_vectors() -> None:
+def test_action_vectors() -> None:
     empty = bytes.fromhex("01000000000000000800000090bf68f501000000")
     import io
 
@@ -157,7 +157,7 @@
     assert len(sends) == 120
 
 
-def test_one_process_acts_like_several() -> None:
+def test_instances_of_one_process_decide_like_those_of_separate_processes() -> None:
     def by_instance(data: bytes) -> dict[int, list[bytes]]:
         out: dict[int, list[bytes]] = {}
         for _, records, _ in replies(data):
@@ -189,19 +189,19 @@
         ),
     ],
 )
-def test_malformed_input_ends_with_one_line(data: bytes) -> None:
+def test_malformed_input_ends_the_process_with_a_one_line_message(data: bytes) -> None:
     done = run(data)
     assert done.returncode != 0
     assert done.stderr.count(b"\n") == 1 and done.stderr.startswith(b"benchlink: ")
 
 
-def test_end_of_input_is_no_fault() -> None:
+def test_end_of_input_is_not_an_error() -> None:
     done = run(b"")
     assert (done.returncode, done.stdout, done.stderr) == (0, b"", b"")
 
 
 @given(st.binary(max_size=200))
-def test_garbage_never_hangs_or_crashes_the_reader(data: bytes) -> None:
+def test_random_bytes_neither_hang_nor_crash_the_reader(data: bytes) -> None:
     import io
 
     stream = io.BytesIO(data)
@@ -212,7 +212,7 @@
         pass
 
 
-def test_an_exception_in_the_module_is_told_as_its_fault() -> None:
+def test_an_exception_in_the_decision_module_is_reported_as_a_bug_record() -> None:
     class Broken:
         def __init__(self, *_: object) -> None:
             pass
@@ -220,21 +220,21 @@
         def handle(self, now: int, event: api.Event) -> list[api.Action]:
             raise RuntimeError("the cause")
 
-    host = benchlink.BalancerHost(Broken)  # type: ignore[arg-type]
+    host = bench_adapter.BalancerHost(Broken)  # type: ignore[arg-type]
     records, tail = start(0, 1)
     _, out, text = replies(host.reply(wire.Batch(1, 5, 3, b"".join(records), tail)))[0]
     assert out[0][0] == wire.BUG and b"the cause" in text and b"Traceback" in text
 
 
-def test_senseless_settings_are_told_as_the_modules_fault() -> None:
-    host = benchlink.BalancerHost()
+def test_invalid_settings_are_reported_as_a_bug_record() -> None:
+    host = bench_adapter.BalancerHost()
     text = SETUP.replace("balancers=3", "balancers=none").encode()
     record = event(wire.ENLIST, struct.pack("<IQII", 0, 1, 0, len(text)))
     _, out, tail = replies(host.reply(wire.Batch(1, 5, 1, record, text)))[0]
     assert out[0][0] == wire.BUG and b"balancers" in tail
 
 
-def test_settings_are_read() -> None:
+def test_settings_are_parsed() -> None:
     s = parse_settings(SETUP)
     assert (s.nodes, s.zones, s.kinds, s.tick, s.weight_mode) == (3, 2, 2, 4_000_000, api.WeightMode.LIVE)
     assert (
@@ -259,7 +259,7 @@
         ("my-zone=0", "my-zone=5", "zone"),
     ],
 )
-def test_senseless_settings_name_their_key(old: str, new: str, key: str) -> None:
+def test_the_error_for_invalid_settings_names_their_key(old: str, new: str, key: str) -> None:
     assert old in SETUP
     with pytest.raises(ValueError, match=key):
         parse_settings(SETUP.replace(old, new))
--- a/tests/test_discovery_polling.py
+++ b/tests/test_discovery_polling.py
@@ -1,4 +1,4 @@
-"""The backoff of polls: it doubles up to its bound, however many polls have failed."""
+"""The backoff of polls doubles up to its bound after any number of failed polls."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
         assert exponential_backoff(span, times, longest) == min(span * 2**times, longest)
 
 
-def test_any_number_of_doublings_costs_the_same() -> None:
+def test_the_cost_does_not_grow_with_the_number_of_doublings() -> None:
     assert exponential_backoff(FIRST_BACKOFF_NS, 10**12, MAX_BACKOFF_NS) == MAX_BACKOFF_NS
 
 
-def test_the_backoff_of_a_lone_node_doubles_up_to_its_bound() -> None:
+def test_the_backoff_of_a_single_node_doubles_up_to_its_bound() -> None:
     schedule = PollSchedule(0.5, 1, 0)
     backoffs = []
     for _ in range(6):
--- a/tests/test_estimates.py
+++ b/tests/test_estimates.py
@@ -1,4 +1,4 @@
-"""What queues teach a node whose lists tell no loads: neither the work of a request nor a kind's speed."""
+"""Without reported loads, queueing must change neither service times nor the speed of kinds of machines."""
 
 from __future__ import annotations
 
@@ -12,84 +12,93 @@
 from hollybay.balancing.state import TrackedServer
 from hollybay.testbed.world import MS, SECOND, BalancerHarness, make_settings
 
-ONE = (api.RequestClass("w", api.Effect.SAFE, 1.0, SECOND, 3 * SECOND),)
-WORK, JAM = 10 * MS, 200 * MS
-STEP, EVERY = 10 * MS, 4  # a look at what is due, and how many of them between two requests of the node
+ONE_CLASS = (api.RequestClass("w", api.Effect.SAFE, 1.0, SECOND, 3 * SECOND),)
+SERVICE_TIME, QUEUED_TIME = 10 * MS, 200 * MS
+# The resolution of response times, and the number of such steps between two requests of the node.
+STEP, STEPS_PER_REQUEST = 10 * MS, 4
 WARM = tuple(api.Server(b"s%02d" % n, kind=n % 2) for n in range(12))
 
 
-def node_of(weights: api.WeightMode = api.WeightMode.NOMINAL) -> BalancerHarness:
-    """One of 32 nodes before a dozen servers of two kinds: it has at most one request at most of them."""
+def make_node(weights: api.WeightMode = api.WeightMode.NOMINAL) -> BalancerHarness:
+    """One of 32 nodes with a dozen servers of two kinds: at most servers it has at most one attempt."""
     node = BalancerHarness(
-        make_settings(classes=ONE, zones=1, kinds=2, nodes=32, weight_mode=weights, hedging_allowed=False)
+        make_settings(
+            classes=ONE_CLASS, zones=1, kinds=2, nodes=32, weight_mode=weights, hedging_allowed=False
+        )
     )
     node.tell(WARM)
     return node
 
 
 def play(node: BalancerHarness, rids: Iterable[int], even: int, odd: int) -> None:
-    """Requests at a steady pace; servers of the even and of the odd kind answer after so long (ns)."""
+    """Send requests at a constant rate; servers of even and odd kinds respond after these times (ns)."""
     for rid in rids:
         node.ask(rid)
         if rid % 25 == 0:
-            node.tell(WARM)  # a list that is overdue would stop what is learned
-        for _ in range(EVERY):
+            node.tell(WARM)  # while a list is overdue, nothing is learned
+        for _ in range(STEPS_PER_REQUEST):
             node.run_to(node.now + STEP)
             for r in [r for r, book in node.books.items() if not book.over]:
-                for n, tried in enumerate(node.books[r].attempts):
-                    takes = odd if node.lines[tried.server].kind else even
-                    if tried.result is None and node.now - tried.sent >= takes:
+                for n, attempt in enumerate(node.books[r].attempts):
+                    takes = odd if node.lines[attempt.server].kind else even
+                    if attempt.result is None and node.now - attempt.sent >= takes:
                         node.answer(r, n)
 
 
-def start_cold(node: BalancerHarness) -> TrackedServer:
-    """A server that has just started, as the node takes it."""
+def add_starting_server(node: BalancerHarness) -> TrackedServer:
+    """Add a server that has just started, and return the node's record of it."""
     node.tell((*WARM, api.Server(b"new", kind=0, up_since=node.now)))
     return node.balancer.servers[b"new"]
 
 
-def test_a_jam_that_no_list_tells_of_leaves_the_budget_of_a_cold_server() -> None:
-    calm, jammed = node_of(), node_of()
-    for node in (calm, jammed):
-        play(node, range(200), WORK, WORK)
-    play(jammed, range(200, 600), JAM, JAM)
-    assert start_cold(jammed).slow_start_interval == pytest.approx(
-        start_cold(calm).slow_start_interval, rel=0.25
+def test_congestion_without_reported_loads_does_not_change_the_budget_of_a_starting_server() -> None:
+    idle, congested = make_node(), make_node()
+    for node in (idle, congested):
+        play(node, range(200), SERVICE_TIME, SERVICE_TIME)
+    play(congested, range(200, 600), QUEUED_TIME, QUEUED_TIME)
+    assert add_starting_server(congested).slow_start_interval == pytest.approx(
+        add_starting_server(idle).slow_start_interval, rel=0.25
     )
 
 
-def test_a_queue_at_one_kind_of_machine_does_not_make_it_slow() -> None:
-    node = node_of()
-    play(node, range(200), WORK, WORK)
+def test_a_queue_at_one_kind_of_machine_does_not_count_as_slowdown() -> None:
+    node = make_node()
+    play(node, range(200), SERVICE_TIME, SERVICE_TIME)
     before = list(node.balancer.estimates.slowdown_by_kind)
-    play(node, range(200, 500), JAM, WORK)
+    play(node, range(200, 500), QUEUED_TIME, SERVICE_TIME)
     assert node.balancer.estimates.slowdown_by_kind == pytest.approx(before, rel=0.35)
 
 
-def test_the_first_answers_are_learned_in_a_jam_too() -> None:
-    """Too much rather than too little: few answers must not set a cold server's budget for long."""
-    node = node_of()
-    play(node, range(100), JAM, JAM)
+def test_the_first_responses_are_used_under_congestion_too() -> None:
+    """The service time is overestimated rather than underestimated, but a few responses must not determine
+    the budget of starting servers for long."""
+    node = make_node()
+    play(node, range(100), QUEUED_TIME, QUEUED_TIME)
     assert node.balancer.estimates.service_times.samples[0] >= MIN_SAMPLES
-    assert node.balancer.estimates.service_times.by_class[0] > 5 * WORK
+    assert node.balancer.estimates.service_times.by_class[0] > 5 * SERVICE_TIME
 
 
-def test_what_a_request_takes_at_a_cold_server_is_learned_in_a_jam() -> None:
-    """It gets its budget and no more, so that its answers hold no queue."""
-    node = node_of()
-    play(node, range(200), WORK, WORK)
-    play(node, range(200, 300), JAM, JAM)
-    learned = node.balancer.estimates.service_times
+def test_response_times_of_a_starting_server_are_used_under_congestion() -> None:
+    """It gets no more than its budget, so that its response times include no queueing."""
+    node = make_node()
+    play(node, range(200), SERVICE_TIME, SERVICE_TIME)
+    play(node, range(200, 300), QUEUED_TIME, QUEUED_TIME)
+    service_times = node.balancer.estimates.service_times
     busy = node.balancer.estimates.mean_server_load >= IDLE_MEAN_LOAD
-    cold, before = start_cold(node), learned.by_class[0]
+    starting, before = add_starting_server(node), service_times.by_class[0]
     for _ in range(20):
-        learned.observe(
-            cold, 0, int(3 * WORK / cold.slow_start_factor), in_flight=0, stale=False, servers_busy=busy
+        service_times.observe(
+            starting,
+            0,
+            int(3 * SERVICE_TIME / starting.slow_start_factor),
+            in_flight=0,
+            stale=False,
+            servers_busy=busy,
         )
-    assert learned.by_class[0] > 1.3 * before
+    assert service_times.by_class[0] > 1.3 * before
 
 
-def test_where_lists_tell_loads_they_alone_are_asked() -> None:
-    node = node_of(api.WeightMode.LIVE)
-    play(node, range(100), JAM, JAM)
+def test_the_mean_load_is_not_estimated_if_lists_report_loads() -> None:
+    node = make_node(api.WeightMode.LIVE)
+    play(node, range(100), QUEUED_TIME, QUEUED_TIME)
     assert node.balancer.estimates.mean_server_load == 0.0
--- a/tests/test_event_loop_delay.py
+++ b/tests/test_event_loop_delay.py
@@ -1,4 +1,5 @@
-"""A node that is late itself: it takes in who waits, tells its lateness from the servers, says no early."""
+"""A node whose event loop is late accepts waiting clients at once, does not count its own delay as that of
+servers, and rejects requests early."""
 
 from __future__ import annotations
 
@@ -31,7 +32,7 @@
 CAPS = {**settings()["caps"], "retry-after": True, "max-retry-after": 2 * SECOND}
 
 
-def test_a_crowd_that_came_while_the_loop_was_busy_is_taken_in_at_once(tmp_path: Path) -> None:
+def test_connections_opened_while_the_loop_was_busy_are_accepted_at_once(tmp_path: Path) -> None:
     async def play() -> None:
         async with running(
             tmp_path / "c.json",
@@ -39,19 +40,19 @@
             ScriptedServer("s-1"),
             adjust=lambda c: replace(c, sockets=1024),
         ) as node:
-            crowd = [call(node, b"") for _ in range(20 * ACCEPT_BATCH)]
+            waiting = [call(node, b"") for _ in range(20 * ACCEPT_BATCH)]
             turns = 0
-            while len(node.clients.connections) < len(crowd):
+            while len(node.clients.connections) < len(waiting):
                 await asyncio.sleep(0)
                 turns += 1
-                assert turns <= 10  # with a batch for each turn it takes 20 at the least
-            for sock in crowd:
+                assert turns <= 10  # with one batch per iteration of the loop it would be at least 20
+            for sock in waiting:
                 sock.close()
 
     asyncio.run(play())
 
 
-def test_what_is_too_late_when_it_is_read_costs_no_attempt(tmp_path: Path) -> None:
+def test_a_request_that_is_read_too_late_gets_no_attempt(tmp_path: Path) -> None:
     async def play() -> None:
         server = ScriptedServer("s-1")
         async with running(
@@ -64,7 +65,7 @@
                 (conn,) = node.clients.connections
                 writer.write(request(rid="r-2", extra=b"X-Time-Left-Ms: 20\r\n"))
                 while not conn.unread_bytes() or conn.read_delay()[1] < 40:
-                    pass  # the loop is busy with something else
+                    pass  # block the event loop
                 head, _ = await read_message(reader)
             assert b" 503 " in head and b"retry-after: 2.000" in head
             assert len(server.heads) == 1
@@ -73,7 +74,7 @@
     asyncio.run(play())
 
 
-def test_who_has_gone_before_the_request_was_read_costs_no_attempt(tmp_path: Path) -> None:
+def test_a_client_that_disconnects_before_its_request_is_read_causes_no_attempt(tmp_path: Path) -> None:
     async def play() -> None:
         server = ScriptedServer("s-1")
         async with running(tmp_path / "c.json", FakeDiscovery(), server) as node:
@@ -89,7 +90,7 @@
     asyncio.run(play())
 
 
-def test_the_node_s_own_lateness_is_not_told_as_the_server_s(tmp_path: Path) -> None:
+def test_the_delay_of_the_node_does_not_count_as_response_time_of_the_server(tmp_path: Path) -> None:
     async def play() -> None:
         go = asyncio.Event()
 
@@ -98,23 +99,23 @@
 
         server = ScriptedServer("s-1", write_nothing)
         async with running(tmp_path / "c.json", FakeDiscovery(), server) as node:
-            asking = asyncio.ensure_future(node.ask(request()))
+            pending = asyncio.ensure_future(node.ask(request()))
             await server.until(lambda: len(server.heads) == 1)
             (conn,) = node.dispatcher.pools.connections
             conn.set_reading(False)
-            time.sleep(0.03)  # the server's own time, as the kernel tells lateness in whole ms
+            time.sleep(0.03)  # the server's response time; the kernel reports the read delay in whole ms
             server.writers[0].write(OK)
             while not conn.unread_bytes() or conn.read_delay()[1] < 200:
-                pass  # the answer is there, the loop is busy with something else
+                pass  # the response has arrived; block the event loop
             conn.set_reading(True)
-            assert b" 200 " in await asking
+            assert b" 200 " in await pending
             assert 0 < node.dispatcher.balancer.estimates.response_times[0] < 100 * MS
             go.set()
 
     asyncio.run(play())
 
 
-def test_a_connection_that_is_up_in_time_counts_however_late_the_loop_is(tmp_path: Path) -> None:
+def test_a_connection_established_in_time_is_used_however_late_the_loop_is(tmp_path: Path) -> None:
     async def play() -> None:
         server = ScriptedServer("s-1")
         caps = {**CAPS, "connect-timeout": 1}
@@ -141,85 +142,88 @@
     asyncio.run(play())
 
 
-def ask_for(balancer: Balancer, start: int, span: int, waited: int) -> list[tuple[int, api.Action]]:
-    """A request each millisecond, of each class in turn, answered at once; the class and what came of it."""
-    came: list[tuple[int, api.Action]] = []
+def send_requests(
+    balancer: Balancer, start: int, span: int, queued_time: int
+) -> list[tuple[int, api.Action]]:
+    """Send a request each millisecond, of each class in turn, answered at once; return class and action."""
+    outcomes: list[tuple[int, api.Action]] = []
     for now in range(start, start + span, MS):
         rid = now // MS
         cls = rid % 3
-        for action in balancer.handle(now, api.Request(rid, cls, 400 * MS, queued_time=waited)):
+        for action in balancer.handle(now, api.Request(rid, cls, 400 * MS, queued_time=queued_time)):
             if isinstance(action, api.Send):
                 balancer.handle(now, api.AttemptFinished(rid, 0, action.server, api.Result.OK, 5 * MS, True))
             if isinstance(action, api.Send | api.Reject):
-                came.append((cls, action))
-    return came
+                outcomes.append((cls, action))
+    return outcomes
 
 
-def test_a_late_node_turns_away_by_worth_and_stops_when_it_is_no_longer_late() -> None:
+def test_a_late_node_rejects_by_priority_and_stops_when_it_is_no_longer_late() -> None:
     balancer = Balancer(make_settings(max_retry_after=SECOND), 1, 0)
     balancer.handle(0, api.ServerList(api.ListKind.FULL, fleet(12), 1))
 
-    def refused(came: list[tuple[int, api.Action]], cls: int) -> list[api.Reject]:
-        return [a for c, a in came if c == cls and isinstance(a, api.Reject)]
+    def rejections(outcomes: list[tuple[int, api.Action]], cls: int) -> list[api.Reject]:
+        return [a for c, a in outcomes if c == cls and isinstance(a, api.Reject)]
 
-    calm = ask_for(balancer, SECOND, 2 * SECOND, 0)
-    assert len(calm) == 2000 and not any(refused(calm, cls) for cls in range(3))
-    ask_for(balancer, 3 * SECOND, SECOND, 45 * MS)
-    late = ask_for(balancer, 4 * SECOND, SECOND, 45 * MS)
-    assert len(refused(late, 1)) > 200  # the least worth
-    assert not refused(late, 2)  # the most
-    assert all(refuse.retry_after == SECOND for refuse in refused(late, 1))
-    ask_for(balancer, 5 * SECOND, SECOND, 0)
-    again = ask_for(balancer, 6 * SECOND, SECOND, 0)
-    assert len(again) == 1000 and not any(refused(again, cls) for cls in range(3))
+    on_time = send_requests(balancer, SECOND, 2 * SECOND, 0)
+    assert len(on_time) == 2000 and not any(rejections(on_time, cls) for cls in range(3))
+    send_requests(balancer, 3 * SECOND, SECOND, 45 * MS)
+    late = send_requests(balancer, 4 * SECOND, SECOND, 45 * MS)
+    assert len(rejections(late, 1)) > 200  # the lowest priority
+    assert not rejections(late, 2)  # the highest
+    assert all(rejection.retry_after == SECOND for rejection in rejections(late, 1))
+    send_requests(balancer, 5 * SECOND, SECOND, 0)
+    again = send_requests(balancer, 6 * SECOND, SECOND, 0)
+    assert len(again) == 1000 and not any(rejections(again, cls) for cls in range(3))
 
 
-def test_short_of_places_the_least_worth_is_refused_first() -> None:
+def test_with_few_free_slots_the_lowest_priority_is_rejected_first() -> None:
     classes = tuple(
-        api.RequestClass(name, api.Effect.SAFE, worth, SECOND, 3 * SECOND)
-        for name, worth in (("most", 10.0), ("least", 1.0), ("some", 3.0))
+        api.RequestClass(name, api.Effect.SAFE, weight, SECOND, 3 * SECOND)
+        for name, weight in (("most", 10.0), ("least", 1.0), ("some", 3.0))
     )
     balancer = Balancer(make_settings(classes=classes), seed=1, now=5 * SECOND)
     balancer.handle(5 * SECOND, api.ServerList(api.ListKind.FULL, fleet(4), 1))
 
-    def refused(cls: int, room: float, rid: int) -> bool:
-        actions = balancer.handle(6 * SECOND, api.Request(rid, cls, SECOND, free_slot_share=room))
+    def is_rejected(cls: int, free_share: float, rid: int) -> bool:
+        actions = balancer.handle(6 * SECOND, api.Request(rid, cls, SECOND, free_slot_share=free_share))
         return any(isinstance(action, api.Reject) for action in actions)
 
-    told = [
-        [refused(cls, room, 10 * n + cls) for cls in range(3)] for n, room in enumerate((0.3, 0.2, 0.1, 0.0))
+    results = [
+        [is_rejected(cls, free_share, 10 * n + cls) for cls in range(3)]
+        for n, free_share in enumerate((0.3, 0.2, 0.1, 0.0))
     ]
-    assert told == [[False] * 3, [False, True, False], [False, True, True], [True] * 3]
+    assert results == [[False] * 3, [False, True, False], [False, True, True], [True] * 3]
 
 
-def test_a_node_never_holds_all_the_connections_that_clients_have(tmp_path: Path) -> None:
+def test_pending_requests_never_use_up_all_client_connections(tmp_path: Path) -> None:
     async def play() -> None:
         server = StalledServer("s-1")
         async with running(
             tmp_path / "c.json", FakeDiscovery(), server, settings=settings(caps=CAPS)
         ) as node:
             third = node.clients.config.sockets // 3
-            asking = [asyncio.ensure_future(node.ask(request("book", rid=f"r-{n}"))) for n in range(third)]
+            pending = [asyncio.ensure_future(node.ask(request("book", rid=f"r-{n}"))) for n in range(third)]
             await server.until(lambda: len(server.heads) + node.dispatcher.counters.rejected[2] == third)
             assert node.dispatcher.counters.rejected[2]
-            # A third of the descriptors is what clients hold: one is always left to hear a request on.
+            # Clients may use a third of the descriptors; one of these is always left to read a request from.
             assert node.dispatcher.unfinished_requests < third
             assert b" 503 " in await node.ask(request("view", rid="v-1"))
             server.go.set()
-            await asyncio.gather(*asking)
+            await asyncio.gather(*pending)
 
     asyncio.run(play())
 
 
-# Guards against: a tenant over its limit makes the node late, and the node sheds the others for it.
+# Guards against a tenant over its limit that makes the node late, so that requests of other tenants are shed.
 @pytest.mark.parametrize(("limited", "may_reject"), [(0, True), (40, False)])
-def test_what_limits_turn_away_is_shed_before_what_is_within_them(limited: int, may_reject: bool) -> None:
+def test_requests_beyond_limits_are_shed_before_those_within(limited: int, may_reject: bool) -> None:
     balancer = Balancer(make_settings(), 1, 0)
     balancer.handle(0, api.ServerList(api.ListKind.FULL, fleet(6), 1))
     rejected = 0
     for number in range(1, 200):
         now = number * 10 * MS
-        # Each is read 60 ms late: with the limit at a tenth of 200 ms half of all requests are too many.
+        # Each request is read 60 ms late, the limit is a tenth of 200 ms: half of all requests must be shed.
         event = api.Request(number, 0, 500 * MS, queued_time=60 * MS, limited_before=limited)
         actions = balancer.handle(now, event)
         rejected += any(isinstance(action, api.Reject) for action in actions)
--- a/tests/test_outlier_shares.py
+++ b/tests/test_outlier_shares.py
@@ -1,4 +1,4 @@
-"""The median of many shares, most of them 0, is that of the whole list, at the cost of those above 0."""
+"""The median of many shares, most of them 0, is that of all members, at the cost of the shares above 0."""
 
 from __future__ import annotations
 
@@ -14,18 +14,20 @@
 
 @given(st.integers(1, 9), MOVES)
 def test_the_median_is_that_of_all_others(count: int, moves: list[tuple[int, bool]]) -> None:
-    shares, plain = OutlierShares(count), [0.0] * count
+    shares, expected = OutlierShares(count), [0.0] * count
     for drawn, rejected in moves:
         member = drawn % count
-        plain[member] += WEIGHT * (float(rejected) - plain[member])
-        assert shares.update(member, float(rejected), WEIGHT) == pytest.approx(plain[member], abs=MIN_SHARE)
-        for one in range(count):
-            others = sorted(share for other, share in enumerate(plain) if other != one)
+        expected[member] += WEIGHT * (float(rejected) - expected[member])
+        assert shares.update(member, float(rejected), WEIGHT) == pytest.approx(
+            expected[member], abs=MIN_SHARE
+        )
+        for excluded in range(count):
+            others = sorted(share for other, share in enumerate(expected) if other != excluded)
             middle = others[len(others) // 2] if others else 0.0
-            assert shares.median_of_others(one) == pytest.approx(middle, abs=MIN_SHARE)
+            assert shares.median_of_others(excluded) == pytest.approx(middle, abs=MIN_SHARE)
 
 
-def test_only_members_with_a_share_are_kept_and_one_that_has_faded_is_forgotten() -> None:
+def test_only_shares_above_zero_are_stored_and_decayed_ones_are_removed() -> None:
     shares = OutlierShares(300_000)
     for member in range(300_000):
         assert shares.update(member, 0.0, WEIGHT) == 0.0
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -1,4 +1,4 @@
-"""The guard of resends, copies and refusals, over all effects, groups, outcomes and window positions."""
+"""The safety of retries, hedges and rejections, for all effects, scopes, results and times in the window."""
 
 from __future__ import annotations
 
@@ -15,29 +15,31 @@
 RESULTS = [None, *api.Result]
 
 
-def tries_of(results: tuple[api.Result | None, ...]) -> list[TrackedAttempt]:
-    tries = []
+def attempts_with(results: tuple[api.Result | None, ...]) -> list[TrackedAttempt]:
+    attempts = []
     for n, result in enumerate(results):
         server = TrackedServer(b"%d" % n, first_ejection=SECOND)
         server.zone, server.cell = 1, 7
-        t = TrackedAttempt(server, n * MS)
-        t.result = result
-        tries.append(t)
-    return tries
+        attempt = TrackedAttempt(server, n * MS)
+        attempt.result = result
+        attempts.append(attempt)
+    return attempts
 
 
 @pytest.mark.parametrize("effect", api.Effect)
-@pytest.mark.parametrize("group", api.DeduplicationScope)
+@pytest.mark.parametrize("deduplication_scope", api.DeduplicationScope)
 @pytest.mark.parametrize("age", [MS, WINDOW - 10 * MS, WINDOW, 2 * WINDOW])
-@pytest.mark.parametrize("copies", [True, False])
-def test_every_case(effect: api.Effect, group: api.DeduplicationScope, age: int, copies: bool) -> None:
-    cls = api.RequestClass("c", effect, 1.0, SECOND, 3 * SECOND, 0.0, group, WINDOW)
+@pytest.mark.parametrize("hedging_allowed", [True, False])
+def test_every_case(
+    effect: api.Effect, deduplication_scope: api.DeduplicationScope, age: int, hedging_allowed: bool
+) -> None:
+    cls = api.RequestClass("c", effect, 1.0, SECOND, 3 * SECOND, 0.0, deduplication_scope, WINDOW)
     for count in range(3):
         for results in itertools.product(RESULTS, repeat=count):
-            tries = tries_of(results)
-            scope = allowed_scope(cls, tries, age, copies, 3, 4 * MS)
+            attempts = attempts_with(results)
+            scope = allowed_scope(cls, attempts, age, hedging_allowed, 3, 4 * MS)
             ran = [n for n, r in enumerate(results) if r not in NEVER_RAN]
-            allowed = copies or None not in results
+            allowed = hedging_allowed or None not in results
             if ran and effect == api.Effect.UNSAFE:
                 allowed = False
             if ran and effect == api.Effect.KEYED and age - ran[0] * MS >= WINDOW - 4 * MS:
@@ -45,16 +47,20 @@
             assert (scope is not None) == allowed, (results, scope)
             if scope is not None:
                 bound = bool(ran) and effect == api.Effect.KEYED
-                assert scope.cell == (7 if bound and group == api.DeduplicationScope.CELL else -1)
-                assert scope.zone == (1 if bound and group == api.DeduplicationScope.ZONE else -1)
+                assert scope.cell == (
+                    7 if bound and deduplication_scope == api.DeduplicationScope.CELL else -1
+                )
+                assert scope.zone == (
+                    1 if bound and deduplication_scope == api.DeduplicationScope.ZONE else -1
+                )
             harmless = effect == api.Effect.SAFE or (
-                effect == api.Effect.KEYED and group == api.DeduplicationScope.ALL
+                effect == api.Effect.KEYED and deduplication_scope == api.DeduplicationScope.ALL
             )
-            assert is_client_retry_harmless(cls, tries) == (harmless or not ran)
+            assert is_client_retry_harmless(cls, attempts) == (harmless or not ran)
 
 
-def test_no_more_attempts_than_allowed() -> None:
+def test_the_number_of_attempts_is_limited() -> None:
     cls = api.RequestClass("c", api.Effect.SAFE, 1.0, SECOND, 3 * SECOND)
-    rejected = tries_of((api.Result.REJECTED,) * 3)
+    rejected = attempts_with((api.Result.REJECTED,) * 3)
     assert allowed_scope(cls, rejected, MS, True, 3) is None
     assert allowed_scope(cls, rejected, MS, True, 4) is not None
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""Seeded random walks of legal events: the balancer's harness asserts the four rules at every step."""
+"""Seeded random sequences of valid events: the balancer's harness asserts the four rules at every step."""
 
 from __future__ import annotations
 
@@ -15,67 +15,69 @@
 def walk(
     seed: int, settings: api.Settings, steps: int = 600, limits: api.Limits | None = None
 ) -> BalancerHarness:
-    """Requests, all outcomes, drains, restarts, vanished and new servers, lost lists, clients that leave."""
-    chance = random.Random(seed)
+    """Play requests with all results, drains, restarts, new and lost servers, failed polls, disconnects."""
+    rng = random.Random(seed)
     node = BalancerHarness(settings, seed)
     servers = {s.id: s for s in fleet(12)}
     node.tell(tuple(servers.values()), api.ListKind.CACHED)
     fresh = 100
     for rid in range(steps):
-        roll = chance.random()
+        roll = rng.random()
         if roll < 0.55:
-            left = chance.choice([0, 0, 0, 30 * MS, 2 * MS, 1])
-            node.ask(rid, chance.randrange(len(settings.classes)), left, chance.randrange(5), limits)
+            time_left = rng.choice([0, 0, 0, 30 * MS, 2 * MS, 1])
+            node.ask(rid, rng.randrange(len(settings.classes)), time_left, rng.randrange(5), limits)
         elif roll < 0.60:
-            sid = chance.choice(list(servers))
+            sid = rng.choice(list(servers))
             old = servers[sid]
-            state = chance.choice([api.ServerState.DRAINING, api.ServerState.GONE, api.ServerState.READY])
-            since = node.now - chance.randrange(SECOND) if state == api.ServerState.READY else old.up_since
-            line = api.Server(sid, old.zone, old.kind, old.cell, state, old.weight, since)
-            servers[sid] = line
-            node.tell((line,), api.ListKind.CHANGES)
+            state = rng.choice([api.ServerState.DRAINING, api.ServerState.GONE, api.ServerState.READY])
+            since = node.now - rng.randrange(SECOND) if state == api.ServerState.READY else old.up_since
+            entry = api.Server(sid, old.zone, old.kind, old.cell, state, old.weight, since)
+            servers[sid] = entry
+            node.tell((entry,), api.ListKind.CHANGES)
             if state == api.ServerState.GONE:
                 del servers[sid]
         elif roll < 0.63:
             fresh += 1
-            line = api.Server(b"n%d" % fresh, fresh % 2, fresh % 3, fresh // 4, up_since=node.now)
-            servers[line.id] = line
-            kind = chance.choice([api.ListKind.CHANGES, api.ListKind.FULL])
-            node.tell((line,) if kind == api.ListKind.CHANGES else tuple(servers.values()), kind)
+            entry = api.Server(b"n%d" % fresh, fresh % 2, fresh % 3, fresh // 4, up_since=node.now)
+            servers[entry.id] = entry
+            kind = rng.choice([api.ListKind.CHANGES, api.ListKind.FULL])
+            node.tell((entry,) if kind == api.ListKind.CHANGES else tuple(servers.values()), kind)
         elif roll < 0.64:
             node.give(api.ServerList(api.ListKind.FAILED))
         elif roll < 0.67:
             open_ids = [r for r, b in node.books.items() if not b.over]
             if open_ids:
-                node.leave(chance.choice(open_ids))
+                node.leave(rng.choice(open_ids))
         elif roll < 0.70:
-            node.run_to(node.now + chance.randrange(2 * SECOND))
-        out = [(r, n) for r, b in node.books.items() for n, a in enumerate(b.attempts) if a.result is None]
-        for r, n in out:
-            if chance.random() < 0.3:
+            node.run_to(node.now + rng.randrange(2 * SECOND))
+        in_flight = [
+            (r, n) for r, b in node.books.items() for n, a in enumerate(b.attempts) if a.result is None
+        ]
+        for r, n in in_flight:
+            if rng.random() < 0.3:
                 results = [
                     x for x in api.Result if x != api.Result.TIMEOUT or node.now >= node.books[r].deadline
                 ]
-                node.answer(r, n, api.Result.OK if chance.random() < 0.6 else chance.choice(results))
-        node.run_to(node.now + chance.randrange(20 * MS))
+                node.answer(r, n, api.Result.OK if rng.random() < 0.6 else rng.choice(results))
+        node.run_to(node.now + rng.randrange(20 * MS))
         node.check_answered()
     node.run_to(node.now + 20 * SECOND)
     assert all(book.over for book in node.books.values())
-    assert not node.balancer.requests, "requests are left behind"
+    assert not node.balancer.requests, "finished requests are still tracked"
     return node
 
 
 @pytest.mark.parametrize("seed", range(12))
-@pytest.mark.parametrize("copies", [True, False])
-def test_random_walk_keeps_the_rules(seed: int, copies: bool) -> None:
+@pytest.mark.parametrize("hedging_allowed", [True, False])
+def test_random_events_break_no_rule(seed: int, hedging_allowed: bool) -> None:
     weights = list(api.WeightMode)[seed % 4]
-    settings = make_settings(hedging_allowed=copies, weight_mode=weights)
-    node = walk(seed, settings, limits=api.Limits(hedges=1) if copies else None)
+    settings = make_settings(hedging_allowed=hedging_allowed, weight_mode=weights)
+    node = walk(seed, settings, limits=api.Limits(hedges=1) if hedging_allowed else None)
     assert {kind for _, kind in node.finals} >= {"Served", "Fail", "Reject"}
 
 
 @given(seed=st.integers(0, 2**32), attempts=st.integers(1, 6))
-def test_short_walks(seed: int, attempts: int) -> None:
+def test_short_random_sequences_break_no_rule(seed: int, attempts: int) -> None:
     walk(seed, make_settings(max_attempts=attempts), steps=40)
 
 
@@ -85,10 +87,10 @@
 
 
 @pytest.mark.parametrize("nodes", [1, 4, 40])
-def test_cold_servers_get_no_more_than_the_budget(nodes: int) -> None:
-    """All nodes together stay under the stated multiple of a starting server's capacity, over any span.
+def test_starting_servers_get_no_more_than_their_budget(nodes: int) -> None:
+    """All nodes together stay below the configured multiple of a starting server's capacity in any window.
 
-    Each node takes its part, so one node is held to 1/nodes of the budget, whatever its load.
+    Each node uses its share, so that one node is limited to 1/nodes of the budget at any load.
     """
     settings = make_settings(
         nodes=nodes, classes=(api.RequestClass("w", api.Effect.SAFE, 1.0, SECOND, 3 * SECOND),)
@@ -125,7 +127,7 @@
         assert count * work <= allowed + work, (age, count)
 
 
-def test_nothing_goes_to_a_draining_server() -> None:
+def test_a_draining_server_gets_no_attempts() -> None:
     node = BalancerHarness()
     servers = fleet(6)
     node.tell(servers)
@@ -136,7 +138,7 @@
     assert gone not in {sid for _, _, sid in node.sent}
 
 
-def test_held_requests_are_refused_in_time_when_there_is_no_server() -> None:
+def test_waiting_requests_are_rejected_in_time_if_there_is_no_server() -> None:
     node = BalancerHarness()
     node.tell(())
     for rid in range(5):
@@ -145,7 +147,7 @@
     assert sorted(node.finals) == [(rid, "Reject") for rid in range(5)]
 
 
-def test_held_requests_go_out_once_a_server_appears() -> None:
+def test_waiting_requests_are_sent_once_a_server_appears() -> None:
     node = BalancerHarness()
     node.tell(())
     node.ask(1, 1)
--- a/tests/test_same_decisions.py
+++ b/tests/test_same_decisions.py
@@ -1,6 +1,6 @@
-"""Every recorded stream of events still leads to the same actions, by the same chance draws.
+"""Every recorded stream of events leads to the same actions with the same random draws.
 
-What differs is shown with its event by: python -m tests.show_first_difference [STREAM]
+To show the first event with a difference: python -m tests.show_first_difference [STREAM]
 """
 
 from __future__ import annotations
@@ -21,8 +21,8 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 STREAMS = recorded.names()
-# Actions that the module makes; probes and single fetches are in the interface only.
-MADE = {"send", "refuse", "fail", "cancel", "set", "watch"}
+# The actions that the decision module returns; probes and single fetches exist in the interface only.
+RETURNED_ACTIONS = {"send", "refuse", "fail", "cancel", "set", "watch"}
 
 
 @pytest.mark.parametrize("name", STREAMS)
@@ -31,7 +31,7 @@
     assert difference is None, f"{name}: {difference}"
 
 
-def test_the_streams_are_those_that_were_recorded() -> None:
+def test_the_streams_match_their_recorded_digests() -> None:
     kept = digests()
     assert sorted(kept) == STREAMS
     for name in STREAMS:
@@ -39,7 +39,7 @@
         assert kept[name] == (len(stream.lines), recorded.digest_of(stream)), name
 
 
-def test_the_streams_hold_every_kind_of_event_action_result_and_list() -> None:
+def test_the_streams_contain_every_kind_of_event_action_result_and_list() -> None:
     events: Counter[str] = Counter()
     actions: Counter[str] = Counter()
     results: Counter[int] = Counter()
@@ -53,15 +53,15 @@
             elif line.event[0] == "list":
                 lists[line.event[1]] += 1
     assert set(events) == set(recorded.EVENTS) and sum(events.values()) > 10_000
-    assert set(actions) == MADE
+    assert set(actions) == RETURNED_ACTIONS
     assert set(results) == set(map(int, Result)) and set(lists) == set(map(int, ListKind))
 
 
-def test_the_tables_name_all_that_the_interface_has() -> None:
-    assert recorded.covers() == []
+def test_the_tables_cover_the_whole_interface() -> None:
+    assert recorded.missing_from_tables() == []
 
 
-def test_what_was_decided_does_not_depend_on_hashes() -> None:
+def test_decisions_do_not_depend_on_the_hash_seed() -> None:
     command = [sys.executable, "-m", "tests.show_first_difference", "world-peers", "seed-13-0"]
     for seed in ("0", "4711"):
         environ = {**os.environ, "PYTHONHASHSEED": seed}
@@ -69,7 +69,7 @@
         assert done.returncode == 0, done.stdout + done.stderr
 
 
-def test_other_chance_and_other_actions_are_found() -> None:
+def test_differences_in_seed_actions_draws_and_checksum_are_found() -> None:
     stream = recorded.load(STREAMS[0])
     assert first_difference(replace(stream, seed=stream.seed + 1)) is not None
     at = next(n for n, line in enumerate(stream.lines) if line.actions)
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -1,4 +1,4 @@
-"""The slow-start factor of servers by age, also where the settings name no warm-up time."""
+"""The slow-start factor and send interval of servers by age, also without a warm-up time in the settings."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
     assert slow_start.factor(server, 20 * SECOND) == pytest.approx(factor)
 
 
-def test_without_a_warm_up_time_a_server_whose_clock_is_ahead_is_used_as_any_other() -> None:
+def test_without_a_warm_up_time_a_server_whose_clock_is_ahead_is_used_normally() -> None:
     node = BalancerHarness(make_settings(warm_up=0))
     node.tell(fleet(4, up_since=node.now + 300 * MS))
     node.ask(1)
@@ -33,10 +33,10 @@
 
 
 @pytest.mark.parametrize("body_pending", [False, True])
-def test_a_starting_server_gets_one_request_an_interval_also_while_bodies_are_coming(
+def test_a_starting_server_gets_one_request_per_interval_also_with_pending_bodies(
     body_pending: bool,
 ) -> None:
-    """Uploads are sent to a server before they are whole: each of them uses up its send interval at once."""
+    """An upload is sent before its body is complete, and must use up the send interval at once."""
     start = 20 * SECOND
     balancer = Balancer(make_settings(), 1, start)
     sends: dict[api.ServerId, list[int]] = {}
@@ -61,5 +61,5 @@
     for server, times in sends.items():
         interval = balancer.servers[server].slow_start_interval
         assert interval > SECOND
-        # One that shrinks at a review begins anew at a random point: half of it holds in any case here.
+        # An interval that becomes shorter at a review restarts at a random time: half of it is certain here.
         assert all(later - earlier > interval // 2 for earlier, later in itertools.pairwise(times))
--- a/tests/test_slow_start_many_nodes.py
+++ b/tests/test_slow_start_many_nodes.py
@@ -1,4 +1,4 @@
-"""What all nodes together send to servers that have just started, on every path: no bench, many nodes."""
+"""The requests that all nodes together send to servers that have just started stay within the budget."""
 
 from __future__ import annotations
 
@@ -13,82 +13,89 @@
 from hollybay.testbed.world import MS, SECOND, BalancerHarness, make_settings
 
 WORK = 50 * MS  # of a request, at a server of size 1
-ONE = (api.RequestClass("w", api.Effect.SAFE, 1.0, SECOND, 3 * SECOND),)
-SERVERS, COLD = 24, 8
+ONE_CLASS = (api.RequestClass("w", api.Effect.SAFE, 1.0, SECOND, 3 * SECOND),)
+SERVERS, STARTING = 24, 8
 BEFORE, AFTER = 2 * SECOND, 4 * SECOND
 
 
-def lines(up_since: int = 0) -> tuple[api.Server, ...]:
-    """Servers of size 1; the first ones start at this time, 0: all are there for long."""
+def list_entries(up_since: int = 0) -> tuple[api.Server, ...]:
+    """List entries of servers of size 1; the first ones start at this time, 0: all have been up for long."""
     return tuple(
-        api.Server(b"s%02d" % n, zone=n % 2, cell=n, weight=1.0, up_since=up_since if n < COLD else 0)
+        api.Server(b"s%02d" % n, zone=n % 2, cell=n, weight=1.0, up_since=up_since if n < STARTING else 0)
         for n in range(SERVERS)
     )
 
 
 class Client:
-    """One node under its own traffic."""
+    """One node and its own traffic."""
 
-    def __init__(self, node: BalancerHarness, chance: random.Random, rate: float) -> None:
-        self.node, self.chance, self.rate = node, chance, rate
+    def __init__(self, node: BalancerHarness, rng: random.Random, rate: float) -> None:
+        self.node, self.rng, self.rate = node, rng, rate
         self.rid = 0
 
     def play(self, until: int, failing: float) -> None:
-        """Poisson arrivals until then; answers after a while, some connects fail and are repeated."""
+        """Send Poisson arrivals; servers respond after WORK, some connects fail and are retried."""
         node = self.node
-        due = node.now + int(self.chance.expovariate(self.rate) * SECOND)
+        due = node.now + int(self.rng.expovariate(self.rate) * SECOND)
         while node.now < until:
             node.run_to(min(due, node.now + 5 * MS, until))
             if node.now >= due:
                 node.ask(self.rid)
                 self.rid += 1
-                due = node.now + int(self.chance.expovariate(self.rate) * SECOND)
+                due = node.now + int(self.rng.expovariate(self.rate) * SECOND)
             for rid, book in list(node.books.items()):
-                for n, tried in enumerate(book.attempts):
-                    if tried.result is None and node.now - tried.sent >= WORK:
-                        lost = self.chance.random() < failing
+                for n, attempt in enumerate(book.attempts):
+                    if attempt.result is None and node.now - attempt.sent >= WORK:
+                        lost = self.rng.random() < failing
                         node.answer(rid, n, api.Result.NOT_DELIVERED if lost else api.Result.OK)
 
 
-def sent_to_cold(
-    nodes: int, seed: int, load: float, told: int | None = None
+def sent_to_starting(
+    nodes: int, seed: int, load: float, configured_nodes: int | None = None
 ) -> tuple[list[tuple[int, object]], int, api.Settings]:
-    """When each cold server was sent something, in order, since when they are up, and the settings.
+    """Return the attempts at starting servers (time and server) in order, their start time, and the settings.
 
-    Some nodes see several times the mean, one in four dies and starts again soon after, and one in eight
-    hears of the start late. told: how many nodes the settings tell, where that is wrong.
+    Some nodes get several times the mean traffic, one in four restarts soon after the servers have started,
+    and one in eight gets the new list late. `configured_nodes`: the number of nodes in the settings if wrong.
     """
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     total = load * SERVERS * SECOND / WORK
-    weights = [chance.choice((0.3, 1.0, 1.0, 4.0)) for _ in range(nodes)]
+    weights = [rng.choice((0.3, 1.0, 1.0, 4.0)) for _ in range(nodes)]
     sent: list[tuple[int, object]] = []
     up = 0
     for n in range(nodes):
-        changes = {"classes": ONE, "kinds": 1, "nodes": told or nodes, "node": n, "hedging_allowed": True}
+        changes = {
+            "classes": ONE_CLASS,
+            "kinds": 1,
+            "nodes": configured_nodes or nodes,
+            "node": n,
+            "hedging_allowed": True,
+        }
         settings = make_settings(**changes)
         node = BalancerHarness(settings, seed=1000 * seed + n)
         rate = max(0.2, total * weights[n] / sum(weights))
         client = Client(node, random.Random(f"{seed} {n}"), rate)
-        began = node.now
-        up = began + BEFORE
-        node.tell(lines())
+        start = node.now
+        up = start + BEFORE
+        node.tell(list_entries())
         client.play(up + (SECOND if n % 8 == 7 else 0), 0.02)
-        node.tell(lines(up))
+        node.tell(list_entries(up))
         if n % 4 == 3:
             client.play(up + SECOND * 3 // 2, 0.02)
             sent += [(at, sid) for at, _, sid in node.sent]
             node = BalancerHarness(settings, seed=1000 * seed + n + 500, now=node.now)
             client.node = node
-            node.tell(lines(up), api.ListKind.CACHED)
+            node.tell(list_entries(up), api.ListKind.CACHED)
         client.play(up + AFTER, 0.02)
         sent += [(at, sid) for at, _, sid in node.sent]
-    cold = {b"s%02d" % n for n in range(COLD)}
-    return sorted((at, sid) for at, sid in sent if sid in cold and at >= up), up, settings
+    starting = {b"s%02d" % n for n in range(STARTING)}
+    return sorted((at, sid) for at, sid in sent if sid in starting and at >= up), up, settings
 
 
-def worst(sent: list[tuple[int, object]], up: int, settings: api.Settings) -> float:
-    """The most calls that a cold server got in a window beyond its budget N, by 2 x root of N + 2."""
-    most = float("-inf")
+def worst_excess(sent: list[tuple[int, object]], up: int, settings: api.Settings) -> float:
+    """Return the largest excess of a starting server's requests in a window over its budget N, divided by
+    2 * sqrt(N) + 2."""
+    largest = float("-inf")
     for sid in {sid for _, sid in sent}:
         at = [when for when, s in sent if s == sid]
         for k, end in enumerate(at):
@@ -102,22 +109,22 @@
                 settings.overload_window,
             )
             budget = allowed / WORK
-            most = max(most, (span - budget) / (2 * sqrt(budget) + 2))
-    return most
+            largest = max(largest, (span - budget) / (2 * sqrt(budget) + 2))
+    return largest
 
 
 @pytest.mark.parametrize(("nodes", "load"), [(1, 0.9), (20, 0.5), (20, 1.4), (30, 0.9), (200, 1.4)])
-def test_the_sum_over_all_nodes_stays_within_budget_and_chance(nodes: int, load: float) -> None:
+def test_the_requests_of_all_nodes_stay_within_the_budget_but_for_chance(nodes: int, load: float) -> None:
     used: Counter[object] = Counter()
     for seed in range(2):
-        sent, up, settings = sent_to_cold(nodes, seed, load)
-        assert worst(sent, up, settings) <= 1.0, seed
+        sent, up, settings = sent_to_starting(nodes, seed, load)
+        assert worst_excess(sent, up, settings) <= 1.0, seed
         used.update(sid for _, sid in sent)
-    assert len(used) == COLD and sum(used.values()) > 0
+    assert len(used) == STARTING and sum(used.values()) > 0
 
 
-def test_the_sum_holds_where_most_nodes_of_the_settings_are_not_there() -> None:
-    """30 of 90; more nodes than the settings tell cannot be, as they number them."""
+def test_the_requests_stay_within_the_budget_if_most_configured_nodes_do_not_exist() -> None:
+    """30 of 90 nodes exist; there cannot be more nodes than configured because the settings number them."""
     for seed in range(2):
-        sent, up, settings = sent_to_cold(30, seed, 0.9, told=90)
-        assert worst(sent, up, settings) <= 1.0, seed
+        sent, up, settings = sent_to_starting(30, seed, 0.9, configured_nodes=90)
+        assert worst_excess(sent, up, settings) <= 1.0, seed
--- a/tests/test_state_lookups.py
+++ b/tests/test_state_lookups.py
@@ -1,4 +1,4 @@
-"""No request pays for look-ups in the enums of its states: each costs 0.2 µs, a module's own name a tenth."""
+"""No request looks up members of state enums: a look-up costs 0.2 µs, a module-level name a tenth of that."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
 
 @cache
 def attributes_of_globals(code: CodeType) -> dict[int, tuple[str, str]]:
-    """The instructions that load an attribute of a global name, by offset: the name, and the attribute."""
+    """Return the instructions that load an attribute of a global, by offset: the global and the attribute."""
     return {
         second.offset: (first.argval, second.argval)
         for first, second in itertools.pairwise(dis.get_instructions(code))
@@ -51,14 +51,14 @@
     }
 
 
-class Lookups:
-    """Notes each look-up of a member of a state's enum that the node's code makes meanwhile."""
+class LookupTracer:
+    """Context manager that records each look-up of a member of a state enum in the node's code."""
 
     def __init__(self) -> None:
         self.found: list[str] = []
         self.functions: set[str] = set()
 
-    def __enter__(self) -> Lookups:
+    def __enter__(self) -> LookupTracer:
         self.before = sys.gettrace()
         sys.settrace(self._on_call)
         return self
@@ -81,14 +81,14 @@
         return self._on_instruction
 
 
-async def traced(node: RunningNode, cls: str) -> Lookups:
-    """The look-ups of the second request of a connection, with those of its answer."""
+async def trace_request(node: RunningNode, cls: str) -> LookupTracer:
+    """Return the look-ups of the second request on a connection, including those of its response."""
     reader, writer = await node.connect()
     body = b"" if cls == "view" else b"abc"
     writer.write(request(cls, rid=f"{cls}-1", body=body))
     await read_message(reader)
     await node.until(lambda: not node.dispatcher.requests)
-    with Lookups() as lookups:
+    with LookupTracer() as lookups:
         writer.write(request(cls, rid=f"{cls}-2", body=body))
         head, _ = await read_message(reader)
         await node.until(lambda: bool(node.clients.idle))
@@ -99,12 +99,12 @@
 
 @pytest.mark.parametrize("cls", ["view", "send", "book"])
 def test_a_request_looks_up_no_member_of_a_state_enum(cls: str, tmp_path: Path) -> None:
-    async def play() -> Lookups:
+    async def play() -> LookupTracer:
         async with running(tmp_path / "c.json", FakeDiscovery(), ScriptedServer("s-1")) as node:
-            return await traced(node, cls)
+            return await trace_request(node, cls)
 
     lookups = asyncio.run(play())
-    # The whole way was seen: read, decided, sent, answered.
+    # All stages were traced: reading, decision, sending, response.
     assert lookups.functions >= {
         "ClientConnection._response_completed",
         "FurtherAttempts.on_attempt_finished",
@@ -115,14 +115,14 @@
     assert lookups.found == []
 
 
-def test_a_look_up_is_seen() -> None:
-    """The check itself, on a function that might stand in the node."""
+def test_a_look_up_is_detected() -> None:
+    """Checks the tracer itself with a function that seems to be part of the node."""
     source = "def step():\n    return RequestState.FINISHED, _FINISHED"
     names: dict[str, Any] = {
         "RequestState": pending_request.RequestState,
         "_FINISHED": pending_request.RequestState.FINISHED,
     }
     exec(compile(source, f"{NODE[0]}step.py", "exec"), names)
-    with Lookups() as lookups:
+    with LookupTracer() as lookups:
         names["step"]()
     assert lookups.found == ["step: RequestState.FINISHED"]
