--- a/tests/move_constants.py
+++ b/tests/move_constants.py
@@ -117,7 +117,7 @@
         return spec
 
 
-def seen_by(constant: Constant) -> str | None:
+def first_differing_stream(constant: Constant) -> str | None:
     """Return the first stream with other decisions if a constant is changed; call it once per process."""
     assert PACKAGE not in sys.modules
     sys.meta_path.insert(0, MovingFinder(constant))
@@ -139,7 +139,9 @@
     chosen = [constant for constant in constants() if not wanted or constant.name in wanted]
     unseen = []
     with multiprocessing.get_context("spawn").Pool(PROCESSES, maxtasksperchild=1) as pool:
-        for constant, stream in zip(chosen, pool.imap(seen_by, chosen, chunksize=1), strict=True):
+        for constant, stream in zip(
+            chosen, pool.imap(first_differing_stream, chosen, chunksize=1), strict=True
+        ):
             print(constant, stream or "UNSEEN", flush=True)
             if stream is None:
                 unseen.append(constant)
--- a/tests/made_up_world.py
+++ b/tests/random_world.py
@@ -1,7 +1,8 @@
-"""A made-up world around one balancer, drawn from a fixed seed: for recording only, no rule is checked here.
+"""A random environment of one balancer, generated from a fixed seed; for recording only, it checks no rules.
 
-It plays what runs of whole nodes seldom or never show: limits of every kind, second copies, word from other
-nodes, servers that start, drain, fail or come back, calls that fail, and events that are late or unknown.
+It produces events that simulations of whole nodes seldom or never produce: limits of every kind, hedges, load
+reports of other nodes, servers that start, drain, fail or recover, polls that fail, and late or unknown
+events.
 """
 
 from __future__ import annotations
@@ -24,20 +25,21 @@
 
 from . import recorded_decisions as recorded
 
-__all__ = ["WORLDS", "MadeUpWorld"]
+__all__ = ["WORLDS", "RandomWorld"]
 
 START = 5 * SECOND
-STREAMED = 0.1  # of all answers
-WORK = 60 * MS  # of the first class at a server of size 1, and as much more for each further one
+STREAMED = 0.1  # share of streamed responses
+# The mean service time of the first class at a server of size 1; each further class takes as much more.
+WORK = 60 * MS
 TENANTS = tuple(Tenant(f"t{n}", 0.25, 50.0 * n) for n in range(4))
-# The settings of each world, and how it goes; load is relative to what its servers can do.
+# By name: the settings of each world and its parameters; load is relative to the capacity of its servers.
 WORLDS: dict[str, dict[str, Any]] = {
     "world-copies": {
         "weight_mode": WeightMode.LIVE,
         "load": 0.15,
         "limited": 0.8,
         "slow": 0.05,
-        "well": True,
+        "no_failures": True,
     },
     "world-nominal": {
         "weight_mode": WeightMode.NOMINAL,
@@ -79,7 +81,7 @@
         "load": 0.3,
         "limited": 1.0,
         "change": 40 * MS,
-        "hasty": True,
+        "short_deadlines": True,
     },
     "world-told": {
         "weight_mode": WeightMode.NOMINAL,
@@ -90,7 +92,7 @@
         "routes": 5000,
         "max_retry_after": SECOND,
         "tenants": TENANTS,
-        "denied": True,
+        "tenant_rejected": True,
         "events": 4000,
     },
     "world-reports": {
@@ -103,31 +105,31 @@
 }
 
 
-class MadeUpWorld:
-    """Servers, clients, discovery and other nodes, as events that fall due."""
+class RandomWorld:
+    """Servers, clients, discovery and other nodes, simulated by a queue of scheduled events."""
 
-    def __init__(self, balancer: type, name: str, *, load: float, events: int = 2000, **ways: Any) -> None:
-        self.chance = random.Random(f"made-up world {name}")
-        self.limited: float = ways.pop("limited", 0.3)
-        self.slow: float = ways.pop("slow", 0.03)
-        self.lost: float = ways.pop("lost", 0.01)
-        self.well: bool = ways.pop("well", False)  # no server fails and no attempt is cut short
-        self.hasty: bool = ways.pop("hasty", False)  # clients have little time for more than an attempt
-        self.change: int = ways.pop("change", 400 * MS)  # between two changes of the list, on average
-        self.routes: int = ways.pop("routes", 2)
-        self.denied: bool = ways.pop("denied", False)  # a tenant is turned away for some seconds
-        self.lag: int = ways.pop("lag", 0)
-        self.peers: int = ways.pop("peers", 0)
-        if ways.pop("reported", False):
-            ways["report_fields"] = ("errors", "rate", "q")
-        self.reported = bool(ways.get("report_fields"))
-        self.settings = make_settings(prices=Prices(cross_zone=ways.pop("crossing", 0.02)), **ways)
+    def __init__(self, balancer: type, name: str, *, load: float, events: int = 2000, **options: Any) -> None:
+        self.rng = random.Random(f"made-up world {name}")  # another text gives other streams
+        self.limited: float = options.pop("limited", 0.3)
+        self.slow: float = options.pop("slow", 0.03)
+        self.lost: float = options.pop("lost", 0.01)
+        self.no_failures: bool = options.pop("no_failures", False)  # no failures, no early timeouts
+        self.short_deadlines: bool = options.pop("short_deadlines", False)  # little time for retries
+        self.change: int = options.pop("change", 400 * MS)  # mean time (ns) between changes of the list
+        self.routes: int = options.pop("routes", 2)
+        self.tenant_rejected: bool = options.pop("tenant_rejected", False)  # for some seconds
+        self.lag: int = options.pop("lag", 0)
+        self.peers: int = options.pop("peers", 0)
+        if options.pop("reported", False):
+            options["report_fields"] = ("errors", "rate", "q")
+        self.reported = bool(options.get("report_fields"))
+        self.settings = make_settings(prices=Prices(cross_zone=options.pop("crossing", 0.02)), **options)
         self.now = START
         self.balancer = balancer(self.settings, len(name), START)
         self.events = events
         self.due: list[tuple[int, int, list[Any]]] = []
         self.count = 0
-        self.requests: dict[int, list[Any]] = {}  # class, deadline, servers by attempt, those out, over
+        self.requests: dict[int, list[Any]] = {}  # class, deadline, attempts, numbers in flight, finished
         self.sending: set[int] = set()
         self.version = 0
         self.servers = [self._server(n) for n in range(14)]
@@ -135,24 +137,24 @@
         self.every = int(WORK * (1 + len(CLASSES)) / 2 / (load * sizes))
 
     def _server(self, n: int) -> list[Any]:
-        """A line of the list: id, zone, kind, cell, state, weight, start of its process."""
+        """Return a list entry: id, zone, kind, cell, state, weight, start time of the process."""
         zones, kinds = self.settings.zones, self.settings.kinds
         return [[f"s{n:02}"], n % zones, n % kinds, n // 4, ServerState.READY, 1.0 + 0.5 * (n % 3), 0]
 
     # Time
 
-    def after(self, delay: int, event: list[Any]) -> None:
+    def schedule(self, delay: int, event: list[Any]) -> None:
         self.count += 1
         heappush(self.due, (self.now + delay, self.count, event))
 
     def run(self) -> None:
-        """Play until so many events were given."""
-        self.after(0, ["tell", ListKind.CACHED if self.settings.poll_required else ListKind.FULL])
-        self.after(MS, ["ask"])
-        self.after(SECOND, ["change"])
-        self.after(50 * MS, ["stray"])
+        """Run until the balancer has been given `events` events."""
+        self.schedule(0, ["list", ListKind.CACHED if self.settings.poll_required else ListKind.FULL])
+        self.schedule(MS, ["ask"])
+        self.schedule(SECOND, ["change"])
+        self.schedule(50 * MS, ["unexpected"])
         if self.peers:
-            self.after(100 * MS, ["hear"])
+            self.schedule(100 * MS, ["peers"])
         for _ in range(self.events):
             given = None
             while given is None:
@@ -162,21 +164,21 @@
             for action in recorded.encode_actions(
                 self.balancer.handle(self.now, recorded.decode_event(given))
             ):
-                self._act(action)
+                self._apply_action(action)
 
     def _event(self, event: list[Any]) -> list[Any] | None:
-        """What the balancer is given for something that is due; None: nothing."""
+        """Return the balancer's event for a scheduled event that is due; None if there is none."""
         what = event[0]
         if what == "ask":
-            return self._ask()
-        if what == "tell":
-            return self._tell(event[1])
+            return self._new_request()
+        if what == "list":
+            return self._server_list(event[1])
         if what == "change":
             return self._change()
-        if what == "hear":
-            return self._hear()
-        if what == "stray":
-            return self._stray()
+        if what == "peers":
+            return self._peer_load()
+        if what == "unexpected":
+            return self._unexpected_event()
         if what == "outcome":
             return self._outcome(event)
         if what == "gone":
@@ -189,170 +191,170 @@
 
     # Requests
 
-    def _ask(self) -> list[Any]:
-        chance = self.chance
-        self.after(1 + int(chance.expovariate(1.0 / self.every)), ["ask"])
+    def _new_request(self) -> list[Any]:
+        rng = self.rng
+        self.schedule(1 + int(rng.expovariate(1.0 / self.every)), ["ask"])
         rid = len(self.requests) + 1
-        cls = chance.randrange(len(CLASSES))
+        cls = rng.randrange(len(CLASSES))
         left = CLASSES[cls].deadline
-        waited = int(chance.random() * self.lag) if self.lag and self.now // SECOND % 3 else 0
-        if waited and chance.random() < 0.2:
-            left = int(0.02 * left * chance.random())
-        elif chance.random() < 0.03:
-            left = int(chance.random() * 100 * MS)
-        elif self.hasty:
+        waited = int(rng.random() * self.lag) if self.lag and self.now // SECOND % 3 else 0
+        if waited and rng.random() < 0.2:
+            left = int(0.02 * left * rng.random())
+        elif rng.random() < 0.03:
+            left = int(rng.random() * 100 * MS)
+        elif self.short_deadlines:
             left = left // 3
         keyed = CLASSES[cls].effect == Effect.KEYED
-        sending = chance.random() < 0.05
-        tenant = chance.randrange(4)
+        sending = rng.random() < 0.05
+        tenant = rng.randrange(4)
         self.requests[rid] = [cls, self.now + left, [], set(), False, tenant]
         if sending:
             self.sending.add(rid)
-            self.after(int(chance.expovariate(1 / (50 * MS))), ["whole", rid])
-        if chance.random() < 0.03:
-            self.after(int(chance.expovariate(1 / (30 * MS))), ["gone", rid])
+            self.schedule(int(rng.expovariate(1 / (50 * MS))), ["whole", rid])
+        if rng.random() < 0.03:
+            self.schedule(int(rng.expovariate(1 / (30 * MS))), ["gone", rid])
         return [
             "request",
             rid,
-            cls if chance.random() < 0.998 else 99,
+            cls if rng.random() < 0.998 else 99,
             left,
             tenant,
-            chance.randrange(1, 50) if keyed else 0,
-            chance.choice((0, 0, 1, 3)),
-            chance.random() < 0.1,
+            rng.randrange(1, 50) if keyed else 0,
+            rng.choice((0, 0, 1, 3)),
+            rng.random() < 0.1,
             waited,
             self._limits(cls),
-            chance.random() if chance.random() < 0.05 else 1.0,
+            rng.random() if rng.random() < 0.05 else 1.0,
             sending,
         ]
 
     def _limits(self, cls: int) -> list[Any] | None:
-        """What the request's route allows."""
-        chance = self.chance
-        if chance.random() > self.limited:
+        """Return the limits of a request's route, or None."""
+        rng = self.rng
+        if rng.random() > self.limited:
             return None
-        share = chance.choice((-1.0, 0.0, 0.1, 0.5))
+        share = rng.choice((-1.0, 0.0, 0.1, 0.5))
         return [
-            chance.choice((0, 0, 1, 2, 3)),
-            0 if self.well else chance.choice((0, 0, 40 * MS, 200 * MS)),
-            chance.choice((-1, -1, 0, 1, 1)),
-            chance.choice((0, 0, 10 * MS, 40 * MS)),
-            chance.choice((0, 0, 500 * MS)),
-            chance.choice((None, *(int(group) for group in DeduplicationScope))),
+            rng.choice((0, 0, 1, 2, 3)),
+            0 if self.no_failures else rng.choice((0, 0, 40 * MS, 200 * MS)),
+            rng.choice((-1, -1, 0, 1, 1)),
+            rng.choice((0, 0, 10 * MS, 40 * MS)),
+            rng.choice((0, 0, 500 * MS)),
+            rng.choice((None, *(int(group) for group in DeduplicationScope))),
             share,
             f"route-{len(self.requests) % self.routes}" if share >= 0.0 else "",
-            chance.choice(([0, 0], [0, 0], [50 * MS, 200 * MS])),
+            rng.choice(([0, 0], [0, 0], [50 * MS, 200 * MS])),
         ]
 
-    def _act(self, action: list[Any]) -> None:
+    def _apply_action(self, action: list[Any]) -> None:
         what = action[0]
         if what == "send":
-            self._begin(*action[1:4])
+            self._start_attempt(*action[1:4])
         elif what in ("refuse", "fail"):
             self.requests[action[1]][4] = True
         elif what == "cancel":
-            self.after(0, ["outcome", action[1], action[2], None, Result.CANCELLED])
+            self.schedule(0, ["outcome", action[1], action[2], None, Result.CANCELLED])
         elif what == "set":
-            self.after(action[1], ["timer", action[2]])
+            self.schedule(action[1], ["timer", action[2]])
         elif what == "watch":
-            failed = self.chance.random() < 0.8
-            self.after(
-                self.chance.choice((MS, 100 * MS, 2 * SECOND, 2 * SECOND, 2 * SECOND)),
-                ["tell", ListKind.FAILED if failed else ListKind.FULL],
+            failed = self.rng.random() < 0.8
+            self.schedule(
+                self.rng.choice((MS, 100 * MS, 2 * SECOND, 2 * SECOND, 2 * SECOND)),
+                ["list", ListKind.FAILED if failed else ListKind.FULL],
             )
 
-    def _begin(self, rid: int, server: Any, timeout: int) -> None:
-        """An attempt starts, and how it will end is drawn."""
-        chance = self.chance
+    def _start_attempt(self, rid: int, server: Any, timeout: int) -> None:
+        """Start an attempt, and draw how and when it ends."""
+        rng = self.rng
         cls, deadline, attempts, out, _, tenant = self.requests[rid]
         number = len(attempts)
         attempts.append((server, self.now))
         out.add(number)
-        # The one of an unknown kind is not among those that change.
+        # The server of an unknown kind is not in `servers`.
         line = next((s for s in self.servers if s[0] == server), self.servers[0])
-        takes = int(chance.expovariate(1.0 / (WORK * (1 + cls) / line[5])))
-        if chance.random() < self.slow:
+        takes = int(rng.expovariate(1.0 / (WORK * (1 + cls) / line[5])))
+        if rng.random() < self.slow:
             takes *= 12
-        result, takes = (Result.OK, takes) if self.well else self._mishap(line, takes)
-        if self.denied and tenant == 1 and self.now // SECOND % 6 < 3 and chance.random() < 0.7:
+        result, takes = (Result.OK, takes) if self.no_failures else self._draw_result(line, takes)
+        if self.tenant_rejected and tenant == 1 and self.now // SECOND % 6 < 3 and rng.random() < 0.7:
             result, takes = Result.REJECTED, 2 * MS
-        if result == Result.OK and chance.random() < STREAMED:
-            self.after(takes, ["started", rid, number, server, takes])
-            takes += int(chance.expovariate(1.0 / (300 * MS)))
+        if result == Result.OK and rng.random() < STREAMED:
+            self.schedule(takes, ["started", rid, number, server, takes])
+            takes += int(rng.expovariate(1.0 / (300 * MS)))
             deadline += 10 * SECOND
         most = min(deadline - self.now, timeout or SECOND * 100)
         if takes > most:
             result, takes = Result.TIMEOUT, max(1, most)
-        self.after(takes, ["outcome", rid, number, server, result])
+        self.schedule(takes, ["outcome", rid, number, server, result])
 
-    def _mishap(self, line: list[Any], takes: int) -> tuple[Result, int]:
-        """How an attempt at a server ends, and after which time: some fail by chance, some for a while."""
-        chance = self.chance
+    def _draw_result(self, line: list[Any], takes: int) -> tuple[Result, int]:
+        """Return how and after which time an attempt ends: some fail by chance, some during an outage."""
+        rng = self.rng
         result = Result.OK
-        if chance.random() < self.lost or (line[0] == ["s05"] and self.now // SECOND % 4 == 1):
+        if rng.random() < self.lost or (line[0] == ["s05"] and self.now // SECOND % 4 == 1):
             results = (Result.REJECTED, Result.ERROR, Result.NOT_DELIVERED, Result.RESET, Result.NOT_SENT)
-            result, takes = chance.choice(results), takes // 4
+            result, takes = rng.choice(results), takes // 4
         if line[1] == 1 and self.now // SECOND % 7 == 5:
-            result, takes = Result.NOT_DELIVERED, 3 * MS  # a zone is lost
+            result, takes = Result.NOT_DELIVERED, 3 * MS  # the zone is unreachable
         if line[0] == ["s09"] and self.now // SECOND % 5 == 3:
-            takes = 100 * SECOND  # it is silent
+            takes = 100 * SECOND  # the server does not respond
         return result, takes
 
     def _outcome(self, event: list[Any]) -> list[Any] | None:
         _, rid, number, _, result = event
         request = self.requests[rid]
         if number not in request[3]:
-            # It has ended before; it is told again.
+            # The attempt has ended already: the event is a repetition.
             return ["outcome", rid, number, request[2][number][0], result, 1]
         request[3].discard(number)
         if self._rarely():
-            self.after(0, event)
+            self.schedule(0, event)
         server, sent = request[2][number]
         answered = result == Result.OK or (result == Result.ERROR and self._rarely())
         final = request[4] or answered
         request[4] = final
-        rate = 100.0 * (1.5 + (self.now // SECOND % 9) / 3.0) * self.chance.uniform(0.8, 1.2)
-        report = [round(20.0 * self.chance.random(), 3), rate, 3.0] if self.reported else []
+        rate = 100.0 * (1.5 + (self.now // SECOND % 9) / 3.0) * self.rng.uniform(0.8, 1.2)
+        report = [round(20.0 * self.rng.random(), 3), rate, 3.0] if self.reported else []
         if self.reported and server == ["s03"]:
-            report[0] = round(rate * self.chance.uniform(0.05, 1.2), 3)
+            report[0] = round(rate * self.rng.uniform(0.05, 1.2), 3)
         if report and self._rarely():
             report = [float("nan"), -1.0, 0.0]
         return ["outcome", rid, number, server, int(result), self.now - sent, final, report]
 
     def _rarely(self) -> bool:
-        return self.chance.random() < 0.05
+        return self.rng.random() < 0.05
 
     # Lists and other nodes
 
-    def _tell(self, kind: ListKind) -> list[Any]:
+    def _server_list(self, kind: ListKind) -> list[Any]:
         if kind == ListKind.FAILED:
             return ["list", int(kind), [], 0]
         self.version += 1
-        return ["list", int(kind), [self._line(line) for line in self.servers], self.version]
+        return ["list", int(kind), [self._list_entry(line) for line in self.servers], self.version]
 
-    def _line(self, line: list[Any]) -> list[Any]:
+    def _list_entry(self, line: list[Any]) -> list[Any]:
         weight = line[5]
         if self.settings.weight_mode == WeightMode.LIVE:
-            weight /= 1.0 + 0.5 * self.chance.randrange(4)
+            weight /= 1.0 + 0.5 * self.rng.randrange(4)
         return [*line[:4], int(line[4]), weight, line[6]]
 
     def _change(self) -> list[Any]:
-        """A server drains, comes back, starts anew or goes; or the whole list comes; or a call fails."""
-        chance = self.chance
-        self.after(int(chance.expovariate(1.0 / self.change)) + MS, ["change"])
-        what = chance.choice(("full", "full", "drain", "ready", "start", "go", "failed", "cached", "kinds"))
+        """Drain, restore, restart or remove a server, send the full list, or let a poll fail."""
+        rng = self.rng
+        self.schedule(int(rng.expovariate(1.0 / self.change)) + MS, ["change"])
+        what = rng.choice(("full", "full", "drain", "ready", "start", "go", "failed", "cached", "kinds"))
         if what in ("full", "cached"):
-            return self._tell(ListKind.FULL if what == "full" else ListKind.CACHED)
+            return self._server_list(ListKind.FULL if what == "full" else ListKind.CACHED)
         if what == "failed":
-            return self._tell(ListKind.FAILED)
+            return self._server_list(ListKind.FAILED)
         if what == "kinds":
             unknown = [["s-kind"], 0, 99, 0, int(ServerState.READY), -1.0, 0]
             never_there = [["s-gone"], 0, 0, 0, int(ServerState.GONE), 1.0, 0]
             lines = [unknown, never_there] if self._rarely() else [never_there]
             return ["list", int(ListKind.CHANGES), lines, self.version]
-        line = chance.choice(self.servers)
+        line = rng.choice(self.servers)
         if what == "start":
-            line[4], line[6] = ServerState.READY, self.now - chance.choice((0, 0, 2, 7)) * SECOND
+            line[4], line[6] = ServerState.READY, self.now - rng.choice((0, 0, 2, 7)) * SECOND
         else:
             line[4] = {"drain": ServerState.DRAINING, "ready": ServerState.READY, "go": ServerState.GONE}[
                 what
@@ -360,15 +362,15 @@
         if sum(s[4] == ServerState.READY for s in self.servers) < 8:
             for s in self.servers:
                 s[4] = ServerState.READY
-            return self._tell(ListKind.FULL)
-        return ["list", int(ListKind.CHANGES), [self._line(line)], self.version]
+            return self._server_list(ListKind.FULL)
+        return ["list", int(ListKind.CHANGES), [self._list_entry(line)], self.version]
 
-    def _stray(self) -> list[Any]:
-        """What the module has no use for: of requests that it does not know, probes, other nodes' bytes."""
-        chance = self.chance
-        self.after(int(chance.expovariate(1.0 / (200 * MS))) + MS, ["stray"])
-        rid, server = chance.choice((0, 1, 2, 1_000_000)), chance.choice(self.servers)[0]
-        return chance.choice(
+    def _unexpected_event(self) -> list[Any]:
+        """Return an event without effect: for an unknown request, a probe result, or a peer message."""
+        rng = self.rng
+        self.schedule(int(rng.expovariate(1.0 / (200 * MS))) + MS, ["unexpected"])
+        rid, server = rng.choice((0, 1, 2, 1_000_000)), rng.choice(self.servers)[0]
+        return rng.choice(
             (
                 ["outcome", rid, 7, server, int(Result.OK), 5 * MS],
                 ["started", rid, 7, server, 5 * MS],
@@ -381,10 +383,10 @@
             )
         )
 
-    def _hear(self) -> list[Any]:
-        """What other nodes have at servers, or that none of them is heard."""
-        chance = self.chance
-        self.after(chance.choice((10, 50, 200)) * MS, ["hear"])
-        changed = chance.sample(self.servers, chance.randint(0, 5))
-        nodes = self.peers if chance.random() < 0.95 else 0
-        return ["elsewhere", [[line[0], chance.choice((0, 0, 0, 1, 2, 3))] for line in changed], nodes]
+    def _peer_load(self) -> list[Any]:
+        """Return the attempts of other nodes at some servers, or the event that no node reports its load."""
+        rng = self.rng
+        self.schedule(rng.choice((10, 50, 200)) * MS, ["peers"])
+        changed = rng.sample(self.servers, rng.randint(0, 5))
+        nodes = self.peers if rng.random() < 0.95 else 0
+        return ["elsewhere", [[line[0], rng.choice((0, 0, 0, 1, 2, 3))] for line in changed], nodes]
--- a/tests/record_decisions.py
+++ b/tests/record_decisions.py
@@ -1,8 +1,7 @@
 """Record streams of events and decisions: python -m tests.record_decisions [NAME ...] [--loopback]
 
-From whole nodes under simulation, from made-up worlds drawn from a seed, from scripts, and from a node on
-loopback sockets. All but the last are the same at each run of the same code; that one holds times of the
-real clock.
+The streams come from whole nodes under simulation, from random worlds with fixed seeds, from scripts, and
+from a node on loopback sockets. All but the last are reproducible; the last contains times of the real clock.
 """
 
 from __future__ import annotations
@@ -22,11 +21,11 @@
 
 from . import recorded_decisions as recorded
 from .loopback_day import loopback_day
-from .made_up_world import WORLDS, MadeUpWorld
+from .random_world import WORLDS, RandomWorld
 from .scripted_streams import SCRIPTS
 from .show_first_difference import DIGESTS, digests
 
-# Seeds of the simulator and, of the processes of their nodes, those that are kept.
+# Seeds of the simulator, with the numbers of the balancers whose streams are kept.
 SIMULATED = {
     2: (0,), 7: (0,), 10: (0,), 13: (0, 1, 2), 15: (1, 2), 17: (0,), 18: (0,), 20: (0,), 28: (2, 3, 6),
     30: (0, 1), 31: (0,), 34: (1, 3), 37: (0,), 39: (0,),
@@ -34,22 +33,22 @@
 
 
 class RecordedBalancer(recorded.Balancer):
-    """A balancer that keeps what it was given and what it answered."""
+    """A balancer that records its events and actions."""
 
-    made: ClassVar[list[RecordedBalancer]] = []
+    created: ClassVar[list[RecordedBalancer]] = []
 
     def __init__(self, settings: Any, seed: int, now: int) -> None:
         self.head = (recorded.encode_settings(settings), seed, now)
         self.lines: list[recorded.Line] = []
-        self.digest = recorded.chained(b"", *self.head)
-        self.made.append(self)
+        self.digest = recorded.chained_digest(b"", *self.head)
+        self.created.append(self)
         super().__init__(settings, seed, now)
 
     def handle(self, now: int, event: Any) -> list[Any]:
         given = recorded.encode_event(event)
         actions = super().handle(now, event)
         taken, draws = recorded.encode_actions(actions), recorded.draws_made(self)
-        self.digest = recorded.chained(self.digest, now, given, taken, draws)
+        self.digest = recorded.chained_digest(self.digest, now, given, taken, draws)
         self.lines.append(recorded.Line(now, given, taken, draws, self.digest.hex()[:6]))
         return actions
 
@@ -60,25 +59,25 @@
 
 @contextmanager
 def recording(module: ModuleType) -> Iterator[list[RecordedBalancer]]:
-    """Balancers that a module makes are recorded ones meanwhile."""
+    """Within this context, balancers that a module creates are recorded; yields these."""
     name = recorded.Balancer.__name__
     kept = getattr(module, name)
-    RecordedBalancer.made = []
+    RecordedBalancer.created = []
     setattr(module, name, RecordedBalancer)
     try:
-        yield RecordedBalancer.made
+        yield RecordedBalancer.created
     finally:
         setattr(module, name, kept)
 
 
 def simulated(seed: int) -> dict[str, recorded.Stream]:
-    with recording(hollybay.proxy.balancer_driver) as made:
+    with recording(hollybay.proxy.balancer_driver) as created:
         play_seed(seed)
-    return {f"seed-{seed}-{n}": made[n].stream for n in SIMULATED[seed]}
+    return {f"seed-{seed}-{n}": created[n].stream for n in SIMULATED[seed]}
 
 
-def made_up(name: str) -> dict[str, recorded.Stream]:
-    world = MadeUpWorld(RecordedBalancer, name, **WORLDS[name])
+def generated(name: str) -> dict[str, recorded.Stream]:
+    world = RandomWorld(RecordedBalancer, name, **WORLDS[name])
     world.run()
     return {name: world.balancer.stream}
 
@@ -88,9 +87,9 @@
 
 
 def on_loopback() -> dict[str, recorded.Stream]:
-    with recording(hollybay.proxy.balancer_driver) as made, TemporaryDirectory() as folder:
+    with recording(hollybay.proxy.balancer_driver) as created, TemporaryDirectory() as folder:
         asyncio.run(loopback_day(Path(folder) / "config.json"))
-    return {"loopback": made[0].stream}
+    return {"loopback": created[0].stream}
 
 
 def main(arguments: list[str]) -> None:
@@ -102,7 +101,7 @@
             streams |= simulated(seed)
     for name in WORLDS:
         if not wanted or name in wanted:
-            streams |= made_up(name)
+            streams |= generated(name)
     for name in SCRIPTS:
         if not wanted or name in wanted:
             streams |= scripted(name)
--- a/tests/recorded_decisions.py
+++ b/tests/recorded_decisions.py
@@ -1,12 +1,13 @@
-"""Recorded events and decisions by position: the only place of these tests that knows the module's names.
+"""The file format of recorded events and decisions; only this module names the interface's fields.
 
-A stream is a settings array, a seed and a start time, then one line for each event: the time since the one
-before, the event, the actions that answered it, the position in the sequence of chance draws afterwards, and
-a checksum over all of this and all lines before. Values are arrays whose order is given by the tables below;
-enums are their numbers, durations integer ns. A value that is absent at the end of an array has its default.
+A stream is a settings array, a seed and a start time, then one line for each event: the time since the
+previous event, the event, the resulting actions, the state position of the random number generator
+afterwards, and a checksum over this and all previous lines. Values are arrays in the order of the tables
+below; enums are stored as numbers, durations as integer ns. A value that is missing at the end of an array
+has its default.
 
-A rename or another home of a class or field is followed here: the left column of a table is the name in the
-file, the rest the names in the code. The files stay as they are.
+If a class or field is renamed or moved, only this module changes: the keys of a table are the names in the
+files, the rest are the names in the code. The files stay unchanged.
 """
 
 from __future__ import annotations
@@ -29,7 +30,7 @@
     "Balancer",
     "Line",
     "Stream",
-    "chained",
+    "chained_digest",
     "decode_event",
     "decode_settings",
     "digest_of",
@@ -51,73 +52,73 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Part:
-    """How a value becomes JSON and comes back."""
+class Codec:
+    """Converts a value to its JSON form and back."""
 
     encode: Encoder
     decode: Encoder
 
 
-class Shape:
-    """A class and its fields in the order of the files; where a field is no plain value, with its part."""
+class ClassCodec:
+    """A class and its fields in the order of the files, with codecs for fields that are not plain values."""
 
-    part: Part
+    codec: Codec
 
-    def __init__(self, cls: type, *fields: str | tuple[str, Part]) -> None:
+    def __init__(self, cls: type, *fields: str | tuple[str, Codec]) -> None:
         self.cls = cls
         self.fields = tuple((f, PLAIN) if isinstance(f, str) else f for f in fields)
-        self.part = Part(self.encode, self.decode)
+        self.codec = Codec(self.encode, self.decode)
 
     def encode(self, value: Any) -> list[Any]:
-        return [part.encode(getattr(value, name)) for name, part in self.fields]
+        return [codec.encode(getattr(value, name)) for name, codec in self.fields]
 
     def decode(self, values: list[Any]) -> Any:
         named = zip(self.fields, values, strict=False)
-        return self.cls(**{name: part.decode(value) for (name, part), value in named})
+        return self.cls(**{name: codec.decode(value) for (name, codec), value in named})
 
 
-def enum(cls: type) -> Part:
-    return Part(int, cls)
+def enum(cls: type) -> Codec:
+    return Codec(int, cls)
 
 
-def optional(part: Part) -> Part:
-    return Part(
-        lambda value: None if value is None else part.encode(value),
-        lambda value: None if value is None else part.decode(value),
+def optional(codec: Codec) -> Codec:
+    return Codec(
+        lambda value: None if value is None else codec.encode(value),
+        lambda value: None if value is None else codec.decode(value),
     )
 
 
-def each(part: Part) -> Part:
-    return Part(
-        lambda values: [part.encode(value) for value in values],
-        lambda values: tuple(part.decode(value) for value in values),
+def sequence_of(codec: Codec) -> Codec:
+    return Codec(
+        lambda values: [codec.encode(value) for value in values],
+        lambda values: tuple(codec.decode(value) for value in values),
     )
 
 
-def _server_id(value: Any) -> Any:
-    """Ids of servers: text and numbers as they are, bytes as an array with their text."""
+def _encode_server_id(value: Any) -> Any:
+    """Encode a server id: text and numbers are unchanged, bytes become an array with their text."""
     return [value.decode("latin-1")] if isinstance(value, bytes) else value
 
 
-def _server_id_back(value: Any) -> Any:
+def _decode_server_id(value: Any) -> Any:
     return value[0].encode("latin-1") if isinstance(value, list) else value
 
 
-def _held(value: Mapping[Any, int]) -> list[Any]:
-    return [[_server_id(server), count] for server, count in value.items()]
+def _encode_in_flight(value: Mapping[Any, int]) -> list[Any]:
+    return [[_encode_server_id(server), count] for server, count in value.items()]
 
 
-def _held_back(value: list[Any]) -> dict[Any, int]:
-    return {_server_id_back(server): count for server, count in value}
+def _decode_in_flight(value: list[Any]) -> dict[Any, int]:
+    return {_decode_server_id(server): count for server, count in value}
 
 
-PLAIN = Part(lambda value: value, lambda value: value)
-NUMBERS = Part(list, tuple)
-SERVER_ID = Part(_server_id, _server_id_back)
-HELD = Part(_held, _held_back)
-BYTES = Part(lambda value: value.decode("latin-1"), lambda value: value.encode("latin-1"))
+PLAIN = Codec(lambda value: value, lambda value: value)
+NUMBERS = Codec(list, tuple)
+SERVER_ID = Codec(_encode_server_id, _decode_server_id)
+IN_FLIGHT = Codec(_encode_in_flight, _decode_in_flight)
+BYTES = Codec(lambda value: value.decode("latin-1"), lambda value: value.encode("latin-1"))
 
-REQUEST_CLASS = Shape(
+REQUEST_CLASS = ClassCodec(
     api.RequestClass,
     "name",
     ("effect", enum(api.Effect)),
@@ -129,12 +130,12 @@
     "deduplication_window",
     "streamed",
 )
-TENANT = Shape(api.Tenant, "name", "share", "allowance")
-PRICES = Shape(api.Prices, "cross_zone", "handshake", "connection", "waste", "late_failure", "probe")
-SETTINGS = Shape(
+TENANT = ClassCodec(api.Tenant, "name", "share", "allowance")
+PRICES = ClassCodec(api.Prices, "cross_zone", "handshake", "connection", "waste", "late_failure", "probe")
+SETTINGS = ClassCodec(
     api.Settings,
-    ("classes", each(REQUEST_CLASS.part)),
-    ("tenants", each(TENANT.part)),
+    ("classes", sequence_of(REQUEST_CLASS.codec)),
+    ("tenants", sequence_of(TENANT.codec)),
     "zones",
     "kinds",
     "zone",
@@ -162,9 +163,9 @@
     "overload_multiple",
     "overload_window",
     "poll_within",
-    ("prices", PRICES.part),
+    ("prices", PRICES.codec),
 )
-SERVER = Shape(
+SERVER = ClassCodec(
     api.Server,
     ("id", SERVER_ID),
     "zone",
@@ -174,7 +175,7 @@
     "weight",
     "up_since",
 )
-LIMITS = Shape(
+LIMITS = ClassCodec(
     api.Limits,
     "attempts",
     "attempt_timeout",
@@ -188,8 +189,10 @@
 )
 RESULT = ("result", enum(api.Result))
 EVENTS = {
-    "list": Shape(api.ServerList, ("kind", enum(api.ListKind)), ("servers", each(SERVER.part)), "version"),
-    "request": Shape(
+    "list": ClassCodec(
+        api.ServerList, ("kind", enum(api.ListKind)), ("servers", sequence_of(SERVER.codec)), "version"
+    ),
+    "request": ClassCodec(
         api.Request,
         "id",
         "class_index",
@@ -199,14 +202,14 @@
         "cost",
         "is_retry",
         "queued_time",
-        ("limits", optional(LIMITS.part)),
+        ("limits", optional(LIMITS.codec)),
         "free_slot_share",
         "body_pending",
         "limited_before",
     ),
-    "whole": Shape(api.RequestCompleted, "id"),
-    "started": Shape(api.ResponseStarted, "id", "attempt", ("server", SERVER_ID), "rtt"),
-    "outcome": Shape(
+    "whole": ClassCodec(api.RequestCompleted, "id"),
+    "started": ClassCodec(api.ResponseStarted, "id", "attempt", ("server", SERVER_ID), "rtt"),
+    "outcome": ClassCodec(
         api.AttemptFinished,
         "id",
         "attempt",
@@ -216,38 +219,38 @@
         "final",
         ("report", NUMBERS),
     ),
-    "gone": Shape(api.ClientDisconnected, "id"),
-    "timer": Shape(api.TimerFired, "token"),
-    "probed": Shape(api.ProbeResult, ("server", SERVER_ID), RESULT, "rtt", ("report", NUMBERS)),
-    "message": Shape(api.PeerMessage, "sender", ("data", BYTES)),
-    "elsewhere": Shape(api.PeerLoad, ("in_flight", HELD), "nodes"),
+    "gone": ClassCodec(api.ClientDisconnected, "id"),
+    "timer": ClassCodec(api.TimerFired, "token"),
+    "probed": ClassCodec(api.ProbeResult, ("server", SERVER_ID), RESULT, "rtt", ("report", NUMBERS)),
+    "message": ClassCodec(api.PeerMessage, "sender", ("data", BYTES)),
+    "elsewhere": ClassCodec(api.PeerLoad, ("in_flight", IN_FLIGHT), "nodes"),
 }
 ACTIONS = {
-    "send": Shape(api.Send, "id", ("server", SERVER_ID), "timeout", "write_deadline"),
-    "refuse": Shape(api.Reject, "id", "retry_after"),
-    "fail": Shape(api.Fail, "id"),
-    "cancel": Shape(api.Cancel, "id", "attempt"),
-    "probe": Shape(api.Probe, ("server", SERVER_ID)),
-    "close": Shape(api.CloseIdle, ("server", SERVER_ID)),
-    "set": Shape(api.SetTimer, "delay", "token"),
-    "watch": Shape(api.WatchServers, "active"),
-    "fetch": Shape(api.FetchServers),
-    "log": Shape(api.Log, "text"),
+    "send": ClassCodec(api.Send, "id", ("server", SERVER_ID), "timeout", "write_deadline"),
+    "refuse": ClassCodec(api.Reject, "id", "retry_after"),
+    "fail": ClassCodec(api.Fail, "id"),
+    "cancel": ClassCodec(api.Cancel, "id", "attempt"),
+    "probe": ClassCodec(api.Probe, ("server", SERVER_ID)),
+    "close": ClassCodec(api.CloseIdle, ("server", SERVER_ID)),
+    "set": ClassCodec(api.SetTimer, "delay", "token"),
+    "watch": ClassCodec(api.WatchServers, "active"),
+    "fetch": ClassCodec(api.FetchServers),
+    "log": ClassCodec(api.Log, "text"),
 }
-_SHAPES = (REQUEST_CLASS, TENANT, PRICES, SETTINGS, SERVER, LIMITS, *EVENTS.values(), *ACTIONS.values())
-_EVENT_NAMES = {shape.cls: name for name, shape in EVENTS.items()}
-_ACTION_NAMES = {shape.cls: name for name, shape in ACTIONS.items()}
+_CLASS_CODECS = (REQUEST_CLASS, TENANT, PRICES, SETTINGS, SERVER, LIMITS, *EVENTS.values(), *ACTIONS.values())
+_EVENT_NAMES = {class_codec.cls: name for name, class_codec in EVENTS.items()}
+_ACTION_NAMES = {class_codec.cls: name for name, class_codec in ACTIONS.items()}
 
 
 def missing_from_tables() -> list[str]:
-    """What the interface has and the tables lack: classes of events and actions, and fields."""
-    known = {shape.cls for shape in _SHAPES}
-    lacking = [cls.__name__ for cls in (*api.Event.__args__, *api.Action.__args__) if cls not in known]
-    for shape in _SHAPES:
-        in_files = {name for name, _ in shape.fields}
-        names = [one.name for one in fields(shape.cls)]
-        lacking += [f"{shape.cls.__name__}.{name}" for name in names if name not in in_files]
-    return lacking
+    """Return the events, actions and fields of the interface that are missing in the tables."""
+    known = {class_codec.cls for class_codec in _CLASS_CODECS}
+    missing = [cls.__name__ for cls in (*api.Event.__args__, *api.Action.__args__) if cls not in known]
+    for class_codec in _CLASS_CODECS:
+        in_files = {name for name, _ in class_codec.fields}
+        names = [one.name for one in fields(class_codec.cls)]
+        missing += [f"{class_codec.cls.__name__}.{name}" for name in names if name not in in_files]
+    return missing
 
 
 def encode_settings(settings: Any) -> list[Any]:
@@ -273,7 +276,7 @@
 
 
 def draws_made(balancer: Any) -> int:
-    """The position in the sequence of chance draws, modulo its period of renewal: two for each draw."""
+    """Return the position in the generator's state (two for each random draw), which wraps around."""
     position: int = balancer.random.getstate()[1][-1]
     return position
 
@@ -283,7 +286,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Line:
-    """One event, and what it led to; check: over this line and all before."""
+    """One event with the resulting actions; `check` is a checksum over this and all previous lines."""
 
     now: int
     event: list[Any]
@@ -294,7 +297,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Stream:
-    """What one balancer was given and decided."""
+    """The events and decisions of one balancer."""
 
     settings: list[Any]
     seed: int
@@ -302,16 +305,16 @@
     lines: list[Line]
 
 
-def chained(before: bytes, *values: Any) -> bytes:
-    """The digest of these values and of all that came before them."""
+def chained_digest(before: bytes, *values: Any) -> bytes:
+    """Return the digest of these values and of the previous digest."""
     return blake2b(before + compact(values), digest_size=16).digest()
 
 
 def digest_of(stream: Stream) -> str:
-    """The digest over all of a stream, as it is stored."""
-    digest = chained(b"", stream.settings, stream.seed, stream.start)
+    """Return the digest of a whole stream, as stored in digests.txt."""
+    digest = chained_digest(b"", stream.settings, stream.seed, stream.start)
     for line in stream.lines:
-        digest = chained(digest, line.now, line.event, line.actions, line.draws)
+        digest = chained_digest(digest, line.now, line.event, line.actions, line.draws)
     return digest.hex()
 
 
@@ -320,18 +323,18 @@
 
 
 def replay(stream: Stream) -> Iterator[tuple[Line, Line]]:
-    """Each event given to a balancer of now: the line recorded, and the line as it would be recorded now."""
+    """Replay a stream's events on a new balancer; yields pairs of the recorded and the new line."""
     balancer = Balancer(decode_settings(stream.settings), stream.seed, stream.start)
-    digest = chained(b"", stream.settings, stream.seed, stream.start)
+    digest = chained_digest(b"", stream.settings, stream.seed, stream.start)
     for line in stream.lines:
         actions = encode_actions(balancer.handle(line.now, decode_event(line.event)))
         draws = draws_made(balancer)
-        digest = chained(digest, line.now, line.event, actions, draws)
+        digest = chained_digest(digest, line.now, line.event, actions, draws)
         yield line, Line(line.now, line.event, actions, draws, digest.hex()[:6])
 
 
 def names() -> list[str]:
-    """All streams."""
+    """Return the names of all streams."""
     return sorted(path.name.removesuffix(SUFFIX) for path in FOLDER.glob("*" + SUFFIX))
 
 
--- a/tests/scripted_streams.py
+++ b/tests/scripted_streams.py
@@ -1,7 +1,7 @@
-"""Short streams written by hand around one balancer, each for constants that no other recorded stream sees.
+"""Short scripted streams for one balancer, each for constants that no other recorded stream covers.
 
-They bring a node close to a bound and past it: what `python -m tests.move_constants` moves by a tenth must be
-answered otherwise. They are for recording only, no rule is checked here.
+They bring a node close to a bound and beyond it, so that a constant which `python -m tests.move_constants`
+changes by a tenth leads to other decisions. They are for recording only and check no rules.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 REVIEW = SECOND // 2
 TIMER_TOKEN = 1
 NO_LIMITS = [0, 0, -1, 0, 0, None, -1.0, "", [0, 0]]
-# Requests of a low and of a high priority; neither may be retried unless it cannot have run.
+# Classes of low and of high priority; requests of both may be retried only if they cannot have run.
 LOW, HIGH = 0, 1
 CLASSES = (
     RequestClass("low", Effect.UNSAFE, 1.0, SECOND, 60 * SECOND),
@@ -41,14 +41,15 @@
     RequestClass("keyed", Effect.KEYED, 1.0, SECOND, 60 * SECOND, 0.0, DeduplicationScope.ZONE, 30 * SECOND),
 )
 TENANTS = (Tenant("first", 0.5), Tenant("second", 0.5))
-# After one rejection and so many accepted answers a tenant's share of rejections is 1.05e-6. Counted, that
-# makes these answers (1: rejected) end with a share just above the bound of 0.2; dropped, just below it.
+# After one rejection and this many successful responses, a tenant's share of rejections is 1.05e-6. If that
+# share is kept, the REJECTIONS (1: rejected) end with a share just above the bound of 0.2; if it is dropped,
+# just below.
 ACCEPTED_AFTER_REJECTION = 210
 REJECTIONS = "1001100001010000000000000000001101"
 
 
-class Sent:
-    """An attempt that a balancer has begun."""
+class SentAttempt:
+    """An attempt that a balancer has sent."""
 
     def __init__(self, request: int, number: int, server: str, at: int) -> None:
         self.request = request
@@ -58,7 +59,7 @@
 
 
 class Script:
-    """A balancer, its clock, and what is given to it step by step.
+    """A balancer with its clock, and the steps of a script.
 
     Attributes
     ----------
@@ -71,21 +72,21 @@
     def __init__(self, balancer: type, seed: int = 1, **settings: Any) -> None:
         self.now = START
         self.balancer = balancer(make_settings(**({"zones": 1, "kinds": 1} | settings)), seed, START)
-        self.in_flight: list[Sent] = []
-        self.begun: dict[int, int] = {}  # attempts by request
-        self.due = 0  # of the timer, 0: not set
+        self.in_flight: list[SentAttempt] = []
+        self.attempt_counts: dict[int, int] = {}  # number of attempts by request
+        self.due = 0  # time (ns) of the timer, 0: not set
         self.version = 0
         self.last_actions: list[list[Any]] = []
 
     def give(self, *event: Any) -> list[list[Any]]:
-        """Give the balancer an event as the files hold it, and return its actions so."""
+        """Give the balancer an event in the format of the files, and return its actions in that format."""
         actions = recorded.encode_actions(self.balancer.handle(self.now, recorded.decode_event(list(event))))
         for name, *values in actions:
             if name == "send":
                 request, server = values[:2]
-                number = self.begun.get(request, 0)
-                self.begun[request] = number + 1
-                self.in_flight.append(Sent(request, number, server[0], self.now))
+                number = self.attempt_counts.get(request, 0)
+                self.attempt_counts[request] = number + 1
+                self.in_flight.append(SentAttempt(request, number, server[0], self.now))
             elif name == "set":
                 self.due = self.now + values[0]
         self.last_actions = actions
@@ -100,7 +101,7 @@
         self.now = end
 
     def skip(self, duration: int) -> None:
-        """Let a long time (ns) pass at once, as when the process was paused."""
+        """Let a long time (ns) pass without timers, as if the process had been paused."""
         self.now += duration
         self.wait(0)
 
@@ -109,14 +110,14 @@
         self.give("list", int(kind), servers, self.version)
 
     def ask(self, cls: int = 0, left: int = 60 * SECOND, **more: Any) -> list[list[Any]]:
-        """Send a request; `more`: waited (ns), limits (as in the files)."""
-        request = len(self.begun) + 1
-        self.begun[request] = 0
+        """Send a request; `more` may contain waited (ns) and limits (in the format of the files)."""
+        request = len(self.attempt_counts) + 1
+        self.attempt_counts[request] = 0
         waited, limits = more.pop("waited", 0), more.pop("limits", None)
         return self.give("request", request, cls, left, 0, 0, 0, False, waited, limits)
 
-    def end(self, sent: Sent, result: Result = Result.OK, rtt: int = 0, report: Any = ()) -> None:
-        """End an attempt; its time (ns) is by default that since it was sent."""
+    def end(self, sent: SentAttempt, result: Result = Result.OK, rtt: int = 0, report: Any = ()) -> None:
+        """End an attempt; its response time (ns) is by default the time since it was sent."""
         self.in_flight.remove(sent)
         takes = rtt or self.now - sent.at
         final = result == Result.OK
@@ -125,7 +126,7 @@
         )
 
     def serve(self, cls: int, count: int, rtt: int, **more: Any) -> None:
-        """Send requests, and end each after a time (ns) of its own before the next."""
+        """Send requests, and end each with a response time (ns) before the next one."""
         for _ in range(count):
             self.ask(cls)
             for sent in list(self.in_flight):
@@ -137,7 +138,7 @@
 
 
 def server(n: int, zone: int = 0, weight: float = 1.0, kind: int = 0, up_since: int = 0) -> list[Any]:
-    """A line of the list: id, zone, kind, cell, state, weight, start of its process."""
+    """Return a list entry: id, zone, kind, cell, state, weight, start time of the process."""
     return [[f"s{n:03}"], zone, kind, 0, int(ServerState.READY), weight, up_since]
 
 
@@ -151,7 +152,7 @@
 
 
 def waits(balancer: type) -> Script:
-    """Waits for a server and retries, on a clock so coarse that they are counted in its ticks."""
+    """Waits for a server and retries, with a clock so coarse that its ticks determine their times."""
     script = Script(balancer, tick=10 * MS, classes=SAFE_CLASSES)
     script.update_servers([])
     script.ask(left=SECOND)
@@ -189,7 +190,7 @@
 
 
 def many_nodes(balancer: type) -> Script:
-    """Fewer nodes than before, from servers' reports: the estimate comes down again slowly."""
+    """Servers report a falling request rate: the estimated number of nodes decreases slowly."""
     script = Script(balancer, nodes=20, classes=SAFE_CLASSES, report_fields=("errors", "rate"))
     script.update_servers(servers(60))
     script.give("elsewhere", [], 19)
@@ -206,7 +207,7 @@
 
 
 def traffic_share(balancer: type) -> Script:
-    """A node's share of all traffic from reports: next to none at first, then ever more, some far off."""
+    """Rates in reports: almost 0 at first, then high and falling, some of them outliers."""
     fields = ("errors", "rate")
     script = Script(balancer, nodes=20, classes=SAFE_CLASSES, report_fields=fields)
     script.update_servers(servers(120))
@@ -229,7 +230,7 @@
 
 
 def crossing_bounds(balancer: type) -> Script:
-    """All but all requests cross to the other zone, and come back."""
+    """Nearly all requests cross to the other zone, and later stay local again."""
     script = Script(balancer, zones=2, classes=SAFE_CLASSES)
     script.update_servers([server(n, zone=n % 2) for n in range(8)])
     for review in range(70):
@@ -244,7 +245,7 @@
 
 
 def idle_zone_without_answers(balancer: type) -> Script:
-    """Full servers here, idle ones in the other zone, and no answer yet that says how late they are."""
+    """Busy local servers, idle remote ones, and no response yet that shows their lateness."""
     script = Script(balancer, zones=2, classes=SAFE_CLASSES, weight_mode=WeightMode.LIVE)
     both = [server(n, zone=n % 2) for n in range(8)]
     script.update_servers(both)
@@ -253,13 +254,13 @@
         script.update_servers(full)
         for _ in range(12):
             script.ask()
-            script.give("gone", len(script.begun))
+            script.give("gone", len(script.attempt_counts))
         script.wait(REVIEW)
     return script
 
 
 def polls(balancer: type) -> Script:
-    """Discovery that answers so late that polls are queued."""
+    """Discovery that responds so late that polls are queued."""
     script = Script(balancer, nodes=100, poll_required=True, poll_within=10 * SECOND, classes=SAFE_CLASSES)
     script.update_servers(servers(3), ListKind.CACHED)
     for _ in range(6):
@@ -272,7 +273,7 @@
 
 
 def rare_lists(balancer: type) -> Script:
-    """Lists with loads that come ever more seldom, and then no more."""
+    """Lists with loads at growing intervals, and then none."""
     script = Script(balancer, classes=SAFE_CLASSES, weight_mode=WeightMode.LIVE)
     script.update_servers(servers(6))
     for gap in (2, 3, 4, 5, 5, 12):
@@ -288,7 +289,7 @@
 
 
 def bursts(balancer: type) -> Script:
-    """Losses that come and go, so that the share shed for them falls from several heights."""
+    """Losses that start and stop, so that the share that is shed falls from different values."""
     script = Script(balancer, classes=CLASSES, max_retry_after=SECOND)
     script.update_servers(servers(10))
     for cls in (LOW, HIGH):
@@ -308,7 +309,7 @@
 
 
 def collapse(balancer: type) -> Script:
-    """Nothing is answered any more while many attempts hang."""
+    """No attempt succeeds any more while many are in flight."""
     script = Script(balancer, classes=CLASSES, max_retry_after=SECOND)
     script.update_servers(servers(10))
     for cls in (LOW, HIGH):
@@ -325,7 +326,7 @@
 
 
 def little_time_left(balancer: type) -> Script:
-    """Requests that were read late, with about half the time left that an answer takes."""
+    """Requests that were read late, with about half of a response time left."""
     script = Script(balancer, classes=SAFE_CLASSES)
     script.update_servers(servers(3))
     script.serve(0, 12, 100 * MS)
@@ -338,7 +339,7 @@
 
 
 def long_ejection(balancer: type) -> Script:
-    """A server that fails whenever it is tried again, until its ejection is the longest."""
+    """A server that fails whenever it is used again, until its ejection has the longest duration."""
     script = Script(balancer, classes=SAFE_CLASSES)
     script.update_servers(servers(3))
     for _ in range(500):
@@ -352,7 +353,7 @@
 
 
 def common_failures(balancer: type) -> Script:
-    """One server fails a third time when all servers together fail just under half as often."""
+    """One server fails a third time while the failure rate of all servers is just under half of its own."""
     script = Script(balancer, classes=CLASSES, nodes=1)
     script.update_servers(servers(14))
     while min(sum(sent.server == f"s{n:03}" for sent in script.in_flight) for n in range(14)) < 3:
@@ -375,7 +376,7 @@
 
 
 def half_ejected(balancer: type) -> Script:
-    """The ejected server has slightly more than half of all capacity."""
+    """The ejected server has slightly more than half of the total capacity."""
     script = Script(balancer, classes=CLASSES, weight_mode=WeightMode.NOMINAL, nodes=1)
     script.update_servers([server(0, weight=1.08), server(1), server(2, weight=0.01)])
     failures = 0
@@ -395,7 +396,7 @@
 
 
 def mean_load(balancer: type) -> Script:
-    """A kind of machine answers slowly, just when servers begin to hold a queue."""
+    """A kind of machine is slow, at a load at which servers just begin to have queues."""
     script = Script(balancer, classes=CLASSES, kinds=2, nodes=1)
     script.update_servers([server(n, kind=n % 2) for n in range(7)])
     script.serve(HIGH, 10, 100 * MS)
@@ -415,7 +416,7 @@
 
 
 def uneven_loads(balancer: type) -> Script:
-    """Busy servers of which one has far less load than the mean."""
+    """Busy servers, one of which has far less load than the mean."""
     script = Script(balancer, classes=CLASSES, weight_mode=WeightMode.LIVE, nodes=1)
     loaded = [server(n, weight=0.05) for n in range(5)] + [server(5)]
     script.update_servers([server(n) for n in range(6)])
@@ -426,7 +427,7 @@
 
 
 def few_attempts(balancer: type) -> Script:
-    """A node with about one attempt a second, some of which hang."""
+    """A node with about one attempt a second, some of which stay in flight."""
     script = Script(balancer, classes=CLASSES, nodes=1)
     script.update_servers(servers(4))
     script.serve(LOW, 3, 600 * MS)
@@ -441,7 +442,7 @@
 
 
 def few_baseline_attempts(balancer: type) -> Script:
-    """Just over four attempts that still count, of which two are in flight, and more requests."""
+    """A baseline of just over four attempts, two of them in flight, and further requests."""
     script = Script(balancer, classes=QUICK_CLASSES, nodes=1)
     script.update_servers(servers(4))
     for cls in (LOW, HIGH, HIGH):
@@ -459,7 +460,7 @@
 
 
 def usual_in_flight(balancer: type) -> Script:
-    """A node with few attempts in flight as a rule, and now and then two that take longer."""
+    """A node that usually has few attempts in flight, and sometimes two that take longer."""
     script = Script(balancer, classes=QUICK_CLASSES, nodes=1)
     script.update_servers(servers(4))
     script.serve(LOW, 2, 100 * MS)
@@ -476,7 +477,7 @@
 
 
 def expired_reports(balancer: type) -> Script:
-    """Reports of failures that expire, and one over about one answer a second."""
+    """Reports of failures that expire, and one with a rate of about one response a second."""
     script = Script(balancer, classes=CLASSES, nodes=1, report_fields=("errors", "rate"))
     script.update_servers(servers(4))
     for share in (0.45, 0.5, 0.6, 0.7):
@@ -500,7 +501,7 @@
 
 
 def saved_budgets(balancer: type) -> Script:
-    """More hedges and retries at once than a node saves up, for itself and for one route."""
+    """More hedges and retries at once than the budgets of a node and of one route save up."""
     script = Script(balancer, classes=SAFE_CLASSES, nodes=1)
     script.update_servers(servers(80))
     script.picks(130)
@@ -529,7 +530,7 @@
 
 
 def many_budgets(balancer: type) -> Script:
-    """Routes with budgets of their own, more than are kept; then a retry on the first one."""
+    """More routes with a budget than are kept; then retries on the first and later ones."""
     script = Script(balancer, classes=SAFE_CLASSES, nodes=1)
     script.update_servers([])
     for route in range(4200):
@@ -543,9 +544,10 @@
 
 
 def answer_before_a_review(balancer: type) -> Script:
-    """A server on probation answers, and a request is tried at all servers in turn before the next review."""
+    """A server on probation responds, and a request is sent to all servers in turn before the next review."""
     script = Script(balancer, classes=ZONE_CLASSES, weight_mode=WeightMode.NOMINAL, max_attempts=7, nodes=1)
-    # With the share of a server on probation the first one has about the capacity of the others.
+    # With the capacity factor of a server on probation, the first server has about the capacity of the
+    # others.
     script.update_servers([server(0)] + [server(n, weight=0.045 + 0.002 * n) for n in range(1, 7)])
     for _ in range(3):
         script.ask()
@@ -564,12 +566,13 @@
 
 
 def late_after_a_pause(balancer: type) -> Script:
-    """A request read late: its share is just below the least, but for what the one before has left."""
+    """A request read late: the share that it adds is just below the minimum, unless the decayed share of the
+    request before is still counted."""
     objective = 10_000 * SECOND
     long_classes = (RequestClass("long", Effect.SAFE, 1.0, objective, 10 * objective),)
     script = Script(balancer, classes=long_classes, nodes=1)
     script.update_servers(servers(3))
-    # Ten nanoseconds less than the lateness from which on a node that was never late rejects.
+    # Ten nanoseconds less than the delay from which a node that has never been late rejects requests.
     almost_late = objective // 10 * 11 // 10 - 10
     for waited in (objective, almost_late):
         script.skip(10 * SECOND)
@@ -578,7 +581,7 @@
 
 
 def small_rejection_share(balancer: type) -> Script:
-    """A tenant's rejections, of which the first counts for about a millionth when the next ones come."""
+    """A tenant's rejections, the first of which has a weight of about 1e-6 when the next ones follow."""
     script = Script(balancer, classes=CLASSES, tenants=TENANTS, max_attempts=1, nodes=1)
     script.update_servers(servers(3))
     for rejected in [True] + [False] * ACCEPTED_AFTER_REJECTION + [bit == "1" for bit in REJECTIONS]:
