--- a/hollybay/balancing/cross_zone.py
+++ b/hollybay/balancing/cross_zone.py
@@ -27,8 +27,8 @@
 # Without observations, remote lateness approaches this share of local lateness, by this weight per review.
 REMOTE_LATENESS_PRIOR = 0.5
 REMOTE_LATENESS_WEIGHT = 0.1
-# Load favours crossing only if 1 + the local load (requests per core) exceeds SPEED_CLASS_RATIO times that of
-# the remote zones, and BASE_LOAD plus LOAD_PER_PRICE times the price of crossing.
+# Load favours crossing only if 1 + local load (requests per core) exceeds both (1 + remote load) times
+# SPEED_CLASS_RATIO, and BASE_LOAD plus LOAD_PER_PRICE times the price of crossing.
 BASE_LOAD = 2.0
 LOAD_PER_PRICE = 10.0
 # A single request crosses zones if that saves at least this share of the price, in priority weight expected
--- a/hollybay/balancing/further_attempts.py
+++ b/hollybay/balancing/further_attempts.py
@@ -1,4 +1,4 @@
-"""Retries, hedges and waits: what follows an attempt that has failed or is slow, or finding no server."""
+"""Retries, hedges and waits: what follows if an attempt fails or is slow, or no server may be used."""
 
 from __future__ import annotations
 
--- a/hollybay/balancing/load_shedding.py
+++ b/hollybay/balancing/load_shedding.py
@@ -46,10 +46,9 @@
 # limit.
 #
 # Queue limits guard against congestion while it builds up. Losses show it only a second later, when every
-# server has a queue that makes requests with the shortest objective late. Because the limits apply to the
-# queue of the selected server, the capacity of servers that are lost, drained or starting is accounted for.
-# The limits are too strict where queues are worked off much faster than the service times of idle servers
-# suggest.
+# server has a queue that makes requests with the shortest objective late. Servers that are lost, drained or
+# starting count as missing capacity. The limits are too strict where queues are worked off much faster than
+# the service times of idle servers suggest.
 QUEUE_LIMIT_SHARE = 1.0
 QUEUE_LIMIT_STEP = 4.0
 # Below this free share of the node's request slots the class with the lowest priority weight is rejected; the
--- a/hollybay/balancing/queueing_delay.py
+++ b/hollybay/balancing/queueing_delay.py
@@ -18,8 +18,7 @@
 # The weight of the prior, in attempts in flight: at one request a second, a single attempt in flight is no
 # queue. The prior decreases with the usual number of attempts in flight, and is 0 if that is 1 or more.
 PRIOR_IN_FLIGHT = 1.0
-# The factor by which each window reduces the baseline sums, and the number of attempts from which they are
-# used.
+# The factor by which each window reduces the baseline sums, and the number of attempts needed to use them.
 BASELINE_DECAY = 0.98
 MIN_BASELINE_ATTEMPTS = 4.0
 # Below this send rate (attempts a second) no delay is estimated.
--- a/hollybay/balancing/service_times.py
+++ b/hollybay/balancing/service_times.py
@@ -24,8 +24,7 @@
     The response time of a busy server includes a queue of unknown length. Under overload the service time
     would seem to grow, and starting servers would get less and less when they are needed most. Therefore only
     responses of servers count that were idle when the attempt was sent, as far as this node can tell. Until
-    there is one, other responses are used, which overestimates the service time rather than underestimating
-    it.
+    there is one, other responses are used, which gives an overestimate rather than an underestimate.
 
     Parameters
     ----------
--- a/hollybay/balancing/settings.py
+++ b/hollybay/balancing/settings.py
@@ -220,7 +220,7 @@
         The weight of a tenant's requests beyond its share, and whether its share is measured by work instead
         of requests. Accepted and ignored.
     connect_timeout, idle_timeout
-        For connections to servers.
+        Timeouts of connections to servers: of connecting, and of idle connections.
     streams
         The number of concurrent requests of a connection. Accepted and ignored.
     max_retry_after
@@ -229,8 +229,8 @@
         How long after its deadline a request may still get its response, and how long after the start of its
         drain a server may still get requests.
     cold_share, warm_up
-        The share (0 to 1) of its capacity that a server has at its start, and the time until it has all of
-        it.
+        The share (0 to 1) of its capacity that a server has at its start, and the time until it has its
+        full capacity.
     overload_multiple, overload_window
         The multiple of its present capacity up to which a starting server may get requests, and the window
         over which the checks of the testbed sum them up.
--- a/hollybay/balancing/traffic_share.py
+++ b/hollybay/balancing/traffic_share.py
@@ -13,8 +13,7 @@
 HORIZON_NS = 6 * SECOND
 # The prior: the share by the configured number of nodes has the weight of this many attempts.
 PRIOR_ATTEMPTS = 4.0
-# With fewer reports than this, the configured number of nodes is used, and outliers among reports are not
-# limited.
+# With fewer reports than this, the configured number of nodes is used, and no report is limited.
 MIN_REPORTS = 6
 # The estimate replaces the configured number of nodes once it differs by more than DEVIATION_FACTOR for
 # DEVIATION_HOLD_NS, until it differs by no more than RETURN_FACTOR. Deviations by chance, or because reports
@@ -22,8 +21,7 @@
 DEVIATION_FACTOR = 2.0
 RETURN_FACTOR = 1.4
 DEVIATION_HOLD_NS = 3 * SECOND
-# The estimate is at most the configured number of nodes times this factor, and at least that number divided
-# by it.
+# The estimate is between the configured number of nodes divided by this factor and that number times it.
 MAX_FACTOR = 30.0
 # A report counts as at most MAX_REPORT_RATIO times the mean of earlier ones, which counts as at least
 # MIN_MEAN_RATE (requests a second per unit of size).
--- a/tests/test_attempt_tracking.py
+++ b/tests/test_attempt_tracking.py
@@ -20,7 +20,8 @@
     assert fault is None, fault
 
 
-# Guards against an attempt that is never uncounted: idle servers then look busy, and requests are rejected.
+# Guards against attempts that count as in flight after their end: idle servers look busy, and requests are
+# rejected.
 def test_an_upload_to_a_removed_server_is_counted_only_until_it_ends() -> None:
     node = harness()
     for rid in range(20):
--- a/tests/test_balancer.py
+++ b/tests/test_balancer.py
@@ -128,8 +128,7 @@
         node.answer(rid, 0, api.Result.ERROR)
     until = server.ejected_until
     assert until > node.now
-    # Attempts that were in flight at the ejection do not prolong it when they fail, and end it when they
-    # succeed.
+    # Failures of attempts that were in flight at the ejection do not prolong it, and their successes end it.
     node.run_to(node.now + 10 * MS)
     node.answer(at_server[4], 0, api.Result.ERROR)
     assert server.ejected_until == until
--- a/tests/test_balancer_many_nodes.py
+++ b/tests/test_balancer_many_nodes.py
@@ -32,7 +32,7 @@
 from hollybay.testbed.world import MS, SECOND, UNSAFE, BalancerHarness, make_settings
 
 ONE_CLASS = (api.RequestClass("w", api.Effect.SAFE, 1.0, SECOND, 3 * SECOND),)
-WORK = 50 * MS  # at a server of size 1
+WORK = 50 * MS  # service time of a request at a server of size 1
 
 
 def make_nodes(count: int, **changes: object) -> list[BalancerHarness]:
@@ -108,8 +108,7 @@
         for start in at:
             span = sum(start <= when < start + settings.overload_window for when in at) * WORK
             assert span <= settings.overload_multiple * settings.cold_share * settings.overload_window
-    # At this age a server has at least 0.3 of its capacity: 24 requests in 4 s, most of which have to be
-    # sent.
+    # At this age a server has at least 0.3 of its capacity: 24 requests in 4 s, most of which must be sent.
     assert sum(got.values()) / len(starting) > 0.7 * 24
 
 
@@ -423,7 +422,7 @@
         report = (9.0, 2.0) if attempt.server == b"s02" else (0.0, 10.0)
         node.answer(rid, 0, report=report)
         rid += 1
-    node.run_to(node.now + SECOND)  # a review
+    node.run_to(node.now + SECOND)  # includes a review
     mark = node.now
     while node.now < mark + 9 * SECOND:
         rid += 1
--- a/tests/test_slow_start_many_nodes.py
+++ b/tests/test_slow_start_many_nodes.py
@@ -12,7 +12,7 @@
 from hollybay.testbed.rules import cold_allowance
 from hollybay.testbed.world import MS, SECOND, BalancerHarness, make_settings
 
-WORK = 50 * MS  # of a request, at a server of size 1
+WORK = 50 * MS  # service time of a request at a server of size 1
 ONE_CLASS = (api.RequestClass("w", api.Effect.SAFE, 1.0, SECOND, 3 * SECOND),)
 SERVERS, STARTING = 24, 8
 BEFORE, AFTER = 2 * SECOND, 4 * SECOND
