--- a/hollybay/balancing/bench_adapter.py
+++ b/hollybay/balancing/bench_adapter.py
@@ -1,6 +1,6 @@
-"""What the platform's simulator, called the bench, starts: hosts balancers behind its wire, decides nothing.
+"""Hosts balancers behind the wire protocol of the platform's simulator (the bench), which starts it.
 
-No node on sockets speaks this wire, and it is not that of discovery.
+It makes no decisions. Nodes on sockets do not speak this protocol, and discovery uses another one.
 """
 
 from __future__ import annotations
@@ -17,30 +17,30 @@
 from .interface import Settings
 from .settings_parser import parse_settings
 
-__all__ = ["Link", "main", "serve"]
+__all__ = ["BalancerHost", "main", "serve"]
 
 
-class Link:
-    """Hosts the balancers of one process, and answers batches of events.
+class BalancerHost:
+    """Hosts the balancers of one process, and replies to batches of events.
 
     Parameters
     ----------
-    make
-        Makes a balancer from settings, a seed and the time (ns).
+    create_balancer
+        Creates a balancer from settings, a seed and the time (ns).
 
     Attributes
     ----------
     instances
-        Balancers by the number that the simulator gave them.
+        Balancers by the number that the simulator assigned to them.
     """
 
-    def __init__(self, make: Callable[[Settings, int, int], Balancer] = Balancer) -> None:
-        self.make = make
+    def __init__(self, create_balancer: Callable[[Settings, int, int], Balancer] = Balancer) -> None:
+        self.create_balancer = create_balancer
         self.instances: dict[int, Balancer] = {}
         self.decoder = EventDecoder()
 
     def reply(self, batch: wire.Batch) -> bytes:
-        """Hand a batch's events to their instances, in order, and return the frame that answers it.
+        """Pass a batch's events to their instances in order, and return the reply frame.
 
         Raises
         ------
@@ -61,13 +61,15 @@
         return wire.write_reply(batch.number, records, bytes(tail))
 
     def _apply(self, event: EventRecord, now: int, records: list[bytes], tail: bytearray) -> None:
-        """Start or stop an instance, or hand it an event and add the records of its actions."""
+        """Start or stop an instance, or pass it an event and append the records of its actions."""
         if event.code == wire.RETIRE:
             self.instances.pop(event.instance, None)
             return
         content = event.content
         if isinstance(content, Start):
-            self.instances[event.instance] = self.make(parse_settings(content.settings), content.seed, now)
+            self.instances[event.instance] = self.create_balancer(
+                parse_settings(content.settings), content.seed, now
+            )
             return
         instance = self.instances.get(event.instance)
         if instance is None or content is None:
@@ -77,16 +79,16 @@
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answer batches until the input ends."""
-    link = Link()
+    """Reply to batches until the input ends."""
+    host = BalancerHost()
     while (batch := wire.read_batch(source)) is not None:
-        sink.write(link.reply(batch))
+        sink.write(host.reply(batch))
         sink.flush()
 
 
 def main() -> int:
     """Run the adapter on standard input and output: 0 at a clean end of input, 1 after a malformed frame."""
-    # Reference counts free what the module makes; pauses of the cycle collector would only cost CPU.
+    # Reference counting frees all objects of the decision module; the cyclic collector would only cost CPU.
     gc.disable()
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
--- a/hollybay/balancing/endpoints.py
+++ b/hollybay/balancing/endpoints.py
@@ -1,4 +1,4 @@
-"""The servers as discovery lists them, and how old that news is."""
+"""The servers as discovery lists them, and the age of that list."""
 
 from __future__ import annotations
 
@@ -13,16 +13,18 @@
 
 __all__ = ["Endpoints"]
 
-# The weight of one gap between two lists in the usual one, and the longest gap (ns) that is counted.
+# The weight of one interval between two lists in the moving mean; longer ones than MAX_INTERVAL_NS count as
+# that.
 INTERVAL_WEIGHT = 0.2
 MAX_INTERVAL_NS = 2 * SECOND
-# A list is overdue after this many usual intervals; each further one leaves this share of reported loads.
+# A list is overdue after this many mean intervals; each further interval multiplies reported loads by
+# OVERDUE_DECAY.
 OVERDUE_INTERVALS = 2.0
 OVERDUE_DECAY = 0.5
 
 
 class Endpoints:
-    """All servers that a list has named and that are not gone.
+    """All servers that a list has named and that have not been removed since.
 
     Parameters
     ----------
@@ -34,31 +36,31 @@
     Attributes
     ----------
     servers
-        The servers by id. One that is gone stays until all attempts there have ended.
-    returned
-        Ids of servers that have come back from draining and have not been used since.
+        The servers by id. A server that is gone is kept until all attempts there have ended.
+    ready_after_drain
+        Ids of servers that have become ready after draining and have not been used since.
     list_interval
-        The usual time (ns) between two lists.
+        The mean time (ns) between two lists.
     stale
-        Whether the list is overdue by more than one usual interval.
-    size_of_kind
+        Whether the list is overdue by more than one mean interval.
+    max_weight_by_kind
         The largest weight seen, by kind of machine, where weights follow load (WeightMode.LIVE).
     """
 
     def __init__(self, settings: Settings, now: int) -> None:
         self.settings = settings
         self.servers: dict[ServerId, TrackedServer] = {}
-        self.returned: list[ServerId] = []
-        self.listed_at = now
+        self.ready_after_drain: list[ServerId] = []
+        self.last_list_at = now
         self.list_interval = float(SECOND)
         self.stale = False
-        self.size_of_kind = [0.0] * settings.kinds
+        self.max_weight_by_kind = [0.0] * settings.kinds
 
     def apply(self, event: ServerList, now: int) -> None:
-        """Take in a list that came at a time (ns)."""
-        gap = min(now - self.listed_at, MAX_INTERVAL_NS)
+        """Apply a list that was received at a time (ns)."""
+        gap = min(now - self.last_list_at, MAX_INTERVAL_NS)
         self.list_interval += INTERVAL_WEIGHT * (gap - self.list_interval)
-        self.listed_at = now
+        self.last_list_at = now
         seen = set()
         for entry in event.servers:
             server = self.servers.get(entry.id)
@@ -80,13 +82,13 @@
         return server
 
     def _update(self, server: TrackedServer, entry: ServerEntry, now: int) -> None:
-        """Take over what a list says of a server."""
+        """Update a server from its list entry."""
         if entry.up_since and entry.up_since > server.up_since:
             self._restarted(server, entry.up_since, now)
         server.zone = entry.zone
         server.cell = entry.cell
         if server.state == ServerState.DRAINING and entry.state == ServerState.READY:
-            self.returned.append(server.id)
+            self.ready_after_drain.append(server.id)
         server.kind = entry.kind if entry.kind < self.settings.kinds else 0
         server.state = entry.state
         if self.settings.weight_mode == WeightMode.NONE or not (
@@ -95,12 +97,12 @@
             return
         server.weight = entry.weight
         if self.settings.weight_mode == WeightMode.LIVE:
-            self.size_of_kind[server.kind] = max(self.size_of_kind[server.kind], entry.weight)
+            self.max_weight_by_kind[server.kind] = max(self.max_weight_by_kind[server.kind], entry.weight)
         else:
             server.nominal_size = entry.weight
 
     def _restarted(self, server: TrackedServer, up_since: int, now: int) -> None:
-        """Forget what was known of a server's old process."""
+        """Reset what was learned about a server's previous process."""
         server.slowdown = 1.0
         server.failure_rate = 0.0
         server.ejected_until = 0
@@ -112,7 +114,7 @@
             server.slow_start_send_at = -1
 
     def remove_if_gone(self, server: TrackedServer) -> None:
-        """Forget a server that is gone, once no attempt refers to it any more."""
+        """Remove a server that is gone, unless attempts still refer to it."""
         if server.state == ServerState.GONE and not server.open_attempts and not server.in_flight:
             del self.servers[server.id]
 
@@ -121,10 +123,12 @@
             self.remove_if_gone(server)
 
     def update_freshness(self, now: int) -> float:
-        """Renew `stale`, and return the share (0 to 1) of reported loads that still counts.
+        """Update `stale`, and return the factor (0 to 1) by which reported loads are multiplied.
 
-        Loads fade once a list is overdue: while discovery is unreachable they would mislead for long.
+        Loads fade once a list is overdue: while discovery is unreachable they would be wrong for a long time.
         """
-        overdue = max(0.0, now - self.listed_at - OVERDUE_INTERVALS * self.list_interval) / self.list_interval
+        overdue = (
+            max(0.0, now - self.last_list_at - OVERDUE_INTERVALS * self.list_interval) / self.list_interval
+        )
         self.stale = overdue > 1.0
         return float(OVERDUE_DECAY**overdue)
