--- a/hollybay/consensus/announcer.py
+++ b/hollybay/consensus/announcer.py
@@ -21,7 +21,7 @@
 
 def announcement(state: EpochState, own_address: str) -> bytes:
     """The body of the request that tells others of an epoch whose policies are to be had at an address."""
-    return messages.encode(messages.DecidedNotice(messages.FORM, state, own_address))
+    return messages.encode(messages.DecidedNotice(messages.MESSAGE_VERSION, state, own_address))
 
 
 class Announcer:
--- a/hollybay/consensus/ballots.py
+++ b/hollybay/consensus/ballots.py
@@ -14,7 +14,7 @@
 from .durable_acceptor import DurableAcceptor
 from .environment import Environment
 from .log_events import LogEvent
-from .messages import number_of, stage_label
+from .messages import stage_label, voter_number
 from .outgoing_requests import PeerClient
 from .proposer import Proposer
 
@@ -148,7 +148,7 @@
         highest_number = max(acceptor.promised_number(), self._highest_number)
         ballot.proposer, prepare = ballot.proposer.begin_ballot(highest_number)
         self._highest_number = prepare.ballot[0]
-        body = messages.encode(messages.PrepareCall(messages.FORM, prepare))
+        body = messages.encode(messages.PrepareCall(messages.MESSAGE_VERSION, prepare))
         replies: list[tuple[str, messages.PrepareReply]] = []
         async for address, reply in self.peers.answers(
             ballot.addresses,
@@ -173,7 +173,7 @@
         accept: Accept | None = None
         for address, reply in replies:
             if reply.promise is not None:
-                promise = reply.promise._replace(voter=number_of(address))
+                promise = reply.promise._replace(voter=voter_number(address))
                 ballot.proposer, request = ballot.proposer.on_promise(promise)
                 accept = accept or request
         return accept
@@ -188,7 +188,7 @@
         wanted: Callable[[], EpochState | None],
     ) -> BallotOutcome:
         """Ask for votes until a quorum has voted, or the ballot must be given up."""
-        body = messages.encode(messages.AcceptCall(messages.FORM, accept, self._own_address))
+        body = messages.encode(messages.AcceptCall(messages.MESSAGE_VERSION, accept, self._own_address))
         interval = VOTE_INTERVAL_S
         loop = asyncio.get_running_loop()
         announced_at = loop.time()
@@ -239,7 +239,7 @@
         """Take in one voter's reply; None: the ballot goes on."""
         if reply.accepted is not None:
             ballot.voted.add(address)
-            vote = reply.accepted._replace(voter=number_of(address))
+            vote = reply.accepted._replace(voter=voter_number(address))
             ballot.proposer, decided = ballot.proposer.on_accepted(vote)
             if decided is not None:
                 await self._publish(acceptor, decided.state, ballot.addresses)
--- a/hollybay/consensus/bootstrap.py
+++ b/hollybay/consensus/bootstrap.py
@@ -104,8 +104,8 @@
 
         A voter that is not reached learns from the others, and has no vote on the first change.
         """
-        entry = messages.packed(policy)
-        is_short = len(entry) <= messages.PIECE_BYTES
+        entry = messages.policy_to_text(policy)
+        is_short = len(entry) <= messages.CHUNK_BYTES
         call = messages.BootstrapCall(
             policy=policy.name, entry=entry if is_short else "", source=self.settings.address
         )
@@ -138,7 +138,7 @@
     async def _first_policy(self, call: messages.BootstrapCall, source: str) -> PolicyVersion:
         """The first policy, out of the request or from the voter that sent it; it is on disk."""
         if call.entry:
-            await self.replica.store(messages.unpacked(call.entry, call.policy))
+            await self.replica.store(messages.policy_from_text(call.entry, call.policy))
         fetched = await self.replica.fetcher.fetch(call.policy, [source])
         if fetched.problem is not None:
             raise StoreError(str(fetched.problem))
--- a/hollybay/consensus/change_tracker.py
+++ b/hollybay/consensus/change_tracker.py
@@ -24,8 +24,8 @@
     DropCall,
     ProposeCall,
     ProposeReply,
-    change_from,
     change_from_bytes,
+    change_from_text,
     decode,
     encode,
 )
@@ -264,7 +264,7 @@
     async def _drafted_change(self, address: str, draft: DraftReply) -> Change | None:
         """The change of a draft; fetched in chunks where it is long."""
         if draft.change:
-            return change_from(draft.change)
+            return change_from_text(draft.change)
         if not draft.draft:
             return None
         path = f"draft/{draft.draft}"
--- a/hollybay/consensus/durable_acceptor.py
+++ b/hollybay/consensus/durable_acceptor.py
@@ -38,7 +38,7 @@
 )
 from .persisted_acceptor import PersistedAcceptor
 from .policy import PolicyVersion
-from .reasons import Barred, KnowsNothing, LacksPolicies
+from .reasons import Barred, MissingPolicies, Uninitialized
 from .store import Store, StoreError
 
 __all__ = ["Disk", "DurableAcceptor", "clock_margin"]
@@ -256,9 +256,9 @@
         """Answer a proposer that asks for a vote; the policies of the epoch must be on disk."""
         state = self.state
         if state is None:
-            return AcceptReply(withheld_because=str(KnowsNothing()))
+            return AcceptReply(withheld_because=str(Uninitialized()))
         if not self.has_policies(message.state):
-            reason = LacksPolicies(policies_named(message.state))
+            reason = MissingPolicies(policies_named(message.state))
             return AcceptReply(decided_epoch=state.decided.epoch, withheld_because=str(reason))
         now = self.clock()
         self.last_coordinated = now
--- a/hollybay/consensus/grace_memory.py
+++ b/hollybay/consensus/grace_store.py
@@ -14,10 +14,10 @@
 from .log_events import LogEvent
 from .store import Store, StoreError
 
-__all__ = ["GraceMemory", "RememberedGrace"]
+__all__ = ["GraceRecord", "GraceStore"]
 
 
-class RememberedGrace(msgspec.Struct, frozen=True, array_like=True):
+class GraceRecord(msgspec.Struct, frozen=True, array_like=True):
     """The record on disk.
 
     Attributes
@@ -38,7 +38,7 @@
     grace_end: int
 
 
-class GraceMemory:
+class GraceStore:
     """Writes and reads that record."""
 
     def __init__(self, environment: Environment, log: PolicyLog) -> None:
@@ -48,13 +48,13 @@
         self._written_state: EpochState | None = None
         self._written_grace_end = 0  # ns
 
-    def read(self) -> RememberedGrace | None:
+    def read(self) -> GraceRecord | None:
         """What the process before left, if it can be read; StoreError: the disk failed."""
         data = self.store.open()
         if data is None:
             return None
         try:
-            found: RememberedGrace = msgspec.msgpack.decode(data, type=RememberedGrace)
+            found: GraceRecord = msgspec.msgpack.decode(data, type=GraceRecord)
         except msgspec.DecodeError:
             return None
         return found
@@ -77,7 +77,7 @@
         policies = [self.log.policy(name) for name in policies_named(state)]
         voter_sets = [list(policy.voters) for policy in policies if policy is not None]
         return msgspec.msgpack.encode(
-            RememberedGrace(self.environment.boot_id, state, voter_sets, holder.grace_end)
+            GraceRecord(self.environment.boot_id, state, voter_sets, holder.grace_end)
         )
 
     async def write(self, record: bytes) -> None:
@@ -85,4 +85,4 @@
         try:
             await self.environment.disk(lambda: self.store.put(record))
         except StoreError as error:
-            self.environment.data_plane.log_event(LogEvent.GRACE_MEMORY_FAILED, error=str(error))
+            self.environment.data_plane.log_event(LogEvent.GRACE_STORE_FAILED, error=str(error))
--- a/hollybay/consensus/lease_client.py
+++ b/hollybay/consensus/lease_client.py
@@ -13,13 +13,13 @@
 from .core import Decided, EpochState, LeaseGrant, LeaseRequest, Stage, has_quorum, policies_named
 from .environment import Environment
 from .errors import RejectedError
-from .grace_memory import GraceMemory, RememberedGrace
+from .grace_store import GraceRecord, GraceStore
 from .leaseholder import Leaseholder
 from .log_events import LogEvent
 from .log_replica import LogReplica, voter_set
-from .messages import number_of, stage_label
+from .messages import stage_label, voter_number
 from .outgoing_requests import CALL_LIMIT_S, PeerClient
-from .reasons import GoneSinceFetch, texts_of
+from .reasons import PrunedSinceFetch, texts_of
 from .requests import CallFailedError
 from .serviceability import Serviceability, Unserviceable, bounded_reasons
 from .store import StoreError
@@ -72,7 +72,7 @@
         self.serviceability = Serviceability(
             environment.data_plane, replica, self._mark_unserviceable, self._clear_unserviceable
         )
-        self.memory = GraceMemory(environment, replica.log)
+        self.memory = GraceStore(environment, replica.log)
         self.policies_in_force: tuple[str, ...] = ()  # as put in force at the node last
         self.valid_until = 0  # ns; requests may begin under these until then without another check
         self._epoch_learned = asyncio.Event()  # there is a later epoch to request a lease on
@@ -132,7 +132,7 @@
         try:
             remembered = self.memory.read()
         except StoreError as error:
-            self.data_plane.log_event(LogEvent.GRACE_MEMORY_FAILED, error=str(error))
+            self.data_plane.log_event(LogEvent.GRACE_STORE_FAILED, error=str(error))
             return
         if remembered is None:
             return
@@ -141,7 +141,7 @@
         if remembered.boot_id == self.environment.boot_id and self.clock() < remembered.grace_end:
             self.tasks.spawn(self._resume(remembered))
 
-    async def _resume(self, remembered: RememberedGrace) -> None:
+    async def _resume(self, remembered: GraceRecord) -> None:
         for name in policies_named(remembered.state):
             entry = self.replica.log.entry(name)
             if entry is None or entry.state is None or await self.serviceability.prepare(entry):
@@ -210,7 +210,7 @@
         if request.state is not None and request.state.new:
             why = self.serviceability.unserviceable.get(request.state.new, why)
         return messages.LeaseCall(
-            form=messages.FORM,
+            form=messages.MESSAGE_VERSION,
             request=request,
             name=self.settings.name,
             address=self.settings.address,
@@ -228,7 +228,7 @@
         except (CallFailedError, RejectedError):
             return
         if reply.grant is not None:
-            self._take_grant(reply.grant._replace(voter=number_of(address)))
+            self._take_grant(reply.grant._replace(voter=voter_number(address)))
         elif reply.decided is not None:
             await self.learn(reply.decided, address)
 
@@ -286,6 +286,6 @@
                 await self.serviceability.prepare(entry)
             else:
                 # It is not on this disk: the node cannot serve it now, and may later.
-                reasons = bounded_reasons([fetched.problem or GoneSinceFetch()])
+                reasons = bounded_reasons([fetched.problem or PrunedSinceFetch()])
                 self.serviceability.mark(name, Unserviceable(reasons, cannot_serve_any=True))
         return tuple(voter_sets)
--- a/hollybay/consensus/log_events.py
+++ b/hollybay/consensus/log_events.py
@@ -56,7 +56,7 @@
     PRUNING_FAILED = "log not pruned"
     """The disk failed while entries that are no longer needed were dropped."""
 
-    GRACE_MEMORY_FAILED = "grace time not persisted"
+    GRACE_STORE_FAILED = "grace time not persisted"
     """The record of the grace time after a lease could not be read or written."""
 
     TASK_FAILED = "failed"
--- a/hollybay/consensus/log_replica.py
+++ b/hollybay/consensus/log_replica.py
@@ -11,7 +11,7 @@
 from .log_entry import Entry
 from .log_events import LogEvent
 from .log_fetch import Fetcher, FetchResult
-from .messages import number_of
+from .messages import voter_number
 from .policy import PolicyVersion
 from .store import StoreError
 
@@ -20,7 +20,7 @@
 
 def voter_set(policy: PolicyVersion) -> frozenset[int]:
     """The numbers of a policy's voters."""
-    return frozenset(number_of(address) for address in policy.voters)
+    return frozenset(voter_number(address) for address in policy.voters)
 
 
 class LogReplica:
--- a/hollybay/consensus/log_server.py
+++ b/hollybay/consensus/log_server.py
@@ -8,7 +8,7 @@
 
 from .log import PolicyLog
 from .log_entry import is_name
-from .messages import PIECE_BYTES, Chunk
+from .messages import CHUNK_BYTES, Chunk
 from .transfer import chunk_at
 
 __all__ = ["LogServer", "is_number"]
@@ -126,7 +126,7 @@
 
         await self.run_blocking(read)
         reply = replies[0]
-        if len(reply.data) > PIECE_BYTES:
+        if len(reply.data) > CHUNK_BYTES:
             # The further chunks of a snapshot are requested by its own name.
             self.cache(f"{request.kind}/{reply.name}", reply.name, reply.data)
         return reply
--- a/hollybay/consensus/message_codec.py
+++ b/hollybay/consensus/message_codec.py
@@ -8,7 +8,7 @@
 
 from .core import EpochState, Stage
 from .errors import MalformedDataError
-from .message_fields import FORM
+from .message_fields import MESSAGE_VERSION
 from .protocol_messages import (
     AcceptCall,
     AcceptReply,
@@ -45,9 +45,9 @@
         found: _T = msgspec.json.decode(data, type=kind)
     except (msgspec.DecodeError, RecursionError) as error:
         raise MalformedDataError(f"no such words: {error}") from None
-    form = getattr(found, "form", FORM)
-    if form != FORM:
-        raise MalformedDataError(f"form: {form}, and this build speaks {FORM}")
+    form = getattr(found, "form", MESSAGE_VERSION)
+    if form != MESSAGE_VERSION:
+        raise MalformedDataError(f"form: {form}, and this build speaks {MESSAGE_VERSION}")
     for state in _received_states(found):
         if not _is_well_formed(state):
             raise MalformedDataError(f"state: {_shown(state)} is none")
--- a/hollybay/consensus/message_fields.py
+++ b/hollybay/consensus/message_fields.py
@@ -9,32 +9,32 @@
 from hollybay.resources.model import CHANGE_ID_BYTES
 
 __all__ = [
-    "FORM",
+    "CHUNK_BYTES",
     "MAX_CALL_BYTES",
     "MAX_CULPRITS",
     "MAX_CULPRIT_REASONS",
     "MAX_REASONS",
     "MAX_SERVERS",
     "MAX_VOTERS",
-    "PIECE_BYTES",
+    "MESSAGE_VERSION",
     "Address",
     "ChangeId",
     "Count",
     "CulpritReasons",
     "Digest",
     "Message",
-    "Name",
     "Nanoseconds",
+    "PolicyName",
     "Text",
     "UploadId",
 ]
 
-FORM = 2  # the version of these messages; a request of another one is rejected
+MESSAGE_VERSION = 2  # the version of these messages; a request of another one is rejected
 # What is longer than one request (deltas, snapshots, operator files, large changes) is sent in pieces of so
 # many bytes.
-PIECE_BYTES = 256 << 10
+CHUNK_BYTES = 256 << 10
 # The longest request, bytes: a piece in base64, and what stands around it.
-MAX_CALL_BYTES = 4 * PIECE_BYTES // 3 + (64 << 10)
+MAX_CALL_BYTES = 4 * CHUNK_BYTES // 3 + (64 << 10)
 MAX_REASONS = 20
 MAX_CULPRITS = 64  # changes that a node names in one request
 MAX_CULPRIT_REASONS = 3  # why it cannot serve each of them
@@ -50,7 +50,7 @@
 Digest = Annotated[str, msgspec.Meta(pattern=r"^[0-9a-f]{0,64}$")]
 ChangeId = Annotated[str, msgspec.Meta(pattern=rf"^[0-9a-f]{{{2 * CHANGE_ID_BYTES}}}$")]
 UploadId = Annotated[str, msgspec.Meta(pattern=r"^([0-9a-f]{32})?$")]
-Name = Annotated[str, msgspec.Meta(pattern=r"^([0-9]{1,12}-[0-9a-f]{12})?$")]
+PolicyName = Annotated[str, msgspec.Meta(pattern=r"^([0-9]{1,12}-[0-9a-f]{12})?$")]
 CulpritReasons = Annotated[list[Text], msgspec.Meta(max_length=MAX_CULPRIT_REASONS)]
 Count = Annotated[int, msgspec.Meta(ge=0, le=1 << 40)]
 
--- a/hollybay/consensus/message_values.py
+++ b/hollybay/consensus/message_values.py
@@ -12,15 +12,15 @@
 from .errors import MalformedDataError
 from .policy import PolicyVersion, decode_policy
 
-__all__ = ["change_from", "change_from_bytes", "change_text", "packed", "unpacked"]
+__all__ = ["change_from_bytes", "change_from_text", "change_to_text", "policy_from_text", "policy_to_text"]
 
 
-def packed(policy: PolicyVersion) -> str:
+def policy_to_text(policy: PolicyVersion) -> str:
     """A policy as text."""
     return base64.b64encode(msgspec.msgpack.encode(policy)).decode()
 
 
-def unpacked(text: str, name: str = "") -> PolicyVersion:
+def policy_from_text(text: str, name: str = "") -> PolicyVersion:
     """A policy from its text. RejectedError: it is none, or another than the one of this name."""
     try:
         data = base64.b64decode(text, validate=True)
@@ -32,12 +32,12 @@
     return policy
 
 
-def change_text(change: Change) -> str:
+def change_to_text(change: Change) -> str:
     """A change as text."""
     return base64.b64encode(encode_change(change)).decode()
 
 
-def change_from(text: str) -> Change:
+def change_from_text(text: str) -> Change:
     """A change from its text. RejectedError: it is none."""
     try:
         data = base64.b64decode(text, validate=True)
--- a/hollybay/consensus/messages.py
+++ b/hollybay/consensus/messages.py
@@ -10,14 +10,20 @@
 
 from .message_codec import decode, encode, stage_label
 from .message_fields import (
-    FORM,
+    CHUNK_BYTES,
     MAX_CALL_BYTES,
     MAX_CULPRIT_REASONS,
     MAX_CULPRITS,
     MAX_REASONS,
-    PIECE_BYTES,
+    MESSAGE_VERSION,
+)
+from .message_values import (
+    change_from_bytes,
+    change_from_text,
+    change_to_text,
+    policy_from_text,
+    policy_to_text,
 )
-from .message_values import change_from, change_from_bytes, change_text, packed, unpacked
 from .operator_messages import (
     BootstrapCall,
     ChangeCall,
@@ -44,12 +50,12 @@
 from .transfer_messages import Chunk, UploadCall
 
 __all__ = [
-    "FORM",
+    "CHUNK_BYTES",
     "MAX_CALL_BYTES",
     "MAX_CULPRITS",
     "MAX_CULPRIT_REASONS",
     "MAX_REASONS",
-    "PIECE_BYTES",
+    "MESSAGE_VERSION",
     "AcceptCall",
     "AcceptReply",
     "BlockingLease",
@@ -71,18 +77,18 @@
     "ProposeCall",
     "ProposeReply",
     "UploadCall",
-    "change_from",
     "change_from_bytes",
-    "change_text",
+    "change_from_text",
+    "change_to_text",
     "decode",
     "encode",
-    "number_of",
-    "packed",
+    "policy_from_text",
+    "policy_to_text",
     "stage_label",
-    "unpacked",
+    "voter_number",
 ]
 
 
-def number_of(address: str) -> int:
+def voter_number(address: str) -> int:
     """The number of a voter, the same at all processes; made of its address."""
     return int.from_bytes(blake2b(address.encode(), digest_size=6).digest(), "big")
--- a/hollybay/consensus/operator_messages.py
+++ b/hollybay/consensus/operator_messages.py
@@ -13,7 +13,7 @@
 
 from hollybay.resources.model import ChangeProblem
 
-from .message_fields import MAX_SERVERS, MAX_VOTERS, Address, Digest, Message, Name, Text, UploadId
+from .message_fields import MAX_SERVERS, MAX_VOTERS, Address, Digest, Message, PolicyName, Text, UploadId
 
 __all__ = [
     "BootstrapCall",
@@ -47,7 +47,7 @@
 
     file: str = ""
     upload: UploadId = ""
-    policy: Name = ""
+    policy: PolicyName = ""
     entry: str = ""
     source: Address | None = None
 
@@ -83,7 +83,7 @@
     servers_out: Annotated[list[Text], msgspec.Meta(max_length=MAX_SERVERS)] | None = None
     voters: Annotated[list[Address], msgspec.Meta(max_length=MAX_VOTERS)] | None = None
     upload: UploadId = ""
-    like_policy: Name = ""
+    like_policy: PolicyName = ""
 
 
 class ProposeReply(Message, frozen=True):
@@ -117,7 +117,7 @@
     author: Text = ""
     file: str | None = None
     upload: UploadId = ""
-    like_policy: Name = ""
+    like_policy: PolicyName = ""
     servers_out: Annotated[list[Text], msgspec.Meta(max_length=MAX_SERVERS)] = msgspec.field(
         default_factory=list
     )
--- a/hollybay/consensus/outgoing_requests.py
+++ b/hollybay/consensus/outgoing_requests.py
@@ -10,7 +10,7 @@
 from .core import VoterSets, has_quorum
 from .errors import RejectedError
 from .interfaces import Response
-from .messages import number_of
+from .messages import voter_number
 from .requests import CallFailedError, Transport
 
 __all__ = ["CALL_LIMIT_S", "PeerClient"]
@@ -118,7 +118,7 @@
                 if not done:
                     return
                 for address, reply in _successes(done):
-                    replied.add(number_of(address))
+                    replied.add(voter_number(address))
                     yield address, reply
                 if end is None and has_quorum(voter_sets, replied):
                     end = loop.time() + more
--- a/hollybay/consensus/protocol_messages.py
+++ b/hollybay/consensus/protocol_messages.py
@@ -45,7 +45,7 @@
     Attributes
     ----------
     form : int
-        The version of the messages, FORM.
+        The version of the messages, MESSAGE_VERSION.
     request : LeaseRequest
     name, address : str
         The name of the process, and where it is called.
--- a/hollybay/consensus/queries.py
+++ b/hollybay/consensus/queries.py
@@ -78,7 +78,7 @@
         policy = self.log.policy(name)
         if policy is None:
             return rejected(NOT_FOUND, f"no policy {name} here")
-        return Response(OK, messages.packed(policy).encode())
+        return Response(OK, messages.policy_to_text(policy).encode())
 
     async def _piece(self, path: str) -> Response:
         try:
--- a/hollybay/consensus/reasons.py
+++ b/hollybay/consensus/reasons.py
@@ -17,15 +17,15 @@
 __all__ = [
     "Barred",
     "DoesNotCompile",
-    "GoneSinceFetch",
-    "KnowsNothing",
-    "LacksPolicies",
     "MemberReason",
+    "MissingPolicies",
     "NotPersisted",
+    "PrunedSinceFetch",
     "Reason",
     "ReportedReason",
     "Superseded",
     "SupersededOrDropped",
+    "Uninitialized",
     "bounded",
     "texts_of",
 ]
@@ -94,7 +94,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class GoneSinceFetch(Reason):
+class PrunedSinceFetch(Reason):
     """The log was pruned after the policy was fetched. Published without a text."""
 
     def __str__(self) -> str:
@@ -124,7 +124,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class KnowsNothing(Reason):
+class Uninitialized(Reason):
     """The voter has not begun, or lost its disk and has not recovered from the others."""
 
     def __str__(self) -> str:
@@ -132,7 +132,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LacksPolicies(Reason):
+class MissingPolicies(Reason):
     """The voter does not have all policies that the epoch names.
 
     Parameters
--- a/hollybay/consensus/request_content.py
+++ b/hollybay/consensus/request_content.py
@@ -42,7 +42,7 @@
     async def change(self, change: str, upload: str) -> Change:
         """A change out of a request, in base64, or one that was uploaded before it."""
         if not upload:
-            return messages.change_from(change)
+            return messages.change_from_text(change)
         complete = self.uploads.content(upload)
         return await run_on_disk(self.environment.disk, lambda: messages.change_from_bytes(complete))
 
--- a/hollybay/consensus/requests.py
+++ b/hollybay/consensus/requests.py
@@ -68,7 +68,7 @@
     for address in addresses:
         try:
             answer = await call(address, f"entry/{name}", None)
-            return messages.unpacked(answer.decode("ascii", "replace"), name)
+            return messages.policy_from_text(answer.decode("ascii", "replace"), name)
         except (CallFailedError, RejectedError):
             continue
     return None
--- a/hollybay/consensus/status.py
+++ b/hollybay/consensus/status.py
@@ -19,7 +19,7 @@
 from .leaseholder import Leaseholder
 from .log import PolicyLog
 from .messages import BlockingLease, stage_label
-from .reasons import KnowsNothing, Reason, texts_of
+from .reasons import Reason, Uninitialized, texts_of
 
 __all__ = ["ChangeProgress", "members", "node_status", "voter_status"]
 
@@ -121,7 +121,7 @@
     if acceptor is None:
         return {"keeper": None}
     if acceptor.state is None:
-        return {"keeper": None, "keeper_waits": acceptor.storage_failure or str(KnowsNothing())}
+        return {"keeper": None, "keeper_waits": acceptor.storage_failure or str(Uninitialized())}
     return {"keeper": _status_of_acceptor(acceptor, acceptor.state, log, changes, grace, now)}
 
 
--- a/hollybay/consensus/transfer.py
+++ b/hollybay/consensus/transfer.py
@@ -1,6 +1,6 @@
 """Transfers that are longer than one call: replies are downloaded, and calls uploaded, in chunks.
 
-Each chunk but the last has exactly PIECE_BYTES, and each states the total size: so a transfer ends within its
+Each chunk but the last has exactly CHUNK_BYTES, and each states the total size: so a transfer ends within its
 bound however the other side answers.
 """
 
@@ -13,7 +13,7 @@
 from hollybay.units import SECOND
 
 from .errors import MalformedDataError, RejectedError
-from .messages import PIECE_BYTES, Chunk, UploadCall, decode
+from .messages import CHUNK_BYTES, Chunk, UploadCall, decode
 
 __all__ = ["MAX_UPLOADS", "MAX_UPLOAD_BYTES", "Uploads", "chunk_at", "download", "upload_calls"]
 
@@ -26,9 +26,9 @@
 
 def chunk_at(name: str, data: bytes, offset: int) -> Chunk:
     """The chunk of a reply at an offset. RejectedError: no chunk begins there."""
-    if offset % PIECE_BYTES or not 0 <= offset <= len(data):
+    if offset % CHUNK_BYTES or not 0 <= offset <= len(data):
         raise RejectedError(f"offset: {offset} of {len(data)} bytes begins no piece")
-    part = data[offset : offset + PIECE_BYTES]
+    part = data[offset : offset + CHUNK_BYTES]
     return Chunk(name, len(data), offset, base64.b64encode(part).decode())
 
 
@@ -40,7 +40,7 @@
         data = base64.b64decode(chunk.data, validate=True)
     except ValueError as error:
         raise MalformedDataError(f"data: {error}") from None
-    expected = min(PIECE_BYTES, chunk.total - chunk.offset)
+    expected = min(CHUNK_BYTES, chunk.total - chunk.offset)
     if len(data) != expected:
         raise MalformedDataError(
             f"data: {len(data)} bytes at {chunk.offset} of {chunk.total}, and not {expected}"
@@ -92,7 +92,7 @@
 
 def upload_calls(upload_id: str, data: bytes) -> list[UploadCall]:
     """The calls that upload data under an id."""
-    chunks = (chunk_at("", data, offset) for offset in range(0, max(1, len(data)), PIECE_BYTES))
+    chunks = (chunk_at("", data, offset) for offset in range(0, max(1, len(data)), CHUNK_BYTES))
     return [UploadCall(upload_id, len(data), chunk.offset, chunk.data) for chunk in chunks]
 
 
--- a/hollybay/consensus/voter.py
+++ b/hollybay/consensus/voter.py
@@ -13,7 +13,7 @@
 from .interfaces import Response
 from .log_events import LogEvent
 from .log_replica import LogReplica
-from .messages import number_of
+from .messages import voter_number
 from .outgoing_requests import PeerClient
 from .policy import PolicyVersion
 from .replies import ok
@@ -80,7 +80,7 @@
         environment = self.environment
         settings = environment.settings
         acceptor = DurableAcceptor(
-            number_of(settings.address),
+            voter_number(settings.address),
             Store(environment.folder, "keeper", environment.before_disk_step),
             self.replica.log,
             environment.clock,
@@ -131,7 +131,7 @@
             return
         voter_sets = self.replica.voter_sets(latest)
         self.replica.known_addresses.update(self.replica.voter_addresses(latest))
-        if not has_quorum(voter_sets, (number_of(address) for address in known)):
+        if not has_quorum(voter_sets, (voter_number(address) for address in known)):
             return
         async with self._lock:
             await acceptor.recover(
--- a/hollybay/consensus/voter_client.py
+++ b/hollybay/consensus/voter_client.py
@@ -13,7 +13,7 @@
 
 from .cluster_view import ClusterView, parse_history, parse_status
 from .http_status import CONFLICT, UNAVAILABLE, UNPROCESSABLE
-from .messages import PIECE_BYTES, encode
+from .messages import CHUNK_BYTES, encode
 from .policy import PolicyVersion
 from .reasons import ReportedReason
 from .requests import CallFailedError, fetch_policy
@@ -41,7 +41,7 @@
 # The longest time that a voter may tell an operator to wait.
 MAX_RETRY_AFTER_S = 60.0
 # A longer file or change is uploaded in chunks.
-MAX_INLINE_BYTES = PIECE_BYTES // 2
+MAX_INLINE_BYTES = CHUNK_BYTES // 2
 UPLOAD_ID_BYTES = 16
 
 T = TypeVar("T")
--- a/hollybay/simulation/accord_rehearsal.py
+++ b/hollybay/simulation/accord_rehearsal.py
@@ -450,7 +450,7 @@
     async def _posted(self, door: str, change: Change) -> None:
         with suppress(CallFailedError):
             await self.operator_call(
-                door, "change", messages.encode(messages.ChangeCall(messages.change_text(change)))
+                door, "change", messages.encode(messages.ChangeCall(messages.change_to_text(change)))
             )
 
     def _check_told(self) -> None:
--- a/tests/golden/build.py
+++ b/tests/golden/build.py
@@ -43,7 +43,7 @@
     Stage,
 )
 from hollybay.consensus.errors import RejectedError
-from hollybay.consensus.grace_memory import RememberedGrace
+from hollybay.consensus.grace_store import GraceRecord
 from hollybay.consensus.interfaces import InvalidFileError, MemberSettings, OperatorFileChanges
 from hollybay.consensus.log import PolicyLog
 from hollybay.consensus.log_entry import Entry
@@ -125,11 +125,11 @@
     """Each message: with all fields set, and where some may be absent, with only the others set."""
     w = words
     one, two, _ = _policies()
-    change = w.change_text(_second_change())
+    change = w.change_to_text(_second_change())
     ask = LeaseRequest(NODE, 9, PREPARE, 4, False)
     return {
         "asking": w.LeaseCall(
-            w.FORM,
+            w.MESSAGE_VERSION,
             ask,
             "n-1",
             DOOR,
@@ -140,16 +140,16 @@
             True,
         ),
         "asking.first": w.LeaseCall(
-            w.FORM, LeaseRequest(NODE, 1, None, -1, True), "n-1", DOOR, 2_000_000_000, 0
+            w.MESSAGE_VERSION, LeaseRequest(NODE, 1, None, -1, True), "n-1", DOOR, 2_000_000_000, 0
         ),
         "granting": w.LeaseReply(grant=LeaseGrant(NODE, 9, 5)),
         "granting.know": w.LeaseReply(decided=NARROW),
         "granting.neither": w.LeaseReply(),
-        "preparing": w.PrepareCall(w.FORM, Prepare(BALLOT, 5)),
+        "preparing": w.PrepareCall(w.MESSAGE_VERSION, Prepare(BALLOT, 5)),
         "promising": w.PrepareReply(Promise(NODE, BALLOT, 5, ((2, 7), NARROW)), None, 5, 0),
         "promising.unbound": w.PrepareReply(Promise(NODE, BALLOT, 5, None), None, 5, 0),
         "promising.know": w.PrepareReply(decided=SETTLED, decided_epoch=4, promised_number=8),
-        "accepting": w.AcceptCall(w.FORM, Accept(BALLOT, NARROW), DOOR),
+        "accepting": w.AcceptCall(w.MESSAGE_VERSION, Accept(BALLOT, NARROW), DOOR),
         "voting": w.AcceptReply(Accepted(NODE, BALLOT, NARROW), None, 5),
         "voting.waits": w.AcceptReply(
             None,
@@ -161,12 +161,12 @@
             "mute up to epoch 9",
         ),
         "voting.neither": w.AcceptReply(),
-        "knowing": w.DecidedNotice(w.FORM, PREPARE, OTHER_DOOR),
+        "knowing": w.DecidedNotice(w.MESSAGE_VERSION, PREPARE, OTHER_DOOR),
         "telling": w.KnowledgeReply(True, True, PREPARE, NARROW),
         "telling.nothing": w.KnowledgeReply(False),
         "founding": w.BootstrapCall(file="Zm91bmQ="),
         "founding.uploaded": w.BootstrapCall(upload=UPLOAD_ID),
-        "founding.passed": w.BootstrapCall(policy=one.name, entry=w.packed(one), source=DOOR),
+        "founding.passed": w.BootstrapCall(policy=one.name, entry=w.policy_to_text(one), source=DOOR),
         "proposing": w.ProposeCall(
             "Zm91bmQ=", two.parent.hex(), "why", "ann", ["10.1.0.5:9000"], list(DOORS), UPLOAD_ID, OLD
         ),
@@ -275,14 +275,14 @@
     one, two, after = _policies()
     return joined(
         {
-            "policy.first": words.packed(one).encode(),
-            "policy.second": words.packed(two).encode(),
-            "policy.second.without_changes": words.packed(two.without_changes()).encode(),
+            "policy.first": words.policy_to_text(one).encode(),
+            "policy.second": words.policy_to_text(two).encode(),
+            "policy.second.without_changes": words.policy_to_text(two.without_changes()).encode(),
             "policy.second.name": two.name.encode(),
             "policy.second.digest": two.digest.hex().encode(),
             "resources.digest": after.digest.hex().encode(),
-            "change": words.change_text(_second_change()).encode(),
-            **{f"keeper_number.{door}": str(words.number_of(door)).encode() for door in DOORS},
+            "change": words.change_to_text(_second_change()).encode(),
+            **{f"keeper_number.{door}": str(words.voter_number(door)).encode() for door in DOORS},
         }
     )
 
@@ -290,8 +290,8 @@
 def text_again(name: str, data: bytes) -> bytes:
     """A policy or change in text, decoded and encoded again."""
     if name.startswith("policy"):
-        return words.packed(words.unpacked(data.decode())).encode()
-    return words.change_text(words.change_from(data.decode())).encode()
+        return words.policy_to_text(words.policy_from_text(data.decode())).encode()
+    return words.change_to_text(words.change_from_text(data.decode())).encode()
 
 
 def text_refusal(name: str, data: bytes) -> str:
@@ -439,7 +439,7 @@
     next_name = "2-842f55a97681"  # and to "propose"
     found = EpochState(0, Stage.SETTLED, first_name)
     begun = EpochState(1, Stage.PREPARE, first_name, next_name)
-    me = w.number_of(DOOR)
+    me = w.voter_number(DOOR)
     ballot = (1, NODE)
     change = Change(CHANGE_ID, 1, "a tenant", "ben", (Upsert(Kind.TENANT, "north", 0, b"{}"),))
     stale = Change(CHANGE_ID[::-1], 1, "stale", "ben", (Delete(Kind.ROUTE, "hall-slots", 9),))
@@ -447,18 +447,18 @@
     file = base64.b64encode(b'{"hall-slots":"b"}').decode()
     bad = base64.b64encode(b"no file").decode()
     ask = LeaseRequest(NODE, 1, found, -1, True)
-    asking = w.LeaseCall(w.FORM, ask, "n-1", DOOR, 2_000_000_000, 500_000_000)
+    asking = w.LeaseCall(w.MESSAGE_VERSION, ask, "n-1", DOOR, 2_000_000_000, 500_000_000)
     founding = base64.b64encode(b'{"hall-slots":"a"}').decode()
     return [
         ("", None),
         ("tell", None),
         ("history", None),
         ("propose", e(w.ProposeCall(None, "", "why"))),
-        ("change", e(w.ChangeCall(w.change_text(change)))),
+        ("change", e(w.ChangeCall(w.change_to_text(change)))),
         ("draft", e(w.DraftCall("why"))),
         ("ask", e(asking)),
-        ("prepare", e(w.PrepareCall(w.FORM, Prepare(ballot, 0)))),
-        ("accept", e(w.AcceptCall(w.FORM, Accept(ballot, found), DOOR))),
+        ("prepare", e(w.PrepareCall(w.MESSAGE_VERSION, Prepare(ballot, 0)))),
+        ("accept", e(w.AcceptCall(w.MESSAGE_VERSION, Accept(ballot, found), DOOR))),
         ("found", e(w.BootstrapCall(bad))),
         ("found", e(w.BootstrapCall("?"))),
         ("found", e(w.BootstrapCall(founding))),
@@ -480,15 +480,19 @@
         ("ask", e(asking)),
         (
             "ask",
-            e(w.LeaseCall(w.FORM, LeaseRequest(2, 1, None, -1, True), "n-2", OTHER_DOOR, 1_000_000_000, 0)),
+            e(
+                w.LeaseCall(
+                    w.MESSAGE_VERSION, LeaseRequest(2, 1, None, -1, True), "n-2", OTHER_DOOR, 1_000_000_000, 0
+                )
+            ),
         ),
-        ("ask", e(w.LeaseCall(w.FORM, ask, "n-1", DOOR, 9_000_000_000, 0))),
-        ("prepare", e(w.PrepareCall(w.FORM, Prepare(ballot, 0)))),
-        ("prepare", e(w.PrepareCall(w.FORM, Prepare(ballot, 0)))),
-        ("accept", e(w.AcceptCall(w.FORM, Accept((0, me), SETTLED), DOOR))),
-        ("change", e(w.ChangeCall(w.change_text(change)))),
-        ("change", e(w.ChangeCall(w.change_text(stale)))),
-        ("change", e(w.ChangeCall(w.change_text(later)))),
+        ("ask", e(w.LeaseCall(w.MESSAGE_VERSION, ask, "n-1", DOOR, 9_000_000_000, 0))),
+        ("prepare", e(w.PrepareCall(w.MESSAGE_VERSION, Prepare(ballot, 0)))),
+        ("prepare", e(w.PrepareCall(w.MESSAGE_VERSION, Prepare(ballot, 0)))),
+        ("accept", e(w.AcceptCall(w.MESSAGE_VERSION, Accept((0, me), SETTLED), DOOR))),
+        ("change", e(w.ChangeCall(w.change_to_text(change)))),
+        ("change", e(w.ChangeCall(w.change_to_text(stale)))),
+        ("change", e(w.ChangeCall(w.change_to_text(later)))),
         ("change", e(w.ChangeCall("?"))),
         ("change", e(w.ChangeCall("", UPLOAD_ID))),
         (f"change/{CHANGE_ID.hex()}", None),
@@ -500,14 +504,14 @@
         ("propose", e(w.ProposeCall(file, "", "why"))),
         ("upload", e(upload_calls(UPLOAD_ID, b"12345678")[0])),
         ("upload", e(w.UploadCall("", 8, 0, "MTIzNDU2Nzg="))),
-        ("know", e(w.DecidedNotice(w.FORM, found, DOOR))),
-        ("join", e(w.DecidedNotice(w.FORM, found, DOOR))),
+        ("know", e(w.DecidedNotice(w.MESSAGE_VERSION, found, DOOR))),
+        ("join", e(w.DecidedNotice(w.MESSAGE_VERSION, found, DOOR))),
         ("propose", e(w.ProposeCall(file, digest, "why", "ann"))),
-        ("prepare", e(w.PrepareCall(w.FORM, Prepare((2, NODE), 0)))),
-        ("accept", e(w.AcceptCall(w.FORM, Accept((2, NODE), begun), DOOR))),
+        ("prepare", e(w.PrepareCall(w.MESSAGE_VERSION, Prepare((2, NODE), 0)))),
+        ("accept", e(w.AcceptCall(w.MESSAGE_VERSION, Accept((2, NODE), begun), DOOR))),
         ("tell", None),
-        ("prepare", e(w.PrepareCall(w.FORM, Prepare((3, NODE), 0)))),
-        ("know", e(w.DecidedNotice(w.FORM, begun, DOOR))),
+        ("prepare", e(w.PrepareCall(w.MESSAGE_VERSION, Prepare((3, NODE), 0)))),
+        ("know", e(w.DecidedNotice(w.MESSAGE_VERSION, begun, DOOR))),
         ("", None),
         ("drop", e(w.DropCall(next_name))),
         ("drop", e(w.DropCall(OLD))),
@@ -786,9 +790,9 @@
     clock.now += 60_000_000_000  # until then it may not vote
     vote = Accept(BALLOT, EpochState(7, Stage.PREPARE, two.name, three.name))
     calls: tuple[tuple[str, object], ...] = (
-        ("know", words.DecidedNotice(words.FORM, EpochState(6, Stage.SETTLED, two.name), DOOR)),
-        ("prepare", words.PrepareCall(words.FORM, Prepare(BALLOT, 6))),
-        ("accept", words.AcceptCall(words.FORM, vote, DOOR)),
+        ("know", words.DecidedNotice(words.MESSAGE_VERSION, EpochState(6, Stage.SETTLED, two.name), DOOR)),
+        ("prepare", words.PrepareCall(words.MESSAGE_VERSION, Prepare(BALLOT, 6))),
+        ("accept", words.AcceptCall(words.MESSAGE_VERSION, vote, DOOR)),
     )
     for path, value in calls:
         await service.answer(path, words.encode(value))
@@ -830,8 +834,8 @@
     service.voter.acceptor = None
     service.log.open()
     service.voter.become_voter()
-    remembered: RememberedGrace = msgspec.msgpack.decode(
-        service.lease_client.memory.store.open() or b"", type=RememberedGrace
+    remembered: GraceRecord = msgspec.msgpack.decode(
+        service.lease_client.memory.store.open() or b"", type=GraceRecord
     )
     names = service.log.names()
     paths = ["", "tell", "history", *(f"entry/{name}" for name in names)]
--- a/tests/test_consensus_log_fetch.py
+++ b/tests/test_consensus_log_fetch.py
@@ -209,7 +209,7 @@
 
 def test_pieces_make_the_whole_and_end_within_their_bound() -> None:
     whole = bytes(range(256)) * 4096
-    assert len(whole) == 4 * messages.PIECE_BYTES
+    assert len(whole) == 4 * messages.CHUNK_BYTES
     for data in (b"", b"x", whole, whole + b"x"):
 
         def answer(path: str, data: bytes = data) -> messages.Chunk:
@@ -222,7 +222,7 @@
                 run_download(answer, len(data) - 1)
         assert all(
             len(messages.encode(answer(f"x/n/{at}"))) < messages.MAX_CALL_BYTES
-            for at in range(0, len(data), messages.PIECE_BYTES)
+            for at in range(0, len(data), messages.CHUNK_BYTES)
         )
 
 
@@ -236,7 +236,7 @@
         (messages.Chunk("n", 3, 0, "no base64"), "data"),
         # One that goes on for ever gives the same again and again.
         (
-            messages.Chunk("n", 10**9, 0, base64.b64encode(bytes(messages.PIECE_BYTES)).decode()),
+            messages.Chunk("n", 10**9, 0, base64.b64encode(bytes(messages.CHUNK_BYTES)).decode()),
             "a piece at 0",
         ),
     ],
@@ -248,7 +248,7 @@
 
 def test_uploads_are_bounded_and_come_in_any_order_of_repeats() -> None:
     uploads = Uploads()
-    whole = bytes(messages.PIECE_BYTES) + b"the end"
+    whole = bytes(messages.CHUNK_BYTES) + b"the end"
     ids = [f"{n:032x}" for n in range(1, MAX_UPLOADS + 2)]
     first, second = upload_calls(ids[0], whole)
     for piece in (first, first, second, first, second):
@@ -259,7 +259,7 @@
     for piece, why in (
         (msgspec.structs.replace(second, id=ids[1]), "and 0 of"),
         (messages.UploadCall(ids[1], MAX_UPLOAD_BYTES + 1, 0, ""), "at most"),
-        (msgspec.structs.replace(first, total=messages.PIECE_BYTES + 9), "are here"),
+        (msgspec.structs.replace(first, total=messages.CHUNK_BYTES + 9), "are here"),
         (msgspec.structs.replace(first, data="!!"), "data"),
         (msgspec.structs.replace(first, id=""), "id"),
     ):
--- a/tests/test_consensus_member.py
+++ b/tests/test_consensus_member.py
@@ -140,7 +140,7 @@
             here = member.settings.address
             odd = EpochState(7, Stage.SETTLED, "7-00000000000a", "8-00000000000b")
             ask = messages.LeaseCall(
-                messages.FORM, LeaseRequest(1, 1, state, -1, True), "x", here, 900 * MS, 0
+                messages.MESSAGE_VERSION, LeaseRequest(1, 1, state, -1, True), "x", here, 900 * MS, 0
             )
             policy = first_policy([route_change("other")], [here])
 
@@ -156,9 +156,9 @@
                 ("POST /-/policy/ask", b'{"form": 1}', 400, "missing required field"),
                 (
                     "POST /-/policy/ask",
-                    messages.encode(msgspec.structs.replace(ask, form=messages.FORM + 1)),
+                    messages.encode(msgspec.structs.replace(ask, form=messages.MESSAGE_VERSION + 1)),
                     400,
-                    f"this build speaks {messages.FORM}",
+                    f"this build speaks {messages.MESSAGE_VERSION}",
                 ),
                 ("POST /-/policy/ask", messages.encode(ask), 400, "at most are granted here"),
                 (
@@ -169,14 +169,14 @@
                 ),
                 (
                     "POST /-/policy/know",
-                    messages.encode(messages.DecidedNotice(messages.FORM, odd, here)),
+                    messages.encode(messages.DecidedNotice(messages.MESSAGE_VERSION, odd, here)),
                     400,
                     "state",
                 ),
                 ("POST /-/policy/prepare", b"{}", 400, "missing"),
                 (
                     "POST /-/policy/accept",
-                    b'{"form":%d,"call":[[1,1],[1,9,"a",""]],"by":"h:1"}' % messages.FORM,
+                    b'{"form":%d,"call":[[1,1],[1,9,"a",""]],"by":"h:1"}' % messages.MESSAGE_VERSION,
                     400,
                     "Invalid enum",
                 ),
@@ -210,7 +210,7 @@
             assert acceptor.state._replace(leases=()) == before._replace(leases=())
             status_ = json.loads((await send_request(member, "GET /-/policy"))[1])
             assert status_["keeper"]["epoch"] == 0 and status_["serves"] == [state.policy]
-            prepare = messages.encode(messages.PrepareCall(messages.FORM, Prepare((1, 1), 5)))
+            prepare = messages.encode(messages.PrepareCall(messages.MESSAGE_VERSION, Prepare((1, 1), 5)))
             assert (await send_request(member, "POST /-/policy/prepare", prepare))[0] == 200
 
     asyncio.run(play())
@@ -360,7 +360,7 @@
 
 
 def changing(change: Change) -> bytes:
-    return messages.encode(messages.ChangeCall(messages.change_text(change)))
+    return messages.encode(messages.ChangeCall(messages.change_to_text(change)))
 
 
 def replaced(change: Change, table: dict[str, str]) -> Change:
@@ -392,7 +392,7 @@
     whole, fewer = tmp_path / "whole.toml", tmp_path / "fewer.toml"
     whole.write_text(text)
     fewer.write_text(text[: text.index('[[route]]\nname = "r6000"')])
-    assert len(text) > 2 * messages.PIECE_BYTES
+    assert len(text) > 2 * messages.CHUNK_BYTES
 
     async def play() -> None:
         async with running_member(tmp_path) as (_, member):
