--- a/hollybay/consensus/__init__.py
+++ b/hollybay/consensus/__init__.py
@@ -2,11 +2,11 @@
 
 core, acceptor, leaseholder, proposer   the protocol; no I/O
 policy, log                             a policy as an entry of the log; the log on disk
-service                                 one process's part: joins the roles and routes requests
-model_check                             searches what the protocol can do for violations of the guarantee
+service                                 the member of one process: connects the roles and routes requests
+model_check                             searches the reachable states of the protocol for safety violations
 
-Published names differ (on the wire, on disk, at the command line); each is mapped once, in the `rename` of a
-message class or in `status` and `cluster_view`:
+Some published names (on the wire, on disk, at the command line) differ from the names in the code. Each is
+mapped in one place: in the `rename` of a message class, in `status` or in `cluster_view`.
 
 voter                       keeper
 address of an admin server  door
--- a/hollybay/consensus/acceptor.py
+++ b/hollybay/consensus/acceptor.py
@@ -1,4 +1,4 @@
-"""The acceptor of the protocol in `core`: it grants leases and votes. No I/O."""
+"""The acceptor of the protocol in `core`, which votes for epochs and grants leases. No I/O."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class Lease(NamedTuple):
-    """A lease as its acceptor counts it.
+    """A lease as the acceptor that granted it accounts for it.
 
     Attributes
     ----------
@@ -34,7 +34,7 @@
         The number of the leaseholder.
     epoch : int
     lease_end : int
-        When it has ended at the latest, ns.
+        When the lease has ended at the latest, ns.
     can_serve_new : bool
         Whether the leaseholder could serve the new policy of the epoch.
     grace_end : int
@@ -52,24 +52,26 @@
 
 
 class Acceptor(NamedTuple):
-    """A voter. `decided`, `promised` and `accepted` must be on disk before they are sent.
+    """The state of a voter. `decided`, `promised` and `accepted` must be on disk before they are sent.
 
     Attributes
     ----------
     number : int
-        Its own number.
+        The number of the voter.
     decided : EpochState
-        The last epoch that it knows to be decided.
+        The last epoch that the voter knows to be decided.
     promised : Ballot
-        It accepts no lower ballot for the next epoch.
+        The highest ballot that it has promised; it accepts no lower one for the next epoch.
     accepted : tuple of Ballot and EpochState, or None
-        What it has voted for as the next epoch.
+        The ballot and the next epoch that it has voted for.
     leases : tuple of Lease
-        The leases that it granted; they are not on disk.
+        The leases that it has granted; they are not stored on disk.
     no_vote_before : int
-        Until when (ns) it must not vote, as it may have granted leases before it restarted.
+        Time (ns) before which it must not vote, because leases that it granted before a restart may still
+        be valid.
     last_barred_epoch : int
-        The last epoch that it must not vote for, as it may have voted or promised before it lost its disk.
+        The last epoch that it must not vote for, because it may have voted or promised for it before it
+        lost its disk.
     """
 
     number: int
@@ -80,12 +82,12 @@
     no_vote_before: int = 0
     last_barred_epoch: int = 0
 
-    # Leases
+    # Granting leases
 
     def grant_lease(
         self, now: int, request: LeaseRequest, lease: int, grace: int = 0
     ) -> tuple[Acceptor, LeaseGrant | Decided | None]:
-        """Grant a lease on the decided epoch, or state which epoch that is.
+        """Grant a lease on the decided epoch, or reply with that epoch if the request names an earlier one.
 
         Parameters
         ----------
@@ -93,15 +95,15 @@
             The time, ns.
         request : LeaseRequest
         lease : int
-            How long the lease lasts, with the margin for clocks that drift apart, ns.
+            The duration of the lease, including the margin for clock drift, ns.
         grace : int
-            How long its holder may serve on after it, ns.
+            How long the leaseholder may continue to serve after the lease, ns.
 
         Returns
         -------
         tuple
-            The next state, and the answer; None where the leaseholder cannot serve what this acceptor has
-            voted for, or may have.
+            The next state, and the reply. The reply is None if the leaseholder cannot serve the new policy
+            and this acceptor has voted for JOINT, or may have done so before it lost its disk.
         """
         known = self.on_decided(Decided(request.state)) if request.state is not None else self
         if request.state is None or request.state.epoch < known.decided.epoch:
@@ -118,13 +120,13 @@
             lease_end + grace,
             policies_named(request.state),
         )
-        leases = (*known._leases_kept(now, request, epoch), granted)
+        leases = (*known._remaining_leases(now, request, epoch), granted)
         answer = LeaseGrant(known.number, request.round_number, epoch)
         return known._replace(leases=tuple(sorted(leases))), answer
 
-    def _leases_kept(self, now: int, request: LeaseRequest, epoch: int) -> list[Lease]:
-        """The leases that still count beside the one that is granted for a request."""
-        # A leaseholder never again uses a lease on an epoch before the one that it serves under.
+    def _remaining_leases(self, now: int, request: LeaseRequest, epoch: int) -> list[Lease]:
+        """The leases that may still be in use, other than the one that is granted for a request."""
+        # A leaseholder does not use leases on epochs before the one that it serves under any more.
         return [
             lease
             for lease in self.leases
@@ -135,7 +137,7 @@
         ]
 
     def blocking_leases(self, now: int, state: EpochState) -> tuple[Lease, ...]:
-        """The leases that must end before it may vote for an epoch."""
+        """The leases that must end before this acceptor may vote for an epoch."""
         in_force = set(effective_policies(state))
         return tuple(
             lease
@@ -145,18 +147,18 @@
         )
 
     def nodes_unable_to_serve(self, now: int) -> tuple[int, ...]:
-        """The holders of a lease on the decided epoch that cannot serve its new policy."""
+        """The nodes with a lease on the decided epoch that cannot serve its new policy."""
         return tuple(
             lease.node
             for lease in self.leases
             if lease.epoch == self.decided.epoch and lease.lease_end > now and not lease.can_serve_new
         )
 
-    # Paxos
+    # Promises and votes (Paxos)
 
     @property
     def voted_joint(self) -> bool:
-        """Whether it has voted for JOINT as the epoch after the decided one."""
+        """Whether this acceptor has voted for JOINT as the epoch after the decided one."""
         return self.accepted is not None and self.accepted[1].stage is Stage.JOINT
 
     def on_prepare(self, message: Prepare) -> tuple[Acceptor, Promise | Decided | None]:
@@ -165,8 +167,8 @@
         Returns
         -------
         tuple
-            The next state, and the answer; None where it has promised a higher ballot, must not promise, or
-            where the proposer knows of a later epoch.
+            The next state, and the reply. The reply is None if this acceptor has promised the same or a
+            higher ballot, is barred from the epoch, or does not know the epoch that the proposer builds on.
         """
         if message.epoch < self.decided.epoch:
             return self, Decided(self.decided)
@@ -180,11 +182,12 @@
         return promised, Promise(self.number, message.ballot, message.epoch, self.accepted)
 
     def may_vote(self, now: int, state: EpochState) -> bool:
-        """Whether it may vote for an epoch now.
+        """Whether this acceptor may vote for an epoch now.
 
-        The epoch must be a valid successor that this acceptor is not barred from. Nobody may still serve
-        under an epoch before the decided one, nor in a grace time under none of the policies that the epoch
-        puts in force; and for JOINT no leaseholder may have said that it cannot serve the new policy.
+        The epoch must be a valid successor of the decided one, and this acceptor must not be barred from it.
+        No leaseholder may still hold a lease on an epoch before the decided one, or a grace time under
+        policies none of which the new epoch puts in force. For JOINT, no leaseholder may have reported that
+        it cannot serve the new policy.
         """
         return (
             is_valid_successor(self.decided, state)
@@ -195,7 +198,7 @@
         )
 
     def on_accept(self, now: int, message: Accept) -> tuple[Acceptor, Accepted | Decided | None]:
-        """Vote for an epoch; the answer is None where it may not now, or has promised a higher ballot."""
+        """Vote for an epoch. The reply is None if it may not vote now or has promised a higher ballot."""
         if message.state.epoch <= self.decided.epoch:
             return self, Decided(self.decided)
         if message.ballot < self.promised or not self.may_vote(now, message.state):
@@ -212,9 +215,9 @@
     # Restart and recovery
 
     def restarted(self, now: int, lease: int) -> Acceptor:
-        """The state after a restart, from what is on disk.
+        """The state after a restart, made from the state on disk.
 
-        lease: the longest time (ns) that a lease it granted may still last, with its grace time.
+        lease: how long (ns) a lease that was granted before the restart may still last, with its grace time.
         """
         return self._replace(leases=(), no_vote_before=now + lease)
 
@@ -222,21 +225,21 @@
     def recovered(
         number: int, now: int, lease: int, known: Iterable[tuple[EpochState, EpochState | None]]
     ) -> Acceptor:
-        """The state of an acceptor that lost its disk, from what a majority of the others know.
+        """The state of an acceptor that lost its disk, made from what a majority of the others know.
 
-        Whatever it said before is of the epoch after the last that any of them knows or voted for, at the
-        latest; it takes part in none up to that one.
+        Any promise or vote that it made before concerns at most the epoch after the last one that any of
+        the others knows or has voted for. It is barred from all epochs up to and including that one.
 
         Parameters
         ----------
         number : int
-            Its own number.
+            The number of the voter.
         now : int
             The time, ns.
         lease : int
-            The longest time that a lease it granted may still last, with its grace time, ns.
+            How long a lease that it granted may still last, with its grace time, ns.
         known : iterable
-            The decided epoch that each of the others knows, and the epoch that it voted for.
+            For each of the others, the decided epoch that it knows and the epoch that it has voted for.
         """
         answers = list(known)
         decided = max(state for state, _ in answers)
--- a/hollybay/consensus/background_tasks.py
+++ b/hollybay/consensus/background_tasks.py
@@ -1,4 +1,4 @@
-"""The tasks that a member runs beside its callers."""
+"""Background tasks of a member of the replicated log."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 
 
 class BackgroundTasks:
-    """Starts tasks, keeps them from being collected while they run, and reports those that fail.
+    """Starts tasks, holds references to them while they run, and reports the ones that fail.
 
     Parameters
     ----------
     on_failure : callable
-        Takes the exception of a task that raised one.
+        Called with the exception of each task that raises one.
     """
 
     def __init__(self, on_failure: Callable[[BaseException], None]) -> None:
@@ -31,7 +31,7 @@
         return task
 
     def cancel_all(self) -> None:
-        """Cancel all that are running."""
+        """Cancel all running tasks."""
         for task in list(self.running):
             task.cancel()
 
--- a/hollybay/consensus/ballots.py
+++ b/hollybay/consensus/ballots.py
@@ -20,14 +20,14 @@
 
 __all__ = ["BallotOutcome", "BallotRunner", "Learner"]
 
-# Seconds for which further replies are awaited once there is a quorum.
+# Seconds for which further replies are awaited after a quorum has replied.
 GATHER_TIME_S = 0.03
-# Seconds between two requests for votes that must wait for leases; the interval grows up to the maximum.
+# Seconds between two requests for votes while leases block them; the interval grows up to the maximum.
 VOTE_INTERVAL_S, MAX_VOTE_INTERVAL_S = 0.02, 0.1
 VOTE_INTERVAL_GROWTH = 1.3
-# Requests for votes that no voter answers, one after another, before the ballot is given up.
+# Consecutive requests for votes without any reply after which the ballot has failed.
 MAX_UNANSWERED_REQUESTS = 3
-# Seconds after which the decided epoch is announced again to those that have not moved on.
+# Seconds between announcements of the decided epoch, to voters and to leaseholders on earlier epochs.
 ANNOUNCE_INTERVAL_S = 0.5
 
 
@@ -36,36 +36,36 @@
 
     DECIDED = auto()
     SUPERSEDED = auto()  # a voter has promised a higher ballot to another proposer
-    FAILED = auto()  # no quorum answered, a later epoch is known, or another one is wanted by now
+    FAILED = auto()  # no quorum replied, a later epoch is known, or another epoch should now follow
 
 
 class Learner(Protocol):
-    """What a proposer lets its own process learn."""
+    """The learners (leaseholder and acceptor) of the process that runs a ballot."""
 
     async def learn(self, state: EpochState, source: str) -> None:
-        """The leaseholder learns of an epoch, from an address."""
+        """Let the leaseholder learn of an epoch, whose policies are available at the address `source`."""
         ...
 
     async def acceptor_learns(self, state: EpochState, source: str) -> bool:
-        """The acceptor learns of a decided epoch; whether that was news. StoreError: the disk failed."""
+        """Let the acceptor learn of a decided epoch; whether it was new. StoreError: the disk failed."""
         ...
 
 
 @dataclass(slots=True)
 class _Ballot:
-    """The ballot under way.
+    """A ballot in progress.
 
     Attributes
     ----------
     state : EpochState
-        The decided epoch that it follows.
+        The decided epoch that the ballot is to follow.
     addresses : list of str
-        The voters.
+        The addresses of the voters.
     proposer : Proposer
     voted : set of str
-        The voters that have voted.
+        The addresses of the voters that have voted.
     unanswered_requests : int
-        Requests that no voter answered, one after another.
+        Consecutive requests for votes that no voter has replied to.
     """
 
     state: EpochState
@@ -82,7 +82,7 @@
     ----------
     environment : Environment
     process : int
-        The number of this process, which its ballots carry.
+        The number of this process, which is part of its ballots.
     learner : Learner
     peers : PeerClient
     announcer : Announcer
@@ -101,8 +101,8 @@
         self.learner = learner
         self.peers = peers
         self.announcer = announcer
-        self.blocking_leases: list[messages.BlockingLease] = []  # that the votes wait for
-        self._highest_number = 0  # of a ballot that was seen
+        self.blocking_leases: list[messages.BlockingLease] = []  # leases that the votes wait for
+        self._highest_number = 0  # highest ballot number that was seen
         self._own_address = environment.settings.address
 
     async def run(
@@ -123,13 +123,14 @@
         state : EpochState
             The decided epoch.
         proposal : EpochState
-            The one to follow it.
+            The epoch to follow it.
         addresses : list of str
-            The voters of the decided epoch.
+            The addresses of the voters of the decided epoch.
         voter_sets : VoterSets
-            The same, by their numbers.
+            The numbers of these voters, for each policy that the epoch names.
         wanted : callable
-            Gives the epoch that should follow by now; None: no other one.
+            Returns the epoch that should follow at present, or None. The ballot fails if that is not the
+            epoch that it requests votes for.
         """
         ballot = _Ballot(state, addresses, Proposer(self.process, voter_sets, proposal))
         accept = await self._collect_promises(acceptor, ballot)
@@ -140,10 +141,10 @@
     # Promises
 
     async def _collect_promises(self, acceptor: DurableAcceptor, ballot: _Ballot) -> Accept | None:
-        """Ask for promises; the request for votes that follows from them, if a quorum has promised.
+        """Request promises; returns the request for votes, or None if no quorum has promised.
 
-        Promises of voters that have voted for nothing are counted first, so that the proposal stays free
-        where it may be.
+        Promises of voters that have not voted are counted first, so that the proposer may propose its own
+        epoch whenever a quorum of these allows it.
         """
         highest_number = max(acceptor.promised_number(), self._highest_number)
         ballot.proposer, prepare = ballot.proposer.begin_ballot(highest_number)
@@ -187,7 +188,7 @@
         accept: Accept,
         wanted: Callable[[], EpochState | None],
     ) -> BallotOutcome:
-        """Ask for votes until a quorum has voted, or the ballot must be given up."""
+        """Request votes until a quorum has voted or the ballot has failed."""
         body = messages.encode(messages.AcceptCall(messages.MESSAGE_VERSION, accept, self._own_address))
         interval = VOTE_INTERVAL_S
         loop = asyncio.get_running_loop()
@@ -197,13 +198,14 @@
             is_due = loop.time() - announced_at > ANNOUNCE_INTERVAL_S
             if is_due and ballot.state.stage is not Stage.SETTLED:
                 announced_at = loop.time()
-                # Whoever has not heard of the epoch blocks the next one.
+                # Nodes that have not learned of the decided epoch hold earlier leases, which block votes.
                 self.announcer.announce(ballot.state, acceptor)
             outcome = await self._request_votes(acceptor, ballot, accept, body)
             if outcome is not None:
                 return outcome
             if ballot.unanswered_requests > MAX_UNANSWERED_REQUESTS or accept.state != wanted():
-                # A vote of one that promised may have made it ask for this epoch; another quorum may not.
+                # `accept` may be for an epoch that a voter had voted for when it promised. A new ballot, with
+                # promises of another quorum, may be free to propose the wanted epoch.
                 return BallotOutcome.FAILED
             await asyncio.sleep(interval)
             interval = min(MAX_VOTE_INTERVAL_S, interval * VOTE_INTERVAL_GROWTH)
@@ -211,7 +213,7 @@
     async def _request_votes(
         self, acceptor: DurableAcceptor, ballot: _Ballot, accept: Accept, body: bytes
     ) -> BallotOutcome | None:
-        """Ask once those that have not voted; None: the ballot goes on."""
+        """Request votes once from the voters that have not voted; None: the ballot continues."""
         blocking: dict[int, messages.BlockingLease] = {}
         is_answered = False
         missing = [address for address in ballot.addresses if address not in ballot.voted]
@@ -219,7 +221,7 @@
             missing, "accept", body, messages.AcceptReply, GATHER_TIME_S, ballot.proposer.voter_sets
         ):
             is_answered = True
-            outcome = await self._take_reply(acceptor, ballot, accept, address, reply)
+            outcome = await self._handle_reply(acceptor, ballot, accept, address, reply)
             if outcome is not None:
                 return outcome
             for lease in reply.blocking_leases:
@@ -228,7 +230,7 @@
         ballot.unanswered_requests = 0 if is_answered else ballot.unanswered_requests + 1
         return None
 
-    async def _take_reply(
+    async def _handle_reply(
         self,
         acceptor: DurableAcceptor,
         ballot: _Ballot,
@@ -236,7 +238,7 @@
         address: str,
         reply: messages.AcceptReply,
     ) -> BallotOutcome | None:
-        """Take in one voter's reply; None: the ballot goes on."""
+        """Handle the reply of one voter; None: the ballot continues."""
         if reply.accepted is not None:
             ballot.voted.add(address)
             vote = reply.accepted._replace(voter=voter_number(address))
@@ -255,7 +257,7 @@
         return None
 
     async def _publish(self, acceptor: DurableAcceptor, state: EpochState, voters: list[str]) -> None:
-        """An epoch is decided: all are told."""
+        """Log a decided epoch, and announce it to all processes."""
         self.blocking_leases = []
         self.environment.data_plane.log_event(
             LogEvent.DECIDED,
@@ -268,6 +270,6 @@
         self.announcer.announce(state, acceptor, voters)
 
     async def _learn(self, state: EpochState, source: str) -> None:
-        """A voter knows of a later epoch."""
+        """Learn of a later epoch that a voter knows."""
         await self.learner.acceptor_learns(state, source)
         await self.learner.learn(state, source)
--- a/hollybay/consensus/bootstrap.py
+++ b/hollybay/consensus/bootstrap.py
@@ -1,4 +1,4 @@
-"""The beginning of a group: an operator gives the first policy to one voter, which passes it on."""
+"""Bootstrap of a consensus group: an operator gives the first policy to one voter, which distributes it."""
 
 from __future__ import annotations
 
@@ -26,14 +26,14 @@
 
 __all__ = ["Bootstrap"]
 
-# Requests to each voter, until it answers.
+# Attempts to send the first policy to each voter.
 BOOTSTRAP_ATTEMPTS = 4
-# Seconds that a voter may take to fetch a first policy that is longer than a request, and to begin.
+# Seconds for a voter to bootstrap if the first policy is too long for a request and must be fetched.
 LONG_POLICY_LIMIT_S = 5.0
 
 
 class Bootstrap:
-    """Answers requests to begin."""
+    """Handles bootstrap requests."""
 
     def __init__(
         self,
@@ -53,19 +53,19 @@
         self.content = content
 
     async def on_bootstrap(self, call: messages.BootstrapCall) -> Response:
-        """Begin, as an operator wants or another voter has begun."""
+        """Bootstrap from an operator's file, or from the first policy of another voter."""
         acceptor = self.voter.require_acceptor()
         if call.policy:
-            return await self._join(acceptor, call)
-        return await self._begin(acceptor, call)
+            return await self._bootstrap_from_voter(acceptor, call)
+        return await self._bootstrap_from_file(acceptor, call)
 
-    # From an operator
+    # Requests of operators
 
-    async def _begin(self, acceptor: DurableAcceptor, call: messages.BootstrapCall) -> Response:
-        """Begin under a file, and pass the policy to the other voters."""
+    async def _bootstrap_from_file(self, acceptor: DurableAcceptor, call: messages.BootstrapCall) -> Response:
+        """Make the first policy from an operator file, and distribute it to the other voters."""
         addresses = sorted(self.settings.voters)
         others = [address for address in addresses if address != self.settings.address]
-        await self._check_not_begun(acceptor, others)
+        await self._check_not_bootstrapped(acceptor, others)
         read = await self.content.read_file(call.file, call.upload, EMPTY)
         changes = (bootstrap_change(read.operations),) if read.operations else ()
         policy = first_policy(changes, addresses)
@@ -73,25 +73,31 @@
         if reasons:
             raise RejectedError("file: " + "; ".join(texts_of(reasons)))
         await self.voter.bootstrap(acceptor, policy)
-        reached = await self._pass_on(policy, others)
+        reached = await self._distribute(policy, others)
         self.content.uploads.discard(call.upload)
         self.environment.data_plane.log_event(LogEvent.BOOTSTRAPPED, policy=policy.name, keepers=addresses)
         return ok({"policy": policy.name, "keepers": [self.settings.address, *reached]})
 
-    async def _check_not_begun(self, acceptor: DurableAcceptor, others: list[str]) -> None:
-        """RejectedError: a voter has begun already, or does not answer.
+    async def _check_not_bootstrapped(self, acceptor: DurableAcceptor, others: list[str]) -> None:
+        """Check that the group may be bootstrapped.
 
-        What this very voter began, and nobody has continued, may be brought to its end.
+        A bootstrap by this voter may be repeated as long as no ballot has followed it, so that one that did
+        not reach all voters can be completed.
+
+        Raises
+        ------
+        RejectedError
+            Another voter is bootstrapped and its state differs, a ballot has begun, or a voter did not reply.
         """
         replies = dict(await self.peers.all_answers(others, "tell", None, messages.KnowledgeReply))
         own = acceptor.knowledge()
-        begun = [
+        bootstrapped = [
             address
             for address, reply in replies.items()
             if reply.bootstrapped and (reply.has_promised or reply.decided != own.decided)
         ]
-        if begun or own.has_promised or (own.decided is not None and own.decided.epoch):
-            where = ", ".join(begun) or self.settings.address
+        if bootstrapped or own.has_promised or (own.decided is not None and own.decided.epoch):
+            where = ", ".join(bootstrapped) or self.settings.address
             raise RejectedError(f"founded already at {where}; a keeper learns from the others by itself")
         if len(replies) < len(others):
             unanswered = ", ".join(address for address in others if address not in replies)
@@ -99,10 +105,10 @@
                 f"keepers: {unanswered} did not answer; all must be there when an accord begins"
             )
 
-    async def _pass_on(self, policy: PolicyVersion, others: list[str]) -> list[str]:
-        """Pass the first policy to the other voters; those that were reached.
+    async def _distribute(self, policy: PolicyVersion, others: list[str]) -> list[str]:
+        """Send the first policy to the other voters; returns those that have taken it.
 
-        A voter that is not reached learns from the others, and has no vote on the first change.
+        A voter that was not reached recovers from the others later, and has no vote on the first change.
         """
         entry = messages.policy_to_text(policy)
         is_short = len(entry) <= messages.CHUNK_BYTES
@@ -119,24 +125,26 @@
             missing = [address for address, answered in zip(missing, reached, strict=True) if not answered]
         return [address for address in others if address not in missing]
 
-    # From another voter
+    # Requests of other voters
 
-    async def _join(self, acceptor: DurableAcceptor, call: messages.BootstrapCall) -> Response:
-        """Begin under the first policy of another voter."""
+    async def _bootstrap_from_voter(
+        self, acceptor: DurableAcceptor, call: messages.BootstrapCall
+    ) -> Response:
+        """Take the first policy of another voter."""
         known = acceptor.state
         if known is not None and known.decided != EpochState(0, Stage.SETTLED, call.policy):
             raise RejectedError(f"founded already: epoch {known.decided.epoch}, {known.decided.policy}")
         own_voters = ", ".join(self.settings.voters)
         if call.source is None or call.source not in self.settings.voters:
             raise RejectedError(f"keepers: {own_voters} here, not {call.source}")
-        policy = await self._first_policy(call, call.source)
+        policy = await self._obtain_first_policy(call, call.source)
         if self.settings.address not in policy.voters or set(policy.voters) != set(self.settings.voters):
             raise RejectedError(f"keepers: {own_voters} here, not {', '.join(policy.voters)}")
         await self.voter.bootstrap(acceptor, policy)
         return ok({"policy": policy.name})
 
-    async def _first_policy(self, call: messages.BootstrapCall, source: str) -> PolicyVersion:
-        """The first policy, out of the request or from the voter that sent it; it is on disk."""
+    async def _obtain_first_policy(self, call: messages.BootstrapCall, source: str) -> PolicyVersion:
+        """Store the first policy, from the request or fetched from its sender, and return it."""
         if call.entry:
             await self.replica.store(messages.policy_from_text(call.entry, call.policy))
         fetched = await self.replica.fetcher.fetch(call.policy, [source])
--- a/hollybay/consensus/cluster_view.py
+++ b/hollybay/consensus/cluster_view.py
@@ -1,4 +1,4 @@
-"""What voters know of the cluster, parsed from the status and the history that they serve as JSON. Pure."""
+"""The state of a cluster as its voters report it: their status and history, parsed from JSON. Pure."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
 
 
 class OlderLease(msgspec.Struct, frozen=True, rename={"left_ns": "left", "cannot_serve": "no"}):
-    """A lease that has to end before a voter may go on.
+    """A lease that blocks a voter until it has ended.
 
     Parameters
     ----------
     name
-        The leaseholder.
+        The name of the leaseholder.
     epoch
         The epoch of the lease.
     left_ns
@@ -47,20 +47,20 @@
     frozen=True,
     rename={"address": "door", "is_able": "able", "last_contact_s": "heard_s", "is_duplicate": "twice"},
 ):
-    """A node as one voter knows it.
+    """A node as reported by one voter.
 
     Parameters
     ----------
     address
-        Of its admin endpoint.
+        The address of its admin endpoint.
     epoch
         The epoch that it serves under.
     is_able
         Whether it can serve the new policy.
     left_s, last_contact_s
-        Time until its lease ends, and since it last called.
+        Time until its lease ends, and time since its last request.
     is_duplicate
-        Whether another process of its name holds a lease.
+        Whether it holds a lease and another process has the same name.
     """
 
     name: str = ""
@@ -83,30 +83,30 @@
         "grace_s": "late_s",
     },
 ):
-    """What a voter knows of the cluster.
+    """The cluster as reported by one voter.
 
     Parameters
     ----------
     epoch, stage, policy, new
-        The last decided epoch: its number, its stage, the policy in force and the one to come, or "".
+        The last decided epoch: its number, stage, policy, and the proposed policy or "".
     pending
         The policy that the voter is about to propose, or "".
     voters
-        Addresses of those who decide, in order.
+        Addresses of the voters that the policy names, in order.
     drained_servers
         The servers that operators have taken out of service.
     older_leases
         Leases on earlier epochs that have not ended.
     blocking_leases
-        Leases that the change under way waits for.
+        Leases that the change in progress waits for.
     members
-        All nodes that the voter heard from.
+        All nodes that have recently requested leases from the voter.
     reasons
         Why nodes cannot serve a policy, by policy and node.
     quiet_s
-        Time until the voter may vote.
+        Time until the voter may vote again after a restart.
     grace_s
-        How long a node may serve after its lease has ended.
+        How long a node may continue to serve after its lease has ended.
     """
 
     epoch: int
@@ -134,15 +134,15 @@
     Parameters
     ----------
     name
-        The node.
+        The name of the node.
     serves
         The policies that it serves under.
     voter_addresses
-        The voters that it knows of.
+        The addresses of the voters that it knows.
     voter
-        What it knows as a voter; None: it is none, or knows nothing yet.
+        Its status as a voter; None if it is not a voter, or has no state yet.
     voter_waits
-        Why it knows nothing as a voter yet; None: it does, or it is none.
+        Why it has no state as a voter yet; None if it has one, or is not a voter.
     """
 
     name: str = ""
@@ -153,7 +153,7 @@
 
 
 class EpochRecord(msgspec.Struct, frozen=True):
-    """An epoch in a voter's history: its number, its stage, the policy in force and the one to come."""
+    """An epoch in a voter's history: its number, stage, policy, and the proposed policy or ""."""
 
     epoch: int
     stage: str
@@ -162,29 +162,29 @@
 
 
 def parse_status(document: object) -> ProcessStatus:
-    """The status of a process from JSON. msgspec.ValidationError: it is none."""
+    """Parse the status of a process. msgspec.ValidationError: the document is not a status."""
     return msgspec.convert(document, ProcessStatus)
 
 
 def parse_history(document: object) -> list[EpochRecord]:
-    """The history of a voter from JSON. msgspec.ValidationError: it is none."""
+    """Parse the history of a voter. msgspec.ValidationError: the document is not a history."""
     return msgspec.convert(document, list[EpochRecord])
 
 
 @dataclass
 class ClusterView:
-    """What the processes of a cluster reported.
+    """The reports of the processes of a cluster.
 
     Parameters
     ----------
     statuses
-        By address, of the processes that answered last time.
+        By address, the statuses of the processes that replied to the last poll.
     epochs
-        All epochs that a voter remembered, by number.
+        By number, all epochs that are in the history of a voter.
     voters_by_policy
-        Addresses of the voters that a policy names.
+        By name of a policy, the addresses of the voters that it names.
     documents
-        The statuses as they were received, for output.
+        By address, the statuses as received, for output.
     """
 
     statuses: dict[str, ProcessStatus] = field(default_factory=dict)
@@ -194,14 +194,14 @@
 
     @property
     def voters(self) -> dict[str, VoterStatus]:
-        """The statuses of voters that know the cluster, by address."""
+        """The statuses of the voters that have a state, by address."""
         return {
             address: status.voter for address, status in self.statuses.items() if status.voter is not None
         }
 
     @property
     def latest(self) -> VoterStatus | None:
-        """The voter that knows the latest epoch; None: none answers."""
+        """The status of a voter that knows the latest epoch; None if no voter replied."""
         voters = list(self.voters.values())
         return max(voters, key=lambda voter: voter.epoch) if voters else None
 
--- a/hollybay/consensus/durable_acceptor.py
+++ b/hollybay/consensus/durable_acceptor.py
@@ -1,8 +1,8 @@
-"""An acceptor with its disk: whatever it sends that must outlive the process is on disk before it is sent.
+"""An acceptor with durable state: promises, votes and decided epochs are on disk before they are sent.
 
-Messages are answered one after another. The next state and the answer are computed; what must outlive the
-process is written; only then the state is taken on and the answer given. Clocks and disk are given; the
-acceptor reaches no other process by itself.
+Messages are handled one at a time. For each, the next state and the reply are computed, the durable part of
+the state is written, and only then is the state adopted and the reply returned. Clocks and disk are passed
+in; the acceptor itself communicates with no other process.
 """
 
 from __future__ import annotations
@@ -43,8 +43,8 @@
 
 __all__ = ["Disk", "DurableAcceptor", "clock_margin"]
 
-MAX_HISTORY = 200  # epochs that are kept
-# The margin for clocks that drift apart: a part of the lease, and a constant (ns).
+MAX_HISTORY = 200  # epochs kept in the history
+# Margin for clock drift: the lease divided by this, plus a constant (ns).
 CLOCK_DRIFT_DIVISOR = 20
 CLOCK_MARGIN_NS = 50 * MS
 
@@ -52,41 +52,42 @@
 
 
 def clock_margin(lease: int) -> int:
-    """How much longer than its holder an acceptor counts a lease, for clocks that drift apart, ns."""
+    """How much longer an acceptor treats a lease as valid than the leaseholder does, for clock drift, ns."""
     return lease // CLOCK_DRIFT_DIVISOR + CLOCK_MARGIN_NS
 
 
 class DurableAcceptor:
-    """One acceptor.
+    """An acceptor whose state survives a restart of the process.
 
     Parameters
     ----------
     number : int
-        Its own number.
+        The number of the voter.
     store : Store
-        Holds what must outlive the process.
+        Holds the durable part of the state.
     log : PolicyLog
     clock : callable
-        The time in ns, of a clock that advances while the process is stopped.
+        The time in ns, on a clock that also advances while the process is stopped.
     wall_clock : callable
         The time of day in ms.
     longest_lease : int
-        The longest lease that it may grant, with its grace time, ns.
+        The longest lease that may be granted, with its grace time, ns.
     disk : Disk
-        Runs what blocks on the disk.
+        Runs functions that block on the disk.
 
     Attributes
     ----------
     state : Acceptor or None
-        None: it knows nothing, and must recover or be bootstrapped.
+        None until the acceptor has been bootstrapped, or has recovered from other voters.
     history : list of HistoryEntry
         The last epochs that it learned.
     reports : MemberReports
-        What leaseholders report.
+        What leaseholders have reported.
     storage_failure : str
-        Why its state could not be written; empty: it could.
+        Why the state could not be read or written; empty if it could.
     last_coordinated : int
-        When a proposer was last at work here, ns.
+        When a proposer last sent a request here, this voter last ran a ballot, or an epoch was last
+        decided, ns.
     """
 
     def __init__(
@@ -115,10 +116,10 @@
     # Persistence
 
     def open(self) -> None:
-        """Take up the state of the process before.
+        """Restore the state that the previous process wrote.
 
-        The state stays None, and the acceptor must recover from the others, also where there is no record,
-        the record may not be the last one that was written, or the log lacks an entry that it names.
+        The state stays None if there is no record, if the record may not be the last one that was written,
+        or if the log lacks a policy that it names. The acceptor must then recover from the other voters.
 
         Raises
         ------
@@ -130,23 +131,23 @@
             return
         persisted = PersistedAcceptor.decode(data, str(self.store.folder))
         if any(self.log.policy(name) is None for name in policies_named(persisted.decided)):
-            return  # a disk that lost some of the log: what else it lost is not known
+            return  # the disk has lost part of the log and may have lost other records, too
         longest = max(self.longest_lease, persisted.longest_lease)
         acceptor = persisted.acceptor(self.number)
         self.state = acceptor.restarted(self.clock(), longest + clock_margin(longest))
         self.history = persisted.history
 
-    async def _take_on(self, after: Acceptor) -> None:
-        """Take on a new state, on disk first. StoreError: the state stays as it was."""
+    async def _adopt(self, after: Acceptor) -> None:
+        """Write a new state to disk, then adopt it. StoreError: the state is unchanged."""
         before = self.state
         history = self._history_with(after)
-        if before is None or _must_be_written(before, after):
+        if before is None or _is_durable_part_changed(before, after):
             await self._write(after, history)
         self.state = after
         self.history = history
 
     def _history_with(self, after: Acceptor) -> list[HistoryEntry]:
-        """The history once a state is taken on."""
+        """The history that goes with a new state."""
         if self.state is not None and after.decided == self.state.decided:
             return self.history
         entry = HistoryEntry(after.decided, self.wall_clock())
@@ -166,17 +167,17 @@
         """Whether all policies that an epoch names are on disk."""
         return all(self.log.policy(name) is not None for name in policies_named(state))
 
-    # Beginnings
+    # Bootstrap and recovery
 
     async def bootstrap(self, policy: PolicyVersion) -> None:
-        """Begin under the first policy, which is on disk.
+        """Begin at epoch 0 with the first policy, which is on disk.
 
         Raises
         ------
         RejectedError
-            It has begun under another one, or is at a later epoch.
+            The acceptor began with another policy, or is at a later epoch.
         StoreError
-            The state is not on disk.
+            The state could not be written to disk.
         """
         state = EpochState(0, Stage.SETTLED, policy.name)
         if self.state is not None:
@@ -184,20 +185,20 @@
             if decided == state:
                 return
             raise RejectedError(f"founded already: epoch {decided.epoch}, {decided.policy}")
-        await self._take_on(Acceptor(self.number, state))
+        await self._adopt(Acceptor(self.number, state))
 
     async def recover(self, known: Iterable[tuple[EpochState, EpochState | None]]) -> None:
-        """Take up what a majority of the others know, where this one knows nothing.
+        """Recover the state from what a majority of the other voters know, unless there is a state already.
 
-        known: the decided epoch that each knows, and the epoch that it voted for.
+        known: for each of them, the decided epoch that it knows and the epoch that it has voted for.
         """
         if self.state is None:
-            # Whatever it granted before has ended after so long.
+            # Any lease that this voter granted before has ended after this time.
             longest = self.longest_lease + clock_margin(self.longest_lease)
-            await self._take_on(Acceptor.recovered(self.number, self.clock(), longest, known))
+            await self._adopt(Acceptor.recovered(self.number, self.clock(), longest, known))
 
     def knowledge(self) -> KnowledgeReply:
-        """What it knows, for one that knows nothing."""
+        """What this acceptor knows, for a voter that has no state."""
         if self.state is None:
             return KnowledgeReply(False)
         accepted = self.state.accepted
@@ -208,17 +209,17 @@
             accepted[1] if accepted is not None else None,
         )
 
-    # Messages
+    # Handling messages
 
     async def learn_decided(self, state: EpochState) -> bool:
-        """Learn that an epoch is decided; whether that was news. Its policies must be on disk."""
+        """Learn that an epoch is decided; returns whether it was new. Its policies must be on disk."""
         if self.state is None or state.epoch <= self.state.decided.epoch or not self.has_policies(state):
             return False
-        await self._take_on(self.state.on_decided(Decided(state)))
+        await self._adopt(self.state.on_decided(Decided(state)))
         return True
 
     def grant_lease(self, call: LeaseCall) -> LeaseReply:
-        """Answer a request for a lease. RejectedError: the lease is longer than any that is granted here."""
+        """Reply to a request for a lease. RejectedError: the lease exceeds `longest_lease`."""
         if self.state is None:
             return LeaseReply()
         length = call.lease + call.grace
@@ -226,25 +227,25 @@
             raise RejectedError(f"lease: {length} ns, and {self.longest_lease} at most are granted here")
         now = self.clock()
         request = call.request
-        self.reports.take(now, call)
+        self.reports.record(now, call)
         if request.state is not None and request.state.epoch > self.state.decided.epoch:
-            return LeaseReply()  # no grant on an epoch whose policies are not on this disk
+            return LeaseReply()  # leases are granted only on epochs whose policies are on this disk
         after, answer = self.state.grant_lease(
             now, request, call.lease + clock_margin(call.lease), call.grace
         )
-        self.state = after  # leases are not on disk, see core
+        self.state = after  # not written: leases are not durable, see `Acceptor.no_vote_before`
         if isinstance(answer, LeaseGrant):
             return LeaseReply(grant=answer)
         return LeaseReply(decided=answer.state if answer is not None else None)
 
     async def prepare(self, message: Prepare) -> PrepareReply:
-        """Answer a proposer that asks for a promise."""
+        """Reply to a proposer that requests a promise."""
         if self.state is None:
             return PrepareReply()
         self.last_coordinated = self.clock()
         after, answer = self.state.on_prepare(message)
         if isinstance(answer, Promise):
-            await self._take_on(after)
+            await self._adopt(after)
             return PrepareReply(promise=answer, decided_epoch=after.decided.epoch)
         return PrepareReply(
             decided=answer.state if answer is not None else None,
@@ -253,7 +254,7 @@
         )
 
     async def accept(self, message: Accept) -> AcceptReply:
-        """Answer a proposer that asks for a vote; the policies of the epoch must be on disk."""
+        """Reply to a proposer that requests a vote; the policies of the epoch must be on disk."""
         state = self.state
         if state is None:
             return AcceptReply(withheld_because=str(Uninitialized()))
@@ -264,7 +265,7 @@
         self.last_coordinated = now
         after, answer = state.on_accept(now, message)
         if isinstance(answer, Accepted):
-            await self._take_on(after)
+            await self._adopt(after)
             return AcceptReply(accepted=answer, decided_epoch=after.decided.epoch)
         is_barred = message.state.epoch <= state.last_barred_epoch
         return AcceptReply(
@@ -276,10 +277,12 @@
             withheld_because=str(Barred(state.last_barred_epoch)) if is_barred else "",
         )
 
-    # Leases
+    # Leases as reported to proposers and operators
 
     def leases_blocking_vote(self, now: int, state: EpochState) -> list[BlockingLease]:
-        """The leases that must end before it may vote for an epoch, with those of nodes that cannot serve it.
+        """The leases that must end before this acceptor may vote for an epoch.
+
+        For JOINT these include the leases of nodes that cannot serve the new policy.
 
         Parameters
         ----------
@@ -290,39 +293,39 @@
         """
         if self.state is None:
             return []
-        found = [self._shown(now, lease) for lease in self.state.blocking_leases(now, state)]
+        found = [self._blocking_lease(now, lease) for lease in self.state.blocking_leases(now, state)]
         if state.stage is Stage.JOINT:
             unable = set(self.state.nodes_unable_to_serve(now))
             found += [
-                self._shown(now, lease._replace(grace_end=0), cannot_serve=True)
+                self._blocking_lease(now, lease._replace(grace_end=0), cannot_serve=True)
                 for lease in self.state.leases
                 if lease.node in unable
             ]
         return found
 
     def older_leases(self, now: int) -> list[BlockingLease]:
-        """The leases, with their grace time, on epochs before the decided one. now: ns."""
+        """The leases on epochs before the decided one that are valid or in their grace time. now: ns."""
         if self.state is None:
             return []
         return [
-            self._shown(now, lease)
+            self._blocking_lease(now, lease)
             for lease in self.state.leases
             if lease.epoch < self.state.decided.epoch and max(lease.lease_end, lease.grace_end) > now
         ]
 
-    def _shown(self, now: int, lease: Lease, cannot_serve: bool = False) -> BlockingLease:
+    def _blocking_lease(self, now: int, lease: Lease, cannot_serve: bool = False) -> BlockingLease:
         member = self.reports.members.get(lease.node)
         name = member.name if member is not None else "?"
         remaining = max(lease.lease_end, lease.grace_end) - now
         return BlockingLease(name, lease.node, lease.epoch, remaining, cannot_serve)
 
     def promised_number(self) -> int:
-        """The number of the ballot that it has promised."""
+        """The number of the highest ballot that this acceptor has promised."""
         return self.state.promised[0] if self.state is not None else NO_BALLOT[0]
 
 
-def _must_be_written(before: Acceptor, after: Acceptor) -> bool:
-    """Whether states differ in what must outlive the process."""
+def _is_durable_part_changed(before: Acceptor, after: Acceptor) -> bool:
+    """Whether two states differ in the fields that must survive a restart."""
     return (before.decided, before.promised, before.accepted, before.last_barred_epoch) != (
         after.decided,
         after.promised,
--- a/hollybay/consensus/durable_file.py
+++ b/hollybay/consensus/durable_file.py
@@ -1,7 +1,7 @@
-"""Writing a file so that after a crash it is complete or as it was before.
+"""Atomic replacement of a file: after a crash it holds either the new content or the old.
 
-The bytes are written to a new file beside it and flushed to the disk; that file is renamed over the old one,
-and the folder is flushed.
+The data is written to a new file in the same folder and flushed to disk. The new file is renamed over the old
+one, and the folder is flushed.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class WriteStep(Enum):
-    """A step of a write. The values are the words of scenarios that end a process at a step."""
+    """A step of a write. Scenarios that end a process at a step refer to it by its value."""
 
     WRITE = "write"
     FLUSH = "flush"
@@ -24,16 +24,16 @@
 
 
 def no_step(_step: str) -> None:
-    """Do nothing before a step on the disk."""
+    """Do nothing before a disk operation (the default `before_step`)."""
 
 
 def flush_folder(path: Path) -> None:
-    """Flush the names in a folder to the disk.
+    """Flush the directory entries of a folder to disk.
 
     Raises
     ------
     OSError
-        They may not be on the disk.
+        The entries may not be on disk.
     """
     handle = os.open(path, os.O_RDONLY)
     try:
@@ -43,21 +43,21 @@
 
 
 def replace_file(path: Path, new_path: Path, data: bytes, before_step: Callable[[WriteStep], None]) -> None:
-    """Write a file; once this returns it is on the disk.
+    """Replace a file; once this returns, the new content is on disk.
 
     Parameters
     ----------
     path
         The file.
     new_path
-        Where it is written first, in the same folder.
+        Temporary file for the new content, in the same folder.
     before_step
-        Called before each step; a test fails or ends the process there.
+        Called before each step; tests use it to raise errors or to end the process.
 
     Raises
     ------
     OSError
-        It may not be on the disk.
+        The new content may not be on disk.
     """
     before_step(WriteStep.WRITE)
     with new_path.open("wb") as file:
--- a/hollybay/consensus/environment.py
+++ b/hollybay/consensus/environment.py
@@ -1,4 +1,4 @@
-"""What the process provides to its member of the replicated log: clocks, disk, random numbers, the node."""
+"""Dependencies of a member of the replicated log on its process: clocks, disk, random numbers, data plane."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Environment:
-    """The surroundings of one member.
+    """The dependencies of one member.
 
     Attributes
     ----------
@@ -27,19 +27,20 @@
     data_plane : DataPlane
         The node that the log configures.
     clock : callable
-        The time in ns, of a clock that advances while the process is stopped.
+        The time in ns, on a clock that also advances while the process is stopped.
     wall_clock : callable
         The time of day in ms.
     disk : Disk
-        Runs a function that blocks on the disk beside the event loop, and returns once it is done.
+        Runs a function that blocks on the disk without blocking the event loop; returns once it is done.
     rng : random.Random
         The source of all random numbers.
     boot_id : str
-        Names the machine's time since its start, in which `clock` is comparable between processes.
+        Identifies the current boot of the machine; values of `clock` are comparable between processes of
+        one boot.
     before_disk_step : callable
-        Called with the name of each step that touches the disk, before it; for tests.
+        Called with the name of each disk operation before it; for tests.
     may_vote_here : callable
-        Whether this process may be the voter of its name: another process may still be it.
+        Returns whether this process may act as the voter of its name, which no other process may still be.
     """
 
     settings: MemberSettings
@@ -54,12 +55,12 @@
 
     @property
     def folder(self) -> Path:
-        """The folder that holds all files of this member."""
+        """The folder for all files of this member."""
         return self.settings.folder / self.settings.name
 
 
 async def run_on_disk(disk: Disk, work: Callable[[], _T]) -> _T:
-    """Run a function that blocks on the disk, or takes long, and return its result."""
+    """Run a function that blocks on the disk or takes long by means of `disk`, and return its result."""
     results: list[_T] = []
     await disk(lambda: results.append(work()))
     return results[0]
--- a/hollybay/consensus/errors.py
+++ b/hollybay/consensus/errors.py
@@ -1,7 +1,7 @@
-"""Errors of requests and received data.
+"""Errors in requests and in received data.
 
-Each is a `RejectedError`, so that whoever answers a request needs to know that one alone; the subclasses tell
-apart what was wrong where a reader of the code, or of a traceback, wants to know.
+All of them are subclasses of `RejectedError`, the only one that request handling needs to catch. The
+subclasses distinguish the causes for readers of the code and of tracebacks.
 """
 
 from __future__ import annotations
@@ -10,19 +10,19 @@
 
 
 class RejectedError(ValueError):
-    """An inadmissible request; the text names the field and says why."""
+    """A request is not admissible; the message names the field and the reason."""
 
 
 class MalformedDataError(RejectedError):
-    """Received or stored bytes that hold no message, policy, snapshot or chunk, or too long a one."""
+    """Received or stored data is not a valid message, policy, snapshot or chunk, or is too long."""
 
 
 class LogGapError(RejectedError):
-    """An entry of the log that does not follow the one before it, or whose predecessor is not here."""
+    """An entry of the log does not follow its predecessor, or the predecessor is not in this log."""
 
 
 class NoVoterError(RejectedError):
-    """A request to a voter at a process that is none."""
+    """A request for a voter was sent to a process that is not one."""
 
     def __init__(self) -> None:
         super().__init__("no keeper here")
--- a/hollybay/consensus/grace_store.py
+++ b/hollybay/consensus/grace_store.py
@@ -1,6 +1,7 @@
-"""What a leaseholder leaves on disk for the process after it: the epoch that it served under.
+"""Durable record of the grace time of a leaseholder, for the process that replaces it after a restart.
 
-Voters count on its grace time also after a restart, so the next process may serve on in it.
+Voters wait for the end of a grace time whether or not the process restarts, so the next process may serve
+under the recorded epoch until then.
 """
 
 from __future__ import annotations
@@ -23,13 +24,13 @@
     Attributes
     ----------
     boot_id : str
-        The id of the machine's boot, in which `grace_end` counts.
+        The boot of the machine whose clock `grace_end` refers to.
     state : EpochState
-        The epoch that was served under.
+        The epoch that the process served under.
     voter_sets : list
         The addresses of the voters of each policy that the epoch names.
     grace_end : int
-        Until when it may be served on, ns.
+        When the grace time ends, ns.
     """
 
     boot_id: str
@@ -39,7 +40,7 @@
 
 
 class GraceStore:
-    """Writes and reads that record."""
+    """Reads and writes the record."""
 
     def __init__(self, environment: Environment, log: PolicyLog) -> None:
         self.environment = environment
@@ -49,7 +50,7 @@
         self._written_grace_end = 0  # ns
 
     def read(self) -> GraceRecord | None:
-        """What the process before left, if it can be read; StoreError: the disk failed."""
+        """The record of the previous process; None if there is no valid one. StoreError: the disk failed."""
         data = self.store.open()
         if data is None:
             return None
@@ -60,10 +61,10 @@
         return found
 
     def record(self, holder: Leaseholder) -> bytes | None:
-        """The record that is due for a leaseholder; None: the one on disk is recent enough.
+        """The record to write for a leaseholder; None if the one on disk is recent enough.
 
-        A write takes the disk a while, so one is due only when the epoch is another or half of the grace
-        time has passed.
+        To limit disk writes, the record is written only if the epoch has changed or the recorded grace time
+        ends at least half a grace time before the current one.
         """
         state = holder.effective_epoch
         grace = self.environment.settings.grace_ns
@@ -81,7 +82,7 @@
         )
 
     async def write(self, record: bytes) -> None:
-        """Bring a record to the disk; a disk that fails is logged."""
+        """Write a record; a disk failure is logged."""
         try:
             await self.environment.disk(lambda: self.store.put(record))
         except StoreError as error:
--- a/hollybay/consensus/http_status.py
+++ b/hollybay/consensus/http_status.py
@@ -1,4 +1,4 @@
-"""The HTTP statuses of replies to requests of this package."""
+"""HTTP status codes of the responses that this package sends."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 BAD_REQUEST = 400
 NOT_FOUND = 404
 CONFLICT = 409
-GONE = 410  # the log does not reach back so far
+GONE = 410  # the log does not reach back to the requested version
 UNPROCESSABLE = 422
 UNAVAILABLE = 503
 INSUFFICIENT_STORAGE = 507
--- a/hollybay/consensus/interfaces.py
+++ b/hollybay/consensus/interfaces.py
@@ -50,7 +50,7 @@
 
 
 class DataPlane(Protocol):
-    """What the replicated log asks of the node that it configures."""
+    """Operations that the replicated log requires of the node that it configures."""
 
     def compile_policy(self, entry: Entry) -> Awaitable[list[str]]:
         """Compile a policy, so that it can be applied.
@@ -116,13 +116,13 @@
     name : str
         Name of the node, and of its folder.
     address : str
-        Admin address of this process, at which other members call it.
+        Admin address of this process, to which other members send their requests.
     voters : tuple of str
-        Addresses of the voters that it asks first.
+        Addresses of the voters to contact while no policy is known.
     lease_ns : int
         Duration of a lease.
     grace_ns : int
-        How long it serves after its lease has expired; 0 if it stops at once.
+        How long the node serves after its lease has expired; 0 if it stops at once.
     folder : Path
         Folder that holds the folders of all members of this machine.
     """
@@ -141,9 +141,9 @@
     Attributes
     ----------
     status : int
-        Status code of HTTP.
+        HTTP status code.
     body : bytes
-        Encoded message, or bytes of the log as they are.
+        Encoded message, or raw bytes of the log.
     """
 
     status: int
--- a/hollybay/consensus/lease_client.py
+++ b/hollybay/consensus/lease_client.py
@@ -1,4 +1,4 @@
-"""The leaseholder of this process: it renews its lease, and decides what requests are served under."""
+"""The lease client of this process: renews its lease, and applies the policies in force to its node."""
 
 from __future__ import annotations
 
@@ -27,14 +27,14 @@
 
 __all__ = ["LeaseClient"]
 
-# Renewal periods in the length of a lease; a period is shortened by a random factor.
+# Renewal periods per lease duration; each period is shortened by a random factor.
 PERIODS_PER_LEASE = 2
 RENEWAL_JITTER = (0.85, 1.0)
-# Rounds in a renewal period while no quorum has granted; their interval is shortened by a random factor, too.
+# Rounds per renewal period while no quorum has granted; the interval is also shortened by a random factor.
 RETRIES_PER_PERIOD = 5
 RETRY_JITTER = (0.5, 1.0)
 MIN_ROUND_INTERVAL_S = 0.02
-REQUESTS_PER_LEASE = 3  # a call may take the length of a lease divided by this
+REQUESTS_PER_LEASE = 3  # the time limit of a request is the lease duration divided by this
 
 
 class LeaseClient:
@@ -49,7 +49,7 @@
     peers : PeerClient
     tasks : BackgroundTasks
     on_learned : callable
-        Takes a later epoch once this process has its policies.
+        Called with a later epoch once this process has its policies.
     """
 
     def __init__(
@@ -72,24 +72,24 @@
         self.serviceability = Serviceability(
             environment.data_plane, replica, self._mark_unserviceable, self._clear_unserviceable
         )
-        self.memory = GraceStore(environment, replica.log)
-        self.policies_in_force: tuple[str, ...] = ()  # as put in force at the node last
-        self.valid_until = 0  # ns; requests may begin under these until then without another check
-        self._epoch_learned = asyncio.Event()  # there is a later epoch to request a lease on
-        self._learning = asyncio.Lock()
+        self.grace_store = GraceStore(environment, replica.log)
+        self.policies_in_force: tuple[str, ...] = ()  # as last applied to the node
+        self.valid_until = 0  # ns; until then requests may begin under these policies without another check
+        self._epoch_learned = asyncio.Event()  # set when there is a later epoch to request a lease on
+        self._learn_lock = asyncio.Lock()
         self._on_learned = on_learned
 
-    # What requests begin under
+    # Policies in force
 
     def may_begin_request(self) -> bool:
-        """Whether a request may begin now; what it is served under is in force then."""
+        """Whether a request may begin now; if so, the policies that apply to it are in force at the node."""
         if self.clock() < self.valid_until:
             return True
         self.apply()
         return bool(self.policies_in_force)
 
     def apply(self) -> None:
-        """Put in force what the leaseholder serves under now."""
+        """Put the policies that the leaseholder serves under now in force at the node."""
         now = self.clock()
         holder = self.leaseholder
         policies = holder.policies_in_force(now)
@@ -100,7 +100,7 @@
         self.valid_until = end if policies else 0
 
     def _put_in_force(self, policies: tuple[str, ...], has_lease: bool) -> tuple[str, ...]:
-        """Put policies in force at the node; none where one of them is not here. Returns those in force."""
+        """Put policies in force at the node, or none if the log lacks one of them; returns those in force."""
         log = self.replica.log
         entries = tuple(entry for name in policies if (entry := log.entry(name)) is not None)
         if len(entries) < len(policies):
@@ -128,9 +128,9 @@
     # Grace time across a restart
 
     def restore(self) -> None:
-        """Go on in the grace time of the process before, if there was one; voters still count on it."""
+        """Resume the grace time of the previous process, if any; voters still wait for its end."""
         try:
-            remembered = self.memory.read()
+            remembered = self.grace_store.read()
         except StoreError as error:
             self.data_plane.log_event(LogEvent.GRACE_STORE_FAILED, error=str(error))
             return
@@ -147,22 +147,22 @@
             if entry is None or entry.state is None or await self.serviceability.prepare(entry):
                 return
         if self.leaseholder.effective_epoch is None:
-            # In the grace time of the process before, and not as one that holds a lease.
+            # The grace time of the previous process carries over; its lease does not.
             self.leaseholder = self.leaseholder._replace(
                 effective_epoch=remembered.state, lease_end=0, grace_end=remembered.grace_end
             )
             self.apply()
 
-    def remember(self) -> None:
-        """Leave to the process after this one what it may serve under."""
-        record = self.memory.record(self.leaseholder)
+    def save_grace(self) -> None:
+        """Write to disk what the next process may serve under, if the record there is out of date."""
+        record = self.grace_store.record(self.leaseholder)
         if record is not None:
-            self.tasks.spawn(self.memory.write(record))
+            self.tasks.spawn(self.grace_store.write(record))
 
     # Renewal
 
     async def run(self) -> None:
-        """Request leases, round after round."""
+        """Request leases in rounds until cancelled."""
         while True:
             before = self.leaseholder.effective_epoch
             self._epoch_learned.clear()
@@ -170,22 +170,25 @@
             now_effective = self.leaseholder.effective_epoch
             advanced = now_effective != before and now_effective is not None
             if advanced or self._epoch_learned.is_set():
-                continue  # at once: voters release the lease before when they hear what is served under now
+                continue  # without delay: the next request lets voters release the lease on the earlier epoch
             elapsed = (self.clock() - self.leaseholder.requested_at) / SECOND
             await wait_at_most(self._epoch_learned, max(MIN_ROUND_INTERVAL_S, self._interval() - elapsed))
 
     def _interval(self) -> float:
-        """The time from the beginning of a round to the next one, seconds."""
+        """The time between the beginnings of two rounds, seconds."""
         period = self.settings.lease_ns / SECOND / PERIODS_PER_LEASE
         holder = self.leaseholder
         granted = holder.effective_epoch is not None and has_quorum(holder.voter_sets, holder.grants)
         if granted or holder.latest_epoch is None:
             return period * self.environment.rng.uniform(*RENEWAL_JITTER)
-        # While the lease lasts there is time for a few rounds.
+        # Rounds are repeated faster, so that several of them fit into what remains of the lease.
         return period / RETRIES_PER_PERIOD * self.environment.rng.uniform(*RETRY_JITTER)
 
     async def _round(self) -> None:
-        """Request a lease of all voters, until a quorum grants it, all have answered, or there is news."""
+        """Request a lease from all voters.
+
+        The round ends when a quorum has granted it, all voters have replied, or a later epoch is known.
+        """
         self.leaseholder, request = self.leaseholder.begin_round(self.clock())
         body = messages.encode(self._lease_call(request))
         limit = min(CALL_LIMIT_S, self.settings.lease_ns / SECOND / REQUESTS_PER_LEASE)
@@ -222,39 +225,39 @@
         )
 
     async def _request(self, address: str, body: bytes, limit: float) -> None:
-        """Request a lease of one voter, and take in its answer."""
+        """Request a lease from one voter, and handle its reply."""
         try:
             reply = messages.decode(await self.peers.call(address, "ask", body, limit), messages.LeaseReply)
         except (CallFailedError, RejectedError):
             return
         if reply.grant is not None:
-            self._take_grant(reply.grant._replace(voter=voter_number(address)))
+            self._handle_grant(reply.grant._replace(voter=voter_number(address)))
         elif reply.decided is not None:
             await self.learn(reply.decided, address)
 
-    def _take_grant(self, grant: LeaseGrant) -> None:
+    def _handle_grant(self, grant: LeaseGrant) -> None:
         before = self.leaseholder
         after = before.on_grant(grant, self.settings.lease_ns, self.settings.grace_ns)
         self.leaseholder = after
         if after.effective_epoch is not before.effective_epoch or after.lease_end != before.lease_end:
             self.apply()
-            self.remember()
+            self.save_grace()
 
     # Later epochs
 
     async def learn(self, state: EpochState, source: str) -> None:
-        """Learn of a later epoch: fetch its policies, make them ready, and request a lease on it.
+        """Learn of a later epoch: fetch its policies, prepare them, and request a lease on it.
 
         source: the address of a process that has the policies.
         """
         if self._is_known(state):
             return
-        async with self._learning:
+        async with self._learn_lock:
             if self._is_known(state):
                 return
             voter_sets = await self._prepare(state, source)
             if voter_sets is None:
-                return  # it will be sent again
+                return  # the epoch will be announced again
             self.leaseholder = self.leaseholder.on_decided(Decided(state), voter_sets)
             self.data_plane.log_event(
                 LogEvent.EPOCH_LEARNED,
@@ -270,9 +273,9 @@
         return latest is not None and state.epoch <= latest.epoch
 
     async def _prepare(self, state: EpochState, source: str) -> tuple[frozenset[int], ...] | None:
-        """Fetch and prepare the policies of an epoch; their voter sets, or None where one is missing."""
+        """Fetch and prepare the policies of an epoch; returns their voter sets, or None if one is missing."""
         if state.stage is Stage.PREPARE and state.new in self.serviceability.unserviceable:
-            # It may be possible now, as a disk that was full may have room.
+            # The cause may be gone: for example, a disk that was full may have space again.
             self.serviceability.clear(state.new)
         voter_sets: list[frozenset[int]] = []
         for name in policies_named(state):
@@ -285,7 +288,7 @@
             if entry is not None:
                 await self.serviceability.prepare(entry)
             else:
-                # It is not on this disk: the node cannot serve it now, and may later.
+                # The policy is not on this disk. The node cannot serve it now, but may be able to later.
                 reasons = bounded_reasons([fetched.problem or PrunedSinceFetch()])
                 self.serviceability.mark(name, Unserviceable(reasons, cannot_serve_any=True))
         return tuple(voter_sets)
--- a/hollybay/consensus/leaseholder.py
+++ b/hollybay/consensus/leaseholder.py
@@ -1,4 +1,4 @@
-"""The leaseholder of the protocol in `core`: it decides what requests are served under. No I/O."""
+"""The leaseholder of the protocol in `core`, which decides what policies apply to requests. No I/O."""
 
 from __future__ import annotations
 
@@ -18,33 +18,33 @@
 
 __all__ = ["Leaseholder"]
 
-# The epoch that a leaseholder names when it serves under none.
+# Serving epoch that a leaseholder reports while it serves under none.
 NO_EPOCH = -1
 
 
 class Leaseholder(NamedTuple):
-    """A process that serves requests.
+    """The state of a process that serves requests.
 
     Attributes
     ----------
     number : int
-        Its own number.
+        The number of the process.
     voter_sets : VoterSets
-        Those whose grants it needs for a lease on `latest_epoch`.
+        The voter sets of `latest_epoch`; a lease takes grants from a majority of each.
     effective_epoch : EpochState or None
-        The epoch that it serves under.
+        The epoch that the process serves under.
     lease_end, grace_end : int
-        When its lease on that epoch ends, and the grace time after it, ns.
+        When the lease on that epoch ends, and the grace time after it, ns.
     latest_epoch : EpochState or None
-        The latest epoch that it knows, which it requests leases on.
+        The latest epoch that the process knows, on which it requests leases.
     round_number : int
-        Counts its rounds of requests.
+        The number of the current round of requests.
     requested_at : int
-        When the present round began, ns.
+        When the current round began, ns.
     grants : frozenset of int
         The voters that have granted a lease in this round.
     unserviceable_policies : frozenset of str
-        The policies that it cannot serve.
+        The policies that the process cannot serve.
     """
 
     number: int
@@ -59,10 +59,11 @@
     unserviceable_policies: frozenset[str] = frozenset()
 
     def policies_in_force(self, now: int) -> tuple[str, ...]:
-        """The policies that a request beginning now is served under: the intersection of all of them.
+        """The policies that apply to a request that begins now; it is served under their intersection.
 
-        Until `lease_end` those in force in the epoch; then until `grace_end` all that the epoch names, if
-        this process can serve each of them; after that none, and no request may begin.
+        Until `lease_end` these are the policies in force in the epoch. From then until `grace_end` they are
+        all policies that the epoch names, if this process can serve each of them. After that there is none,
+        and no request may begin.
         """
         if self.effective_epoch is None or now >= max(self.lease_end, self.grace_end):
             return ()
@@ -72,7 +73,10 @@
         return () if self._cannot_serve(policies) else policies
 
     def begin_round(self, now: int) -> tuple[Leaseholder, LeaseRequest]:
-        """Request a lease of all voters; it is counted from now, before any of them has the request."""
+        """Begin a round of lease requests to all voters.
+
+        The lease is measured from now, which is before any voter has received the request.
+        """
         begun = self._replace(round_number=self.round_number + 1, requested_at=now, grants=frozenset())
         is_serving = self.effective_epoch is not None and now < max(self.lease_end, self.grace_end)
         serving_epoch = (
@@ -89,10 +93,10 @@
         return begun, request
 
     def on_grant(self, grant: LeaseGrant, lease: int, grace: int = 0) -> Leaseholder:
-        """Count a grant; with those of a quorum it serves under that epoch.
+        """Count a grant; once a quorum has granted the lease, the process serves under that epoch.
 
-        lease, grace: how long the lease lasts from the beginning of the round, and the grace time after it,
-        ns.
+        lease, grace: the duration of the lease from the beginning of the round, and of the grace time after
+        it, ns.
         """
         latest = self.latest_epoch
         if latest is None or (grant.round_number, grant.epoch) != (self.round_number, latest.epoch):
@@ -104,7 +108,7 @@
         return counted._replace(effective_epoch=latest, lease_end=lease_end, grace_end=lease_end + grace)
 
     def on_decided(self, message: Decided, voter_sets: VoterSets) -> Leaseholder:
-        """Learn of a later epoch; what it serves under stays until a lease on that one is granted."""
+        """Learn of a later epoch. The effective epoch stays until a lease on the later one is granted."""
         if self.latest_epoch is not None and message.state.epoch <= self.latest_epoch.epoch:
             return self
         return self._replace(latest_epoch=message.state, voter_sets=voter_sets, grants=frozenset())
--- a/hollybay/consensus/long_requests.py
+++ b/hollybay/consensus/long_requests.py
@@ -1,4 +1,4 @@
-"""Requests that may take longer than a caller waits: the caller repeats the request and gets the result."""
+"""Requests that may take longer than a client waits: the client repeats the request to get the result."""
 
 from __future__ import annotations
 
@@ -13,28 +13,28 @@
 
 __all__ = ["LongRequests"]
 
-RESPONSE_LIMIT_S = 1.0  # seconds after which a caller is told to come again
+RESPONSE_LIMIT_S = 1.0  # seconds after which the client is told to repeat the request
 RETRY_AFTER_S = 0.5  # seconds
 MAX_LONG_REQUESTS = 4
 KEY_BYTES = 16
 
 
 class LongRequests:
-    """The requests under way, by a digest of their bodies."""
+    """Requests in progress, by a digest of their bodies."""
 
     def __init__(self, tasks: BackgroundTasks) -> None:
         self.tasks = tasks
         self._under_way: dict[bytes, asyncio.Task[Response]] = {}
 
     async def answer(self, body: bytes, work: Callable[[], Coroutine[Any, Any, Response]]) -> Response:
-        """The response to a request, or one that asks to repeat it while it is worked on."""
+        """Start a request or wait for it; returns its response, or one that asks the client to repeat it."""
         key = blake2b(body, digest_size=KEY_BYTES).digest()
         task = self._under_way.get(key)
         if task is None:
-            self._forget_done()
+            self._discard_finished()
             if len(self._under_way) >= MAX_LONG_REQUESTS:
                 return busy("others are worked on", RETRY_AFTER_S)
-            # All of these are operators' requests for a change, and their rejections the same.
+            # All long requests are in CHANGING_PATHS, so any of these paths gives the same status codes.
             task = self._under_way[key] = self.tasks.spawn(answered("found", work()))
         await asyncio.wait({task}, timeout=RESPONSE_LIMIT_S)
         if not task.done():
@@ -42,6 +42,6 @@
         self._under_way.pop(key, None)
         return task.result()
 
-    def _forget_done(self) -> None:
+    def _discard_finished(self) -> None:
         for key in [key for key, task in self._under_way.items() if task.done()]:
             del self._under_way[key]
--- a/hollybay/consensus/member_reports.py
+++ b/hollybay/consensus/member_reports.py
@@ -1,4 +1,4 @@
-"""What leaseholders report to a voter with their requests: where they are, and what they cannot serve."""
+"""Reports of leaseholders to a voter: their addresses, and the policies that they cannot serve."""
 
 from __future__ import annotations
 
@@ -12,26 +12,26 @@
 
 __all__ = ["KnownMember", "MemberReports"]
 
-FORGET_AFTER_NS = 600 * SECOND  # ns after which a process that requests no more is not shown any longer
-SWEEP_INTERVAL_NS = SECOND  # ns
-MAX_POLICIES = 16  # whose reports are kept
+FORGET_AFTER_NS = 600 * SECOND  # ns after its last request at which a process is removed from `members`
+SWEEP_INTERVAL_NS = SECOND  # ns between removals
+MAX_POLICIES = 16  # policies for which reports are kept
 
 _T = TypeVar("_T")
 
 
 @dataclass(slots=True)
 class KnownMember:
-    """A process that requests leases, by its last request.
+    """A process that requests leases, as described by its last request.
 
     Attributes
     ----------
     name, address : str
     last_contact : int
-        When it was received, ns.
+        When the last request was received, ns.
     epoch : int
-        The epoch that it requested a lease on; -1: none.
+        The epoch that the process requested a lease on; -1 if none.
     serving_epoch : int
-        The epoch that it served under; -1: none.
+        The epoch that it served under; -1 if none.
     can_serve_new : bool
         Whether it could serve the new policy.
     """
@@ -50,13 +50,13 @@
     Attributes
     ----------
     members : dict
-        By the number of the process.
+        The processes, by number.
     unserviceable : dict
-        By policy and name of a process: why it cannot serve the policy.
+        Why a process cannot serve a policy, by policy and name of the process.
     culprits : dict
-        By policy and id of a change: why a process cannot serve the change.
+        Why a process cannot serve a change, by policy and id of the change.
     cannot_serve_any : dict
-        By policy: why a process could serve no new policy at all.
+        Why a process cannot serve any new policy, by the policy that it was asked to serve.
     """
 
     def __init__(self) -> None:
@@ -66,8 +66,8 @@
         self.cannot_serve_any: dict[str, list[MemberReason]] = {}
         self._swept_at = 0  # ns
 
-    def take(self, now: int, call: LeaseCall) -> None:
-        """Note what a request for a lease reports. now: ns."""
+    def record(self, now: int, call: LeaseCall) -> None:
+        """Record what a lease request reports. now: ns."""
         request = call.request
         epoch = request.state.epoch if request.state is not None else -1
         self.members[request.node] = KnownMember(
@@ -79,19 +79,19 @@
             request.can_serve_new,
         )
         if request.state is not None and request.state.new and not request.can_serve_new:
-            self._take_unserviceable(request.state.new, call)
+            self._record_unserviceable(request.state.new, call)
         if now - self._swept_at > SWEEP_INTERVAL_NS:
             self._swept_at = now
             self._forget_members(now)
 
     def forget(self, policy: str) -> None:
-        """A policy is proposed again: what was reported of it before counts no more."""
+        """Discard the reports on a policy, which is proposed again."""
         self.unserviceable.pop(policy, None)
         self.culprits.pop(policy, None)
         self.cannot_serve_any.pop(policy, None)
 
-    def _take_unserviceable(self, policy: str, call: LeaseCall) -> None:
-        """Note why a process cannot serve a policy, and which changes of the batch it names."""
+    def _record_unserviceable(self, policy: str, call: LeaseCall) -> None:
+        """Record why a process cannot serve a policy, and which changes of the batch it names."""
         reported = [ReportedReason(text) for text in call.reasons]
         self.unserviceable.setdefault(policy, {})[call.name] = reported
         for change, texts in call.culprits.items():
@@ -105,7 +105,7 @@
         _drop_oldest(self.unserviceable)
 
     def _forget_members(self, now: int) -> None:
-        """Forget processes that have not been in contact for long."""
+        """Remove processes whose last request is older than FORGET_AFTER_NS."""
         for process in [
             process for process, member in self.members.items() if now - member.last_contact > FORGET_AFTER_NS
         ]:
@@ -113,6 +113,6 @@
 
 
 def _drop_oldest(reports: dict[str, _T]) -> None:
-    """Keep the reports of the policies that were reported last."""
+    """Drop the oldest reports beyond MAX_POLICIES."""
     while len(reports) > MAX_POLICIES:
         del reports[next(iter(reports))]
--- a/hollybay/consensus/message_codec.py
+++ b/hollybay/consensus/message_codec.py
@@ -29,17 +29,17 @@
 
 
 def encode(message: object) -> bytes:
-    """A message as it is sent."""
+    """Encode a message for the wire."""
     return msgspec.json.encode(message)
 
 
 def decode(data: bytes, kind: type[_T]) -> _T:
-    """A message of a kind that was received.
+    """Decode a received message of the given type.
 
     Raises
     ------
     MalformedDataError
-        It is none, of another version, or names an epoch that cannot be.
+        The data is not such a message, has another version, or names an epoch that is not well-formed.
     """
     try:
         found: _T = msgspec.json.decode(data, type=kind)
@@ -50,12 +50,15 @@
         raise MalformedDataError(f"form: {form}, and this build speaks {MESSAGE_VERSION}")
     for state in _received_states(found):
         if not _is_well_formed(state):
-            raise MalformedDataError(f"state: {_shown(state)} is none")
+            raise MalformedDataError(f"state: {_format_state(state)} is none")
     return found
 
 
 def _received_states(message: object) -> list[EpochState]:
-    """The epochs that a message names, but for those in promises and votes, which only repeat sent ones."""
+    """The epochs that a message names.
+
+    Epochs in promises and votes are left out: they repeat epochs that were checked when they were proposed.
+    """
     candidates: list[EpochState | None] = []
     match message:
         case DecidedNotice() | HistoryEntry():
@@ -70,7 +73,7 @@
 
 
 def _is_well_formed(state: EpochState) -> bool:
-    """Whether an epoch can be one at all."""
+    """Whether the fields of an epoch are consistent."""
     return state.epoch >= 0 and bool(state.new) == (state.stage is not Stage.SETTLED) and state.policy != ""
 
 
@@ -79,7 +82,7 @@
     return _STAGE_LABELS[stage]
 
 
-def _shown(state: EpochState) -> str:
-    """An epoch in the text of a rejection."""
+def _format_state(state: EpochState) -> str:
+    """Format an epoch for the message of a rejection."""
     stage = f"<Stage.{stage_label(state.stage)}: {state.stage.value}>"
     return f"EpochState(epoch={state.epoch}, stage={stage}, policy={state.policy!r}, new={state.new!r})"
--- a/hollybay/consensus/message_fields.py
+++ b/hollybay/consensus/message_fields.py
@@ -1,4 +1,4 @@
-"""The limits of messages, the types of their fields, and their base."""
+"""Limits of messages, types of their fields, and their base class."""
 
 from __future__ import annotations
 
@@ -29,18 +29,18 @@
     "UploadId",
 ]
 
-MESSAGE_VERSION = 2  # the version of these messages; a request of another one is rejected
-# What is longer than one request (deltas, snapshots, operator files, large changes) is sent in pieces of so
-# many bytes.
+MESSAGE_VERSION = 2  # version of the messages; requests of other versions are rejected
+# Data that is too long for one request (deltas, snapshots, operator files, large changes) is sent in chunks
+# of this many bytes.
 CHUNK_BYTES = 256 << 10
-# The longest request, bytes: a piece in base64, and what stands around it.
+# The longest request, bytes: a chunk in base64, and 64 KiB for the other fields.
 MAX_CALL_BYTES = 4 * CHUNK_BYTES // 3 + (64 << 10)
 MAX_REASONS = 20
-MAX_CULPRITS = 64  # changes that a node names in one request
-MAX_CULPRIT_REASONS = 3  # why it cannot serve each of them
-MAX_SERVERS = 2000  # servers that one request names
+MAX_CULPRITS = 64  # changes that a node can report in one request as not serviceable
+MAX_CULPRIT_REASONS = 3  # reasons per such change
+MAX_SERVERS = 2000  # servers that one request can name
 
-MAX_VOTERS = 9  # that one request names
+MAX_VOTERS = 9  # voters that one request can name
 
 Text = Annotated[str, msgspec.Meta(max_length=400)]
 Nanoseconds = Annotated[int, msgspec.Meta(ge=0, le=86_400_000_000_000)]
@@ -56,4 +56,4 @@
 
 
 class Message(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One request or reply."""
+    """Base class of requests and replies."""
--- a/hollybay/consensus/message_values.py
+++ b/hollybay/consensus/message_values.py
@@ -1,4 +1,4 @@
-"""Policies and changes as text inside messages."""
+"""Text encoding (base64 of MessagePack) of policies and changes in messages."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 
 
 def policy_to_text(policy: PolicyVersion) -> str:
-    """A policy as text."""
+    """Encode a policy as text."""
     return base64.b64encode(msgspec.msgpack.encode(policy)).decode()
 
 
 def policy_from_text(text: str, name: str = "") -> PolicyVersion:
-    """A policy from its text. RejectedError: it is none, or another than the one of this name."""
+    """Decode a policy from text. RejectedError: it is not a policy, or not the one called `name`."""
     try:
         data = base64.b64decode(text, validate=True)
     except ValueError as error:
@@ -33,12 +33,12 @@
 
 
 def change_to_text(change: Change) -> str:
-    """A change as text."""
+    """Encode a change as text."""
     return base64.b64encode(encode_change(change)).decode()
 
 
 def change_from_text(text: str) -> Change:
-    """A change from its text. RejectedError: it is none."""
+    """Decode a change from text. RejectedError: it is not a change."""
     try:
         data = base64.b64decode(text, validate=True)
     except ValueError as error:
@@ -47,7 +47,7 @@
 
 
 def change_from_bytes(data: bytes) -> Change:
-    """A change from its bytes. RejectedError: it is none."""
+    """Decode a change from bytes. RejectedError: they are not a change."""
     try:
         return decode_change(data)
     except WireError as error:
--- a/hollybay/consensus/messages.py
+++ b/hollybay/consensus/messages.py
@@ -1,7 +1,7 @@
 """The requests and replies that processes exchange under /-/policy, as JSON. No I/O.
 
-The form is described in docs/OPERATORS-accord.md. Where a field has another name on the wire, the class maps
-it with `rename`. The protocol's own messages (`core`) are arrays on the wire.
+The wire format is described in docs/OPERATORS-accord.md. If a field has another name on the wire, its class
+maps it with `rename`. The messages of the protocol itself (`core`) are encoded as arrays.
 """
 
 from __future__ import annotations
@@ -90,5 +90,5 @@
 
 
 def voter_number(address: str) -> int:
-    """The number of a voter, the same at all processes; made of its address."""
+    """The number of a voter: a hash of its address, so that all processes derive the same number."""
     return int.from_bytes(blake2b(address.encode(), digest_size=6).digest(), "big")
--- a/hollybay/consensus/operator_messages.py
+++ b/hollybay/consensus/operator_messages.py
@@ -1,7 +1,7 @@
-"""The requests of operators under /-/policy, and their replies. No I/O.
+"""Requests of operators under /-/policy, and the replies to them. No I/O.
 
-They are sent by `change_tracker` and answered by `bootstrap`, `policy_requests` and `change_requests`. Where
-a field has another name on the wire, the class maps it with `rename`.
+The requests are sent by `change_tracker` and handled by `bootstrap`, `policy_requests` and `change_requests`.
+If a field has another name on the wire, its class maps it with `rename`.
 """
 
 from __future__ import annotations
@@ -29,20 +29,20 @@
 
 
 class BootstrapCall(Message, frozen=True, rename={"source": "by"}):
-    """An operator begins the group with a file, or a voter passes the first policy on.
+    """Bootstrap of a group by an operator with a file, or by a voter with its first policy.
 
     Attributes
     ----------
     file : str
         The operator file, base64.
     upload : str
-        The id of an upload that holds it instead.
+        The id of an upload that holds the file instead.
     policy : str
-        The name of the first policy, where a voter passes it on.
+        The name of the first policy, in a request of a voter.
     entry : str
-        The policy itself, where it is short.
+        The first policy itself, if it is short enough; otherwise it is fetched from `source`.
     source : str, optional
-        The address of the voter that has it.
+        The address of the voter that has the policy.
     """
 
     file: str = ""
@@ -57,23 +57,23 @@
     frozen=True,
     rename={"servers_out": "out", "voters": "keepers", "like_policy": "like"},
 ):
-    """An operator proposes a change of a whole policy, alone in its batch.
+    """Proposal by an operator of a change of the whole policy, in a batch of its own.
 
     Attributes
     ----------
     file : str or None
-        The operator file, base64; None: the resources stay as they are.
+        The operator file, base64; None leaves the resources unchanged.
     parent : str
-        The digest of the policy that the change is made on, hex.
+        The digest of the policy that the change is based on, hex.
     reason, author : str
     servers_out : list of str, optional
-        All servers that are out; None: as they are.
+        All servers that are to be out of service; None leaves them unchanged.
     voters : list of str, optional
-        The addresses of all voters; None: as they are.
+        The addresses of all voters; None leaves them unchanged.
     upload : str
         The id of an upload that holds the file.
     like_policy : str
-        The policy after which the resources were as they are to be.
+        The name of an earlier policy whose resources are to be restored.
     """
 
     file: str | None
@@ -87,7 +87,7 @@
 
 
 class ProposeReply(Message, frozen=True):
-    """The reply to a proposal that goes on: the policy's name, and the epoch that it begins with."""
+    """Reply to an accepted proposal: the name of the new policy, and the epoch that first names it."""
 
     change: str
     epoch: int
@@ -98,7 +98,7 @@
     frozen=True,
     rename={"like_policy": "like", "servers_out": "out", "servers_in": "back_in"},
 ):
-    """An operator asks for the change that makes the resources what a file says, or takes servers out or in.
+    """Request of an operator for the change that makes the resources match a file or moves servers out or in.
 
     Attributes
     ----------
@@ -106,9 +106,9 @@
     file, upload, like_policy
         As in ProposeCall.
     servers_out, servers_in : list of str
-        Servers to take out, and to put back in.
+        Servers to take out of service, and to put back.
     partial : bool
-        Whether resources that the file does not hold stay as they are.
+        Whether resources that the file does not declare stay unchanged.
     delete : list of str
         Resources to delete, as KIND/NAME.
     """
@@ -129,20 +129,20 @@
 
 
 class DraftReply(Message, frozen=True):
-    """The reply.
+    """Reply to a DraftCall.
 
     Attributes
     ----------
     policy : str
-        The policy that the change is made on.
+        The policy that the change is based on.
     change : str
-        The change, base64; empty where nothing differs, or where it is too long.
+        The change, base64; empty if nothing differs, or if the change is too long for a reply.
     operations : int
-        Their number.
+        The number of operations in the change.
     lines : list of str
-        What the change does, for people.
+        A human-readable description of the change.
     draft : str
-        Its id where it is too long; it is fetched as draft/ID.
+        The id of a change that is too long for a reply; it is fetched as draft/ID.
     """
 
     policy: str
@@ -153,36 +153,39 @@
 
 
 class ChangeCall(Message, frozen=True):
-    """Somebody proposes a change of resources: base64 of its MessagePack, or the id of an upload."""
+    """Proposal of a change of resources: its MessagePack in base64, or the id of an upload that holds it."""
 
     change: str = ""
     upload: UploadId = ""
 
 
 class ChangeOutcome(str, Enum):
-    """What became of a change, as one voter knows it."""
+    """The outcome of a change, as far as one voter knows it."""
 
     QUEUED = "queued"
     UNDER_WAY = "under way"
-    IN_FORCE = "in force"  # decided; some nodes may serve under the policy before yet
+    IN_FORCE = "in force"  # decided; some nodes may still serve under the previous policy
     REJECTED = "refused"  # this voter will not propose it
-    UNKNOWN = "unknown"  # it was not proposed here, or that is forgotten: it may be proposed again
+    UNKNOWN = "unknown"  # not proposed here, or its record was dropped; it may be proposed again
 
 
 class ChangeReply(Message, frozen=True):
-    """The reply to a proposal of a change, and to a question about it.
+    """Reply to a proposal of a change, and to a query about one.
 
     Attributes
     ----------
     id : str
+        The id of the change.
     outcome : ChangeOutcome
     policy : str
-        The entry that holds the change.
+        The name of the policy (log entry) that holds the change.
     epoch : int
-        In force: the epoch since which it is, or a later one; under way: the epoch that names it.
+        For a change in force, the epoch that brought it in force, or a later one. For one under way, the
+        epoch that names its policy.
     wait_ms : int
-        Until it is decided, estimated.
+        Estimated time until the change is decided.
     problems : list of ChangeProblem
+        Why the change was rejected.
     """
 
     id: str
@@ -194,7 +197,7 @@
 
 
 class DropCall(Message, frozen=True, rename={"forwarded": "passed"}):
-    """An operator drops a change, or a voter forwards that."""
+    """Request of an operator to drop a change, possibly forwarded by a voter."""
 
     change: str
     forwarded: bool = False
--- a/hollybay/consensus/outgoing_requests.py
+++ b/hollybay/consensus/outgoing_requests.py
@@ -1,4 +1,4 @@
-"""Requests of one process to others, one at a time or to many at once, and their replies."""
+"""Requests of one process to others, individually or to many at once, and their replies."""
 
 from __future__ import annotations
 
@@ -15,23 +15,23 @@
 
 __all__ = ["CALL_LIMIT_S", "PeerClient"]
 
-CALL_LIMIT_S = 1.0  # seconds that a call may take
-FIRST_ERROR_STATUS = 400  # from this HTTP status on an answer is a refusal or a failure
+CALL_LIMIT_S = 1.0  # default time limit of a request, seconds
+FIRST_ERROR_STATUS = 400  # HTTP statuses from this one on are errors
 
 _T = TypeVar("_T")
 
 
 class PeerClient:
-    """Sends requests to processes by their addresses (host:port); those to this process never leave it.
+    """Sends requests to addresses (host:port) of processes; those to its own address are handled locally.
 
     Parameters
     ----------
     own_address : str
-        Where this process is called.
+        The admin address of this process.
     transport : Transport
-        Carries a request to another process.
+        Sends a request to another process.
     local : callable
-        Answers a request to this process, from its path and body.
+        Handles a request to this process, given its path and body.
     """
 
     def __init__(
@@ -43,7 +43,7 @@
         self.own_address = own_address
         self.transport = transport
         self.local = local
-        self.calls = 0  # that left this process
+        self.calls = 0  # requests sent to other processes
 
     async def call(self, address: str, path: str, body: bytes | None, limit: float = CALL_LIMIT_S) -> bytes:
         """Send a request and return the body of the reply.
@@ -54,12 +54,12 @@
         body : bytes or None
             None for GET.
         limit : float
-            How long it may take, seconds.
+            Time limit for the reply, seconds.
 
         Raises
         ------
         CallFailedError
-            There was no reply, or one whose status is an error.
+            There was no reply in time, or its status is an error.
         """
         if address == self.own_address:
             answer = await self.local(path, body)
@@ -70,7 +70,7 @@
         return await self.transport(address, path, body, limit)
 
     async def reaches(self, address: str, path: str, body: bytes, limit: float = CALL_LIMIT_S) -> bool:
-        """Whether a request is answered within `limit` seconds, and without an error."""
+        """Send a request; returns whether there is a reply without an error within `limit` seconds."""
         try:
             await self.call(address, path, body, limit)
         except CallFailedError:
@@ -80,7 +80,7 @@
     async def all_answers(
         self, addresses: list[str], path: str, body: bytes | None, kind: type[_T], limit: float = CALL_LIMIT_S
     ) -> list[tuple[str, _T]]:
-        """All replies of a kind that come within `limit` seconds, with the addresses they came from."""
+        """Send a request to several processes; returns the replies within `limit` seconds, with addresses."""
         return [reply async for reply in self.answers(addresses, path, body, kind, limit)]
 
     async def answers(
@@ -89,10 +89,12 @@
         path: str,
         body: bytes | None,
         kind: type[_T],
-        more: float,
+        gather_s: float,
         voter_sets: VoterSets = (),
     ) -> AsyncGenerator[tuple[str, _T]]:
-        """Replies of a kind as they come, with the addresses they came from; failures are left out.
+        """Send a request to several processes; yields replies with their addresses as they arrive.
+
+        Failed requests are left out.
 
         Parameters
         ----------
@@ -101,16 +103,16 @@
         body : bytes or None
             None for GET.
         kind : type
-            The message that a reply holds.
-        more : float
-            For how long replies are awaited, seconds; where there are voter sets, once a majority of each
-            has replied.
+            The type of the message in a reply.
+        gather_s : float
+            How long to wait for replies, seconds. With voter sets, this time begins when a majority of each
+            voter set has replied.
         voter_sets : VoterSets
         """
         loop = asyncio.get_running_loop()
         waiting = {loop.create_task(self._decoded(address, path, body, kind)) for address in addresses}
         replied: set[int] = set()
-        end: float | None = None if voter_sets else loop.time() + more
+        end: float | None = None if voter_sets else loop.time() + gather_s
         try:
             while waiting:
                 left = None if end is None else max(0.0, end - loop.time())
@@ -121,7 +123,7 @@
                     replied.add(voter_number(address))
                     yield address, reply
                 if end is None and has_quorum(voter_sets, replied):
-                    end = loop.time() + more
+                    end = loop.time() + gather_s
         finally:
             for task in waiting:
                 task.cancel()
@@ -131,7 +133,7 @@
 
 
 def _successes(done: Iterable[asyncio.Task[tuple[str, _T]]]) -> Iterator[tuple[str, _T]]:
-    """The replies of requests that have ended; those that failed are left out."""
+    """The replies to finished requests, without those that failed."""
     for task in done:
         try:
             reply = task.result()
--- a/hollybay/consensus/persisted_acceptor.py
+++ b/hollybay/consensus/persisted_acceptor.py
@@ -1,4 +1,4 @@
-"""What an acceptor keeps on disk: its votes and promises, and the history of epochs."""
+"""The durable part of an acceptor: its decided epoch, promise and vote, and the history of epochs."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 
 
 class PersistedAcceptor(msgspec.Struct, frozen=True, array_like=True):
-    """The record on disk.
+    """The record of an acceptor on disk.
 
-    Encoded as an array: the order of the fields is fixed.
+    It is encoded as an array, so the order of the fields must not change.
 
     Attributes
     ----------
@@ -24,7 +24,7 @@
     longest_lease : int
         The longest lease that it may have granted, with its grace time, ns.
     history : list of HistoryEntry
-        The last epochs that it learned.
+        The last epochs that the acceptor learned.
     """
 
     decided: EpochState
@@ -36,7 +36,7 @@
 
     @classmethod
     def of(cls, acceptor: Acceptor, longest_lease: int, history: list[HistoryEntry]) -> PersistedAcceptor:
-        """What must outlive the process of an acceptor."""
+        """The record for an acceptor."""
         return cls(
             acceptor.decided,
             acceptor.promised,
@@ -48,7 +48,7 @@
 
     @classmethod
     def decode(cls, data: bytes, where: str) -> PersistedAcceptor:
-        """The record from its bytes; `where` they come from. StoreError: they are none."""
+        """Decode a record; `where` names its origin in errors. StoreError: the data is not a record."""
         try:
             persisted: PersistedAcceptor = msgspec.msgpack.decode(data, type=cls)
         except msgspec.DecodeError as error:
@@ -56,11 +56,11 @@
         return persisted
 
     def encode(self) -> bytes:
-        """The bytes of the record."""
+        """Encode the record."""
         return msgspec.msgpack.encode(self)
 
     def acceptor(self, number: int) -> Acceptor:
-        """The acceptor as it was, without its leases: these are not on disk."""
+        """The acceptor with the recorded state, without its leases, which are not durable."""
         return Acceptor(
             number, self.decided, self.promised, self.accepted, last_barred_epoch=self.last_barred_epoch
         )
--- a/hollybay/consensus/proposer.py
+++ b/hollybay/consensus/proposer.py
@@ -1,4 +1,4 @@
-"""The proposer of the protocol in `core`: it brings the group one epoch further. No I/O."""
+"""The proposer of the protocol in `core`, which moves the group to the next epoch. No I/O."""
 
 from __future__ import annotations
 
@@ -22,26 +22,26 @@
 
 
 class Proposer(NamedTuple):
-    """Brings the group one epoch further; any voter may be one at any time.
+    """The state of a proposer; any voter may act as one at any time.
 
     Attributes
     ----------
     number : int
-        Its own number.
+        The number of the proposing process.
     voter_sets : VoterSets
-        Those of the epoch before.
+        The voter sets of the decided epoch.
     proposal : EpochState
-        The epoch that it proposes; one that a voter has voted for takes its place.
+        The epoch to propose, unless a voter has already voted for another one.
     ballot : Ballot
-        The ballot of the present round.
+        The ballot of the current round.
     promises : tuple of Promise
-        Those of this round.
+        The promises received in this round.
     value : EpochState or None
-        The epoch that it asks votes for, once a quorum has promised.
+        The epoch that votes are requested for, once a quorum has promised.
     votes : frozenset of int
-        The voters that have voted for it.
+        The voters that have voted for `value`.
     decided : EpochState or None
-        The epoch, once a quorum has voted.
+        The decided epoch, once a quorum has voted.
     """
 
     number: int
@@ -54,13 +54,17 @@
     decided: EpochState | None = None
 
     def begin_ballot(self, highest_number: int) -> tuple[Proposer, Prepare]:
-        """Begin a round, with a ballot above a number that was seen."""
+        """Begin a round with a ballot above the highest number that was seen."""
         ballot = (highest_number + 1, self.number)
         begun = self._replace(ballot=ballot, promises=(), value=None, votes=frozenset())
         return begun, Prepare(ballot, self.proposal.epoch - 1)
 
     def on_promise(self, promise: Promise) -> tuple[Proposer, Accept | None]:
-        """Count a promise; with those of a quorum it asks for votes."""
+        """Count a promise. Once a quorum has promised, return the request for votes.
+
+        The request is for the epoch of the highest ballot that one of the quorum has voted for, if there is
+        one: it may already be decided. Otherwise it is for `proposal`.
+        """
         if promise.ballot != self.ballot or self.value is not None:
             return self, None
         if any(counted.voter == promise.voter for counted in self.promises):
@@ -73,7 +77,7 @@
         return counted._replace(value=value), Accept(self.ballot, value)
 
     def on_accepted(self, vote: Accepted) -> tuple[Proposer, Decided | None]:
-        """Count a vote; with those of a quorum the epoch is decided."""
+        """Count a vote. Once a quorum has voted, the epoch is decided."""
         if vote.ballot != self.ballot or self.decided is not None:
             return self, None
         counted = self._replace(votes=self.votes | {vote.voter})
@@ -83,5 +87,5 @@
 
 
 def highest_ballot_number(ballots: Iterable[Ballot]) -> int:
-    """The highest number among ballots; 0 where there is none."""
+    """The highest number among some ballots; 0 if there are none."""
     return max((number for number, _ in ballots), default=0)
--- a/hollybay/consensus/protocol_messages.py
+++ b/hollybay/consensus/protocol_messages.py
@@ -1,4 +1,4 @@
-"""Requests and replies of the protocol: leases, ballots, and what a voter knows."""
+"""Requests and replies of the protocol: leases, ballots, and the state of voters."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
     frozen=True,
     rename={"request": "ask", "address": "door", "grace": "late", "cannot_serve_any": "whole"},
 ):
-    """A leaseholder requests a lease of a voter.
+    """Request of a leaseholder to a voter for a lease.
 
     Attributes
     ----------
@@ -48,15 +48,15 @@
         The version of the messages, MESSAGE_VERSION.
     request : LeaseRequest
     name, address : str
-        The name of the process, and where it is called.
+        The name and the admin address of the process.
     lease, grace : int
-        How long it counts the lease, and the grace time after it, ns.
+        The duration of the lease as measured by the leaseholder, and of the grace time after it, ns.
     reasons : list of str
-        Why it cannot serve the new policy.
+        Why the process cannot serve the new policy.
     culprits : dict
-        The reasons by the ids of the changes of the batch that it cannot serve, as far as it knows.
+        By id, the changes of the batch that it cannot serve, with the reasons, as far as they are known.
     cannot_serve_any : bool
-        Whether it could serve no new policy now, whatever that holds.
+        Whether it could not serve any new policy at present, whatever its content.
     """
 
     form: int
@@ -73,7 +73,7 @@
 
 
 class LeaseReply(Message, frozen=True, rename={"decided": "know"}):
-    """The reply: a grant, or the epoch that is decided, or neither."""
+    """Reply to a LeaseCall: a grant, the decided epoch if the request names an earlier one, or neither."""
 
     grant: LeaseGrant | None = None
     decided: EpochState | None = None
@@ -83,7 +83,7 @@
 
 
 class PrepareCall(Message, frozen=True, rename={"prepare": "call"}):
-    """A proposer asks for a promise."""
+    """Request of a proposer for a promise."""
 
     form: int
     prepare: Prepare
@@ -92,17 +92,17 @@
 class PrepareReply(
     Message, frozen=True, rename={"decided": "know", "decided_epoch": "epoch", "promised_number": "above"}
 ):
-    """The reply.
+    """Reply to a PrepareCall.
 
     Attributes
     ----------
     promise : Promise, optional
     decided : EpochState, optional
-        A later epoch that is decided.
+        A decided epoch later than the one that the proposer builds on.
     decided_epoch : int
-        The last epoch that the voter knows to be decided; -1: none.
+        The last epoch that the voter knows to be decided; -1 if none.
     promised_number : int
-        The number of the ballot that it has promised.
+        The number of the highest ballot that it has promised.
     """
 
     promise: Promise | None = None
@@ -112,7 +112,7 @@
 
 
 class AcceptCall(Message, frozen=True, rename={"accept": "call", "source": "by"}):
-    """A proposer asks for a vote. source: the address of a process that has the policies."""
+    """Request of a proposer for a vote. source: the address of a process that has the policies."""
 
     form: int
     accept: Accept
@@ -125,14 +125,14 @@
     Attributes
     ----------
     name : str
-        The name of its holder.
+        The name of the leaseholder.
     process : int
-        The holder's number.
+        The number of the leaseholder.
     epoch : int
     remaining : int
-        Until it ends, ns.
+        Time until the lease ends, ns.
     cannot_serve : bool
-        Whether it blocks because its holder cannot serve the new policy.
+        Whether it blocks the vote because the leaseholder cannot serve the new policy.
     """
 
     name: str
@@ -155,7 +155,7 @@
         "withheld_because": "why",
     },
 ):
-    """The reply.
+    """Reply to an AcceptCall.
 
     Attributes
     ----------
@@ -164,11 +164,11 @@
     decided, decided_epoch, promised_number
         As in PrepareReply.
     blocking_leases : list of BlockingLease
-        The leases that must end before it may vote.
+        The leases that must end before the voter may vote.
     no_vote_for : int
-        For how long it may vote for nothing, as it has restarted, ns.
+        How long the voter must not vote because it has restarted, ns.
     withheld_because : str
-        Why it does not vote, for people.
+        A human-readable reason why it does not vote.
     """
 
     accepted: Accepted | None = None
@@ -180,11 +180,11 @@
     withheld_because: str = ""
 
 
-# Knowledge
+# Decided epochs
 
 
 class DecidedNotice(Message, frozen=True, rename={"source": "by"}):
-    """An epoch is decided. source: the address of a process that has the policies."""
+    """Notice that an epoch is decided. source: the address of a process that has the policies."""
 
     form: int
     state: EpochState
@@ -196,18 +196,18 @@
     frozen=True,
     rename={"bootstrapped": "founded", "has_promised": "promised", "decided": "state"},
 ):
-    """What a voter knows, for one that knows nothing.
+    """What a voter knows, for a voter that has no state.
 
     Attributes
     ----------
     bootstrapped : bool
-        Whether it has begun at all.
+        Whether the voter has a state.
     has_promised : bool
-        Whether it has promised any ballot since the last epoch.
+        Whether it has promised a ballot since the last decided epoch.
     decided : EpochState, optional
         The last epoch that it knows to be decided.
     accepted : EpochState, optional
-        The epoch that it has voted for after that one.
+        The next epoch that it has voted for.
     """
 
     bootstrapped: bool
@@ -217,7 +217,7 @@
 
 
 class HistoryEntry(Message, frozen=True, rename={"learned_at": "at"}):
-    """One epoch in a voter's history; also on its disk. learned_at: its wall clock when it learned it, ms."""
+    """One epoch in a voter's history, also as stored on disk. learned_at: the voter's wall clock, ms."""
 
     state: EpochState
     learned_at: int
--- a/hollybay/consensus/queries.py
+++ b/hollybay/consensus/queries.py
@@ -1,4 +1,4 @@
-"""GET requests: the log's entries, the history of epochs, what became of a change, and differences."""
+"""GET requests: status, log entries, the history of epochs, outcomes of changes, and policy differences."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
 
 __all__ = ["Queries"]
 
-PIECEWISE_KINDS = frozenset({"since", "snapshot", "draft"})
+CHUNKED_KINDS = frozenset({"since", "snapshot", "draft"})
 
 
 class Queries:
-    """Answers requests that change nothing.
+    """Handles requests that only read state.
 
     Parameters
     ----------
@@ -35,7 +35,7 @@
     proposals : Proposals
     log_server : LogServer
     status : callable
-        Gives the status of this process.
+        Returns the status of this process.
     """
 
     def __init__(
@@ -56,7 +56,7 @@
         self.status = status
 
     async def answer(self, path: str) -> Response:
-        """Answer one of these requests, by its path."""
+        """Handle a request, given its path below /-/policy/."""
         if path == "":
             return ok(self.status())
         if path == "tell":
@@ -70,8 +70,8 @@
             return ok(self.proposals.change_status(name, self.voter.require_acceptor()))
         if kind == "diff":
             return await self._difference(name)
-        if kind in PIECEWISE_KINDS:
-            return await self._piece(path)
+        if kind in CHUNKED_KINDS:
+            return await self._chunk(path)
         return rejected(NOT_FOUND, "no such call")
 
     def _entry(self, name: str) -> Response:
@@ -80,15 +80,15 @@
             return rejected(NOT_FOUND, f"no policy {name} here")
         return Response(OK, messages.policy_to_text(policy).encode())
 
-    async def _piece(self, path: str) -> Response:
+    async def _chunk(self, path: str) -> Response:
         try:
-            piece = await self.log_server.chunk(path)
+            chunk = await self.log_server.chunk(path)
         except LogTruncatedError as error:
             return rejected(LOG_TRUNCATED_STATUS, str(error))
-        return ok(piece) if piece is not None else rejected(NOT_FOUND, "no such call")
+        return ok(chunk) if chunk is not None else rejected(NOT_FOUND, "no such call")
 
     async def _difference(self, names: str) -> Response:
-        """How two policies differ (diff/NAME/NAME), as lines for people."""
+        """The differences between two policies (diff/NAME/NAME) as human-readable lines."""
         old_name, _, new_name = names.partition("/")
         before, after = self.log.state(old_name), self.log.state(new_name)
         old, new = self.log.policy(old_name), self.log.policy(new_name)
--- a/hollybay/consensus/reasons.py
+++ b/hollybay/consensus/reasons.py
@@ -1,10 +1,10 @@
-"""Why something is not done: a policy is not served, a vote is withheld, a proposal does not begin.
+"""Reasons why a policy is not served, a vote is withheld, or a proposal does not begin.
 
-Each kind of reason is a class. Its text, `str(reason)`, is published: it goes over the wire, into logs and to
-the command line. The texts stand here and nowhere else, and tests/golden holds their bytes.
+Each kind of reason is a class. Its text, `str(reason)`, is published: it is sent over the wire, logged and
+printed by the command line. The texts are defined only here, and tests/golden pins them byte for byte.
 
-What another process says is a `ReportedReason`, a text alone: it may come from another version of this code.
-Why a change of resources is rejected is said by `hollybay.resources.rejection_reasons`.
+A reason from another process is a `ReportedReason`, which is text only, as that process may run another
+version of this code. `hollybay.resources.rejection_reasons` defines why changes of resources are rejected.
 """
 
 from __future__ import annotations
@@ -30,12 +30,12 @@
     "texts_of",
 ]
 
-# A reason as another process gave it.
+# Text of a reason that another process reported.
 ReportedReason = NewType("ReportedReason", str)
 
 
 class Reason(ABC):
-    """A reason; `str` gives its published text."""
+    """A reason; `str` returns its published text."""
 
     __slots__ = ()
 
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Shortened(Reason):
-    """A reason whose text was longer than a message may hold."""
+    """A reason whose text was cut to the maximum length in a message."""
 
     text: str
 
@@ -79,7 +79,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NotPersisted(Reason):
-    """The disk does not take a record.
+    """A record could not be written to disk.
 
     Parameters
     ----------
@@ -95,7 +95,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PrunedSinceFetch(Reason):
-    """The log was pruned after the policy was fetched. Published without a text."""
+    """The log was pruned after the policy was fetched. Its published text is empty."""
 
     def __str__(self) -> str:
         return ""
@@ -103,14 +103,14 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberReason(Reason):
-    """A reason that a node gave a voter with its request for a lease.
+    """A reason that a node reported to a voter with a lease request.
 
     Parameters
     ----------
     member
         The name of the node.
     reason
-        What it reported.
+        The reason that it reported.
     """
 
     member: str
@@ -125,7 +125,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Uninitialized(Reason):
-    """The voter has not begun, or lost its disk and has not recovered from the others."""
+    """The voter has no state: it was not bootstrapped, or it lost its disk and has not recovered yet."""
 
     def __str__(self) -> str:
         return "it knows nothing yet"
@@ -138,7 +138,7 @@
     Parameters
     ----------
     policies
-        The names of those that the epoch names.
+        The names of all policies that the epoch names.
     """
 
     policies: tuple[str, ...]
@@ -149,7 +149,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Barred(Reason):
-    """The voter lost its disk and may have voted for the epoch before.
+    """The voter lost its disk and may have voted for the epoch before that.
 
     Parameters
     ----------
@@ -163,7 +163,7 @@
         return f"mute up to epoch {self.last_barred_epoch}"
 
 
-# Why a proposed policy never began
+# Why the change to a proposed policy never began
 
 
 @dataclass(frozen=True, slots=True)
@@ -184,14 +184,14 @@
 
 @dataclass(frozen=True, slots=True)
 class SupersededOrDropped(Reason):
-    """A later epoch is decided that does not name the policy."""
+    """A later epoch, which does not name the policy, is decided."""
 
     def __str__(self) -> str:
         return "another change came first, or it was dropped"
 
 
 def bounded(reasons: Iterable[Reason], max_reasons: int, max_length: int) -> tuple[Reason, ...]:
-    """At most `max_reasons` reasons, each with a text of at most `max_length` characters."""
+    """The first `max_reasons` reasons, each with a text of at most `max_length` characters."""
     return tuple(reason.shortened(max_length) for reason in reasons)[:max_reasons]
 
 
--- a/hollybay/consensus/record.py
+++ b/hollybay/consensus/record.py
@@ -1,8 +1,8 @@
-"""A record on disk: bytes that tell whether they are complete.
+"""Encoding of records on disk, with a checksum that shows whether a record is complete.
 
 Pure. A record is a header (magic, version, sequence number, length of the data), a checksum of header and
-data, and the data. A torn record, a file of another program and a record of a newer build are told apart
-from data and from each other, so that a process that must not vote can say why.
+data, and the data. Decoding distinguishes torn records, files of other programs and records of newer builds,
+so that a process that must not vote can report the reason.
 """
 
 from __future__ import annotations
@@ -26,20 +26,20 @@
 _VERSION = 1
 _CHECKSUM_BYTES = 16
 _SEQUENCE_LIMIT = 1 << 64
-# The longest data of a record, where no other limit is given.
+# Default limit for the data of a record, bytes.
 MAX_RECORD_BYTES = 8 << 20
-# At least the bytes that a record has beside its data: a reader reads so many more.
+# Upper bound for the bytes of a record other than its data; readers read this many more than the data limit.
 RECORD_OVERHEAD_BYTES = 256
 
 
 class RecordIntegrity(Enum):
-    """What the bytes of a file are. The values are published: the suffixes of quarantined files."""
+    """Result of checking the bytes of a file. The values are published: suffixes of quarantined files."""
 
     INTACT = "sound"
     EMPTY = "empty"
-    TORN = "torn"  # begins as a record of ours, and is incomplete or altered
-    FOREIGN = "foreign"  # another program's
-    NEWER = "newer"  # of a build whose version of records this one does not know
+    TORN = "torn"  # begins like a record, but is incomplete or altered
+    FOREIGN = "foreign"  # written by another program
+    NEWER = "newer"  # written by a newer build, in a record version unknown to this one
 
 
 @dataclass(frozen=True, slots=True)
@@ -49,11 +49,11 @@
     Parameters
     ----------
     integrity
-        What the bytes are.
+        Whether the record is intact, and if not, why.
     sequence
-        One more than the record before; 0 unless it is intact.
+        The sequence number of the record; 0 unless it is intact.
     data
-        Empty unless it is intact.
+        The data of the record; empty unless it is intact.
     """
 
     integrity: RecordIntegrity
@@ -66,28 +66,31 @@
 
 
 def encode_record(sequence: int, data: bytes, max_bytes: int = MAX_RECORD_BYTES) -> bytes:
-    """The bytes of a record.
+    """Encode a record.
 
     Parameters
     ----------
     sequence
-        One more than the record before.
+        The sequence number, one more than that of the previous record.
     max_bytes
-        The longest data.
+        Limit for the length of the data.
 
     Raises
     ------
     ValueError
-        The sequence number is out of range, or the data too long.
+        The sequence number is out of range, or the data is too long.
     """
     if not 0 <= sequence < _SEQUENCE_LIMIT or len(data) > max_bytes:
-        raise ValueError(f"a record of count {sequence} and {len(data)} bytes")
+        raise ValueError(
+            f"record {sequence} of {len(data)} bytes: "
+            f"expected a number from 0 to {_SEQUENCE_LIMIT - 1} and at most {max_bytes} bytes"
+        )
     header = _HEADER.pack(_MAGIC, _VERSION, sequence, len(data))
     return header + _checksum(header, data) + data
 
 
 def decode_record(encoded: bytes) -> DecodedRecord:
-    """A record from its bytes; nothing is taken as data unless all of it is as it was written."""
+    """Decode a record; data is returned only if the record is intact."""
     if not encoded:
         return DecodedRecord(RecordIntegrity.EMPTY)
     if encoded[: len(_MAGIC)] != _MAGIC[: len(encoded)]:
--- a/hollybay/consensus/replies.py
+++ b/hollybay/consensus/replies.py
@@ -1,4 +1,4 @@
-"""Responses to requests, by what they say."""
+"""Construction of responses to requests."""
 
 from __future__ import annotations
 
@@ -20,29 +20,29 @@
     "rejected",
 ]
 
-# The requests of operators that ask for a change: a rejection is a conflict with what is in force.
+# Requests for a change. Their rejections are conflicts with the policy in force (409, not 400).
 CHANGING_PATHS = frozenset({"found", "propose", "drop", "draft"})
 
 
 def ok(message: object, status: int = OK) -> Response:
-    """A response with a message."""
+    """A response that holds a message."""
     return Response(status, messages.encode(message))
 
 
 def rejected(status: int, reason: str, problems: Sequence[str] | None = None) -> Response:
-    """A response that rejects a request; problems: all that was found, if there is a list of them."""
+    """A response that rejects a request; problems: all problems found, if they are listed."""
     if problems is None:
         return ok({"refused": reason}, status)
     return ok({"refused": reason, "problems": problems}, status)
 
 
 def busy(reason: str, seconds: float) -> Response:
-    """A response that asks to repeat the request after some seconds."""
+    """A response that asks the client to repeat the request after some seconds."""
     return ok({"refused": reason, "retry_after_ms": max(1, int(1000 * seconds))}, UNAVAILABLE)
 
 
 async def answered(path: str, work: Awaitable[Response]) -> Response:
-    """The response to a request, also where it raised an error that the caller is told."""
+    """The response to a request; errors that concern the client become responses, too."""
     try:
         return await work
     except InvalidFileError as error:
--- a/hollybay/consensus/request_content.py
+++ b/hollybay/consensus/request_content.py
@@ -1,4 +1,4 @@
-"""What operators' requests carry or refer to: files, uploads, changes, and resources of an earlier policy."""
+"""Content of operators' requests: files, uploads, changes, and resources of an earlier policy."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class RequestContent:
-    """Reads what requests carry or refer to."""
+    """Reads the content that requests carry or refer to."""
 
     def __init__(self, environment: Environment, replica: LogReplica, uploads: Uploads) -> None:
         self.environment = environment
@@ -27,7 +27,7 @@
         self.uploads = uploads
 
     def file(self, file: str, upload: str) -> bytes:
-        """An operator file out of a request, in base64, or one that was uploaded before it."""
+        """The operator file in a request: in base64, or uploaded before."""
         if upload:
             return self.uploads.content(upload)
         try:
@@ -36,18 +36,18 @@
             raise RejectedError(f"file: {error}") from None
 
     async def read_file(self, file: str, upload: str, state: ResourceState) -> OperatorFileChanges:
-        """How such a file differs from the resources. InvalidFileError: it does not hold."""
+        """The differences between an operator file and resources. InvalidFileError: the file is invalid."""
         return await self.environment.data_plane.read_operator_file(self.file(file, upload), state)
 
     async def change(self, change: str, upload: str) -> Change:
-        """A change out of a request, in base64, or one that was uploaded before it."""
+        """The change in a request: in base64, or uploaded before."""
         if not upload:
             return messages.change_from_text(change)
         complete = self.uploads.content(upload)
         return await run_on_disk(self.environment.disk, lambda: messages.change_from_bytes(complete))
 
     async def operations_to_match(self, state: ResourceState, name: str) -> tuple[Operation, ...]:
-        """The operations that make the resources what they were after a policy."""
+        """The operations that restore the resources of an earlier policy."""
         wanted = self.replica.log.state(name)
         if wanted is None:
             raise RejectedError(f"like: the resources after {name} are not kept here")
--- a/hollybay/consensus/requests.py
+++ b/hollybay/consensus/requests.py
@@ -1,4 +1,4 @@
-"""How a process calls another one, and a policy that is fetched by its name. No I/O of its own."""
+"""The interface for requests to other processes, and fetching a policy by name. No I/O of its own."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 
 __all__ = ["NO_ANSWER", "CallFailedError", "Transport", "fetch_policy"]
 
-NO_ANSWER = 0  # the status of a call that was not answered
+NO_ANSWER = 0  # status of a request without a response
 
 
 class CallFailedError(Exception):
-    """A call had no answer, or its answer is an error, which may be a rejection.
+    """A request had no response, or its response is an error, which may be a rejection.
 
     Parameters
     ----------
     reason
-        Why there was no answer, or what the answer says.
+        Why there was no response, or the body of the response.
     status
-        The HTTP status of the answer; `NO_ANSWER`: there was none.
+        The HTTP status of the response; `NO_ANSWER` if there was none.
     """
 
     def __init__(self, reason: str, status: int = NO_ANSWER) -> None:
@@ -31,26 +31,26 @@
 
 
 class Transport(Protocol):
-    """Makes calls to other processes."""
+    """Sends requests to other processes."""
 
     def __call__(self, address: str, path: str, body: bytes | None, limit: float, /) -> Awaitable[bytes]:
-        """Make a call; the body of its answer.
+        """Send a request and return the body of the response.
 
         Parameters
         ----------
         address
-            Of the admin endpoint of the other process.
+            The address of the admin endpoint of the other process.
         path
-            Below `/-/policy/`.
+            The path below `/-/policy/`.
         body
-            Of a POST; None: it is a GET.
+            The body of a POST request; None for GET.
         limit
-            How long the answer is awaited, s.
+            Time limit for the response, s.
 
         Raises
         ------
         CallFailedError
-            No answer in time, or an error.
+            There was no response in time, or it is an error.
         """
         ...
 
@@ -58,12 +58,12 @@
 async def fetch_policy(
     call: Callable[[str, str, bytes | None], Awaitable[bytes]], addresses: Iterable[str], name: str
 ) -> PolicyVersion | None:
-    """A policy without its changes, from the first of these addresses that has it; None: none has.
+    """Fetch a policy, without its changes, from the first address that has it; None if none has.
 
     Parameters
     ----------
     call
-        Makes a call, by address, path and body.
+        Sends a request, given address, path and body.
     """
     for address in addresses:
         try:
--- a/hollybay/consensus/service.py
+++ b/hollybay/consensus/service.py
@@ -1,14 +1,14 @@
-"""A member of the replicated configuration log: joins the parts of one process and routes requests to them.
+"""A member of the replicated configuration log: connects the parts of one process and routes its requests.
 
-The parts reach other processes through the `Transport` and their node through the `DataPlane` that they are
-given, so that the same code runs over sockets (`hollybay.proxy.consensus_member`) and on a virtual clock
+The parts communicate with other processes only through a `Transport`, and with their node only through a
+`DataPlane`, so the same code runs over sockets (`hollybay.proxy.consensus_member`) and on a virtual clock
 (`hollybay.simulation.accord_rehearsal`).
 
 See Also
 --------
 hollybay.consensus.lease_client : renews the lease that requests are served under
 hollybay.consensus.voter : votes for epochs and grants leases
-hollybay.consensus.coordinator : brings a change through its epochs
+hollybay.consensus.coordinator : takes a change through its epochs
 """
 
 from __future__ import annotations
@@ -57,35 +57,35 @@
 
 @dataclass(frozen=True, slots=True)
 class _Route:
-    """How a POST request is answered.
+    """The handler of a POST request.
 
     Attributes
     ----------
     message : type
-        What its body holds.
+        The type of the message in the body.
     handler : callable
     is_long : bool
-        Whether it may take longer than a caller waits.
-    of_voter : bool
-        Whether only a voter answers it, whatever its body holds.
+        Whether the request may take longer than a client waits.
+    voter_only : bool
+        Whether a process that is not a voter rejects the request before it decodes the body.
     """
 
     message: type
     handler: _Handler
     is_long: bool = False
-    of_voter: bool = False
+    voter_only: bool = False
 
 
 class Service:
-    """One process's part in the replicated configuration log.
+    """A member of the replicated configuration log.
 
     Parameters
     ----------
     settings : MemberSettings
     transport : Transport
-        Carries requests to other processes.
+        Sends requests to other processes.
     data_plane : DataPlane
-        The node that policies are put in force at.
+        The node at which policies are put in force.
     clock, wall_clock, disk, rng, boot_id, before_disk_step, may_vote_here
         See `Environment`.
     """
@@ -119,11 +119,11 @@
         self.proposals = Proposals(self.log, clock)
         self.uploads = Uploads()
         self.long_requests = LongRequests(self.tasks)
-        self._join_roles()
-        self._join_requests()
+        self._create_roles()
+        self._create_handlers()
 
-    def _join_roles(self) -> None:
-        """The roles of this process in the protocol."""
+    def _create_roles(self) -> None:
+        """Create the protocol roles of this process."""
         environment = self.environment
         fetcher = Fetcher(
             self.log,
@@ -149,8 +149,8 @@
             self.tasks.spawn,
         )
 
-    def _join_requests(self) -> None:
-        """The requests that this process answers."""
+    def _create_handlers(self) -> None:
+        """Create the request handlers of this process."""
         environment, replica, voter = self.environment, self.replica, self.voter
         serviceability = self.lease_client.serviceability
         content = RequestContent(environment, replica, self.uploads)
@@ -179,7 +179,7 @@
         self._routes = self._build_routes()
 
     def _build_routes(self) -> dict[str, _Route]:
-        """The handlers of requests that have a body, by path."""
+        """The handlers of POST requests, by path."""
         voter = self.voter
         return {
             "know": _Route(messages.DecidedNotice, self._on_decided_notice),
@@ -190,17 +190,17 @@
             "drop": _Route(messages.DropCall, self.policy_requests.on_drop),
             "found": _Route(messages.BootstrapCall, self.bootstrap.on_bootstrap, is_long=True),
             "join": _Route(messages.DecidedNotice, voter.on_join),
-            "ask": _Route(messages.LeaseCall, voter.on_lease_call, of_voter=True),
-            "prepare": _Route(messages.PrepareCall, voter.on_prepare_call, of_voter=True),
-            "accept": _Route(messages.AcceptCall, voter.on_accept_call, of_voter=True),
+            "ask": _Route(messages.LeaseCall, voter.on_lease_call, voter_only=True),
+            "prepare": _Route(messages.PrepareCall, voter.on_prepare_call, voter_only=True),
+            "accept": _Route(messages.AcceptCall, voter.on_accept_call, voter_only=True),
         }
 
-    # Start and end
+    # Start and shutdown
 
     async def start(self) -> None:
-        """Take up what is on disk, and begin to request leases.
+        """Restore the state on disk, and begin to request leases.
 
-        A log or a record that cannot be read is logged, and the process goes on without it.
+        If the log or a record cannot be read, an event is logged and the process continues without it.
         """
         data_plane = self.environment.data_plane
         try:
@@ -217,34 +217,34 @@
         self.tasks.spawn(self.coordinator.run())
 
     def close(self) -> None:
-        """Cancel all that is under way."""
+        """Cancel all background tasks."""
         self.tasks.cancel_all()
 
-    # What requests begin under
+    # Policies in force
 
     @property
     def policies_in_force(self) -> tuple[str, ...]:
-        """The policies that were put in force at the node last."""
+        """The policies that were last put in force at the node."""
         return self.lease_client.policies_in_force
 
     @property
     def acceptor(self) -> DurableAcceptor | None:
-        """The acceptor here; None: this process is no voter."""
+        """The acceptor of this process; None if it is not a voter."""
         return self.voter.acceptor
 
     def may_begin_request(self) -> bool:
-        """Whether a request may begin now; what it is served under is in force then."""
+        """Whether a request may begin now; if so, the policies that apply to it are in force at the node."""
         return self.lease_client.may_begin_request()
 
     # Requests
 
     async def answer(self, path: str, body: bytes | None) -> Response:
-        """Answer a request of an operator or of another process.
+        """Handle a request of an operator or of another process.
 
         Parameters
         ----------
         path : str
-            After /-/policy/.
+            The path below /-/policy/.
         body : bytes or None
             None for GET.
         """
@@ -257,7 +257,7 @@
         route = self._routes.get(path)
         if route is None:
             return rejected(NOT_FOUND, "no such call")
-        if route.of_voter:
+        if route.voter_only:
             self.voter.require_acceptor()
         message: Any = messages.decode(body, route.message)
         if route.is_long:
@@ -265,25 +265,25 @@
         return await route.handler(message)
 
     async def _on_decided_notice(self, notice: messages.DecidedNotice) -> Response:
-        """An epoch is decided; what follows from it takes its time."""
+        """Learn of a decided epoch in the background, as fetching its policies may take long."""
         self.tasks.spawn(self.voter.learn_as_voter_and_leaseholder(notice.state, notice.source))
         return Response(OK, b"{}")
 
     async def _on_upload(self, call: messages.UploadCall) -> Response:
-        """One piece of what is too long for one request."""
+        """Take one chunk of an upload."""
         self.uploads.add(call, self.clock())
         return Response(OK, b"{}")
 
     # Epochs
 
     def _on_learned(self, state: EpochState) -> None:
-        """The leaseholder knows a later epoch, and has its policies."""
+        """Called when the leaseholder has learned of a later epoch, whose policies are on disk."""
         self.voter.become_voter()
         if state.stage is Stage.SETTLED and self.voter.acceptor is None:
             self.tasks.spawn(self._prune(state))
 
     def _on_decided(self, acceptor: DurableAcceptor, state: EpochState) -> None:
-        """The acceptor knows a later epoch to be decided."""
+        """Called when the acceptor has learned that a later epoch is decided."""
         if state.stage is Stage.SETTLED:
             dropped = self.coordinator.end_drops()
             self.tasks.spawn(self._prune(state))
@@ -294,13 +294,13 @@
         self.coordinator.wake()
 
     def _prune(self, state: EpochState) -> Coroutine[Any, Any, None]:
-        """Drop the entries that neither this epoch nor the node needs."""
+        """Remove log entries that neither this epoch nor the node needs."""
         return self.replica.prune({state.policy, *self.policies_in_force})
 
     # Status
 
     def status(self) -> dict[str, object]:
-        """What this process knows, for people and for `hollybay policy`."""
+        """The status of this process, for operators and `hollybay policy`."""
         now = self.clock()
         holder = self.lease_client.leaseholder
         unserviceable = self.lease_client.serviceability.unserviceable
--- a/hollybay/consensus/serviceability.py
+++ b/hollybay/consensus/serviceability.py
@@ -13,7 +13,7 @@
 
 __all__ = ["Serviceability", "Unserviceable", "bounded_reasons"]
 
-MAX_UNSERVICEABLE_KEPT = 64  # policies whose reasons are kept
+MAX_UNSERVICEABLE_KEPT = 64  # policies for which reasons are kept
 MAX_REASON_LENGTH = 400  # characters
 
 
@@ -25,9 +25,9 @@
     ----------
     reasons : tuple of Reason
     culprits : mapping
-        The reasons by the ids of the changes at fault, as far as these are known.
+        The changes that cause the failure, as far as they are known: reasons by id of the change.
     cannot_serve_any : bool
-        Whether the node could serve no new policy now, whatever it holds.
+        Whether the node could not serve any new policy at present, whatever its content.
     """
 
     reasons: tuple[Reason, ...]
@@ -36,19 +36,19 @@
 
 
 def bounded_reasons(reasons: Iterable[Reason]) -> tuple[Reason, ...]:
-    """Reasons within the bounds of a message."""
+    """Limit reasons to the number and length that a message may hold."""
     return bounded(reasons, messages.MAX_REASONS, MAX_REASON_LENGTH)
 
 
 class Serviceability:
-    """Makes policies ready to be served, and notes those that cannot be.
+    """Prepares policies for serving, and keeps track of those that cannot be served.
 
     Parameters
     ----------
     data_plane : DataPlane
     replica : LogReplica
     on_marked, on_cleared : callable
-        Take the name of a policy that cannot be served, and of one that may be again.
+        Called with the name of a policy when it is marked as unserviceable, and when the mark is cleared.
     """
 
     def __init__(
@@ -65,7 +65,7 @@
         self._on_cleared = on_cleared
 
     async def prepare(self, entry: Entry) -> tuple[Reason, ...]:
-        """Make a policy that is on disk ready to be served; the reasons why it cannot be, if any."""
+        """Prepare a policy on disk for serving; returns the reasons why it cannot be served, if any."""
         name = entry.policy.name
         known = self.unserviceable.get(name)
         if known is not None:
@@ -77,19 +77,19 @@
         return reasons
 
     def mark(self, name: str, why: Unserviceable) -> None:
-        """Note that a policy cannot be served."""
+        """Mark a policy as unserviceable."""
         self.unserviceable[name] = why
         self._on_marked(name)
         while len(self.unserviceable) > MAX_UNSERVICEABLE_KEPT:
             self.unserviceable.pop(next(iter(self.unserviceable)))
 
     def clear(self, name: str) -> None:
-        """Forget that a policy cannot be served."""
+        """Clear the mark of an unserviceable policy."""
         self.unserviceable.pop(name, None)
         self._on_cleared(name)
 
     async def _culprits(self, entry: Entry, reasons: tuple[Reason, ...]) -> dict[str, tuple[Reason, ...]]:
-        """The changes of a batch by which it cannot be served; empty: they are not known."""
+        """The changes in a batch that make it unserviceable, with reasons; empty if they are not known."""
         policy = await self.replica.read(entry.policy.name)
         base = self.replica.log.entry(entry.policy.parent_name)
         if policy is None or policy.changes is None or base is None or base.state is None:
--- a/hollybay/consensus/status.py
+++ b/hollybay/consensus/status.py
@@ -1,7 +1,7 @@
-"""The status of a member for people: its lease and, where it is a voter, what it knows of the group.
+"""The status of a member for operators: its lease and, if it is a voter, what it knows of the group.
 
-The functions read what they are given and change nothing. They return maps that become the JSON of
-GET /-/policy, whose keys are published (docs/OPERATORS-accord.md); times in them are seconds.
+The functions have no side effects. They return the mappings that are the JSON of GET /-/policy, whose keys
+are published (docs/OPERATORS-accord.md); times in them are in seconds.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 __all__ = ["ChangeProgress", "members", "node_status", "voter_status"]
 
-SECONDS_DIGITS = 3  # after the point
+SECONDS_DIGITS = 3  # decimal places of times
 
 
 @dataclass(frozen=True, slots=True)
@@ -33,13 +33,13 @@
     Attributes
     ----------
     queued : int
-        Changes that wait for the next batch.
+        Number of changes that wait for the next batch.
     pending : str
-        The policy that is about to begin; empty: none.
+        Name of the policy whose change is about to begin; empty if none.
     rejected : mapping
-        Policies that never began, and why.
+        Names of policies whose change never began, with the reasons.
     coordinating : str
-        The policy that this voter coordinates; empty: none.
+        Name of the policy that this voter coordinates; empty if none.
     blocking_leases : sequence of BlockingLease
         The leases that the next epoch waits for.
     """
@@ -63,24 +63,24 @@
     requests_in: int,
     requests_out: int,
 ) -> dict[str, object]:
-    """What a node serves under, and until when.
+    """The policies that a node serves under, and until when.
 
     Parameters
     ----------
     settings : MemberSettings
     holder : Leaseholder
     now : int
-        ns, of the clock of its leases.
+        The time on the clock of the leases, ns.
     process : int
         The number of the process.
     voters : sequence of str
-        The addresses of those whose leases it needs.
+        The addresses of the voters that leases are requested from.
     unserviceable : mapping
-        Policies that it cannot serve, and why.
+        Names of policies that the node cannot serve, with the reasons.
     failed_fetches : mapping
-        Addresses that did not give what was fetched from them, and why.
+        Addresses from which a fetch failed, with the reasons.
     requests_in, requests_out : int
-        Requests that were received, and sent.
+        Numbers of requests received and sent.
     """
     state = holder.effective_epoch
     has_lease = now < holder.lease_end
@@ -106,7 +106,7 @@
 def voter_status(
     acceptor: DurableAcceptor | None, log: PolicyLog, changes: ChangeProgress, grace: int, now: int
 ) -> dict[str, object]:
-    """What a voter knows of the group ("keeper"), or that there is none, or that it knows nothing and why.
+    """The status of the voter ("keeper"); None if there is no voter, or it has no state ("keeper_waits").
 
     Parameters
     ----------
@@ -114,9 +114,9 @@
     log : PolicyLog
     changes : ChangeProgress
     grace : int
-        For how long a node may serve on after its lease, ns.
+        How long a node may continue to serve after its lease, ns.
     now : int
-        ns, of the clock of the leases.
+        The time on the clock of the leases, ns.
     """
     if acceptor is None:
         return {"keeper": None}
@@ -164,7 +164,7 @@
 
 
 def members(acceptor: DurableAcceptor, now: int) -> list[dict[str, object]]:
-    """The processes that request leases of a voter, by name; none where it knows nothing yet. now: ns."""
+    """The processes that request leases from a voter, sorted by name; empty if it has no state. now: ns."""
     if acceptor.state is None:
         return []
     lease_ends: dict[int, int] = {}
@@ -181,7 +181,7 @@
             "able": member.can_serve_new,
             "left_s": _seconds_until(lease_ends.get(process, 0), now),
             "heard_s": round((now - member.last_contact) / SECOND, SECONDS_DIGITS),
-            # Two processes of one name: an upgrade, or a name that two have been given.
+            # Two processes with one name: an upgrade in progress, or a name that was assigned twice.
             "twice": names.count(member.name) > 1 and lease_ends.get(process, 0) > now,
         }
         for process, member in sorted(known.items(), key=lambda item: item[1].name)
@@ -189,5 +189,5 @@
 
 
 def _seconds_until(end: int, now: int) -> float:
-    """The time until a moment, both ns, in seconds; 0 once it has passed."""
+    """The time in seconds from `now` until `end`, both in ns; 0 if `end` has passed."""
     return round(max(0, end - now) / SECOND, SECONDS_DIGITS)
--- a/hollybay/consensus/store.py
+++ b/hollybay/consensus/store.py
@@ -1,8 +1,8 @@
-"""The last record of one process on disk, in two generations: whatever the process sends is on disk first.
+"""Durable storage for the latest record of a process, kept in two files (generations).
 
-Each record replaces the older of two files (see `durable_file`). So at any time one complete record is on the
-disk, and after a crash the newer of the intact ones counts. A file that holds no record is quarantined: it is
-renamed with its integrity as suffix, and is never read as data.
+Each write replaces the older of the two files (see `durable_file`), so one complete record is on disk at any
+time; after a crash the newer intact record is used. A file without an intact record is quarantined: it is
+renamed, with its integrity as suffix, and is never read as data.
 """
 
 from __future__ import annotations
@@ -27,36 +27,36 @@
 
 
 class StoreError(Exception):
-    """A record is not on disk, or is damaged or of a newer build; nothing may be sent on it."""
+    """A record could not be written, or is damaged or of a newer build; no message may rely on it."""
 
 
 class Store:
-    """The records of one process under NAME.0 and NAME.1 in a folder.
+    """The latest record of a process, in the files NAME.0 and NAME.1 of a folder.
 
     Parameters
     ----------
     folder
-        It is made when the store is opened.
+        The folder; it is created when the store is opened.
     name
-        The beginning of the names of its files.
+        The common prefix of the file names.
     before_step
-        Called before each step on the disk, with the value of a `durable_file.WriteStep`.
+        Called before each disk operation with the value of a `durable_file.WriteStep`.
 
     Attributes
     ----------
     paths
-        The files of the generations.
+        The files of the two generations.
     sequence
-        The sequence number of the last record; 0: there is none.
+        The sequence number of the latest record; 0 if there is none.
     data
-        The last record.
+        The data of the latest record.
     current_generation
-        The index of the file that holds it; the other one is written next.
+        The index of the file that holds the latest record; the other file is written next.
     quarantined
-        Files that were quarantined, under their new names.
+        The new paths of quarantined files.
     may_be_stale
-        Whether a generation was damaged. No crash damages one, only a disk: the last record may be lost with
-        it, and a voter must first recover from the others.
+        Whether one of the files was damaged. A crash cannot damage a file, only a disk fault can. The lost
+        file may have held the latest record, so a voter must recover from the others first.
     """
 
     def __init__(self, folder: Path, name: str, before_step: Callable[[str], None] = no_step) -> None:
@@ -71,13 +71,14 @@
         self.before_step = before_step
 
     def open(self) -> bytes | None:
-        """Read the last intact record; None: there never was one.
+        """Read the latest intact record; None if no record was ever written.
 
         Raises
         ------
         StoreError
-            The folder cannot be read, a record is of a newer build, or both generations are damaged: then it
-            is not known what this process sent, and it must recover before it sends more.
+            The folder cannot be read, a record is of a newer build, or no file holds an intact record
+            although one was written. In the last case it is unknown which messages relied on the lost
+            records, and the process must recover from the others before it sends any.
         """
         intact: list[tuple[int, int, bytes]] = []  # sequence, generation, data
         is_damaged = False
@@ -103,7 +104,7 @@
         return self.data
 
     def _read(self, path: Path) -> DecodedRecord:
-        """Read one generation. StoreError: it is of a newer build."""
+        """Read one generation. StoreError: a newer build wrote it."""
         with path.open("rb") as file:
             record = decode_record(file.read(MAX_RECORD_BYTES + RECORD_OVERHEAD_BYTES))
         if record.integrity is RecordIntegrity.NEWER:
@@ -116,12 +117,12 @@
         self.quarantined.append(quarantined)
 
     def put(self, data: bytes) -> None:
-        """Write a record; once this returns it may be sent.
+        """Write a record; once this returns, messages may rely on it.
 
         Raises
         ------
         StoreError
-            It may not be.
+            The record may not be on disk.
         """
         encoded = encode_record(self.sequence + 1, data)
         older_generation = 1 - self.current_generation
--- a/hollybay/consensus/voter.py
+++ b/hollybay/consensus/voter.py
@@ -1,4 +1,4 @@
-"""The voter of this process, if it is one: its replies to leaseholders and proposers, and what it learns."""
+"""The voter of this process: replies to leaseholders and proposers, and learns decided epochs."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 __all__ = ["Voter"]
 
-CATCH_UP_LIMIT_S = 0.3  # seconds for which other voters are asked for a later epoch
+CATCH_UP_LIMIT_S = 0.3  # seconds to wait for replies of other voters about a later epoch
 
 
 class Voter:
@@ -33,9 +33,9 @@
     replica : LogReplica
     peers : PeerClient
     learn_as_leaseholder : callable
-        Lets the leaseholder of this process learn of an epoch, from an address that has its policies.
+        Called with an epoch for the leaseholder of this process, and an address that has its policies.
     on_decided : callable
-        Takes the acceptor and an epoch that it has learned to be decided.
+        Called with the acceptor and the decided epoch that it has learned of.
     """
 
     def __init__(
@@ -51,20 +51,20 @@
         self.peers = peers
         self.acceptor: DurableAcceptor | None = None
         self.log_is_open = False
-        self._lock = asyncio.Lock()  # the acceptor answers one message after another
+        self._lock = asyncio.Lock()  # the acceptor handles one message at a time
         self._learn_as_leaseholder = learn_as_leaseholder
         self._on_decided = on_decided
 
-    # Beginnings
+    # Becoming a voter
 
     def require_acceptor(self) -> DurableAcceptor:
-        """The acceptor here. NoVoterError: this process is no voter."""
+        """The acceptor of this process. NoVoterError: it is not a voter."""
         if self.acceptor is None:
             raise NoVoterError
         return self.acceptor
 
     def become_voter(self) -> None:
-        """Be a voter, if this process is named as one and is none yet."""
+        """Become a voter if this process is named as one and no other process is the voter of its name."""
         if self.acceptor is not None or not self.log_is_open:
             return
         if self.replica.own_address not in self.replica.known_addresses:
@@ -96,14 +96,14 @@
         return acceptor
 
     async def bootstrap(self, acceptor: DurableAcceptor, policy: PolicyVersion) -> None:
-        """Begin under the first policy, which is on disk."""
+        """Bootstrap an acceptor with the first policy, which is on disk."""
         async with self._lock:
             await acceptor.bootstrap(policy)
 
-    # Learning
+    # Learning epochs
 
     async def recover_acceptor(self) -> None:
-        """An acceptor that knows nothing asks all other voters what they know."""
+        """Recover an acceptor without state from what the other voters know."""
         acceptor = self.acceptor
         if acceptor is None or acceptor.state is not None:
             return
@@ -124,7 +124,7 @@
     async def _recover_from(
         self, acceptor: DurableAcceptor, known: dict[str, messages.KnowledgeReply]
     ) -> None:
-        """Take up what other voters know, if they are a quorum and have the policies."""
+        """Recover from other voters, if they are a quorum and the policies they name can be fetched."""
         latest = max(reply.decided for reply in known.values() if reply.decided is not None)
         source = next(address for address, reply in known.items() if reply.decided == latest)
         if not await self.replica.fetch_all(latest, source):
@@ -142,7 +142,7 @@
         self._log_event(LogEvent.VOTER_RECOVERED, epoch=state.decided.epoch, mute=state.last_barred_epoch)
 
     async def acceptor_learns(self, state: EpochState, source: str) -> bool:
-        """Bring a decided epoch to the acceptor, once its policies are on disk.
+        """Let the acceptor learn of a decided epoch, once its policies are on disk.
 
         Parameters
         ----------
@@ -153,12 +153,12 @@
         Returns
         -------
         bool
-            Whether that was news.
+            Whether the epoch was new to the acceptor.
 
         Raises
         ------
         StoreError
-            It could not be written.
+            The new state could not be written to disk.
         """
         acceptor = self.acceptor
         if acceptor is None or acceptor.state is None:
@@ -172,16 +172,16 @@
         if not is_news:
             return False
         if state.stage is Stage.PREPARE:
-            acceptor.reports.forget(state.new)  # of an earlier time that it was proposed
+            acceptor.reports.forget(state.new)  # reports from an earlier proposal of the same policy
         self._on_decided(acceptor, state)
         return True
 
     async def learn(self, state: EpochState, source: str) -> None:
-        """Bring an epoch to the leaseholder of this process."""
+        """Let the leaseholder of this process learn of an epoch."""
         await self._learn_as_leaseholder(state, source)
 
     async def learn_as_voter_and_leaseholder(self, state: EpochState, source: str) -> None:
-        """Bring an epoch to the acceptor and to the leaseholder; a disk that fails is logged."""
+        """Let the acceptor and the leaseholder learn of an epoch; a disk failure is logged."""
         try:
             await self.acceptor_learns(state, source)
         except StoreError as error:
@@ -189,7 +189,7 @@
         await self.learn(state, source)
 
     async def catch_up(self) -> None:
-        """Learn from the other voters whether there is a later epoch."""
+        """Ask the other voters for a later epoch, and learn it."""
         acceptor = self.require_acceptor()
         assert acceptor.state is not None
         addresses = self.replica.other_voters(acceptor.state.decided)
@@ -202,7 +202,7 @@
     # Requests of other processes
 
     async def on_lease_call(self, call: messages.LeaseCall) -> Response:
-        """A leaseholder requests a lease."""
+        """Reply to a leaseholder that requests a lease."""
         acceptor = self.require_acceptor()
         if call.request.state is not None:
             await self.acceptor_learns(call.request.state, call.address)
@@ -210,20 +210,20 @@
             return ok(acceptor.grant_lease(call))
 
     async def on_prepare_call(self, call: messages.PrepareCall) -> Response:
-        """A proposer asks for a promise."""
+        """Reply to a proposer that requests a promise."""
         acceptor = self.require_acceptor()
         async with self._lock:
             return ok(await acceptor.prepare(call.prepare))
 
     async def on_accept_call(self, call: messages.AcceptCall) -> Response:
-        """A proposer asks for a vote; the policies of the epoch come first."""
+        """Reply to a proposer that requests a vote, after fetching the policies of the epoch."""
         acceptor = self.require_acceptor()
         await self.replica.fetch_all(call.accept.state, call.source)
         async with self._lock:
             return ok(await acceptor.accept(call.accept))
 
     async def on_join(self, notice: messages.DecidedNotice) -> Response:
-        """Be a voter of the next policy: learn all from the present ones before it is proposed."""
+        """Become a voter of the next policy, and recover from the current voters before it is proposed."""
         for name in policies_named(notice.state):
             fetched = await self.replica.fetch(name, notice.source)
             if fetched.policy is not None:
@@ -236,7 +236,7 @@
         return Response(200, b"{}")
 
     def knowledge(self) -> Response:
-        """What the acceptor knows, for one that knows nothing."""
+        """What the acceptor knows, for a voter that has no state."""
         return ok(self.require_acceptor().knowledge())
 
     def _log_event(self, event: LogEvent, **fields: object) -> None:
--- a/hollybay/consensus/voter_client.py
+++ b/hollybay/consensus/voter_client.py
@@ -1,4 +1,4 @@
-"""Calls of an operator to the voters: their status, uploads, and calls that take long."""
+"""Client of the voters for operators: polls of their status, uploads, and requests that take long."""
 
 from __future__ import annotations
 
@@ -32,33 +32,33 @@
     "retry_after_s",
 ]
 
-# Time between two polls of what became of a change.
+# Time between two polls of the outcome of a change.
 POLL_INTERVAL_S = 0.05
-# How long a call that takes long is repeated.
+# How long a long-running request is repeated.
 LONG_CALL_LIMIT_S = 300.0
-# How often in a row such a call may remain without an answer.
+# Consecutive attempts at such a request without a response after which it fails.
 MAX_UNANSWERED_ATTEMPTS = 5
-# The longest time that a voter may tell an operator to wait.
+# Upper limit for the time that a voter may ask a client to wait.
 MAX_RETRY_AFTER_S = 60.0
-# A longer file or change is uploaded in chunks.
+# Longer files and changes are uploaded in chunks.
 MAX_INLINE_BYTES = CHUNK_BYTES // 2
 UPLOAD_ID_BYTES = 16
 
 T = TypeVar("T")
-# Makes a call, by address, path and body.
+# Sends a request, given address, path and body.
 Call = Callable[[str, str, bytes | None], Awaitable[bytes]]
 
 
 @dataclass(frozen=True, slots=True)
 class FileArgument:
-    """A file in a call.
+    """A file as an argument of a request.
 
     Parameters
     ----------
     text
-        Its bytes in base64; None: there is none, or it was uploaded.
+        The file in base64; None if there is none or it was uploaded.
     upload
-        The id under which it was uploaded, or "".
+        The id under which the file was uploaded, or "".
     """
 
     text: str | None = None
@@ -66,14 +66,14 @@
 
 
 class VoterClient:
-    """Calls voters for an operator, who may lose any of them at any time.
+    """Sends requests of an operator to the voters, any of which may fail at any time.
 
     Parameters
     ----------
     call
-        Makes a call, by address, path and body. CallFailedError: it had no answer, or one with an error.
+        Sends a request, given address, path and body. CallFailedError: no response, or an error.
     addresses
-        Processes that are known at first.
+        Addresses of the processes to poll first.
     on_update
         Called with the view after each refresh, if given.
     """
@@ -90,7 +90,7 @@
         self.view = ClusterView()
 
     async def refresh(self) -> ClusterView:
-        """Poll all processes that are known, and the voters that they name."""
+        """Poll all known processes, and the voters that they name."""
         view = self.view
         view.statuses = {}
         view.documents = {}
@@ -114,7 +114,7 @@
     async def _poll(
         self, addresses: list[str], path: str, parse: Callable[[object], T]
     ) -> list[tuple[str, Any, T]]:
-        """Address, JSON document and parsed value of each answer, in the order of the addresses."""
+        """Address, JSON document and parsed value of each response, in the order of the addresses."""
 
         async def poll(address: str) -> tuple[str, Any, T] | None:
             try:
@@ -127,7 +127,7 @@
         return [answer for answer in answers if answer is not None]
 
     def voters_in_order(self, view: ClusterView) -> list[str]:
-        """The voters that answer, those of the latest policy first: so most operators call the same one."""
+        """The voters that responded, those of the latest policy first, so most operators use the same one."""
         current = view.latest.voters if view.latest is not None else ()
         return sorted(view.voters, key=lambda address: (address not in current, address))
 
@@ -144,7 +144,7 @@
             self.view.voters_by_policy[name] = list(policy.voters)
 
     async def file_argument(self, address: str, file: bytes | None) -> FileArgument:
-        """A file as it goes into a call to a voter; uploads it if it is long."""
+        """Turn a file into an argument of a request to a voter; uploads it if it is long."""
         if file is None:
             return FileArgument()
         if len(file) <= MAX_INLINE_BYTES:
@@ -152,14 +152,14 @@
         return FileArgument(upload=await self.upload(address, file))
 
     async def upload(self, address: str, data: bytes) -> str:
-        """Upload data that is too long for a call; its id. CallFailedError: the voter does not accept it."""
+        """Upload data that is too long for a request; returns its id. CallFailedError: a chunk failed."""
         upload_id = blake2b(data, digest_size=UPLOAD_ID_BYTES).hexdigest()
         for chunk in upload_calls(upload_id, data):
             await self.call(address, "upload", encode(chunk))
         return upload_id
 
     async def call_until_done(self, address: str, path: str, body: bytes) -> bytes:
-        """Make a call that takes long: repeated while the voter works on it or is too busy to answer."""
+        """Send a long-running request; repeats it while the voter works on it or does not respond."""
         loop = asyncio.get_running_loop()
         deadline = loop.time() + LONG_CALL_LIMIT_S
         unanswered_attempts = 0
@@ -176,7 +176,7 @@
 
 
 def _details(error: CallFailedError) -> dict[str, Any]:
-    """The JSON object that a voter sent with an error; empty: it sent none."""
+    """The JSON object that a voter sent with an error; empty if it sent none."""
     try:
         details = msgspec.json.decode(str(error).encode("utf-8", "replace"))
     except msgspec.DecodeError:
@@ -185,12 +185,12 @@
 
 
 def reason_in(error: CallFailedError) -> str:
-    """Why a voter rejected a call."""
+    """Why a voter rejected a request."""
     return str(_details(error).get("refused", error))
 
 
 def retry_after_s(error: CallFailedError) -> float | None:
-    """In how many seconds a voter wants to be called again; None: it does not say so."""
+    """After how many seconds a voter asks for the request to be repeated; None if it does not."""
     wait_ms = _details(error).get("retry_after_ms")
     if not isinstance(wait_ms, int) or error.status != UNAVAILABLE:
         return None
@@ -198,7 +198,7 @@
 
 
 def problems_in(error: CallFailedError) -> list[ReportedReason]:
-    """The problems that a voter listed with an error, or the text of the error."""
+    """The problems that a voter listed with an error; the text of the error if it listed none."""
     problems = _details(error).get("problems")
     if not isinstance(problems, list):
         return [ReportedReason(str(error))]
@@ -206,14 +206,14 @@
 
 
 def _reported(problem: object) -> ReportedReason:
-    """A problem as it stands in JSON: an array of resource, field and reason, or a text."""
+    """Decode a problem from JSON: an array of resource, field and reason, or a text."""
     if isinstance(problem, list):
         return ReportedReason(": ".join(str(part) for part in problem if part))
     return ReportedReason(str(problem))
 
 
 def invalid_input(error: CallFailedError) -> InvalidInputError:
-    """The error of a voter that rejected what an operator gave."""
+    """The error to report to an operator whose input a voter rejected."""
     is_conflict = error.status in (CONFLICT, UNPROCESSABLE)
     status = ExitStatus.NOWHERE if is_conflict else ExitStatus.BAD_INPUT
     problems = problems_in(error) if "problems" in _details(error) else ()
--- a/hollybay/consensus/wait_estimate.py
+++ b/hollybay/consensus/wait_estimate.py
@@ -1,4 +1,4 @@
-"""Estimated wait of a proposed change, from the average duration of a batch. Pure; all times are ns."""
+"""Estimate of the wait of a proposed change from the average duration of a batch. Pure; all times are ns."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Backlog:
-    """What a queue has to decide before a change.
+    """The work ahead of a change in its queue.
 
     Parameters
     ----------
@@ -23,9 +23,9 @@
     elapsed_batch_ns
         Age of the batch in progress; None if there is none.
     splits_batches
-        Whether some of the changes are tried in batches of their own.
+        Whether some of the changes are proposed in separate batches.
     longest_wait_ns
-        How long the oldest change that has not ended has waited.
+        How long the oldest undecided change has waited.
     """
 
     average_batch_ns: int
@@ -35,19 +35,19 @@
 
     @property
     def batch_ns(self) -> int:
-        """Expected duration of a batch: one in progress that exceeds the average is the better measure."""
+        """Expected duration of a batch: the average, or the age of the batch in progress if longer."""
         return max(self.average_batch_ns, self.elapsed_batch_ns or 0)
 
 
 def updated_average_ns(average_batch_ns: int, batch_ns: int) -> int:
-    """The average duration of a batch after one more has ended."""
+    """The average duration of a batch, updated with one that has ended."""
     return average_batch_ns + int(AVERAGE_WEIGHT * (batch_ns - average_batch_ns))
 
 
 def estimated_wait_ns(backlog: Backlog, changes: int, size: int, settings: QueueSettings) -> int:
-    """How long the last of `changes` waiting changes of `size` bytes waits until it is decided.
+    """Estimated time until the last of `changes` waiting changes, of `size` bytes in total, is decided.
 
-    The estimate is never below the wait of the changes that are waiting already.
+    The estimate is never below the time that the oldest of them has waited already.
     """
     batches_by_count = -(-changes // settings.max_batch_changes)
     batches_by_bytes = -(-size // settings.max_batch_bytes)
@@ -60,5 +60,5 @@
 
 
 def retry_after_ns(backlog: Backlog, wait_ns: int, settings: QueueSettings) -> int:
-    """When a proposer whose change was not queued may offer it again; wait_ns: its estimated wait."""
+    """When a proposer may offer a change again that was not queued; wait_ns: its estimated wait."""
     return min(settings.max_retry_after_ns, max(backlog.batch_ns, wait_ns - settings.max_wait_ns, 1))
--- a/hollybay/consensus/waiting.py
+++ b/hollybay/consensus/waiting.py
@@ -1,4 +1,4 @@
-"""Waiting for an event no longer than a time."""
+"""Waiting for an event with a timeout."""
 
 from __future__ import annotations
 
--- a/tests/golden/build.py
+++ b/tests/golden/build.py
@@ -802,7 +802,7 @@
         service.lease_client.leaseholder = service.lease_client.leaseholder._replace(
             effective_epoch=at, grace_end=until
         )
-        service.lease_client.remember()
+        service.lease_client.save_grace()
         await asyncio.gather(*service.tasks.running)
 
 
@@ -835,7 +835,7 @@
     service.log.open()
     service.voter.become_voter()
     remembered: GraceRecord = msgspec.msgpack.decode(
-        service.lease_client.memory.store.open() or b"", type=GraceRecord
+        service.lease_client.grace_store.store.open() or b"", type=GraceRecord
     )
     names = service.log.names()
     paths = ["", "tell", "history", *(f"entry/{name}" for name in names)]
@@ -847,7 +847,7 @@
     samples["keeper"] = msgspec.json.encode(tuple(service.acceptor.state))
     samples["counts"] = b"%d %d" % (
         service.acceptor.store.sequence,
-        service.lease_client.memory.store.sequence,
+        service.lease_client.grace_store.store.sequence,
     )
     samples["set_aside"] = msgspec.json.encode(service.log.quarantined)
     for name in names:
