--- a/hollybay/consensus/bootstrap.py
+++ b/hollybay/consensus/bootstrap.py
@@ -98,11 +98,11 @@
         ]
         if bootstrapped or own.has_promised or (own.decided is not None and own.decided.epoch):
             where = ", ".join(bootstrapped) or self.settings.address
-            raise RejectedError(f"founded already at {where}; a keeper learns from the others by itself")
+            raise RejectedError(f"founded already at {where}; a voter without state recovers from the others")
         if len(replies) < len(others):
             unanswered = ", ".join(address for address in others if address not in replies)
             raise RejectedError(
-                f"keepers: {unanswered} did not answer; all must be there when an accord begins"
+                f"keepers: no reply from {unanswered}; bootstrap needs a reply from every voter"
             )
 
     async def _distribute(self, policy: PolicyVersion, others: list[str]) -> list[str]:
@@ -136,10 +136,10 @@
             raise RejectedError(f"founded already: epoch {known.decided.epoch}, {known.decided.policy}")
         own_voters = ", ".join(self.settings.voters)
         if call.source is None or call.source not in self.settings.voters:
-            raise RejectedError(f"keepers: {own_voters} here, not {call.source}")
+            raise RejectedError(f"keepers: {call.source} is not one of the voters here, {own_voters}")
         policy = await self._obtain_first_policy(call, call.source)
         if self.settings.address not in policy.voters or set(policy.voters) != set(self.settings.voters):
-            raise RejectedError(f"keepers: {own_voters} here, not {', '.join(policy.voters)}")
+            raise RejectedError(f"keepers: expected {own_voters}, got {', '.join(policy.voters)}")
         await self.voter.bootstrap(acceptor, policy)
         return ok({"policy": policy.name})
 
@@ -152,5 +152,5 @@
             raise StoreError(str(fetched.problem))
         if fetched.policy is None:
             reason = self.replica.fetcher.failures.get(source)
-            raise RejectedError(f"policy: {call.policy} is not to be had: {reason}")
+            raise RejectedError(f"policy: {call.policy} could not be fetched from {source}: {reason}")
         return fetched.policy
--- a/hollybay/consensus/errors.py
+++ b/hollybay/consensus/errors.py
@@ -25,4 +25,4 @@
     """A request for a voter was sent to a process that is not one."""
 
     def __init__(self) -> None:
-        super().__init__("no keeper here")
+        super().__init__("keeper: this process is not a voter")
--- a/hollybay/consensus/long_requests.py
+++ b/hollybay/consensus/long_requests.py
@@ -33,12 +33,12 @@
         if task is None:
             self._discard_finished()
             if len(self._under_way) >= MAX_LONG_REQUESTS:
-                return busy("others are worked on", RETRY_AFTER_S)
+                return busy(f"{MAX_LONG_REQUESTS} other long requests are in progress", RETRY_AFTER_S)
             # All long requests are in CHANGING_PATHS, so any of these paths gives the same status codes.
             task = self._under_way[key] = self.tasks.spawn(answered("found", work()))
         await asyncio.wait({task}, timeout=RESPONSE_LIMIT_S)
         if not task.done():
-            return busy("it is worked on", RETRY_AFTER_S)
+            return busy("the request is in progress", RETRY_AFTER_S)
         self._under_way.pop(key, None)
         return task.result()
 
--- a/hollybay/consensus/message_codec.py
+++ b/hollybay/consensus/message_codec.py
@@ -50,7 +50,7 @@
         raise MalformedDataError(f"form: {form}, and this build speaks {MESSAGE_VERSION}")
     for state in _received_states(found):
         if not _is_well_formed(state):
-            raise MalformedDataError(f"state: {_format_state(state)} is none")
+            raise MalformedDataError(f"state: {_format_state(state)} is not a valid epoch")
     return found
 
 
--- a/hollybay/consensus/voter.py
+++ b/hollybay/consensus/voter.py
@@ -232,7 +232,7 @@
         self.become_voter()
         await self.recover_acceptor()
         if self.acceptor is None or self.acceptor.state is None:
-            raise RejectedError("it does not hear a majority of the keepers")
+            raise RejectedError("keepers: could not recover the state from a majority of the voters")
         return Response(200, b"{}")
 
     def knowledge(self) -> Response:
