--- a/tests/golden/build.py
+++ b/tests/golden/build.py
@@ -1,6 +1,6 @@
-"""Builds every sample that a golden file holds. The only module of the pins that names the project's classes.
+"""Builds the samples in the golden files. Only this module of the golden tests uses classes of the project.
 
-A rename in the project changes this module and no golden file.
+A rename in the project changes this module, but no golden file.
 """
 
 from __future__ import annotations
@@ -26,12 +26,12 @@
 from hollybay.admin.metrics import CONTENT_TYPE as METRICS_TYPE
 from hollybay.admin.metrics import MetricsCollector, NodeMetrics
 from hollybay.admin.requests import RejectedRequest, parse_request
-from hollybay.balancing import interface as module
+from hollybay.balancing import interface as balancing
 from hollybay.balancing.bench_codec import encode_action
 from hollybay.balancing.settings_parser import FIELDS as REPORT_FIELDS
 from hollybay.balancing.settings_parser import parse_settings
 from hollybay.cli.main import main as command_line
-from hollybay.consensus import messages as words
+from hollybay.consensus import messages as wire
 from hollybay.consensus.core import (
     Accept,
     Accepted,
@@ -67,29 +67,29 @@
 
 __all__ = [
     "FILES",
-    "again",
     "disk",
     "load_report_read",
     "read_damaged",
     "read_disk",
-    "refusal",
+    "reencoded",
+    "reencoded_text",
+    "rejection",
     "settings_read",
-    "text_again",
-    "text_refusal",
+    "text_rejection",
 ]
 
 # Fixed sample values
 
 NODE = 0x1234_5678_9ABC
-DOOR = "10.0.0.1:7001"
-OTHER_DOOR = "10.0.0.2:7001"
-DOORS = ("10.0.0.1:7001", "10.0.0.2:7001", "10.0.0.3:7001")
+ADDRESS = "10.0.0.1:7001"
+OTHER_ADDRESS = "10.0.0.2:7001"
+ADDRESSES = ("10.0.0.1:7001", "10.0.0.2:7001", "10.0.0.3:7001")
 OLD, NEW = "7-0123456789ab", "8-ba9876543210"
 CHANGE_ID = bytes(range(16))
 UPLOAD_ID = "000102030405060708090a0b0c0d0e0f"
 SETTLED = EpochState(4, Stage.SETTLED, OLD)
 PREPARE = EpochState(5, Stage.PREPARE, OLD, NEW)
-NARROW = EpochState(6, Stage.JOINT, OLD, NEW)
+JOINT = EpochState(6, Stage.JOINT, OLD, NEW)
 BALLOT = (3, NODE)
 
 
@@ -111,28 +111,28 @@
 
 
 def _policies() -> tuple[PolicyVersion, PolicyVersion, ResourceState]:
-    """Two entries of a log, and the resources after the second."""
-    one = first_policy((_first_change(),), DOORS)
+    """Two consecutive log entries, and the resources after the second."""
+    one = first_policy((_first_change(),), ADDRESSES)
     state = EMPTY.with_batch(one.changes or (), 1)
     two, after = successor_policy(one, state, (_second_change(),))
     return one, two, after
 
 
-# Messages between nodes and keepers
+# Messages between nodes and voters
 
 
 def _message_values() -> dict[str, object]:
-    """Each message: with all fields set, and where some may be absent, with only the others set."""
-    w = words
+    """A sample of each message with all fields set, and of some messages with only the required fields."""
+    w = wire
     one, two, _ = _policies()
     change = w.change_to_text(_second_change())
-    ask = LeaseRequest(NODE, 9, PREPARE, 4, False)
+    lease_request = LeaseRequest(NODE, 9, PREPARE, 4, False)
     return {
         "asking": w.LeaseCall(
             w.MESSAGE_VERSION,
-            ask,
+            lease_request,
             "n-1",
-            DOOR,
+            ADDRESS,
             2_000_000_000,
             500_000_000,
             ["route 'x': no such class"],
@@ -140,17 +140,17 @@
             True,
         ),
         "asking.first": w.LeaseCall(
-            w.MESSAGE_VERSION, LeaseRequest(NODE, 1, None, -1, True), "n-1", DOOR, 2_000_000_000, 0
+            w.MESSAGE_VERSION, LeaseRequest(NODE, 1, None, -1, True), "n-1", ADDRESS, 2_000_000_000, 0
         ),
         "granting": w.LeaseReply(grant=LeaseGrant(NODE, 9, 5)),
-        "granting.know": w.LeaseReply(decided=NARROW),
+        "granting.know": w.LeaseReply(decided=JOINT),
         "granting.neither": w.LeaseReply(),
         "preparing": w.PrepareCall(w.MESSAGE_VERSION, Prepare(BALLOT, 5)),
-        "promising": w.PrepareReply(Promise(NODE, BALLOT, 5, ((2, 7), NARROW)), None, 5, 0),
+        "promising": w.PrepareReply(Promise(NODE, BALLOT, 5, ((2, 7), JOINT)), None, 5, 0),
         "promising.unbound": w.PrepareReply(Promise(NODE, BALLOT, 5, None), None, 5, 0),
         "promising.know": w.PrepareReply(decided=SETTLED, decided_epoch=4, promised_number=8),
-        "accepting": w.AcceptCall(w.MESSAGE_VERSION, Accept(BALLOT, NARROW), DOOR),
-        "voting": w.AcceptReply(Accepted(NODE, BALLOT, NARROW), None, 5),
+        "accepting": w.AcceptCall(w.MESSAGE_VERSION, Accept(BALLOT, JOINT), ADDRESS),
+        "voting": w.AcceptReply(Accepted(NODE, BALLOT, JOINT), None, 5),
         "voting.waits": w.AcceptReply(
             None,
             SETTLED,
@@ -161,14 +161,14 @@
             "mute up to epoch 9",
         ),
         "voting.neither": w.AcceptReply(),
-        "knowing": w.DecidedNotice(w.MESSAGE_VERSION, PREPARE, OTHER_DOOR),
-        "telling": w.KnowledgeReply(True, True, PREPARE, NARROW),
+        "knowing": w.DecidedNotice(w.MESSAGE_VERSION, PREPARE, OTHER_ADDRESS),
+        "telling": w.KnowledgeReply(True, True, PREPARE, JOINT),
         "telling.nothing": w.KnowledgeReply(False),
         "founding": w.BootstrapCall(file="Zm91bmQ="),
         "founding.uploaded": w.BootstrapCall(upload=UPLOAD_ID),
-        "founding.passed": w.BootstrapCall(policy=one.name, entry=w.policy_to_text(one), source=DOOR),
+        "founding.passed": w.BootstrapCall(policy=one.name, entry=w.policy_to_text(one), source=ADDRESS),
         "proposing": w.ProposeCall(
-            "Zm91bmQ=", two.parent.hex(), "why", "ann", ["10.1.0.5:9000"], list(DOORS), UPLOAD_ID, OLD
+            "Zm91bmQ=", two.parent.hex(), "why", "ann", ["10.1.0.5:9000"], list(ADDRESSES), UPLOAD_ID, OLD
         ),
         "proposing.least": w.ProposeCall(None, "", "why"),
         "drafting": w.DraftCall(
@@ -189,30 +189,30 @@
         "changed": w.ProposeReply(NEW, 5),
         "dropping": w.DropCall(NEW),
         "dropping.passed": w.DropCall(NEW, True),
-        "history_entry": w.HistoryEntry(NARROW, 1_700_000_000_000),
+        "history_entry": w.HistoryEntry(JOINT, 1_700_000_000_000),
     }
 
 
 def messages() -> bytes:
-    """Each message as it goes out."""
-    return joined({name: words.encode(value) for name, value in _message_values().items()})
+    """The encoding of each sample message."""
+    return joined({name: wire.encode(value) for name, value in _message_values().items()})
 
 
-def again(name: str, data: bytes) -> bytes:
-    """The golden bytes of a message, decoded and encoded again."""
-    return words.encode(words.decode(data, type(_message_values()[name])))
+def reencoded(name: str, data: bytes) -> bytes:
+    """Decode the golden bytes of a message and encode the result."""
+    return wire.encode(wire.decode(data, type(_message_values()[name])))
 
 
-def refusal(name: str, data: bytes) -> str:
-    """How bytes are refused as a message of this kind: the first words; empty: they are not."""
+def rejection(name: str, data: bytes) -> str:
+    """Decode a message of this kind; returns the error text before its first colon, empty if valid."""
     try:
-        words.decode(data, type(_message_values()[name]))
+        wire.decode(data, type(_message_values()[name]))
     except RejectedError as error:
         return str(error).partition(":")[0]
     return ""
 
 
-# Bytes in a golden message, what they are replaced by, and the case that this makes.
+# Message, name of the case, bytes in the golden message, and their replacement.
 _DAMAGES = (
     ("asking", "form_3", b'"form":2', b'"form":3'),
     ("asking", "door_without_port", b"10.0.0.1:7001", b"10.0.0.1"),
@@ -242,72 +242,72 @@
 
 
 def malformed() -> bytes:
-    """Bytes that are no message, each with the kind that it is taken for, the case and the first words of
-    the refusal, underscores for their spaces."""
-    sound = {name: words.encode(value) for name, value in _message_values().items()}
+    """Malformed messages: kind and case, the error text before its first colon with underscores for spaces,
+    and the bytes."""
+    valid = {name: wire.encode(value) for name, value in _message_values().items()}
     found = {}
     for name, case, old, new in _DAMAGES:
-        if old not in sound[name]:
-            raise ValueError(f"{name}: {case}: nothing to damage")
-        bad = sound[name].replace(old, new, 1)
-        found[f"{name}:{case}"] = refusal(name, bad).replace(" ", "_").encode() + b" " + bad
+        if old not in valid[name]:
+            raise ValueError(f"{name}: {case}: {old!r} is not in the message")
+        bad = valid[name].replace(old, new, 1)
+        found[f"{name}:{case}"] = rejection(name, bad).replace(" ", "_").encode() + b" " + bad
     return joined(found)
 
 
 def fields() -> bytes:
-    """Which fields of each message may be absent, and the message that stands for one without them."""
+    """For each message: its optional fields, its encoding without them, and that re-encoded."""
     found = {}
     for name, value in _message_values().items():
-        whole: dict[str, object] = msgspec.json.decode(words.encode(value))
+        whole: dict[str, object] = msgspec.json.decode(wire.encode(value))
         needed = {
             field: content
             for field, content in whole.items()
-            if refusal(name, msgspec.json.encode({key: whole[key] for key in whole if key != field}))
+            if rejection(name, msgspec.json.encode({key: whole[key] for key in whole if key != field}))
         }
         absent = ",".join(field for field in whole if field not in needed) or "-"
-        least = again(name, msgspec.json.encode(needed))
+        least = reencoded(name, msgspec.json.encode(needed))
         found[name] = absent.encode() + b" " + msgspec.json.encode(needed) + b" " + least
     return joined(found)
 
 
 def values_in_text() -> bytes:
-    """Policies, changes, and the numbers of keepers as they stand inside messages."""
+    """Text encodings of policies and changes, and the numbers of voters, as used in messages."""
     one, two, after = _policies()
     return joined(
         {
-            "policy.first": words.policy_to_text(one).encode(),
-            "policy.second": words.policy_to_text(two).encode(),
-            "policy.second.without_changes": words.policy_to_text(two.without_changes()).encode(),
+            "policy.first": wire.policy_to_text(one).encode(),
+            "policy.second": wire.policy_to_text(two).encode(),
+            "policy.second.without_changes": wire.policy_to_text(two.without_changes()).encode(),
             "policy.second.name": two.name.encode(),
             "policy.second.digest": two.digest.hex().encode(),
             "resources.digest": after.digest.hex().encode(),
-            "change": words.change_to_text(_second_change()).encode(),
-            **{f"keeper_number.{door}": str(words.voter_number(door)).encode() for door in DOORS},
+            "change": wire.change_to_text(_second_change()).encode(),
+            **{f"keeper_number.{address}": str(wire.voter_number(address)).encode() for address in ADDRESSES},
         }
     )
 
 
-def text_again(name: str, data: bytes) -> bytes:
-    """A policy or change in text, decoded and encoded again."""
+def reencoded_text(name: str, data: bytes) -> bytes:
+    """Decode a policy or change from text and encode it again."""
     if name.startswith("policy"):
-        return words.policy_to_text(words.policy_from_text(data.decode())).encode()
-    return words.change_to_text(words.change_from_text(data.decode())).encode()
+        return wire.policy_to_text(wire.policy_from_text(data.decode())).encode()
+    return wire.change_to_text(wire.change_from_text(data.decode())).encode()
 
 
-def text_refusal(name: str, data: bytes) -> str:
-    """How such a text is refused: the first word; empty: it is not."""
+def text_rejection(name: str, data: bytes) -> str:
+    """Decode a text; returns the error text before its first colon, empty if the text is valid."""
     try:
-        text_again(name, data)
+        reencoded_text(name, data)
     except RejectedError as error:
         return str(error).partition(":")[0]
     return ""
 
 
-# Calls as they leave a node
+# Outgoing HTTP requests
 
 
-class _Sink(asyncio.Transport):
-    """Keeps what is written."""
+class _RecordingTransport(asyncio.Transport):
+    """A transport that records the written bytes."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -317,46 +317,46 @@
         self.written += bytes(data)
 
     def abort(self) -> None:
-        """Nothing to end."""
+        """Do nothing: there is no connection."""
 
 
 async def _outgoing(path: str, body: bytes | None) -> bytes:
-    call = admin_client._PolicyCall(DOOR, path, body, "n-1")
-    sink = _Sink()
+    call = admin_client._PolicyCall(ADDRESS, path, body, "n-1")
+    sink = _RecordingTransport()
     call.connection_made(sink)
     call.close()
     return sink.written
 
 
 def outgoing_calls() -> bytes:
-    """The bytes of HTTP of calls with a body, with an empty one, and with none."""
+    """The bytes of HTTP requests with a body, with an empty body, and without one."""
 
     async def work() -> bytes:
-        calls = (("ask", words.encode(words.LeaseReply())), ("drop", b""), ("tell", None), ("", None))
+        calls = (("ask", wire.encode(wire.LeaseReply())), ("drop", b""), ("tell", None), ("", None))
         return b"".join([await _outgoing(path, body) + b"\n--\n" for path, body in calls])
 
     return asyncio.run(work())
 
 
-def uploads_refused() -> bytes:
-    """What uploads and pieces refuse, in words."""
-    good = upload_calls(UPLOAD_ID, b"12345678")[0]
-    other = msgspec.structs.replace
-    pieces = {
-        "no_id": other(good, id=""),
-        "not_base64": other(good, data="?"),
-        "too_short": other(good, data="MTI="),
-        "too_long": other(good, total=(64 << 20) + 1),
-        "gap": words.UploadCall(UPLOAD_ID, 262152, 262144, "MTIzNDU2Nzg="),
+def rejected_uploads() -> bytes:
+    """The error texts for malformed uploads and chunks."""
+    valid = upload_calls(UPLOAD_ID, b"12345678")[0]
+    with_fields = msgspec.structs.replace
+    chunks = {
+        "no_id": with_fields(valid, id=""),
+        "not_base64": with_fields(valid, data="?"),
+        "too_short": with_fields(valid, data="MTI="),
+        "too_long": with_fields(valid, total=(64 << 20) + 1),
+        "gap": wire.UploadCall(UPLOAD_ID, 262152, 262144, "MTIzNDU2Nzg="),
     }
-    found = {name: _refused(partial(Uploads().add, piece, 0)) for name, piece in pieces.items()}
-    found["not_whole"] = _refused(lambda: Uploads().content(UPLOAD_ID))
-    found["piece_at_odd_offset"] = _refused(lambda: chunk_at(NEW, b"12345678", 3))
-    found["piece_past_the_end"] = _refused(lambda: chunk_at(NEW, b"12345678", 262144))
+    found = {name: _rejection_text(partial(Uploads().add, chunk, 0)) for name, chunk in chunks.items()}
+    found["not_whole"] = _rejection_text(lambda: Uploads().content(UPLOAD_ID))
+    found["piece_at_odd_offset"] = _rejection_text(lambda: chunk_at(NEW, b"12345678", 3))
+    found["piece_past_the_end"] = _rejection_text(lambda: chunk_at(NEW, b"12345678", 262144))
     return joined({name: text.encode() for name, text in found.items()})
 
 
-def _refused(work: Callable[[], object]) -> str:
+def _rejection_text(work: Callable[[], object]) -> str:
     try:
         work()
     except RejectedError as error:
@@ -364,11 +364,11 @@
     return "taken"
 
 
-# A keeper's answers, call by call
+# Responses of a voter
 
 
-class _Hands:
-    """Does nothing to a node; operator files are maps of routes and their classes."""
+class _InertDataPlane:
+    """A data plane without a node; its operator files are JSON objects that map routes to classes."""
 
     async def compile_policy(self, entry: Entry) -> list[str]:
         return []
@@ -388,22 +388,22 @@
         return OperatorFileChanges(operations, None)
 
     def apply_policies(self, entries: tuple[Entry, ...]) -> None:
-        """Nothing is served."""
+        """Do nothing."""
 
     def log_event(self, event: str, **fields: object) -> None:
-        """Nothing is written down."""
+        """Do nothing."""
 
 
-async def _at_once(work: Callable[[], None]) -> None:
+async def _run_inline(work: Callable[[], None]) -> None:
     work()
 
 
-async def _nobody(door: str, path: str, body: bytes | None, limit: float) -> bytes:
-    raise CallFailedError(f"{door}: nobody there")
+async def _unreachable(address: str, path: str, body: bytes | None, limit: float) -> bytes:
+    raise CallFailedError(f"{address}: nobody there")
 
 
-class _Clock:
-    """Stands still until it is moved; ns."""
+class _ManualClock:
+    """A clock in ns that changes only when `now` is set."""
 
     def __init__(self) -> None:
         self.now = 50_000_000_000
@@ -413,15 +413,15 @@
 
 
 def _service(folder: Path, clock: Callable[[], int] | None = None) -> Service:
-    """A process that is its tier's only keeper, at a fixed time, with a fixed source of random numbers."""
-    terms = MemberSettings("n-1", DOOR, (DOOR,), 2_000_000_000, 500_000_000, folder)
+    """A process that is the only voter of its group, with fixed clocks and a fixed random seed."""
+    settings = MemberSettings("n-1", ADDRESS, (ADDRESS,), 2_000_000_000, 500_000_000, folder)
     service = Service(
-        terms,
-        _nobody,
-        _Hands(),
-        clock or _Clock(),
+        settings,
+        _unreachable,
+        _InertDataPlane(),
+        clock or _ManualClock(),
         lambda: 1_700_000_000_000,
-        _at_once,
+        _run_inline,
         random.Random(7),
         "boot",
     )
@@ -430,25 +430,25 @@
     return service
 
 
-def _calls() -> list[tuple[str, bytes | None]]:
-    """Calls in the order in which they are made; each path of a keeper at least once."""
-    e = words.encode
-    w = words
-    first_name = "1-d3c835a2254e"  # of the founded policy, as the answer to "found" tells it
+def _sample_requests() -> list[tuple[str, bytes | None]]:
+    """Requests in the order in which they are sent; they include each path of a voter at least once."""
+    e = wire.encode
+    w = wire
+    first_name = "1-d3c835a2254e"  # of the first policy, as in the response to "found"
     digest = "d3c835a2254e8aacc0a775961932666df5a41216cb1324a7ef4fb0da27a6bd37"
-    next_name = "2-842f55a97681"  # and to "propose"
-    found = EpochState(0, Stage.SETTLED, first_name)
-    begun = EpochState(1, Stage.PREPARE, first_name, next_name)
-    me = w.voter_number(DOOR)
+    next_name = "2-842f55a97681"  # as in the response to "propose"
+    first_epoch = EpochState(0, Stage.SETTLED, first_name)
+    prepare_epoch = EpochState(1, Stage.PREPARE, first_name, next_name)
+    own_number = w.voter_number(ADDRESS)
     ballot = (1, NODE)
     change = Change(CHANGE_ID, 1, "a tenant", "ben", (Upsert(Kind.TENANT, "north", 0, b"{}"),))
     stale = Change(CHANGE_ID[::-1], 1, "stale", "ben", (Delete(Kind.ROUTE, "hall-slots", 9),))
     later = Change(CHANGE_ID[::-1], 9, "later", "ben", (Upsert(Kind.TENANT, "south", 0, b"{}"),))
     file = base64.b64encode(b'{"hall-slots":"b"}').decode()
     bad = base64.b64encode(b"no file").decode()
-    ask = LeaseRequest(NODE, 1, found, -1, True)
-    asking = w.LeaseCall(w.MESSAGE_VERSION, ask, "n-1", DOOR, 2_000_000_000, 500_000_000)
-    founding = base64.b64encode(b'{"hall-slots":"a"}').decode()
+    lease_request = LeaseRequest(NODE, 1, first_epoch, -1, True)
+    lease_call = w.LeaseCall(w.MESSAGE_VERSION, lease_request, "n-1", ADDRESS, 2_000_000_000, 500_000_000)
+    first_file = base64.b64encode(b'{"hall-slots":"a"}').decode()
     return [
         ("", None),
         ("tell", None),
@@ -456,13 +456,13 @@
         ("propose", e(w.ProposeCall(None, "", "why"))),
         ("change", e(w.ChangeCall(w.change_to_text(change)))),
         ("draft", e(w.DraftCall("why"))),
-        ("ask", e(asking)),
+        ("ask", e(lease_call)),
         ("prepare", e(w.PrepareCall(w.MESSAGE_VERSION, Prepare(ballot, 0)))),
-        ("accept", e(w.AcceptCall(w.MESSAGE_VERSION, Accept(ballot, found), DOOR))),
+        ("accept", e(w.AcceptCall(w.MESSAGE_VERSION, Accept(ballot, first_epoch), ADDRESS))),
         ("found", e(w.BootstrapCall(bad))),
         ("found", e(w.BootstrapCall("?"))),
-        ("found", e(w.BootstrapCall(founding))),
-        ("found", e(w.BootstrapCall(policy=OLD, source=DOOR))),
+        ("found", e(w.BootstrapCall(first_file))),
+        ("found", e(w.BootstrapCall(policy=OLD, source=ADDRESS))),
         ("", None),
         ("tell", None),
         ("history", None),
@@ -477,19 +477,24 @@
         (f"diff/{first_name}/{OLD}", None),
         (f"change/{CHANGE_ID.hex()}", None),
         (f"draft/{CHANGE_ID.hex()}", None),
-        ("ask", e(asking)),
+        ("ask", e(lease_call)),
         (
             "ask",
             e(
                 w.LeaseCall(
-                    w.MESSAGE_VERSION, LeaseRequest(2, 1, None, -1, True), "n-2", OTHER_DOOR, 1_000_000_000, 0
+                    w.MESSAGE_VERSION,
+                    LeaseRequest(2, 1, None, -1, True),
+                    "n-2",
+                    OTHER_ADDRESS,
+                    1_000_000_000,
+                    0,
                 )
             ),
         ),
-        ("ask", e(w.LeaseCall(w.MESSAGE_VERSION, ask, "n-1", DOOR, 9_000_000_000, 0))),
+        ("ask", e(w.LeaseCall(w.MESSAGE_VERSION, lease_request, "n-1", ADDRESS, 9_000_000_000, 0))),
         ("prepare", e(w.PrepareCall(w.MESSAGE_VERSION, Prepare(ballot, 0)))),
         ("prepare", e(w.PrepareCall(w.MESSAGE_VERSION, Prepare(ballot, 0)))),
-        ("accept", e(w.AcceptCall(w.MESSAGE_VERSION, Accept((0, me), SETTLED), DOOR))),
+        ("accept", e(w.AcceptCall(w.MESSAGE_VERSION, Accept((0, own_number), SETTLED), ADDRESS))),
         ("change", e(w.ChangeCall(w.change_to_text(change)))),
         ("change", e(w.ChangeCall(w.change_to_text(stale)))),
         ("change", e(w.ChangeCall(w.change_to_text(later)))),
@@ -504,14 +509,14 @@
         ("propose", e(w.ProposeCall(file, "", "why"))),
         ("upload", e(upload_calls(UPLOAD_ID, b"12345678")[0])),
         ("upload", e(w.UploadCall("", 8, 0, "MTIzNDU2Nzg="))),
-        ("know", e(w.DecidedNotice(w.MESSAGE_VERSION, found, DOOR))),
-        ("join", e(w.DecidedNotice(w.MESSAGE_VERSION, found, DOOR))),
+        ("know", e(w.DecidedNotice(w.MESSAGE_VERSION, first_epoch, ADDRESS))),
+        ("join", e(w.DecidedNotice(w.MESSAGE_VERSION, first_epoch, ADDRESS))),
         ("propose", e(w.ProposeCall(file, digest, "why", "ann"))),
         ("prepare", e(w.PrepareCall(w.MESSAGE_VERSION, Prepare((2, NODE), 0)))),
-        ("accept", e(w.AcceptCall(w.MESSAGE_VERSION, Accept((2, NODE), begun), DOOR))),
+        ("accept", e(w.AcceptCall(w.MESSAGE_VERSION, Accept((2, NODE), prepare_epoch), ADDRESS))),
         ("tell", None),
         ("prepare", e(w.PrepareCall(w.MESSAGE_VERSION, Prepare((3, NODE), 0)))),
-        ("know", e(w.DecidedNotice(w.MESSAGE_VERSION, begun, DOOR))),
+        ("know", e(w.DecidedNotice(w.MESSAGE_VERSION, prepare_epoch, ADDRESS))),
         ("", None),
         ("drop", e(w.DropCall(next_name))),
         ("drop", e(w.DropCall(OLD))),
@@ -527,10 +532,10 @@
     ]
 
 
-async def _answers(folder: Path) -> bytes:
+async def _voter_responses(folder: Path) -> bytes:
     service = _service(folder)
     pieces = []
-    for path, body in _calls():
+    for path, body in _sample_requests():
         answer = await service.answer(path, body)
         method = b"GET" if body is None else b"POST"
         pieces.append(
@@ -540,20 +545,20 @@
     return b"".join(pieces)
 
 
-def keeper_answers() -> bytes:
-    """What a keeper answers to calls in a row."""
-    return _in_folder(_answers)
+def voter_responses() -> bytes:
+    """The responses of a voter to the requests of `_sample_requests`."""
+    return _in_folder(_voter_responses)
 
 
-# Calls as processes make them, over a tier on a virtual clock
+# Requests between processes in a simulation
 
 
-def _calls_of(seed: int, shape: rehearsal.Shape) -> set[str]:
-    """Method, first_policy part of the path and fields of each call that is made in one run."""
+def _requests_of(seed: int, shape: rehearsal.Shape) -> set[str]:
+    """Method, first part of the path and fields of all requests that are sent in one run."""
     seen: set[str] = set()
     with tempfile.TemporaryDirectory() as folder:
         stage = rehearsal._Stage(seed, shape, Path(folder))
-        carry = stage.call
+        forward = stage.call
 
         async def call(
             caller: rehearsal._Seat | None, door: str, path: str, body: bytes | None, limit: float
@@ -561,21 +566,21 @@
             fields = ",".join(json.loads(body)) if body else ""
             method = "GET" if body is None else "POST"
             seen.add(f"{method} /{path.partition('/')[0]} {fields}".rstrip())
-            return await carry(caller, door, path, body, limit)
+            return await forward(caller, door, path, body, limit)
 
         stage.call = call  # type: ignore[method-assign]
         stage.run()
     return seen
 
 
-def calls_made() -> bytes:
-    """The calls that nodes, keepers and operators of a tier make in two short runs."""
+def requests_made() -> bytes:
+    """The kinds of requests that nodes, voters and operators send in two short simulation runs."""
     changes = rehearsal.Shape(stream=4.0, proposals=0.4, seconds=10.0)
-    seen = _calls_of(2, changes) | _calls_of(1, rehearsal.Shape(proposals=0.6, seconds=12.0))
+    seen = _requests_of(2, changes) | _requests_of(1, rehearsal.Shape(proposals=0.6, seconds=12.0))
     return "".join(f"{line}\n" for line in sorted(seen)).encode()
 
 
-# What operators are answered, and the servers that they have taken out
+# Responses to operators, and the servers that they have drained
 
 SERVERS = [
     {"id": "s-1", "addr": "10.1.0.1:9000", "zone": "a", "kind": "m", "cell": 0, "state": "SERVING"},
@@ -599,33 +604,33 @@
 
 
 @asynccontextmanager
-async def _desk(folder: Path) -> AsyncIterator[AdminService]:
-    """The operators' door of a node that serves nobody; its calls are answered as by a running one."""
+async def _admin_endpoint(folder: Path) -> AsyncIterator[AdminService]:
+    """The admin endpoint of a node that serves no requests."""
     path = folder / "node.json"
     path.write_text(json.dumps(NODE_FILE))
     scratch = folder / "scratch"
     scratch.mkdir(exist_ok=True)
     config = load({"BALANCER_CONFIG": str(path), "TMPDIR": str(scratch)})
     clients, dispatcher, *_ = assemble(config)
-    desk = AdminService(replace(config, admin=("127.0.0.1", 0)), clients, dispatcher)
-    await desk.open()
+    endpoint = AdminService(replace(config, admin=("127.0.0.1", 0)), clients, dispatcher)
+    await endpoint.open()
     try:
-        yield desk
+        yield endpoint
     finally:
-        desk.close()
+        endpoint.close()
         clients.close()
 
 
-async def _spoken(desk: AdminService, sent: bytes) -> bytes:
-    """All that a caller at the door hears until it is closed."""
-    reader, writer = await asyncio.open_connection("127.0.0.1", desk.server.port)
+async def _roundtrip(endpoint: AdminService, sent: bytes) -> bytes:
+    """Send bytes to the admin endpoint; returns all that is received until the connection is closed."""
+    reader, writer = await asyncio.open_connection("127.0.0.1", endpoint.server.port)
     writer.write(sent)
-    heard = await asyncio.wait_for(reader.read(), 10)
+    received = await asyncio.wait_for(reader.read(), 10)
     writer.close()
-    return heard
+    return received
 
 
-def _call_bytes(line: str, body: bytes = b"") -> bytes:
+def _request_bytes(line: str, body: bytes = b"") -> bytes:
     length = b"Content-Length: %d\r\n" % len(body) if body or line.startswith("POST") else b""
     return line.encode() + b" HTTP/1.1\r\nHost: node\r\n" + length + b"\r\n" + body
 
@@ -651,35 +656,37 @@
 )
 
 
-async def _wrong_methods(desk: AdminService) -> list[tuple[bytes, bytes]]:
-    """Each path under each method that it does not take."""
+async def _wrong_methods(endpoint: AdminService) -> list[tuple[bytes, bytes]]:
+    """Requests to each path with each method that it does not allow, and the responses."""
     found = []
     for path in PATHS:
         for method in ("GET", "POST", "PUT", "DELETE"):
-            sent = _call_bytes(f"{method} {path}")
-            heard = await _spoken(desk, sent) if _denied(method, path) else b""
-            if heard:
-                found.append((sent, heard))
+            sent = _request_bytes(f"{method} {path}")
+            received = await _roundtrip(endpoint, sent) if _is_rejected(method, path) else b""
+            if received:
+                found.append((sent, received))
     return found
 
 
-def _denied(method: str, path: str) -> bool:
+def _is_rejected(method: str, path: str) -> bool:
     return isinstance(parse_request(method, path), RejectedRequest)
 
 
-async def _operators(desk: AdminService, sent: Sequence[bytes]) -> list[tuple[bytes, bytes]]:
-    return [(one, await _spoken(desk, one)) for one in sent]
+async def _roundtrips(endpoint: AdminService, sent: Sequence[bytes]) -> list[tuple[bytes, bytes]]:
+    return [(one, await _roundtrip(endpoint, one)) for one in sent]
 
 
-def _exchange(pairs: Sequence[tuple[bytes, bytes]]) -> bytes:
-    """Calls and answers as a text: what was sent, a line >>>>, what was heard, a line ----."""
-    return b"".join(sent + b"\n>>>>\n" + heard + b"\n----\n" for sent, heard in pairs)
+def _format_exchanges(pairs: Sequence[tuple[bytes, bytes]]) -> bytes:
+    """Requests and responses as text: the bytes sent, a line >>>>, the bytes received, a line ----."""
+    return b"".join(sent + b"\n>>>>\n" + received + b"\n----\n" for sent, received in pairs)
 
 
 async def _admin(folder: Path) -> bytes:
-    async with _desk(folder) as desk:
-        pairs = await _operators(desk, [_call_bytes("GET /-/ready"), _call_bytes("GET /-/ready?a=b")])
-        desk.clients.ready = True
+    async with _admin_endpoint(folder) as endpoint:
+        pairs = await _roundtrips(
+            endpoint, [_request_bytes("GET /-/ready"), _request_bytes("GET /-/ready?a=b")]
+        )
+        endpoint.clients.ready = True
         lines = (
             "GET /-/ready",
             "GET /-/servers",
@@ -701,45 +708,45 @@
             "GET /-/policy/tell",
             "POST /-/policy/ask",
         )
-        pairs += await _operators(desk, [_call_bytes(line) for line in lines])
-        desk.clients.is_shutting_down = True
-        pairs += await _operators(desk, [_call_bytes("POST /-/resume")])
-        return _exchange(pairs)
+        pairs += await _roundtrips(endpoint, [_request_bytes(line) for line in lines])
+        endpoint.clients.is_shutting_down = True
+        pairs += await _roundtrips(endpoint, [_request_bytes("POST /-/resume")])
+        return _format_exchanges(pairs)
 
 
-async def _admin_refused(folder: Path) -> bytes:
-    async with _desk(folder) as desk:
-        pairs = await _wrong_methods(desk)
+async def _admin_rejections(folder: Path) -> bytes:
+    async with _admin_endpoint(folder) as endpoint:
+        pairs = await _wrong_methods(endpoint)
         odd = (
-            _call_bytes("POST /-/drain", body=b"x" * 9000),
+            _request_bytes("POST /-/drain", body=b"x" * 9000),
             b"GET /-/ready HTTP/1.1\r\n\r\n",
             b"GET /-/ready HTTP/1.1\r\nHost: node\r\nContent-Length: x\r\n\r\n",
             b"what is this\r\n\r\n",
-            b"GET /-/ready HTTP/1.1\r\nHost: no",  # and nothing more: its time runs out
+            b"GET /-/ready HTTP/1.1\r\nHost: no",  # incomplete: it ends by time-out
         )
-        pairs += await _operators(desk, odd)
-        return _exchange([(sent[:200], heard) for sent, heard in pairs])
+        pairs += await _roundtrips(endpoint, odd)
+        return _format_exchanges([(sent[:200], received) for sent, received in pairs])
 
 
-async def _admin_in_accord(folder: Path) -> bytes:
-    async with _desk(folder) as desk:
-        accord = ConsensusMember.__new__(ConsensusMember)
-        accord.service = _service(folder / "accord")
-        desk.policy_handler = accord
-        desk.server.max_policy_request_bytes = words.MAX_CALL_BYTES
+async def _admin_in_consensus_group(folder: Path) -> bytes:
+    async with _admin_endpoint(folder) as endpoint:
+        member = ConsensusMember.__new__(ConsensusMember)
+        member.service = _service(folder / "accord")
+        endpoint.policy_handler = member
+        endpoint.server.max_policy_request_bytes = wire.MAX_CALL_BYTES
         sent = (
-            _call_bytes("POST /-/servers/s-1/disable"),
-            _call_bytes("GET /-/policy"),
-            _call_bytes("GET /-/policy/tell?x=y"),
-            _call_bytes("GET /-/policy/entry/x"),
-            _call_bytes("POST /-/policy/ask", body=b"{}"),
-            _call_bytes("POST /-/policy/propose", body=words.encode(words.ProposeCall(None, "", "why"))),
-            _call_bytes("POST /-/policy/found", body=words.encode(words.BootstrapCall("bm8gZmlsZQ=="))),
-            _call_bytes("POST /-/policy/change", body=words.encode(words.ChangeCall("?"))),
-            _call_bytes("POST /-/policy/none", body=b"{}"),
-            _call_bytes("PUT /-/policy/ask", body=b"{}"),
+            _request_bytes("POST /-/servers/s-1/disable"),
+            _request_bytes("GET /-/policy"),
+            _request_bytes("GET /-/policy/tell?x=y"),
+            _request_bytes("GET /-/policy/entry/x"),
+            _request_bytes("POST /-/policy/ask", body=b"{}"),
+            _request_bytes("POST /-/policy/propose", body=wire.encode(wire.ProposeCall(None, "", "why"))),
+            _request_bytes("POST /-/policy/found", body=wire.encode(wire.BootstrapCall("bm8gZmlsZQ=="))),
+            _request_bytes("POST /-/policy/change", body=wire.encode(wire.ChangeCall("?"))),
+            _request_bytes("POST /-/policy/none", body=b"{}"),
+            _request_bytes("PUT /-/policy/ask", body=b"{}"),
         )
-        return _exchange(await _operators(desk, sent))
+        return _format_exchanges(await _roundtrips(endpoint, sent))
 
 
 def _in_folder(work: Callable[[Path], Coroutine[None, None, bytes]]) -> bytes:
@@ -748,25 +755,25 @@
 
 
 def admin() -> bytes:
-    """Operators' calls in a row, and the answers."""
+    """A sequence of operators' requests, and the responses."""
     return _in_folder(_admin)
 
 
-def admin_refused() -> bytes:
-    """Calls that are none, and the answers."""
-    return _in_folder(_admin_refused)
+def admin_rejections() -> bytes:
+    """Invalid requests, and the responses."""
+    return _in_folder(_admin_rejections)
 
 
-def admin_in_accord() -> bytes:
-    """Calls at a node whose policy is agreed on with others, and the answers."""
-    return _in_folder(_admin_in_accord)
+def admin_in_consensus_group() -> bytes:
+    """Requests to a node that is a member of a consensus group, and the responses."""
+    return _in_folder(_admin_in_consensus_group)
 
 
-# The disk
+# Files on disk
 
 
 def _log_on_disk(folder: Path) -> tuple[PolicyVersion, PolicyVersion]:
-    """Write entries 1 to 3 and a snapshot of 2, by which 1 is let go; the policies 2 and 3."""
+    """Write entries 1 to 3 and a snapshot of 2, which replaces entry 1; returns the policies 2 and 3."""
     one, two, after = _policies()
     change = Change(UPLOAD_ID[:16].encode(), 2, "", "", (Upsert(Kind.DEFAULTS, "", 0, b"\x80"),))
     three, _ = successor_policy(two, after, (msgspec.structs.replace(change, reason="why", author="cy"),))
@@ -780,22 +787,22 @@
 
 
 async def _write_disk(folder: Path) -> None:
-    """The files of a keeper that was told, has promised and voted, and of its node."""
+    """Write the files of a voter that has recovered, promised and voted, and of its node."""
     two, three = _log_on_disk(folder / "n-1" / "policies")
-    clock = _Clock()
+    clock = _ManualClock()
     service = _service(folder, clock)
     service.log.open()
     assert service.acceptor is not None
     await service.acceptor.recover([(EpochState(4, Stage.SETTLED, two.name), None)])
-    clock.now += 60_000_000_000  # until then it may not vote
+    clock.now += 60_000_000_000  # after the time in which it must not vote
     vote = Accept(BALLOT, EpochState(7, Stage.PREPARE, two.name, three.name))
     calls: tuple[tuple[str, object], ...] = (
-        ("know", words.DecidedNotice(words.MESSAGE_VERSION, EpochState(6, Stage.SETTLED, two.name), DOOR)),
-        ("prepare", words.PrepareCall(words.MESSAGE_VERSION, Prepare(BALLOT, 6))),
-        ("accept", words.AcceptCall(words.MESSAGE_VERSION, vote, DOOR)),
+        ("know", wire.DecidedNotice(wire.MESSAGE_VERSION, EpochState(6, Stage.SETTLED, two.name), ADDRESS)),
+        ("prepare", wire.PrepareCall(wire.MESSAGE_VERSION, Prepare(BALLOT, 6))),
+        ("accept", wire.AcceptCall(wire.MESSAGE_VERSION, vote, ADDRESS)),
     )
     for path, value in calls:
-        await service.answer(path, words.encode(value))
+        await service.answer(path, wire.encode(value))
         await asyncio.gather(*service.tasks.running)
     for epoch, until in ((4, 160_000_000_000), (6, 170_000_000_000)):
         at = EpochState(epoch, Stage.SETTLED, two.name)
@@ -806,24 +813,24 @@
         await asyncio.gather(*service.tasks.running)
 
 
-async def _take_out(folder: Path) -> bytes:
-    """Two servers out by hand: a file in the folder `scratch`."""
-    async with _desk(folder) as desk:
+async def _drain_servers(folder: Path) -> bytes:
+    """Drain two servers by request, which writes a file in the folder `scratch`."""
+    async with _admin_endpoint(folder) as endpoint:
         lines = ("POST /-/servers/s-2/disable", "POST /-/servers/s%2F3%20%C3%A9/disable")
-        return _exchange(await _operators(desk, [_call_bytes(line) for line in lines]))
+        return _format_exchanges(await _roundtrips(endpoint, [_request_bytes(line) for line in lines]))
 
 
 def write_disk(folder: Path) -> None:
-    """The files that a process leaves on disk, written into a folder."""
+    """Write the files of a process into a folder."""
     asyncio.run(_write_disk(folder))
     with tempfile.TemporaryDirectory() as other:
-        asyncio.run(_take_out(Path(other)))
+        asyncio.run(_drain_servers(Path(other)))
         scratch = Path(other) / "scratch"
         shutil.copytree(scratch, folder / "scratch", ignore=shutil.ignore_patterns("*.lock"))
 
 
 def disk() -> dict[str, bytes]:
-    """The same as paths and bytes."""
+    """The files that `write_disk` writes, by path."""
     with tempfile.TemporaryDirectory() as folder:
         write_disk(Path(folder))
         return tree(Path(folder))
@@ -858,17 +865,17 @@
 
 
 async def _read_servers(folder: Path) -> bytes:
-    async with _desk(folder) as desk:
-        return _exchange(await _operators(desk, [_call_bytes("GET /-/servers")]))
+    async with _admin_endpoint(folder) as endpoint:
+        return _format_exchanges(await _roundtrips(endpoint, [_request_bytes("GET /-/servers")]))
 
 
 def read_disk(folder: Path) -> bytes:
-    """What the code reads in such a folder, as text; the folder may be written to."""
+    """Read such a folder, and describe its content as text. Reading may modify the folder."""
     return asyncio.run(_read_disk(folder)) + asyncio.run(_read_servers(folder))
 
 
 def disk_as_read() -> bytes:
-    """What it reads in what it wrote."""
+    """The description of the files that the current code writes."""
     with tempfile.TemporaryDirectory() as folder:
         write_disk(Path(folder))
         return read_disk(Path(folder))
@@ -902,7 +909,7 @@
 
 
 def read_damaged(folder: Path) -> bytes:
-    """What is read where one file of such a folder, or both generations, are damaged."""
+    """Describe what is read from such a folder if one file, or both generations of a record, are damaged."""
     found = {}
     for case, damage in _BAD_RECORDS:
         for files in (["n-1/keeper.0"], ["n-1/keeper.1"], ["n-1/keeper.0", "n-1/keeper.1"]):
@@ -922,7 +929,7 @@
 
 @contextmanager
 def _damaged(folder: Path, files: Sequence[str], damage: Callable[[bytes], bytes]) -> Iterator[Path]:
-    """A copy of a folder, with damaged files."""
+    """A copy of a folder in which some files are damaged."""
     with tempfile.TemporaryDirectory() as other:
         copy = Path(shutil.copytree(folder, Path(other) / "copy"))
         for file in files:
@@ -931,22 +938,22 @@
 
 
 def disk_damaged() -> bytes:
-    """The same for what is written now."""
+    """The description of damaged files that the current code wrote."""
     with tempfile.TemporaryDirectory() as folder:
         write_disk(Path(folder))
         return read_damaged(Path(folder))
 
 
-def servers_out_refused() -> bytes:
-    """Files of servers out by hand, and how they are refused."""
-    sound = encode_drains(["s-1", "s-2"])
+def rejected_drain_files() -> bytes:
+    """Files of drained servers, valid and malformed, and the results of decoding them."""
+    valid = encode_drains(["s-1", "s-2"])
     cases = {
-        "sound": sound,
+        "sound": valid,
         "none_out": encode_drains([]),
-        "cut": sound[:-1],
-        "version_2": sound.replace(b'"version": 1', b'"version": 2'),
-        "not_a_list": sound.replace(b'["s-1", "s-2"]', b'"s-1"'),
-        "another_server": sound.replace(b"s-2", b"s-3"),
+        "cut": valid[:-1],
+        "version_2": valid.replace(b'"version": 1', b'"version": 2'),
+        "not_a_list": valid.replace(b'["s-1", "s-2"]', b'"s-1"'),
+        "another_server": valid.replace(b"s-2", b"s-3"),
         "not_a_map": b"[]",
     }
     found = {}
@@ -973,7 +980,7 @@
 
 
 def load_report_datagrams() -> bytes:
-    """Datagrams as they are sent, as hexadecimal digits."""
+    """Encoded load reports, as hexadecimal digits."""
     return joined(
         {
             f"{name}.{part}": data.hex().encode()
@@ -984,7 +991,7 @@
 
 
 def load_report_read(data: bytes) -> str:
-    """What a datagram says: six values in order, the last by server; empty: it is none."""
+    """Decode a load report to six values, the last one by server; empty if it is invalid."""
     found = decode_report(data)
     if found is None:
         return ""
@@ -993,7 +1000,7 @@
 
 
 def load_reports_read() -> bytes:
-    """What the same datagrams say."""
+    """The decoded values of the same load reports."""
     return joined(
         {
             f"{name}.{part}": load_report_read(data).encode()
@@ -1007,12 +1014,12 @@
 
 
 def bench_answer() -> bytes:
-    """What the process on the bench's wire writes for the recorded input."""
+    """The output of the bench process for the recorded input."""
     return bench.answer(read("bench_input.bin"))[0]
 
 
-def bench_refused() -> bytes:
-    """Inputs that are no frames, the exit code and what is written, as hexadecimal digits."""
+def bench_rejections() -> bytes:
+    """Inputs that are not valid frames, with the exit status and the output, as hexadecimal digits."""
     found = {}
     for case, sent in bench.refused().items():
         written, code = bench.answer(sent)
@@ -1021,21 +1028,21 @@
 
 
 def bench_actions() -> bytes:
-    """Each action's record and the tail, as hexadecimal digits."""
+    """The encoding of each action (as hexadecimal digits), and its tail."""
     server = bytes.fromhex("0a124a072b23")
-    actions: dict[str, module.Action] = {
-        "SUBMIT_TO": module.Send(0x0EDA755D3A91C4, server, 80_000_000),
-        "SUBMIT_TO.no_timeout": module.Send(1, server),
-        "TURN_AWAY": module.Reject(5, 250_000_000),
-        "DROP_REQUEST": module.Fail(5),
-        "RETRACT": module.Cancel(5, 2),
-        "PROBE": module.Probe(server),
-        "CLOSE": module.CloseIdle(server),
-        "WAKE_AT": module.SetTimer(500_000_000, 77),
-        "KEEP_INFORMED": module.WatchServers(True),
-        "KEEP_INFORMED.off": module.WatchServers(False),
-        "GET_LIST": module.FetchServers(),
-        "JOURNAL_LINE": module.Log("two servers known"),
+    actions: dict[str, balancing.Action] = {
+        "SUBMIT_TO": balancing.Send(0x0EDA755D3A91C4, server, 80_000_000),
+        "SUBMIT_TO.no_timeout": balancing.Send(1, server),
+        "TURN_AWAY": balancing.Reject(5, 250_000_000),
+        "DROP_REQUEST": balancing.Fail(5),
+        "RETRACT": balancing.Cancel(5, 2),
+        "PROBE": balancing.Probe(server),
+        "CLOSE": balancing.CloseIdle(server),
+        "WAKE_AT": balancing.SetTimer(500_000_000, 77),
+        "KEEP_INFORMED": balancing.WatchServers(True),
+        "KEEP_INFORMED.off": balancing.WatchServers(False),
+        "GET_LIST": balancing.FetchServers(),
+        "JOURNAL_LINE": balancing.Log("two servers known"),
     }
     found = {}
     for name, action in actions.items():
@@ -1046,7 +1053,7 @@
 
 
 def _plain(value: object) -> object:
-    """Values without the names of their fields."""
+    """Convert dataclasses and enums to plain values, without field names."""
     if isinstance(value, Enum):
         return value.value
     if is_dataclass(value):
@@ -1055,15 +1062,15 @@
 
 
 def settings_read(text: str) -> bytes:
-    """The values of settings in order; fields of reports by the bench's words for them."""
+    """The values of settings in order; report fields by their names at the bench."""
     settings = parse_settings(text)
-    words_of = {ours: theirs for theirs, ours in REPORT_FIELDS.items()}
-    reports = tuple(words_of[name] for name in settings.report_fields)
+    bench_names = {ours: theirs for theirs, ours in REPORT_FIELDS.items()}
+    reports = tuple(bench_names[name] for name in settings.report_fields)
     return json.dumps(_plain(replace(settings, report_fields=reports))).encode()
 
 
 def bench_settings() -> bytes:
-    """Settings as they are read from the bench, and how bad ones are refused."""
+    """Settings as parsed from the bench, and the errors for invalid ones."""
     texts = {"whole": bench.SETUP, "least": BENCH_LEAST, "every": bench.EVERY_SETTING}
     found = {name: settings_read(text) for name, text in texts.items()}
     return joined(found | {case: told.encode() for case, told in bench.settings_refused().items()})
@@ -1081,7 +1088,7 @@
 
 
 def _subcommands(group: click.Group, before: str = "") -> list[str]:
-    """All commands and their subcommands, each as it is typed."""
+    """All commands and subcommands, each as typed on the command line."""
     found = []
     for name, command in sorted(group.commands.items()):
         found.append(f"{before}{name}")
@@ -1091,14 +1098,14 @@
 
 
 def command_help() -> bytes:
-    """The help of all commands, and what is said where a command is missing, unknown or incomplete."""
+    """The help of all commands, and the errors for a missing, unknown or incomplete command."""
     names = ["", *_subcommands(command_line)]
     wrong = ["", "nothing", "--nothing", "check", "policy", "policy nothing", "policy status"]
     return commands.shown([*(f"{name} --help".strip() for name in names), "-h", *wrong])
 
 
 def operator_files() -> bytes:
-    """What checks of operator files and questions for routes print."""
+    """The output of checks of operator files and of route look-ups."""
     broken = ["broken_form.toml", "broken_rules.toml", "missing.toml"]
     file = "deploy/operator.toml"
     return commands.shown(
@@ -1118,11 +1125,11 @@
     )
 
 
-# Figures
+# Metrics
 
 
 def metrics() -> bytes:
-    """The figures as the endpoint prints them, each with a value of its own."""
+    """The metrics as rendered by the endpoint, each with a distinct value."""
     snapshot = NodeMetrics(
         classes=("view", "send"),
         served=(1, 2),
@@ -1140,17 +1147,17 @@
 
 
 async def _metrics_of_node(folder: Path) -> bytes:
-    async with _desk(folder) as desk:
-        counters = desk.dispatcher.counters
+    async with _admin_endpoint(folder) as endpoint:
+        counters = endpoint.dispatcher.counters
         counters.served[:], counters.rejected[:], counters.failed[:] = [1, 2], [3, 4], [5, 6]
         counters.reloads_ok, counters.reloads_failed = 11, 12
-        desk.dispatcher.pools.written = 7
-        desk.dispatcher.unfinished_requests = 8
-        return await _spoken(desk, _call_bytes("GET /-/metrics"))
+        endpoint.dispatcher.pools.written = 7
+        endpoint.dispatcher.unfinished_requests = 8
+        return await _roundtrip(endpoint, _request_bytes("GET /-/metrics"))
 
 
 def metrics_of_node() -> bytes:
-    """The same from a node that has counted, with head and status."""
+    """The HTTP response with the metrics of a node whose counters are set."""
     return _in_folder(_metrics_of_node)
 
 
@@ -1160,17 +1167,17 @@
     "messages_fields.txt": fields,
     "values_in_text.txt": values_in_text,
     "outgoing_calls.http": outgoing_calls,
-    "uploads_refused.txt": uploads_refused,
-    "keeper_answers.txt": keeper_answers,
-    "calls_made.txt": calls_made,
+    "uploads_refused.txt": rejected_uploads,
+    "keeper_answers.txt": voter_responses,
+    "calls_made.txt": requests_made,
     "disk_as_read.txt": disk_as_read,
     "disk_damaged.txt": disk_damaged,
-    "servers_out_refused.txt": servers_out_refused,
+    "servers_out_refused.txt": rejected_drain_files,
     "load_reports.txt": load_report_datagrams,
     "load_reports_read.txt": load_reports_read,
     "bench_answer.bin": bench_answer,
     "bench_actions.txt": bench_actions,
-    "bench_refused.txt": bench_refused,
+    "bench_refused.txt": bench_rejections,
     "bench_settings.txt": bench_settings,
     "metrics.txt": metrics,
     "metrics_of_node.http": metrics_of_node,
@@ -1178,6 +1185,6 @@
     "operator_files.txt": operator_files,
     "node_without_configuration.txt": commands.node_without_configuration,
     "admin.http": admin,
-    "admin_refused.http": admin_refused,
-    "admin_in_accord.http": admin_in_accord,
+    "admin_refused.http": admin_rejections,
+    "admin_in_accord.http": admin_in_consensus_group,
 }
--- a/tests/golden/commands.py
+++ b/tests/golden/commands.py
@@ -1,5 +1,6 @@
-"""Runs the project's commands as a shell would, at a fixed width; names nothing of the project but its
-command, which pyproject.toml says what to run for.
+"""Runs the project's command as a shell would, with a fixed terminal width.
+
+The only name of the project in this module is that of the command; pyproject.toml gives its entry point.
 """
 
 from __future__ import annotations
@@ -17,7 +18,7 @@
 
 ROOT = Path(__file__).resolve().parent.parent.parent
 COMMAND = "hollybay"
-# Variables that change what is said.
+# Environment variables that affect the output.
 UNSET = (
     "BALANCER_CONFIG",
     "HOLLYBAY_OPERATOR",
@@ -47,7 +48,7 @@
 
 
 def _program() -> list[str]:
-    """The command from its entry point, so that nothing needs to be installed anew after a move."""
+    """Runs the entry point directly, so that no new installation is needed after a module has moved."""
     scripts = tomllib.loads((ROOT / "pyproject.toml").read_text())["project"]["scripts"]
     module, _, name = scripts[COMMAND].partition(":")
     text = f"import sys; from {module} import {name}; sys.argv[0] = {COMMAND!r}; sys.exit({name}())"
@@ -62,13 +63,13 @@
 
 
 def shown(lines: Iterable[str]) -> bytes:
-    """For each line of arguments the command, its exit code and what it prints."""
+    """For each line of arguments: the command line, its exit status and its output."""
     with ThreadPoolExecutor(2) as pool:
         return b"".join(pool.map(_shown, lines))
 
 
 def node_without_configuration() -> bytes:
-    """What the deploy file's `run` ends with where no configuration is named, without the program's name."""
+    """Exit status and output of the deploy file's `run` without a configuration, without the program name."""
     words = shlex.split(tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"])
     done = _run([sys.executable, *words[words.index("-m") :]])
     return b"exit %d\n" % done.returncode + done.stdout + done.stderr.partition(b": ")[2]
--- a/tests/golden/files.py
+++ b/tests/golden/files.py
@@ -1,4 +1,4 @@
-"""Where golden files are and how their lines are read; names nothing of the project."""
+"""Access to the golden files. This module uses no names of the project."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 
 
 def read(name: str) -> bytes:
-    """A golden file."""
+    """Read a golden file."""
     return (FOLDER / name).read_bytes()
 
 
 def lines(name: str) -> dict[str, bytes]:
-    """A golden file of one sample a line: its name, a space, its bytes."""
+    """Read a golden file with one sample per line: its name, a space, and its bytes."""
     pairs = (line.partition(b" ") for line in read(name).split(b"\n") if line)
     return {key.decode(): data for key, _, data in pairs}
 
 
 def joined(samples: dict[str, bytes]) -> bytes:
-    """The bytes of such a file. ValueError: a sample does not fit on one line."""
+    """Encode samples as a file with one sample per line. ValueError: a sample contains a line break."""
     for key, data in samples.items():
         if b"\n" in data or " " in key:
             raise ValueError(f"{key}: not on one line")
@@ -29,7 +29,7 @@
 
 
 def tree(folder: Path) -> dict[str, bytes]:
-    """All files under a folder, by their paths in it."""
+    """Read all files below a folder; keys are their relative paths."""
     return {
         path.relative_to(folder).as_posix(): path.read_bytes()
         for path in sorted(folder.rglob("*"))
--- a/tests/golden/write.py
+++ b/tests/golden/write.py
@@ -1,6 +1,6 @@
-"""Rewrites the golden files from the code as it stands: python -m tests.golden.write.
+"""Regenerates the golden files from the current code: python -m tests.golden.write.
 
-To be used only where the form of these bytes is meant to change; see README.md.
+Use it only after an intended change of the published formats; see README.md.
 """
 
 from __future__ import annotations
@@ -13,9 +13,9 @@
 
 
 def main() -> None:
-    """Write all golden files that are built; those written by hand stay."""
+    """Write all generated golden files; files written by hand stay unchanged."""
     recorded = FOLDER / "bench_input.bin"
-    if not recorded.exists():  # what comes in is recorded once; only the answer is rewritten
+    if not recorded.exists():  # the input is recorded only once; later runs rewrite the output for it
         recorded.write_bytes(bench.record())
     for name, build in FILES.items():
         path = FOLDER / name
--- a/tests/test_consensus_member.py
+++ b/tests/test_consensus_member.py
@@ -1,4 +1,4 @@
-"""A consensus member over real sockets: what it rejects, what its admin server bears, what operators see."""
+"""A consensus member over real sockets: rejected requests, the admin endpoint, and the policy commands."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
 from hollybay.testbed.world import make_settings
 from hollybay.units import MS
 
-START = '[accord]\nkeepers = ["127.0.0.1:1"]\nfolder = "unused"\n'
+CONSENSUS_TABLE = '[accord]\nkeepers = ["127.0.0.1:1"]\nfolder = "unused"\n'
 ROUTE = b'[[route]]\nname = "x"\npath = { prefix = "/view/x" }\n'
 
 
@@ -62,7 +62,7 @@
     raw_settings["caps"] = raw_settings["caps"] | {"retry-after": True, "max-retry-after": 10**9}
     async with running(tmp_path / f"{name}.json", FakeDiscovery(), *backends, settings=raw_settings) as node:
         path = tmp_path / f"{name}.toml"
-        path.write_text(START)
+        path.write_text(CONSENSUS_TABLE)
         config = replace(node.clients.config, admin=("127.0.0.1", 0), name=name)
         operator = OperatorFile(str(path), config.settings, 1, settle_pause=lambda: None)
         node.clients.admission = operator.admission
@@ -105,7 +105,7 @@
     return Change(change_id, made_on, "a route", "me", (Upsert(Kind.ROUTE, name, base, body),))
 
 
-def test_a_node_that_cannot_know_refuses_at_once_and_serves_once_it_does(tmp_path: Path) -> None:
+def test_a_node_rejects_requests_while_no_policy_is_in_force(tmp_path: Path) -> None:
     async def play() -> None:
         backend = ScriptedServer("s-1")
         async with running_member(tmp_path, backend) as (node, member):
@@ -119,7 +119,7 @@
             assert (await send_request(member, "GET /-/ready"))[0] == 200 and not began
             assert b" 200 " in await node.ask(request(rid="r-2"))
             assert began == [(first_policy((), [member.settings.address]).name,)]
-            # Nobody renews its lease any more: it is over within its time.
+            # The lease is not renewed any more, so it expires.
             member.service.close()
             async with asyncio.timeout(LIMIT):
                 while member.may_begin_request():
@@ -129,7 +129,7 @@
     asyncio.run(play())
 
 
-def test_bad_calls_change_nothing_and_the_door_still_answers(tmp_path: Path) -> None:
+def test_invalid_requests_change_nothing_and_the_endpoint_still_responds(tmp_path: Path) -> None:
     async def play() -> None:
         async with running_member(tmp_path) as (_, member):
             await bootstrap(member)
@@ -137,39 +137,49 @@
             assert acceptor is not None and acceptor.state is not None
             state = acceptor.state.decided
             before = acceptor.state
-            here = member.settings.address
-            odd = EpochState(7, Stage.SETTLED, "7-00000000000a", "8-00000000000b")
-            ask = messages.LeaseCall(
-                messages.MESSAGE_VERSION, LeaseRequest(1, 1, state, -1, True), "x", here, 900 * MS, 0
+            own_address = member.settings.address
+            malformed_state = EpochState(7, Stage.SETTLED, "7-00000000000a", "8-00000000000b")
+            lease_call = messages.LeaseCall(
+                messages.MESSAGE_VERSION, LeaseRequest(1, 1, state, -1, True), "x", own_address, 900 * MS, 0
             )
-            policy = first_policy([route_change("other")], [here])
+            policy = first_policy([route_change("other")], [own_address])
 
-            def proposal(**words: Any) -> bytes:
-                whole = {"file": base64.b64encode(ROUTE).decode(), "parent": "", "reason": "why"} | words
-                return json.dumps(whole).encode()
+            def proposal(**changed_fields: Any) -> bytes:
+                fields = {
+                    "file": base64.b64encode(ROUTE).decode(),
+                    "parent": "",
+                    "reason": "why",
+                } | changed_fields
+                return json.dumps(fields).encode()
 
             digest = policy.digest.hex()
-            now = first_policy((), [here]).digest.hex()
+            current_digest = first_policy((), [own_address]).digest.hex()
             for head, body, status, reason in (
                 ("POST /-/policy/ask", b"", 400, "no such words"),
                 ("POST /-/policy/ask", b"[" * 5000, 400, "no such words"),
                 ("POST /-/policy/ask", b'{"form": 1}', 400, "missing required field"),
                 (
                     "POST /-/policy/ask",
-                    messages.encode(msgspec.structs.replace(ask, form=messages.MESSAGE_VERSION + 1)),
+                    messages.encode(msgspec.structs.replace(lease_call, form=messages.MESSAGE_VERSION + 1)),
                     400,
                     f"this build speaks {messages.MESSAGE_VERSION}",
                 ),
-                ("POST /-/policy/ask", messages.encode(ask), 400, "at most are granted here"),
+                ("POST /-/policy/ask", messages.encode(lease_call), 400, "at most are granted here"),
                 (
                     "POST /-/policy/ask",
-                    messages.encode(msgspec.structs.replace(ask, request=ask.request._replace(state=odd))),
+                    messages.encode(
+                        msgspec.structs.replace(
+                            lease_call, request=lease_call.request._replace(state=malformed_state)
+                        )
+                    ),
                     400,
                     "state",
                 ),
                 (
                     "POST /-/policy/know",
-                    messages.encode(messages.DecidedNotice(messages.MESSAGE_VERSION, odd, here)),
+                    messages.encode(
+                        messages.DecidedNotice(messages.MESSAGE_VERSION, malformed_state, own_address)
+                    ),
                     400,
                     "state",
                 ),
@@ -182,7 +192,7 @@
                 ),
                 (
                     "POST /-/policy/found",
-                    messages.encode(messages.BootstrapCall(policy=policy.name, source=here)),
+                    messages.encode(messages.BootstrapCall(policy=policy.name, source=own_address)),
                     409,
                     "founded already",
                 ),
@@ -194,8 +204,13 @@
                 ),
                 ("POST /-/policy/propose", proposal(), 409, "made on nothing"),
                 ("POST /-/policy/propose", proposal(parent=digest), 409, "made on"),
-                ("POST /-/policy/propose", proposal(file="no base64!", parent=now), 409, "file"),
-                ("POST /-/policy/propose", proposal(keepers=[here, "h:1"], parent=now), 409, "keepers: 2"),
+                ("POST /-/policy/propose", proposal(file="no base64!", parent=current_digest), 409, "file"),
+                (
+                    "POST /-/policy/propose",
+                    proposal(keepers=[own_address, "h:1"], parent=current_digest),
+                    409,
+                    "keepers: 2",
+                ),
                 ("POST /-/policy/propose", proposal(keepers=["nobody"]), 409, "no such words"),
                 ("POST /-/policy/drop", b'{"change": "9-00000000000a"}', 409, "not under way"),
                 ("POST /-/policy/nothing", b"{}", 404, "no such call"),
@@ -216,11 +231,11 @@
     asyncio.run(play())
 
 
-def run(member: ConsensusMember, *words: str) -> Result:
-    return CliRunner().invoke(main, ["policy", *words, "--door", member.settings.address])
+def run(member: ConsensusMember, *arguments: str) -> Result:
+    return CliRunner().invoke(main, ["policy", *arguments, "--door", member.settings.address])
 
 
-def test_the_command_and_its_exit_statuses(tmp_path: Path) -> None:
+def test_policy_commands_and_their_exit_statuses(tmp_path: Path) -> None:
     good, bad = tmp_path / "good.toml", tmp_path / "bad.toml"
     good.write_bytes(ROUTE)
     bad.write_text('[[route]]\nname = "x"\nclass = "nobody"\n')
@@ -229,52 +244,54 @@
         backend = ScriptedServer("s-1")
         async with running_member(tmp_path, backend) as (node, member):
 
-            async def did(*words: str) -> Result:
-                return await asyncio.to_thread(run, member, *words)
+            async def run_policy(*arguments: str) -> Result:
+                return await asyncio.to_thread(run, member, *arguments)
 
-            assert (await did("status")).exit_code == 3
-            assert (await did("propose", str(good), "--reason", "r")).exit_code == 3
-            assert (await did("found")).exit_code == 0
-            assert (await did("found", str(good))).exit_code == 1
-            done = await did("propose", str(good), "--reason", "a route", "--author", "me")
+            assert (await run_policy("status")).exit_code == 3
+            assert (await run_policy("propose", str(good), "--reason", "r")).exit_code == 3
+            assert (await run_policy("found")).exit_code == 0
+            assert (await run_policy("found", str(good))).exit_code == 1
+            done = await run_policy("propose", str(good), "--reason", "a route", "--author", "me")
             assert done.exit_code == 0 and "in force everywhere" in done.output, done.output
             assert b" 200 " in await node.ask(request(rid="r-1"))
             assert [route.name for route in member.admission.policy.routes] == ["x"]  # type: ignore[union-attr]
-            refused = await did("propose", str(bad), "--reason", "a class")
-            assert refused.exit_code == 1 and "nobody" in refused.output, refused.output
-            same = await did("propose", str(good), "--reason", "again")
+            rejected = await run_policy("propose", str(bad), "--reason", "a class")
+            assert rejected.exit_code == 1 and "nobody" in rejected.output, rejected.output
+            same = await run_policy("propose", str(good), "--reason", "again")
             assert same.exit_code == 1 and "says the same" in same.output
-            assert (await did("propose", str(tmp_path / "none"), "--reason", "r")).exit_code == 2
-            assert (await did("propose", "--reason", "r")).exit_code == 2
-            old = await did("propose", "--out", "s-1", "--reason", "r", "--parent", "1-0123456789ab")
-            assert old.exit_code == 1 and "in force is 2-" in old.output
-            out = await did("propose", "--out", "s-1", "--reason", "it is ill", "--json")
+            assert (await run_policy("propose", str(tmp_path / "none"), "--reason", "r")).exit_code == 2
+            assert (await run_policy("propose", "--reason", "r")).exit_code == 2
+            outdated = await run_policy(
+                "propose", "--out", "s-1", "--reason", "r", "--parent", "1-0123456789ab"
+            )
+            assert outdated.exit_code == 1 and "in force is 2-" in outdated.output
+            drained = await run_policy("propose", "--out", "s-1", "--reason", "it is ill", "--json")
             drains = member.admin_service.server_drains.drains
-            assert json.loads(out.output)["code"] == 0 and drains.drained == {"s-1"}
-            assert (await did("back", "--reason", "it is well")).exit_code == 0
+            assert json.loads(drained.output)["code"] == 0 and drains.drained == {"s-1"}
+            assert (await run_policy("back", "--reason", "it is well")).exit_code == 0
             assert not drains.drained
-            nothing = await did("drop")
-            assert nothing.exit_code == 2 and "no change is under way" in nothing.output
-            told = await did("status")
-            assert told.exit_code == 0 and "n0" in told.output and "epoch 9 settled: 4-" in told.output
-            history = json.loads((await did("history", "--json")).output)
-            assert [one["epoch"] for one in history] == list(range(10))
-            assert {"it is ill", "it is well", "a route"} <= {one["reason"] for one in history}
-            names = [one["policy"] for one in history if one["stage"] == "SETTLED"]
-            differs = await did("diff", names[0], names[2])
+            no_change = await run_policy("drop")
+            assert no_change.exit_code == 2 and "no change is under way" in no_change.output
+            status = await run_policy("status")
+            assert status.exit_code == 0 and "n0" in status.output and "epoch 9 settled: 4-" in status.output
+            history = json.loads((await run_policy("history", "--json")).output)
+            assert [record["epoch"] for record in history] == list(range(10))
+            assert {"it is ill", "it is well", "a route"} <= {record["reason"] for record in history}
+            names = [record["policy"] for record in history if record["stage"] == "SETTLED"]
+            differs = await run_policy("diff", names[0], names[2])
             assert (
                 differs.exit_code == 0
                 and "+server-out 's-1'" in differs.output
                 and "+route 'x'" in differs.output
             )
-            assert (await did("diff", names[0], "9-00000000000a")).exit_code == 2
-        nobody = await asyncio.to_thread(run, member, "propose", str(good), "--reason", "r")
-        assert nobody.exit_code == 3
+            assert (await run_policy("diff", names[0], "9-00000000000a")).exit_code == 2
+        unreachable = await asyncio.to_thread(run, member, "propose", str(good), "--reason", "r")
+        assert unreachable.exit_code == 3
 
     asyncio.run(play())
 
 
-def test_a_change_of_one_resource_by_the_command(tmp_path: Path) -> None:
+def test_policy_change_command_changes_single_resources(tmp_path: Path) -> None:
     first_file, second = tmp_path / "first.toml", tmp_path / "second.toml"
     first_file.write_bytes(ROUTE + ROUTE.replace(b"/x", b"/y").replace(b'"x"', b'"y"'))
     second.write_bytes(ROUTE.replace(b"/view/x", b"/view/z").replace(b'"x"', b'"z"'))
@@ -284,22 +301,22 @@
     async def play() -> None:
         async with running_member(tmp_path, ScriptedServer("s-1")) as (_, member):
 
-            async def did(*words: str) -> Result:
-                return await asyncio.to_thread(run, member, *words)
+            async def run_policy(*arguments: str) -> Result:
+                return await asyncio.to_thread(run, member, *arguments)
 
             def routes() -> list[str]:
                 return sorted(route.name for route in member.admission.policy.routes)  # type: ignore[union-attr]
 
             await bootstrap(member, first_file.read_bytes())
             assert routes() == ["x", "y"]
-            shown = await did("diff", str(second))
+            shown = await run_policy("diff", str(second))
             assert shown.exit_code == 0 and "-route 'x'" in shown.output and "+route 'z'" in shown.output
-            done = await did("change", str(second), "--reason", "one more", "--json")
+            done = await run_policy("change", str(second), "--reason", "one more", "--json")
             assert done.exit_code == 0 and routes() == ["x", "y", "z"], done.output
             assert json.loads(done.output)["code"] == 0
-            done = await did("change", "--delete", "route/y", "--reason", "one less")
+            done = await run_policy("change", "--delete", "route/y", "--reason", "one less")
             assert done.exit_code == 0 and routes() == ["x", "z"], done.output
-            for words, code, why in (
+            for arguments, code, reason in (
                 (("--delete", "route/y"), 1, "route/y: there is no such resource"),
                 (("--delete", "rout/y"), 1, "kinds are class"),
                 ((str(bad),), 1, "nobody"),
@@ -307,71 +324,82 @@
                 ((str(tmp_path / "none"),), 2, "No such file"),
                 ((), 2, "nothing to change"),
             ):
-                refused = await did("change", *words, "--reason", "r")
-                assert refused.exit_code == code and why in refused.output, (words, refused.output)
+                rejected = await run_policy("change", *arguments, "--reason", "r")
+                assert rejected.exit_code == code and reason in rejected.output, (arguments, rejected.output)
             assert routes() == ["x", "z"] and member.may_begin_request()
 
     asyncio.run(play())
 
 
-def test_changes_by_calls_each_hears_of_its_own(tmp_path: Path) -> None:
+def test_each_of_many_concurrent_changes_gets_its_own_outcome(tmp_path: Path) -> None:
     async def play() -> None:
         async with running_member(tmp_path) as (_, member):
-            early = await send_request(member, "POST /-/policy/change", changing(route_change("early")))
+            early = await send_request(member, "POST /-/policy/change", change_body(route_change("early")))
             assert early[0] == 503 and json.loads(early[1])["retry_after_ms"] > 0
             await bootstrap(member)
             many = [route_change(f"r{n}") for n in range(20)]
-            # One that no node can serve among them, one on a version that never was, one that comes twice.
-            odd = replaced(route_change("odd"), {"name": "odd", "class": "nobody"})
-            rare = replaced(route_change("rare"), {"name": "rare", "class": "somebody"})
+            # They include two that no node can serve, one on a version that does not exist, and a duplicate.
+            unserviceable = with_table(route_change("odd"), {"name": "odd", "class": "nobody"})
+            also_unserviceable = with_table(route_change("rare"), {"name": "rare", "class": "somebody"})
             stale = route_change("stale", base=7)
             answers = await asyncio.gather(
                 *(
-                    send_request(member, "POST /-/policy/change", changing(one))
-                    for one in (*many, odd, stale, many[0], rare)
+                    send_request(member, "POST /-/policy/change", change_body(change))
+                    for change in (*many, unserviceable, stale, many[0], also_unserviceable)
                 )
             )
             assert [status for status, _ in answers] == [202] * 21 + [409, 202, 202]
             assert "was made on version 7" in answers[21][1].decode()
-            told = {one.id: await ended(member, one) for one in (*many, odd, rare)}
-            assert {told[one.id].outcome for one in many} == {messages.ChangeOutcome.IN_FORCE}
-            # Each of the two that cannot be served hears of its own reason, and of no other.
-            for one, own, other in ((odd, "nobody", "somebody"), (rare, "somebody", "nobody")):
-                assert told[one.id].outcome is messages.ChangeOutcome.REJECTED
-                reasons = " ".join(str(problem) for problem in told[one.id].problems)
+            outcomes = {
+                change.id: await final_outcome(member, change)
+                for change in (*many, unserviceable, also_unserviceable)
+            }
+            assert {outcomes[change.id].outcome for change in many} == {messages.ChangeOutcome.IN_FORCE}
+            # Each of the two that cannot be served is rejected with its own reasons only.
+            for change, own, other in (
+                (unserviceable, "nobody", "somebody"),
+                (also_unserviceable, "somebody", "nobody"),
+            ):
+                assert outcomes[change.id].outcome is messages.ChangeOutcome.REJECTED
+                reasons = " ".join(str(problem) for problem in outcomes[change.id].problems)
                 assert own in reasons and other not in reasons.replace(own, "")
             acceptor = member.service.acceptor
             assert acceptor is not None and acceptor.state is not None
             state = member.service.log.state(acceptor.state.decided.policy)
-            # Two batches were enough, as the one was found before anything was proposed.
+            # Few batches suffice: the changes that cannot be served were found before anything was proposed.
             assert state is not None and len(state.resources) == 20 and state.revision < 6
-            for one in many:
-                assert state.revision_of(one.id) == int(told[one.id].policy.partition("-")[0])
-            # Proposed again, it is the same change and has no second effect.
-            again = await send_request(member, "POST /-/policy/change", changing(many[3]))
+            for change in many:
+                assert state.revision_of(change.id) == int(outcomes[change.id].policy.partition("-")[0])
+            # A change that is proposed again takes no second effect.
+            again = await send_request(member, "POST /-/policy/change", change_body(many[3]))
             assert again[0] == 202 and json.loads(again[1])["outcome"] == "in force"
             assert acceptor.state.decided.policy == member.service.policies_in_force[0]
             for path, status in ((f"change/{'0' * 32}", 200), ("change/xyz", 400), ("change/00", 400)):
                 assert (await send_request(member, f"GET /-/policy/{path}"))[0] == status
-            for body in (b"{}", b'{"change": "!!"}', b'{"change": "AAAA"}', changing(odd)[:-9] + b'"}'):
+            for body in (
+                b"{}",
+                b'{"change": "!!"}',
+                b'{"change": "AAAA"}',
+                change_body(unserviceable)[:-9] + b'"}',
+            ):
                 assert (await send_request(member, "POST /-/policy/change", body))[0] == 400, body[:60]
 
     asyncio.run(play())
 
 
-def changing(change: Change) -> bytes:
+def change_body(change: Change) -> bytes:
     return messages.encode(messages.ChangeCall(messages.change_to_text(change)))
 
 
-def replaced(change: Change, table: dict[str, str]) -> Change:
+def with_table(change: Change, table: dict[str, str]) -> Change:
     (operation,) = change.operations
     assert isinstance(operation, Upsert)
     fresh = msgspec.structs.replace(operation, body=msgspec.msgpack.encode(table))
     return msgspec.structs.replace(change, operations=(fresh,))
 
 
-async def ended(member: ConsensusMember, change: Change) -> messages.ChangeReply:
-    """What became of a change, once that is known."""
+async def final_outcome(member: ConsensusMember, change: Change) -> messages.ChangeReply:
+    """Wait for the final outcome of a change."""
     async with asyncio.timeout(LIMIT):
         while True:
             found = messages.decode(
@@ -383,45 +411,47 @@
             await asyncio.sleep(0.02)
 
 
-def test_what_is_longer_than_a_call_goes_in_pieces(tmp_path: Path) -> None:
-    """An operator file, the change that it makes, and the first_policy policy, each of some MiB."""
+def test_data_longer_than_a_request_is_sent_in_chunks(tmp_path: Path) -> None:
+    """The operator file, the change that it makes, and the first policy are longer than one chunk."""
     text = "".join(
         f'[[route]]\nname = "r{n}"\nhosts = ["h{n}.example.org"]\npath = {{ prefix = "/view/{n}" }}\n'
         for n in range(9000)
     )
-    whole, fewer = tmp_path / "whole.toml", tmp_path / "fewer.toml"
-    whole.write_text(text)
-    fewer.write_text(text[: text.index('[[route]]\nname = "r6000"')])
+    long_file, short_file = tmp_path / "whole.toml", tmp_path / "fewer.toml"
+    long_file.write_text(text)
+    short_file.write_text(text[: text.index('[[route]]\nname = "r6000"')])
     assert len(text) > 2 * messages.CHUNK_BYTES
 
     async def play() -> None:
         async with running_member(tmp_path) as (_, member):
-            found = await asyncio.to_thread(run, member, "found", str(whole))
+            found = await asyncio.to_thread(run, member, "found", str(long_file))
             assert found.exit_code == 0, found.output
             async with asyncio.timeout(LIMIT):
                 while not member.may_begin_request():
                     await asyncio.sleep(0.01)
             assert len(member.admission.policy.routes) == 9000  # type: ignore[union-attr]
-            done = await asyncio.to_thread(run, member, "propose", str(fewer), "--reason", "fewer")
+            done = await asyncio.to_thread(run, member, "propose", str(short_file), "--reason", "fewer")
             assert done.exit_code == 0, done.output
             assert len(member.admission.policy.routes) == 6000  # type: ignore[union-attr]
-            # Another node, with nothing on its disk, fetches all that in pieces.
+            # Another node with an empty disk fetches the policies in chunks.
             async with running_member(tmp_path, name="n1", voters=(member.settings.address,)) as (_, other):
                 async with asyncio.timeout(LIMIT):
                     while not other.may_begin_request():
                         await asyncio.sleep(0.02)
-                mine, its = member.service, other.service
-                assert its.log.state(its.policies_in_force[0]) == mine.log.state(mine.policies_in_force[0])
+                own_service, other_service = member.service, other.service
+                assert other_service.log.state(other_service.policies_in_force[0]) == own_service.log.state(
+                    own_service.policies_in_force[0]
+                )
 
     asyncio.run(play())
 
 
-def test_sighup_proposes_nothing_and_says_what_to_use(
+def test_sighup_proposes_nothing_and_logs_the_command_to_use(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def play() -> None:
         path = tmp_path / "operator.toml"
-        path.write_text(START)
+        path.write_text(CONSENSUS_TABLE)
         operator = OperatorFile(str(path), make_settings(), 1, settle_pause=lambda: None)
         plan = operator.admission.policy
         path.write_bytes(ROUTE)
@@ -433,14 +463,14 @@
     asyncio.run(play())
 
 
-def test_a_second_process_of_a_name_is_no_keeper_while_the_first_lives(tmp_path: Path) -> None:
+def test_a_second_process_of_a_name_is_not_a_voter_while_the_first_runs(tmp_path: Path) -> None:
     async def play() -> None:
         async with running_member(tmp_path) as (_, one):
             await bootstrap(one)
             async with running_member(tmp_path, voters=(one.settings.address,)) as (_, other):
                 assert not other._may_vote_here() and other.service.acceptor is None
                 async with asyncio.timeout(LIMIT):
-                    while not other.may_begin_request():  # as a node it holds a lease of its own
+                    while not other.may_begin_request():  # as a node it holds its own lease
                         await asyncio.sleep(0.01)
                 status: Any = one.service.status()
                 assert [m["twice"] for m in status["keeper"]["members"]] == [True, True]
@@ -450,34 +480,34 @@
     asyncio.run(play())
 
 
-def test_what_does_not_hold_in_the_table_is_refused(tmp_path: Path) -> None:
+def test_invalid_settings_in_the_accord_table_are_rejected(tmp_path: Path) -> None:
     for text, reason in (
         ('[accord]\nfolder = "f"\n', "keepers: missing"),
         ('[accord]\nfolder = "f"\nkeepers = ["a:1", "b:1"]\n', "an even number"),
         ('[accord]\nfolder = "f"\nkeepers = ["a:1", "a:1", "b:1"]\n', "one stands twice"),
         ('[accord]\nfolder = "f"\nkeepers = ["here"]\n', "keepers"),
-        (START + 'lease = "100ms"\n', "must be from 500 ms"),
-        (START + 'when_unsure = "guess"\n', "when_unsure"),
-        (START + 'when_unsure = "narrow"\nnarrow_for = "2d"\n', "narrow_for"),
+        (CONSENSUS_TABLE + 'lease = "100ms"\n', "must be from 500 ms"),
+        (CONSENSUS_TABLE + 'when_unsure = "guess"\n', "when_unsure"),
+        (CONSENSUS_TABLE + 'when_unsure = "narrow"\nnarrow_for = "2d"\n', "narrow_for"),
     ):
         with pytest.raises(OperatorError) as caught:
             compile_file(text, make_settings())
         assert reason in str(caught.value), (text, str(caught.value))
     both = tmp_path / "both.toml"
-    both.write_bytes(START.encode() + ROUTE.replace(b"/view", b"/read"))
+    both.write_bytes(CONSENSUS_TABLE.encode() + ROUTE.replace(b"/view", b"/read"))
     with pytest.raises(ConfigError, match="hollybay policy propose"):
         OperatorFile(str(both), make_settings(), 1, settle_pause=lambda: None)
 
 
-def started(tmp_path: Path, **changes: object) -> str:
-    """What a node says that does not start."""
+def failed_start(tmp_path: Path, **changes: object) -> str:
+    """Start a node with an invalid configuration; returns its error output."""
     config = {
         "name": "n0", "listen": "127.0.0.1:9000", "discovery": "127.0.0.1:9", "seed": "7",
         "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 512}, "settings": settings(),
         "admin": "127.0.0.1:1",
     } | changes  # fmt: skip
     (tmp_path / "c.json").write_text(json.dumps({k: v for k, v in config.items() if v is not None}))
-    (tmp_path / "o.toml").write_text(START.replace("unused", str(tmp_path / "a")))
+    (tmp_path / "o.toml").write_text(CONSENSUS_TABLE.replace("unused", str(tmp_path / "a")))
     environ = {"BALANCER_CONFIG": str(tmp_path / "c.json"), "HOLLYBAY_OPERATOR": str(tmp_path / "o.toml")}
     done = subprocess.run(
         [sys.executable, "-m", "hollybay.proxy"],
@@ -497,13 +527,13 @@
         ({"limits": {"sockets": 192}}, "limits.sockets: 192"),
     ],
 )
-def test_a_node_that_cannot_be_in_an_accord_does_not_start(
+def test_a_node_with_settings_unfit_for_consensus_does_not_start(
     changes: dict[str, object], reason: str, tmp_path: Path
 ) -> None:
-    assert reason in started(tmp_path, **changes)
+    assert reason in failed_start(tmp_path, **changes)
 
 
-def test_without_the_table_nothing_of_it_is_imported() -> None:
+def test_consensus_modules_are_not_imported_without_the_accord_table() -> None:
     code = (
         "import sys, hollybay.proxy.__main__, hollybay.proxy.operator_file, hollybay.proxy.admin_service\n"
         "from hollybay.routing.policy_compiler import compile_file\n"
@@ -517,18 +547,19 @@
     assert subprocess.run([sys.executable, "-c", code], cwd=root, check=False).returncode == 0
 
 
-def test_two_threads_bring_one_policy_to_the_log_and_both_find_it_there(tmp_path: Path) -> None:
-    both = Barrier(2)
+def test_two_threads_can_append_the_same_policy_to_the_log(tmp_path: Path) -> None:
+    barrier = Barrier(2)
 
     def step(word: str) -> None:
-        # Were they both under way, each would wait here for the other; one that comes second never does.
+        # The barrier completes only if both threads write at the same time. One of them must find the policy
+        # written by the other, so the barrier breaks by time-out.
         with contextlib.suppress(BrokenBarrierError):
-            both.wait(0.2)
+            barrier.wait(0.2)
 
     log, policy = PolicyLog(tmp_path / "policies", step), first_policy([route_change("one")])
     with ThreadPoolExecutor(2) as pool:
         for done in [pool.submit(log.append, policy) for _ in range(2)]:
             done.result()
-    again = PolicyLog(tmp_path / "policies")
-    again.open()
-    assert both.broken and again.policy(policy.name) == policy.without_changes()
+    reopened = PolicyLog(tmp_path / "policies")
+    reopened.open()
+    assert barrier.broken and reopened.policy(policy.name) == policy.without_changes()
--- a/tests/test_consensus_store.py
+++ b/tests/test_consensus_store.py
@@ -1,4 +1,4 @@
-"""What is said is on disk before it is said, whatever happens to disk or process; policies as things."""
+"""Records and the store under crashes and disk faults; digests and checks of policies."""
 
 from __future__ import annotations
 
@@ -22,20 +22,20 @@
 
 
 @given(st.integers(0, 2**64 - 1), st.binary(max_size=200))
-def test_a_record_comes_back_whole(count: int, data: bytes) -> None:
+def test_a_record_survives_encoding_and_decoding(count: int, data: bytes) -> None:
     assert decode_record(encode_record(count, data)) == DecodedRecord(RecordIntegrity.INTACT, count, data)
 
 
 @given(st.binary(max_size=60), st.data())
-def test_a_record_that_is_cut_or_changed_anywhere_is_never_data(data: bytes, draw: st.DataObject) -> None:
-    whole = encode_record(7, data)
-    cut = whole[: draw.draw(st.integers(0, len(whole) - 1))]
+def test_a_truncated_or_altered_record_is_never_intact(data: bytes, draw: st.DataObject) -> None:
+    encoded = encode_record(7, data)
+    cut = encoded[: draw.draw(st.integers(0, len(encoded) - 1))]
     assert decode_record(cut).integrity in (RecordIntegrity.EMPTY, RecordIntegrity.TORN)
-    assert decode_record(whole + b"\0").integrity is RecordIntegrity.TORN
-    at = draw.draw(st.integers(0, len(whole) - 1))
+    assert decode_record(encoded + b"\0").integrity is RecordIntegrity.TORN
+    at = draw.draw(st.integers(0, len(encoded) - 1))
     bit = 1 << draw.draw(st.integers(0, 7))
-    bad = whole[:at] + bytes([whole[at] ^ bit]) + whole[at + 1 :]
-    assert decode_record(bad).integrity in (
+    altered = encoded[:at] + bytes([encoded[at] ^ bit]) + encoded[at + 1 :]
+    assert decode_record(altered).integrity in (
         RecordIntegrity.TORN,
         RecordIntegrity.FOREIGN,
         RecordIntegrity.NEWER,
@@ -43,74 +43,74 @@
 
 
 @given(st.binary(max_size=100))
-def test_other_bytes_are_foreign_or_torn(data: bytes) -> None:
+def test_arbitrary_bytes_are_not_an_intact_record(data: bytes) -> None:
     assert decode_record(data).integrity is not RecordIntegrity.INTACT
 
 
-class Ended(Exception):
-    """The process ends here."""
+class SimulatedCrash(Exception):
+    """Ends the process at a disk operation."""
 
 
 @pytest.mark.parametrize("word", STEPS)
 @pytest.mark.parametrize("said", range(1, 4))
-def test_a_process_that_ends_at_any_step_finds_the_last_or_the_next_whole(
+def test_after_a_crash_at_any_step_the_last_or_the_next_record_is_intact(
     word: str, said: int, tmp_path: Path
 ) -> None:
     armed = False
 
     def step(at: str) -> None:
         if armed and at == word:
-            raise Ended
+            raise SimulatedCrash
 
     store = Store(tmp_path, "node", step)
     assert store.open() is None
     for n in range(said):
         store.put(b"%d" % n)
     armed = True
-    with pytest.raises(Ended):
+    with pytest.raises(SimulatedCrash):
         store.put(b"next")
-    again = Store(tmp_path, "node")
-    found = again.open()
-    assert not again.may_be_stale and not again.quarantined
+    reopened = Store(tmp_path, "node")
+    found = reopened.open()
+    assert not reopened.may_be_stale and not reopened.quarantined
     assert found == (b"next" if word == "flush folder" else b"%d" % (said - 1))
-    again.put(b"after")
+    reopened.put(b"after")
     assert Store(tmp_path, "node").open() == b"after"
 
 
 @pytest.mark.parametrize("word", STEPS)
-def test_a_full_disk_is_told_and_what_was_said_stands(word: str, tmp_path: Path) -> None:
-    full = False
+def test_a_full_disk_is_reported_and_the_last_record_stays(word: str, tmp_path: Path) -> None:
+    is_full = False
 
     def step(at: str) -> None:
-        if full and at == word:
+        if is_full and at == word:
             raise OSError(28, "No space left on device")
 
     store = Store(tmp_path, "node", step)
     store.open()
     store.put(b"one")
-    full = True
+    is_full = True
     with pytest.raises(StoreError, match="No space left"):
         store.put(b"two")
     assert store.data == b"one"
-    full = False
+    is_full = False
     store.put(b"three")
     assert Store(tmp_path, "node").open() == b"three"
 
 
-def test_what_is_no_record_is_set_aside_and_the_other_generation_counts(tmp_path: Path) -> None:
+def test_a_damaged_generation_is_quarantined_and_the_other_one_is_used(tmp_path: Path) -> None:
     store = Store(tmp_path, "node")
     store.open()
     for n in range(3):
         store.put(b"%d" % n)
     newest = store.paths[store.current_generation]
     newest.write_bytes(newest.read_bytes()[:-1])
-    again = Store(tmp_path, "node")
-    assert again.open() == b"1" and again.may_be_stale
-    (quarantined,) = again.quarantined
+    reopened = Store(tmp_path, "node")
+    assert reopened.open() == b"1" and reopened.may_be_stale
+    (quarantined,) = reopened.quarantined
     assert quarantined.name == f"{newest.name}.torn" and quarantined.exists()
 
 
-def test_where_nothing_whole_is_left_or_a_newer_build_wrote_nothing_is_read(tmp_path: Path) -> None:
+def test_without_an_intact_record_or_with_one_of_a_newer_build_opening_fails(tmp_path: Path) -> None:
     store = Store(tmp_path, "node")
     store.open()
     store.put(b"x")
@@ -129,7 +129,7 @@
 
 
 @given(st.lists(st.binary(max_size=30), max_size=12))
-def test_the_last_that_was_put_is_found(records: list[bytes]) -> None:
+def test_the_record_written_last_is_read(records: list[bytes]) -> None:
     with tempfile.TemporaryDirectory() as folder:
         store = Store(Path(folder), "k")
         store.open()
@@ -151,7 +151,9 @@
 
 
 @given(NAMES, st.binary(max_size=60), TEXTS, TEXTS)
-def test_a_policy_is_known_by_all_that_it_holds(name: str, body: bytes, reason: str, author: str) -> None:
+def test_the_digest_of_a_policy_covers_all_its_fields(
+    name: str, body: bytes, reason: str, author: str
+) -> None:
     old = policy.FIRST_POLICY
     new, state = policy.successor_policy(
         old, EMPTY.with_revision((), 1), [route(name, body)], None, reason, author
@@ -173,16 +175,16 @@
             {"author": author + "x"},
         )
     ]
-    assert len({one.digest for one in (new, old, *others)}) == 10
-    # Other changes than those that its digest is about are refused.
+    assert len({version.digest for version in (new, old, *others)}) == 10
+    # Changes that do not match the digest are rejected.
     with pytest.raises(RejectedError, match="content"):
         policy.decode_policy(msgspec.msgpack.encode(msgspec.structs.replace(new, changes=())))
 
 
-def test_a_change_that_does_not_follow_or_of_nothing_is_refused() -> None:
+def test_an_empty_change_or_one_on_another_state_is_rejected() -> None:
     old = policy.first_policy([route("x", b"1")], ["a:1", "b:1", "c:1"])
     state = EMPTY.with_batch(old.changes or (), 1)
-    for words, why in (
+    for arguments, reason in (
         (([route("x", b"2", 7)], None, "why", "who"), "route 'x': version: was made on version 7"),
         (([route("x", b"2", 1, 9)], None, "why", "who"), "change: made_on: 9 is after 1"),
         (([], None, "why", "who"), "changes: says the same"),
@@ -196,28 +198,28 @@
         (([], [], "why", "who"), "keepers: 0 come and 3 go"),
     ):
         with pytest.raises(RejectedError) as caught:
-            policy.successor_policy(old, state, *words)
-        assert str(caught.value).startswith(why), caught.value
+            policy.successor_policy(old, state, *arguments)
+        assert str(caught.value).startswith(reason), caught.value
 
 
-def test_a_policy_with_fields_out_of_bounds_is_refused() -> None:
-    good = policy.first_policy([route("x")], ["a:1"])
-    for change, why in (
+def test_a_policy_with_fields_out_of_bounds_is_rejected() -> None:
+    valid = policy.first_policy([route("x")], ["a:1"])
+    for change, reason in (
         ({"version": 0}, "version: 0"),
         ({"version": 2}, "parent: 0 bytes"),
         ({"parent": b"x"}, "parent: 1 bytes"),
         ({"after": b"x"}, "after: 1 bytes"),
-        ({"before": bytes(32) if any(good.before) else b"\1" * 32}, "before: the first entry"),
+        ({"before": bytes(32) if any(valid.before) else b"\1" * 32}, "before: the first entry"),
         ({"voters": ("b:1", "a:1", "c:1")}, "keepers: not in order"),
         ({"reason": "x" * 401}, "reason: "),
     ):
         with pytest.raises(RejectedError) as caught:
-            policy.decode_policy(msgspec.msgpack.encode(msgspec.structs.replace(good, **change)))
-        assert str(caught.value).startswith(why), caught.value
+            policy.decode_policy(msgspec.msgpack.encode(msgspec.structs.replace(valid, **change)))
+        assert str(caught.value).startswith(reason), caught.value
 
 
 @given(st.binary(max_size=200))
-def test_any_bytes_are_a_policy_or_refused(data: bytes) -> None:
+def test_arbitrary_bytes_are_a_policy_or_rejected(data: bytes) -> None:
     try:
         assert isinstance(policy.decode_policy(data), policy.PolicyVersion)
     except RejectedError as error:
--- a/tests/test_golden_messages.py
+++ b/tests/test_golden_messages.py
@@ -1,4 +1,4 @@
-"""Messages between nodes and keepers, held against golden bytes (tests/golden)."""
+"""Compatibility of messages between nodes and voters, checked against golden files (tests/golden)."""
 
 from __future__ import annotations
 
@@ -31,38 +31,38 @@
         "calls_made.txt",
     ],
 )
-def test_what_is_written_is_the_golden_file(name: str) -> None:
+def test_output_equals_the_golden_file(name: str) -> None:
     assert build.FILES[name]() == read(name)
 
 
 @pytest.mark.parametrize("name", MESSAGES)
 def test_a_golden_message_decodes_and_encodes_to_the_same_bytes(name: str) -> None:
-    assert build.again(name, MESSAGES[name]) == MESSAGES[name]
+    assert build.reencoded(name, MESSAGES[name]) == MESSAGES[name]
 
 
 @pytest.mark.parametrize("name", TEXTS)
 def test_a_golden_text_decodes_and_encodes_to_the_same_bytes(name: str) -> None:
-    assert build.text_again(name, TEXTS[name]) == TEXTS[name]
+    assert build.reencoded_text(name, TEXTS[name]) == TEXTS[name]
 
 
 @pytest.mark.parametrize("name", MALFORMED)
-def test_a_malformed_message_is_refused_as_before(name: str) -> None:
+def test_a_malformed_message_is_rejected_as_before(name: str) -> None:
     reason, _, data = MALFORMED[name].partition(b" ")
     assert reason
-    assert build.refusal(name.partition(":")[0], data) == reason.decode().replace("_", " ")
+    assert build.rejection(name.partition(":")[0], data) == reason.decode().replace("_", " ")
 
 
 @pytest.mark.parametrize("name", MESSAGES)
-def test_cut_bytes_other_values_and_unknown_fields_are_refused(name: str) -> None:
+def test_truncated_bytes_other_values_and_unknown_fields_are_rejected(name: str) -> None:
     data = MESSAGES[name]
     extended = json.dumps({**json.loads(data), "extra": 1}).encode()
     for bad in (b"", data[:-1], data + b"}", b"null", b"[]", b"\xff", b"[" * 5000, extended):
-        assert build.refusal(name, bad) == "no such words", bad[:40]
+        assert build.rejection(name, bad) == "no such words", bad[:40]
 
 
 @pytest.mark.parametrize("name", TEXTS)
-def test_a_damaged_text_is_refused(name: str) -> None:
+def test_a_damaged_text_is_rejected(name: str) -> None:
     kind = name.partition(".")[0]
     data = TEXTS[name]
-    assert build.text_refusal(name, b"?" + data) == kind
-    assert build.text_refusal(name, data[:-8]) in (kind, f"no {kind}")
+    assert build.text_rejection(name, b"?" + data) == kind
+    assert build.text_rejection(name, data[:-8]) in (kind, f"no {kind}")
