--- a/hollybay/consensus/bootstrap.py
+++ b/hollybay/consensus/bootstrap.py
@@ -136,7 +136,7 @@
             raise RejectedError(f"founded already: epoch {known.decided.epoch}, {known.decided.policy}")
         own_voters = ", ".join(self.settings.voters)
         if call.source is None or call.source not in self.settings.voters:
-            raise RejectedError(f"keepers: {call.source} is not one of the voters here, {own_voters}")
+            raise RejectedError(f"keepers: expected one of {own_voters}, got {call.source}")
         policy = await self._obtain_first_policy(call, call.source)
         if self.settings.address not in policy.voters or set(policy.voters) != set(self.settings.voters):
             raise RejectedError(f"keepers: expected {own_voters}, got {', '.join(policy.voters)}")
--- a/hollybay/consensus/lease_client.py
+++ b/hollybay/consensus/lease_client.py
@@ -38,7 +38,7 @@
 
 
 class LeaseClient:
-    """Requests leases of the voters for one process, and puts policies in force at its node.
+    """Requests leases from the voters for one process, and puts policies in force at its node.
 
     Parameters
     ----------
--- a/hollybay/consensus/long_requests.py
+++ b/hollybay/consensus/long_requests.py
@@ -9,7 +9,7 @@
 
 from .background_tasks import BackgroundTasks
 from .interfaces import Response
-from .replies import answered, busy
+from .replies import busy, respond
 
 __all__ = ["LongRequests"]
 
@@ -35,7 +35,7 @@
             if len(self._under_way) >= MAX_LONG_REQUESTS:
                 return busy(f"{MAX_LONG_REQUESTS} other long requests are in progress", RETRY_AFTER_S)
             # All long requests are in CHANGING_PATHS, so any of these paths gives the same status codes.
-            task = self._under_way[key] = self.tasks.spawn(answered("found", work()))
+            task = self._under_way[key] = self.tasks.spawn(respond("found", work()))
         await asyncio.wait({task}, timeout=RESPONSE_LIMIT_S)
         if not task.done():
             return busy("the request is in progress", RETRY_AFTER_S)
--- a/hollybay/consensus/message_values.py
+++ b/hollybay/consensus/message_values.py
@@ -28,7 +28,7 @@
         raise MalformedDataError(f"policy: {error}") from None
     policy = decode_policy(data)
     if name and policy.name != name:
-        raise MalformedDataError(f"policy: expected {name}, got {policy.name} by its digest")
+        raise MalformedDataError(f"policy: got {policy.name} by its digest, expected {name}")
     return policy
 
 
--- a/hollybay/consensus/reasons.py
+++ b/hollybay/consensus/reasons.py
@@ -149,7 +149,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Barred(Reason):
-    """The voter lost its disk and may have voted for the epoch before that.
+    """The voter lost its disk, on which a vote for the epoch may have been recorded.
 
     Parameters
     ----------
--- a/hollybay/consensus/replies.py
+++ b/hollybay/consensus/replies.py
@@ -14,10 +14,10 @@
 from .store import StoreError
 
 __all__ = [
-    "answered",
     "busy",
     "ok",
     "rejected",
+    "respond",
 ]
 
 # Requests for a change. Their rejections are conflicts with the policy in force (409, not 400).
@@ -41,7 +41,7 @@
     return ok({"refused": reason, "retry_after_ms": max(1, int(1000 * seconds))}, UNAVAILABLE)
 
 
-async def answered(path: str, work: Awaitable[Response]) -> Response:
+async def respond(path: str, work: Awaitable[Response]) -> Response:
     """The response to a request; errors that concern the client become responses, too."""
     try:
         return await work
--- a/hollybay/consensus/service.py
+++ b/hollybay/consensus/service.py
@@ -40,7 +40,7 @@
 from .policy_requests import PolicyRequests
 from .proposals import Proposals
 from .queries import Queries
-from .replies import answered, rejected
+from .replies import rejected, respond
 from .request_content import RequestContent
 from .requests import Transport
 from .status import node_status, voter_status
@@ -249,7 +249,7 @@
             None for GET.
         """
         self.requests_in += 1
-        return await answered(path, self._answer(path, body))
+        return await respond(path, self._answer(path, body))
 
     async def _answer(self, path: str, body: bytes | None) -> Response:
         if body is None:
