--- a/tests/test_consensus_member.py
+++ b/tests/test_consensus_member.py
@@ -337,7 +337,7 @@
             early = await send_request(member, "POST /-/policy/change", change_body(route_change("early")))
             assert early[0] == 503 and json.loads(early[1])["retry_after_ms"] > 0
             await bootstrap(member)
-            many = [route_change(f"r{n}") for n in range(20)]
+            valid_changes = [route_change(f"r{n}") for n in range(20)]
             # They include two that no node can serve, one on a version that does not exist, and a duplicate.
             unserviceable = with_table(route_change("odd"), {"name": "odd", "class": "nobody"})
             also_unserviceable = with_table(route_change("rare"), {"name": "rare", "class": "somebody"})
@@ -345,16 +345,18 @@
             answers = await asyncio.gather(
                 *(
                     send_request(member, "POST /-/policy/change", change_body(change))
-                    for change in (*many, unserviceable, stale, many[0], also_unserviceable)
+                    for change in (*valid_changes, unserviceable, stale, valid_changes[0], also_unserviceable)
                 )
             )
             assert [status for status, _ in answers] == [202] * 21 + [409, 202, 202]
             assert "was made on version 7" in answers[21][1].decode()
             outcomes = {
                 change.id: await final_outcome(member, change)
-                for change in (*many, unserviceable, also_unserviceable)
+                for change in (*valid_changes, unserviceable, also_unserviceable)
+            }
+            assert {outcomes[change.id].outcome for change in valid_changes} == {
+                messages.ChangeOutcome.IN_FORCE
             }
-            assert {outcomes[change.id].outcome for change in many} == {messages.ChangeOutcome.IN_FORCE}
             # Each of the two that cannot be served is rejected with its own reasons only.
             for change, own, other in (
                 (unserviceable, "nobody", "somebody"),
@@ -368,10 +370,10 @@
             state = member.service.log.state(acceptor.state.decided.policy)
             # Few batches suffice: the changes that cannot be served were found before anything was proposed.
             assert state is not None and len(state.resources) == 20 and state.revision < 6
-            for change in many:
+            for change in valid_changes:
                 assert state.revision_of(change.id) == int(outcomes[change.id].policy.partition("-")[0])
             # A change that is proposed again takes no second effect.
-            again = await send_request(member, "POST /-/policy/change", change_body(many[3]))
+            again = await send_request(member, "POST /-/policy/change", change_body(valid_changes[3]))
             assert again[0] == 202 and json.loads(again[1])["outcome"] == "in force"
             assert acceptor.state.decided.policy == member.service.policies_in_force[0]
             for path, status in ((f"change/{'0' * 32}", 200), ("change/xyz", 400), ("change/00", 400)):
@@ -550,13 +552,13 @@
 def test_two_threads_can_append_the_same_policy_to_the_log(tmp_path: Path) -> None:
     barrier = Barrier(2)
 
-    def step(word: str) -> None:
+    def before_step(step: str) -> None:
         # The barrier completes only if both threads write at the same time. One of them must find the policy
         # written by the other, so the barrier breaks by time-out.
         with contextlib.suppress(BrokenBarrierError):
             barrier.wait(0.2)
 
-    log, policy = PolicyLog(tmp_path / "policies", step), first_policy([route_change("one")])
+    log, policy = PolicyLog(tmp_path / "policies", before_step), first_policy([route_change("one")])
     with ThreadPoolExecutor(2) as pool:
         for done in [pool.submit(log.append, policy) for _ in range(2)]:
             done.result()
--- a/tests/test_consensus_store.py
+++ b/tests/test_consensus_store.py
@@ -51,41 +51,41 @@
     """Ends the process at a disk operation."""
 
 
-@pytest.mark.parametrize("word", STEPS)
-@pytest.mark.parametrize("said", range(1, 4))
+@pytest.mark.parametrize("failing_step", STEPS)
+@pytest.mark.parametrize("records_written", range(1, 4))
 def test_after_a_crash_at_any_step_the_last_or_the_next_record_is_intact(
-    word: str, said: int, tmp_path: Path
+    failing_step: str, records_written: int, tmp_path: Path
 ) -> None:
-    armed = False
+    is_armed = False
 
-    def step(at: str) -> None:
-        if armed and at == word:
+    def before_step(current_step: str) -> None:
+        if is_armed and current_step == failing_step:
             raise SimulatedCrash
 
-    store = Store(tmp_path, "node", step)
+    store = Store(tmp_path, "node", before_step)
     assert store.open() is None
-    for n in range(said):
+    for n in range(records_written):
         store.put(b"%d" % n)
-    armed = True
+    is_armed = True
     with pytest.raises(SimulatedCrash):
         store.put(b"next")
     reopened = Store(tmp_path, "node")
     found = reopened.open()
     assert not reopened.may_be_stale and not reopened.quarantined
-    assert found == (b"next" if word == "flush folder" else b"%d" % (said - 1))
+    assert found == (b"next" if failing_step == "flush folder" else b"%d" % (records_written - 1))
     reopened.put(b"after")
     assert Store(tmp_path, "node").open() == b"after"
 
 
-@pytest.mark.parametrize("word", STEPS)
-def test_a_full_disk_is_reported_and_the_last_record_stays(word: str, tmp_path: Path) -> None:
+@pytest.mark.parametrize("failing_step", STEPS)
+def test_a_full_disk_is_reported_and_the_last_record_stays(failing_step: str, tmp_path: Path) -> None:
     is_full = False
 
-    def step(at: str) -> None:
-        if is_full and at == word:
+    def before_step(current_step: str) -> None:
+        if is_full and current_step == failing_step:
             raise OSError(28, "No space left on device")
 
-    store = Store(tmp_path, "node", step)
+    store = Store(tmp_path, "node", before_step)
     store.open()
     store.put(b"one")
     is_full = True
