--- a/hollybay/consensus/announcer.py
+++ b/hollybay/consensus/announcer.py
@@ -21,7 +21,7 @@
 
 def announcement(state: EpochState, own_address: str) -> bytes:
     """Encode the notice of a decided epoch; its policies can be fetched from `own_address`."""
-    return messages.encode(messages.DecidedNotice(messages.FORM, state, own_address))
+    return messages.encode(messages.DecidedNotice(messages.MESSAGE_VERSION, state, own_address))
 
 
 class Announcer:
--- a/hollybay/consensus/grace_memory.py
+++ b/hollybay/consensus/grace_store.py
@@ -1,6 +1,7 @@
-"""What a leaseholder leaves on disk for the process after it: the epoch that it served under.
+"""Durable record of the grace time of a leaseholder, for the process that replaces it after a restart.
 
-Voters count on its grace time also after a restart, so the next process may serve on in it.
+Voters wait for the end of a grace time whether or not the process restarts, so the next process may serve
+under the recorded epoch until then.
 """
 
 from __future__ import annotations
@@ -14,22 +15,22 @@
 from .log_events import LogEvent
 from .store import Store, StoreError
 
-__all__ = ["GraceMemory", "RememberedGrace"]
+__all__ = ["GraceRecord", "GraceStore"]
 
 
-class RememberedGrace(msgspec.Struct, frozen=True, array_like=True):
+class GraceRecord(msgspec.Struct, frozen=True, array_like=True):
     """The record on disk.
 
     Attributes
     ----------
     boot_id : str
-        The id of the machine's boot, in which `grace_end` counts.
+        The boot of the machine whose clock `grace_end` refers to.
     state : EpochState
-        The epoch that was served under.
+        The epoch that the process served under.
     voter_sets : list
         The addresses of the voters of each policy that the epoch names.
     grace_end : int
-        Until when it may be served on, ns.
+        When the grace time ends, ns.
     """
 
     boot_id: str
@@ -38,8 +39,8 @@
     grace_end: int
 
 
-class GraceMemory:
-    """Writes and reads that record."""
+class GraceStore:
+    """Reads and writes the record."""
 
     def __init__(self, environment: Environment, log: PolicyLog) -> None:
         self.environment = environment
@@ -48,22 +49,22 @@
         self._written_state: EpochState | None = None
         self._written_grace_end = 0  # ns
 
-    def read(self) -> RememberedGrace | None:
-        """What the process before left, if it can be read; StoreError: the disk failed."""
+    def read(self) -> GraceRecord | None:
+        """The record of the previous process; None if there is no valid one. StoreError: the disk failed."""
         data = self.store.open()
         if data is None:
             return None
         try:
-            found: RememberedGrace = msgspec.msgpack.decode(data, type=RememberedGrace)
+            found: GraceRecord = msgspec.msgpack.decode(data, type=GraceRecord)
         except msgspec.DecodeError:
             return None
         return found
 
     def record(self, holder: Leaseholder) -> bytes | None:
-        """The record that is due for a leaseholder; None: the one on disk is recent enough.
+        """The record to write for a leaseholder; None if the one on disk is recent enough.
 
-        A write takes the disk a while, so one is due only when the epoch is another or half of the grace
-        time has passed.
+        To limit disk writes, the record is written only if the epoch has changed or the recorded grace time
+        ends at least half a grace time before the current one.
         """
         state = holder.effective_epoch
         grace = self.environment.settings.grace_ns
@@ -77,12 +78,12 @@
         policies = [self.log.policy(name) for name in policies_named(state)]
         voter_sets = [list(policy.voters) for policy in policies if policy is not None]
         return msgspec.msgpack.encode(
-            RememberedGrace(self.environment.boot_id, state, voter_sets, holder.grace_end)
+            GraceRecord(self.environment.boot_id, state, voter_sets, holder.grace_end)
         )
 
     async def write(self, record: bytes) -> None:
-        """Bring a record to the disk; a disk that fails is logged."""
+        """Write a record; a disk failure is logged."""
         try:
             await self.environment.disk(lambda: self.store.put(record))
         except StoreError as error:
-            self.environment.data_plane.log_event(LogEvent.GRACE_MEMORY_FAILED, error=str(error))
+            self.environment.data_plane.log_event(LogEvent.GRACE_STORE_FAILED, error=str(error))
--- a/hollybay/consensus/log_events.py
+++ b/hollybay/consensus/log_events.py
@@ -56,7 +56,7 @@
     PRUNING_FAILED = "log not pruned"
     """A disk error occurred while unneeded log entries were removed."""
 
-    GRACE_MEMORY_FAILED = "grace time not persisted"
+    GRACE_STORE_FAILED = "grace time not persisted"
     """The record of the grace time after a lease could not be read or written."""
 
     TASK_FAILED = "failed"
--- a/hollybay/consensus/message_values.py
+++ b/hollybay/consensus/message_values.py
@@ -1,4 +1,4 @@
-"""Policies and changes as text inside messages."""
+"""Text encoding (base64 of MessagePack) of policies and changes in messages."""
 
 from __future__ import annotations
 
@@ -12,33 +12,33 @@
 from .errors import MalformedDataError
 from .policy import PolicyVersion, decode_policy
 
-__all__ = ["change_from", "change_from_bytes", "change_text", "packed", "unpacked"]
+__all__ = ["change_from_bytes", "change_from_text", "change_to_text", "policy_from_text", "policy_to_text"]
 
 
-def packed(policy: PolicyVersion) -> str:
-    """A policy as text."""
+def policy_to_text(policy: PolicyVersion) -> str:
+    """Encode a policy as text."""
     return base64.b64encode(msgspec.msgpack.encode(policy)).decode()
 
 
-def unpacked(text: str, name: str = "") -> PolicyVersion:
-    """A policy from its text. RejectedError: it is none, or another than the one of this name."""
+def policy_from_text(text: str, name: str = "") -> PolicyVersion:
+    """Decode a policy from text. RejectedError: it is not a policy, or not the one called `name`."""
     try:
         data = base64.b64decode(text, validate=True)
     except ValueError as error:
         raise MalformedDataError(f"policy: {error}") from None
     policy = decode_policy(data)
     if name and policy.name != name:
-        raise MalformedDataError(f"policy: its digest says {policy.name}, not {name}")
+        raise MalformedDataError(f"policy: got {policy.name} by its digest, expected {name}")
     return policy
 
 
-def change_text(change: Change) -> str:
-    """A change as text."""
+def change_to_text(change: Change) -> str:
+    """Encode a change as text."""
     return base64.b64encode(encode_change(change)).decode()
 
 
-def change_from(text: str) -> Change:
-    """A change from its text. RejectedError: it is none."""
+def change_from_text(text: str) -> Change:
+    """Decode a change from text. RejectedError: it is not a change."""
     try:
         data = base64.b64decode(text, validate=True)
     except ValueError as error:
@@ -47,7 +47,7 @@
 
 
 def change_from_bytes(data: bytes) -> Change:
-    """A change from its bytes. RejectedError: it is none."""
+    """Decode a change from bytes. RejectedError: they are not a change."""
     try:
         return decode_change(data)
     except WireError as error:
--- a/tests/test_consensus_log_fetch.py
+++ b/tests/test_consensus_log_fetch.py
@@ -209,7 +209,7 @@
 
 def test_a_download_joins_its_chunks_and_is_bounded() -> None:
     four_chunks = bytes(range(256)) * 4096
-    assert len(four_chunks) == 4 * messages.PIECE_BYTES
+    assert len(four_chunks) == 4 * messages.CHUNK_BYTES
     for data in (b"", b"x", four_chunks, four_chunks + b"x"):
 
         def reply_to(path: str, data: bytes = data) -> messages.Chunk:
@@ -222,7 +222,7 @@
                 run_download(reply_to, len(data) - 1)
         assert all(
             len(messages.encode(reply_to(f"x/n/{offset}"))) < messages.MAX_CALL_BYTES
-            for offset in range(0, len(data), messages.PIECE_BYTES)
+            for offset in range(0, len(data), messages.CHUNK_BYTES)
         )
 
 
@@ -236,7 +236,7 @@
         (messages.Chunk("n", 3, 0, "no base64"), "data"),
         # An endless reply that repeats the same chunk.
         (
-            messages.Chunk("n", 10**9, 0, base64.b64encode(bytes(messages.PIECE_BYTES)).decode()),
+            messages.Chunk("n", 10**9, 0, base64.b64encode(bytes(messages.CHUNK_BYTES)).decode()),
             "a chunk at 0",
         ),
     ],
@@ -248,7 +248,7 @@
 
 def test_uploads_are_bounded_and_ignore_repeated_chunks() -> None:
     uploads = Uploads()
-    data = bytes(messages.PIECE_BYTES) + b"the end"
+    data = bytes(messages.CHUNK_BYTES) + b"the end"
     ids = [f"{n:032x}" for n in range(1, MAX_UPLOADS + 2)]
     first, second = upload_calls(ids[0], data)
     for chunk in (first, first, second, first, second):
@@ -259,7 +259,7 @@
     for chunk, reason in (
         (msgspec.structs.replace(second, id=ids[1]), "and 0 of"),
         (messages.UploadCall(ids[1], MAX_UPLOAD_BYTES + 1, 0, ""), "at most"),
-        (msgspec.structs.replace(first, total=messages.PIECE_BYTES + 9), "are here"),
+        (msgspec.structs.replace(first, total=messages.CHUNK_BYTES + 9), "are here"),
         (msgspec.structs.replace(first, data="!!"), "data"),
         (msgspec.structs.replace(first, id=""), "id"),
     ):
