--- a/hollybay/proxy/server_drains.py
+++ b/hollybay/proxy/server_drains.py
@@ -1,7 +1,7 @@
-"""Administrative drains of servers on a running node: put in force, and shared between its processes.
+"""Administrative drains of servers on a running node, which are shared between its processes.
 
-`hollybay.admin.administrative_drains` decides what a drain means; this module connects it with the request
-dispatcher and the drain file. Imported only with the admin service.
+`hollybay.admin.administrative_drains` implements the drains; this module connects them to the request
+dispatcher and to the drain file. Imported only with the admin service.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 class UnknownServerError(Exception):
-    """A server is neither discovered nor drained."""
+    """The server is neither discovered nor drained."""
 
 
 class DrainNotPersistedError(Exception):
@@ -36,7 +36,7 @@
     Parameters
     ----------
     dispatcher
-        Request dispatcher of the node, which gets the changed servers.
+        Request dispatcher of the node, to which changes of servers are applied.
     drain_file
         File that the processes of the node share.
 
@@ -87,27 +87,27 @@
             wanted = in_force | {server_id} if drained else in_force - {server_id}
             if wanted == in_force:
                 return
-            # Persisted first: a drain that was confirmed holds for the next process of the node.
+            # Written before it is applied, so that a confirmed drain also applies to the next process.
             try:
                 self.drain_file.write(wanted)
             except OSError as error:
-                log.error("administrative drains not persisted: %s", error)
+                log.error("administrative drains cannot be written: %s", error)
                 raise DrainNotPersistedError(str(error)) from None
             self.set_drained(wanted)
             log.info("administrative drain %s: server=%s", "began" if drained else "ended", server_id)
 
     def read_file(self) -> None:
-        """Apply the drain file if it changed; an invalid file is logged and changes nothing."""
+        """Apply the drain file if it has changed; an invalid file is logged and has no effect."""
         try:
             drained = self.drain_file.read_if_changed()
         except (OSError, DrainFileError) as error:
-            log.error("%s: %s; the drains in force stay", self.drain_file.path, error)
+            log.error("drain file %s is ignored: %s", self.drain_file.path, error)
             return
         if drained is not None:
             self.set_drained(set(drained))
 
     def describe(self) -> list[dict[str, object]]:
-        """Describe each discovered or drained server and what is in force for it, as JSON objects."""
+        """Return the state of each discovered or drained server as JSON objects."""
         server_ids = sorted({*self.drains.discovered, *self.drains.drained}, key=str)
         return [self._describe_server(server_id) for server_id in server_ids]
 
--- a/hollybay/proxy/settings_text.py
+++ b/hollybay/proxy/settings_text.py
@@ -1,4 +1,4 @@
-"""Settings of the balancer from their JSON object to the text that `settings_parser.parse_settings` reads."""
+"""Conversion of the balancer's settings from a JSON object to the text format of `parse_settings`."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 def settings_text(settings: Mapping[str, object]) -> str:
     """Return the settings as lines of ``path=value``.
 
-    The path of a value joins the keys and list indices that lead to it with dots; a list of objects has one
-    more line with its length, ``path.count``. Commas in the values of a list become underscores, as the list
-    is joined by commas.
+    The path of a value consists of the keys and list indices that lead to it, joined with dots. A list of
+    objects has an additional line with its length, ``path.count``. The values of any other list are joined
+    with commas, so commas within them are replaced with underscores.
     """
     return "\n".join(f"{path}={text}" for path, text in _flatten("", settings))
 
--- a/hollybay/proxy/shutdown.py
+++ b/hollybay/proxy/shutdown.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown of a node: serve what still comes, then answer what is left before SIGKILL."""
+"""Graceful shutdown of a node: serve for a while, then respond to all open requests before SIGKILL."""
 
 from __future__ import annotations
 
@@ -19,19 +19,19 @@
 
 log = logging.getLogger("hollybay.proxy")
 
-# SIGTERM | accept | serve open connections | final period | last answers | margin | SIGKILL
+# Phases: SIGTERM | accept | serve open connections | final period | last responses | margin | SIGKILL
 #
 # Load balancers in front send new connections for up to 0.4 s after SIGTERM.
 ACCEPT_PERIOD_S = 0.55
-# The platform sends SIGKILL this long after the longest request deadline, of which it counts MAX_DEADLINE_S
-# at most: a request with a longer one may be answered before its deadline, at the end of the process.
+# The platform sends SIGKILL after the longest request deadline, but at most MAX_DEADLINE_S, plus this delay.
+# A request with a longer deadline may therefore get its final response early, when the process ends.
 KILL_DELAY_S = 0.7
 MAX_DEADLINE_S = 3.0
-KILL_MARGIN_S = 0.3  # before SIGKILL by which the process is done
-# Time at the end for requests that are then still in flight. Until then clients are served on their open
-# connections: where nodes are restarted one after another, the next node may not be ready yet.
+KILL_MARGIN_S = 0.3  # between the end of the shutdown and SIGKILL
+# Time at the end for requests that are still in flight. Before it, clients are served on their open
+# connections: in a rolling restart, the next node may not be ready yet.
 FINAL_PERIOD_S = 1.2
-LAST_ANSWERS_S = 0.1  # at the very end, for answers to requests that ran out of time
+LAST_ANSWERS_S = 0.1  # time at the end for the responses to requests that are ended unfinished
 
 ACCEPT_POLL_INTERVAL_S = 0.01
 CLIENTS_POLL_INTERVAL_S = 0.02
@@ -44,20 +44,20 @@
     final_period_s: float = FINAL_PERIOD_S,
     listener_group: ListenerGroup | None = None,
 ) -> None:
-    """Serve what still comes until the process must end, and answer everything that is then left.
+    """Serve clients until the process must end, then end all requests with a response.
 
     Parameters
     ----------
     clients, dispatcher
-        The downstream side and the request dispatcher.
+        Downstream side and request dispatcher of the node.
     accept_period_s
         How long new connections are accepted (s).
     final_period_s
         Time before the end at which connections are closed even if their clients keep using them (s).
     listener_group
-        The processes of this node that listen on its address. If another one has taken over, the node goes on
-        reporting itself as ready, unless an operator has drained it: clients are told to reconnect with their
-        next answer.
+        The processes of this node that listen on its address. If another one has taken over, the node
+        continues to report itself as ready, unless an operator has drained it, and closes each connection
+        after its next response.
     """
     has_successor = listener_group is not None and listener_group.count_others() > 0
     loop = asyncio.get_running_loop()
@@ -65,7 +65,9 @@
     end = started_at + _longest_deadline_s(dispatcher) + KILL_DELAY_S - KILL_MARGIN_S
     final_period_start = end - final_period_s
     log.info(
-        "draining: %d requests open, %d connections", dispatcher.unfinished_requests, len(clients.connections)
+        "shutting down: %d requests unfinished, %d client connections",
+        dispatcher.unfinished_requests,
+        len(clients.connections),
     )
     if has_successor:
         clients.advance(ServiceEvent.CLOSING_STARTED)
@@ -85,20 +87,20 @@
 
 
 def _longest_deadline_s(dispatcher: RequestDispatcher) -> float:
-    """Return the longest deadline of a request (s), as far as the process waits for it."""
+    """Return the longest deadline of a request class (s), limited to MAX_DEADLINE_S."""
     longest_deadline_s = max(request_class.deadline for request_class in dispatcher.settings.classes) / SECOND
     return min(longest_deadline_s, MAX_DEADLINE_S)
 
 
 async def _stop_listening(clients: ClientListener, final_period_start: float) -> None:
-    """Stop listening once no connection waits to be accepted; from a time of the loop on, in any case."""
+    """Stop listening when the accept queue is empty, or at the start of the final period (a loop time)."""
     loop = asyncio.get_running_loop()
     while not clients.stop_listening(anyway=loop.time() >= final_period_start):
         await asyncio.sleep(ACCEPT_POLL_INTERVAL_S)
 
 
 async def _close_connections(clients: ClientListener, until: float) -> None:
-    """Close connections with their next answer, until none is left or a time of the loop is reached."""
+    """Close each connection after its next response, until none is left or a loop time is reached."""
     clients.advance(ServiceEvent.CLOSING_STARTED)
     loop = asyncio.get_running_loop()
     while clients.any_left() and loop.time() < until:
--- a/hollybay/proxy/state_machine.py
+++ b/hollybay/proxy/state_machine.py
@@ -1,7 +1,7 @@
-"""What the state machines of requests and of connections share: one form of their tables, and its look-up.
+"""Transition tables, which the state machines of requests and of connections share.
 
-A table holds, for each state, the events that may happen in it and the state that follows. States and events
-are `IntEnum`, whose members are hashed at the speed of an int.
+A table contains, for each state, the events that may occur in it and the state that follows. States and
+events are of type `IntEnum`, whose members are hashed as fast as an int.
 """
 
 from __future__ import annotations
@@ -17,18 +17,18 @@
 
 
 class InvalidTransitionError(Exception):
-    """An event came in a state in which it must not: a fault of this program, never of a peer.
+    """An event occurred in a state that does not allow it: a bug of this program, never an error of a peer.
 
     Attributes
     ----------
     state
-        The state that the machine was in.
+        State of the machine.
     event
-        The event that happened.
+        Event that occurred.
     """
 
     def __init__(self, state: IntEnum, event: IntEnum) -> None:
-        super().__init__(f"{event.name} while {state.name}")
+        super().__init__(f"event {event.name} is not allowed in state {state.name}")
         self.state = state
         self.event = event
 
@@ -36,9 +36,9 @@
 def transition_function(
     transitions: Mapping[State, Mapping[Event, State]],
 ) -> Callable[[State, Event], State]:
-    """Return the function that looks up the state after an event in a table of transitions.
+    """Return a function that looks up the state after an event in a transition table.
 
-    It raises `InvalidTransitionError` if the table has no entry for the event in that state.
+    The function raises `InvalidTransitionError` if the table has no entry for the event in that state.
     """
 
     def next_state(state: State, event: Event) -> State:
--- a/hollybay/proxy/streaming_body.py
+++ b/hollybay/proxy/streaming_body.py
@@ -1,9 +1,9 @@
-"""The body of a request that is forwarded while it comes: neither side waits for the whole of it.
+"""Request body that is streamed to a server while it is still arriving.
 
-Up to `MAX_HELD_BODY_BYTES` a body is held until it is complete, and only then sent. A longer one is streamed.
-As long as all its bytes fit in the budget and in `MAX_RETAINED_BYTES` they are retained, and another attempt
-can begin anew. Beyond
-that, what a server has taken is dropped: the body is spent, and the client is read at the pace of the server.
+A body of up to `MAX_HELD_BODY_BYTES` is buffered, and sent when it is complete; a longer one is streamed. As
+long as all its bytes fit in the budget and in `MAX_RETAINED_BYTES`, they are retained, so that another
+attempt can send it from the beginning. After that, the bytes that were passed to a server are dropped: no
+other attempt can send the body, and the client is read only as fast as the server reads.
 """
 
 from __future__ import annotations
@@ -15,31 +15,32 @@
 
 __all__ = ["MAX_RETAINED_BYTES", "WINDOW_BYTES", "BodySink", "RetentionBudget", "StreamingBody"]
 
-# Bytes that wait for a server before the client is read no further, once nothing is retained any more.
+# Number of bytes waiting for the server above which reading from the client pauses, once the body is no
+# longer retained.
 WINDOW_BYTES = 64 << 10
-# The most of one body that is retained for another attempt.
+# Maximum number of bytes of one body that are retained for another attempt.
 MAX_RETAINED_BYTES = 2 << 20
 
 
 class BodySink(Protocol):
-    """Where a body goes: the connection of one attempt."""
+    """Consumer of a body: the connection of one attempt."""
 
     def body_available(self) -> None:
-        """Take note that there is more to pull, or that the body is complete."""
+        """Handle that more of the body can be pulled, or that it is complete."""
 
 
 class RetentionBudget:
-    """Memory for the retained bytes of all streaming bodies together.
+    """Memory budget for the retained bytes of all streaming bodies.
 
     Parameters
     ----------
     total
-        Its size (bytes).
+        Size of the budget (bytes).
 
     Attributes
     ----------
     used
-        How much of it (bytes) is reserved.
+        Number of bytes that are reserved.
     """
 
     __slots__ = ("total", "used")
@@ -49,7 +50,7 @@
         self.used = 0
 
     def reserve(self, size: int) -> bool:
-        """Reserve some bytes; False: there is no room for them, and none was reserved."""
+        """Reserve a number of bytes; if there is no room, reserve nothing and return False."""
         if self.used + size > self.total:
             return False
         self.used += size
@@ -57,27 +58,27 @@
 
 
 class StreamingBody:
-    """One body on its way from its client to a server.
+    """Request body that is streamed from a client to a server.
 
     Parameters
     ----------
     length
-        Its length (bytes) as its client stated it; None if it comes in chunks.
+        Length (bytes) that the client stated; None if the body is chunked.
     source
         The client's connection.
     budget
-        Memory for retained bytes.
+        Memory budget for retained bytes.
 
     Attributes
     ----------
     client_deadline
-        When (ns of the monotonic clock) its client would stop to wait, were the body complete already.
+        Deadline (ns of the monotonic clock) of the client if the body had been complete when streaming began.
     is_complete
-        Whether its last byte has come.
+        Whether the last byte has arrived.
     is_spent
-        Whether a part of it was dropped, so that no attempt can begin anew.
+        Whether bytes were dropped, so that no other attempt can send the body.
     sink
-        The attempt that pulls it at present.
+        Connection of the attempt that is sending the body; None if there is none.
     """
 
     __slots__ = (
@@ -103,24 +104,24 @@
         self.sink: BodySink | None = None
         self._source = source
         self._budget = budget
-        self._reserved = 0  # bytes of the budget
+        self._reserved = 0  # number of bytes reserved in the budget
         self._is_retained = True
         self._pieces: deque[bytes] = deque()
-        self._position = 0  # how many of the retained pieces the present sink has pulled
-        self._waiting = 0  # bytes that no sink has pulled
+        self._position = 0  # number of retained pieces that the current sink has pulled
+        self._waiting = 0  # number of bytes that the current sink has not pulled
 
     @property
     def is_taken(self) -> bool:
-        """Whether no other attempt can begin: one is under way, or bytes were dropped."""
+        """Whether no other attempt can send the body: one is sending it, or bytes were dropped."""
         return self.is_spent or self.sink is not None
 
     @property
     def is_exhausted(self) -> bool:
-        """Whether the sink has pulled all there is, to the end."""
+        """Whether the sink has pulled the whole body."""
         return self.is_complete and self._position >= len(self._pieces)
 
     def append(self, data: bytes) -> None:
-        """Add what has come next."""
+        """Append bytes that have arrived."""
         if self._is_retained and not self._reserve(len(data)):
             self._stop_retaining()
         self._pieces.append(data)
@@ -131,18 +132,18 @@
             self._source.set_reading(False)
 
     def complete(self) -> None:
-        """Take note that the last byte has come."""
+        """Mark the body as complete."""
         self.is_complete = True
         if self.sink is not None:
             self.sink.body_available()
 
     def attach(self, sink: BodySink) -> None:
-        """Let an attempt pull the body from its first byte on."""
+        """Let the connection of an attempt pull the body from its first byte."""
         assert not self.is_taken
         self.sink = sink
 
     def pull(self) -> bytes:
-        """Return what comes next; empty if nothing has come yet."""
+        """Return the next piece of the body; empty if none is available."""
         if self._position >= len(self._pieces):
             return b""
         data = self._pieces[self._position]
@@ -157,7 +158,7 @@
         return data
 
     def detach(self, sink: BodySink) -> None:
-        """End the pulling of an attempt that is over."""
+        """Detach the connection of an attempt that has sent the whole body, or has ended."""
         if self.sink is sink:
             self.sink = None
             if self._is_retained:
@@ -165,7 +166,7 @@
                 self._waiting = self._reserved
 
     def close(self) -> None:
-        """Drop all bytes: the request is over."""
+        """Drop all bytes, as the request has ended."""
         self.sink = None
         self.is_spent = True
         self._pieces.clear()
@@ -173,14 +174,14 @@
         self._release()
 
     def _reserve(self, size: int) -> bool:
-        """Reserve memory for some bytes more, if the body may have them."""
+        """Reserve memory for more bytes, within the limits of the body and of the budget."""
         if self._reserved + size > MAX_RETAINED_BYTES or not self._budget.reserve(size):
             return False
         self._reserved += size
         return True
 
     def _stop_retaining(self) -> None:
-        """Drop what the present sink has pulled, and everything that is pulled from here on."""
+        """Drop the pieces that the current sink has pulled, and from now on each piece when it is pulled."""
         self._is_retained = False
         for _ in range(self._position):
             self._pieces.popleft()
--- a/hollybay/proxy/system.py
+++ b/hollybay/proxy/system.py
@@ -1,7 +1,7 @@
-"""Interface between the node and its machine: clock, sockets, files, and what only the kernel knows.
+"""Interface to the operating system: clock, sockets, files, and the kernel's state of a socket.
 
-The node uses these functions by module and name (`system.monotonic_ns()`) and nothing else of the kind, so
-that a simulation can replace them.
+The node calls these functions through the module (`system.monotonic_ns()`) and uses no others for these
+purposes, so that a simulation can replace them.
 """
 
 from __future__ import annotations
@@ -40,14 +40,15 @@
 
 def _tcp_socket(host: str) -> socket.socket:
     """Create a TCP socket of the address family of a host."""
-    # asyncio disables Nagle's algorithm only on sockets whose protocol is named; with it the last segment of
-    # a request would wait 40 ms for the peer's delayed acknowledgement.
+    # asyncio disables Nagle's algorithm only on sockets that are created with an explicit protocol. With
+    # Nagle's algorithm, the last segment of a request would wait 40 ms for the peer's delayed
+    # acknowledgement.
     family = socket.AF_INET6 if ":" in host else socket.AF_INET
     return socket.socket(family, socket.SOCK_STREAM, socket.IPPROTO_TCP)
 
 
 def _unread_bytes(sock: socket.socket) -> int:
-    """Return how many bytes the kernel has received on a socket that were not read yet."""
+    """Return the number of received bytes of a socket that were not read yet."""
     return int.from_bytes(fcntl.ioctl(sock.fileno(), termios.FIONREAD, bytes(SIZE_OF_INT)), sys.byteorder)
 
 
@@ -57,7 +58,7 @@
 
 
 def _finish_startup() -> None:
-    """Exempt all present objects from garbage collection, once the process has started."""
+    """Exempt all existing objects from garbage collection, after the process has started."""
     gc.collect()
     gc.freeze()
 
@@ -65,8 +66,8 @@
 # Current time of the monotonic clock (ns).
 monotonic_ns: Callable[[], int] = time.monotonic_ns
 
-# Lead of the wall clock over the monotonic clock (ns). It is read once: with a difference that varies from
-# list to list, the start of a server would vary too and the server would seem to have restarted.
+# Difference of the wall clock and the monotonic clock (ns). It is computed once: if it varied between server
+# lists, the start time of a server would vary too, and the server would seem to have restarted.
 wall_clock_offset = _wall_clock_offset()
 
 # Functions that a simulation replaces.
@@ -74,5 +75,5 @@
 unread_bytes: Callable[[socket.socket], int] = _unread_bytes
 read_bytes: Callable[[str | Path], bytes] = _read_bytes
 finish_startup: Callable[[], None] = _finish_startup
-# Block the calling thread for some seconds; never to be called in the thread of the event loop.
+# Blocks the calling thread for a time (s); must not be called in the thread of the event loop.
 sleep: Callable[[float], None] = time.sleep
--- a/hollybay/proxy/thread_switching.py
+++ b/hollybay/proxy/thread_switching.py
@@ -1,4 +1,4 @@
-"""Shorter turns of threads, so that the event loop is served while another thread compiles a policy."""
+"""Shorter switch interval of threads, so that the event loop stays responsive while a policy is compiled."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 
 __all__ = ["short_switch_interval"]
 
-# With the interpreter's default of 5 ms each turn of the event loop could be that much late.
+# With the interpreter's default of 5 ms, each iteration of the event loop could be delayed by that time.
 SWITCH_INTERVAL_S = 0.0005
 
 
 @contextmanager
 def short_switch_interval() -> Iterator[None]:
-    """Let a compiling thread yield to the event loop sooner."""
+    """Let the thread that compiles a policy yield to the event loop sooner."""
     interval = sys.getswitchinterval()
     sys.setswitchinterval(SWITCH_INTERVAL_S)
     try:
--- a/hollybay/proxy/upstream/__init__.py
+++ b/hollybay/proxy/upstream/__init__.py
@@ -1,1 +1,1 @@
-"""The side of the node that faces servers: pools, attempts, connections."""
+"""Upstream side of the node: attempts, connections to servers, and their pools."""
--- a/hollybay/proxy/upstream/attempt.py
+++ b/hollybay/proxy/upstream/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt at a request: which server, until when, and how it ended."""
+"""One attempt to run a request on a server."""
 
 from __future__ import annotations
 
@@ -16,54 +16,54 @@
 
 
 class AttemptObserver(Protocol):
-    """Who is notified of how attempts go."""
+    """Observer that is notified of the progress of attempts."""
 
     def is_awaited(self, attempt: UpstreamAttempt) -> bool:
-        """Tell whether anybody still waits for it; asked before its first byte, and before its last."""
+        """Whether the attempt is still needed; called before its first and before its last byte is sent."""
 
     def response_started(self, attempt: UpstreamAttempt, response: ForwardedResponse) -> Client | None:
-        """Take note that a streamed response begins; return where it goes, None to give the attempt up."""
+        """Handle the start of a streamed response; return its client, or None to cancel the attempt."""
 
     def attempt_finished(self, attempt: UpstreamAttempt, response: ForwardedResponse | None) -> None:
-        """Take the result of an attempt, and its response where that was kept until it was whole."""
+        """Handle the end of an attempt; the response is given if it is complete and was not streamed."""
 
 
 class AttemptConnection(Protocol):
-    """What an attempt asks of the connection that carries it."""
+    """Interface of the connection that carries an attempt, as far as the attempt uses it."""
 
     attempt: UpstreamAttempt | None
 
     def set_reading(self, reading: bool) -> None:
-        """Read from the socket, or leave to the kernel what comes."""
+        """Resume or pause reading from the socket."""
 
     def close(self) -> None:
-        """Close at once."""
+        """Close the connection at once."""
 
 
 class UpstreamAttempt:
-    """One attempt at a request. Ends exactly once, with a result.
+    """One attempt to run a request on a server. It ends exactly once, with a result.
 
     Parameters
     ----------
     message
-        What is sent.
+        Message that is sent.
     server
-        Where it is sent.
+        Server that it is sent to.
     deadline
-        When the attempt ends at the latest, in ns of the monotonic clock.
+        Latest end of the attempt (ns of the monotonic clock).
     observer
-        Who is notified of the response and of the result.
+        Observer that is notified of the response and of the result.
     is_safe
-        Whether the request's class is SAFE; a KEYED one is held back like an UNSAFE one, though it may be
-        retried.
+        Whether the class of the request is SAFE. If not, the last byte of the request is held back for a
+        moment; this includes KEYED classes, though their requests may be retried.
     streamed
-        Whether the response is passed on as it comes.
+        Whether the response is streamed from its first byte on.
     request
-        The client's request that the attempt belongs to; None: a health check.
+        The client's request that the attempt belongs to; None for a health check.
     number
-        0 for the first attempt at the request, then 1, and so on.
+        Number of the attempt within the request, from 0.
     write_deadline
-        When (ns) its last byte has to be written at the latest; 0: no such time.
+        Time (ns) by which the last byte must be written; 0 if there is no limit.
     """
 
     __slots__ = (
@@ -109,43 +109,44 @@
         self.request = request
         self.number = number
         self.write_deadline = write_deadline
-        # When (ns) it began, or the last byte of a streamed body was written: response times count from here.
+        # Time (ns) from which response times count: the start of the attempt, or the time at which the last
+        # byte of a streamed body was written.
         self.sent_at = system.monotonic_ns()
-        self.response_started = 0  # ns; when the first bytes of a streamed response came, 0: none has
-        self.read_delay = 0  # ns; for how long the end of the response was here before the node read it
-        self.request_written = False  # its last byte was handed over: from here on it may have run
+        self.response_started = 0  # time (ns) at which a streamed response began; 0 before
+        self.read_delay = 0  # how long (ns) the end of the response waited in the kernel to be read
+        self.request_written = False  # the kernel has the last byte: from now on the request may have run
         self.result: api.Result | None = None
         self.report: tuple[float, ...] = ()
         self.connection: AttemptConnection | None = None
         self.connecting: asyncio.Task[None] | None = None
         self.timer: asyncio.TimerHandle | None = None
-        # The attempts at the same server that are not whole on the wire yet, this one among them.
+        # The endpoint's table of attempts that are not completely written yet, to remove this one from.
         self.unwritten_attempts: dict[UpstreamAttempt, None] | None = None
 
     def cancel(self) -> None:
-        """Stop waiting; the connection is closed."""
+        """Cancel the attempt and close its connection."""
         self.end(api.Result.CANCELLED)
 
     def connection_lost(self) -> None:
-        """End because the connection is gone, or because what came on it is no response."""
+        """End the attempt because its connection was lost, or received no valid response."""
         self.end(api.Result.NOT_DELIVERED)
 
     def response_time(self) -> int:
-        """Return the time (ns) to the first bytes of a streamed response, else to the last ones, now."""
+        """Return the time (ns) to the start of a streamed response, or else to its end, which is now."""
         ended = self.response_started or system.monotonic_ns() - self.read_delay
         return max(0, ended - self.sent_at)
 
     def set_reading(self, reading: bool) -> None:
-        """Apply the back-pressure of the client that the response is passed on to."""
+        """Apply the back-pressure of the client to the connection that carries the attempt."""
         if self.connection is not None:
             self.connection.set_reading(reading)
 
     def end(self, result: api.Result, response: ForwardedResponse | None = None) -> None:
-        """Take the first result, and notify the observer; a connection still in use is closed."""
+        """End the attempt with a result unless it has ended; a connection still in use is closed."""
         if self.result is not None:
             return
         if result == api.Result.TIMEOUT and not self.request_written:
-            result = api.Result.NOT_DELIVERED  # a server begins a request when its last byte has come
+            result = api.Result.NOT_DELIVERED  # a server runs a request only once it has the last byte
         elif result == api.Result.NOT_DELIVERED and self.request_written:
             result = api.Result.RESET
         self.result = result
--- a/hollybay/proxy/upstream/connection.py
+++ b/hollybay/proxy/upstream/connection.py
@@ -1,7 +1,6 @@
-"""One connection to a server: begins requests, which its base class writes, and reads the responses.
+"""Connection to a server: starts requests, which its base class writes, and reads their responses.
 
-Which events lead to which state stands in `states`; this module and `request_sender` hold what each event
-does.
+The states and their transitions are in `states`; this module and `request_sender` implement the events.
 """
 
 from __future__ import annotations
@@ -39,14 +38,14 @@
 __all__ = ["ConnectionOwner", "ServerConnection"]
 
 
-# The states and events of each request, by names of this module: a look-up in an enum costs 0.2 µs.
+# Members used for each request, as names of this module: the look-up on the enum class costs 0.2 µs.
 _REQUEST_STARTED = UpstreamConnectionEvent.REQUEST_STARTED
 _RESPONSE_STARTED = UpstreamConnectionEvent.RESPONSE_STARTED
 _RESPONSE_COMPLETED = UpstreamConnectionEvent.RESPONSE_COMPLETED
 
 
 class ConnectionOwner(SenderOwner, Protocol):
-    """What a connection asks of the pools that it belongs to."""
+    """Interface of the pools that a connection belongs to, as far as the connection uses it."""
 
     names: NameTable
     load_header: bytes
@@ -55,35 +54,39 @@
     opening: set[UpstreamAttempt]
 
     def connection_closed(self, connection: ServerConnection) -> None:
-        """Forget a connection that is gone."""
+        """Remove a connection that is closed."""
 
 
 class ServerConnection(RequestSender):
-    """One connection to a server; it carries one attempt at a time.
+    """Connection to a server; it carries one attempt at a time.
 
     Parameters
     ----------
     owner
         The pools that the connection belongs to.
     endpoint
-        The server at its other end.
+        The server that it is connected to.
     opened_for
-        The attempt for which it was opened, and which it carries first.
+        The attempt that it was opened for, and which it carries first.
     sock
-        Its socket.
+        The connected socket.
 
     Attributes
     ----------
-    response, failure
-        The head of the response, or what a head that brings no response to forward says of the attempt.
+    response
+        Head of a response that can be forwarded.
+    failure
+        Result of the attempt, if the head of its response shows that the attempt failed.
     body_pieces, body_size
-        The body as far as it is held, and how many bytes of it came in all.
+        The buffered parts of the body, and the number of bytes of the body that were received.
     client
-        Where the response goes once it is streamed.
-    bytes_received, last_received_at
-        Bytes of the response as they came on the wire, and when (s, the loop's clock) the last ones came.
+        Client that the response is streamed to; None while the response is buffered.
+    bytes_received
+        Number of bytes received for the response, including its head and framing.
+    last_received_at
+        Time (s, clock of the event loop) at which the last bytes were received.
     http
-        The parser of the response; there is one from the first request on, and a new one for each.
+        Parser of the response; set at the first request, and replaced at each one.
     """
 
     owner: ConnectionOwner
@@ -103,17 +106,18 @@
         self.last_received_at = 0.0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Count as a connection from here on."""
+        """Register the connection with its pools."""
         super().connection_made(transport)
         self.state = next_state(self.state, UpstreamConnectionEvent.CONNECTED)
-        # From here on it counts as a connection; counted twice, a burst would seem to use up the descriptors.
+        # It moves from `opening` to `connections`: if it were counted in both, a burst of new connections
+        # would seem to use up the descriptors.
         self.owner.connections.add(self)
         if self.opened_for is not None:
             self.owner.opening.discard(self.opened_for)
             self.opened_for = None
 
     def connection_lost(self, _exc: Exception | None) -> None:
-        """End the attempt that the connection carries, if there is one."""
+        """Remove the connection from its pools, and end the attempt that it carries, if any."""
         self.state = next_state(self.state, UpstreamConnectionEvent.LOST)
         self.stop_timer()
         self.owner.connection_closed(self)
@@ -121,14 +125,14 @@
             self._fail()
 
     def begin(self, attempt: UpstreamAttempt) -> None:
-        """Write a request, all but its last piece; see _write_last_piece."""
+        """Write a request except for its last piece, which `_write_last_piece` writes."""
         if self.endpoint.draining is not None and self.owner.loop.time() >= self.endpoint.write_cutoff:
-            # The timer that withdraws what is not yet written is due, and has not been called yet.
+            # The timer that ends unwritten attempts is due, but has not been called yet.
             self.close()
             attempt.end(api.Result.NOT_DELIVERED)
             return
         if not attempt.observer.is_awaited(attempt):
-            # Its client left while the connection came up, which is as good for the next one.
+            # The client disconnected while the connection was being opened; another attempt can use it.
             self.return_unused(attempt)
             return
         message = attempt.message
@@ -154,9 +158,9 @@
             self._begin_streaming(message, streaming_body, headers)
 
     def received(self, data: memoryview) -> None:
-        """Read on in the response."""
+        """Process bytes of the response."""
         if self.attempt is None:
-            self.close()  # nothing was asked: what comes could only be taken for an answer to the next one
+            self.close()  # no request is in progress: the bytes could be taken for the next response
             return
         self.last_received_at = self.owner.loop.time()
         begins = not self.bytes_received
@@ -169,11 +173,11 @@
         self.http.receive_data(data)
         self._process_events()
         if begins and self.attempt is not None and self.timer is None:
-            # Most answers are whole by now.
+            # Started only here, as most responses are complete by now.
             self.start_timer(response_limits.response_limit_s(self.attempt.is_safe), self._check_progress)
 
     def _check_progress(self) -> None:
-        """End a response that has stalled before it was complete, and stream one that may be long."""
+        """Fail an attempt whose response has stalled; begin to stream a response that may be long."""
         self.timer = None
         attempt = self.attempt
         if attempt is None:
@@ -192,7 +196,7 @@
             self.start_timer(left, self._check_progress)
 
     def eof_received(self) -> None:
-        """End the response, where it ends with the connection."""
+        """Handle the end of the stream, which completes a response that is framed by it."""
         if self.attempt is not None:
             self.http.receive_data(b"")
             self._process_events()
@@ -218,7 +222,7 @@
         except h11.RemoteProtocolError:
             self._fail()
         if self.attempt is not None and self.failure is not None:
-            self.attempt.end(self.failure)  # the head said all; the rest of its body is not worth waiting for
+            self.attempt.end(self.failure)  # the head decides the result, so the body is not awaited
 
     def _receive_head(self, attempt: UpstreamAttempt, event: h11.Response) -> None:
         found = read_head(event, self.owner.load_header)
@@ -228,8 +232,8 @@
             self.failure = result_of_failure(event, found.headers)
             return
         if not attempt.request_written:
-            # Nothing was asked in full yet, so no server can have made this for it.
-            raise h11.RemoteProtocolError("an answer before the request")
+            # The request was not completely sent yet, so this cannot be the response to it.
+            raise h11.RemoteProtocolError("response received before the request was sent")
         check_framing(found)
         headers = end_to_end_headers(found.headers, self.owner.not_for_clients)
         self.response = ForwardedResponse(STATUS_OK, headers, None, found.length)
@@ -242,17 +246,17 @@
             return
         self.body_size += len(data)
         if self.body_size > MAX_BODY_BYTES:
-            raise h11.RemoteProtocolError("too long")
+            raise h11.RemoteProtocolError("response body too long")
         if self.client is not None:
             self.client.write(data)
             return
-        # Held until it is whole: what has been passed on in part can be neither tried again nor taken back.
+        # Buffered until it is complete: once part of a response is forwarded, the request cannot be retried.
         self.body_pieces.append(data)
         if self.body_size > MAX_HELD_BODY_BYTES:
             self._start_stream(attempt)
 
     def _start_stream(self, attempt: UpstreamAttempt) -> None:
-        """Stream the response from here on: its class is streamed, or it is long."""
+        """Begin to stream the response, as its class is streamed or it is too long to be buffered."""
         assert self.response is not None
         self.start_timer(response_limits.STREAM_STALL_S, self._check_stall)
         attempt.response_started = system.monotonic_ns()
@@ -266,7 +270,7 @@
             self.body_pieces = []
 
     def _check_stall(self) -> None:
-        """End a stream that its server leaves unfinished; it would hold client and sockets for ever."""
+        """Fail an attempt whose stream has stalled; otherwise it would occupy two connections forever."""
         now = self.owner.loop.time()
         if (
             self.attempt is not None
@@ -303,6 +307,6 @@
         if attempt is None:
             return
         if self.failure is not None:
-            attempt.end(self.failure)  # the head was whole, and proves what it says
+            attempt.end(self.failure)  # the head is complete and decides the result
         else:
             attempt.connection_lost()
--- a/hollybay/proxy/upstream/connector.py
+++ b/hollybay/proxy/upstream/connector.py
@@ -1,4 +1,4 @@
-"""Opening a TCP connection, with the time that the server has for it counted by the kernel's state."""
+"""Opening of TCP connections with a timeout that is checked against the state of the kernel."""
 
 from __future__ import annotations
 
@@ -21,32 +21,32 @@
     Parameters
     ----------
     sock
-        The socket; the caller closes it where this raises.
+        The socket; the caller closes it if this raises.
     address
         Host and port.
     limit
-        Seconds that the server has.
+        Timeout (s).
     establish
-        How the connection is brought up; `establish` of this module, but in tests.
+        Function that establishes the connection: `establish` of this module, except in tests.
 
     Raises
     ------
     OSError
-        The server refuses, cannot be reached, or did not accept in time (TimeoutError).
+        The server refused the connection, cannot be reached, or did not accept in time (TimeoutError).
     """
     try:
         async with asyncio.timeout(limit):
             await establish(sock, address)
     except TimeoutError:
-        # The server's time is up, unless it was in time and only the loop is late to hear of it: a busy node
-        # would else blame its servers, and open the same connection elsewhere again.
+        # The server may have accepted in time while the event loop was too busy to notice. Without this
+        # check, a busy node would blame its servers, and would open another connection elsewhere.
         if sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1)[0] != TCP_ESTABLISHED:
             raise
 
 
 async def establish(sock: socket.socket, address: tuple[str, int]) -> None:
-    """Bring a connection up, however long that takes. Raises OSError where the server refuses."""
-    # Begun at once: a loop that begins it a turn later takes that turn from the server's time.
+    """Establish a connection, without a timeout. Raises OSError if that fails."""
+    # Called directly, as a delay of one iteration of the event loop would count against the server's time.
     error = sock.connect_ex(address)
     if error == errno.EINPROGRESS:
         loop = asyncio.get_running_loop()
--- a/hollybay/proxy/upstream/endpoint.py
+++ b/hollybay/proxy/upstream/endpoint.py
@@ -1,4 +1,4 @@
-"""A server of the list, as the pools know it: its address, its idle connections, what is on its way to it."""
+"""A server as the pools see it: its address, its idle connections, and the attempts being written to it."""
 
 from __future__ import annotations
 
@@ -15,35 +15,35 @@
 
 
 class PooledConnection(Protocol):
-    """What a pool asks of an idle connection."""
+    """Interface of an idle connection, as far as the pools use it."""
 
     endpoint: Endpoint
-    response_ended_at: float  # when (s, the loop's clock) its last response ended
+    response_ended_at: float  # time (s, clock of the event loop) at which its last response ended
 
     def is_alive(self) -> bool:
-        """Tell whether the connection is whole and has nothing to read."""
+        """Whether the connection is open and has no unread bytes."""
 
     def is_settled(self, now: float) -> bool:
-        """Tell whether nothing that comes can belong to the last response any more."""
+        """Whether bytes that arrive at a loop time (s) cannot belong to the last response any more."""
 
     def settle_time_left(self) -> float:
-        """Return for how long (s) what comes may still belong to the last response."""
+        """Return for how long (s) arriving bytes may still belong to the last response."""
 
     def set_reading(self, reading: bool) -> None:
-        """Read from the socket, or leave to the kernel what comes."""
+        """Resume or pause reading from the socket."""
 
     def stop_timer(self) -> None:
         """Cancel the timer of the connection."""
 
     def begin(self, attempt: UpstreamAttempt) -> None:
-        """Carry an attempt."""
+        """Start an attempt on this connection."""
 
     def close(self) -> None:
-        """Close at once."""
+        """Close the connection at once."""
 
 
 class Endpoint:
-    """A server of the list."""
+    """A server of the server list, with its idle connections."""
 
     __slots__ = (
         "address",
@@ -59,17 +59,17 @@
     def __init__(self, server: api.ServerId, address: tuple[str, int]) -> None:
         self.id = server
         self.address = address
-        self.draining: asyncio.TimerHandle | None = None  # not None: it drains, also after the timer fired
-        self.write_cutoff = (
-            0.0  # while it drains: from when on nothing is written to it (s, the loop's clock)
-        )
-        self.idle: list[PooledConnection] = []  # the last one rested shortest and is taken first
-        self.unwritten_attempts: dict[UpstreamAttempt, None] = {}  # in the order in which they were begun
+        # Timer that ends unwritten attempts; set while the server drains, also after the timer has fired.
+        self.draining: asyncio.TimerHandle | None = None
+        # Time (s, clock of the event loop) from which nothing is written to it, while it drains.
+        self.write_cutoff = 0.0
+        self.idle: list[PooledConnection] = []  # the most recently used one is last, and is taken first
+        self.unwritten_attempts: dict[UpstreamAttempt, None] = {}  # in the order in which they started
         self.holds = HoldAccount()
         self.last_report: tuple[bytes, tuple[float, ...]] = (b"", ())
 
     def load_report(self, text: bytes, names: NameTable) -> tuple[float, ...]:
-        """Return the values of its load report, which it renews less often than it answers."""
+        """Parse a load report of the server; the last one is cached, as most responses repeat it."""
         if text != self.last_report[0]:
             self.last_report = (text, names.parse_load_report(text.decode("latin-1")))
         return self.last_report[1]
--- a/hollybay/proxy/upstream/health_check.py
+++ b/hollybay/proxy/upstream/health_check.py
@@ -1,4 +1,4 @@
-"""Health checks: an attempt that no client waits for, and what its response says of the server's load."""
+"""Health checks of servers: attempts without a client request, whose responses may carry a load report."""
 
 from __future__ import annotations
 
@@ -22,18 +22,18 @@
 def health_check(
     server: api.ServerId, host: bytes, reports: bool, names: NameTable, feed: Callable[[api.Event], None]
 ) -> UpstreamAttempt:
-    """Make the attempt that checks a server; its result goes to `feed` as an `api.ProbeResult`.
+    """Create the attempt that checks a server; its result is passed to `feed` as an `api.ProbeResult`.
 
     Parameters
     ----------
     server, host
-        Which server, and what it is called in the request.
+        The server, and the value of the Host header.
     reports
-        Whether the check asks for a load report in place of the liveness alone.
+        Whether the check requests a load report instead of only the liveness.
     names
-        What the values of a load report are called.
+        Table of the names of a load report's fields.
     feed
-        Takes the result.
+        Called with the result.
     """
     path = LOAD_REPORT_PATH if reports else LIVENESS_PATH
     message = ForwardedRequest(b"GET", path, [(b"host", host)], (), 0)
@@ -42,7 +42,7 @@
 
 
 class _HealthCheckObserver:
-    """Takes the result of a health check."""
+    """Observer that reports the result of a health check."""
 
     def __init__(self, names: NameTable, feed: Callable[[api.Event], None]) -> None:
         self.names = names
--- a/hollybay/proxy/upstream/hold_account.py
+++ b/hollybay/proxy/upstream/hold_account.py
@@ -1,38 +1,39 @@
-"""When requests to a server are held for its connections for so long that another connection is cheaper."""
+"""Decision whether to hold a request for an existing connection or to open another connection."""
 
 from __future__ import annotations
 
 __all__ = ["HoldAccount"]
 
-# Prices of a connection by which the account decays each second: requests that are held now and then never
-# add up to one.
+# Decay of the recorded hold time per second, in units of the cost of a connection. Requests that are held
+# only occasionally therefore never add up to it.
 DECAY_PER_S = 1.0
 
 
 class HoldAccount:
-    """How long the requests to one server were held lately, against the price of a connection.
+    """Recent hold time of the requests to one server, compared with the cost of a connection.
 
-    A connection is opened once the holds lately, with the one that is due, add up to more than its price (the
-    ski-rental algorithm), and the account begins anew. Not thread-safe.
+    A request is held until its connection has settled (`SETTLE_S` of `request_sender`). Once the recent hold
+    time, including the next hold, exceeds the cost of a connection, another connection is opened instead and
+    the recorded time is reset: the ski-rental algorithm. Not thread-safe.
     """
 
     __slots__ = ("at", "held")
 
     def __init__(self) -> None:
-        self.held = 0.0  # s, as of `at`
-        self.at = 0.0
+        self.held = 0.0  # recent hold time (s), as of `at`
+        self.at = 0.0  # time (s) of the last update
 
     def allows(self, hold: float, price: float, now: float) -> bool:
-        """Whether a request is to be held, which is then counted; False: a connection is to be opened.
+        """Whether to hold a request, whose hold is then recorded; False to open a connection instead.
 
         Parameters
         ----------
         hold
-            For how long (s) it would be held.
+            Time (s) for which the request would be held.
         price
-            The hold (s) that is worth a connection.
+            Total hold time (s) that justifies another connection.
         now
-            The time (s) of a monotonic clock.
+            Time (s) of a monotonic clock.
         """
         decay = DECAY_PER_S * price * max(0.0, now - self.at)
         self.held = max(0.0, self.held - decay) + hold
--- a/hollybay/proxy/upstream/pools.py
+++ b/hollybay/proxy/upstream/pools.py
@@ -1,4 +1,4 @@
-"""The pools of connections to servers: which connection carries an attempt, and when one is closed."""
+"""Pools of connections to servers: select a connection for each attempt, and close idle connections."""
 
 from __future__ import annotations
 
@@ -27,30 +27,30 @@
 
 log = logging.getLogger("hollybay.proxy")
 
-# Of one server's idle connections: where none of so many has settled, no further one is opened, and a
-# request waits for the one that rested longest, which takes a part of SETTLE_S.
+# If a server has this many idle connections and none has settled, no other connection is opened: the request
+# waits for the one that has been idle longest, which takes less than SETTLE_S.
 MAX_UNSETTLED = 4
-SWEEP_INTERVAL_S = 0.25  # how often that is looked for
-# Part of the drain grace after which an attempt that is not yet whole on the wire is withdrawn.
+SWEEP_INTERVAL_S = 0.25  # between two checks for connections that have been idle too long
+# Share of the drain grace period after which attempts that are not completely written are ended.
 DRAIN_GRACE_SHARE = 0.75
 
 
 class UpstreamPools:
-    """All servers that the lists named, and the connections to them.
+    """The known servers, and the connections to them.
 
     Parameters
     ----------
     settings
-        The node's settings.
+        Settings of the balancer.
     names
-        What names on the wire stand for.
+        Table of the names on the wire.
     limit
-        How many connections to servers there may be at once.
+        Maximum number of connections to servers.
     """
 
     def __init__(self, settings: api.Settings, names: NameTable, limit: int) -> None:
         self.settings = settings
-        self.written = 0  # attempts that the kernel has taken whole, since the start
+        self.written = 0  # number of attempts whose request was completely written, since the start
         self.names = names
         self.limit = limit
         self.load_header = b"x-backend-load"
@@ -59,13 +59,13 @@
         self.loop = asyncio.get_running_loop()
         self.endpoints: dict[api.ServerId, Endpoint] = {}
         self.connections: set[ServerConnection] = set()
-        # Idle ones and since when (s, the loop's clock), the longest idle first.
+        # Idle connections and the time (s, clock of the event loop) since which they are idle, longest first.
         self.idle_since: OrderedDict[PooledConnection, float] = OrderedDict()
         self.sweeper: asyncio.TimerHandle | None = None
-        self.opening: set[UpstreamAttempt] = set()  # attempts whose connection is not yet among the others
+        self.opening: set[UpstreamAttempt] = set()  # attempts whose connection is still being opened
 
     def apply(self, update: DiscoveryUpdate) -> None:
-        """Apply a server list: update addresses, and drain the servers that drain, are gone or have moved."""
+        """Apply a server list: update addresses, and drain servers that drain, are gone or have moved."""
         if update.servers.kind != api.ListKind.CHANGES:
             for server_id in [known for known in self.endpoints if known not in update.addresses]:
                 self._drain(self.endpoints.pop(server_id))
@@ -96,7 +96,7 @@
             endpoint.draining = self.loop.call_later(grace, self._end_unwritten_attempts, endpoint)
 
     def _end_unwritten_attempts(self, endpoint: Endpoint) -> None:
-        # A request that is still being written when the grace is over would reach a server that drains.
+        # A request that is still being written after the grace period would reach a server that has drained.
         for attempt in list(endpoint.unwritten_attempts):
             attempt.end(api.Result.NOT_DELIVERED)
 
@@ -116,22 +116,22 @@
             return
         if self._is_full():
             if not self.idle_since:
-                # This node has no descriptor left; that is no failure of the server.
-                log.warning("no descriptor left for a connection to a server")
+                # NOT_SENT, as the node lacks a descriptor, which is no failure of the server.
+                log.warning("cannot open a connection to a server: the limit of connections is reached")
                 attempt.end(api.Result.NOT_SENT)
                 return
             next(iter(self.idle_since)).close()
         self.opening.add(attempt)
         attempt.connecting = self.loop.create_task(self._connect(endpoint, attempt))
-        # Not in a finally of the task: one that is cancelled before its first step runs none.
+        # Not in a `finally` of the task, as a task that is cancelled before its first step never runs it.
         attempt.connecting.add_done_callback(lambda _: self.opening.discard(attempt))
 
     def _is_full(self) -> bool:
-        """Whether there is no room for another connection."""
+        """Whether the limit of connections is reached."""
         return len(self.connections) + len(self.opening) >= self.limit
 
     def _pick_idle(self, endpoint: Endpoint) -> PooledConnection | None:
-        """The idle connection to use for a request; None: another one is to be opened."""
+        """Return the idle connection for the next attempt; None if a connection is to be opened."""
         while endpoint.idle:
             connection = self._pick_settled(endpoint.idle)
             if not connection.is_alive():
@@ -144,7 +144,7 @@
         return None
 
     def _pick_settled(self, idle: list[PooledConnection]) -> PooledConnection:
-        """Of idle connections the last one that has settled; where none has, the one that will soonest."""
+        """Return the most recently used idle connection that has settled, or else the next one to settle."""
         now = self.loop.time()
         for connection in reversed(idle):
             if connection.is_settled(now):
@@ -156,9 +156,9 @@
         try:
             sock = system.tcp_socket(host)
         except OSError as error:
-            # This node has no descriptor left; that is no failure of the server. Raised on, it would leave
-            # the attempt and so its request without an end until its time is up.
-            log.warning("no socket for a connection to a server: %s", error)
+            # NOT_SENT, as the node lacks a descriptor, which is no failure of the server. If the exception
+            # were propagated, the attempt and its request would not end before their deadline.
+            log.warning("cannot create a socket for a connection to a server: %s", error)
             attempt.connecting = None
             attempt.end(api.Result.NOT_SENT)
             return
@@ -169,7 +169,7 @@
             _, connection = await self.loop.create_connection(
                 lambda: ServerConnection(self, endpoint, attempt, sock), sock=sock
             )
-        except OSError:  # TimeoutError is one, too
+        except OSError:  # includes TimeoutError
             sock.close()
             attempt.connecting = None
             attempt.end(api.Result.NOT_DELIVERED)
@@ -184,7 +184,7 @@
             connection.begin(attempt)
 
     def pool(self, connection: PooledConnection) -> None:
-        """Keep a connection for the next request to its server."""
+        """Add an idle connection to the pool of its server, or close it if the server drains."""
         if connection.endpoint.draining is not None:
             connection.close()
             return
@@ -195,7 +195,7 @@
             self.sweeper = self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
 
     def _sweep(self) -> None:
-        """Close what has been idle for nearly as long as its server allows; one timer for all of them."""
+        """Close the connections that have been idle for most of the time that servers allow."""
         self.sweeper = None
         before = (
             self.loop.time() + SWEEP_INTERVAL_S - api.IDLE_CLOSE_SHARE * self.settings.idle_timeout / SECOND
@@ -208,13 +208,13 @@
             self.sweeper = self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
 
     def unpool(self, connection: PooledConnection) -> None:
-        """Take a connection out of the pool, if it is there."""
+        """Remove a connection from the pool, if it is there."""
         if connection in self.idle_since:
             del self.idle_since[connection]
             connection.endpoint.idle.remove(connection)
 
     def connection_closed(self, connection: ServerConnection) -> None:
-        """Forget a connection that is closed."""
+        """Remove a connection that is closed."""
         self.unpool(connection)
         self.connections.discard(connection)
 
@@ -225,7 +225,7 @@
             connection.close()
 
     def probe(self, server: api.ServerId, feed: Callable[[api.Event], None]) -> None:
-        """Check a server's health, and ask for its load where reports come that way."""
+        """Check the health of a server, and request its load report if reports are polled."""
         reports = self.settings.report_mode == api.ReportMode.PROBES
         endpoint = self.endpoints.get(server)
         host = endpoint.address[0].encode() if endpoint is not None else b""
--- a/hollybay/proxy/upstream/request_encoding.py
+++ b/hollybay/proxy/upstream/request_encoding.py
@@ -1,6 +1,6 @@
-"""The bytes of a request on the wire to a server, split so that its last byte can be held back.
+"""Encoding of requests to servers, in pieces that allow the last byte to be held back.
 
-A server begins a request with its last byte, so that the piece which holds it is always written last.
+A server runs a request only once it has the last byte, so the piece with the last byte is written last.
 """
 
 from __future__ import annotations
@@ -15,27 +15,27 @@
 __all__ = ["StreamingBodyEncoder", "encode_request", "headers_with_time_left"]
 
 CHUNKED_END = b"0\r\n\r\n"
-# Of the method and the target.
+# Format of the request line; its arguments are the method and the target.
 _REQUEST_LINE = b"%s %s HTTP/1.1"
 
 
 def headers_with_time_left(message: ForwardedRequest, deadline: int) -> Headers:
-    """Return the headers of a request, with the time that is left until a deadline (ns)."""
+    """Return the headers of a request, with the time left until a deadline (ns of the monotonic clock)."""
     left = max(1, (deadline - system.monotonic_ns()) // MS)
     return [*message.headers, (b"x-time-left-ms", b"%d" % left)]
 
 
 def encode_request(message: ForwardedRequest, headers: Headers, is_last_byte_held: bool) -> list[bytes]:
-    """Return the pieces of a request whose body is held, the last piece first.
+    """Return the pieces of a request with a buffered body, in reverse order.
 
     Parameters
     ----------
     message
         The request.
     headers
-        Its headers, which the framing of the body is appended to.
+        Its headers; the framing of the body is appended to them.
     is_last_byte_held
-        Whether the last byte is a piece of its own.
+        Whether the last byte is a separate piece, so that it can be held back.
     """
     if message.method != b"GET" or message.size:
         headers.append((b"content-length", b"%d" % message.size))
@@ -51,7 +51,7 @@
 
 
 class StreamingBodyEncoder:
-    """Frames one streaming body, and holds back the piece with its last byte.
+    """Encodes a streaming body, and holds back the piece with its last byte.
 
     Parameters
     ----------
@@ -64,7 +64,7 @@
     def __init__(self, body: StreamingBody) -> None:
         self._length = body.length
         self._is_chunked = body.length is None
-        self._held_byte = b""  # the last byte so far, until it is known whether it is the last one
+        self._held_byte = b""  # the latest byte of the body, as it may be the last one
 
     def encode_head(self, message: ForwardedRequest, headers: Headers) -> bytes:
         """Return the head of the request, with the framing of the body."""
@@ -74,7 +74,7 @@
         return encode_head(_REQUEST_LINE % (message.method, message.target), [*headers, framing])
 
     def encode(self, data: bytes) -> bytes:
-        """Return what is to be written now that some more of the body has come; it may be empty."""
+        """Return the bytes to write for the next part of the body; they may be empty."""
         if self._is_chunked:
             return b"%x\r\n%s\r\n" % (len(data), data)
         data = self._held_byte + data
@@ -82,5 +82,5 @@
         return data
 
     def last_piece(self) -> bytes:
-        """Return the piece that completes the request, once all of the body was encoded."""
+        """Return the piece that completes the request, after the whole body was encoded."""
         return CHUNKED_END if self._is_chunked else self._held_byte
--- a/hollybay/proxy/upstream/request_sender.py
+++ b/hollybay/proxy/upstream/request_sender.py
@@ -1,7 +1,7 @@
-"""A connection to a server, as far as it writes requests; `connection` adds what reads the responses.
+"""Writing side of a connection to a server; `connection` adds the reading of responses.
 
-The piece with the last byte of a request is written last, as a server begins with that byte: until then,
-whatever breaks, nothing has run.
+A server runs a request only once it has the last byte. The piece with that byte is therefore written
+separately and last: whatever fails before, the request has not run.
 """
 
 from __future__ import annotations
@@ -24,69 +24,69 @@
 
 __all__ = ["LAST_BYTE_HOLD_S", "RequestSender", "SenderOwner", "connection_price"]
 
-# How long the last byte of a request that must not be repeated freely is held back: about a round trip and
-# the peer's waking up. A connection that is already dead, or reset by its first byte, breaks within it, while
-# it is still certain that nothing ran.
+# How long the last byte of a request that must not be repeated freely is held back: about one round trip plus
+# the time to wake up the peer. If the connection is already dead, or is reset by the first bytes, this shows
+# within that time, while it is still certain that the request has not run.
 LAST_BYTE_HOLD_S = 0.003
-# A server may send stray bytes (a duplicate response) some milliseconds after a response. A connection is
-# settled this long (s) after its last response ended. Settled ones are used first; on any other one the last
-# byte of a request is held until then, so that stray bytes come before it and are not taken for its response.
+# A server may send stray bytes (a duplicate response) some milliseconds after a response. A connection has
+# settled this long after the end of its last response. Settled connections are used first. On any other one,
+# the last byte of a request is held back until the connection has settled, so that stray bytes arrive before
+# it and are not taken for the response.
 SETTLE_S = 0.012
-# A server's requests are held for as long as this many connections take to settle, together, before another
-# connection is opened to it instead; see HoldAccount.
+# Price of another connection to a server, in settle times for which requests are held; see HoldAccount.
 SETTLES_PER_CONNECTION = 2.0
 
 
-# The states and events of each request, by names of this module: a look-up in an enum costs 0.2 µs.
+# Members used for each request, as names of this module: the look-up on the enum class costs 0.2 µs.
 _CLOSED = UpstreamConnectionState.CLOSED
 _LAST_PIECE_LEFT = UpstreamConnectionEvent.LAST_PIECE_LEFT
 _REQUEST_SENT = UpstreamConnectionEvent.REQUEST_SENT
 
 
 class SenderOwner(Protocol):
-    """What a connection that writes requests asks of the pools that it belongs to."""
+    """Interface of the pools that a connection belongs to, as far as the sender uses it."""
 
     loop: asyncio.AbstractEventLoop
     written: int
 
     def pool(self, connection: PooledConnection) -> None:
-        """Keep a connection for the next request to its server."""
+        """Add an idle connection to the pool of its server."""
 
     def unpool(self, connection: PooledConnection) -> None:
-        """Take a connection out of the pool, if it is there."""
+        """Remove a connection from the pool, if it is there."""
 
 
 def connection_price() -> float:
-    """Return for how long (s), together, requests are held before another connection is opened."""
+    """Return the total time (s) for which requests are held before another connection is opened."""
     return SETTLES_PER_CONNECTION * SETTLE_S
 
 
 class RequestSender(TcpConnection):
-    """The writing side of a connection to a server; it carries one attempt at a time.
+    """Writing side of a connection to a server; the connection carries one attempt at a time.
 
     Parameters
     ----------
     owner
         The pools that the connection belongs to.
     endpoint
-        The server at its other end.
+        The server that it is connected to.
     sock
-        Its socket.
+        The connected socket.
 
     Attributes
     ----------
     state
-        What the connection is doing, in both directions; see `states`.
+        State of the connection, for both directions; see `states`.
     attempt
-        The attempt that it carries; None: it is idle.
+        The attempt that it carries; None while it is idle.
     timer
-        The one timer of the connection; None: it does not run.
+        The only timer of the connection; None while it is not running.
     pieces
-        What is still to be written of the request, the last piece first.
+        Pieces of the request that are still to be written, in reverse order.
     streaming_body, body_encoder
-        The request's body that is being forwarded while it comes, and what frames it.
+        The streamed body of the request, and its encoder.
     response_ended_at
-        When (s, the loop's clock) the last response ended.
+        Time (s, clock of the event loop) at which the last response ended.
     """
 
     def __init__(self, owner: SenderOwner, endpoint: Endpoint, sock: socket.socket) -> None:
@@ -102,26 +102,25 @@
         self.response_ended_at = 0.0
 
     def begin(self, attempt: UpstreamAttempt) -> None:
-        """Carry an attempt."""
+        """Start an attempt on this connection."""
         raise NotImplementedError
 
     def _fail(self) -> None:
-        """End the attempt, if there is one: the connection is of no more use to it."""
+        """End the attempt, if any, as the connection has failed."""
         raise NotImplementedError
 
     def is_alive(self) -> bool:
-        """Tell whether the kernel knows the connection as open and has nothing to read.
+        """Whether the connection is open and has no unread bytes, by the state of the kernel.
 
-        A close or bytes may have come that the loop has not seen yet.
+        The event loop may not have seen a close or bytes that have already arrived.
         """
         if self.state is _CLOSED or not self.is_connected():
             return False
-        # Nothing has been asked in full: bytes that wait to be read belong to no request, and would be taken
-        # for the answer to the next one.
+        # No request was completely sent, so unread bytes are no response to it, but would be taken for one.
         return not self.unread_bytes()
 
     def close(self) -> None:
-        """Close at once; what is unsent is dropped."""
+        """Close the connection at once; unsent bytes are discarded."""
         self.stop_timer()
         if self.streaming_body is not None:
             self.streaming_body.detach(self)
@@ -132,18 +131,18 @@
             self.transport.abort()
 
     def stop_timer(self) -> None:
-        """Cancel the timer of the connection, if it runs."""
+        """Cancel the timer of the connection, if it is running."""
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
 
     def start_timer(self, delay: float, call: Callable[[], None]) -> None:
-        """Set the one timer of the connection; delay: s."""
+        """Start the timer of the connection with a delay (s), in place of the running one."""
         self.stop_timer()
         self.timer = self.owner.loop.call_later(delay, call)
 
     def return_unused(self, attempt: UpstreamAttempt) -> None:
-        """Go back to the pool: nothing is to be written for an attempt after all."""
+        """Return the connection to the pool, and end an attempt of which nothing was written."""
         self.response_ended_at = self.owner.loop.time()
         self.owner.pool(self)
         attempt.end(api.Result.NOT_SENT)
@@ -153,7 +152,7 @@
     ) -> None:
         assert self.attempt is not None
         if streaming_body.is_taken:
-            # A part of it has gone while this connection came up.
+            # Another attempt took the body while this connection was being opened.
             self.attempt.end(api.Result.NOT_SENT)
             return
         self.pieces = []
@@ -164,11 +163,11 @@
         self._write()
 
     def body_available(self) -> None:
-        """Go on with a streaming body: there is more of it, or it is complete."""
+        """Continue with the streaming body: more of it is available, or it is complete."""
         self._write()
 
     def _write_available(self, streaming_body: StreamingBody, encoder: StreamingBodyEncoder) -> None:
-        """Write what has come of a streaming body, at the pace of the server, but for its last piece."""
+        """Write the available part of a streaming body, except its last piece, with back-pressure."""
         while not self.is_write_buffered and not self.transport.is_closing():
             data = streaming_body.pull()
             if not data:
@@ -182,7 +181,7 @@
             streaming_body.detach(self)
 
     def resume_writing(self) -> None:
-        """Go on with the request: the kernel has taken all that was written."""
+        """Continue with the request: the kernel has accepted everything that was written."""
         super().resume_writing()
         self._write()
 
@@ -210,20 +209,20 @@
             self._note_written()
 
     def settle_time_left(self) -> float:
-        """Return for how long (s) what comes may still belong to the last response; 0 or less: no longer."""
+        """Return for how long (s) arriving bytes may still belong to the last response; <= 0 if settled."""
         return SETTLE_S - (self.owner.loop.time() - self.response_ended_at)
 
     def is_settled(self, now: float) -> bool:
-        """Tell whether nothing that comes at a loop time (s) can belong to the last response any more."""
+        """Whether bytes that arrive at a loop time (s) cannot belong to the last response any more."""
         return self.response_ended_at <= now - SETTLE_S
 
     def _hold_time(self, attempt: UpstreamAttempt) -> float:
-        """Return for how long (s) the last byte of a request is to be held; 0: not at all."""
+        """Return for how long (s) to hold back the last byte of a request; 0 if it is not held."""
         min_hold = 0.0 if attempt.is_safe else LAST_BYTE_HOLD_S
         return max(min_hold, self.settle_time_left())
 
     def _write_last_piece(self) -> None:
-        """Write the piece with the last byte. Until the kernel has taken it, the request has not run."""
+        """Write the piece with the last byte; until the kernel has accepted it, the request has not run."""
         self.stop_timer()
         if not self.is_alive():
             self._fail()
@@ -234,13 +233,13 @@
         if not attempt.observer.is_awaited(attempt) or 0 < attempt.write_deadline <= system.monotonic_ns():
             attempt.end(api.Result.NOT_SENT)
             return
-        # The kernel may take the byte and the loop tell of it a turn later: whatever ends the attempt in
-        # between, it may have run.
+        # Set before the write: if the attempt ends between the write and the loop's next iteration, the
+        # request may have run.
         attempt.request_written = True
         self.state = next_state(self.state, _REQUEST_SENT)
         self.transport.write(self.pieces.pop())
         if self.transport.is_closing():
-            attempt.request_written = False  # refused at once
+            attempt.request_written = False  # the write failed at once
             self._fail()
         elif not self.is_write_buffered:
             self._note_written()
@@ -250,7 +249,7 @@
         if attempt is None or attempt not in self.endpoint.unwritten_attempts or self.transport.is_closing():
             return
         if attempt.message is not None and attempt.message.streaming_body is not None:
-            # A server begins with the last byte: how long the body was on its way says nothing of it.
+            # The response time of the server counts from the last byte, without the time to send the body.
             attempt.sent_at = system.monotonic_ns()
         self.owner.written += 1
         self.endpoint.unwritten_attempts.pop(attempt)
--- a/hollybay/proxy/upstream/response_head.py
+++ b/hollybay/proxy/upstream/response_head.py
@@ -1,4 +1,4 @@
-"""What the head of a server's response says of the attempt, by the operators' protocol and RFC 9112."""
+"""Parsing of the head of a server's response, by the operators' protocol and RFC 9112."""
 
 from __future__ import annotations
 
@@ -22,19 +22,31 @@
 ]
 
 STATUS_OK = 200
-# With `X-Unprocessed: 1` these say that the server has not run the request.
+# Statuses that, with `X-Unprocessed: 1`, mean that the server has not run the request.
 REJECTING_STATUSES = (503, 504)
-# What h11 must know of the request, which is not written through it, before it takes an informational
-# response (RFC 9110, 15.2): responses to GET and to POST end alike. It is told only where one comes, to save
-# the time on all other requests.
+# h11 accepts an informational response (RFC 9110, section 15.2) only after a request, and the real request is
+# not written through h11. This one takes its place, as responses to GET and to POST are framed alike. It is
+# sent to h11 only if an informational response may arrive, which saves time on all other requests.
 PLACEHOLDER_REQUEST = h11.Request(method=b"GET", target=b"/", headers=[(b"host", b"server")])
-# The first digit of such a response's status, or nothing where that has not come yet.
+# First digit of the status of an informational response; empty if it was not received yet.
 INFORMATIONAL_FIRST_DIGITS = (b"1", b"")
 
 
 @dataclass(slots=True)
 class ResponseHead:
-    """The head of a response. length: bytes of the body as told, None: not told; load_report: as sent."""
+    """Head of a response.
+
+    Attributes
+    ----------
+    headers
+        All headers, with names in lower case.
+    length
+        Content-Length (bytes); None if not stated.
+    chunked
+        Whether there is a Transfer-Encoding.
+    load_report
+        Value of the header with the server's load; None if there is none.
+    """
 
     headers: Headers
     length: int | None = None
@@ -43,7 +55,7 @@
 
 
 def read_head(event: h11.Response, load_header: bytes) -> ResponseHead:
-    """Read what the node needs of a head; load_header: the name of the header with the server's load."""
+    """Read the parts of a head that the node needs; `load_header` names the header with the load report."""
     found = ResponseHead(lowercase_headers(event))
     for name, value in found.headers:
         if name == b"content-length":
@@ -56,7 +68,7 @@
 
 
 def result_of_failure(event: h11.Response, headers: Headers) -> api.Result:
-    """Tell a response without success that proves that nothing ran from one that does not."""
+    """Return REJECTED if a failure response shows that the request was not run, else ERROR."""
     unprocessed = event.status_code in REJECTING_STATUSES and any(
         name == b"x-unprocessed" and value.strip() == b"1" for name, value in headers
     )
@@ -64,16 +76,16 @@
 
 
 def check_framing(found: ResponseHead) -> None:
-    """Refuse a head whose body could not be passed on.
+    """Check that the body of a response can be forwarded.
 
     Raises
     ------
     h11.RemoteProtocolError
-        The head tells two framings (RFC 9112, section 6.3), or a body that is too long.
+        The head has two framings (RFC 9112, section 6.3), or announces a body that is too long.
     """
     if found.chunked and found.length is not None:
-        # Passed on as it comes it would be told to the client by a length that it does not have.
-        raise h11.RemoteProtocolError("two framings")
+        # If it were streamed, its Content-Length would be forwarded, which the chunked body need not have.
+        raise h11.RemoteProtocolError("response has both Content-Length and Transfer-Encoding")
     if found.length is not None and found.length > MAX_BODY_BYTES:
-        # One that says so and goes on coming would be passed on for ever.
-        raise h11.RemoteProtocolError("too long")
+        # Such a response could occupy its connections for an unlimited time.
+        raise h11.RemoteProtocolError("Content-Length of the response too large")
--- a/hollybay/proxy/upstream/states.py
+++ b/hollybay/proxy/upstream/states.py
@@ -1,7 +1,7 @@
-r"""The states of a connection to a server, and the one table of its transitions.
+r"""The states of a connection to a server, and the transitions between them.
 
-A connection carries one request at a time. Its two directions advance together: no response is taken before
-the last byte of its request was handed to the kernel, so one enum holds for both.
+A connection carries one request at a time. One state describes both directions, as no response is accepted
+before the last byte of its request was handed to the kernel.
 
 ::
 
@@ -9,8 +9,8 @@
                    ^  \\____________________________/  |          |           |
                    |__________________________________|__________|___________|     RESPONSE_COMPLETED
 
-CLOSE_REQUESTED leads from every state to CLOSING, LOST to CLOSED. These two absorb whatever comes after: the
-loop may deliver what it had scheduled before the close.
+CLOSE_REQUESTED leads from every state except CLOSED to CLOSING, and LOST leads to CLOSED. These two states
+ignore all other events, as the event loop may still deliver callbacks that were scheduled before the close.
 """
 
 from __future__ import annotations
@@ -30,37 +30,37 @@
 
 
 class UpstreamConnectionState(IntEnum):
-    """What a connection to a server is doing."""
+    """State of a connection to a server."""
 
-    CONNECTING = auto()  # the transport is not up yet
+    CONNECTING = auto()  # the transport is not established yet
     IDLE = auto()  # it carries no request
     SENDING = auto()  # a request is being written; more than its last piece is left
-    HOLDING = auto()  # all but the piece with the last byte was written; that piece is held back for a moment
-    AWAITING = auto()  # the request is whole on its way, so that the server may run it
-    RECEIVING = auto()  # the head of a response has come; its body is kept until it is whole
-    STREAMING = auto()  # the body is passed on to the client as it comes
-    CLOSING = auto()  # it was closed from this side; the loop has not confirmed that yet
-    CLOSED = auto()  # the transport is gone
+    HOLDING = auto()  # only the piece with the last byte is left, which may be held back for a moment
+    AWAITING = auto()  # the request was completely written, so the server may run it
+    RECEIVING = auto()  # the head of a response was received; its body is buffered until it is complete
+    STREAMING = auto()  # the body of the response is being streamed to the client
+    CLOSING = auto()  # this side has closed the connection; the event loop has not confirmed it yet
+    CLOSED = auto()  # the transport is closed
 
 
 class UpstreamConnectionEvent(IntEnum):
-    """What happens to a connection to a server."""
+    """Event that changes the state of a connection to a server."""
 
-    CONNECTED = auto()  # the transport is up
-    REQUEST_STARTED = auto()  # an attempt was given to the connection
+    CONNECTED = auto()  # the transport is established
+    REQUEST_STARTED = auto()  # the connection begins an attempt
     LAST_PIECE_LEFT = auto()  # only the piece with the last byte is still to be written
     REQUEST_SENT = auto()  # the last byte was handed to the kernel
     RESPONSE_STARTED = auto()  # the head of a response with status 200 was read
-    STREAM_STARTED = auto()  # the client takes the body as it comes
-    RESPONSE_COMPLETED = auto()  # the response is whole, and the connection may carry another request
+    STREAM_STARTED = auto()  # streaming of the body to the client begins
+    RESPONSE_COMPLETED = auto()  # the response is complete, and the connection may carry another request
     CLOSE_REQUESTED = auto()  # this side closes the connection
-    LOST = auto()  # the transport ended
+    LOST = auto()  # the transport was closed
 
 
 _S = UpstreamConnectionState
 _E = UpstreamConnectionEvent
 
-# From every state in which the connection is open.
+# Transitions of every state in which the connection is open.
 _ENDINGS = {_E.CLOSE_REQUESTED: _S.CLOSING, _E.LOST: _S.CLOSED}
 
 TRANSITIONS: Mapping[UpstreamConnectionState, Mapping[UpstreamConnectionEvent, UpstreamConnectionState]] = {
@@ -70,7 +70,7 @@
     _S.HOLDING: {_E.LAST_PIECE_LEFT: _S.HOLDING, _E.REQUEST_SENT: _S.AWAITING, **_ENDINGS},
     _S.AWAITING: {
         _E.RESPONSE_STARTED: _S.RECEIVING,
-        # A response with another status than 200 is judged by its head alone and may be whole at once.
+        # A response with a status other than 200 needs no body and may be complete with its head.
         _E.RESPONSE_COMPLETED: _S.IDLE,
         **_ENDINGS,
     },
--- a/tests/transitions.py
+++ b/tests/transitions.py
@@ -26,4 +26,4 @@
     with pytest.raises(InvalidTransitionError) as caught:
         next_state(state, event)
     assert (caught.value.state, caught.value.event) == (state, event)
-    assert str(caught.value) == f"{event.name} while {state.name}"
+    assert str(caught.value) == f"event {event.name} is not allowed in state {state.name}"
