--- a/tests/loopback_day.py
+++ b/tests/loopback_day.py
@@ -1,4 +1,4 @@
-"""Some seconds of a node on loopback sockets, for recording: servers that answer, fail, stream and drain."""
+"""Scenario of some seconds on loopback sockets, for recordings: servers respond, fail, stream and drain."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class Worker(ScriptedServer):
-    """A server whose answers follow from how many it has given, each after some milliseconds."""
+    """Server whose responses depend only on their number, each sent after some milliseconds."""
 
     def __init__(self, name: str, number: int) -> None:
         super().__init__(name, self._answer)
@@ -52,7 +52,7 @@
 
 
 async def client(node: RunningNode, number: int) -> None:
-    """One request after another of every class; some clients leave before they are answered."""
+    """Send successive requests of every class; some clients disconnect before the response."""
     for turn in range(ROUNDS):
         for cls in ("view", "send", "book"):
             rid = f"r-{number}-{turn}-{cls}"
@@ -70,7 +70,7 @@
 
 
 async def uploads(node: RunningNode) -> None:
-    """Long bodies that come in pieces."""
+    """Send requests with long bodies in pieces."""
     for turn in range(6):
         reader, writer = await node.connect()
         whole = request("send", f"u-{turn}", b"b" * 200_000)
@@ -86,7 +86,7 @@
 
 
 async def lists(fake_discovery: FakeDiscovery, workers: list[Worker]) -> None:
-    """The list changes: a server drains, is gone, and is back."""
+    """Change the server list: servers in turn drain, are gone, and come back."""
     for out in range(3):
         await asyncio.sleep(0.15)
         fake_discovery.tell(*workers)
@@ -98,7 +98,7 @@
 
 
 async def loopback_day(path: Path) -> None:
-    """Play it."""
+    """Run the scenario."""
     fake_discovery = FakeDiscovery()
     workers = [Worker(f"s-{n}", n) for n in range(SERVERS)]
     changed: dict[str, Any] = loopback_settings(categories=CLASSES)
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -1,4 +1,4 @@
-"""Attempts at the edges of their time: what may have run is never told as what has not."""
+"""Attempts that end or start late: a request that may have run must never be reported as one that has not."""
 
 from __future__ import annotations
 
@@ -41,10 +41,10 @@
 
 @pytest.mark.parametrize("cls", ["send", "book"])
 @pytest.mark.parametrize("end", ["time-out", "reset", "withdrawn", "client left"])
-def test_a_last_byte_that_the_kernel_took_and_the_loop_has_not_told(
+def test_a_request_whose_last_byte_was_written_counts_as_possibly_run(
     cls: str, end: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The request is whole at its server, and its connection has not heard that it is written."""
+    """The server has the complete request, but the event loop has not confirmed the write yet."""
     monkeypatch.setattr(ServerConnection, "_note_written", lambda conn: None)
     one_cell = [{**c, "group": "cell"} if c["name"] == "book" else c for c in CLASSES]
 
@@ -70,9 +70,9 @@
                 sock.close()
             if end != "client left":
                 async with asyncio.timeout(LIMIT):
-                    answer = await asyncio.get_running_loop().sock_recv(sock, 4096)
-                # Not 503, which says that trying again is harmless.
-                assert answer.startswith((b"HTTP/1.1 502 ", b"HTTP/1.1 504 "))
+                    response = await asyncio.get_running_loop().sock_recv(sock, 4096)
+                # Not 503, which means that a retry is harmless.
+                assert response.startswith((b"HTTP/1.1 502 ", b"HTTP/1.1 504 "))
             await node.until(lambda: not node.dispatcher.requests)
             if cls == "send":
                 assert sum(len(b.heads) for b in backends) == 1
@@ -83,8 +83,8 @@
     asyncio.run(play())
 
 
-def test_a_keyed_repeat_that_would_reach_its_server_past_the_window_is_not_sent(tmp_path: Path) -> None:
-    """It was chosen in time; its connection comes up too late."""
+def test_a_keyed_retry_that_would_be_written_after_the_window_is_not_sent(tmp_path: Path) -> None:
+    """The balancer decides on the retry in time, but its connection is established too late."""
     window = 200 * MS
     short = [{**c, "window": window, "group": "all"} if c["name"] == "book" else c for c in CLASSES]
 
@@ -94,29 +94,29 @@
             tmp_path / "c.json", FakeDiscovery(), *backends,
             settings=settings(categories=short, caps=caps()),
         ) as node:  # fmt: skip
-            gate = ConnectBarrier(node, free=1)
+            barrier = ConnectBarrier(node, free=1)
             sock = call(node, request("book", rid="r-1"))
             await node.until(lambda: any(backend.heads for backend in backends))
-            (open_,) = node.dispatcher.requests.values()
-            first = open_.attempts[0]
+            (pending,) = node.dispatcher.requests.values()
+            first = pending.attempts[0]
             assert isinstance(first, UpstreamAttempt)
             next(b for b in backends if b.heads).writers[0].transport.abort()
-            await node.until(lambda: gate.waiting > 0)
+            await node.until(lambda: barrier.waiting > 0)
             while time.monotonic_ns() - first.sent_at < window:
                 await asyncio.sleep(0.001)
-            gate.open.set()
+            barrier.open.set()
             sock.setblocking(False)
             async with asyncio.timeout(LIMIT):
-                answer = await asyncio.get_running_loop().sock_recv(sock, 4096)
-            assert answer.startswith(b"HTTP/1.1 50")
+                response = await asyncio.get_running_loop().sock_recv(sock, 4096)
+            assert response.startswith(b"HTTP/1.1 50")
             assert sum(len(backend.heads) for backend in backends) == 1
             sock.close()
 
     asyncio.run(play())
 
 
-def test_a_keyed_repeat_within_its_window_is_sent(tmp_path: Path) -> None:
-    """The guard must not cost the repeats that are allowed."""
+def test_a_keyed_retry_within_its_window_is_sent(tmp_path: Path) -> None:
+    """The check of the window must not prevent retries that are allowed."""
 
     async def play() -> None:
         backends = StalledServer("s-1"), StalledServer("s-2")
@@ -135,10 +135,10 @@
 
 @pytest.mark.parametrize("cls", ["view", "send", "book"])
 @pytest.mark.parametrize("change", ["draining", "gone", "moved"])
-def test_a_connection_that_comes_up_after_the_grace_writes_nothing(
+def test_a_connection_that_opens_after_the_drain_grace_writes_nothing(
     cls: str, change: str, tmp_path: Path
 ) -> None:
-    """The loop is late: the timer that withdraws what is not written is due, and not yet called."""
+    """The event loop is late: the timer that ends unwritten attempts is due, but has not been called yet."""
 
     async def play() -> None:
         fake_discovery = FakeDiscovery()
@@ -148,46 +148,48 @@
         async with running(
             tmp_path / "c.json", fake_discovery, server, settings=settings(caps=caps(), rules=rules)
         ) as node:
-            gate = ConnectBarrier(node)
-            asked = request(cls, rid="r-1", extra=b"X-Time-Left-Ms: 500\r\n")
-            asking = asyncio.ensure_future(node.ask(asked))
-            await node.until(lambda: gate.waiting > 0)
-            (backend,) = node.dispatcher.pools.endpoints.values()
+            barrier = ConnectBarrier(node)
+            data = request(cls, rid="r-1", extra=b"X-Time-Left-Ms: 500\r\n")
+            asking = asyncio.ensure_future(node.ask(data))
+            await node.until(lambda: barrier.waiting > 0)
+            (endpoint,) = node.dispatcher.pools.endpoints.values()
             if change == "draining":
                 fake_discovery.tell(server, state="DRAINING")
             elif change == "gone":
                 fake_discovery.tell()
             else:
                 fake_discovery.tell(other)
-            await node.until(lambda: backend.draining is not None)
-            assert backend.draining is not None
-            backend.draining.cancel()  # as where it is called late
-            while node.dispatcher.loop.time() < backend.write_cutoff:
+            await node.until(lambda: endpoint.draining is not None)
+            assert endpoint.draining is not None
+            endpoint.draining.cancel()  # simulates a timer that is called late
+            while node.dispatcher.loop.time() < endpoint.write_cutoff:
                 await asyncio.sleep(0.001)
-            gate.open.set()
-            answer = await asking
+            barrier.open.set()
+            response = await asking
             assert not server.heads
-            assert (b" 200 " if change == "moved" else b" 503 ") in answer
+            assert (b" 200 " if change == "moved" else b" 503 ") in response
         await other.stop()
 
     asyncio.run(play())
 
 
 @pytest.mark.parametrize("end", ["its time", "its client"])
-def test_a_connection_that_comes_up_after_its_request_ended_writes_nothing(end: str, tmp_path: Path) -> None:
+def test_a_connection_that_opens_after_the_end_of_its_request_writes_nothing(
+    end: str, tmp_path: Path
+) -> None:
     async def play() -> None:
         server = ScriptedServer("s-1")
         async with running(
             tmp_path / "c.json", FakeDiscovery(), server, settings=settings(caps=caps())
         ) as node:
-            gate = ConnectBarrier(node)
+            barrier = ConnectBarrier(node)
             left = b"X-Time-Left-Ms: 60\r\n" if end == "its time" else b""
             sock = call(node, request("send", rid="r-1", extra=left))
-            await node.until(lambda: gate.waiting > 0)
+            await node.until(lambda: barrier.waiting > 0)
             if end == "its client":
                 sock.close()
             await node.until(lambda: not node.dispatcher.requests)
-            gate.open.set()
+            barrier.open.set()
             assert b" 200 " in await node.ask(request("send", rid="r-2"))
             assert [b"r-2" in head for head in server.heads] == [True]
             sock.close()
@@ -195,12 +197,20 @@
     asyncio.run(play())
 
 
-class Noisy(Listener):
-    """It answers, and says more when told to; the requests that it got."""
+class StrayBytesServer(Listener):
+    """Server that responds, and for which a test sends stray bytes after a response.
+
+    Attributes
+    ----------
+    stray
+        The stray bytes.
+    heads
+        The heads of the requests that it received.
+    """
 
-    def __init__(self, more: bytes) -> None:
+    def __init__(self, stray: bytes) -> None:
         super().__init__()
-        self.name, self.more = "s-1", more
+        self.name, self.stray = "s-1", stray
         self.heads: list[bytes] = []
 
     async def talk(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -212,15 +222,17 @@
 
 @pytest.mark.parametrize("cls", ["view", "send"])
 @pytest.mark.parametrize(
-    "more", [b"HTTP/1.1 2", OK.replace(b"ok", b"NO"), b"\x00\xff\r\n"], ids=["half a line", "second", "noise"]
+    "stray",
+    [b"HTTP/1.1 2", OK.replace(b"ok", b"NO"), b"\x00\xff\r\n"],
+    ids=["half a line", "second", "noise"],
 )
-def test_what_comes_on_a_resting_connection_is_no_answer_to_the_next_request(
-    cls: str, more: bytes, tmp_path: Path
+def test_stray_bytes_on_an_idle_connection_are_not_taken_for_the_next_response(
+    cls: str, stray: bytes, tmp_path: Path
 ) -> None:
-    """It is in the kernel, unread, in the turn in which the connection would be taken."""
+    """The bytes are unread in the kernel when the connection is selected for the next request."""
 
     async def play() -> None:
-        server = Noisy(more)
+        server = StrayBytesServer(stray)
         async with running(tmp_path / "c.json", FakeDiscovery(), server) as node:  # type: ignore[arg-type]
             reader, writer = await node.connect()
             async with asyncio.timeout(LIMIT):
@@ -228,45 +240,45 @@
                 (conn,) = node.dispatcher.pools.connections
                 send = node.dispatcher.pools.send
 
-                def late(attempt: UpstreamAttempt) -> None:
+                def send_after_stray_bytes(attempt: UpstreamAttempt) -> None:
                     if conn.state is not UpstreamConnectionState.CLOSED and not conn.unread_bytes():
-                        end = server.writers[0].get_extra_info("socket")
-                        socket.socket(fileno=os.dup(end.fileno())).send(more)
+                        server_sock = server.writers[0].get_extra_info("socket")
+                        socket.socket(fileno=os.dup(server_sock.fileno())).send(stray)
                         while not conn.unread_bytes():
                             pass
                     send(attempt)
 
-                node.dispatcher.pools.send = late  # type: ignore[method-assign]
+                node.dispatcher.pools.send = send_after_stray_bytes  # type: ignore[method-assign]
                 head, body = await round_trip(reader, writer, request(cls, rid="r-2"))
             assert b" 200 " in head and body == b"ok"
-            assert sum(b"r-2" in got for got in server.heads) == 1
+            assert sum(b"r-2" in received for received in server.heads) == 1
             writer.transport.abort()
 
     asyncio.run(play())
 
 
-class Twice(Noisy):
-    """It answers, and says the same again as soon as the first bytes of the next request are there."""
+class DuplicateResponseServer(StrayBytesServer):
+    """Server that sends the stray bytes as soon as the first byte of the next request has arrived."""
 
     async def talk(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         head, _ = await read_message(reader)
         self.heads.append(head)
         writer.write(OK)
         await reader.readexactly(1)
-        writer.write(self.more)
+        writer.write(self.stray)
         self.heads.append(b"G" + (await read_message(reader))[0])
         writer.write(OK)
 
 
 @pytest.mark.parametrize("cls", ["view", "send"])
-def test_a_second_answer_that_is_late_is_no_answer_to_the_next_request(
+def test_a_late_duplicate_response_is_not_taken_for_the_next_response(
     cls: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It comes when the connection has been taken again, so soon that its last byte is still held."""
+    """It arrives while the last byte of the next request on the connection is still held back."""
     monkeypatch.setattr(module, "SETTLE_S", 0.5)
 
     async def play() -> None:
-        server = Twice(OK.replace(b"ok", b"NO"))
+        server = DuplicateResponseServer(OK.replace(b"ok", b"NO"))
         async with running(tmp_path / "c.json", FakeDiscovery(), server) as node:  # type: ignore[arg-type]
             reader, writer = await node.connect()
             async with asyncio.timeout(LIMIT):
@@ -280,40 +292,40 @@
     asyncio.run(play())
 
 
-class Later(Twice):
-    """It says the same again some milliseconds after the first bytes of the next request."""
+class LaterDuplicateResponseServer(DuplicateResponseServer):
+    """Server that sends the stray bytes some milliseconds after the first byte of the next request."""
 
     async def talk(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.heads.append((await read_message(reader))[0])
         writer.write(OK)
         await reader.readexactly(1)
         await asyncio.sleep(4 * module.LAST_BYTE_HOLD_S)
-        writer.write(self.more)
-        await reader.read(1)  # until the connection ends
+        writer.write(self.stray)
+        await reader.read(1)  # until the connection is closed
 
 
 @pytest.mark.parametrize("cls", ["view", "send", "book"])
-def test_a_second_answer_later_than_the_hold_of_an_unsafe_request_is_no_answer_to_the_next(
+def test_a_duplicate_response_later_than_the_hold_of_an_unsafe_request_is_not_taken_for_the_next_response(
     cls: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(module, "SETTLE_S", 0.5)
 
     async def play() -> None:
-        server = Later(OK.replace(b"ok", b"NO"))
+        server = LaterDuplicateResponseServer(OK.replace(b"ok", b"NO"))
         async with running(tmp_path / "c.json", FakeDiscovery(), server) as node:  # type: ignore[arg-type]
             for n in range(2):
-                answer = await node.ask(request(cls, rid=f"r-{n}"))
-                assert answer.startswith(b"HTTP/1.1 200 ") and answer.endswith(b"ok")
+                response = await node.ask(request(cls, rid=f"r-{n}"))
+                assert response.startswith(b"HTTP/1.1 200 ") and response.endswith(b"ok")
             assert server.accepted == 2
 
     asyncio.run(play())
 
 
 @pytest.mark.parametrize("settle", [0.0, 0.02])
-def test_requests_in_a_row_are_not_held_for_long_nor_given_many_connections(
+def test_requests_in_a_row_are_neither_held_for_long_nor_open_many_connections(
     settle: float, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Two full holds are worth a connection; a few connections settle in turn."""
+    """Two full holds open another connection; with a few connections, some have always settled."""
     monkeypatch.setattr(module, "SETTLE_S", settle)
 
     async def play() -> None:
@@ -329,7 +341,7 @@
     asyncio.run(play())
 
 
-def test_without_room_for_another_connection_a_request_is_held(
+def test_at_the_limit_of_connections_a_request_is_held(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(module, "SETTLE_S", 0.02)
@@ -345,7 +357,7 @@
     asyncio.run(play())
 
 
-def test_a_connection_that_rested_for_long_enough_is_taken_first(tmp_path: Path) -> None:
+def test_a_settled_connection_is_selected_first(tmp_path: Path) -> None:
     async def play() -> None:
         server = StalledServer("s-1")
         async with running(tmp_path / "c.json", FakeDiscovery(), server) as node:
@@ -353,26 +365,26 @@
             await server.until(lambda: len(server.heads) == 3)
             server.go.set()
             await asyncio.gather(*asking)
-            servers = node.dispatcher.pools
-            idle = next(iter(servers.endpoints.values())).idle
-            now = servers.loop.time()
-            for conn, rest in zip(idle, (3.0, 2.0, 0.0), strict=True):
-                conn.response_ended_at = now - rest * module.SETTLE_S
-            assert servers._pick_settled(idle) is idle[1]
+            pools = node.dispatcher.pools
+            idle = next(iter(pools.endpoints.values())).idle
+            now = pools.loop.time()
+            for conn, idle_periods in zip(idle, (3.0, 2.0, 0.0), strict=True):
+                conn.response_ended_at = now - idle_periods * module.SETTLE_S
+            assert pools._pick_settled(idle) is idle[1]
             idle[0].response_ended_at = idle[1].response_ended_at = now
-            assert servers._pick_settled(idle) is idle[2]
+            assert pools._pick_settled(idle) is idle[2]
 
     asyncio.run(play())
 
 
 @pytest.mark.parametrize("cut", [0, 1, 17, 40, 60])
 @pytest.mark.parametrize("reset", [False, True])
-def test_an_answer_without_a_length_that_is_reset_is_no_answer(cut: int, reset: bool, tmp_path: Path) -> None:
-    """Its end is the end of the connection; a reset is none, and the client gets what it can tell apart."""
-    whole = b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + b"x" * 40
+def test_a_response_without_a_length_that_is_reset_is_an_error(cut: int, reset: bool, tmp_path: Path) -> None:
+    """Such a response ends with the connection. A reset must not count as its end, but fail the request."""
+    complete = b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + b"x" * 40
 
     async def script(head: bytes, writer: asyncio.StreamWriter) -> None:
-        writer.write(whole[:cut])
+        writer.write(complete[:cut])
         await writer.drain()
         if reset:
             sock = writer.get_extra_info("socket")
@@ -384,11 +396,11 @@
 
     async def play() -> None:
         async with running(tmp_path / "c.json", FakeDiscovery(), ScriptedServer("s-1", script)) as node:
-            answer = await node.ask(request("send"))
-            ended = whole[:cut].partition(b"\r\n\r\n")
-            if ended[1] and not reset:
-                assert answer.startswith(b"HTTP/1.1 200 ") and answer.endswith(b"x" * len(ended[2]))
+            response = await node.ask(request("send"))
+            sent = complete[:cut].partition(b"\r\n\r\n")
+            if sent[1] and not reset:
+                assert response.startswith(b"HTTP/1.1 200 ") and response.endswith(b"x" * len(sent[2]))
             else:
-                assert answer.startswith(b"HTTP/1.1 502 ")
+                assert response.startswith(b"HTTP/1.1 502 ")
 
     asyncio.run(play())
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -1,4 +1,4 @@
-"""Clients that are wrong, slow, silent or many: each gets an error or a close, the others are served."""
+"""Invalid, slow, silent or numerous clients: each gets an error or a close, and the others are served."""
 
 from __future__ import annotations
 
@@ -21,9 +21,9 @@
 )
 
 HEAD = b"POST /send HTTP/1.1\r\nHost: h\r\nX-Correlation-Id: r-1\r\n"
-HIDDEN = b"0\r\n\r\nPOST /send HTTP/1.1\r\nHost: h\r\nX-Correlation-Id: r-2\r\nContent-Length: 0\r\n\r\n"
-WRONG = {
-    "both framings": HEAD + b"Content-Length: 80\r\nTransfer-Encoding: chunked\r\n\r\n" + HIDDEN,
+SMUGGLED = b"0\r\n\r\nPOST /send HTTP/1.1\r\nHost: h\r\nX-Correlation-Id: r-2\r\nContent-Length: 0\r\n\r\n"
+INVALID_REQUESTS = {
+    "both framings": HEAD + b"Content-Length: 80\r\nTransfer-Encoding: chunked\r\n\r\n" + SMUGGLED,
     "two lengths": HEAD + b"Content-Length: 4\r\nContent-Length: 9\r\n\r\nabcdefghi",
     "negative length": HEAD + b"Content-Length: -4\r\n\r\n",
     "huge length": HEAD + b"Content-Length: 60000000\r\n\r\n" + b"x" * 100_000,
@@ -42,12 +42,12 @@
 }
 
 
-@pytest.mark.parametrize("kind", WRONG)
-def test_what_is_wrong_is_answered_4xx_and_never_passed_on(kind: str, tmp_path: Path) -> None:
+@pytest.mark.parametrize("kind", INVALID_REQUESTS)
+def test_an_invalid_request_gets_4xx_and_is_never_forwarded(kind: str, tmp_path: Path) -> None:
     async def play() -> None:
         server = ScriptedServer("s-1")
         async with running(tmp_path / "c.json", FakeDiscovery(), server) as node:
-            assert (await node.ask(WRONG[kind])).startswith(b"HTTP/1.1 4")
+            assert (await node.ask(INVALID_REQUESTS[kind])).startswith(b"HTTP/1.1 4")
             assert b" 200 " in await node.ask(request(rid="r-9"))
             assert [head.count(b"r-9") for head in server.heads] == [1]
 
@@ -57,14 +57,14 @@
 @pytest.mark.parametrize(
     ("version", "status"), [(b"0.9", 505), (b"1.0", 200), (b"1.1", 200), (b"2.0", 505), (b"3.0", 505)]
 )
-def test_a_version_that_is_not_spoken_gets_505_and_is_never_passed_on(
+def test_an_unsupported_http_version_gets_505_and_is_never_forwarded(
     version: bytes, status: int, tmp_path: Path
 ) -> None:
     async def play() -> None:
         server = ScriptedServer("s-1")
         async with running(tmp_path / "c.json", FakeDiscovery(), server) as node:
-            answer = await node.ask(request().replace(b"HTTP/1.1", b"HTTP/" + version))
-            assert answer.startswith(b"HTTP/1.1 %d " % status)
+            response = await node.ask(request().replace(b"HTTP/1.1", b"HTTP/" + version))
+            assert response.startswith(b"HTTP/1.1 %d " % status)
             health = await node.ask(b"GET /health/live HTTP/%s\r\nHost: h\r\n\r\n" % version)
             assert health.startswith(b"HTTP/1.1 %d " % status)
             assert len(server.heads) == (status == 200)
@@ -72,7 +72,7 @@
     asyncio.run(play())
 
 
-def test_an_id_that_another_open_request_has_is_turned_away(tmp_path: Path) -> None:
+def test_a_request_with_the_id_of_another_pending_request_is_rejected(tmp_path: Path) -> None:
     async def play() -> None:
         server = StalledServer("s-1")
         async with running(tmp_path / "c.json", FakeDiscovery(), server) as node:
@@ -86,7 +86,7 @@
     asyncio.run(play())
 
 
-def test_ids_are_forgotten_by_age_and_by_number() -> None:
+def test_ids_are_removed_by_age_and_by_number() -> None:
     ids = RecentRequestIds()
     assert not ids.check_and_add(b"a", 100.0)
     assert ids.check_and_add(b"a", 109.0)
@@ -100,17 +100,17 @@
 
 
 @pytest.mark.parametrize("sent", [b"", b"GET /vi", HEAD + b"Content-Length: 9\r\n\r\nhalf"])
-def test_silence_and_half_requests_end_at_their_phase_s_deadline(sent: bytes, tmp_path: Path) -> None:
+def test_silent_connections_and_partial_requests_end_at_their_timeout(sent: bytes, tmp_path: Path) -> None:
     async def play() -> None:
         async with running(tmp_path / "c.json", FakeDiscovery(), ScriptedServer("s-1")) as node:
             node.clients.phase_timeouts.silent = node.clients.phase_timeouts.unfinished = 0.0
-            answer = await node.ask(sent)
-            assert answer.startswith(b"HTTP/1.1 408") if sent else answer == b""
+            response = await node.ask(sent)
+            assert response.startswith(b"HTTP/1.1 408") if sent else response == b""
 
     asyncio.run(play())
 
 
-def test_a_trickle_does_not_put_the_deadline_off(tmp_path: Path) -> None:
+def test_further_bytes_of_a_partial_request_do_not_extend_its_timeout(tmp_path: Path) -> None:
     async def play() -> None:
         async with running(tmp_path / "c.json", FakeDiscovery(), ScriptedServer("s-1")) as node:
             reader, writer = await node.connect()
@@ -128,7 +128,7 @@
     asyncio.run(play())
 
 
-def test_a_kept_connection_is_closed_after_its_rest(tmp_path: Path) -> None:
+def test_an_idle_connection_is_closed_after_its_timeout(tmp_path: Path) -> None:
     async def play() -> None:
         async with running(tmp_path / "c.json", FakeDiscovery(), ScriptedServer("s-1")) as node:
             node.clients.phase_timeouts.idle = 0.0
@@ -142,47 +142,47 @@
     asyncio.run(play())
 
 
-def test_a_silent_crowd_does_not_displace_those_who_ask(tmp_path: Path) -> None:
+def test_many_silent_connections_do_not_displace_those_with_requests(tmp_path: Path) -> None:
     async def play() -> None:
         server = StalledServer("s-1")
         async with running(tmp_path / "c.json", FakeDiscovery(), server) as node:
             limit = node.clients.limit
             asking = [asyncio.ensure_future(node.ask(request(rid=f"r-{n}"))) for n in range(20)]
             await server.until(lambda: len(server.heads) == 20)
-            crowd = [await node.connect() for _ in range(2 * limit)]
+            silent = [await node.connect() for _ in range(2 * limit)]
             asking += [asyncio.ensure_future(node.ask(request(rid=f"q-{n}"))) for n in range(20)]
             await server.until(lambda: len(server.heads) == 40)
             assert len(node.clients.connections) <= limit
             server.go.set()
-            assert all(b" 200 " in answer for answer in await asyncio.gather(*asking))
-            for _, writer in crowd:
+            assert all(b" 200 " in response for response in await asyncio.gather(*asking))
+            for _, writer in silent:
                 writer.transport.abort()
 
     asyncio.run(play())
 
 
-def test_those_who_ask_once_and_stay_leave_room_for_the_next(tmp_path: Path) -> None:
+def test_excess_idle_connections_are_closed_to_leave_room_for_new_ones(tmp_path: Path) -> None:
     async def play() -> None:
         async with running(tmp_path / "c.json", FakeDiscovery(), ScriptedServer("s-1")) as node:
             node.clients.phase_timeouts.idle_when_crowded = 0.0
-            stay = []
+            opened = []
             async with asyncio.timeout(LIMIT):
                 for n in range(100):
                     reader, writer = await node.connect()
-                    stay.append((reader, writer))
+                    opened.append((reader, writer))
                     writer.write(request(rid=f"r-{n}"))
                     assert b" 200 " in (await read_message(reader))[0]
-                assert await stay[0][0].read() == b""  # who has rested longest is closed
-                writer.write(request(rid="r-last"))  # who came last is kept
+                assert await opened[0][0].read() == b""  # the one that was idle longest is closed
+                writer.write(request(rid="r-last"))  # the newest one is kept alive
                 assert b" 200 " in (await read_message(reader))[0]
             assert len(node.clients.idle) <= 256 // 4
-            for _, writer in stay:
+            for _, writer in opened:
                 writer.transport.abort()
 
     asyncio.run(play())
 
 
-def test_a_request_that_waits_unread_keeps_its_connection_open(tmp_path: Path) -> None:
+def test_an_idle_connection_with_an_unread_request_is_not_closed(tmp_path: Path) -> None:
     async def play() -> None:
         async with running(tmp_path / "c.json", FakeDiscovery(), ScriptedServer("s-1")) as node:
             reader, writer = await node.connect()
@@ -195,7 +195,7 @@
                 writer.write(request(rid="r-2"))
                 while not conn.unread_bytes():
                     await asyncio.sleep(0)
-                node.clients.close_idle()  # as at the end of a drain, or after too long a rest
+                node.clients.close_idle()  # as at the end of a drain, or after the idle timeout
                 conn.transport.resume_reading()
                 assert b" 200 " in (await read_message(reader))[0]
             writer.transport.abort()
@@ -203,22 +203,24 @@
     asyncio.run(play())
 
 
-def test_nearly_a_third_of_256_descriptors_may_wait_for_the_answers_of_most_worth(tmp_path: Path) -> None:
+def test_with_256_descriptors_nearly_a_third_can_carry_requests_of_the_highest_priority(
+    tmp_path: Path,
+) -> None:
     async def play() -> None:
         server = StalledServer("s-1")
         async with running(
             tmp_path / "c.json", FakeDiscovery(), server, adjust=lambda c: replace(c, sockets=256)
         ) as node:
-            # Clients hold 85; the last seven are left for who is to hear that there is no room.
+            # Clients can hold 85 connections; the last seven are reserved for requests that are rejected.
             asking = [asyncio.ensure_future(node.ask(request("book", rid=f"r-{n}"))) for n in range(78)]
             await server.until(lambda: len(server.heads) == 78)
             server.go.set()
-            assert all(b" 200 " in answer for answer in await asyncio.gather(*asking))
+            assert all(b" 200 " in response for response in await asyncio.gather(*asking))
 
     asyncio.run(play())
 
 
-def test_bodies_together_stay_within_their_budget(tmp_path: Path) -> None:
+def test_concurrent_bodies_share_the_body_budget(tmp_path: Path) -> None:
     async def play() -> None:
         server = ScriptedServer("s-1")
         body = b"x" * 65536
@@ -226,8 +228,8 @@
             tmp_path / "c.json", FakeDiscovery(), server, adjust=lambda c: replace(c, body_budget=200_000)
         ) as node:
             asking = [node.ask(request("send", rid=f"r-{n}", body=body)) for n in range(12)]
-            answers = await asyncio.gather(*asking)
-            assert all(b" 200 " in answer for answer in answers)
+            responses = await asyncio.gather(*asking)
+            assert all(b" 200 " in response for response in responses)
             assert node.clients.body_budget.used == 0 and not node.clients.body_budget.held
 
     asyncio.run(play())
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -1,4 +1,4 @@
-"""Clients that leave: nothing is begun for one that has gone, whatever the loop has read of it."""
+"""Clients that disconnect: no attempt starts for them, even if the event loop has not read the close yet."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
     settings,
 )
 
-# The beginning of a next request, longer than what the node reads ahead of an answer.
+# Beginning of a pipelined request, longer than what the node reads before the current response.
 AHEAD = b"GET /view HTTP/1.1\r\nX-Pad: " + b"p" * (SMALL_BODY_BYTES + 1000)
 
 
@@ -52,42 +52,42 @@
 LEAVING = pytest.mark.parametrize("leave", [close, half_close, reset])
 
 
-def busy_until(holds: Callable[[], bool]) -> None:
-    """The loop is busy with something else until this is so."""
+def block_loop_until(holds: Callable[[], bool]) -> None:
+    """Block the event loop until a condition holds."""
     end = time.monotonic() + LIMIT
     while not holds():
         assert time.monotonic() < end
 
 
-def left(node: RunningNode, conn: ClientConnection) -> None:
-    """The kernel knows that the client has gone, and the last look at it is old."""
-    busy_until(lambda: not conn.is_connected())
-    (open_,) = node.dispatcher.requests.values()
-    busy_until(lambda: time.monotonic_ns() - open_.client_seen > PRESENCE_VALID_NS)
+def wait_until_gone(node: RunningNode, conn: ClientConnection) -> None:
+    """Block until the kernel has seen the client's close and the node's last presence check has expired."""
+    block_loop_until(lambda: not conn.is_connected())
+    (pending,) = node.dispatcher.requests.values()
+    block_loop_until(lambda: time.monotonic_ns() - pending.client_seen > PRESENCE_VALID_NS)
 
 
-class Breaking(StalledServer):
-    """A server that takes requests, and breaks the connection in place of an answer once `go` is set."""
+class AbortingServer(StalledServer):
+    """Server that reads requests, and aborts the connection instead of responding once `go` is set."""
 
     async def _wait(self, head: bytes, writer: asyncio.StreamWriter) -> None:
         await self.go.wait()
         writer.transport.abort()
 
 
-async def paused(node: RunningNode, sock: socket.socket) -> ClientConnection:
-    """Bytes of the next request have come, and reading is paused."""
+async def pause_reading(node: RunningNode, sock: socket.socket) -> ClientConnection:
+    """Send the beginning of the next request, so that the node pauses reading; returns its connection."""
     (conn,) = node.clients.connections
     sock.sendall(AHEAD)
     await node.until(lambda: not conn.reading)
     return conn
 
 
-async def no_more_than(
+async def check_attempts(
     node: RunningNode, backends: tuple[ScriptedServer, ...], rid: bytes, heads: int
 ) -> None:
-    """The request is over, and servers have had no more of it."""
+    """Wait for the end of the request, and check how many attempts reached the servers."""
     await node.until(lambda: not node.dispatcher.requests)
-    # What was written before goes first on its connection: by now it would have come.
+    # After these further requests, anything that was written before them must have arrived.
     for backend in backends:
         backend.script = OK
     for n in range(6):
@@ -96,30 +96,30 @@
 
 
 @LEAVING
-def test_a_close_that_is_not_read_ends_the_repeats(
+def test_no_retry_after_a_close_that_the_loop_has_not_read(
     leave: Callable[[socket.socket], None], tmp_path: Path
 ) -> None:
     async def play() -> None:
-        backends = Breaking("s-1"), Breaking("s-2")
+        backends = AbortingServer("s-1"), AbortingServer("s-2")
         async with running(tmp_path / "c.json", FakeDiscovery(), *backends) as node:
             sock = call(node, request(rid="r-1"))
             await node.until(lambda: any(backend.heads for backend in backends))
-            conn = await paused(node, sock)
+            conn = await pause_reading(node, sock)
             leave(sock)
-            left(node, conn)
+            wait_until_gone(node, conn)
             for backend in backends:
                 backend.go.set()
-            await no_more_than(node, backends, b"r-1", 1)
+            await check_attempts(node, backends, b"r-1", 1)
             sock.close()
 
     asyncio.run(play())
 
 
-def test_one_that_stays_is_repeated_although_it_sends_ahead(tmp_path: Path) -> None:
-    """The look must not take for gone who is there."""
+def test_a_connected_client_that_pipelines_requests_still_gets_retries(tmp_path: Path) -> None:
+    """The check of the client's presence must not report a connected client as gone."""
 
     async def play() -> None:
-        backends = Breaking("s-1"), ScriptedServer("s-2")
+        backends = AbortingServer("s-1"), ScriptedServer("s-2")
         async with running(tmp_path / "c.json", FakeDiscovery(), *backends) as node:
             backends[0].go.set()
             reader, writer = await node.connect()
@@ -135,27 +135,27 @@
     asyncio.run(play())
 
 
-def test_no_repeat_for_one_whose_close_could_not_show(tmp_path: Path) -> None:
-    """Behind so many unread bytes a close does not come through: what can still be told is told."""
+def test_no_retry_if_unread_bytes_may_hide_a_close(tmp_path: Path) -> None:
+    """The presence of the client is unknown then: nothing is retried, but a response is still sent."""
 
     async def play() -> None:
-        backends = Breaking("s-1"), Breaking("s-2")
+        backends = AbortingServer("s-1"), AbortingServer("s-2")
         async with running(tmp_path / "c.json", FakeDiscovery(), *backends) as node:
             sock = socket.create_connection(("127.0.0.1", node.port))
             sock.setblocking(False)
             sock.send(request(rid="r-1"))
             async with asyncio.timeout(LIMIT):
                 await node.until(lambda: any(backend.heads for backend in backends))
-                conn = await paused(node, sock)
+                conn = await pause_reading(node, sock)
                 sock.send(b"p" * 2 * HIDDEN_CLOSE_BYTES)
-            busy_until(lambda: conn.unread_bytes() >= HIDDEN_CLOSE_BYTES)
-            (open_,) = node.dispatcher.requests.values()
-            busy_until(lambda: time.monotonic_ns() - open_.client_seen > PRESENCE_VALID_NS)
+            block_loop_until(lambda: conn.unread_bytes() >= HIDDEN_CLOSE_BYTES)
+            (pending,) = node.dispatcher.requests.values()
+            block_loop_until(lambda: time.monotonic_ns() - pending.client_seen > PRESENCE_VALID_NS)
             for backend in backends:
                 backend.go.set()
             async with asyncio.timeout(LIMIT):
-                answer = await asyncio.get_running_loop().sock_recv(sock, 4096)
-            assert answer.startswith(b"HTTP/1.1 503 ")  # it is safe: trying again does no harm
+                response = await asyncio.get_running_loop().sock_recv(sock, 4096)
+            assert response.startswith(b"HTTP/1.1 503 ")  # the class is SAFE, so a retry is harmless
             assert sum(len(backend.heads) for backend in backends) == 1
             sock.close()
 
@@ -163,10 +163,10 @@
 
 
 @LEAVING
-def test_a_timer_in_the_turn_of_the_close_begins_nothing(
+def test_a_timer_in_the_loop_iteration_of_the_close_starts_no_attempt(
     leave: Callable[[socket.socket], None], tmp_path: Path
 ) -> None:
-    """A request waits as no server is there. Its timer, the list and the close come in one turn."""
+    """A request waits for a server; its timer is due in the loop iteration in which the close arrives."""
 
     async def play() -> None:
         fake_discovery, server = FakeDiscovery(), ScriptedServer("s-1")
@@ -177,29 +177,29 @@
             (conn,) = node.clients.connections
             fake_discovery.tell(server)
             await node.until(lambda: bool(node.dispatcher.balancer.servers))
-            begun: list[int] = []
+            started: list[int] = []
             send = node.dispatcher.pools.send
 
-            def note(attempt: UpstreamAttempt) -> None:
+            def record(attempt: UpstreamAttempt) -> None:
                 assert attempt.request is not None
-                begun.append(attempt.request.id)
+                started.append(attempt.request.id)
                 send(attempt)
 
-            node.dispatcher.pools.send = note  # type: ignore[method-assign]
+            node.dispatcher.pools.send = record  # type: ignore[method-assign]
             (rid,) = node.dispatcher.requests
             loop, (wakes, wake) = asyncio.get_running_loop(), socket.socketpair()
 
-            def held_up() -> None:
-                # What becomes readable in here is read after the timers that are due by then.
+            def block_loop() -> None:
+                # Sockets that become readable during this call are read after the timers that are then due.
                 loop.remove_reader(wakes)
                 leave(sock)
-                left(node, conn)
-                time.sleep(0.1)  # longer than any step of the module's waiting
+                wait_until_gone(node, conn)
+                time.sleep(0.1)  # longer than any interval at which the balancer checks waiting requests
 
-            loop.add_reader(wakes, held_up)
+            loop.add_reader(wakes, block_loop)
             wake.send(b"x")
-            await no_more_than(node, (server,), b"r-1", 0)
-            assert begun and rid not in begun
+            await check_attempts(node, (server,), b"r-1", 0)
+            assert started and rid not in started
             for end in (wakes, wake):
                 end.close()
             sock.close()
@@ -211,10 +211,10 @@
 @pytest.mark.parametrize("cls", ["view", "send", "book"])
 @pytest.mark.parametrize("cancel", [True, False])
 @pytest.mark.parametrize("ahead", [False, True])
-def test_one_that_leaves_while_its_connection_comes_up_is_not_sent_on(
+def test_nothing_is_sent_for_a_client_that_leaves_while_the_connection_opens(
     cls: str, cancel: bool, ahead: bool, tmp_path: Path
 ) -> None:
-    """Also where the settings allow no cancel: what has not begun is none."""
+    """This holds even if the settings forbid cancelling, as no server can have started the request."""
 
     async def play() -> None:
         server = ScriptedServer("s-1")
@@ -222,29 +222,29 @@
         async with running(
             tmp_path / "c.json", FakeDiscovery(), server, settings=settings(caps=caps)
         ) as node:
-            gate = ConnectBarrier(node)
+            barrier = ConnectBarrier(node)
             sock = call(node, request(cls, rid="r-1"))
-            await node.until(lambda: gate.waiting > 0)
+            await node.until(lambda: barrier.waiting > 0)
             (conn,) = node.clients.connections
             if ahead:
-                await paused(node, sock)
+                await pause_reading(node, sock)
             sock.close()
-            left(node, conn)
+            wait_until_gone(node, conn)
             if not ahead:
                 async with asyncio.timeout(LIMIT):
                     while node.clients.connections:
                         await asyncio.sleep(0)
-            gate.open.set()
-            await no_more_than(node, (server,), b"r-1", 0)
+            barrier.open.set()
+            await check_attempts(node, (server,), b"r-1", 0)
 
     asyncio.run(play())
 
 
 @pytest.mark.parametrize("cls", ["send", "book"])
-def test_one_that_leaves_while_the_last_byte_is_held_is_not_sent_on(
+def test_the_last_byte_is_not_sent_for_a_client_that_leaves_while_it_is_held(
     cls: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The server has all but the last byte: it gets a request once that has come."""
+    """The server has all of the request but the last byte, without which it does not run it."""
 
     async def play() -> None:
         server = ScriptedServer("s-1")
@@ -252,50 +252,50 @@
         async with running(tmp_path / "c.json", FakeDiscovery(), server) as node:
             sock = call(node, request(cls, rid="r-1"))
             await node.until(lambda: any(conn.timer for conn in node.dispatcher.pools.connections))
-            conn = await paused(node, sock)
+            conn = await pause_reading(node, sock)
             sock.close()
-            left(node, conn)
-            await no_more_than(node, (server,), b"r-1", 0)
+            wait_until_gone(node, conn)
+            await check_attempts(node, (server,), b"r-1", 0)
 
     asyncio.run(play())
 
 
-def test_a_copy_is_not_begun_for_one_that_has_gone(tmp_path: Path) -> None:
-    """A second copy is an attempt like any other; here the node is asked for one directly."""
+def test_no_hedge_is_sent_for_a_client_that_has_gone(tmp_path: Path) -> None:
+    """A hedge is an attempt like any other; this test calls the handler of its action directly."""
 
     async def play() -> None:
         backends = StalledServer("s-1"), StalledServer("s-2")
         async with running(tmp_path / "c.json", FakeDiscovery(), *backends) as node:
             sock = call(node, request(rid="r-1"))
             await node.until(lambda: any(backend.heads for backend in backends))
-            conn = await paused(node, sock)
-            (open_,) = node.dispatcher.requests.values()
+            conn = await pause_reading(node, sock)
+            (pending,) = node.dispatcher.requests.values()
             other = next(backend.name for backend in backends if not backend.heads)
             sock.close()
-            left(node, conn)
-            node.dispatcher._send(api.Send(open_.id, other))
+            wait_until_gone(node, conn)
+            node.dispatcher._send(api.Send(pending.id, other))
             assert not conn.request_id and conn.transport.is_closing()
             for backend in backends:
                 backend.go.set()
-            await no_more_than(node, backends, b"r-1", 1)
+            await check_attempts(node, backends, b"r-1", 1)
 
     asyncio.run(play())
 
 
-def test_a_close_that_is_read_ends_its_request_at_once(tmp_path: Path) -> None:
-    """Long before its time, and its attempt with it: the place is free for others."""
+def test_a_close_that_the_loop_has_read_ends_the_request_at_once(tmp_path: Path) -> None:
+    """The request and its attempt end long before the deadline, which frees their connections."""
 
     async def play() -> None:
         server = StalledServer("s-1")
         async with running(tmp_path / "c.json", FakeDiscovery(), server) as node:
             sock = call(node, request(rid="r-1"))
             await server.until(lambda: len(server.heads) == 1)
-            (open_,) = node.dispatcher.requests.values()
+            (pending,) = node.dispatcher.requests.values()
             sock.close()
             await node.until(
                 lambda: not (node.dispatcher.unfinished_requests or node.dispatcher.pools.connections)
             )
-            assert time.monotonic_ns() < open_.deadline - 5 * 10**9
+            assert time.monotonic_ns() < pending.deadline - 5 * 10**9
             server.go.set()
 
     asyncio.run(play())
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -1,4 +1,4 @@
-"""Discovery that answers nonsense or does not wait: the list in force stays, and the watch goes on."""
+"""Discovery with invalid or immediate responses: the current list stays in force, and the watch continues."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 from hollybay.testbed.loopback import FakeDiscovery, ScriptedServer, read_message, request, running, settings
 
 
-class Scripted(FakeDiscovery):
-    """Gives its list once, then what the script holds, then its list again."""
+class ScriptedDiscovery(FakeDiscovery):
+    """Responds with its list once, then with the responses of a script, then with its list again."""
 
     def __init__(self, *script: bytes) -> None:
         super().__init__()
@@ -25,41 +25,43 @@
             self.calls += 1
             self.note()
             body = json.dumps({"version": self.version, "full": True, "servers": self.lines}).encode()
-            answer = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
+            response = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
             if self.calls > 1 and self.script:
-                answer = self.script.pop(0)
-            writer.write(answer)
+                response = self.script.pop(0)
+            writer.write(response)
 
 
-def answer(body: bytes) -> bytes:
+def ok_response(body: bytes) -> bytes:
     return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
 
 
-NONSENSE = {
+INVALID_RESPONSES = {
     "noise": b"\x00\xff\r\n\r\n",
     "two lengths": b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n{}",
-    "no JSON": answer(b'{"version":'),
-    "no list": answer(b"[]"),
-    "deep": answer(b"[" * 100_000),
-    "a state nobody knows": answer(
+    "no JSON": ok_response(b'{"version":'),
+    "no list": ok_response(b"[]"),
+    "deep": ok_response(b"[" * 100_000),
+    "a state nobody knows": ok_response(
         b'{"version":9,"full":true,"servers":[{"id":"s-9","addr":"127.0.0.1:1","state":"LOST"}]}'
     ),
-    "no address": answer(b'{"version":9,"full":true,"servers":[{"id":"s-9","addr":"x","state":"SERVING"}]}'),
-    "senseless numbers": answer(
+    "no address": ok_response(
+        b'{"version":9,"full":true,"servers":[{"id":"s-9","addr":"x","state":"SERVING"}]}'
+    ),
+    "senseless numbers": ok_response(
         b'{"version":9,"full":true,"servers":[{"id":"s-9","addr":"127.0.0.1:1","state":"SERVING",'
         b'"weight":NaN,"cell":1e999}]}'
     ),
-    "a list as zone": answer(
+    "a list as zone": ok_response(
         b'{"version":9,"full":true,"servers":[{"id":"s-9","addr":"127.0.0.1:1","state":"SERVING","zone":[]}]}'
     ),
     "an error": b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n",
 }
 
 
-@pytest.mark.parametrize("kind", NONSENSE)
-def test_nonsense_changes_nothing_and_the_watch_goes_on(kind: str, tmp_path: Path) -> None:
+@pytest.mark.parametrize("kind", INVALID_RESPONSES)
+def test_an_invalid_response_has_no_effect_and_the_watch_continues(kind: str, tmp_path: Path) -> None:
     async def play() -> None:
-        fake_discovery, server = Scripted(NONSENSE[kind]), ScriptedServer("s-1")
+        fake_discovery, server = ScriptedDiscovery(INVALID_RESPONSES[kind]), ScriptedServer("s-1")
         async with running(tmp_path / "c.json", fake_discovery, server) as node:
             await fake_discovery.until(lambda: fake_discovery.calls >= 3)
             assert list(node.dispatcher.balancer.servers) == ["s-1"]
@@ -68,24 +70,24 @@
     asyncio.run(play())
 
 
-def test_a_discovery_that_does_not_wait_is_not_polled_without_a_pause(tmp_path: Path) -> None:
+def test_a_discovery_that_does_not_wait_is_not_polled_in_a_busy_loop(tmp_path: Path) -> None:
     async def play() -> None:
-        fake_discovery = Scripted()
+        fake_discovery = ScriptedDiscovery()
         async with running(tmp_path / "c.json", fake_discovery, ScriptedServer("s-1")):
             loop = asyncio.get_running_loop()
-            seen, began = fake_discovery.calls, loop.time()
-            await fake_discovery.until(lambda: fake_discovery.calls >= seen + 4)
-            assert loop.time() - began >= 2 * NO_CHANGE_PAUSE_S
+            calls, started_at = fake_discovery.calls, loop.time()
+            await fake_discovery.until(lambda: fake_discovery.calls >= calls + 4)
+            assert loop.time() - started_at >= 2 * NO_CHANGE_PAUSE_S
 
     asyncio.run(play())
 
 
 def test_a_node_without_any_list_polls_until_one_arrives(tmp_path: Path) -> None:
-    """On demand the balancer watches once it has a list: with none from before it never would."""
+    """In on-demand mode the balancer starts to watch only when it has a list, so the client must start it."""
 
     async def play() -> None:
-        fake_discovery = Scripted(NONSENSE["an error"])
-        fake_discovery.calls = 1  # the first call meets the script
+        fake_discovery = ScriptedDiscovery(INVALID_RESPONSES["an error"])
+        fake_discovery.calls = 1  # so that the script already applies to the first call
         on_demand = settings(**{"membership-mode": "subscribe"})
         async with running(
             tmp_path / "c.json", fake_discovery, ScriptedServer("s-1"), settings=on_demand
--- a/tests/test_discovery_orders.py
+++ b/tests/test_discovery_orders.py
@@ -1,4 +1,4 @@
-"""Discovery that falls silent, is down, restarts its versions or closes: its changes are received in time."""
+"""Discovery that is silent, down, restarts versions or closes connections: changes still arrive in time."""
 
 from __future__ import annotations
 
@@ -30,22 +30,24 @@
 )
 from hollybay.testbed.process import NodeProcess
 
-TOLD, MOVED = 6.0, 4.0  # s until what a silent watch misses counts as told, and what a new address has
+# Time (s) within which a node must learn of a change that a silent watch missed, and of the list of a new
+# address.
+SILENT_WATCH_LIMIT, NEW_ADDRESS_LIMIT = 6.0, 4.0
 GRACE = 250_000_000
 
 
 def short(**changes: Any) -> dict[str, Any]:
-    """Settings with little grace."""
+    """Settings with a short drain grace."""
     return settings(rules={"drain-grace": GRACE}, **changes)
 
 
 class Agent(FakeDiscovery):
-    """One whose calls can go unanswered: those that came meanwhile stay so, as where a machine was away."""
+    """Agent that can be silent: the requests that arrive then never get a complete response."""
 
     def __init__(self, version: int = 1) -> None:
         super().__init__(version)
         self.silent = False
-        self.begun: bytes = b""  # what it says of an answer before it falls silent
+        self.begun: bytes = b""  # part of a response that it still sends while it is silent
         self.targets: list[str] = []
 
     async def talk(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -71,7 +73,7 @@
         return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
 
 
-async def known(node: RunningNode, holds: Callable[[dict[Any, Any]], bool]) -> None:
+async def until_servers(node: RunningNode, holds: Callable[[dict[Any, Any]], bool]) -> None:
     await node.until(lambda: holds(node.dispatcher.balancer.servers))
 
 
@@ -82,7 +84,7 @@
 def test_an_agent_that_was_silent_is_reached_by_one_of_the_next_requests(
     begun: bytes, tmp_path: Path
 ) -> None:
-    """Requests that it got while down are never answered, and a drain counts from the agent's return."""
+    """Requests to a silent agent get no response, and the time limit of a drain starts when it is back."""
 
     async def play() -> None:
         agent, server = Agent(), ScriptedServer("s-1")
@@ -95,15 +97,15 @@
             agent.silent = False
             agent.tell(server, state="DRAINING")
             calls = agent.calls
-            await known(node, lambda servers: servers["s-1"].state == api.ServerState.DRAINING)
-            # One of the quick calls: between two of them is less than half of the grace.
+            await until_servers(node, lambda servers: servers["s-1"].state == api.ServerState.DRAINING)
+            # One of the polls with the short timeout, whose interval is less than half of the grace.
             assert agent.calls - calls <= 2
 
     asyncio.run(play())
 
 
 def test_the_next_request_to_a_silent_agent_follows_well_within_the_grace() -> None:
-    """The sums of the worst cases, from the constants."""
+    """Checks the sums of the timeouts in the worst cases."""
     for grace in (0.25, 0.4, 1.0, 2.0):
         quick = max(
             module.MIN_QUICK_TIMEOUT_S,
@@ -112,18 +114,18 @@
         assert 1.5 * quick < 0.61 * grace
     slowest = 1.5 * module.MAX_QUICK_TIMEOUT_S
     watch = module.WATCH_WAIT_MS / 1000 + module.WATCH_OVERDUE_S + module.NO_CHANGE_PAUSE_S
-    assert watch + 4 * slowest <= TOLD - 1.0  # silent four more times in a row
-    assert module.WATCH_OVERDUE_S + module.NO_CHANGE_PAUSE_S + 3 * slowest <= MOVED - 1.0  # at a new address
-    asked = module.ON_DEMAND_WATCH_WAIT_MS / 1000
-    assert (
-        asked + module.ON_DEMAND_WATCH_OVERDUE_S <= max(TOLD, asked + 2.0) - 1.0
-    )  # the next call goes at once
+    assert watch + 4 * slowest <= SILENT_WATCH_LIMIT - 1.0  # four more silent requests in a row
+    # Three silent requests at a new address.
+    assert module.WATCH_OVERDUE_S + module.NO_CHANGE_PAUSE_S + 3 * slowest <= NEW_ADDRESS_LIMIT - 1.0
+    wait = module.ON_DEMAND_WATCH_WAIT_MS / 1000
+    # On demand, the next request follows at once.
+    assert wait + module.ON_DEMAND_WATCH_OVERDUE_S <= max(SILENT_WATCH_LIMIT, wait + 2.0) - 1.0
 
 
 def test_a_silent_watch_on_demand_is_repeated_at_once(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The balancer, which would wait for the node's turn among all, is not told."""
+    """The balancer is not notified, as it would wait for the node's turn among all nodes."""
     monkeypatch.setattr(module, "ON_DEMAND_WATCH_WAIT_MS", 100)
     monkeypatch.setattr(module, "ON_DEMAND_WATCH_OVERDUE_S", 0.1)
 
@@ -131,23 +133,23 @@
         agent, server = Agent(), ScriptedServer("s-1")
         many = short(balancers=200, **{"membership-mode": "subscribe"})
         async with running(tmp_path / "c.json", agent, server, settings=many) as node:
-            told: list[object] = []
-            node.dispatcher.discovery_failed = lambda: told.append(1)  # type: ignore[method-assign]
+            failures: list[object] = []
+            node.dispatcher.discovery_failed = lambda: failures.append(1)  # type: ignore[method-assign]
             await agent.until(lambda: "wait=100" in agent.targets[-1])
             agent.silent = True
             agent.note()
             calls = agent.calls
             agent.lines[0]["state"] = "DRAINING"
             agent.silent = False
-            await known(node, lambda servers: servers["s-1"].state == api.ServerState.DRAINING)
-            assert not told and agent.calls <= calls + 2
+            await until_servers(node, lambda servers: servers["s-1"].state == api.ServerState.DRAINING)
+            assert not failures and agent.calls <= calls + 2
 
     asyncio.run(play())
 
 
 @pytest.mark.parametrize("silences", [1, 2, 3])
 def test_an_address_change_by_sighup_while_the_watch_is_silent(silences: int, tmp_path: Path) -> None:
-    """The new address leaves its first requests unanswered, too."""
+    """The first requests to the new address get no response either."""
 
     async def play() -> None:
         old, new = Agent(version=900), Agent(version=3)
@@ -163,15 +165,15 @@
             node.discovery.change_address((host, int(port)))
             await new.until(lambda: new.calls >= silences)
             new.silent = False
-            await known(node, lambda servers: list(servers) == ["s-2"])
+            await until_servers(node, lambda servers: list(servers) == ["s-2"])
         await new.stop()
         await second.stop()
 
     asyncio.run(play())
 
 
-class RestartsVersions(Agent):
-    """After its restart its version is smaller, and it has no change since then."""
+class VersionRestartAgent(Agent):
+    """Agent whose version is smaller after its restart, and which reports no change since that version."""
 
     restarted = False
 
@@ -185,7 +187,7 @@
 @pytest.mark.parametrize("on_demand", [False, True])
 def test_the_complete_list_is_requested_after_versions_restart(on_demand: bool, tmp_path: Path) -> None:
     async def play() -> None:
-        agent = RestartsVersions(version=40)
+        agent = VersionRestartAgent(version=40)
         first, second = ScriptedServer("s-1"), ScriptedServer("s-2")
         await second.start()
         mode = {"membership-mode": "subscribe"} if on_demand else {}
@@ -195,14 +197,14 @@
             agent.tell(second)
             agent.version = 2
             agent.note()
-            await known(node, lambda servers: list(servers) == ["s-2"])
+            await until_servers(node, lambda servers: list(servers) == ["s-2"])
         await second.stop()
 
     asyncio.run(play())
 
 
-def test_an_older_response_that_arrives_last_changes_nothing(tmp_path: Path) -> None:
-    """Two requests are in flight, and the first one is answered last, with the list of its time."""
+def test_an_older_response_that_arrives_last_is_ignored(tmp_path: Path) -> None:
+    """Two requests are in flight, and the response to the first one arrives last, with an older list."""
 
     async def play() -> None:
         agent, server = Agent(version=5), ScriptedServer("s-1")
@@ -223,8 +225,8 @@
     asyncio.run(play())
 
 
-class Closing(Agent):
-    """It closes each connection after one response without announcing it."""
+class ClosingAgent(Agent):
+    """Agent that closes each connection after one response, without `Connection: close`."""
 
     async def talk(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         head, _ = await read_message(reader)
@@ -236,68 +238,71 @@
 
 def test_no_change_is_lost_on_an_idle_connection_that_discovery_closed(tmp_path: Path) -> None:
     async def play() -> None:
-        agent, server = Closing(), ScriptedServer("s-1")
+        agent, server = ClosingAgent(), ScriptedServer("s-1")
         async with running(tmp_path / "c.json", agent, server) as node:
             calls = agent.calls
             await agent.until(lambda: agent.calls >= calls + 3)
             agent.tell(server, state="DRAINING")
-            await known(node, lambda servers: servers["s-1"].state == api.ServerState.DRAINING)
+            await until_servers(node, lambda servers: servers["s-1"].state == api.ServerState.DRAINING)
 
     asyncio.run(play())
 
 
 def test_no_request_waits_for_an_acknowledgement(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """TCP_NODELAY on the sockets to discovery; tests/test_event_loop_delay.py has the others'."""
-    seen: list[int] = []
+    """TCP_NODELAY is set on connections to discovery; tests/test_event_loop_delay.py checks the others."""
+    options: list[int] = []
     get: Callable[..., Awaitable[discovery_connection.DiscoveryResponse]] = discovery_connection._get
 
-    async def looked(streams: Any, host: str, path: str) -> discovery_connection.DiscoveryResponse:
+    async def record_option(streams: Any, host: str, path: str) -> discovery_connection.DiscoveryResponse:
         sock = streams[1].get_extra_info("socket")
-        seen.append(sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY))
+        options.append(sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY))
         return await get(streams, host, path)
 
-    monkeypatch.setattr(discovery_connection, "_get", looked)
+    monkeypatch.setattr(discovery_connection, "_get", record_option)
 
     async def play() -> None:
         async with running(tmp_path / "c.json", Agent(), ScriptedServer("s-1")):
-            assert seen and all(seen)
+            assert options and all(options)
 
     asyncio.run(play())
 
 
 def test_idle_clients_leave_descriptors_for_discovery_and_servers(tmp_path: Path) -> None:
-    """As many as can connect, and say nothing, while discovery is away; the limit is the process's own."""
-    most = 192
+    """Silent clients open as many connections as they can while discovery is silent.
+
+    The limit of descriptors is set for the process of the node.
+    """
+    max_descriptors = 192
 
     async def play() -> None:
         agent, first, second = Agent(), ScriptedServer("s-1"), ScriptedServer("s-2")
         for listener in (agent, first, second):
             await listener.start()
         agent.tell(first)
-        limits = {"cores": 1.0, "memory_mb": 64, "sockets": most}
+        limits = {"cores": 1.0, "memory_mb": 64, "sockets": max_descriptors}
         write_config(tmp_path / "c.json", agent, limits=limits)
         node = NodeProcess(json.loads((tmp_path / "c.json").read_text()), tmp_path)
         await node.start()
-        resource.prlimit(node.pid, resource.RLIMIT_NOFILE, (most, most))
-        crowd: list[socket.socket] = []
+        resource.prlimit(node.pid, resource.RLIMIT_NOFILE, (max_descriptors, max_descriptors))
+        idle_clients: list[socket.socket] = []
         try:
             async with asyncio.timeout(LIMIT):
                 await agent.until(lambda: bool(agent.targets) and "wait=1000" in agent.targets[-1])
                 agent.silent = True
                 agent.note()
-                for _ in range(2 * most):
-                    crowd.append(socket.create_connection(("127.0.0.1", node.port)))
+                for _ in range(2 * max_descriptors):
+                    idle_clients.append(socket.create_connection(("127.0.0.1", node.port)))
                 calls = agent.calls
                 await agent.until(lambda: agent.calls >= calls + 3)
                 agent.silent = False
                 agent.tell(second)
                 while not second.heads:
                     for _ in range(8):
-                        crowd.append(socket.create_connection(("127.0.0.1", node.port)))
-                    head, _ = await request_once(node.port, request(rid=f"r-{len(crowd)}"))
+                        idle_clients.append(socket.create_connection(("127.0.0.1", node.port)))
+                    head, _ = await request_once(node.port, request(rid=f"r-{len(idle_clients)}"))
                 assert b" 200 " in head
         finally:
-            for sock in crowd:
+            for sock in idle_clients:
                 sock.close()
             await node.stop()
         assert "Too many open files" not in node.log.read_text()
@@ -307,23 +312,23 @@
     asyncio.run(play())
 
 
-def test_restarted_processes_are_ready_while_discovery_is_away(tmp_path: Path) -> None:
-    """Eight at once; nine in ten have to be ready within 10 s."""
+def test_restarted_processes_are_ready_while_discovery_is_silent(tmp_path: Path) -> None:
+    """Eight processes start at once. Nine in ten must be ready within 10 s; here all of them must be."""
 
-    async def ready(number: int, agent: Agent, lines: list[dict[str, Any]]) -> float:
+    async def time_to_ready(number: int, agent: Agent, lines: list[dict[str, Any]]) -> float:
         folder = tmp_path / f"n{number}"
         folder.mkdir()
         write_config(folder / "c.json", agent, settings=settings(balancers=200))
         config = json.loads((folder / "c.json").read_text())
         config["known"] = {"version": 4, "full": True, "servers": lines}
         node = NodeProcess(config, folder)
-        began = asyncio.get_running_loop().time()
+        started_at = asyncio.get_running_loop().time()
         await node.start()
         try:
             while True:
                 head, _ = await request_once(node.port, b"GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n")
                 if b" 200 " in head:
-                    return asyncio.get_running_loop().time() - began
+                    return asyncio.get_running_loop().time() - started_at
         finally:
             await node.stop()
 
@@ -334,8 +339,8 @@
         agent.tell(server)
         agent.silent = True
         async with asyncio.timeout(3 * LIMIT):
-            took = await asyncio.gather(*(ready(n, agent, agent.lines) for n in range(8)))
-        assert max(took) <= 10.0
+            durations = await asyncio.gather(*(time_to_ready(n, agent, agent.lines) for n in range(8)))
+        assert max(durations) <= 10.0
         await agent.stop()
         await server.stop()
 
@@ -343,23 +348,23 @@
 
 
 @pytest.mark.parametrize("away", [False, True])
-def test_a_new_process_serves_by_what_discovery_says_and_not_by_the_list_from_before(
+def test_a_new_process_uses_the_list_of_discovery_and_not_the_known_list_of_its_configuration(
     away: bool, tmp_path: Path
 ) -> None:
-    """A server drains since before the process began. Only while discovery is away the old list is used."""
+    """A server has begun to drain. The known list, which is older, is used only if discovery is silent."""
 
-    class Late(Agent):
-        """It answers the first call when a client has come, or might have."""
+    class LateAgent(Agent):
+        """Agent that responds only after an event is set, when a client has connected or could have."""
 
-        first = asyncio.Event()
+        may_respond = asyncio.Event()
 
         async def talk(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            await self.first.wait()
+            await self.may_respond.wait()
             await super().talk(reader, writer)
 
     async def play() -> None:
-        agent, old, new = Late(version=9), ScriptedServer("s-1"), ScriptedServer("s-2")
-        agent.first = asyncio.Event()
+        agent, old, new = LateAgent(version=9), ScriptedServer("s-1"), ScriptedServer("s-2")
+        agent.may_respond = asyncio.Event()
         for listener in (agent, old, new):
             await listener.start()
         agent.tell(old)
@@ -377,7 +382,7 @@
                 await starting
             else:
                 assert not (await asyncio.wait([starting], timeout=0.1))[0]
-                agent.first.set()
+                agent.may_respond.set()
                 await starting
             for n in range(4):
                 head, _ = await request_once(node.port, request(rid=f"r-{n}"))
@@ -390,20 +395,20 @@
     asyncio.run(play())
 
 
-def test_a_node_without_a_list_is_ready_soon_after_a_busy_discovery_answers(tmp_path: Path) -> None:
-    """One of 200 that is turned away at its first calls: its turn is at most a few seconds off."""
+def test_a_node_without_a_list_is_ready_soon_after_a_busy_discovery_responds(tmp_path: Path) -> None:
+    """The first requests of one of 200 nodes are rejected; its next turn is at most a few seconds later."""
     busy = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
 
-    class Busy(Agent):
+    class BusyAgent(Agent):
         def answer(self) -> bytes:
             return busy if self.calls <= 2 else super().answer()
 
     async def play() -> None:
-        agent, loop = Busy(), asyncio.get_running_loop()
-        began = loop.time()
+        agent, loop = BusyAgent(), asyncio.get_running_loop()
+        started_at = loop.time()
         many = settings(balancers=200, **{"membership-mode": "subscribe"})
         async with running(tmp_path / "c.json", agent, ScriptedServer("s-1"), settings=many):
-            assert agent.calls == 3 or agent.calls == 4  # the watch may be out
-        assert loop.time() - began <= 10.0
+            assert agent.calls == 3 or agent.calls == 4  # a watch may be in flight as well
+        assert loop.time() - started_at <= 10.0
 
     asyncio.run(play())
--- a/tests/test_downstream_states.py
+++ b/tests/test_downstream_states.py
@@ -1,4 +1,4 @@
-"""The state machine of a client connection: every pair of state and event has an entry or is refused."""
+"""State machine of a client connection."""
 
 from __future__ import annotations
 
@@ -19,23 +19,23 @@
 
 @pytest.mark.parametrize("state", ConnectionState)
 @pytest.mark.parametrize("event", ConnectionEvent)
-def test_every_pair_has_an_entry_or_is_refused(state: ConnectionState, event: ConnectionEvent) -> None:
+def test_every_pair_has_an_entry_or_is_rejected(state: ConnectionState, event: ConnectionEvent) -> None:
     check_transition(TRANSITIONS, next_state, state, event)
 
 
-def test_the_table_names_every_state_and_only_states_and_events() -> None:
+def test_the_table_contains_every_state_and_only_states_and_events() -> None:
     assert set(TRANSITIONS) == set(ConnectionState)
     for entries in TRANSITIONS.values():
         assert set(entries) <= set(ConnectionEvent)
         assert set(entries.values()) <= set(ConnectionState)
 
 
-def test_each_state_is_of_one_kind() -> None:
+def test_each_state_is_either_reading_or_responding_or_lingering() -> None:
     kinds = [READING_STATES, RESPONDING_STATES, LINGERING_STATES]
     assert [sum(state in kind for kind in kinds) for state in ConnectionState] == [1] * len(ConnectionState)
 
 
-def test_every_state_is_reached_and_every_event_happens() -> None:
+def test_every_state_is_reachable_and_every_event_is_used() -> None:
     reached, todo = {ConnectionState.READING}, [ConnectionState.READING]
     while todo:
         for following in TRANSITIONS[todo.pop()].values():
@@ -46,7 +46,7 @@
     assert {event for entries in TRANSITIONS.values() for event in entries} == set(ConnectionEvent)
 
 
-def test_a_connection_ends_in_order_from_every_state_and_nothing_follows() -> None:
+def test_every_state_can_be_closed_gracefully_and_lingering_is_final() -> None:
     for state in ConnectionState:
         if state in LINGERING_STATES:
             assert not TRANSITIONS[state]
@@ -54,7 +54,7 @@
             assert next_state(state, ConnectionEvent.SENDING_SHUT_DOWN) in LINGERING_STATES
 
 
-def test_only_a_connection_whose_answer_was_taken_reads_again() -> None:
+def test_reading_resumes_only_after_the_response_was_flushed() -> None:
     again = {
         (state, event)
         for state, entries in TRANSITIONS.items()
@@ -64,13 +64,13 @@
     assert again == {(ConnectionState.RESPONDING, ConnectionEvent.RESPONSE_FLUSHED)}
 
 
-def test_after_the_head_of_a_last_answer_no_further_request_is_read() -> None:
+def test_no_request_is_read_after_the_head_of_the_last_response() -> None:
     last = {ConnectionState.STREAMING_LAST, ConnectionState.RESPONDING_LAST, ConnectionState.DISCARDING}
     for state in last:
         assert set(TRANSITIONS[state].values()) <= last | LINGERING_STATES
 
 
-def test_an_answer_that_was_complete_before_the_body_leaves_time_to_read_it() -> None:
+def test_a_response_that_is_complete_before_the_body_leads_to_the_longer_linger() -> None:
     state = ConnectionState.READING
     for event in (
         ConnectionEvent.BODY_STREAMED,
--- a/tests/test_graceful_shutdown.py
+++ b/tests/test_graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""SIGTERM: clients are served on the connections that they have while there is time, then all is closed."""
+"""Graceful shutdown: clients are served on their open connections for a while, then all are closed."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 READY = b"GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n"
 
 
-def test_kept_connections_are_served_while_the_node_drains(tmp_path: Path) -> None:
+def test_open_connections_are_served_during_the_shutdown(tmp_path: Path) -> None:
     async def play() -> None:
         async with running(tmp_path / "c.json", FakeDiscovery(), ScriptedServer("s-1")) as node:
             node.clients.ready = True
@@ -48,7 +48,7 @@
     asyncio.run(play())
 
 
-def test_the_end_of_a_drain_answers_what_is_out_and_closes_the_rest(tmp_path: Path) -> None:
+def test_the_end_of_a_shutdown_answers_requests_in_flight_and_closes_idle_connections(tmp_path: Path) -> None:
     async def play() -> None:
         server = StalledServer("s-1")
         async with running(tmp_path / "c.json", FakeDiscovery(), server) as node:
@@ -74,16 +74,16 @@
     asyncio.run(play())
 
 
-def test_who_waits_at_the_listener_when_it_closes_is_still_served(tmp_path: Path) -> None:
+def test_connections_in_the_accept_queue_are_served_when_the_listener_closes(tmp_path: Path) -> None:
     async def play() -> None:
         async with running(tmp_path / "c.json", FakeDiscovery(), ScriptedServer("s-1")) as node:
-            crowd = [call(node, request(rid=f"r-{n}")) for n in range(30)]
+            sockets = [call(node, request(rid=f"r-{n}")) for n in range(30)]
             async with asyncio.timeout(LIMIT):
                 await shut_down_gracefully(
                     node.clients, node.dispatcher, accept_period_s=0.0, final_period_s=10.0
                 )
-            # The process ends here: what has not been answered by now is lost.
-            for sock in crowd:
+            # The process would exit here, so each response must have been sent.
+            for sock in sockets:
                 sock.setblocking(False)
                 assert b" 200 " in sock.recv(4096)
                 sock.close()
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -1,4 +1,4 @@
-"""Two processes of one node on one address: who gets new connections, what an upgrade under load loses."""
+"""Two processes of one node on one address: distribution of new connections, and upgrades under load."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 from hollybay.testbed.reserved_port import reserved_port
 
 
-def test_files_that_dead_processes_left_do_not_count(tmp_path: Path) -> None:
+def test_files_of_dead_processes_are_removed_and_do_not_count(tmp_path: Path) -> None:
     one, two, three = (ListenerGroup(tmp_path, "node") for _ in range(3))
     assert one.count_others() == 0
     one.join()
@@ -36,14 +36,14 @@
     assert (one.count_others(), two.count_others(), three.count_others()) == (1, 1, 2)
     assert ListenerGroup(tmp_path, "another").count_others() == 0
     assert two._lock is not None
-    os.close(two._lock)  # as at the end of a process that was killed
+    os.close(two._lock)  # as when its process is killed
     two._lock = None
     assert one.count_others() == 0 and len(list(tmp_path.iterdir())) == 1
     one.leave()
     assert three.count_others() == 0 and not list(tmp_path.iterdir())
 
 
-def test_without_a_folder_a_process_is_alone() -> None:
+def test_without_a_folder_no_other_process_is_known() -> None:
     group = ListenerGroup(None, "node")
     group.join()
     assert group.count_others() == 0
@@ -63,9 +63,9 @@
         async with running(tmp_path / "1" / "c.json", FakeDiscovery(), first, adjust=shared) as old:
             old_group.join()
             old.clients.ready = True
-            kept_reader, kept = await old.connect()
-            kept.write(request(rid="k-1"))
-            assert b" 200 " in (await read_message(kept_reader))[0]
+            old_reader, old_writer = await old.connect()
+            old_writer.write(request(rid="k-1"))
+            assert b" 200 " in (await read_message(old_reader))[0]
 
             def new_config(config: Config) -> Config:
                 return replace(shared(config), listen=("127.0.0.1", old.port))
@@ -83,9 +83,10 @@
                 async with asyncio.timeout(LIMIT):
                     while old.clients.service_state not in CLOSING_STATES:
                         await asyncio.sleep(0)
-                    # Whom the old one holds is served there and told to go; the node never seems not ready.
-                    kept.write(b"GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n")
-                    head, _ = await read_message(kept_reader)
+                    # The old process still serves its connections and closes each of them after a response.
+                    # The node stays ready all the time.
+                    old_writer.write(b"GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n")
+                    head, _ = await read_message(old_reader)
                     assert b" 200 " in head and b"connection: close" in head
                     for n in range(50):
                         assert b" 200 " in await new.ask(request(rid=f"r-{n}"))
@@ -94,20 +95,20 @@
                 assert old.clients.listener is None
                 for n in range(20):
                     assert b" 200 " in await new.ask(request(rid=f"q-{n}"))
-            kept.close()
+            old_writer.close()
 
     asyncio.run(play())
 
 
 class NodeProcess:
-    """`python -m hollybay.proxy`, as the platform starts it."""
+    """Process that runs `python -m hollybay.proxy`, as the platform starts it."""
 
     def __init__(self, config: Path, folder: Path) -> None:
         self.environ = {**os.environ, "BALANCER_CONFIG": str(config), "TMPDIR": str(folder)}
         self.log_lines: list[str] = []
 
     async def start(self, *until: str) -> bool:
-        """Run it until it logs one of these texts; False if it ends before that."""
+        """Start the process and wait until it logs one of the texts; False if it exits before that."""
         self.process = await asyncio.create_subprocess_exec(
             sys.executable, "-m", "hollybay.proxy", env=self.environ, stderr=asyncio.subprocess.PIPE
         )
@@ -129,7 +130,7 @@
 
 
 class LoadClient:
-    """A client that keeps its connection, sends one unsafe request after another and counts what it gets."""
+    """Client that sends successive unsafe requests on a kept-alive connection, and counts the statuses."""
 
     def __init__(self, port: int, name: str) -> None:
         self.port = port
@@ -151,7 +152,8 @@
                         streams[1].write(data)
                         head, _ = await read_message(streams[0])
                 except (ConnectionError, asyncio.IncompleteReadError) as error:
-                    # A close between two requests may cross one: it is sent once more, on a new connection.
+                    # A close between two requests may cross a request, which is then retried on a new
+                    # connection.
                     assert not getattr(error, "partial", b"")
                     streams = None
                     continue
@@ -164,16 +166,16 @@
             streams[1].close()
 
 
-async def is_ready(admin: int) -> bool:
-    reader, writer = await asyncio.open_connection("127.0.0.1", admin)
+async def is_ready(admin_port: int) -> bool:
+    reader, writer = await asyncio.open_connection("127.0.0.1", admin_port)
     writer.write(b"GET /-/ready HTTP/1.1\r\nHost: h\r\n\r\n")
     head = await reader.readuntil(b"\r\n\r\n")
     writer.close()
     return b" 200 " in head
 
 
-def test_upgrades_under_load_lose_nothing_and_a_broken_build_changes_nothing(tmp_path: Path) -> None:
-    """Three good builds, one that does not start, and one that dies once it has taken the listener."""
+def test_upgrades_under_load_lose_no_request_even_if_a_new_process_fails(tmp_path: Path) -> None:
+    """Three builds that work, one that does not start, and one that dies after it has begun to listen."""
 
     async def play(port: int, admins: list[int]) -> None:
         fake_discovery = FakeDiscovery()
@@ -193,24 +195,24 @@
         assert await old.start("listens on")
         clients = [LoadClient(port, f"c{n}") for n in range(8)]
         load = [asyncio.ensure_future(client.run()) for client in clients]
-        seen = 0
+        served_before = 0
 
-        async def served_more(count: int) -> None:
-            nonlocal seen
-            seen = len(servers[0].heads)
-            await servers[0].until(lambda: len(servers[0].heads) >= seen + count)
+        async def wait_for_requests(count: int) -> None:
+            nonlocal served_before
+            served_before = len(servers[0].heads)
+            await servers[0].until(lambda: len(servers[0].heads) >= served_before + count)
 
-        await served_more(50)
+        await wait_for_requests(50)
         broken = NodeProcess(config(1, seed="no number"), tmp_path)
         assert not await broken.start("listens on")
-        await served_more(50)
+        await wait_for_requests(50)
         for n in (2, 3, 4):
             new = NodeProcess(config(n), tmp_path)
             assert await new.start("listens on")
             if n == 3:
-                # It has claimed all new connections, and is gone: they go to the old one again.
+                # It gets all new connections when it is killed; after that, the old process gets them again.
                 await new.end(signal.SIGKILL)
-                await served_more(50)
+                await wait_for_requests(50)
                 continue
             async with asyncio.timeout(LIMIT):
                 while not await is_ready(admins[n]):
@@ -218,7 +220,7 @@
             assert await old.end(signal.SIGTERM) == 0
             assert any("0 connections left" in line for line in old.log_lines)
             old = new
-            await served_more(50)
+            await wait_for_requests(50)
         for client in clients:
             client.stop = True
         await asyncio.gather(*load)
@@ -232,16 +234,16 @@
             for line in head.lower().split(b"\r\n")
             if line.startswith(b"x-correlation-id")
         )
-        asked = sum(client.number for client in clients)
+        sent = sum(client.number for client in clients)
         served = sum(client.statuses[200] for client in clients)
-        assert asked == sum(sum(client.statuses.values()) for client in clients)
-        # No effect twice, and each one that was answered with 200 has happened.
-        assert set(ids.values()) == {1} and served <= len(ids) <= asked
-        # A process that is killed takes with it what it holds; an upgrade in order does not.
-        assert asked - served <= len(clients)
-
-    with ExitStack() as held:
-        port = held.enter_context(reserved_port())
-        # An admin address for each process; they are held so that no other test is given them meanwhile.
-        admins = [held.enter_context(reserved_port()) for _ in range(5)]
+        assert sent == sum(sum(client.statuses.values()) for client in clients)
+        # No request has run twice, and each one with status 200 has run.
+        assert set(ids.values()) == {1} and served <= len(ids) <= sent
+        # A killed process loses at most the requests of its connections; a graceful upgrade loses none.
+        assert sent - served <= len(clients)
+
+    with ExitStack() as reserved_ports:
+        port = reserved_ports.enter_context(reserved_port())
+        # Admin ports of the processes, reserved so that no other test uses them meanwhile.
+        admins = [reserved_ports.enter_context(reserved_port()) for _ in range(5)]
         asyncio.run(play(port, admins))
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -1,4 +1,4 @@
-"""SIGHUP under load: the new discovery is watched at once, and a bad file changes nothing."""
+"""Reload at SIGHUP: the new discovery address is used at once, and an invalid file has no effect."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from hollybay.testbed.loopback import LIMIT, FakeDiscovery, ScriptedServer, request, running, write_config
 
 
-def test_the_watch_continues_at_the_new_discovery(tmp_path: Path) -> None:
+def test_the_watch_continues_at_the_new_address(tmp_path: Path) -> None:
     async def play() -> None:
         old, new = FakeDiscovery(version=900), FakeDiscovery(version=3)
         first, second = ScriptedServer("s-1"), ScriptedServer("s-2")
@@ -23,7 +23,7 @@
             new.tell(second)
             write_config(node.path, new)
             node.discovery.change_address(load({"BALANCER_CONFIG": str(node.path)}).discovery)
-            # The versions of the two do not count alike: the first call must ask for the whole list.
+            # The versions of the two services are not comparable: the first call must request the full list.
             await new.until(lambda: new.calls >= 2)
             assert list(node.dispatcher.balancer.servers) == ["s-2"]
             assert b" 200 " in await node.ask(request(rid="r-2"))
@@ -34,7 +34,7 @@
     asyncio.run(play())
 
 
-def test_sighup_rereads_and_a_bad_file_keeps_the_old_in_force(tmp_path: Path) -> None:
+def test_sighup_reloads_and_an_invalid_file_leaves_the_old_one_in_force(tmp_path: Path) -> None:
     async def play() -> None:
         old, new = FakeDiscovery(), FakeDiscovery()
         await old.start()
@@ -47,10 +47,10 @@
         node = asyncio.ensure_future(serve(config, environ, started.put_nowait, port=0))
         async with asyncio.timeout(LIMIT):
             await started.get()
-            await old.until(lambda: old.calls >= 2)  # a list, and a watch that waits
+            await old.until(lambda: old.calls >= 2)  # the first list, and a watch that waits
             path.write_text('{"half": ')
             os.kill(os.getpid(), signal.SIGHUP)
-            old.tell()  # the old watch must still be there to take this
+            old.tell()  # the old watch must still be active to receive this change
             await old.until(lambda: old.calls >= 3)
             assert not node.done() and new.calls == 0
             write_config(path, new, listen="127.0.0.1:1")
--- a/tests/test_service_state.py
+++ b/tests/test_service_state.py
@@ -1,4 +1,4 @@
-"""How far a node is out of service: every pair of state and event has an entry or is refused."""
+"""State machine of a node's service state."""
 
 from __future__ import annotations
 
@@ -21,21 +21,21 @@
 
 
 @pytest.mark.parametrize(("state", "event"), PAIRS)
-def test_every_pair_has_an_entry_or_is_refused(state: ServiceState, event: ServiceEvent) -> None:
+def test_every_pair_has_an_entry_or_is_rejected(state: ServiceState, event: ServiceEvent) -> None:
     check_transition(TRANSITIONS, next_state, state, event)
 
 
-def test_only_what_an_operator_drained_is_resumed() -> None:
-    refused = {(state, event) for state, event in PAIRS if event not in TRANSITIONS[state]}
-    assert refused == {
+def test_only_a_node_that_an_operator_drained_can_be_resumed() -> None:
+    rejected = {(state, event) for state, event in PAIRS if event not in TRANSITIONS[state]}
+    assert rejected == {
         (ServiceState.SERVING, ServiceEvent.RESUMED),
         (ServiceState.HANDING_OVER, ServiceEvent.RESUMED),
     }
 
 
 @pytest.mark.parametrize("state", ServiceState)
-def test_health_and_closing_follow_their_own_events_alone(state: ServiceState) -> None:
-    """As two flags would: a drain ends health, closing leaves it as it is, resuming undoes both."""
+def test_health_and_closing_change_independently(state: ServiceState) -> None:
+    """They behave like two flags: a drain ends health, closing does not change it, resuming resets both."""
     drained = next_state(state, ServiceEvent.DRAIN_STARTED)
     assert drained not in HEALTHY_STATES
     assert (drained in CLOSING_STATES) == (state in CLOSING_STATES)
@@ -46,6 +46,6 @@
         assert next_state(state, ServiceEvent.RESUMED) is ServiceState.SERVING
 
 
-def test_every_state_is_reached() -> None:
+def test_every_state_is_reachable() -> None:
     assert {state for entries in TRANSITIONS.values() for state in entries.values()} == set(ServiceState)
     assert ServiceState.SERVING in HEALTHY_STATES - CLOSING_STATES
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -1,4 +1,4 @@
-"""The end of a node, and connections that are given up for others: what was taken gets its answer."""
+"""Shutdown of a node, and connections closed to make room: accepted requests get a response."""
 
 from __future__ import annotations
 
@@ -36,8 +36,8 @@
 FEW = 192  # descriptors
 
 
-async def answer_of(sock: socket.socket) -> bytes:
-    """What a client reads; b"" for a close in order, b"reset" for one that is none."""
+async def read_response(sock: socket.socket) -> bytes:
+    """Read a response; b"" if the connection was closed gracefully, b"reset" if it was reset."""
     sock.setblocking(False)
     try:
         async with asyncio.timeout(LIMIT):
@@ -46,21 +46,21 @@
         return b"reset"
 
 
-def test_a_crowd_beyond_the_room_at_the_end_of_listening_is_answered(tmp_path: Path) -> None:
-    """All of it is in the kernel's queue, with its requests, when the listener is to close."""
+def test_a_full_accept_queue_is_answered_when_listening_ends(tmp_path: Path) -> None:
+    """More connections than the limit are in the accept queue, with requests, when the shutdown begins."""
 
     async def play() -> None:
         server = ScriptedServer("s-1")
         async with running(
             tmp_path / "c.json", FakeDiscovery(), server, adjust=lambda c: replace(c, sockets=FEW)
         ) as node:
-            crowd = [call(node, request(rid=f"r-{n}")) for n in range(2 * node.clients.limit)]
+            sockets = [call(node, request(rid=f"r-{n}")) for n in range(2 * node.clients.limit)]
             draining = asyncio.ensure_future(
                 shut_down_gracefully(node.clients, node.dispatcher, accept_period_s=0.0)
             )
-            answers = await asyncio.gather(*map(answer_of, crowd))
-            assert all(answer.startswith((b"HTTP/1.1 200 ", b"HTTP/1.1 503 ")) for answer in answers)
-            for sock in crowd:
+            responses = await asyncio.gather(*map(read_response, sockets))
+            assert all(response.startswith((b"HTTP/1.1 200 ", b"HTTP/1.1 503 ")) for response in responses)
+            for sock in sockets:
                 sock.close()
             await draining
 
@@ -68,8 +68,8 @@
 
 
 @pytest.mark.parametrize("phase", ["idle", "silent", "unfinished"])
-def test_nobody_whose_request_is_here_is_dropped_for_others(phase: str, tmp_path: Path) -> None:
-    """Requests come on all connections while the loop is held up, and behind them more connections."""
+def test_no_connection_with_an_unread_request_is_closed_to_make_room(phase: str, tmp_path: Path) -> None:
+    """Requests arrive on all connections while the event loop is blocked, followed by new connections."""
 
     async def play() -> None:
         async with running(
@@ -79,70 +79,73 @@
             adjust=lambda c: replace(c, sockets=FEW),
         ) as node:
             clients = node.clients
-            clients.max_kept_connections = FEW  # none is thinned out before its time
+            clients.max_kept_connections = FEW  # so that no idle connection is closed early
             first = {"idle": request(rid="a-%d"), "silent": b"", "unfinished": b"GET /vi"}[phase]
             then = b"ew HTTP/1.1\r\nHost: h\r\nX-Correlation-Id: b-%d\r\n\r\n"
             then = then if phase == "unfinished" else b"GET /vi" + then
-            held = []
+            existing = []
             async with asyncio.timeout(LIMIT):
                 for n in range(clients.limit):
-                    held.append(call(node, first.replace(b"%d", b"%d" % n)))
+                    existing.append(call(node, first.replace(b"%d", b"%d" % n)))
                     if phase == "idle":
-                        assert b" 200 " in await answer_of(held[-1])
+                        assert b" 200 " in await read_response(existing[-1])
                 while len(getattr(clients, phase)) < clients.limit:
                     await asyncio.sleep(0.001)
-            time.sleep(SUSPECT_AFTER_S + 0.01)  # they are old enough to be taken for a crowd
+            time.sleep(SUSPECT_AFTER_S + 0.01)  # so that they are among the first to be closed
             pending = True
             admit = clients.admit
 
-            def late(conn: ClientConnection) -> None:
+            def admit_after_requests(conn: ClientConnection) -> None:
                 nonlocal pending
                 if pending:
-                    # A connection is taken in, and the loop has not come to what can be read.
+                    # The requests arrive when the first new connection is accepted, and are still unread.
                     pending = False
-                    for n, sock in enumerate(held):
+                    for n, sock in enumerate(existing):
                         sock.send(then % n)
                 admit(conn)
 
-            clients.admit = late  # type: ignore[method-assign]
-            crowd = [call(node, request(rid=f"c-{n}")) for n in range(2 * ACCEPT_BATCH)]
-            answers = await asyncio.gather(*map(answer_of, [*held, *crowd]))
-            assert all(answer.startswith((b"HTTP/1.1 200 ", b"HTTP/1.1 503 ")) for answer in answers)
+            clients.admit = admit_after_requests  # type: ignore[method-assign]
+            new = [call(node, request(rid=f"c-{n}")) for n in range(2 * ACCEPT_BATCH)]
+            responses = await asyncio.gather(*map(read_response, [*existing, *new]))
+            assert all(response.startswith((b"HTTP/1.1 200 ", b"HTTP/1.1 503 ")) for response in responses)
             assert len(clients.connections) <= clients.limit + ACCEPT_BATCH
-            for sock in [*held, *crowd]:
+            for sock in [*existing, *new]:
                 sock.close()
 
     asyncio.run(play())
 
 
 @pytest.mark.parametrize("after_shutdown", [False, True])
-def test_a_request_in_the_moment_of_the_close_is_not_sent_on_and_its_client_can_tell(
+def test_a_request_that_crosses_the_close_of_its_connection_is_not_forwarded(
     after_shutdown: bool, tmp_path: Path
 ) -> None:
-    """Between the look for unread bytes and the end of sending, or right after it. Its client sees a close in
-    order and nothing of an answer: a node may close between requests, and the request goes to another one."""
+    """The request arrives after the check for unread bytes, before or after sending is shut down.
+
+    Its client sees a graceful close and no part of a response. A node may close a connection between
+    requests, so the client can retry the request on another one.
+    """
 
     async def play() -> None:
         server = ScriptedServer("s-1")
         async with running(tmp_path / "c.json", FakeDiscovery(), server) as node:
             sock = call(node, request(rid="r-1"))
-            assert b" 200 " in await answer_of(sock)
+            assert b" 200 " in await read_response(sock)
             await node.until(lambda: bool(node.clients.idle))
             (conn,) = node.clients.connections
             if after_shutdown:
                 conn.close_if_idle()
                 sock.send(request(rid="r-2"))
             else:
-                unread = conn.unread_bytes
+                unread_bytes = conn.unread_bytes
 
-                def look() -> int:
-                    seen = unread()
+                def check_then_send() -> int:
+                    count = unread_bytes()
                     sock.send(request(rid="r-2"))
-                    return seen
+                    return count
 
-                conn.unread_bytes = look  # type: ignore[method-assign]
+                conn.unread_bytes = check_then_send  # type: ignore[method-assign]
                 conn.close_if_idle()
-            assert await answer_of(sock) == b""
+            assert await read_response(sock) == b""
             sock.close()
             await node.until(lambda: not node.clients.connections)
             assert len(server.heads) == 1 and not node.dispatcher.requests
@@ -150,7 +153,7 @@
     asyncio.run(play())
 
 
-def test_a_request_that_is_whole_after_the_last_answers_is_refused_and_not_sent_on(tmp_path: Path) -> None:
+def test_a_request_that_is_complete_only_after_the_last_responses_is_rejected(tmp_path: Path) -> None:
     short = [{**cls, "slo": 10**8, "give-up": 2 * 10**8} for cls in CLASSES]
 
     async def play() -> None:
@@ -165,11 +168,11 @@
                 await node.until(lambda: bool(node.clients.unfinished))
                 end_all = node.dispatcher.end_all_requests
 
-                def ends() -> None:
+                def end_all_then_send() -> None:
                     end_all()
                     writer.write(data[-1:])
 
-                node.dispatcher.end_all_requests = ends  # type: ignore[method-assign]
+                node.dispatcher.end_all_requests = end_all_then_send  # type: ignore[method-assign]
                 await shut_down_gracefully(
                     node.clients, node.dispatcher, accept_period_s=0.0, final_period_s=0.2
                 )
@@ -182,31 +185,33 @@
 
 
 @pytest.mark.parametrize(("cls", "status"), [("view", b" 503 "), ("send", b" 50"), ("book", b" 50")])
-def test_the_end_answers_what_hangs_and_begins_nothing_anew(cls: str, status: bytes, tmp_path: Path) -> None:
-    """The deadline lies beyond the end: to the module there is time for another attempt."""
+def test_the_end_of_the_process_ends_requests_without_a_retry(
+    cls: str, status: bytes, tmp_path: Path
+) -> None:
+    """The deadline is later than the end of the process, so there would be time for another attempt."""
 
     async def play() -> None:
         backends = StalledServer("s-1"), StalledServer("s-2")
         async with running(tmp_path / "c.json", FakeDiscovery(), *backends) as node:
-            begun: list[UpstreamAttempt] = []
+            started: list[UpstreamAttempt] = []
             send = node.dispatcher.pools.send
 
-            def note(attempt: UpstreamAttempt) -> None:
-                begun.append(attempt)
+            def record(attempt: UpstreamAttempt) -> None:
+                started.append(attempt)
                 send(attempt)
 
-            node.dispatcher.pools.send = note  # type: ignore[method-assign]
+            node.dispatcher.pools.send = record  # type: ignore[method-assign]
             asking = asyncio.ensure_future(node.ask(request(cls)))
             await node.until(lambda: any(backend.heads for backend in backends))
             node.dispatcher.end_all_requests()
-            answer = await asking
-            assert status in answer and (cls == "view" or b" 503 " not in answer)
-            assert len(begun) == 1
+            response = await asking
+            assert status in response and (cls == "view" or b" 503 " not in response)
+            assert len(started) == 1
 
     asyncio.run(play())
 
 
-async def asked(
+async def response_head(
     node: NodeProcess, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, rid: str
 ) -> bytes:
     head, _ = await round_trip(reader, writer, request(rid=rid))
@@ -224,10 +229,10 @@
     ids=lambda signals: "+".join(number.name for number in signals),
 )
 @pytest.mark.parametrize("stopped", [False, True], ids=["", "at-once"])
-def test_signals_in_any_order_end_a_node_in_order(
+def test_a_node_shuts_down_gracefully_with_signals_in_any_order(
     signals: tuple[signal.Signals, ...], stopped: bool, tmp_path: Path
 ) -> None:
-    """stopped: the process stands still while they come, so that all are there in one turn of its loop."""
+    """If `stopped`, the process is stopped while the signals arrive: one loop iteration handles them all."""
 
     async def play() -> None:
         fake_discovery, server = FakeDiscovery(), StalledServer("s-1")
@@ -242,7 +247,7 @@
         async with asyncio.timeout(LIMIT):
             reader, writer = await asyncio.open_connection("127.0.0.1", node.port)
             server.go.set()
-            while b" 200 " not in await asked(node, reader, writer, f"w-{time.monotonic_ns()}"):
+            while b" 200 " not in await response_head(node, reader, writer, f"w-{time.monotonic_ns()}"):
                 pass
             server.go.clear()
             writer.write(request(rid="out", extra=b"X-Time-Left-Ms: 10000\r\n"))
@@ -253,7 +258,7 @@
                 node.send_signal(number)
             if stopped:
                 node.send_signal(signal.SIGCONT)
-            # What is out at a server that hangs is answered before the kill; its client waits for longer.
+            # A request at a server that hangs gets its response before SIGKILL, though its deadline is later.
             head, _ = await read_message(reader)
             assert head.startswith(b"HTTP/1.1 50")
             assert await node.stop(signal.SIGCONT) == 0
@@ -265,13 +270,13 @@
     asyncio.run(play())
 
 
-def test_a_node_told_to_end_before_its_first_list_ends_in_order(tmp_path: Path) -> None:
+def test_a_node_without_a_server_list_shuts_down_gracefully(tmp_path: Path) -> None:
     async def play() -> None:
         fake_discovery = FakeDiscovery()
         await fake_discovery.start()
         write_config(tmp_path / "c.json", fake_discovery)
         config = json.loads((tmp_path / "c.json").read_text())
-        config["discovery"] = "127.0.0.1:1"  # nobody is there
+        config["discovery"] = "127.0.0.1:1"  # nothing listens there
         node = NodeProcess(config, tmp_path)
         await node.start()
         async with asyncio.timeout(LIMIT):
--- a/tests/test_streaming_body.py
+++ b/tests/test_streaming_body.py
@@ -1,4 +1,4 @@
-"""Long request bodies: the buffer between client and server alone, and on a running node."""
+"""Streaming request bodies: the class `StreamingBody` by itself, and on a running node."""
 
 from __future__ import annotations
 
@@ -24,8 +24,8 @@
 )
 
 
-class Ends:
-    """Both ends of an upload, as it asks for them."""
+class FakeSourceAndSink:
+    """Source and sink of a streaming body."""
 
     def __init__(self) -> None:
         self.reading = True
@@ -38,11 +38,11 @@
         self.calls += 1
 
 
-def pulled(upload: StreamingBody) -> bytes:
-    got = b""
+def pull_all(upload: StreamingBody) -> bytes:
+    pulled = b""
     while piece := upload.pull():
-        got += piece
-    return got
+        pulled += piece
+    return pulled
 
 
 @given(
@@ -50,21 +50,21 @@
     st.integers(0, 600_000),
     st.data(),
 )
-def test_every_attempt_gets_the_whole_body_or_none_can_begin(
+def test_every_attempt_gets_the_whole_body_or_cannot_begin(
     pieces: list[bytes], total: int, data: st.DataObject
 ) -> None:
-    ends, room = Ends(), RetentionBudget(total)
-    upload = StreamingBody(None, ends, room)
-    got = b""
+    ends, budget = FakeSourceAndSink(), RetentionBudget(total)
+    upload = StreamingBody(None, ends, budget)
+    pulled = b""
     for n, piece in enumerate(pieces):
         upload.append(piece)
-        assert 0 <= room.used <= room.total
+        assert 0 <= budget.used <= budget.total
         if upload.sink is None and not upload.is_taken and data.draw(st.booleans()):
             upload.attach(ends)
-            got = b""
+            pulled = b""
         if upload.sink is not None and data.draw(st.booleans()):
-            got += pulled(upload)
-            assert got == b"".join(pieces[: n + 1])
+            pulled += pull_all(upload)
+            assert pulled == b"".join(pieces[: n + 1])
             assert ends.reading
             if data.draw(st.booleans()):
                 upload.detach(ends)
@@ -74,47 +74,46 @@
             assert upload.is_spent
             return
         upload.attach(ends)
-        got = b""
-    got += pulled(upload)
-    assert got == b"".join(pieces) and upload.is_exhausted
+        pulled = b""
+    pulled += pull_all(upload)
+    assert pulled == b"".join(pieces) and upload.is_exhausted
     upload.close()
-    assert room.used == 0 and upload.is_taken
+    assert budget.used == 0 and upload.is_taken
 
 
-def test_nothing_kept_the_client_waits_for_the_server() -> None:
-    ends = Ends()
+def test_without_retention_the_client_is_read_at_the_pace_of_the_server() -> None:
+    ends = FakeSourceAndSink()
     upload = StreamingBody(None, ends, RetentionBudget(0))
     upload.attach(ends)
     for _ in range(WINDOW_BYTES // 4096 + 1):
         assert ends.reading
         upload.append(b"x" * 4096)
     assert not ends.reading
-    pulled(upload)
+    pull_all(upload)
     assert ends.reading and upload.is_spent
 
 
-def test_one_body_keeps_no_more_than_its_part_of_the_room() -> None:
-    room = RetentionBudget(10 * MAX_RETAINED_BYTES)
-    upload = StreamingBody(None, Ends(), room)
+def test_one_body_retains_no_more_than_its_limit() -> None:
+    budget = RetentionBudget(10 * MAX_RETAINED_BYTES)
+    upload = StreamingBody(None, FakeSourceAndSink(), budget)
     for _ in range(MAX_RETAINED_BYTES // 4096):
         upload.append(b"x" * 4096)
-    assert room.used == MAX_RETAINED_BYTES
+    assert budget.used == MAX_RETAINED_BYTES
     upload.append(b"x")
-    assert (
-        room.used == 0 and not upload.is_spent
-    )  # nothing has been pulled: the first attempt can still begin
+    # Nothing was pulled, so the first attempt can still begin.
+    assert budget.used == 0 and not upload.is_spent
 
 
-class Taker(Listener):
-    """A server that reads requests in any framing and notes their bodies; slowly, if told so."""
+class BodyRecorder(Listener):
+    """Server that reads requests in any framing and records their bodies."""
 
     def __init__(self, name: str, cut: int = 0) -> None:
         super().__init__()
         self.name = name
-        self.cut = cut  # the connection ends after so many bytes of the first body
+        self.cut = cut  # number of bytes of the first body after which it aborts the connection; 0: never
         self.bodies: list[bytes] = []
         self.heads: list[bytes] = []
-        self.got = 0
+        self.received = 0  # number of bytes received of the current body
 
     async def talk(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
@@ -125,7 +124,7 @@
             if b"transfer-encoding: chunked" in low:
                 while size := int(await reader.readuntil(b"\r\n"), 16):
                     body += (await reader.readexactly(size + 2))[:-2]
-                    self.got = len(body)
+                    self.received = len(body)
                     self.note()
                 await reader.readuntil(b"\r\n")
             else:
@@ -136,7 +135,7 @@
                         raise asyncio.IncompleteReadError(body, left)
                     body += part
                     left -= len(part)
-                    self.got = len(body)
+                    self.received = len(body)
                     self.note()
                     if self.cut and len(body) >= self.cut:
                         self.cut = 0
@@ -150,7 +149,7 @@
 BODY = bytes(range(256)) * 2000
 
 
-def worded(cls: str, rid: str, chunked: bool, body: bytes = BODY) -> bytes:
+def request_with_body(cls: str, rid: str, chunked: bool, body: bytes = BODY) -> bytes:
     if not chunked:
         return request(cls, rid, body)
     head = request(cls, rid).replace(b"Content-Length: 0\r\n", b"Transfer-Encoding: chunked\r\n")
@@ -160,20 +159,20 @@
 
 @pytest.mark.parametrize("chunked", [False, True])
 @pytest.mark.parametrize("cls", ["send", "book"])
-def test_a_long_body_goes_on_as_it_comes_and_arrives_whole(cls: str, chunked: bool, tmp_path: Path) -> None:
+def test_a_long_body_is_streamed_and_arrives_completely(cls: str, chunked: bool, tmp_path: Path) -> None:
     async def play() -> None:
-        server = Taker("s-1")
+        server = BodyRecorder("s-1")
         async with running(tmp_path / "c.json", FakeDiscovery(), server) as node:  # type: ignore[arg-type]
             reader, writer = await node.connect()
             async with asyncio.timeout(LIMIT):
                 for n in range(2):
-                    data = worded(cls, f"r-{n}", chunked)
+                    data = request_with_body(cls, f"r-{n}", chunked)
                     writer.write(data[:300_000])
                     if not chunked:
-                        # The server has some of it before the client has sent the rest.
-                        await server.until(lambda: server.got > MAX_HELD_BODY_BYTES)
+                        # The server receives part of the body before the client has sent the rest.
+                        await server.until(lambda: server.received > MAX_HELD_BODY_BYTES)
                         assert len(server.bodies) == n
-                    server.got = 0
+                    server.received = 0
                     writer.write(data[300_000:])
                     assert b" 200 " in (await read_message(reader))[0]
             assert server.bodies == [BODY, BODY] and node.clients.streaming_budget.used == 0
@@ -182,62 +181,62 @@
     asyncio.run(play())
 
 
-def test_a_server_that_breaks_before_the_last_byte_has_not_run_it(
+def test_a_request_is_not_run_if_the_connection_breaks_before_the_last_byte(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Kept whole, an unsafe request may go to another one; spent, its client is refused, never failed."""
-    # The servers cut in this same loop: on a busy machine they come to it later than a hold of some ms, and
-    # the last byte is then out before them, so that the request may have run.
+    """If its body is retained, an unsafe request is retried; otherwise it is rejected, and never failed."""
+    # The servers run in this event loop. On a busy machine they may abort later than a hold of some ms, when
+    # the last byte is already sent and the request may have run. Hence the longer hold.
     monkeypatch.setattr(request_sender, "LAST_BYTE_HOLD_S", 0.5)
 
     async def play() -> None:
-        for keep in (True, False):
-            folder = tmp_path / str(keep)
+        for retained in (True, False):
+            folder = tmp_path / str(retained)
             folder.mkdir()
-            first, second = Taker("s-1", cut=200_000), Taker("s-2", cut=200_000)
-            async with running(folder / "c.json", FakeDiscovery(), first, second) as node:  # type: ignore[arg-type]
-                node.clients.streaming_budget.total = len(BODY) if keep else 0
-                answer = await node.ask(request("send", body=BODY))
-                if keep:
-                    # Both cut the first time that they are asked; a third attempt finds one of them well.
-                    assert b" 200 " in answer and len(first.bodies) + len(second.bodies) == 1
+            a, b = BodyRecorder("s-1", cut=200_000), BodyRecorder("s-2", cut=200_000)
+            async with running(folder / "c.json", FakeDiscovery(), a, b) as node:  # type: ignore[arg-type]
+                node.clients.streaming_budget.total = len(BODY) if retained else 0
+                response = await node.ask(request("send", body=BODY))
+                if retained:
+                    # Both servers abort their first request, and the third attempt succeeds.
+                    assert b" 200 " in response and len(a.bodies) + len(b.bodies) == 1
                 else:
-                    assert b" 503 " in answer
-                    assert not first.bodies and not second.bodies
+                    assert b" 503 " in response
+                    assert not a.bodies and not b.bodies
                 assert node.clients.streaming_budget.used == 0 and not node.dispatcher.requests
 
     asyncio.run(play())
 
 
 @pytest.mark.parametrize("chunked", [False, True])
-def test_the_end_of_a_body_is_held_back_until_the_connection_is_seen_to_live(
+def test_the_last_byte_of_a_streamed_body_is_held_back(
     chunked: bool, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Up to there nothing has run: a server that goes now costs a refusal, not a failure."""
+    """The request has not run before that byte: if the connection breaks, it is rejected and not failed."""
     monkeypatch.setattr(request_sender, "LAST_BYTE_HOLD_S", 10 * LIMIT)
 
     async def play() -> None:
-        server = Taker("s-1")
+        server = BodyRecorder("s-1")
         async with running(tmp_path / "c.json", FakeDiscovery(), server) as node:  # type: ignore[arg-type]
             node.clients.streaming_budget.total = 0
-            asked = asyncio.ensure_future(node.ask(worded("send", "r-1", chunked)))
-            least = len(BODY) - (0 if chunked else 1)
-            await server.until(lambda: server.got >= least)
-            assert server.got == least and not server.bodies
+            asking = asyncio.ensure_future(node.ask(request_with_body("send", "r-1", chunked)))
+            expected = len(BODY) - (0 if chunked else 1)
+            await server.until(lambda: server.received >= expected)
+            assert server.received == expected and not server.bodies
             for writer in server.writers:
                 writer.transport.abort()
-            assert b" 503 " in await asked and not server.bodies
+            assert b" 503 " in await asking and not server.bodies
 
     asyncio.run(play())
 
 
-def test_a_client_that_leaves_in_the_middle_leaves_nothing_behind(tmp_path: Path) -> None:
+def test_everything_is_released_if_the_client_leaves_during_the_body(tmp_path: Path) -> None:
     async def play() -> None:
-        server = Taker("s-1")
+        server = BodyRecorder("s-1")
         async with running(tmp_path / "c.json", FakeDiscovery(), server) as node:  # type: ignore[arg-type]
             _, writer = await node.connect()
             writer.write(request("send", body=BODY)[:200_000])
-            await server.until(lambda: server.got > MAX_HELD_BODY_BYTES)
+            await server.until(lambda: server.received > MAX_HELD_BODY_BYTES)
             writer.transport.abort()
             async with asyncio.timeout(LIMIT):
                 while node.dispatcher.requests or node.clients.connections:
@@ -248,20 +247,19 @@
     asyncio.run(play())
 
 
-def test_a_body_that_stands_still_is_given_up_and_one_that_comes_slowly_is_not(tmp_path: Path) -> None:
+def test_a_stalled_body_is_rejected_and_a_slow_one_is_not(tmp_path: Path) -> None:
     async def play() -> None:
-        server = Taker("s-1")
+        server = BodyRecorder("s-1")
         async with running(tmp_path / "c.json", FakeDiscovery(), server) as node:  # type: ignore[arg-type]
             node.clients.phase_timeouts.unfinished = 0.0
             reader, writer = await node.connect()
-            writer.write(
-                request("send", body=BODY)[:100_000]
-            )  # as long as two seconds' worth of the least rate
-            await server.until(lambda: server.got > MAX_HELD_BODY_BYTES)
+            # Two seconds' worth of bytes at the minimum rate.
+            writer.write(request("send", body=BODY)[:100_000])
+            await server.until(lambda: server.received > MAX_HELD_BODY_BYTES)
             (conn,) = node.clients.connections
-            began = node.clients.unfinished[conn]
-            assert not conn.is_request_overdue(began + 1.9) and conn.is_request_overdue(began + 2.2)
-            node.clients.unfinished[conn] = began - 60.0
+            started_at = node.clients.unfinished[conn]
+            assert not conn.is_request_overdue(started_at + 1.9) and conn.is_request_overdue(started_at + 2.2)
+            node.clients.unfinished[conn] = started_at - 60.0
             async with asyncio.timeout(LIMIT):
                 assert (await reader.read()).startswith(b"HTTP/1.1 408")
             assert not server.bodies and not node.dispatcher.requests
@@ -270,7 +268,7 @@
     asyncio.run(play())
 
 
-def test_a_body_beyond_all_measure_is_turned_away_before_it_is_read(tmp_path: Path) -> None:
+def test_a_body_that_is_too_long_is_rejected_before_it_is_read(tmp_path: Path) -> None:
     async def play() -> None:
         server = ScriptedServer("s-1")
         async with running(tmp_path / "c.json", FakeDiscovery(), server) as node:
--- a/tests/test_upstream_responses.py
+++ b/tests/test_upstream_responses.py
@@ -1,4 +1,4 @@
-"""Servers whose answers are spoilt, or bring more than belongs to them."""
+"""Servers with invalid responses, long responses, or bytes after a response."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 )
 
 HEAD = b"HTTP/1.1 200 OK\r\n"
-SPOILT = {
+INVALID_RESPONSES = {
     "noise": b"\x9a\xfe\x00\x16\r\n\r\n",
     "no HTTP": b"ICY 200 OK\r\nContent-Length: 2\r\n\r\nok",
     "endless head": HEAD + b"X-Pad: pppppppppppppppp\r\n" * 4000,
@@ -35,23 +35,23 @@
 }
 
 
-@pytest.mark.parametrize("kind", SPOILT)
+@pytest.mark.parametrize("kind", INVALID_RESPONSES)
 @pytest.mark.parametrize("cls", ["view", "send", "book"])
-def test_a_spoilt_answer_is_a_failed_attempt_that_may_have_run(cls: str, kind: str, tmp_path: Path) -> None:
-    """A safe request, or a keyed one within its cell, is sent again; an unsafe one fails, never refused."""
+def test_an_invalid_response_fails_an_attempt_that_may_have_run(cls: str, kind: str, tmp_path: Path) -> None:
+    """A safe request, or a keyed one within its cell, is retried; an unsafe one is failed, not rejected."""
 
     async def play() -> None:
-        spoil = [SPOILT[kind]]
+        invalid = [INVALID_RESPONSES[kind]]
         heads: list[bytes] = []
 
         async def script(head: bytes, writer: asyncio.StreamWriter) -> None:
             heads.append(head)
-            writer.write(spoil.pop() if spoil else OK)
+            writer.write(invalid.pop() if invalid else OK)
 
         first, second = ScriptedServer("s-1", script), ScriptedServer("s-2", script)
         async with running(tmp_path / "c.json", FakeDiscovery(), first, second) as node:
-            answer = await node.ask(request(cls))
-            assert answer.startswith(b"HTTP/1.1 502" if cls == "send" else b"HTTP/1.1 200")
+            response = await node.ask(request(cls))
+            assert response.startswith(b"HTTP/1.1 502" if cls == "send" else b"HTTP/1.1 200")
             assert len(heads) == (1 if cls == "send" else 2)
             assert not node.dispatcher.requests and not node.dispatcher.balancer.requests
             assert all(s.in_flight == 0 for s in node.dispatcher.balancer.servers.values())
@@ -59,13 +59,13 @@
     asyncio.run(play())
 
 
-EXTRA = {"a second copy": OK.replace(b"ok", b"no"), "noise": b"\x00\xff\r\n$-1\r\n"}
+STRAY_BYTES = {"a second copy": OK.replace(b"ok", b"no"), "noise": b"\x00\xff\r\n$-1\r\n"}
 
 
-@pytest.mark.parametrize("kind", EXTRA)
+@pytest.mark.parametrize("kind", STRAY_BYTES)
 @pytest.mark.parametrize("cls", ["view", "send"])
 @pytest.mark.parametrize("seen", [True, False])
-def test_what_comes_behind_an_answer_is_never_the_next_one_s(
+def test_stray_bytes_after_a_response_are_not_taken_for_the_next_response(
     cls: str, kind: str, seen: bool, tmp_path: Path
 ) -> None:
     async def play() -> None:
@@ -78,12 +78,12 @@
             async with asyncio.timeout(LIMIT):
                 writer.write(request(cls, rid="r-1"))
                 assert await read_message(reader) == (await _head(b"2"), b"1!")
-                # Behind the answer, once it has been passed on: the loop sees it at once, or the next request
-                # finds it unread in the kernel.
+                # The stray bytes follow the forwarded response. Either the event loop sees them at once, or
+                # they are unread in the kernel when the next request is sent.
                 (conn,) = node.dispatcher.pools.connections
                 if not seen:
                     conn.transport.pause_reading()
-                server.writers[0].write(EXTRA[kind])
+                server.writers[0].write(STRAY_BYTES[kind])
                 if seen:
                     while conn in node.dispatcher.pools.connections:
                         await asyncio.sleep(0)
@@ -110,8 +110,8 @@
 }
 
 
-async def read_answer(reader: asyncio.StreamReader) -> bytes:
-    """The body of an answer, by length or chunks; IncompleteReadError where it breaks off."""
+async def read_body(reader: asyncio.StreamReader) -> bytes:
+    """Read a response and return its body; IncompleteReadError if it is incomplete."""
     head = (await reader.readuntil(b"\r\n\r\n")).lower()
     if b"transfer-encoding: chunked" not in head:
         return await reader.readexactly(int(head.split(b"content-length:")[1].split(b"\r\n")[0]))
@@ -124,7 +124,9 @@
 
 @pytest.mark.parametrize("framing", FRAMINGS)
 @pytest.mark.parametrize("cls", ["view", "send", "book"])
-def test_a_long_answer_is_passed_on_whole_in_any_framing(cls: str, framing: str, tmp_path: Path) -> None:
+def test_a_long_response_is_forwarded_completely_in_any_framing(
+    cls: str, framing: str, tmp_path: Path
+) -> None:
     async def play() -> None:
         async def script(head: bytes, writer: asyncio.StreamWriter) -> None:
             writer.write(FRAMINGS[framing])
@@ -138,7 +140,7 @@
             async with asyncio.timeout(LIMIT):
                 for n in range(2):
                     writer.write(request(cls, rid=f"r-{n}"))
-                    assert await read_answer(reader) == LONG
+                    assert await read_body(reader) == LONG
             assert node.dispatcher.counters.served[["view", "send", "book"].index(cls)] == 2
             assert all(s.in_flight == 0 for s in node.dispatcher.balancer.servers.values())
             writer.transport.abort()
@@ -147,7 +149,7 @@
 
 
 @pytest.mark.parametrize("framing", ["length", "chunks"])
-def test_a_long_answer_that_breaks_off_is_never_taken_for_whole(framing: str, tmp_path: Path) -> None:
+def test_a_long_response_that_breaks_off_is_never_taken_for_complete(framing: str, tmp_path: Path) -> None:
     async def play() -> None:
         async def script(head: bytes, writer: asyncio.StreamWriter) -> None:
             writer.write(FRAMINGS[framing][:200_000])
@@ -159,15 +161,15 @@
             async with asyncio.timeout(LIMIT):
                 writer.write(request("send"))
                 with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
-                    await read_answer(reader)
+                    await read_body(reader)
             assert node.dispatcher.counters.failed[1] == 1 and not node.dispatcher.requests
             writer.transport.abort()
 
     asyncio.run(play())
 
 
-def test_the_first_bytes_of_a_long_answer_do_not_wait_for_its_last(tmp_path: Path) -> None:
-    """Its server is free for others meanwhile, and nothing but the first bytes counts as its time."""
+def test_the_first_bytes_of_a_long_response_are_forwarded_before_its_last(tmp_path: Path) -> None:
+    """From then on, the request no longer counts as in flight at its server, which gets other requests."""
 
     async def play() -> None:
         go = asyncio.Event()
@@ -196,17 +198,17 @@
     asyncio.run(play())
 
 
-def test_a_client_that_reads_slowly_holds_its_server_back_not_the_node(tmp_path: Path) -> None:
+def test_a_client_that_reads_slowly_slows_down_its_server_and_not_the_node(tmp_path: Path) -> None:
     async def play() -> None:
-        wrote = 0
+        written = 0
 
         async def script(head: bytes, writer: asyncio.StreamWriter) -> None:
-            nonlocal wrote
+            nonlocal written
             writer.write(HEAD + b"Content-Length: %d\r\n\r\n" % (32 << 20))
             for _ in range(32 << 4):
                 writer.write(b"x" * (64 << 10))
                 await writer.drain()
-                wrote += 64 << 10
+                written += 64 << 10
 
         server = ScriptedServer("s-1", script)
         async with running(tmp_path / "c.json", FakeDiscovery(), server) as node:
@@ -214,19 +216,19 @@
             async with asyncio.timeout(LIMIT):
                 writer.write(request())
                 await reader.readuntil(b"\r\n\r\n")
-                while not (held := [c for c in node.dispatcher.pools.connections if not c.reading]):
+                while not (paused := [c for c in node.dispatcher.pools.connections if not c.reading]):
                     await asyncio.sleep(0)
                 (conn,) = node.clients.connections
-                assert len(held) == 1 and conn.transport.get_write_buffer_size() <= 128 << 10
+                assert len(paused) == 1 and conn.transport.get_write_buffer_size() <= 128 << 10
                 for _ in range(32 << 6):
                     await reader.readexactly(16 << 10)
-            assert wrote == 32 << 20
+            assert written == 32 << 20
             writer.transport.abort()
 
     asyncio.run(play())
 
 
-def test_an_answer_that_says_3_gb_is_none(tmp_path: Path) -> None:
+def test_a_response_that_announces_3_gb_is_an_error(tmp_path: Path) -> None:
     async def play() -> None:
         server = ScriptedServer("s-1", HEAD + b"Content-Length: 3000000000\r\n\r\n" + LONG)
         async with running(tmp_path / "c.json", FakeDiscovery(), server) as node:
@@ -235,12 +237,12 @@
     asyncio.run(play())
 
 
-def test_informational_answers_and_unreadable_reports_do_no_harm(tmp_path: Path) -> None:
+def test_informational_responses_and_invalid_load_reports_are_ignored(tmp_path: Path) -> None:
     async def play() -> None:
-        answer = b"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n" + OK.replace(
+        response = b"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n" + OK.replace(
             b"\r\n\r\n", b"\r\nX-Backend-Load: TEXT q=\xff\xfe,,=1e999\r\n\r\n"
         )
-        server = ScriptedServer("s-1", answer)
+        server = ScriptedServer("s-1", response)
         async with running(tmp_path / "c.json", FakeDiscovery(), server) as node:
             for n in range(3):
                 assert b" 200 " in await node.ask(request(rid=f"r-{n}"))
@@ -249,20 +251,20 @@
     asyncio.run(play())
 
 
-def test_a_burst_opens_one_connection_each_and_leaves_nothing(tmp_path: Path) -> None:
-    """What is being opened counts once against the budget of descriptors."""
+def test_a_burst_of_requests_opens_one_connection_each_and_releases_everything(tmp_path: Path) -> None:
+    """A connection counts only once against the limit, also while it is being opened."""
 
     async def play() -> None:
         server = StalledServer("s-1")
         async with running(tmp_path / "c.json", FakeDiscovery(), server) as node:
-            servers = node.dispatcher.pools
-            servers.limit = 30
+            pools = node.dispatcher.pools
+            pools.limit = 30
             asking = [asyncio.ensure_future(node.ask(request(rid=f"r-{n}"))) for n in range(30)]
             await server.until(lambda: len(server.heads) == 30)
-            assert len(servers.connections) == 30 and not servers.opening
+            assert len(pools.connections) == 30 and not pools.opening
             assert (await node.ask(request(rid="q-1"))).startswith(b"HTTP/1.1 503")
             server.go.set()
-            assert all(b" 200 " in answer for answer in await asyncio.gather(*asking))
+            assert all(b" 200 " in response for response in await asyncio.gather(*asking))
             assert not node.dispatcher.requests and not node.dispatcher.balancer.requests
 
     asyncio.run(play())
--- a/tests/test_upstream_states.py
+++ b/tests/test_upstream_states.py
@@ -1,4 +1,4 @@
-"""The state machine of a connection to a server: its table, and its states over sockets."""
+"""State machine of a connection to a server: its transition table, and its states over sockets."""
 
 from __future__ import annotations
 
@@ -30,14 +30,14 @@
 
 
 @pytest.mark.parametrize(("state", "event"), PAIRS)
-def test_each_pair_has_an_entry_or_is_refused(
+def test_each_pair_has_an_entry_or_is_rejected(
     state: UpstreamConnectionState, event: UpstreamConnectionEvent
 ) -> None:
     check_transition(TRANSITIONS, next_state, state, event)
 
 
-def test_what_must_not_happen_is_refused() -> None:
-    """No second request on a connection that carries one, and no response before its request is whole."""
+def test_events_are_allowed_only_in_their_states() -> None:
+    """No second request on a connection that carries one, and no response before its request is complete."""
     open_states = set(UpstreamConnectionState) - {
         UpstreamConnectionState.CLOSING,
         UpstreamConnectionState.CLOSED,
@@ -62,16 +62,16 @@
 def test_every_state_is_reached_over_sockets(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     reached = {UpstreamConnectionState.CONNECTING}
 
-    def note(state: UpstreamConnectionState, event: UpstreamConnectionEvent) -> UpstreamConnectionState:
+    def record(state: UpstreamConnectionState, event: UpstreamConnectionEvent) -> UpstreamConnectionState:
         reached.add(next_state(state, event))
         return next_state(state, event)
 
     for module in (connection, request_sender):
-        monkeypatch.setattr(module, "next_state", note)
-    long_answer = b"HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n" + b"x" * 200_000
+        monkeypatch.setattr(module, "next_state", record)
+    long_reply = b"HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n" + b"x" * 200_000
 
     async def play() -> None:
-        async with running(tmp_path / "c.json", FakeDiscovery(), ScriptedServer("s-1", long_answer)) as node:
+        async with running(tmp_path / "c.json", FakeDiscovery(), ScriptedServer("s-1", long_reply)) as node:
             reader, writer = await node.connect()
             async with asyncio.timeout(LIMIT):
                 for cls in ("view", "send"):
--- a/tests/transitions.py
+++ b/tests/transitions.py
@@ -1,4 +1,4 @@
-"""What each state machine must keep: its look-up follows its table, and refuses what the table lacks."""
+"""Check of the look-up in a transition table, for the tests of all state machines."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 def check_transition(
     table: Mapping[S, Mapping[E, S]], next_state: Callable[[S, E], S], state: S, event: E
 ) -> None:
-    """Assert that a pair of state and event leads where the table says, or is refused by both their names."""
+    """Assert that the look-up returns the table's entry for a state and an event, or else raises."""
     if event in table[state]:
         assert next_state(state, event) is table[state][event]
         return
