--- a/hollybay/mutation/planted.py
+++ b/hollybay/mutation/planted.py
@@ -181,7 +181,7 @@
     Defect(
         "broken-stream-seems-whole",
         REQUEST_DISPATCHER,
-        "client.finish_response if is_complete else client.break_off",
+        "client.finish_response if is_complete else client.abort_response",
         "client.finish_response",
     ),
     Defect(
@@ -214,7 +214,7 @@
     Defect(
         "spent-body-sent-again",
         STREAMING_BODY,
-        "return self.is_spent or self.sink is not None",
+        "return self.has_dropped_bytes or self.sink is not None",
         "return self.sink is not None",
     ),
     Defect(
@@ -235,9 +235,7 @@
         "        if not attempt.request_written:\n            # The request was not completely sent yet",
         "        if False:\n            # The request was not completely sent yet",
     ),
-    Defect(
-        "two-framings-taken", RESPONSE_HEAD, "if found.chunked and found.length is not None:", "if False:"
-    ),
+    Defect("two-framings-taken", RESPONSE_HEAD, "if head.chunked and head.length is not None:", "if False:"),
     Defect(
         "reused-with-bytes-left",
         SERVER_CONNECTION,
@@ -314,7 +312,7 @@
     Defect(
         "accept-queue-dropped",
         LISTENER,
-        "            if not self._accept() and not anyway:\n                return False\n",
+        "            if not self._accept() and not force:\n                return False\n",
         "",
     ),
     # Discovery
--- a/hollybay/proxy/admin_service.py
+++ b/hollybay/proxy/admin_service.py
@@ -21,9 +21,9 @@
 
 from .admin_server import AdminServer
 from .config import Config
-from .consensus_port import PolicyRequestHandler
 from .drain_file import DrainFile
 from .node_drain import NodeDrain
+from .policy_requests import PolicyRequestHandler
 from .request_dispatcher import RequestDispatcher
 from .server_drains import DrainNotPersistedError, ServerDrains, UnknownServerError
 
@@ -65,7 +65,7 @@
         self.loop = asyncio.get_running_loop()
         self.node_drain = NodeDrain(clients, dispatcher)
         self.server = AdminServer(self.handle)
-        self.metrics = MetricsCollector(self.take_metrics)
+        self.metrics = MetricsCollector(self.collect_metrics)
         self.policy_handler: PolicyRequestHandler | None = None
         self.name = f"hollybay-{_node_tag(config)}"
         self.folder = Path(config.scratch_folder) if config.scratch_folder else None
@@ -176,7 +176,7 @@
 
     # Metrics
 
-    def take_metrics(self) -> NodeMetrics:
+    def collect_metrics(self) -> NodeMetrics:
         """Return a snapshot of the node's metrics."""
         counters = self.dispatcher.counters
         rejections = self.dispatcher.balancer.load_shedder.rejections
--- a/hollybay/proxy/consensus_member.py
+++ b/hollybay/proxy/consensus_member.py
@@ -36,8 +36,8 @@
 from .admin_service import AdminService
 from .compiled_policies import CompiledPolicies, read_operator_file
 from .config import ConfigError
-from .consensus_port import PolicyRequestHandler
 from .gc_pauses import paused
+from .policy_requests import PolicyRequestHandler
 
 __all__ = ["ConsensusMember"]
 
--- a/hollybay/proxy/downstream/client_context.py
+++ b/hollybay/proxy/downstream/client_context.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING, Protocol, TypeVar
 
 from ..config import Config
-from ..ports import PolicyAgreement
+from ..interfaces import PolicyAgreement
 from ..request_dispatcher import RequestDispatcher
 from ..streaming_body import RetentionBudget
 from .body_budget import BodyBudget
@@ -164,7 +164,7 @@
         count, self.limited_requests = self.limited_requests, 0
         return count
 
-    def admit(self, conn: C) -> None:
+    def add_connection(self, conn: C) -> None:
         """Register a new connection; others are closed if there are too many."""
         self.connections[conn] = None
         self.move(conn, self.silent)
--- a/hollybay/proxy/downstream/connection.py
+++ b/hollybay/proxy/downstream/connection.py
@@ -18,8 +18,8 @@
 from ..flow_control import BodySource
 from ..http_messages import ForwardedResponse, Headers
 from ..http_parsers import new_request_parser
+from ..interfaces import ClientPresence
 from ..message_limits import MAX_HELD_BODY_BYTES, SMALL_BODY_BYTES
-from ..ports import ClientPresence
 from ..streaming_body import StreamingBody
 from ..tcp_connection import TcpConnection
 from .client_context import ClientContext
@@ -121,7 +121,7 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Register the connection in the connection table."""
         super().connection_made(transport)
-        self.clients.admit(self)
+        self.clients.add_connection(self)
 
     def connection_lost(self, _exc: Exception | None) -> None:
         """Remove the connection from the table, and end its request: the client has disconnected."""
@@ -413,7 +413,7 @@
         self._write(h11.EndOfMessage())
         self._response_completed()
 
-    def break_off(self) -> None:
+    def abort_response(self) -> None:
         """Abort a streamed response by closing the connection, which the client detects with any framing."""
         self.request_id = NO_REQUEST
         self.body_source = None
--- a/hollybay/proxy/downstream/connection_table.py
+++ b/hollybay/proxy/downstream/connection_table.py
@@ -8,11 +8,11 @@
 from itertools import takewhile
 from typing import Any, Generic, Protocol, TypeVar
 
-__all__ = ["SUSPECT_AFTER_S", "ConnectionTable", "TrackedConnection"]
+__all__ = ["STALE_AFTER_S", "ConnectionTable", "TrackedConnection"]
 
 # A connection that has been silent or has had only part of a request for this long is closed first when there
 # are too many: an honest client sends its request as soon as it is connected.
-SUSPECT_AFTER_S = 0.25
+STALE_AFTER_S = 0.25
 
 
 class TrackedConnection(Protocol):
@@ -96,16 +96,16 @@
         them usually the connection that was just accepted.
         """
         yield from self.ending
-        suspect = self.loop.time() - SUSPECT_AFTER_S
-        young: list[OrderedDict[C, float]] = []
+        stale_before = self.loop.time() - STALE_AFTER_S
+        recent_phases: list[OrderedDict[C, float]] = []
         for phase in (self.silent, self.unfinished):
             for conn, since in phase.items():
-                if since > suspect:
-                    young.append(phase)
+                if since > stale_before:
+                    recent_phases.append(phase)
                     break
                 yield conn
         yield from self.idle
-        for phase in young:
+        for phase in recent_phases:
             yield from phase
 
     @staticmethod
--- a/hollybay/proxy/downstream/listener.py
+++ b/hollybay/proxy/downstream/listener.py
@@ -34,7 +34,7 @@
         The listening socket; None while it is not listening.
     pending_accepts
         Tasks that set up accepted connections, which are not in the connection table yet.
-    sweeper
+    sweep_timer
         Timer of the next check of the timeouts; None before `listen`.
     """
 
@@ -42,7 +42,7 @@
         super().__init__(config, dispatcher, limit)
         self.listener: socket.socket | None = None
         self.pending_accepts: set[asyncio.Task[None]] = set()
-        self.sweeper: asyncio.TimerHandle | None = None
+        self.sweep_timer: asyncio.TimerHandle | None = None
 
     async def listen(self, port: int | None = None) -> int:
         """Listen and accept connections.
@@ -72,18 +72,18 @@
         self._sweep()
         return int(sock.getsockname()[1])
 
-    def any_left(self) -> bool:
+    def has_connections(self) -> bool:
         """Whether any client is connected, including accepted connections that are still being set up."""
         return bool(self.connections or self.pending_accepts)
 
-    def stop_listening(self, anyway: bool = False) -> bool:
+    def stop_listening(self, force: bool = False) -> bool:
         """Close the listening socket once the accept queue is empty.
 
         Closing it resets the connections that are still in the queue.
 
         Parameters
         ----------
-        anyway
+        force
             Close the socket even if connections are waiting.
 
         Returns
@@ -92,7 +92,7 @@
             Whether the socket is closed; False if connections are waiting and there is no room for them.
         """
         if self.listener is not None:
-            if not self._accept() and not anyway:
+            if not self._accept() and not force:
                 return False
             self.loop.remove_reader(self.listener)
             self.listener.close()
@@ -101,9 +101,9 @@
 
     def close(self) -> None:
         """Close the listening socket and all connections at once."""
-        self.stop_listening(anyway=True)
-        if self.sweeper is not None:
-            self.sweeper.cancel()
+        self.stop_listening(force=True)
+        if self.sweep_timer is not None:
+            self.sweep_timer.cancel()
         for conn in list(self.connections):
             conn.abort()
 
@@ -166,7 +166,7 @@
 
     def _sweep(self) -> None:
         """Close connections that have stayed in their phase for too long."""
-        self.sweeper = self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
+        self.sweep_timer = self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
         now = self.loop.time()
         for conn in self.overdue(self.unfinished, now - self.phase_timeouts.unfinished):
             if conn.is_request_overdue(now):
--- a/hollybay/proxy/downstream/recent_request_ids.py
+++ b/hollybay/proxy/downstream/recent_request_ids.py
@@ -4,7 +4,7 @@
 
 __all__ = ["RecentRequestIds"]
 
-MEMORY = 10.0  # minimum time (s) for which an id is remembered, unless there are more than MAX_IDS
+RETENTION_S = 10.0  # minimum time (s) for which an id is remembered, unless there are more than MAX_IDS
 MAX_IDS = 20_000  # per generation
 
 
@@ -31,7 +31,7 @@
         now
             Monotonic time (s).
         """
-        if now - self.started_at >= MEMORY or len(self.current) >= MAX_IDS:
+        if now - self.started_at >= RETENTION_S or len(self.current) >= MAX_IDS:
             self.previous, self.current, self.started_at = self.current, set(), now
         number = hash(request_id)
         if number in self.current or number in self.previous:
--- a/hollybay/proxy/downstream/request.py
+++ b/hollybay/proxy/downstream/request.py
@@ -12,8 +12,8 @@
 
 from ..config import Config
 from ..http_messages import ForwardedRequest, end_to_end_headers, lowercase_headers, names_not_forwarded
+from ..interfaces import PolicyAgreement
 from ..message_limits import MAX_BODY_BYTES, MAX_HELD_BODY_BYTES
-from ..ports import PolicyAgreement
 from ..streaming_body import StreamingBody
 from .request_validation import RequestProblem, class_index_of, is_health_check, validate_head
 
--- a/hollybay/proxy/downstream/responses.py
+++ b/hollybay/proxy/downstream/responses.py
@@ -20,12 +20,12 @@
 REJECTED_BODY = b"refused\n"
 """Body of a response to a request that was not run."""
 
-_FIRST_LINES = {status: b"HTTP/1.1 %d " % status for status in (200, 429, 502, 503, 504)}
+_STATUS_LINES = {status: b"HTTP/1.1 %d " % status for status in (200, 429, 502, 503, 504)}
 
 
 def response_bytes(status: int, headers: Headers, content: bytes) -> bytes:
     """Return the bytes of a complete response."""
-    return encode_head(_FIRST_LINES[status], headers) + content
+    return encode_head(_STATUS_LINES[status], headers) + content
 
 
 def health_response(path: bytes, is_healthy: bool) -> tuple[int, bytes]:
--- a/hollybay/proxy/http_messages.py
+++ b/hollybay/proxy/http_messages.py
@@ -113,10 +113,10 @@
     return [header for header in headers if header[0] not in dropped]
 
 
-def encode_head(first_line: bytes, headers: Headers) -> bytes:
+def encode_head(start_line: bytes, headers: Headers) -> bytes:
     """Return the encoded head of a message.
 
     It is not written by h11, whose checks and copies would cost as much as parsing the head. This is safe, as
     its parts were already checked by h11 or come from the node itself.
     """
-    return b"%s\r\n%s\r\n" % (first_line, b"".join([b"%s: %s\r\n" % header for header in headers]))
+    return b"%s\r\n%s\r\n" % (start_line, b"".join([b"%s: %s\r\n" % header for header in headers]))
--- a/hollybay/proxy/ports.py
+++ b/hollybay/proxy/interfaces.py
@@ -11,7 +11,7 @@
 from .flow_control import BodySource
 from .http_messages import ForwardedResponse
 
-__all__ = ["Client", "ClientPresence", "DiscoveryPort", "LoadReporter", "PolicyAgreement"]
+__all__ = ["Client", "ClientPresence", "DiscoveryControl", "LoadReporter", "PolicyAgreement"]
 
 
 class ClientPresence(Enum):
@@ -25,8 +25,8 @@
 class Client(Protocol):
     """Client that waits for the response to a request.
 
-    Exactly one of `respond`, `reject`, `fail`, or `start_response` with `finish_response` or `break_off` is
-    called, unless the client disconnects.
+    Exactly one of `respond`, `reject`, `fail`, or `start_response` with `finish_response` or
+    `abort_response` is called, unless the client disconnects.
     """
 
     def presence(self) -> ClientPresence:
@@ -61,12 +61,12 @@
         """End a streamed response that is complete."""
         ...
 
-    def break_off(self) -> None:
+    def abort_response(self) -> None:
         """Abort a response that cannot be completed, in a way that the client detects with any framing."""
         ...
 
 
-class DiscoveryPort(Protocol):
+class DiscoveryControl(Protocol):
     """Discovery, as far as the balancer controls it."""
 
     def watch(self, active: bool) -> None:
--- a/hollybay/proxy/pending_request.py
+++ b/hollybay/proxy/pending_request.py
@@ -19,7 +19,7 @@
 
 from . import system
 from .http_messages import ForwardedRequest
-from .ports import Client, ClientPresence
+from .interfaces import Client, ClientPresence
 from .state_machine import transition_function
 
 __all__ = [
@@ -141,7 +141,7 @@
         All attempts by number; None for an attempt that was not sent.
     in_flight
         Number of attempts that have not ended.
-    client_seen
+    client_seen_at
         Time (ns) at which the client was last known to be connected.
     streamed_attempt
         Attempt whose response is being streamed to the client.
@@ -153,7 +153,7 @@
         "attempts",
         "class_index",
         "client",
-        "client_seen",
+        "client_seen_at",
         "deadline",
         "id",
         "in_flight",
@@ -172,7 +172,7 @@
         self.deadline = 0
         self.attempts: list[RequestAttempt | None] = []
         self.in_flight = 0
-        self.client_seen = 0
+        self.client_seen_at = 0
         self.streamed_attempt: RequestAttempt | None = None
         self.timer: asyncio.TimerHandle | None = None
 
@@ -182,11 +182,11 @@
         If the kernel cannot tell, the result is False as well, and nothing more is sent for that client.
         """
         now = system.monotonic_ns()
-        if now - self.client_seen < PRESENCE_VALID_NS:
+        if now - self.client_seen_at < PRESENCE_VALID_NS:
             return True
         presence = self.client.presence()
         if presence is ClientPresence.CONNECTED:
-            self.client_seen = now
+            self.client_seen_at = now
         elif presence is ClientPresence.GONE:
             self.client.abandon()
         return presence is ClientPresence.CONNECTED
--- a/hollybay/proxy/request_dispatcher.py
+++ b/hollybay/proxy/request_dispatcher.py
@@ -20,8 +20,8 @@
 from .balancer_driver import ActionHandlers, BalancerDriver
 from .discovery_list import DiscoveryUpdate
 from .http_messages import ForwardedRequest, ForwardedResponse
+from .interfaces import Client, DiscoveryControl, LoadReporter
 from .pending_request import FINISHED, PENDING, UNANSWERED_STATES, PendingRequest, RequestEvent, next_state
-from .ports import Client, DiscoveryPort, LoadReporter
 from .request_counters import RequestCounters
 from .upstream.attempt import UpstreamAttempt
 from .upstream.pools import UpstreamPools
@@ -37,7 +37,7 @@
 
 # Arguments of the client method that writes a final response: a response, a status or a time (ns); none where
 # the method ends a streamed response.
-Answer = TypeVarTuple("Answer")
+ResponseArguments = TypeVarTuple("ResponseArguments")
 
 _CONCLUDED = RequestEvent.CONCLUDED
 
@@ -72,7 +72,7 @@
         self.settings = settings
         self.pools = pools
         self.counters = RequestCounters(len(settings.classes))
-        self.discovery: DiscoveryPort | None = None
+        self.discovery: DiscoveryControl | None = None
         self.apply_drains: Callable[[DiscoveryUpdate], DiscoveryUpdate] | None = None
         self.load_reporter: LoadReporter | None = None
         self.requests: dict[int, PendingRequest] = {}
@@ -140,7 +140,7 @@
         self._next_id += 1
         self.requests[request.id] = request
         self.unfinished_requests += 1
-        request.client_seen = system.monotonic_ns()
+        request.client_seen_at = system.monotonic_ns()
         self._start_timer(request, event.time_left)
         return request
 
@@ -249,12 +249,12 @@
             attempt.cancel()
 
     def _reject(self, action: api.Reject) -> None:
-        client = self._take_unanswered(action.id, self.counters.rejected)
+        client = self._conclude_unanswered(action.id, self.counters.rejected)
         if client is not None:
             self._answer(client, client.reject, action.retry_after)
 
     def _fail(self, action: api.Fail) -> None:
-        client = self._take_unanswered(action.id, self.counters.failed)
+        client = self._conclude_unanswered(action.id, self.counters.failed)
         if client is not None:
             self._answer(client, client.fail, BAD_GATEWAY)
 
@@ -274,7 +274,7 @@
 
     # Final answers
 
-    def _take_unanswered(self, request_id: int, counts: list[int]) -> Client | None:
+    def _conclude_unanswered(self, request_id: int, counts: list[int]) -> Client | None:
         """Conclude and count a request, and return its client; None if its response has already begun."""
         request = self.requests.get(request_id)
         if request is None or request.state not in UNANSWERED_STATES:
@@ -284,7 +284,9 @@
         return request.client
 
     @staticmethod
-    def _answer(client: Client, write: Callable[[*Answer], None], *answer: *Answer) -> None:
+    def _answer(
+        client: Client, write: Callable[[*ResponseArguments], None], *answer: *ResponseArguments
+    ) -> None:
         """Write a final response to a client; if that fails, the client's connection is closed.
 
         Exceptions are not propagated: the balancer must still be notified of the end, or it would count the
@@ -294,7 +296,7 @@
             write(*answer)
         except Exception:
             log.exception("final response could not be written; closing the client's connection")
-            client.break_off()
+            client.abort_response()
 
     def _event_failed(self, event: api.Event) -> None:
         """End the request of an event whose handling by the balancer, or by one of its actions, failed."""
@@ -307,7 +309,7 @@
         """Respond with 504 if the balancer has not decided the final response, and notify it of the end."""
         if request.state is FINISHED:
             return
-        client = self._take_unanswered(request.id, self.counters.failed)
+        client = self._conclude_unanswered(request.id, self.counters.failed)
         if client is not None:
             self._answer(client, client.fail, GATEWAY_TIMEOUT)
         self.feed(api.ClientDisconnected(request.id))
@@ -330,9 +332,9 @@
         request.state = next_state(request.state, _CONCLUDED)
         request.message = None
         self.unfinished_requests -= 1
-        self._forget_if_over(request)
+        self._remove_if_finished(request)
 
-    def _forget_if_over(self, request: PendingRequest) -> None:
+    def _remove_if_finished(self, request: PendingRequest) -> None:
         """Remove a finished request unless attempts are in flight, which its timer still bounds."""
         if request.state is FINISHED and not request.in_flight:
             request.stop_timer()
@@ -343,7 +345,7 @@
 
     # Observer of the attempts
 
-    def is_awaited(self, attempt: UpstreamAttempt) -> bool:
+    def is_needed(self, attempt: UpstreamAttempt) -> bool:
         """Whether the client of an attempt is still connected; if not, nothing more is sent to the server."""
         request = attempt.request
         assert request is not None
@@ -379,9 +381,9 @@
         if self.load_reporter is not None:
             self.load_reporter.attempt_finished(attempt.server)
         if request.state is FINISHED:
-            self._forget_if_over(request)
+            self._remove_if_finished(request)
         else:
-            self._answer_with(request, attempt, response)
+            self._deliver_response(request, attempt, response)
         self.feed(
             api.AttemptFinished(
                 request.id,
@@ -394,7 +396,7 @@
             )
         )
 
-    def _answer_with(
+    def _deliver_response(
         self, request: PendingRequest, attempt: UpstreamAttempt, response: ForwardedResponse | None
     ) -> None:
         """Write the final response if a finished attempt provides it."""
@@ -403,7 +405,7 @@
         if request.streamed_attempt is attempt:
             self._conclude(request)
             (self.counters.served if is_complete else self.counters.failed)[request.class_index] += 1
-            self._answer(client, client.finish_response if is_complete else client.break_off)
+            self._answer(client, client.finish_response if is_complete else client.abort_response)
         elif is_complete and response is not None:
             self.counters.served[request.class_index] += 1
             self._conclude(request)
--- a/hollybay/proxy/shutdown.py
+++ b/hollybay/proxy/shutdown.py
@@ -31,7 +31,7 @@
 # Time at the end for requests that are still in flight. Before it, clients are served on their open
 # connections: in a rolling restart, the next node may not be ready yet.
 FINAL_PERIOD_S = 1.2
-LAST_ANSWERS_S = 0.1  # time at the end for the responses to requests that are ended unfinished
+LAST_RESPONSES_S = 0.1  # time at the end for the responses to requests that are ended unfinished
 
 ACCEPT_POLL_INTERVAL_S = 0.01
 CLIENTS_POLL_INTERVAL_S = 0.02
@@ -77,12 +77,12 @@
     await _stop_listening(clients, final_period_start)
     if listener_group is not None:
         listener_group.leave()
-    while clients.any_left() and loop.time() < final_period_start:
+    while clients.has_connections() and loop.time() < final_period_start:
         await asyncio.sleep(CLIENTS_POLL_INTERVAL_S)
-    await _close_connections(clients, until=end - LAST_ANSWERS_S)
+    await _close_connections(clients, until=end - LAST_RESPONSES_S)
     clients.forwarding_stopped = True  # requests that are complete only now are rejected
     dispatcher.end_all_requests()
-    await asyncio.sleep(LAST_ANSWERS_S if clients.any_left() else 0)
+    await asyncio.sleep(LAST_RESPONSES_S if clients.has_connections() else 0)
     log.info("drained in %.2f s, %d connections left", loop.time() - started_at, len(clients.connections))
 
 
@@ -95,7 +95,7 @@
 async def _stop_listening(clients: ClientListener, final_period_start: float) -> None:
     """Stop listening when the accept queue is empty, or at the start of the final period (a loop time)."""
     loop = asyncio.get_running_loop()
-    while not clients.stop_listening(anyway=loop.time() >= final_period_start):
+    while not clients.stop_listening(force=loop.time() >= final_period_start):
         await asyncio.sleep(ACCEPT_POLL_INTERVAL_S)
 
 
@@ -103,6 +103,6 @@
     """Close each connection after its next response, until none is left or a loop time is reached."""
     clients.advance(ServiceEvent.CLOSING_STARTED)
     loop = asyncio.get_running_loop()
-    while clients.any_left() and loop.time() < until:
+    while clients.has_connections() and loop.time() < until:
         clients.close_idle()
         await asyncio.sleep(CLIENTS_POLL_INTERVAL_S)
--- a/hollybay/proxy/streaming_body.py
+++ b/hollybay/proxy/streaming_body.py
@@ -75,7 +75,7 @@
         Deadline (ns of the monotonic clock) of the client if the body had been complete when streaming began.
     is_complete
         Whether the last byte has arrived.
-    is_spent
+    has_dropped_bytes
         Whether bytes were dropped, so that no other attempt can send the body.
     sink
         Connection of the attempt that is sending the body; None if there is none.
@@ -90,8 +90,8 @@
         "_source",
         "_waiting",
         "client_deadline",
+        "has_dropped_bytes",
         "is_complete",
-        "is_spent",
         "length",
         "sink",
     )
@@ -100,7 +100,7 @@
         self.length = length
         self.client_deadline = 0
         self.is_complete = False
-        self.is_spent = False
+        self.has_dropped_bytes = False
         self.sink: BodySink | None = None
         self._source = source
         self._budget = budget
@@ -113,7 +113,7 @@
     @property
     def is_taken(self) -> bool:
         """Whether no other attempt can send the body: one is sending it, or bytes were dropped."""
-        return self.is_spent or self.sink is not None
+        return self.has_dropped_bytes or self.sink is not None
 
     @property
     def is_exhausted(self) -> bool:
@@ -151,7 +151,7 @@
             self._position += 1
         else:
             self._pieces.popleft()
-            self.is_spent = True
+            self.has_dropped_bytes = True
         self._waiting -= len(data)
         if not self._is_retained and self._waiting <= WINDOW_BYTES // 2:
             self._source.set_reading(True)
@@ -168,7 +168,7 @@
     def close(self) -> None:
         """Drop all bytes, as the request has ended."""
         self.sink = None
-        self.is_spent = True
+        self.has_dropped_bytes = True
         self._pieces.clear()
         self._position = 0
         self._release()
@@ -185,7 +185,7 @@
         self._is_retained = False
         for _ in range(self._position):
             self._pieces.popleft()
-            self.is_spent = True
+            self.has_dropped_bytes = True
         self._position = 0
         self._release()
 
--- a/hollybay/proxy/upstream/attempt.py
+++ b/hollybay/proxy/upstream/attempt.py
@@ -9,8 +9,8 @@
 
 from .. import system
 from ..http_messages import ForwardedRequest, ForwardedResponse
+from ..interfaces import Client
 from ..pending_request import PendingRequest
-from ..ports import Client
 
 __all__ = ["AttemptConnection", "AttemptObserver", "UpstreamAttempt"]
 
@@ -18,7 +18,7 @@
 class AttemptObserver(Protocol):
     """Observer that is notified of the progress of attempts."""
 
-    def is_awaited(self, attempt: UpstreamAttempt) -> bool:
+    def is_needed(self, attempt: UpstreamAttempt) -> bool:
         """Whether the attempt is still needed; called before its first and before its last byte is sent."""
 
     def response_started(self, attempt: UpstreamAttempt, response: ForwardedResponse) -> Client | None:
--- a/hollybay/proxy/upstream/connection.py
+++ b/hollybay/proxy/upstream/connection.py
@@ -17,9 +17,9 @@
 from .. import system
 from ..http_messages import ForwardedResponse, end_to_end_headers
 from ..http_parsers import new_response_parser
+from ..interfaces import Client
 from ..message_limits import MAX_BODY_BYTES, MAX_HELD_BODY_BYTES
 from ..name_table import NameTable
-from ..ports import Client
 from . import response_limits
 from .attempt import UpstreamAttempt
 from .endpoint import Endpoint
@@ -48,8 +48,8 @@
     """Interface of the pools that a connection belongs to, as far as the connection uses it."""
 
     names: NameTable
-    load_header: bytes
-    not_for_clients: frozenset[bytes]
+    load_report_header: bytes
+    headers_not_forwarded: frozenset[bytes]
     connections: set[ServerConnection]
     opening: set[UpstreamAttempt]
 
@@ -126,12 +126,12 @@
 
     def begin(self, attempt: UpstreamAttempt) -> None:
         """Write a request except for its last piece, which `_write_last_piece` writes."""
-        if self.endpoint.draining is not None and self.owner.loop.time() >= self.endpoint.write_cutoff:
+        if self.endpoint.drain_timer is not None and self.owner.loop.time() >= self.endpoint.write_cutoff:
             # The timer that ends unwritten attempts is due, but has not been called yet.
             self.close()
             attempt.end(api.Result.NOT_DELIVERED)
             return
-        if not attempt.observer.is_awaited(attempt):
+        if not attempt.observer.is_needed(attempt):
             # The client disconnected while the connection was being opened; another attempt can use it.
             self.return_unused(attempt)
             return
@@ -225,18 +225,18 @@
             self.attempt.end(self.failure)  # the head decides the result, so the body is not awaited
 
     def _receive_head(self, attempt: UpstreamAttempt, event: h11.Response) -> None:
-        found = read_head(event, self.owner.load_header)
-        if found.load_report is not None:
-            attempt.report = self.endpoint.load_report(found.load_report, self.owner.names)
+        head = read_head(event, self.owner.load_report_header)
+        if head.load_report is not None:
+            attempt.report = self.endpoint.load_report(head.load_report, self.owner.names)
         if event.status_code != STATUS_OK:
-            self.failure = result_of_failure(event, found.headers)
+            self.failure = result_of_failure(event, head.headers)
             return
         if not attempt.request_written:
             # The request was not completely sent yet, so this cannot be the response to it.
             raise h11.RemoteProtocolError("response received before the request was sent")
-        check_framing(found)
-        headers = end_to_end_headers(found.headers, self.owner.not_for_clients)
-        self.response = ForwardedResponse(STATUS_OK, headers, None, found.length)
+        check_framing(head)
+        headers = end_to_end_headers(head.headers, self.owner.headers_not_forwarded)
+        self.response = ForwardedResponse(STATUS_OK, headers, None, head.length)
         self.state = next_state(self.state, _RESPONSE_STARTED)
         if attempt.streamed:
             self._start_stream(attempt)
--- a/hollybay/proxy/upstream/endpoint.py
+++ b/hollybay/proxy/upstream/endpoint.py
@@ -9,7 +9,7 @@
 
 from ..name_table import NameTable
 from .attempt import UpstreamAttempt
-from .hold_account import HoldAccount
+from .hold_budget import HoldBudget
 
 __all__ = ["Endpoint", "PooledConnection"]
 
@@ -47,8 +47,8 @@
 
     __slots__ = (
         "address",
-        "draining",
-        "holds",
+        "drain_timer",
+        "hold_budget",
         "id",
         "idle",
         "last_report",
@@ -60,12 +60,12 @@
         self.id = server
         self.address = address
         # Timer that ends unwritten attempts; set while the server drains, also after the timer has fired.
-        self.draining: asyncio.TimerHandle | None = None
+        self.drain_timer: asyncio.TimerHandle | None = None
         # Time (s, clock of the event loop) from which nothing is written to it, while it drains.
         self.write_cutoff = 0.0
         self.idle: list[PooledConnection] = []  # the most recently used one is last, and is taken first
         self.unwritten_attempts: dict[UpstreamAttempt, None] = {}  # in the order in which they started
-        self.holds = HoldAccount()
+        self.hold_budget = HoldBudget()
         self.last_report: tuple[bytes, tuple[float, ...]] = (b"", ())
 
     def load_report(self, text: bytes, names: NameTable) -> tuple[float, ...]:
--- a/hollybay/proxy/upstream/health_check.py
+++ b/hollybay/proxy/upstream/health_check.py
@@ -48,7 +48,7 @@
         self.names = names
         self.feed = feed
 
-    def is_awaited(self, _attempt: UpstreamAttempt) -> bool:
+    def is_needed(self, _attempt: UpstreamAttempt) -> bool:
         return True
 
     def response_started(self, _attempt: UpstreamAttempt, _response: ForwardedResponse) -> None:
--- a/hollybay/proxy/upstream/pools.py
+++ b/hollybay/proxy/upstream/pools.py
@@ -20,7 +20,7 @@
 from .connector import Establish, connect, establish
 from .endpoint import Endpoint, PooledConnection
 from .health_check import HEALTH_CHECK_LIMIT_NS, health_check
-from .request_sender import connection_price
+from .request_sender import connection_cost
 from .states import UpstreamConnectionState
 
 __all__ = ["DRAIN_GRACE_SHARE", "MAX_UNSETTLED", "UpstreamPools"]
@@ -53,15 +53,15 @@
         self.written = 0  # number of attempts whose request was completely written, since the start
         self.names = names
         self.limit = limit
-        self.load_header = b"x-backend-load"
-        self.not_for_clients = names_not_forwarded((self.load_header, b"x-unprocessed"))
+        self.load_report_header = b"x-backend-load"
+        self.headers_not_forwarded = names_not_forwarded((self.load_report_header, b"x-unprocessed"))
         self.establish: Establish = establish
         self.loop = asyncio.get_running_loop()
         self.endpoints: dict[api.ServerId, Endpoint] = {}
         self.connections: set[ServerConnection] = set()
         # Idle connections and the time (s, clock of the event loop) since which they are idle, longest first.
         self.idle_since: OrderedDict[PooledConnection, float] = OrderedDict()
-        self.sweeper: asyncio.TimerHandle | None = None
+        self.sweep_timer: asyncio.TimerHandle | None = None
         self.opening: set[UpstreamAttempt] = set()  # attempts whose connection is still being opened
 
     def apply(self, update: DiscoveryUpdate) -> None:
@@ -83,17 +83,17 @@
                 endpoint = self.endpoints[server.id] = Endpoint(server.id, address)
             if server.state == api.ServerState.DRAINING:
                 self._drain(endpoint)
-            elif endpoint.draining is not None:
-                endpoint.draining.cancel()
-                endpoint.draining = None
+            elif endpoint.drain_timer is not None:
+                endpoint.drain_timer.cancel()
+                endpoint.drain_timer = None
 
     def _drain(self, endpoint: Endpoint) -> None:
         for connection in list(endpoint.idle):
             connection.close()
-        if endpoint.draining is None:
+        if endpoint.drain_timer is None:
             grace = DRAIN_GRACE_SHARE * self.settings.drain_grace / SECOND
             endpoint.write_cutoff = self.loop.time() + grace
-            endpoint.draining = self.loop.call_later(grace, self._end_unwritten_attempts, endpoint)
+            endpoint.drain_timer = self.loop.call_later(grace, self._end_unwritten_attempts, endpoint)
 
     def _end_unwritten_attempts(self, endpoint: Endpoint) -> None:
         # A request that is still being written after the grace period would reach a server that has drained.
@@ -140,7 +140,9 @@
             hold = connection.settle_time_left()
             if hold <= 0.0 or len(endpoint.idle) >= MAX_UNSETTLED or self._is_full():
                 return connection
-            return connection if endpoint.holds.allows(hold, connection_price(), self.loop.time()) else None
+            return (
+                connection if endpoint.hold_budget.allows(hold, connection_cost(), self.loop.time()) else None
+            )
         return None
 
     def _pick_settled(self, idle: list[PooledConnection]) -> PooledConnection:
@@ -185,18 +187,18 @@
 
     def pool(self, connection: PooledConnection) -> None:
         """Add an idle connection to the pool of its server, or close it if the server drains."""
-        if connection.endpoint.draining is not None:
+        if connection.endpoint.drain_timer is not None:
             connection.close()
             return
         connection.set_reading(True)
         connection.endpoint.idle.append(connection)
         self.idle_since[connection] = connection.response_ended_at
-        if self.sweeper is None:
-            self.sweeper = self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
+        if self.sweep_timer is None:
+            self.sweep_timer = self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
 
     def _sweep(self) -> None:
         """Close the connections that have been idle for most of the time that servers allow."""
-        self.sweeper = None
+        self.sweep_timer = None
         before = (
             self.loop.time() + SWEEP_INTERVAL_S - api.IDLE_CLOSE_SHARE * self.settings.idle_timeout / SECOND
         )
@@ -205,7 +207,7 @@
         ):
             connection.close()
         if self.idle_since:
-            self.sweeper = self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
+            self.sweep_timer = self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
 
     def unpool(self, connection: PooledConnection) -> None:
         """Remove a connection from the pool, if it is there."""
--- a/hollybay/proxy/upstream/request_encoding.py
+++ b/hollybay/proxy/upstream/request_encoding.py
@@ -16,7 +16,7 @@
 
 CHUNKED_END = b"0\r\n\r\n"
 # Format of the request line; its arguments are the method and the target.
-_REQUEST_LINE = b"%s %s HTTP/1.1"
+_REQUEST_LINE_FORMAT = b"%s %s HTTP/1.1"
 
 
 def headers_with_time_left(message: ForwardedRequest, deadline: int) -> Headers:
@@ -39,7 +39,7 @@
     """
     if message.method != b"GET" or message.size:
         headers.append((b"content-length", b"%d" % message.size))
-    request_line = _REQUEST_LINE % (message.method, message.target)
+    request_line = _REQUEST_LINE_FORMAT % (message.method, message.target)
     pieces = [encode_head(request_line, headers), *message.body]
     if message.size <= SMALL_BODY_BYTES:
         pieces = [b"".join(pieces)]
@@ -71,7 +71,7 @@
         framing = (b"transfer-encoding", b"chunked")
         if self._length is not None:
             framing = (b"content-length", b"%d" % self._length)
-        return encode_head(_REQUEST_LINE % (message.method, message.target), [*headers, framing])
+        return encode_head(_REQUEST_LINE_FORMAT % (message.method, message.target), [*headers, framing])
 
     def encode(self, data: bytes) -> bytes:
         """Return the bytes to write for the next part of the body; they may be empty."""
--- a/hollybay/proxy/upstream/request_sender.py
+++ b/hollybay/proxy/upstream/request_sender.py
@@ -22,7 +22,7 @@
 from .request_encoding import StreamingBodyEncoder
 from .states import UpstreamConnectionEvent, UpstreamConnectionState, next_state
 
-__all__ = ["LAST_BYTE_HOLD_S", "RequestSender", "SenderOwner", "connection_price"]
+__all__ = ["LAST_BYTE_HOLD_S", "RequestSender", "SenderOwner", "connection_cost"]
 
 # How long the last byte of a request that must not be repeated freely is held back: about one round trip plus
 # the time to wake up the peer. If the connection is already dead, or is reset by the first bytes, this shows
@@ -33,8 +33,8 @@
 # the last byte of a request is held back until the connection has settled, so that stray bytes arrive before
 # it and are not taken for the response.
 SETTLE_S = 0.012
-# Price of another connection to a server, in settle times for which requests are held; see HoldAccount.
-SETTLES_PER_CONNECTION = 2.0
+# Cost of another connection to a server, in settle times for which requests are held; see HoldBudget.
+CONNECTION_COST_SETTLE_TIMES = 2.0
 
 
 # Members used for each request, as names of this module: the look-up on the enum class costs 0.2 µs.
@@ -56,9 +56,9 @@
         """Remove a connection from the pool, if it is there."""
 
 
-def connection_price() -> float:
+def connection_cost() -> float:
     """Return the total time (s) for which requests are held before another connection is opened."""
-    return SETTLES_PER_CONNECTION * SETTLE_S
+    return CONNECTION_COST_SETTLE_TIMES * SETTLE_S
 
 
 class RequestSender(TcpConnection):
@@ -230,7 +230,7 @@
         attempt = self.attempt
         if attempt is None:
             return
-        if not attempt.observer.is_awaited(attempt) or 0 < attempt.write_deadline <= system.monotonic_ns():
+        if not attempt.observer.is_needed(attempt) or 0 < attempt.write_deadline <= system.monotonic_ns():
             attempt.end(api.Result.NOT_SENT)
             return
         # Set before the write: if the attempt ends between the write and the loop's next iteration, the
--- a/hollybay/proxy/upstream/response_head.py
+++ b/hollybay/proxy/upstream/response_head.py
@@ -54,17 +54,17 @@
     load_report: bytes | None = None
 
 
-def read_head(event: h11.Response, load_header: bytes) -> ResponseHead:
-    """Read the parts of a head that the node needs; `load_header` names the header with the load report."""
-    found = ResponseHead(lowercase_headers(event))
-    for name, value in found.headers:
+def read_head(event: h11.Response, load_report_header: bytes) -> ResponseHead:
+    """Read the parts of a head that the node needs, with the load report in the given header."""
+    head = ResponseHead(lowercase_headers(event))
+    for name, value in head.headers:
         if name == b"content-length":
-            found.length = int(value)
+            head.length = int(value)
         elif name == b"transfer-encoding":
-            found.chunked = True
-        elif name == load_header:
-            found.load_report = value
-    return found
+            head.chunked = True
+        elif name == load_report_header:
+            head.load_report = value
+    return head
 
 
 def result_of_failure(event: h11.Response, headers: Headers) -> api.Result:
@@ -75,7 +75,7 @@
     return api.Result.REJECTED if unprocessed else api.Result.ERROR
 
 
-def check_framing(found: ResponseHead) -> None:
+def check_framing(head: ResponseHead) -> None:
     """Check that the body of a response can be forwarded.
 
     Raises
@@ -83,9 +83,9 @@
     h11.RemoteProtocolError
         The head has two framings (RFC 9112, section 6.3), or announces a body that is too long.
     """
-    if found.chunked and found.length is not None:
+    if head.chunked and head.length is not None:
         # If it were streamed, its Content-Length would be forwarded, which the chunked body need not have.
         raise h11.RemoteProtocolError("response has both Content-Length and Transfer-Encoding")
-    if found.length is not None and found.length > MAX_BODY_BYTES:
+    if head.length is not None and head.length > MAX_BODY_BYTES:
         # Such a response could occupy its connections for an unlimited time.
         raise h11.RemoteProtocolError("Content-Length of the response too large")
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -159,9 +159,9 @@
                 fake_discovery.tell()
             else:
                 fake_discovery.tell(other)
-            await node.until(lambda: endpoint.draining is not None)
-            assert endpoint.draining is not None
-            endpoint.draining.cancel()  # simulates a timer that is called late
+            await node.until(lambda: endpoint.drain_timer is not None)
+            assert endpoint.drain_timer is not None
+            endpoint.drain_timer.cancel()  # simulates a timer that is called late
             while node.dispatcher.loop.time() < endpoint.write_cutoff:
                 await asyncio.sleep(0.001)
             barrier.open.set()
--- a/tests/test_departures.py
+++ b/tests/test_client_disconnects.py
@@ -63,7 +63,7 @@
     """Block until the kernel has seen the client's close and the node's last presence check has expired."""
     block_loop_until(lambda: not conn.is_connected())
     (pending,) = node.dispatcher.requests.values()
-    block_loop_until(lambda: time.monotonic_ns() - pending.client_seen > PRESENCE_VALID_NS)
+    block_loop_until(lambda: time.monotonic_ns() - pending.client_seen_at > PRESENCE_VALID_NS)
 
 
 class AbortingServer(StalledServer):
@@ -150,7 +150,7 @@
                 sock.send(b"p" * 2 * HIDDEN_CLOSE_BYTES)
             block_loop_until(lambda: conn.unread_bytes() >= HIDDEN_CLOSE_BYTES)
             (pending,) = node.dispatcher.requests.values()
-            block_loop_until(lambda: time.monotonic_ns() - pending.client_seen > PRESENCE_VALID_NS)
+            block_loop_until(lambda: time.monotonic_ns() - pending.client_seen_at > PRESENCE_VALID_NS)
             for backend in backends:
                 backend.go.set()
             async with asyncio.timeout(LIMIT):
--- a/tests/test_other_customers.py
+++ b/tests/test_other_deployments.py
@@ -182,8 +182,8 @@
                 assert (await node.ask(request(cls))).startswith(b"HTTP/1.1 404 ")
             (endpoint,) = node.dispatcher.pools.endpoints.values()
             node.dispatcher.pools._drain(endpoint)
-            assert endpoint.draining is not None
-            time_left = endpoint.draining.when() - node.dispatcher.loop.time()
+            assert endpoint.drain_timer is not None
+            time_left = endpoint.drain_timer.when() - node.dispatcher.loop.time()
             assert time_left <= DRAIN_GRACE_SHARE * given_["rules"]["drain-grace"] / SECOND + 0.01
 
     asyncio.run(play())
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -14,7 +14,7 @@
 
 from hollybay.proxy.downstream.client_context import ACCEPT_BATCH
 from hollybay.proxy.downstream.connection import ClientConnection
-from hollybay.proxy.downstream.connection_table import SUSPECT_AFTER_S
+from hollybay.proxy.downstream.connection_table import STALE_AFTER_S
 from hollybay.proxy.shutdown import shut_down_gracefully
 from hollybay.proxy.upstream.attempt import UpstreamAttempt
 from hollybay.testbed.loopback import (
@@ -91,20 +91,20 @@
                         assert b" 200 " in await read_response(existing[-1])
                 while len(getattr(clients, phase)) < clients.limit:
                     await asyncio.sleep(0.001)
-            time.sleep(SUSPECT_AFTER_S + 0.01)  # so that they are among the first to be closed
+            time.sleep(STALE_AFTER_S + 0.01)  # so that they are among the first to be closed
             pending = True
-            admit = clients.admit
+            add_connection = clients.add_connection
 
-            def admit_after_requests(conn: ClientConnection) -> None:
+            def add_after_requests(conn: ClientConnection) -> None:
                 nonlocal pending
                 if pending:
                     # The requests arrive when the first new connection is accepted, and are still unread.
                     pending = False
                     for n, sock in enumerate(existing):
                         sock.send(then % n)
-                admit(conn)
+                add_connection(conn)
 
-            clients.admit = admit_after_requests  # type: ignore[method-assign]
+            clients.add_connection = add_after_requests  # type: ignore[method-assign]
             new = [call(node, request(rid=f"c-{n}")) for n in range(2 * ACCEPT_BATCH)]
             responses = await asyncio.gather(*map(read_response, [*existing, *new]))
             assert all(response.startswith((b"HTTP/1.1 200 ", b"HTTP/1.1 503 ")) for response in responses)
--- a/tests/test_streaming_body.py
+++ b/tests/test_streaming_body.py
@@ -71,7 +71,7 @@
     upload.complete()
     if upload.sink is None:
         if upload.is_taken:
-            assert upload.is_spent
+            assert upload.has_dropped_bytes
             return
         upload.attach(ends)
         pulled = b""
@@ -90,7 +90,7 @@
         upload.append(b"x" * 4096)
     assert not ends.reading
     pull_all(upload)
-    assert ends.reading and upload.is_spent
+    assert ends.reading and upload.has_dropped_bytes
 
 
 def test_one_body_retains_no_more_than_its_limit() -> None:
@@ -101,7 +101,7 @@
     assert budget.used == MAX_RETAINED_BYTES
     upload.append(b"x")
     # Nothing was pulled, so the first attempt can still begin.
-    assert budget.used == 0 and not upload.is_spent
+    assert budget.used == 0 and not upload.has_dropped_bytes
 
 
 class BodyRecorder(Listener):
