--- a/hollybay/proxy/request_dispatcher.py
+++ b/hollybay/proxy/request_dispatcher.py
@@ -272,7 +272,7 @@
         if self.discovery is not None:
             self.discovery.fetch()
 
-    # Final answers
+    # Final responses
 
     def _conclude_unanswered(self, request_id: int, counts: list[int]) -> Client | None:
         """Conclude and count a request, and return its client; None if its response has already begun."""
--- a/tests/test_upstream_responses.py
+++ b/tests/test_upstream_responses.py
@@ -169,7 +169,7 @@
 
 
 def test_the_first_bytes_of_a_long_response_are_forwarded_before_its_last(tmp_path: Path) -> None:
-    """From then on, the request no longer counts as in flight at its server, which gets other requests."""
+    """Once streaming has begun, the request no longer counts as in flight at its server."""
 
     async def play() -> None:
         go = asyncio.Event()
