--- a/hollybay/mutation/planted.py
+++ b/hollybay/mutation/planted.py
@@ -293,8 +293,8 @@
     Defect(
         "budget-of-bodies-leaks",
         BODY_BUDGET,
-        "self.used -= self.held.pop(reader, 0)",
-        "self.held.pop(reader, 0)",
+        "self.used -= self.charged.pop(reader, 0)",
+        "self.charged.pop(reader, 0)",
     ),
     Defect(
         "client-left-unnoticed",
--- a/hollybay/proxy/admin_service.py
+++ b/hollybay/proxy/admin_service.py
@@ -185,7 +185,7 @@
             served=counters.served,
             rejected=counters.rejected,
             failed=counters.failed,
-            attempts=self.dispatcher.pools.written,
+            attempts=self.dispatcher.pools.attempts_written,
             in_flight=self.dispatcher.unfinished_requests,
             servers_known=len(self.server_drains.drains.discovered),
             servers_excluded=self.server_drains.drains.count_excluded(self.dispatcher.balancer.avoids),
--- a/hollybay/proxy/downstream/body_budget.py
+++ b/hollybay/proxy/downstream/body_budget.py
@@ -24,7 +24,7 @@
     ----------
     used
         Bytes charged to the budget.
-    held
+    charged
         Bytes charged by each reader, the oldest reader first.
     waiting
         Readers that have paused until there is room.
@@ -33,12 +33,12 @@
     def __init__(self, total: int) -> None:
         self.total = total
         self.used = 0
-        self.held: OrderedDict[BodySource, int] = OrderedDict()
+        self.charged: OrderedDict[BodySource, int] = OrderedDict()
         self.waiting: OrderedDict[BodySource, None] = OrderedDict()
 
     def charge(self, reader: BodySource, size: int) -> bool:
         """Charge bytes that were read; False if the reader must pause reading for now."""
-        self.held[reader] = self.held.get(reader, 0) + size
+        self.charged[reader] = self.charged.get(reader, 0) + size
         self.used += size
         if self._has_room(reader):
             return True
@@ -52,7 +52,7 @@
     def release(self, reader: BodySource) -> None:
         """Release the bytes of a reader, and resume readers that now have room."""
         self.waiting.pop(reader, None)
-        self.used -= self.held.pop(reader, 0)
+        self.used -= self.charged.pop(reader, 0)
         for other in [waiting for waiting in self.waiting if self._has_room(waiting)]:
             del self.waiting[other]
             other.set_reading(True)
@@ -60,4 +60,4 @@
     def _has_room(self, reader: BodySource) -> bool:
         # Room for one maximum-size body is reserved for the oldest reader, which never waits. Otherwise
         # partly read bodies could fill the budget, and none of them would ever complete.
-        return next(iter(self.held)) is reader or self.used < self.total - MAX_HELD_BODY_BYTES
+        return next(iter(self.charged)) is reader or self.used < self.total - MAX_HELD_BODY_BYTES
--- a/hollybay/proxy/upstream/request_sender.py
+++ b/hollybay/proxy/upstream/request_sender.py
@@ -47,7 +47,7 @@
     """Interface of the pools that a connection belongs to, as far as the sender uses it."""
 
     loop: asyncio.AbstractEventLoop
-    written: int
+    attempts_written: int
 
     def pool(self, connection: PooledConnection) -> None:
         """Add an idle connection to the pool of its server."""
@@ -251,5 +251,5 @@
         if attempt.message is not None and attempt.message.streaming_body is not None:
             # The response time of the server counts from the last byte, without the time to send the body.
             attempt.sent_at = system.monotonic_ns()
-        self.owner.written += 1
+        self.owner.attempts_written += 1
         self.endpoint.unwritten_attempts.pop(attempt)
--- a/hollybay/simulation/nodes.py
+++ b/hollybay/simulation/nodes.py
@@ -188,7 +188,7 @@
             "client connections": len(clients.connections),
             "connections to servers": len(dispatcher.pools.connections) + len(dispatcher.pools.opening),
             "bytes of the bodies' budget": clients.body_budget.used,
-            "bodies that wait": len(clients.body_budget.held) + len(clients.body_budget.waiting),
+            "bodies that wait": len(clients.body_budget.charged) + len(clients.body_budget.waiting),
             "bytes of long bodies": clients.streaming_budget.used,
             "requests in flight under the operator's limits": _in_flight(clients),
             "descriptors beyond listener and discovery": max(0, len(self.machine.sockets) - 2),
--- a/tests/golden/build.py
+++ b/tests/golden/build.py
@@ -1140,7 +1140,7 @@
         counters = desk.dispatcher.counters
         counters.served[:], counters.rejected[:], counters.failed[:] = [1, 2], [3, 4], [5, 6]
         counters.reloads_ok, counters.reloads_failed = 11, 12
-        desk.dispatcher.pools.written = 7
+        desk.dispatcher.pools.attempts_written = 7
         desk.dispatcher.unfinished_requests = 8
         return await _spoken(desk, _call_bytes("GET /-/metrics"))
 
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -230,6 +230,6 @@
             asking = [node.ask(request("send", rid=f"r-{n}", body=body)) for n in range(12)]
             responses = await asyncio.gather(*asking)
             assert all(b" 200 " in response for response in responses)
-            assert node.clients.body_budget.used == 0 and not node.clients.body_budget.held
+            assert node.clients.body_budget.used == 0 and not node.clients.body_budget.charged
 
     asyncio.run(play())
