--- a/hollybay/proxy/consensus_setup.py
+++ b/hollybay/proxy/consensus_setup.py
@@ -62,7 +62,7 @@
     if table.address is None and (host in ANY_HOSTS or not port):
         raise ConfigError(f"admin: {host}:{port} is no address of one node, at which others can call it")
     if not config.name or "/" in config.name or config.name.startswith("."):
-        raise ConfigError(f"name: {config.name!r} is no folder name, as the operator file's [accord] needs")
+        raise ConfigError(f"name: {config.name!r} is no name of a folder, which [accord] needs")
     return MemberSettings(
         name=config.name,
         address=table.address or (f"[{host}]:{port}" if ":" in host else f"{host}:{port}"),
--- a/hollybay/proxy/downstream/connection.py
+++ b/hollybay/proxy/downstream/connection.py
@@ -232,7 +232,7 @@
                 if event is h11.NEED_DATA:
                     if self.http.they_are_waiting_for_100_continue:
                         self._write(h11.InformationalResponse(status_code=100, headers=[]))
-                    self._note_unfinished()
+                    self._mark_unfinished()
                     break
                 if type(event) is h11.Request:
                     self._handle_head(event)
@@ -245,7 +245,7 @@
         except h11.RemoteProtocolError as error:
             self._reject_invalid(RequestProblem(error.error_status_hint, str(error)))
 
-    def _note_unfinished(self) -> None:
+    def _mark_unfinished(self) -> None:
         """Move the connection to the unfinished phase once the first byte of a request has arrived."""
         has_begun = self.request is not None or self.http.trailing_data[0]
         if has_begun and self.phase is not self.clients.unfinished:
@@ -327,7 +327,7 @@
         if clients.recent_ids.check_and_add(request.values[b"x-correlation-id"], clients.loop.time()):
             self._reject_invalid(RequestProblem(409, "X-Correlation-Id: another request has it"))
             return
-        if clients.is_full or clients.forwarding_stopped or not request.is_policy_certain:
+        if clients.is_full or clients.forwarding_stopped or not request.is_policy_known:
             clients.dispatcher.counters.rejected[request.class_index] += 1
             self.reject(clients.config.settings.max_retry_after)
             return
--- a/hollybay/proxy/downstream/request.py
+++ b/hollybay/proxy/downstream/request.py
@@ -74,7 +74,7 @@
         Limits under which admission control counts the request as in flight; None if it does not.
     max_body
         Length (bytes) of the longest body that is accepted.
-    is_policy_certain
+    is_policy_known
         Whether the node knows which policy is in force; if not, the request must not be forwarded.
     """
 
@@ -84,7 +84,7 @@
         "counted_limits",
         "event",
         "headers",
-        "is_policy_certain",
+        "is_policy_known",
         "limits",
         "max_body",
         "size",
@@ -103,7 +103,7 @@
         self.limits: EffectiveLimits | None = None
         self.counted_limits: EffectiveLimits | None = None
         self.max_body = MAX_BODY_BYTES
-        self.is_policy_certain = True
+        self.is_policy_known = True
 
     def resolve(
         self, config: Config, admission: AdmissionControl | None, agreement: PolicyAgreement | None
@@ -130,7 +130,7 @@
                 self.event, self.headers, self.values, config, class_index, MAX_BODY_BYTES
             )
         else:
-            self.is_policy_certain = agreement is None or agreement.begin_request()
+            self.is_policy_known = agreement is None or agreement.begin_request()
             class_index, problem = self._resolve_with_policy(config, admission)
         if problem is None and class_index is not None:
             self.class_index = class_index
@@ -145,7 +145,7 @@
         inspected = policy.inspected_headers
         if is_health_check(target):
             return None, self._validate(config, None, MAX_HELD_BODY_BYTES, inspected)
-        if not self.is_policy_certain:
+        if not self.is_policy_known:
             # Validated without a policy; it is rejected once it is complete, and never forwarded.
             class_index = class_index_of(target, config.names)
             return class_index, self._validate(config, class_index, MAX_BODY_BYTES, inspected)
--- a/hollybay/proxy/drain_file.py
+++ b/hollybay/proxy/drain_file.py
@@ -69,7 +69,7 @@
             file.flush()
             os.fsync(file.fileno())
         new_path.rename(self.path)
-        self._note_version()
+        self._update_known_version()
 
     def read_if_changed(self) -> frozenset[str] | None:
         """Read the file if it has changed since the last read or write; None if it has not.
@@ -81,11 +81,11 @@
         DrainFileError
             The content is invalid.
         """
-        if self.path is None or not self._note_version():
+        if self.path is None or not self._update_known_version():
             return None
         return decode_drains(system.read_bytes(self.path))
 
-    def _note_version(self) -> bool:
+    def _update_known_version(self) -> bool:
         """Record the version of the file, and return whether it has changed."""
         if self.path is None:
             return False
--- a/hollybay/proxy/handover.py
+++ b/hollybay/proxy/handover.py
@@ -39,7 +39,7 @@
     Parameters
     ----------
     folder
-        Folder that the processes share; None if there is none, when no other process is known.
+        Folder that the processes share; None if there is none, and other processes are then unknown.
     name
         Name of the node, which is the same in all of its processes.
     """
--- a/hollybay/proxy/upstream/connection.py
+++ b/hollybay/proxy/upstream/connection.py
@@ -66,7 +66,7 @@
         The pools that the connection belongs to.
     endpoint
         The server that it is connected to.
-    opened_for
+    first_attempt
         The attempt that it was opened for, and which it carries first.
     sock
         The connected socket.
@@ -93,10 +93,10 @@
     http: h11.Connection
 
     def __init__(
-        self, owner: ConnectionOwner, endpoint: Endpoint, opened_for: UpstreamAttempt, sock: socket.socket
+        self, owner: ConnectionOwner, endpoint: Endpoint, first_attempt: UpstreamAttempt, sock: socket.socket
     ) -> None:
         super().__init__(owner, endpoint, sock)
-        self.opened_for: UpstreamAttempt | None = opened_for
+        self.first_attempt: UpstreamAttempt | None = first_attempt
         self.response: ForwardedResponse | None = None
         self.failure: api.Result | None = None
         self.body_pieces: list[bytes] = []
@@ -112,9 +112,9 @@
         # It moves from `opening` to `connections`: if it were counted in both, a burst of new connections
         # would seem to use up the descriptors.
         self.owner.connections.add(self)
-        if self.opened_for is not None:
-            self.owner.opening.discard(self.opened_for)
-            self.opened_for = None
+        if self.first_attempt is not None:
+            self.owner.opening.discard(self.first_attempt)
+            self.first_attempt = None
 
     def connection_lost(self, _exc: Exception | None) -> None:
         """Remove the connection from its pools, and end the attempt that it carries, if any."""
@@ -297,7 +297,7 @@
         self.attempt = attempt.connection = None
         if reusable:
             self.state = next_state(self.state, _RESPONSE_COMPLETED)
-            self.owner.pool(self)
+            self.owner.add_idle(self)
         else:
             self.close()
         attempt.end(self.failure or api.Result.OK, response)
--- a/hollybay/proxy/upstream/pools.py
+++ b/hollybay/proxy/upstream/pools.py
@@ -110,7 +110,7 @@
         endpoint.unwritten_attempts[attempt] = None
         connection = self._pick_idle(endpoint)
         if connection is not None:
-            self.unpool(connection)
+            self.remove_idle(connection)
             connection.stop_timer()
             connection.begin(attempt)
             return
@@ -185,7 +185,7 @@
         else:
             connection.begin(attempt)
 
-    def pool(self, connection: PooledConnection) -> None:
+    def add_idle(self, connection: PooledConnection) -> None:
         """Add an idle connection to the pool of its server, or close it if the server drains."""
         if connection.endpoint.drain_timer is not None:
             connection.close()
@@ -209,7 +209,7 @@
         if self.idle_since:
             self.sweep_timer = self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
 
-    def unpool(self, connection: PooledConnection) -> None:
+    def remove_idle(self, connection: PooledConnection) -> None:
         """Remove a connection from the pool, if it is there."""
         if connection in self.idle_since:
             del self.idle_since[connection]
@@ -217,7 +217,7 @@
 
     def connection_closed(self, connection: ServerConnection) -> None:
         """Remove a connection that is closed."""
-        self.unpool(connection)
+        self.remove_idle(connection)
         self.connections.discard(connection)
 
     def close_idle(self, server: api.ServerId) -> None:
--- a/hollybay/proxy/upstream/request_sender.py
+++ b/hollybay/proxy/upstream/request_sender.py
@@ -49,10 +49,10 @@
     loop: asyncio.AbstractEventLoop
     attempts_written: int
 
-    def pool(self, connection: PooledConnection) -> None:
+    def add_idle(self, connection: PooledConnection) -> None:
         """Add an idle connection to the pool of its server."""
 
-    def unpool(self, connection: PooledConnection) -> None:
+    def remove_idle(self, connection: PooledConnection) -> None:
         """Remove a connection from the pool, if it is there."""
 
 
@@ -125,7 +125,7 @@
         if self.streaming_body is not None:
             self.streaming_body.detach(self)
             self.streaming_body = None
-        self.owner.unpool(self)
+        self.owner.remove_idle(self)
         self.state = next_state(self.state, UpstreamConnectionEvent.CLOSE_REQUESTED)
         if self.state is not _CLOSED:
             self.transport.abort()
@@ -144,7 +144,7 @@
     def return_unused(self, attempt: UpstreamAttempt) -> None:
         """Return the connection to the pool, and end an attempt of which nothing was written."""
         self.response_ended_at = self.owner.loop.time()
-        self.owner.pool(self)
+        self.owner.add_idle(self)
         attempt.end(api.Result.NOT_SENT)
 
     def _begin_streaming(
@@ -206,7 +206,7 @@
             else:
                 self._write_last_piece()
         elif not self.pieces:
-            self._note_written()
+            self._mark_written()
 
     def settle_time_left(self) -> float:
         """Return for how long (s) arriving bytes may still belong to the last response; <= 0 if settled."""
@@ -242,9 +242,9 @@
             attempt.request_written = False  # the write failed at once
             self._fail()
         elif not self.is_write_buffered:
-            self._note_written()
+            self._mark_written()
 
-    def _note_written(self) -> None:
+    def _mark_written(self) -> None:
         attempt = self.attempt
         if attempt is None or attempt not in self.endpoint.unwritten_attempts or self.transport.is_closing():
             return
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -45,7 +45,7 @@
     cls: str, end: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The server has the complete request, but the event loop has not confirmed the write yet."""
-    monkeypatch.setattr(ServerConnection, "_note_written", lambda conn: None)
+    monkeypatch.setattr(ServerConnection, "_mark_written", lambda conn: None)
     one_cell = [{**c, "group": "cell"} if c["name"] == "book" else c for c in CLASSES]
 
     async def play() -> None:
