--- a/hollybay/proxy/server_drains.py
+++ b/hollybay/proxy/server_drains.py
@@ -101,7 +101,7 @@
         try:
             drained = self.drain_file.read_if_changed()
         except (OSError, DrainFileError) as error:
-            log.error("drain file %s is ignored: %s", self.drain_file.path, error)
+            log.error("drain file %s is ignored, the old drains stay: %s", self.drain_file.path, error)
             return
         if drained is not None:
             self.set_drained(set(drained))
