--- a/hollybay/mutation/planted.py
+++ b/hollybay/mutation/planted.py
@@ -181,7 +181,7 @@
     Defect(
         "broken-stream-seems-whole",
         REQUEST_DISPATCHER,
-        "client.finish_response if is_complete else client.break_off",
+        "client.finish_response if is_complete else client.abort_response",
         "client.finish_response",
     ),
     Defect(
@@ -214,7 +214,7 @@
     Defect(
         "spent-body-sent-again",
         STREAMING_BODY,
-        "return self.is_spent or self.sink is not None",
+        "return self.has_dropped_bytes or self.sink is not None",
         "return self.sink is not None",
     ),
     Defect(
@@ -232,12 +232,10 @@
     Defect(
         "early-answer-taken",
         SERVER_CONNECTION,
-        "        if not attempt.request_written:\n            # Nothing was asked in full yet",
-        "        if False:\n            # Nothing was asked in full yet",
-    ),
-    Defect(
-        "two-framings-taken", RESPONSE_HEAD, "if found.chunked and found.length is not None:", "if False:"
+        "        if not attempt.request_written:\n            # The request was not completely sent yet",
+        "        if False:\n            # The request was not completely sent yet",
     ),
+    Defect("two-framings-taken", RESPONSE_HEAD, "if head.chunked and head.length is not None:", "if False:"),
     Defect(
         "reused-with-bytes-left",
         SERVER_CONNECTION,
@@ -254,8 +252,8 @@
     Defect(
         "descriptor-leaks",
         POOLS,
-        "        except OSError:  # TimeoutError is one, too\n            sock.close()",
-        "        except OSError:  # TimeoutError is one, too\n            pass",
+        "        except OSError:  # includes TimeoutError\n            sock.close()",
+        "        except OSError:  # includes TimeoutError\n            pass",
     ),
     Defect(
         "old-address-kept", POOLS, "if endpoint is not None and endpoint.address != address:", "if False:"
@@ -295,8 +293,8 @@
     Defect(
         "budget-of-bodies-leaks",
         BODY_BUDGET,
-        "self.used -= self.held.pop(reader, 0)",
-        "self.held.pop(reader, 0)",
+        "self.used -= self.charged.pop(reader, 0)",
+        "self.charged.pop(reader, 0)",
     ),
     Defect(
         "client-left-unnoticed",
@@ -314,7 +312,7 @@
     Defect(
         "accept-queue-dropped",
         LISTENER,
-        "            if not self._accept() and not anyway:\n                return False\n",
+        "            if not self._accept() and not force:\n                return False\n",
         "",
     ),
     # Discovery
@@ -327,8 +325,8 @@
     Defect(
         "broken-list-ends-the-watch",
         DISCOVERY,
-        "        except Exception as error:\n            # Whatever",
-        "        except OSError as error:\n            # Whatever",
+        "        except Exception as error:\n            # Any error",
+        "        except OSError as error:\n            # Any error",
     ),
     Defect(
         "failure-ends-the-watch",
--- a/tests/golden/build.py
+++ b/tests/golden/build.py
@@ -1150,7 +1150,7 @@
         counters = endpoint.dispatcher.counters
         counters.served[:], counters.rejected[:], counters.failed[:] = [1, 2], [3, 4], [5, 6]
         counters.reloads_ok, counters.reloads_failed = 11, 12
-        endpoint.dispatcher.pools.written = 7
+        endpoint.dispatcher.pools.attempts_written = 7
         endpoint.dispatcher.unfinished_requests = 8
         return await _roundtrip(endpoint, _request_bytes("GET /-/metrics"))
 
