--- a/hollybay/routing/admission_control.py
+++ b/hollybay/routing/admission_control.py
@@ -1,7 +1,7 @@
 """Admission control: rate limits and limits on requests in flight. Time and random seed come from the caller.
 
 Counters are kept by scope (a route's, class's or tenant's name) and outlive a change of the policy. A request
-is released under the limits that it was admitted under, whatever policy is in force by then.
+is released under the limits that it was admitted under, even if the policy has been replaced since.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 __all__ = ["AdmissionControl"]
 
-# Buckets inspected in search of one to evict, each time that a new key finds the table full.
+# Buckets inspected for eviction when a new key finds the table full.
 EVICTION_CANDIDATES = 4
 
 
@@ -31,9 +31,10 @@
     def __init__(self) -> None:
         self.in_flight = 0
         self.buckets: dict[int, TokenBucket] = {}
-        # Shared by all keys beyond the limit on buckets: otherwise invented keys would evade the rate.
+        # Shared by all keys beyond the limit on buckets: otherwise invented keys
+        # would evade the rate.
         self.overflow_bucket: TokenBucket | None = None
-        # What the buckets are keyed by: the header's name (b"": none), and whether it is the tenant.
+        # The kind of key: the header's name (b"": no header), and whether the key is the tenant.
         self.key_kind: tuple[bytes, bool] = (b"", False)
 
     def bucket(self, rate: Rate, tenant: int, headers: Mapping[bytes, bytes], now: int) -> TokenBucket:
@@ -55,7 +56,7 @@
         return bucket
 
     def _reset(self, key_kind: tuple[bytes, bool]) -> None:
-        """Drop all buckets: tokens saved under keys of one kind mean nothing for another."""
+        """Drop all buckets: tokens counted by one kind of key cannot be carried over to another kind."""
         self.key_kind = key_kind
         self.buckets.clear()
         self.overflow_bucket = None
@@ -63,7 +64,8 @@
     def _evict(self, rate: Rate, now: int) -> None:
         """Make room for a key by dropping full buckets.
 
-        Looks at the few that were inspected longest ago, and moves those that are not full to the end.
+        Inspects up to `EVICTION_CANDIDATES` buckets, those inspected longest ago first; one that is not full
+        moves to the end.
         """
         buckets = self.buckets
         for _ in range(EVICTION_CANDIDATES):
@@ -78,7 +80,7 @@
 def _bucket_key(rate: Rate, tenant: int, headers: Mapping[bytes, bytes]) -> int:
     if rate.tenant:
         return tenant
-    # The hash alone: a header's value may be as long as a request's head.
+    # Only the hash is kept: a header's value may be as long as a request's head.
     return hash(headers.get(rate.header)) if rate.header else 0
 
 
@@ -92,13 +94,14 @@
     seed
         Seed of the jitter in Retry-After.
     max_retry_after
-        The longest Retry-After (ns); 0: no Retry-After is sent.
+        Maximum Retry-After (ns); 0: no Retry-After is sent.
     """
 
     def __init__(self, policy: CompiledPolicy | PolicyIntersection, seed: int, max_retry_after: int) -> None:
         self.policy: CompiledPolicy | PolicyIntersection = policy
         self.has_tenant_limits = policy.has_tenant_limits
-        # Scopes with counters that the policy does not have: those of requests admitted under an earlier one.
+        # Scopes that have counters but are not in the policy in force: requests were admitted under
+        # an earlier policy.
         self.orphaned_scopes: set[str] = set()
         self.random = random.Random(seed)
         self.max_retry_after = max_retry_after
@@ -108,7 +111,7 @@
     def admit(
         self, limits: EffectiveLimits, tenant: int, headers: Mapping[bytes, bytes], now: int
     ) -> int | None:
-        """Admit or reject a request. Limits with components admit it under all of them, or under none.
+        """Admit or reject a request; limits with components admit it under all of them, or under none.
 
         Parameters
         ----------
@@ -124,7 +127,8 @@
         Returns
         -------
         int or None
-            None: admitted, and `release` is owed. Otherwise the Retry-After (ns, 0: none) of the rejection.
+            None: admitted, and the caller must call `release` when the request ends. Otherwise the
+            Retry-After (ns, 0: none) of the rejection.
         """
         if limits.components:
             return self._admit_all(limits.components, tenant, headers, now)
@@ -147,12 +151,13 @@
     def with_tenant_limits(self, limits: EffectiveLimits, name: str) -> EffectiveLimits:
         """Combine a request's limits with those of its tenant; call only where `has_tenant_limits`.
 
-        The tenant's come first: a tenant over its own limits takes nothing from what others share with it.
+        The tenant's limits are checked first, so that a tenant that exceeds them takes nothing from limits
+        that it shares with others.
         """
         tenant = self.policy.tenant_limits(name)
         if not tenant:
             return limits
-        max_in_flight = limits.max_in_flight or max(own.max_in_flight for own in tenant)
+        max_in_flight = limits.max_in_flight or max(limit.max_in_flight for limit in tenant)
         components = (*tenant, *(limits.components or (limits,)))
         return replace(limits, max_in_flight=max_in_flight, components=components)
 
@@ -172,7 +177,7 @@
     def replace_policy(self, policy: CompiledPolicy | PolicyIntersection) -> None:
         """Put another policy in force; counters of scopes that it still has are kept.
 
-        Where it was derived from the one in force, only the scopes removed since are looked at.
+        If the new policy was derived from the one in force, only the scopes removed since are examined.
         """
         removed = _removed_scopes(self.policy, policy)
         if removed is None:
@@ -202,7 +207,7 @@
         return None
 
     def _undo(self, limits: EffectiveLimits, tenant: int, headers: Mapping[bytes, bytes], now: int) -> None:
-        """Revert an admission under these limits, because others reject the request."""
+        """Revert an admission under these limits after other limits rejected the request."""
         rate = limits.rate
         if rate is not None:
             self.counters[limits.scope].bucket(rate, tenant, headers, now).put_back(rate)
@@ -250,7 +255,7 @@
 def _removed_scopes(
     before: CompiledPolicy | PolicyIntersection, after: CompiledPolicy | PolicyIntersection
 ) -> set[str] | None:
-    """Return scopes that may be missing after a change of policy; None: unknown, all must be looked at."""
+    """Return scopes that may be missing after a change of policy; None: unknown, so all must be examined."""
     removed: set[str] = set()
     for old in before.policies():
         known = [new.scopes_removed_since(old) for new in after.policies()]
--- a/hollybay/routing/class_declarations.py
+++ b/hollybay/routing/class_declarations.py
@@ -1,4 +1,4 @@
-"""The operator file's declarations of request classes, and how they agree with the node's settings."""
+"""Request classes as the operator file declares them, and their differences from the node's settings."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 
 EFFECTS = {"safe": api.Effect.SAFE, "keyed": api.Effect.KEYED, "unsafe": api.Effect.UNSAFE}
 DAY = 86_400 * SECOND
-DEFAULT_MAX_ATTEMPTS = 3  # where only the file says what there is
+DEFAULT_MAX_ATTEMPTS = 3  # where only the file defines the classes
 
 
 def declared_settings(tables: OperatorTables) -> api.Settings:
-    """Derive settings from a file alone; a class whose effect it does not declare counts as unsafe."""
+    """Derive settings from a file alone; a class without a declared effect counts as unsafe."""
     classes = tuple(_declared_class(name, table) for name, table in tables.classes.items())
     return api.Settings(classes, max_attempts=DEFAULT_MAX_ATTEMPTS, hedging_allowed=True, max_retry_after=DAY)
 
@@ -38,7 +38,7 @@
 
 
 def declaration_problems(tables: Mapping[str, ClassTable], settings: api.Settings) -> list[FileProblem]:
-    """Return where the declarations of classes differ from the settings.
+    """Return a problem for each difference between the declared classes and the settings.
 
     Parameters
     ----------
@@ -57,27 +57,29 @@
     return problems
 
 
-def _differences(at: str, table: ClassTable, request_class: api.RequestClass) -> Iterator[FileProblem]:
+def _differences(
+    table_name: str, table: ClassTable, request_class: api.RequestClass
+) -> Iterator[FileProblem]:
     """Yield the fields in which a declaration differs from a class of the settings."""
     effect, scope = request_class.effect, request_class.deduplication_scope
     if table.effect is not None and EFFECTS[table.effect] != effect:
-        yield _differs(at, "effect", table.effect, effect.name.lower())
+        yield _differs(table_name, "effect", table.effect, effect.name.lower())
     durations = (
         ("promised", table.promised, request_class.latency_objective),
         ("deadline", table.deadline, request_class.deadline),
     )
     for key, declared, actual in durations:
         if declared is not None and declared != actual:
-            yield _differs(at, key, declared, format_duration(actual))
+            yield _differs(table_name, key, declared, format_duration(actual))
     if table.group is not None and api.DEDUPLICATION_SCOPES[table.group] != scope:
-        yield _differs(at, "group", table.group, scope.name.lower())
+        yield _differs(table_name, "group", table.group, scope.name.lower())
     window = request_class.deduplication_window
     if table.window is not None and table.window != window:
-        yield _differs(at, "window", table.window, format_duration(window))
+        yield _differs(table_name, "window", table.window, format_duration(window))
 
 
-def _differs(at: str, key: str, declared: object, actual: str) -> FileProblem:
-    return FileProblem(at, key, declared, f"the settings say {actual}")
+def _differs(table_name: str, key: str, declared: object, actual: str) -> FileProblem:
+    return FileProblem(table_name, key, declared, f"the settings say {actual}")
 
 
 def quoted_names(names: Mapping[str, object]) -> str:
--- a/hollybay/routing/compiled_policy.py
+++ b/hollybay/routing/compiled_policy.py
@@ -14,23 +14,24 @@
 
 __all__ = ["CLASS_SCOPE", "CompiledPolicy", "Rejection", "Route", "Routes"]
 
-# Prefix of a class's name in the scope of requests that no route matches. Route names have no colon.
+# Prefix of a class's name in the scope of requests that no route matches. Route names contain no colon, so
+# that scopes do not collide.
 CLASS_SCOPE = "class:"
 NO_CLASS = -1
 
 
 @dataclass(frozen=True, slots=True)
 class Rejection:
-    """The answer to a request that the policy does not serve.
+    """The response to a request that the policy rejects.
 
     Attributes
     ----------
     status
         HTTP status code.
     reason
-        The reason that the client is told.
+        The reason, as sent to the client.
     class_index
-        Always negative: tells a rejection from limits without a type check.
+        Always negative, which distinguishes a rejection from limits without a type check.
     """
 
     status: int
@@ -51,9 +52,9 @@
     hosts, methods, pattern, headers
         What the route matches; empty hosts or methods match any.
     class_index
-        The class given to all requests; None: the first segment of the path names it.
+        The class of all requests; None: the first segment of the path names the class.
     limits_by_class
-        Limits by class index, for each class that requests of the route can have.
+        Limits by class index, for each class that requests of the route may be of.
     """
 
     name: str
@@ -88,7 +89,7 @@
     peers, consensus
         The [peers] and [accord] tables of the operator file.
     is_empty
-        Whether nothing is stated of routes, classes, tenants and limits.
+        Whether no routes, classes, tenants, limits or path options are stated.
     tenants
         Limits over all requests of a tenant, by its name.
     """
@@ -127,7 +128,7 @@
     ) -> EffectiveLimits | Rejection | None:
         """Return the limits in force for a request, or its rejection; None: it names no class.
 
-        Runs for every request, so it repeats the steps of `find_route` without calls that can be avoided.
+        Runs for every request, so it repeats the steps of `find_route` inline to save function calls.
 
         Parameters
         ----------
@@ -194,7 +195,7 @@
 
 
 def _request_host(headers: Mapping[bytes, bytes]) -> str:
-    """Return the host that a request names, in lower case, without port and final dot."""
+    """Return the host that a request names, in lower case, without port and trailing dot."""
     host = headers.get(b"host", b"").decode("latin-1").strip().lower()
     if host[-1:].isdigit() and not host.endswith("]"):
         name, colon, port = host.rpartition(":")
--- a/hollybay/routing/explain.py
+++ b/hollybay/routing/explain.py
@@ -1,4 +1,4 @@
-"""Explains what a policy decides for one request: its route, its limits, and the table of each."""
+"""Explains what a policy decides for one request: its route, and its limits with the table of each."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 __all__ = ["Explanation", "LimitLine", "explain_request"]
 
-UNKNOWN_CLASS = Rejection(404, "the path names no class, and no route takes it")
+UNKNOWN_CLASS = Rejection(404, "the path names no class, and no route matches the request")
 
 
 @dataclass(frozen=True, slots=True)
@@ -30,7 +30,7 @@
     Attributes
     ----------
     route
-        The route that matches; None: none.
+        The route that matches; None: no route does.
     class_name
         The request's class; empty if it is rejected.
     variables
@@ -66,9 +66,9 @@
     route, segments = policy.find_route(method, target, headers)
     variables = {}
     if route is not None and segments is not None:
-        positions = [at for at, part in enumerate(route.pattern.segments) if part is None]
+        positions = [position for position, part in enumerate(route.pattern.segments) if part is None]
         names = route.pattern.variable_names
-        variables = {name: segments[at] for name, at in zip(names, positions, strict=True)}
+        variables = {name: segments[position] for name, position in zip(names, positions, strict=True)}
     class_name = next(name for name, index in policy.class_indexes.items() if index == resolved.class_index)
     route_name = route.name if route is not None else None
     return Explanation(route_name, class_name, variables, _limit_lines(resolved.limit_settings))
@@ -95,7 +95,7 @@
 
 
 def _bucket_key(rate: Rate) -> str:
-    """Return what requests share a bucket of a rate by."""
+    """Return what the buckets of a rate are keyed by, as shown to operators."""
     if rate.tenant:
         return "tenant"
     return f"header {rate.header.decode()}" if rate.header else "route"
--- a/hollybay/routing/incremental_policy.py
+++ b/hollybay/routing/incremental_policy.py
@@ -1,6 +1,6 @@
-"""A policy compiled from a state of resources, with the indexes that a change of it needs.
+"""A policy compiled from a state of resources, with the indexes that applying a change needs.
 
-It is a persistent value: `policy_update` derives the next one, which shares with it everything unchanged.
+The policy is immutable: `policy_update` derives the next one, which shares all unchanged parts with it.
 """
 
 from __future__ import annotations
@@ -19,10 +19,10 @@
 from .schema import ClassTable, LimitsTable, PathsTable, TenantTable
 from .tenants import compile_tenant_limits
 
-__all__ = ["MAX_READY_TENANTS", "IncrementalPolicy", "PolicyChange", "StateTenants"]
+__all__ = ["MAX_COMPILED_TENANTS", "IncrementalPolicy", "PolicyChange", "StateTenants"]
 
-# Tenants whose limits are kept compiled; of all others only the resource is held.
-MAX_READY_TENANTS = 4096
+# Tenants whose compiled limits are cached; those of others are compiled from the resource when needed.
+MAX_COMPILED_TENANTS = 4096
 
 
 class PolicyChange(NamedTuple):
@@ -41,7 +41,7 @@
 
 
 class StateTenants:
-    """The tenants of a state; a tenant's table is decoded when its limits are first asked for.
+    """The tenants of a state; a tenant's table is decoded when its limits are first needed.
 
     Parameters
     ----------
@@ -49,35 +49,35 @@
         All resources of the state.
     count
         The number of tenants among them.
-    ready
-        Compiled limits by name and body, so that none is out of date; shared between the policies derived
-        from one another, and bounded by `MAX_READY_TENANTS`.
+    compiled
+        Cache of compiled limits by name and body, so that limits of an outdated body are never returned.
+        Shared between the policies derived from one another, and bounded by `MAX_COMPILED_TENANTS`.
     """
 
-    __slots__ = ("_count", "_resources", "ready")
+    __slots__ = ("_count", "_resources", "compiled")
 
     def __init__(
         self,
         resources: Map[Key, Resource],
         count: int,
-        ready: dict[tuple[str, bytes], EffectiveLimits],
+        compiled: dict[tuple[str, bytes], EffectiveLimits],
     ) -> None:
         self._resources = resources
         self._count = count
-        self.ready = ready
+        self.compiled = compiled
 
     def get(self, name: str, /) -> EffectiveLimits | None:
         """Return the limits of a tenant, if it has any."""
         resource = self._resources.get(Key(Kind.TENANT, name))
         if resource is None:
             return None
-        limits = self.ready.get((name, resource.body))
+        limits = self.compiled.get((name, resource.body))
         if limits is None:
             table = decode_table(resource.key, resource.body, TenantTable)
             limits = compile_tenant_limits(name, table)
-            while len(self.ready) >= MAX_READY_TENANTS:
-                del self.ready[next(iter(self.ready))]
-            self.ready[name, resource.body] = limits
+            while len(self.compiled) >= MAX_COMPILED_TENANTS:
+                del self.compiled[next(iter(self.compiled))]
+            self.compiled[name, resource.body] = limits
         return limits
 
     def __contains__(self, name: object, /) -> bool:
@@ -92,7 +92,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class IncrementalPolicy(CompiledPolicy):
-    """A compiled policy with what it takes to derive the next one.
+    """A compiled policy with the data needed to derive the next one.
 
     Attributes
     ----------
@@ -103,7 +103,7 @@
     header_counts
         By header, the number of routes and classes that inspect it.
     identity
-        Names this policy in the history of later ones.
+        Identifies this policy in the history of later ones.
     history
         The last changes that led to this policy, the oldest first.
     """
--- a/hollybay/routing/limits.py
+++ b/hollybay/routing/limits.py
@@ -1,4 +1,4 @@
-"""Limits of a route for one class: inherited field by field, each with the table that states it."""
+"""Limits of a route for one class, inherited field by field, each with the table that states it."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 # The operator file's key of each limit, by the field's name.
 FILE_KEYS = {limit.name: limit.encode_name for limit in msgspec.structs.fields(LimitsTable)}
-_HEADER_KEY = "header:"  # before the header's name in a rate's `by`
+_HEADER_KEY = "header:"  # prefix of the header's name in a rate's `by`
 
 
 @dataclass(frozen=True, slots=True)
@@ -32,15 +32,15 @@
     Attributes
     ----------
     per_second
-        Tokens added a second; a request takes one.
+        Tokens added per second; a request takes one.
     burst
-        The most tokens that a bucket holds.
+        Maximum number of tokens in a bucket.
     header
-        The header (lower case) whose value requests share a bucket by; empty: none.
+        The header (lower case) whose value is the key of a request's bucket; empty: none.
     tenant
-        Whether requests share a bucket by tenant.
+        Whether the tenant is the key of a request's bucket.
     max_keys
-        Buckets held at most; further keys share one.
+        Maximum number of buckets; all further keys share one.
     """
 
     per_second: float
@@ -88,10 +88,10 @@
     Attributes
     ----------
     scope
-        Under which requests are counted and retry budgets accrue: the route's name, or `class:NAME` where
-        no route matches.
+        The name under which requests are counted and retry budgets accrue: the route's name, or `class:NAME`
+        where no route matches.
     class_index
-        Index of the class in the settings; -1: limits of a tenant, which are of no class.
+        Index of the class in the settings; -1: limits of a tenant, which belong to no class.
     request_timeout
         ns; 0: not limited.
     max_body
@@ -101,11 +101,11 @@
     retry_after
         Bounds (ns) of Retry-After; None: derived from when a token is available.
     balancer_limits
-        The part that the balancer enforces; None: nothing is stated.
+        The limits that the balancer enforces; None: none of them is stated.
     limit_settings
-        What the file states.
+        The limits as the file states them.
     components
-        Limits under each of which a request is counted, in place of this scope.
+        If not empty, a request is counted under each of these limits instead of under `scope`.
     """
 
     scope: str
@@ -141,7 +141,7 @@
 
 
 def _without_table_types(value: object) -> object:
-    """Return a limit's value without the types of the operator file."""
+    """Convert a value of the operator file's tables to the type that `LimitSettings` has."""
     if isinstance(value, RateTable):
         by = value.by
         return Rate(
@@ -157,7 +157,7 @@
 
 
 def effective_limits(scope: str, class_index: int, settings: LimitSettings) -> EffectiveLimits:
-    """Return what checked settings mean for admission and for the balancer."""
+    """Derive the limits for admission and for the balancer from checked settings."""
     balancer_limits = api.Limits(
         attempts=settings.attempts or 0,
         attempt_timeout=settings.attempt_timeout or 0,
--- a/hollybay/routing/matcher.py
+++ b/hollybay/routing/matcher.py
@@ -1,4 +1,4 @@
-"""The compiled matcher: which route a request matches, at a cost that does not grow with their number.
+"""The compiled matcher finds the route of a request, at a cost independent of the number of routes.
 
 Precedence is by specificity, as in the Kubernetes Gateway API, never by order in the file:
 
@@ -8,7 +8,7 @@
 3. a method before none;
 4. more headers before fewer, and of as many the one with more exact values.
 
-Two routes of equal precedence that match one request overlap, and are refused: see `find_overlaps`.
+Two routes of equal precedence that match one request overlap, and are rejected: see `find_overlaps`.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 __all__ = ["HeaderMatch", "Matcher", "Overlap", "RouteMatch", "find_overlaps", "matches", "most_specific"]
 
-# Overlaps reported of one file: they can be as many as there are pairs of routes.
+# Maximum number of overlaps reported for one file: there can be one for each pair of routes.
 MAX_OVERLAPS = 1000
 WILDCARD = "*."
 
@@ -54,12 +54,12 @@
 
 
 class Matcher(Generic[R]):
-    """All routes, compiled: a persistent value. No method changes it or has a side effect.
+    """All routes, compiled. Immutable: methods that add or remove a route return a new matcher.
 
     Parameters
     ----------
     routes
-        The routes; pairs that overlap are listed in `overlaps`. Cost: linear in their number.
+        The routes; pairs that overlap are listed in `overlaps`. Cost: linear in the number of routes.
 
     Attributes
     ----------
@@ -79,13 +79,13 @@
         collector = _OverlapCollector(self.overlaps)
         for route in routes:
             for host in _stated_hosts(route):
-                there = self._routes_at(host, route) or PathRoutes()
-                for other in there.duplicates_of(route):
+                existing = self._routes_at(host, route) or PathRoutes()
+                for other in existing.duplicates_of(route):
                     collector.add(other, route)
-                self._put(host, route, there.with_route(route))
+                self._set_routes_at(host, route, existing.with_route(route))
         for root in self._roots():
-            for there in root.all_routes():
-                for first, second in there.ambiguous_pairs():
+            for routes_of_path in root.all_routes():
+                for first, second in routes_of_path.ambiguous_pairs():
                     collector.add(first, second)
                     if len(self.overlaps) >= MAX_OVERLAPS:
                         return
@@ -115,31 +115,31 @@
         return self.any_host.find(method, segments, headers) if self.any_host is not None else None
 
     def with_route(self, route: R) -> Matcher[R]:
-        """Return a matcher with one more route, which must overlap with none that is there."""
+        """Return a matcher with one more route, which must not overlap with any existing route."""
         after = self._clone()
         for host in _stated_hosts(route):
-            there = after._routes_at(host, route) or PathRoutes()
-            after._put(host, route, there.with_route(route))
+            existing = after._routes_at(host, route) or PathRoutes()
+            after._set_routes_at(host, route, existing.with_route(route))
         return after
 
     def without_route(self, route: R) -> Matcher[R]:
         """Return a matcher without one of its routes."""
         after = self._clone()
         for host in _stated_hosts(route):
-            there = after._routes_at(host, route)
-            if there is not None:
-                after._put(host, route, there.without_route(route))
+            existing = after._routes_at(host, route)
+            if existing is not None:
+                after._set_routes_at(host, route, existing.without_route(route))
         return after
 
     def ambiguous_with(self, route: R) -> Iterator[R]:
         """Yield each route that overlaps with this one, once.
 
-        Looks only at the routes of the hosts and the path of this one.
+        Examines only the routes at the same hosts and path.
         """
         seen: set[int] = set()
         for host in _stated_hosts(route):
-            there = self._routes_at(host, route)
-            for other in there.ambiguous_with(route) if there is not None else ():
+            existing = self._routes_at(host, route)
+            for other in existing.ambiguous_with(route) if existing is not None else ():
                 if id(other) not in seen:
                     seen.add(id(other))
                     yield other
@@ -147,7 +147,7 @@
     def _find_by_wildcard(
         self, method: bytes, host: str, segments: Sequence[str], headers: Mapping[bytes, bytes]
     ) -> R | None:
-        """Return the route of the longest wildcard that has one."""
+        """Return the matching route of the longest wildcard that has one."""
         dot = host.find(".")
         while dot >= 0:
             root = self.wildcard_hosts.get(host[dot + 1 :])
@@ -173,8 +173,8 @@
             return routes_at(self.wildcard_hosts.get(host.removeprefix(WILDCARD)), route.pattern)
         return routes_at(self.exact_hosts.get(host), route.pattern)
 
-    def _put(self, host: str | None, route: R, routes: PathRoutes[R] | None) -> None:
-        """Replace the routes of a host at a route's path, while the matcher is being made."""
+    def _set_routes_at(self, host: str | None, route: R, routes: PathRoutes[R] | None) -> None:
+        """Replace the routes of a host at a route's path; called only while the matcher is being built."""
         if host is None:
             self.any_host = with_routes(self.any_host, route.pattern, routes)
         elif host.startswith(WILDCARD):
@@ -191,7 +191,7 @@
 
 
 def _stated_hosts(route: RouteMatch) -> tuple[str | None, ...]:
-    """Return the hosts of a route, each once; None: it states none."""
+    """Return the hosts of a route, each once; (None,): it states none."""
     return tuple(dict.fromkeys(route.hosts)) or (None,)
 
 
@@ -210,13 +210,13 @@
     return Matcher(routes).overlaps
 
 
-# The reference that tests compare the matcher with: the same precedence, by looking at every route.
+# Reference implementation for tests: the same precedence, found by comparing all routes.
 
 
 def matches(
     route: RouteMatch, method: bytes, host: str, segments: Sequence[str], headers: Mapping[bytes, bytes]
 ) -> bool:
-    """Tell whether a route matches a request, whatever other routes there are."""
+    """Tell whether a route matches a request, regardless of other routes."""
     if route.hosts and not any(_host_matches(pattern, host) for pattern in route.hosts):
         return False
     if route.methods and method not in route.methods:
--- a/hollybay/routing/paths.py
+++ b/hollybay/routing/paths.py
@@ -1,7 +1,7 @@
 """Request paths as segments, and the patterns of routes over them.
 
-A path that servers may read in different ways is refused (see `PathOptions`): the server must serve a request
-under the path that its route was matched by, and the path is forwarded unchanged.
+A path that servers may interpret in different ways is rejected (see `PathOptions`): it is forwarded
+unchanged, and the server must interpret it in the same way as the route was matched.
 """
 
 from __future__ import annotations
@@ -29,11 +29,11 @@
 
 
 class AmbiguousPathError(ValueError):
-    """A path that servers may read in different ways."""
+    """A path that servers may interpret in different ways."""
 
 
 class PatternKind(IntEnum):
-    """How a pattern matches; the higher value is the more specific."""
+    """How a pattern matches; a higher value is more specific."""
 
     PREFIX = 0
     FULL = 1
@@ -41,14 +41,14 @@
 
 @dataclass(frozen=True, slots=True)
 class PathOptions:
-    """What of an ambiguous path is accepted, and kept as it is. Dot segments are always refused.
+    """Which ambiguous paths are accepted, and forwarded unchanged. Dot segments are always rejected.
 
     Attributes
     ----------
     encoded_slash
         Accept %2F and %5C, as part of a segment.
     empty_segments
-        Accept `//`, which has an empty segment; no variable matches it.
+        Accept `//`, which contains an empty segment; no variable matches an empty segment.
     """
 
     encoded_slash: bool = False
@@ -91,7 +91,7 @@
     Raises
     ------
     AmbiguousPathError
-        Servers may read the path in different ways.
+        Servers may interpret the path in different ways.
     """
     if path[:1] != "/":
         return None
@@ -101,7 +101,7 @@
 
 
 def _checked_segments(path: str, options: PathOptions) -> tuple[str, ...]:
-    """Return the segments of a path that has any character to look at closely."""
+    """Return the segments of a path that contains escapes or other characters that may be ambiguous."""
     if _BAD_ESCAPE.search(path):
         raise AmbiguousPathError("an escape in the path that is none")
     if "\\" in path:
@@ -119,7 +119,7 @@
 
 
 def _decode_segment(segment: str, options: PathOptions) -> str:
-    """Decode the escapes of a segment once; those of slashes are kept, in one spelling."""
+    """Decode the escapes of a segment once; escaped slashes are kept, in upper case."""
 
     def decode(found: re.Match[str]) -> str:
         char = chr(int(found[1], 16))
@@ -128,7 +128,7 @@
                 raise AmbiguousPathError("an escaped slash in the path")
             return found[0].upper()
         if char == "%":
-            # Decoded, it could be read as the beginning of another escape.
+            # A decoded % could be taken for the beginning of another escape.
             return "%25"
         if _CONTROL.match(char):
             raise AmbiguousPathError("a control character in the path")
@@ -148,7 +148,7 @@
     Raises
     ------
     ValueError
-        The pattern is not valid; the message is for the operator.
+        The pattern is not valid; the message is shown to the operator.
     """
     segments = _pattern_segments(text)
     if kind == "prefix":
@@ -162,18 +162,18 @@
 
 def _pattern_segments(text: str) -> tuple[str, ...]:
     if not text.startswith("/"):
-        raise ValueError("a path begins with /")
+        raise ValueError("a path must begin with /")
     if any(mark in text for mark in "?#"):
-        raise ValueError("a path has no query and no fragment")
+        raise ValueError("a path must have no query and no fragment")
     if not text.isascii() or _CONTROL.search(text) or " " in text:
-        raise ValueError("a path is of printable ASCII; escape what is not")
+        raise ValueError("a path must be printable ASCII; percent-encode other characters")
     try:
         segments = segments_of(text, PathOptions(encoded_slash=True))
     except AmbiguousPathError as error:
-        raise ValueError(f"{error}: no request with it is taken") from None
+        raise ValueError(f"{error}: requests with such a path are rejected") from None
     assert segments is not None
     if len(segments) > MAX_SEGMENTS:
-        raise ValueError(f"more than {MAX_SEGMENTS} segments")
+        raise ValueError(f"{len(segments)} segments, {MAX_SEGMENTS} at most")
     return segments
 
 
@@ -190,9 +190,9 @@
         else:
             pattern.append(segment)
     if len(set(names)) != len(names):
-        raise ValueError("a variable's name stands twice")
+        raise ValueError("the name of a variable is used twice")
     if not names:
-        raise ValueError("no variable: such a path is an exact one")
+        raise ValueError("no variable: state such a path as `exact`")
     if len(names) > MAX_VARIABLES:
-        raise ValueError(f"more than {MAX_VARIABLES} variables")
+        raise ValueError(f"{len(names)} variables, {MAX_VARIABLES} at most")
     return Pattern(PatternKind.FULL, tuple(pattern), tuple(names), text)
--- a/hollybay/routing/persistent_map.py
+++ b/hollybay/routing/persistent_map.py
@@ -1,4 +1,4 @@
-"""Maps as persistent values: a change returns a new map and leaves the old one as it was.
+"""Persistent maps: a change returns a new map and leaves the old one unchanged.
 
 Small maps are dicts, copied when one changes; larger ones are hash tries, which share structure.
 """
@@ -11,7 +11,8 @@
 
 __all__ = ["MAX_COPIED", "PersistentMap", "with_entry", "without_entry"]
 
-# Entries beyond which a dict becomes a hash trie. A look-up in a dict is faster; copying a large one is not.
+# Maximum number of entries of a dict; larger maps are hash tries. Look-ups in a dict are faster, but copying
+# a large dict is slower.
 MAX_COPIED = 256
 
 K = TypeVar("K")
@@ -34,7 +35,7 @@
     """Return a map without one of its entries."""
     if not isinstance(entries, dict):
         remaining = entries.delete(key)
-        # At half the bound, so that a map near it is not converted again and again.
+        # Converted back only at half the bound, so that a map near the bound does not alternate between both.
         return remaining if len(remaining) > MAX_COPIED // 2 else dict(remaining.items())
     copied = entries.copy()
     del copied[key]
--- a/hollybay/routing/policy_compiler.py
+++ b/hollybay/routing/policy_compiler.py
@@ -1,4 +1,4 @@
-"""Compiles an operator file into a policy. A file with any problem is refused whole."""
+"""Compiles an operator file into a policy. A file with any problem is rejected as a whole."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 __all__ = ["compile_file", "compile_tables", "overlap_problem", "path_options", "unique_problems"]
 
 MAX_TENANT_NAME = 253  # characters
-SHOWN_TENANT_NAME = 64  # characters of an invalid name that are shown
+MAX_SHOWN_TENANT_NAME = 64  # characters of an invalid name in problems
 LEASE_BOUNDS = (500 * MS, 60_000 * MS)
 GRACE_BOUNDS = (1000 * MS, 86_400_000 * MS)
 
@@ -41,7 +41,7 @@
     Parameters
     ----------
     settings
-        The settings that the node runs under; None: those that the file declares of its classes.
+        The settings of the node; None: derived from the classes that the file declares.
     file
         The file's name in errors.
 
@@ -65,9 +65,9 @@
     Parameters
     ----------
     settings
-        The settings that the node runs under; None: those that the file declares of its classes.
+        The settings of the node; None: derived from the classes that the file declares.
     known
-        Problems that reading the file has found already.
+        Problems already found when the file was read.
 
     Raises
     ------
@@ -123,7 +123,7 @@
 
 
 def unique_problems(problems: Sequence[FileProblem]) -> list[FileProblem]:
-    """Return each problem once, though a value of [defaults] is in force for many routes."""
+    """Return each problem once: a value of [defaults] may be in force for many routes."""
     seen: dict[tuple[str, str, str], FileProblem] = {}
     for problem in problems:
         reason = problem.reason.split(" (in force for", 1)[0]
@@ -133,7 +133,7 @@
 
 def _settings_of_file(tables: OperatorTables, file: str, known: Sequence[FileProblem]) -> api.Settings:
     if not tables.classes:
-        no_classes = FileProblem("", "class", None, "declares no class, and no settings say what there is")
+        no_classes = FileProblem("", "class", None, "declares no class, and no settings define classes")
         raise OperatorError(file, [*known, no_classes])
     return declared_settings(tables)
 
@@ -161,10 +161,10 @@
 
 
 def _tenant_problems(tenants: dict[str, TenantTable]) -> Iterator[FileProblem]:
-    reason = "is no name of a tenant: 1 to 253 printable characters"
+    reason = "invalid name of a tenant: must be 1 to 253 printable characters"
     for name in tenants:
         if not 0 < len(name) <= MAX_TENANT_NAME or not name.isprintable():
-            yield FileProblem(f"tenant.{name[:SHOWN_TENANT_NAME]}", "", None, reason)
+            yield FileProblem(f"tenant.{name[:MAX_SHOWN_TENANT_NAME]}", "", None, reason)
 
 
 def _consensus_problems(table: ConsensusTable | None) -> Iterator[FileProblem]:
@@ -173,7 +173,7 @@
         return
     count = len(table.voters)
     if count % 2 == 0:
-        reason = "an even number: with one more, no more may fail"
+        reason = "an even number of voters tolerates no more failures than one voter fewer"
         yield FileProblem("accord", "keepers", count, reason)
     if len(set(table.voters)) < count:
         yield FileProblem("accord", "keepers", table.voters, "one stands twice")
@@ -190,5 +190,8 @@
     """Yield the problems of the [peers] table."""
     if table is None or table.forget >= 2 * table.every:
         return
-    reason = f"is under twice [peers] every ({table.every} ns): one lost datagram would silence a node"
+    reason = (
+        f"must be at least twice [peers] every ({table.every} ns): "
+        "otherwise a report would expire after one lost datagram"
+    )
     yield FileProblem("peers", "forget", table.forget, reason)
--- a/hollybay/routing/policy_intersection.py
+++ b/hollybay/routing/policy_intersection.py
@@ -1,8 +1,8 @@
 """The intersection of two policies, in force while one replaces the other: only what both allow.
 
 Each request is resolved under both policies. It is rejected if either rejects it, or if they give it two
-classes; otherwise the stricter of each pair of limits holds, and it is counted under the limits of both. The
-combined limits of two valid policies are valid: `checks.check_limits` finds no problem in them.
+classes; otherwise the stricter of each pair of limits applies, and it is counted under the limits of both.
+The combined limits of two valid policies are valid: `checks.check_limits` finds no problem in them.
 """
 
 from __future__ import annotations
@@ -19,21 +19,21 @@
 
 __all__ = ["PolicyIntersection", "intersect_limits", "separate_scopes"]
 
-# The status of a request that the two policies give different classes: the change will be over in a moment.
+# Status for a request to which the two policies assign different classes: the change of policy ends shortly.
 CLASS_CONFLICT_STATUS = 503
-# More than any retry budget: stands for the balancer's own, where none is stated.
+# Greater than any retry budget: represents the balancer's default where none is stated.
 UNSTATED_RETRY_BUDGET = 2.0
 
 T = TypeVar("T", int, float)
 
 
 class PolicyIntersection:
-    """Two policies that apply together; offers the methods of `CompiledPolicy` that requests need.
+    """Two policies that apply together, with the methods of `CompiledPolicy` that requests need.
 
     Parameters
     ----------
     first, second
-        The policies; where both reject a request, the answer is that of the first.
+        The policies; where both reject a request, the response is that of the first.
     settings
         The settings that both were compiled for.
     """
@@ -41,15 +41,15 @@
     def __init__(self, first: CompiledPolicy, second: CompiledPolicy, settings: api.Settings) -> None:
         self.first, self.second = first, second
         self.settings = settings
-        # Cost: linear in the number of headers, which are few, and not in the number of routes.
+        # Cost: linear in the number of headers, which are few, rather than in the number of routes.
         self.inspected_headers = (
             first.inspected_headers
             if first.inspected_headers is second.inspected_headers
             else first.inspected_headers | second.inspected_headers
         )
-        self.peers = first.peers  # a change of [peers] takes a restart
+        self.peers = first.peers  # a change of [peers] requires a restart
         self.has_tenant_limits = first.has_tenant_limits or second.has_tenant_limits
-        # Combined limits by the identity of both parts, which live as long as their policies.
+        # Combined limits by the `id` of both parts, which stay alive as long as their policies.
         self._combined: dict[tuple[int, int], EffectiveLimits] = {}
 
     def resolve(
@@ -65,7 +65,7 @@
         if first is None or second is None:
             return None
         if first is second:
-            return first  # the change of policy does not concern it
+            return first  # both policies have the same limits for it
         if first.class_index != second.class_index:
             return Rejection(
                 CLASS_CONFLICT_STATUS, "two policies take it for two classes, and one gives way now"
@@ -98,7 +98,7 @@
 def intersect_limits(
     first: EffectiveLimits, second: EffectiveLimits, request_class: api.RequestClass
 ) -> EffectiveLimits:
-    """Return what both limits allow a request of a class.
+    """Return the combined limits of a request of a class: only what both allow.
 
     Raises
     ------
@@ -108,7 +108,7 @@
     if first.class_index != second.class_index:
         raise ValueError(f"limits of class {first.class_index} and of class {second.class_index}")
     settings = _intersect_settings(first.limit_settings, second.limit_settings, request_class)
-    # Retry budgets accrue by scope, and the stricter one goes on to accrue in its own.
+    # Retry budgets accrue by scope: the stricter budget continues to accrue in its own scope.
     scope = first.scope if _retry_budget(first) <= _retry_budget(second) else second.scope
     combined = effective_limits(scope, first.class_index, settings)
     return replace(combined, components=separate_scopes(first, second))
@@ -117,8 +117,8 @@
 def separate_scopes(first: EffectiveLimits, second: EffectiveLimits) -> tuple[EffectiveLimits, ...]:
     """Return limits in force together, each with a scope of its own, so that a request counts once in each.
 
-    Limits of one scope are merged: the fewer in flight, the lower rate. Rates whose buckets have different
-    keys cannot be compared, and the second is counted in a scope of its own.
+    Limits of one scope are merged into the lower limit in flight and the lower rate. Rates whose buckets have
+    different keys cannot be compared, so the second is counted in a scope of its own.
     """
     if first.scope != second.scope:
         return (first, second)
@@ -151,14 +151,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Attempts:
-    """The stricter limits on attempts of two policies: durations in ns, None: not stated."""
+class _AttemptLimits:
+    """The stricter limits of two policies on attempts. Durations are in ns; None: not stated."""
 
     request_timeout: int | None
     attempt_timeout: int | None
     attempts: int | None
     retry_budget: float | None
-    deduplication_window: int  # in which the duplicate of a keyed request is dropped
+    deduplication_window: int  # within which servers drop duplicates of a keyed request
 
 
 def _intersect_settings(
@@ -182,7 +182,7 @@
         retry_budget=limits.retry_budget,
         body=_lesser(first.body, second.body),
         in_flight=_lesser(first.in_flight, second.in_flight),
-        rate=None,  # each is counted by itself, see EffectiveLimits.components
+        rate=None,  # each rate applies separately, see EffectiveLimits.components
         retry_after=_later_retry_after(first.retry_after, second.retry_after),
         sources={**first.sources, **second.sources},
     )
@@ -193,7 +193,7 @@
     second: LimitSettings,
     request_class: api.RequestClass,
     retry_window: int | None,
-) -> _Attempts:
+) -> _AttemptLimits:
     request_timeout = _lesser(first.request_timeout, second.request_timeout)
     attempt_timeout = _lesser(first.attempt_timeout, second.attempt_timeout)
     if attempt_timeout is not None and request_timeout is not None:
@@ -205,13 +205,13 @@
     window = request_class.retry_window(retry_window)
     is_keyed = request_class.effect == api.Effect.KEYED
     if is_keyed and attempts is not None and attempts > 1 and attempt_timeout:
-        # The last attempt must begin within the window. The two policies together may state more attempts
-        # of longer time-outs than either alone.
+        # The last attempt must begin within the window. Combined, the two policies may state more attempts
+        # with longer time-outs than either does alone.
         attempts = max(1, min(attempts, 1 + (window - 1) // attempt_timeout))
-    return _Attempts(request_timeout, attempt_timeout, attempts, retry_budget, window)
+    return _AttemptLimits(request_timeout, attempt_timeout, attempts, retry_budget, window)
 
 
-def _allows_hedge(limits: _Attempts, hedge_delay: int | None, request_class: api.RequestClass) -> bool:
+def _allows_hedge(limits: _AttemptLimits, hedge_delay: int | None, request_class: api.RequestClass) -> bool:
     """Tell whether a hedge could be sent under these limits."""
     if limits.retry_budget == 0 or (limits.attempts is not None and limits.attempts < 2):
         return False
@@ -233,7 +233,7 @@
 
 
 def _narrower_scope(first: str | None, second: str | None) -> str | None:
-    """Return the scope with fewer servers; one that is not stated does not bind."""
+    """Return the scope with fewer servers; one that is not stated is ignored."""
     scopes = [scope for scope in (first, second) if scope is not None]
     return min(scopes, key=lambda scope: SCOPE_WIDTH[api.DEDUPLICATION_SCOPES[scope]]) if scopes else None
 
@@ -241,21 +241,21 @@
 def _later_retry_after(
     first: tuple[int, int] | None, second: tuple[int, int] | None
 ) -> tuple[int, int] | None:
-    """Return the later bounds (ns) of Retry-After; bounds that are not stated do not bind."""
+    """Return the later bounds (ns) of Retry-After; bounds that are not stated are ignored."""
     if first is None or second is None:
         return second if first is None else first
     return max(first[0], second[0]), max(first[1], second[1])
 
 
 def _lesser(first: T | None, second: T | None) -> T | None:
-    """Return the lesser of two limits; one that is not stated does not bind."""
+    """Return the lesser of two limits; one that is not stated is ignored."""
     if first is None or second is None:
         return second if first is None else first
     return min(first, second)
 
 
 def _greater(first: T | None, second: T | None) -> T | None:
-    """Return the greater of two delays; one that is not stated does not bind."""
+    """Return the greater of two delays; one that is not stated is ignored."""
     if first is None or second is None:
         return second if first is None else first
     return max(first, second)
--- a/hollybay/routing/policy_update.py
+++ b/hollybay/routing/policy_update.py
@@ -1,8 +1,9 @@
 """Derives the policy of a changed state of resources without compiling the whole state.
 
-The routes that changed are compiled, and checked against the routes at their own places. Cost: by the size of
-the change, with two exceptions that follow from inheritance. A change of a class's limits costs by the number
-of routes that serve the class (there is an index of them), one of the defaults by the number of all routes.
+Changed routes are compiled, and checked for overlaps only with routes of the same hosts and path. The cost is
+linear in the size of the change, with two exceptions due to inheritance: for a change of a class's limits it
+is linear in the number of routes that serve the class (there is an index of them), for a change of the
+defaults in the number of all routes.
 """
 
 from __future__ import annotations
@@ -40,9 +41,9 @@
 
 __all__ = ["MAX_PROBLEMS", "update_policy"]
 
-# Problems reported of one change.
+# Maximum number of problems reported for one change.
 MAX_PROBLEMS = 200
-# Bounds on the history of a policy: changes, and scopes removed in them.
+# Bounds on the history of a policy: number of changes, and of scopes removed in them.
 MAX_HISTORY_CHANGES, MAX_HISTORY_SCOPES = 64, 4096
 
 T = TypeVar("T", bound=Table)
@@ -51,7 +52,7 @@
 def update_policy(
     policy: IncrementalPolicy, state: ResourceState, changed: Iterable[Key], settings: api.Settings
 ) -> IncrementalPolicy:
-    """Derive the policy of a changed state; the given policy stays as it is.
+    """Derive the policy of a changed state; the given policy is not modified.
 
     Parameters
     ----------
@@ -67,7 +68,7 @@
     Raises
     ------
     ChangeRejectedError
-        The state is not valid; the problems name resource, field and reason.
+        The state is not valid; each problem names the resource, the field and the reason.
     """
     update = _PolicyUpdate(policy, state, settings)
     update.apply(frozenset(changed))
@@ -75,14 +76,14 @@
 
 
 class _PolicyUpdate:
-    """One change being applied to a policy: apply() first, then build()."""
+    """Applies one change to a policy: call `apply` first, then `build`."""
 
     def __init__(self, policy: IncrementalPolicy, state: ResourceState, settings: api.Settings) -> None:
         self.policy = policy
         self.state = state
         self.settings = settings
         self.invalid_bodies: list[ChangeProblem] = []
-        self.problems: list[FileProblem] = []  # of tables that may not take effect
+        self.problems: list[FileProblem] = []  # in the tables of valid bodies
         self.class_tables = dict(policy.class_tables)
         self.defaults = policy.defaults
         self.paths = policy.paths
@@ -128,7 +129,7 @@
             inspected_headers,
             is_empty=has_default_tables and not has_tables,
             routes_by_name=routes_by_name,
-            tenants=StateTenants(self.state.resources, self.tenant_count, self.policy.tenants.ready),
+            tenants=StateTenants(self.state.resources, self.tenant_count, self.policy.tenants.compiled),
             class_tables=self.class_tables,
             defaults=self.defaults,
             paths=self.paths,
@@ -202,7 +203,7 @@
                 added.append(route)
         for route in added:
             if len(self.problems) > MAX_PROBLEMS:
-                return  # overlaps can be as many as there are pairs of routes
+                return  # there can be one overlap for each pair of routes
             overlapping = list(islice(self.matcher.ambiguous_with(route), MAX_PROBLEMS))
             self.problems += [overlap_problem(other, route) for other in overlapping]
             if not overlapping:
@@ -230,7 +231,7 @@
         for name in sorted(names - replaced):
             old = self.policy.routes_by_name[name]
             table = self._decode(Key(Kind.ROUTE, name), RouteTable)
-            assert table is not None, "the policy has a route that its state has not"
+            assert table is not None, "the policy has a route that is not in its state"
             limits_by_class = dict(old.limits_by_class)
             for index in stale_classes & limits_by_class.keys():
                 limits = compile_route_limits(table, index, self.context, self.problems)
@@ -296,7 +297,7 @@
         return counts, headers
 
     def _build_history(self) -> tuple[PolicyChange, ...]:
-        """Return the last changes, as many as their bounds allow."""
+        """Return the most recent changes, within the bounds on the history."""
         change = PolicyChange(self.policy.identity, tuple(self.removed_scopes))
         history = (*self.policy.history, change)[-MAX_HISTORY_CHANGES:]
         while history and sum(len(change.removed_scopes) for change in history) > MAX_HISTORY_SCOPES:
@@ -305,7 +306,7 @@
 
 
 def _share_limits(route: Route, old: Route) -> Route:
-    """Return a route with the unchanged limits of the old one, or the old one itself if nothing changed."""
+    """Return a route that shares unchanged limits with the old one; the old one itself if nothing changed."""
     if route == old:
         return old
     limits_by_class = {
@@ -320,7 +321,7 @@
 
 
 def _resource_problem(problem: FileProblem) -> ChangeProblem:
-    """Return a problem of a table as one of its resource."""
+    """Convert a problem of a table to a problem of its resource."""
     table = problem.table
     reason = problem.reason_with_value
     if table == "defaults":
@@ -329,7 +330,7 @@
         name = table.removeprefix("class.").removesuffix(".limits")
         field = "limits" if table.endswith(".limits") else ""
         return ChangeProblem(str(Key(Kind.CLASS, name)), _join_fields(field, problem.key), reason)
-    # A route's name has no quotes.
+    # The name of a route contains no quotes.
     _, name, rest = table.split("'", 2)
     field = _join_fields(rest.removeprefix("."), problem.key)
     return ChangeProblem(str(Key(Kind.ROUTE, name)), field, reason)
--- a/hollybay/routing/problems.py
+++ b/hollybay/routing/problems.py
@@ -1,4 +1,4 @@
-"""What is wrong with an operator file."""
+"""Problems of an operator file, and the error that reports them."""
 
 from __future__ import annotations
 
@@ -7,25 +7,25 @@
 
 __all__ = ["FileProblem", "OperatorError"]
 
-# Problems reported of one file.
+# Maximum number of problems reported for one file.
 MAX_PROBLEMS = 200
 MAX_SHOWN_VALUE = 80  # characters
 
 
 @dataclass(frozen=True, slots=True)
 class FileProblem:
-    """One thing that is not valid.
+    """One problem of an operator file.
 
     Attributes
     ----------
     table
-        The table as it stands in the file; empty: the file itself.
+        The table, as the file names it; empty: the file itself.
     key
         The key in the table; empty: the table itself.
     value
         The value stated; None: not shown.
     reason
-        Why it is not valid, for the operator.
+        Why it is not valid; shown to the operator.
     """
 
     table: str
@@ -45,13 +45,13 @@
 
 
 def _format_value(value: object) -> str:
-    """Return a value as problems show it, shortened."""
+    """Return a value as problems show it, truncated if it is long."""
     text = repr(value)
     return text if len(text) <= MAX_SHOWN_VALUE else text[:MAX_SHOWN_VALUE] + "..."
 
 
 class OperatorError(ValueError):
-    """The file is not valid; nothing of it took effect.
+    """The file is not valid; no part of it took effect.
 
     Parameters
     ----------
--- a/hollybay/routing/resource_tables.py
+++ b/hollybay/routing/resource_tables.py
@@ -1,8 +1,8 @@
 """The tables of the operator file as resources: bodies, and the difference between a file and a state.
 
 A body is the MessagePack map of its typed table (`schema`), in canonical form: fields in the order of the
-table, those with their default left out, durations in ns and sizes in bytes. Any other encoding is refused:
-equal tables have equal bytes and digests.
+table, those with their default left out, durations in ns and sizes in bytes. Any other encoding is rejected,
+so that equal tables have equal bytes and digests.
 """
 
 from __future__ import annotations
@@ -42,7 +42,7 @@
 
 DEFAULTS = Key(Kind.DEFAULTS, "")
 PATHS = Key(Kind.PATHS, "")
-# Problems reported of one body.
+# Maximum number of problems reported for one body.
 MAX_PROBLEMS = 50
 
 TABLES: Mapping[Kind, type[Table]] = {
@@ -56,9 +56,9 @@
 
 
 class _Field(NamedTuple):
-    """A field of a table: its attribute, its name in the body, and what makes its default.
+    """A field of a table: its attribute, its name in the body, and a factory of its default.
 
-    A field without a default is always encoded: no value equals its default.
+    A field without a default is always encoded: its factory returns NODEFAULT, which equals no value.
     """
 
     name: str
@@ -109,7 +109,7 @@
     Raises
     ------
     ChangeRejectedError
-        The body is no such table; lists the problems.
+        The body is not a valid table of this kind; lists the problems.
     """
     table_type = TABLES.get(key.kind)
     if table_type is not None:
@@ -125,7 +125,7 @@
     Raises
     ------
     ChangeRejectedError
-        The body is no such table, or is not in canonical form; lists the problems.
+        The body is not a valid table of this type, or not in canonical form; lists the problems.
     """
     if len(body) > MAX_BODY_BYTES:
         raise _rejection(key, "body", f"{len(body)} bytes, {MAX_BODY_BYTES} at most")
@@ -134,9 +134,9 @@
     except (msgspec.DecodeError, RecursionError):
         table = _decode_by_field(key, body, table_type)
     if isinstance(table, RouteTable) and table.name != key.name:
-        raise _rejection(key, "name", f"is {table.name!r}, and the resource's is {key.name!r}")
+        raise _rejection(key, "name", f"is {table.name!r}, but the resource is named {key.name!r}")
     if encode_table(table) != body:
-        _decode_by_field(key, body, table_type)  # may name the field, such as one that is nil
+        _decode_by_field(key, body, table_type)  # names the field where it can, such as one that is nil
         raise _rejection(key, "body", "is not in canonical form")
     return table
 
@@ -147,12 +147,12 @@
 
 @cache
 def _decoder(table_type: type[T]) -> msgspec.msgpack.Decoder[T]:
-    """Return a decoder of valid bodies, which reports only the first error of others."""
+    """Return a fast decoder, which reports only the first error of an invalid body."""
     return msgspec.msgpack.Decoder(table_type)
 
 
 def _decode_by_field(key: Key, body: bytes, table_type: type[T]) -> T:
-    """Return the table of a resource, read field by field.
+    """Return the table of a resource, read field by field to find all errors.
 
     Raises
     ------
@@ -162,7 +162,7 @@
     try:
         data = msgspec.msgpack.decode(body)
     except (msgspec.DecodeError, RecursionError, TypeError, ValueError) as error:
-        raise _rejection(key, "body", f"is no MessagePack: {error}") from None
+        raise _rejection(key, "body", f"is not valid MessagePack: {error}") from None
     table, problems = read_plain(table_type, data)
     if problems or table is None:
         reported = problems[:MAX_PROBLEMS]
@@ -178,12 +178,12 @@
 
 
 def resources_of(tables: OperatorTables) -> dict[Key, bytes]:
-    """Return the bodies of a file's resources, without what concerns the node itself ([peers], [accord]).
+    """Return the bodies of a file's resources, without the tables of the node itself ([peers], [accord]).
 
     Raises
     ------
     ChangeRejectedError
-        Two routes have one name, or a name or table is too long for a resource.
+        Two routes have the same name, or a name or table is too long for a resource.
     """
     found: dict[Key, bytes] = {}
     problems: list[ChangeProblem] = []
@@ -207,7 +207,7 @@
 
 
 def _size_problems(bodies: Mapping[Key, bytes]) -> Iterator[ChangeProblem]:
-    """Yield bodies and names that are too long for a resource."""
+    """Yield a problem for each body or name that is too long for a resource."""
     for key, body in bodies.items():
         if len(body) > MAX_BODY_BYTES:
             yield ChangeProblem(str(key), "body", f"{len(body)} bytes, {MAX_BODY_BYTES} at most")
@@ -216,7 +216,7 @@
 
 
 def tables_of(state: ResourceState) -> OperatorTables:
-    """Return the tables of the file that has these resources, routes sorted by name.
+    """Return the tables of a file equivalent to these resources, with routes sorted by name.
 
     Raises
     ------
@@ -245,7 +245,7 @@
 def operations_between(state: ResourceState, wanted: Mapping[Key, bytes]) -> tuple[Operation, ...]:
     """Return the operations that turn a state into the wanted resources.
 
-    Drained servers are no part of a file, and stay as they are unless they are wanted.
+    Drained servers are not part of a file: they are not deleted where `wanted` leaves them out.
     """
     found: list[Operation] = []
     for key, resource in state.resources.items():
--- a/hollybay/routing/route_compiler.py
+++ b/hollybay/routing/route_compiler.py
@@ -26,7 +26,7 @@
 ]
 
 METHODS = {api.Effect.SAFE: b"GET", api.Effect.KEYED: b"POST", api.Effect.UNSAFE: b"POST"}
-# Headers that frame the message or name its host. Intermediaries may read them differently, so no route
+# Headers that frame the message or name its host. Intermediaries may interpret them differently, so no route
 # matches on them.
 FRAMING_HEADERS = frozenset((b"content-length", b"transfer-encoding", b"connection", b"host"))
 _NO_LIMITS = LimitsTable()
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LimitsContext:
-    """What the limits of a route depend on beside its own table.
+    """Everything that the limits of a route depend on besides its own table.
 
     Attributes
     ----------
@@ -80,9 +80,9 @@
 ) -> EffectiveLimits:
     """Return the limits of a route for requests of a class; problems found are appended."""
     request_class = context.settings.classes[index]
-    at = f"route {table.name!r}.limits"
-    limits = inherit_limits([(at, table.limits), *context.levels(request_class.name)])
-    problems += check_limits(CheckedLimits(at, request_class, limits), context.settings)
+    table_name = f"route {table.name!r}.limits"
+    limits = inherit_limits([(table_name, table.limits), *context.levels(request_class.name)])
+    problems += check_limits(CheckedLimits(table_name, request_class, limits), context.settings)
     return effective_limits(table.name, index, limits)
 
 
@@ -92,15 +92,15 @@
     Returns
     -------
     Route or None
-        None: what it matches is not valid.
+        None: its path or headers are not valid.
     """
-    at = f"route {table.name!r}"
+    table_name = f"route {table.name!r}"
     problems_before = len(problems)
-    pattern = _compile_pattern(table, at, problems)
-    headers = _compile_headers(table.headers, at, problems)
+    pattern = _compile_pattern(table, table_name, problems)
+    headers = _compile_headers(table.headers, table_name, problems)
     if pattern is None or len(problems) > problems_before:
         return None
-    class_index, possible = _route_classes(table, pattern, context.class_indexes, at, problems)
+    class_index, possible = _route_classes(table, pattern, context.class_indexes, table_name, problems)
     limits_by_class: dict[int, EffectiveLimits] = {}
     for index in possible:
         request_class = context.settings.classes[index]
@@ -108,13 +108,15 @@
         if not table.methods or method in table.methods:
             limits_by_class[index] = compile_route_limits(table, index, context, problems)
         elif class_index is not None:
-            reason = f"requests of class {request_class.name!r} come by {method}"
-            problems.append(FileProblem(at, "methods", table.methods, reason))
+            reason = f"requests of class {request_class.name!r} use the method {method}"
+            problems.append(FileProblem(table_name, "methods", table.methods, reason))
     if not limits_by_class and len(problems) == problems_before:
-        problems.append(FileProblem(at, "methods", table.methods, "no class has requests of these methods"))
+        problems.append(
+            FileProblem(table_name, "methods", table.methods, "no class has requests of these methods")
+        )
     return Route(
         table.name,
-        at,
+        table_name,
         tuple(table.hosts or ()),
         tuple(method.encode() for method in table.methods or ()),
         pattern,
@@ -138,36 +140,47 @@
     return names
 
 
-def _compile_pattern(table: RouteTable, at: str, problems: list[FileProblem]) -> Pattern | None:
+def _compile_pattern(table: RouteTable, table_name: str, problems: list[FileProblem]) -> Pattern | None:
     path = table.path
     candidates = (("exact", path.exact), ("prefix", path.prefix), ("template", path.template))
     stated = [(kind, text) for kind, text in candidates if text is not None]
     if len(stated) != 1:
-        problems.append(FileProblem(f"{at}.path", "", None, "one of exact, prefix and template is needed"))
+        problems.append(
+            FileProblem(
+                f"{table_name}.path", "", None, "exactly one of exact, prefix and template is required"
+            )
+        )
         return None
     kind, text = stated[0]
     try:
         return parse_pattern(kind, text)
     except ValueError as error:
-        problems.append(FileProblem(f"{at}.path", kind, text, str(error)))
+        problems.append(FileProblem(f"{table_name}.path", kind, text, str(error)))
         return None
 
 
 def _compile_headers(
-    tables: Sequence[HeaderTable], at: str, problems: list[FileProblem]
+    tables: Sequence[HeaderTable], table_name: str, problems: list[FileProblem]
 ) -> tuple[HeaderMatch, ...]:
     found: dict[bytes, HeaderMatch] = {}
     for table in tables:
-        where = f"{at}.headers {table.name!r}"
+        header_table = f"{table_name}.headers {table.name!r}"
         name = table.name.lower().encode()
         if (table.exact is None) == (table.present is None):
-            problems.append(FileProblem(where, "", None, "one of exact and present is needed"))
+            problems.append(
+                FileProblem(header_table, "", None, "exactly one of exact and present is required")
+            )
         elif name in FRAMING_HEADERS:
             problems.append(
-                FileProblem(where, "name", table.name, "frames the message: match by hosts or paths")
+                FileProblem(
+                    header_table,
+                    "name",
+                    table.name,
+                    "frames the message or names its host, and cannot be matched: use hosts or path",
+                )
             )
         elif name in found:
-            problems.append(FileProblem(where, "name", table.name, "stands twice"))
+            problems.append(FileProblem(header_table, "name", table.name, "is listed twice"))
         else:
             value = None if table.exact is None else table.exact.encode("latin-1")
             found[name] = HeaderMatch(name, value)
@@ -178,29 +191,33 @@
     table: RouteTable,
     pattern: Pattern,
     class_indexes: Mapping[str, int],
-    at: str,
+    table_name: str,
     problems: list[FileProblem],
 ) -> tuple[int | None, list[int]]:
     """Return the class that a route gives its requests (None: the path names it), and all possible ones."""
     first = pattern.segments[0] if pattern.segments else None
     if table.cls is not None:
-        index = _stated_class(table.cls, first, class_indexes, at, problems)
+        index = _stated_class(table.cls, first, class_indexes, table_name, problems)
         return index, [] if index is None else [index]
     if first is None:
         return None, list(class_indexes.values())
     index = class_indexes.get(first)
     if index is None:
         reason = (
-            f"missing: the first part of the path, {first!r}, names no class "
+            f"missing: the first segment of the path, {first!r}, names no class "
             f"(the settings have {quoted_names(class_indexes)})"
         )
-        problems.append(FileProblem(at, "class", None, reason))
+        problems.append(FileProblem(table_name, "class", None, reason))
         return None, []
     return index, [index]
 
 
 def _stated_class(
-    name: str, first: str | None, class_indexes: Mapping[str, int], at: str, problems: list[FileProblem]
+    name: str,
+    first: str | None,
+    class_indexes: Mapping[str, int],
+    table_name: str,
+    problems: list[FileProblem],
 ) -> int | None:
     """Return the class that a route states, unless the first segment of its paths may name another."""
     index = class_indexes.get(name)
@@ -208,12 +225,12 @@
         reason = f"no such class; the settings have {quoted_names(class_indexes)}"
     elif first is None:
         reason = (
-            "the path also takes requests whose first part names another class, which may not be "
-            "repeated as this one: begin the path with a literal part, or leave the class out"
+            "the path also matches requests whose first segment names another class, which may not be "
+            "retried as this one: begin the path with a literal segment, or leave the class out"
         )
     elif class_indexes.get(first, index) != index:
-        reason = f"the path is of class {first!r}"
+        reason = f"the first segment of the path names class {first!r}"
     else:
         return index
-    problems.append(FileProblem(at, "class", name, reason))
+    problems.append(FileProblem(table_name, "class", name, reason))
     return None
--- a/hollybay/routing/route_groups.py
+++ b/hollybay/routing/route_groups.py
@@ -1,4 +1,4 @@
-"""The routes at one path of one host, grouped by what they match beside it: one look-up for each group."""
+"""The routes of one host and path, grouped by what else they match, so that a group takes one look-up."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
 @dataclass(frozen=True, slots=True)
 class HeaderMatch:
-    """A header (lower case) that a request must have, with this value; None: with any."""
+    """A header (lower case) that a request must have, with this value; None: with any value."""
 
     name: bytes
     value: bytes | None = None
 
 
 class RouteMatch(Protocol):
-    """What a route matches; no hosts or methods: any."""
+    """What a route matches."""
 
     @property
     def name(self) -> str:
@@ -31,15 +31,15 @@
 
     @property
     def hosts(self) -> Sequence[str]:
-        """Return the hosts that it takes; empty: all."""
+        """Return the hosts that it matches; empty: all."""
 
     @property
     def methods(self) -> Sequence[bytes]:
-        """Return the methods that it takes; empty: all."""
+        """Return the methods that it matches; empty: all."""
 
     @property
     def pattern(self) -> Pattern:
-        """Return the pattern of its paths."""
+        """Return the pattern of the paths that it matches."""
 
     @property
     def headers(self) -> Sequence[HeaderMatch]:
@@ -50,7 +50,7 @@
 
 
 class _Shape(NamedTuple):
-    """What the routes of a group have in common.
+    """The properties that all routes of a group share.
 
     Attributes
     ----------
@@ -66,13 +66,13 @@
 
     @property
     def rank(self) -> tuple[bool, int, int]:
-        """The precedence of the group; the higher, the more specific."""
+        """The precedence of the group; a higher value is more specific."""
         exact_count = len(self.exact_headers)
         return (self.has_methods, exact_count + len(self.present_headers), exact_count)
 
 
 class _Placement(NamedTuple):
-    """Where a route stands at its path: the shape of its group, and a key for each of its methods."""
+    """Where a route is stored at its path: the shape of its group, and a key for each of its methods."""
 
     shape: _Shape
     keys: tuple[object, ...]
@@ -94,7 +94,7 @@
 
 
 class _Group(Generic[R]):
-    """Routes of one shape, by method and header values; never changed once it is in use."""
+    """Routes of one shape, by method and header values; immutable once it is in use."""
 
     __slots__ = (
         "_indexes",
@@ -113,7 +113,7 @@
         self.has_headers = bool(shape.exact_headers or shape.present_headers)
         self.rank = shape.rank
         self.entries = entries
-        # By the headers that the group shares with another: routes by name, by method and values of these.
+        # For each set of headers shared with another group: routes by name, under method and values of these.
         self._indexes: dict[tuple[bytes, ...], PersistentMap[object, PersistentMap[str, R]]] = _EMPTY
 
     def find(self, method: bytes, headers: Mapping[bytes, bytes]) -> R | None:
@@ -137,7 +137,7 @@
         return group
 
     def without_route(self, route: R, keys: Sequence[object]) -> _Group[R] | None:
-        """Return this group without a route; None: it was the last one."""
+        """Return this group without a route; None: no route is left."""
         entries = self.entries
         for key in keys:
             if entries.get(key) is route:
@@ -153,13 +153,13 @@
     def agreeing_with(self, route: RouteMatch, shared: tuple[bytes, ...]) -> Iterator[R]:
         """Yield routes that have a method and the values of the shared headers in common with another route.
 
-        The first call for some headers builds an index of the whole group, which is kept up from then on.
+        The first call for a set of headers builds an index of the whole group, which changes keep up to date.
         """
         index = self._indexes.get(shared)
         if index is None:
             index = {}
-            for own in self.entries.values():
-                index = self._indexed(index, shared, own)
+            for entry in self.entries.values():
+                index = self._indexed(index, shared, entry)
             self._indexes = {**self._indexes, shared: index}
         for key in self._index_keys(route, shared):
             found = index.get(key)
@@ -185,16 +185,16 @@
     ) -> PersistentMap[object, PersistentMap[str, R]]:
         """Return an index with a route removed."""
         for key in self._index_keys(route, shared):
-            there = index.get(key, _EMPTY)
-            if there.get(route.name) is not route:
+            routes = index.get(key, _EMPTY)
+            if routes.get(route.name) is not route:
                 continue
-            remaining = without_entry(there, route.name)
+            remaining = without_entry(routes, route.name)
             index = with_entry(index, key, remaining) if remaining else without_entry(index, key)
         return index
 
 
 class PathRoutes(Generic[R]):
-    """The routes of one host and path, the most specific groups first; never changed once made."""
+    """The routes of one host and path, the most specific groups first; immutable."""
 
     __slots__ = ("groups",)
 
@@ -213,18 +213,18 @@
         return None
 
     def with_route(self, route: R) -> PathRoutes[R]:
-        """Return these with one more route; it does not replace one that matches the same requests."""
+        """Return these routes and one more, which does not replace a route that matches the same requests."""
         shape, keys = _placement(route)
         for position, group in enumerate(self.groups):
             if group.shape == shape:
                 changed = group.with_route(route, keys)
                 return PathRoutes((*self.groups[:position], changed, *self.groups[position + 1 :]))
         new: _Group[R] = _Group[R](shape, _EMPTY).with_route(route, keys)
-        # The sort is stable: of groups of equal rank, the older one stays first.
+        # The sort is stable: among groups of equal rank, the older one stays first.
         return PathRoutes(tuple(sorted((*self.groups, new), key=lambda group: group.rank, reverse=True)))
 
     def without_route(self, route: R) -> PathRoutes[R] | None:
-        """Return these without a route; None: it was the last one."""
+        """Return these routes without one of them; None: no route is left."""
         shape, keys = _placement(route)
         groups: list[_Group[R]] = []
         for group in self.groups:
@@ -234,20 +234,20 @@
         return PathRoutes(tuple(groups)) if groups else None
 
     def duplicates_of(self, route: R) -> Iterator[R]:
-        """Yield other routes of the same shape and one of the keys of this one."""
+        """Yield other routes of the same shape that share a key with this one."""
         shape, keys = _placement(route)
         for group in self.groups:
             if group.shape != shape:
                 continue
             for key in keys:
-                there = group.entries.get(key)
-                if there is not None and there is not route:
-                    yield there
+                existing = group.entries.get(key)
+                if existing is not None and existing is not route:
+                    yield existing
 
     def ambiguous_with(self, route: R) -> Iterator[R]:
-        """Yield routes of equal precedence that match a request of this one.
+        """Yield routes of equal precedence that match a request which this one matches, too.
 
-        Looks at all groups, and in each only at the routes that agree with this one.
+        Examines all groups, and in each only the routes that agree with this one.
         """
         yield from self.duplicates_of(route)
         shape, _ = _placement(route)
--- a/hollybay/routing/schema.py
+++ b/hollybay/routing/schema.py
@@ -1,7 +1,7 @@
 """The tables of the operator file: docs/OPERATORS-routes.md is the reference.
 
-Their fields are the file's keys. Where a published key is none of the terms of docs/GLOSSARY.md, the field
-has the term, and `name` the key.
+Fields have the names of the file's keys. Where a published key is not a term of docs/GLOSSARY.md, the field
+is named by the term, and `name` gives the key.
 """
 
 from __future__ import annotations
@@ -53,7 +53,7 @@
 
 
 class RateTable(Table, frozen=True):
-    """A rate limit: requests a second in the long run, and the burst that is admitted at once."""
+    """A rate limit: requests per second on average, and the burst that is admitted at once."""
 
     all_or_nothing = True
 
@@ -66,7 +66,7 @@
 
 
 class RetryAfterTable(Table, frozen=True):
-    """Bounds between which Retry-After is chosen at random."""
+    """Bounds within which Retry-After is chosen at random."""
 
     all_or_nothing = True
 
@@ -92,7 +92,7 @@
 
 
 class ClassTable(Table, frozen=True):
-    """A request class: what the operator declares of it, compared with the settings, and its limits."""
+    """A request class: its declared properties, which are compared with the settings, and its limits."""
 
     effect: Literal["safe", "keyed", "unsafe"] | None = None
     promised: Duration | None = None
@@ -125,7 +125,7 @@
 
 
 class PathTable(Table, frozen=True):
-    """How a route matches paths: exactly one of the three is stated."""
+    """How a route matches paths: exactly one of the three keys is stated."""
 
     all_or_nothing = True
 
@@ -135,7 +135,7 @@
 
 
 class HeaderTable(Table, frozen=True):
-    """A header that a request must have, with an exact value or any: one of the two is stated."""
+    """A header that a request must have, with an exact value or any: exactly one of the two is stated."""
 
     all_or_nothing = True
 
@@ -159,7 +159,7 @@
 
 
 class PathsTable(Table, frozen=True):
-    """What of an ambiguous path is rejected, or kept as it is."""
+    """Which ambiguous paths are rejected, and which are accepted and kept unchanged."""
 
     encoded_slash: Literal["reject", "keep"] = "reject"
     empty_segments: Literal["reject", "keep"] = "reject"
@@ -188,7 +188,7 @@
     # Where voters reach this node, if not at its own admin address.
     address: Address | None = msgspec.field(default=None, name="door")
     lease: Duration = 5000 * MS
-    # What the node does after its lease has expired: leave, or serve in a grace under both policies.
+    # What the node does after its lease has expired: leave, or serve under both policies for a grace period.
     after_expiry: Literal["leave", "narrow"] = msgspec.field(default="leave", name="when_unsure")
     grace: Duration = msgspec.field(default=60_000 * MS, name="narrow_for")
 
@@ -225,9 +225,10 @@
 
 
 def read_all(text: str | bytes, file: str = "operator file") -> tuple[OperatorTables, list[FileProblem]]:
-    """Read a file as far as it is valid, so that the rest can still be checked for its meaning.
+    """Read a file as far as it is valid, so that the valid part can be checked further.
 
-    A route is left out where what it matches is not valid; elsewhere an invalid value counts as absent.
+    A route is left out if a key other than its limits is not valid; elsewhere an invalid value counts as
+    absent.
 
     Returns
     -------
@@ -237,6 +238,6 @@
     Raises
     ------
     OperatorError
-        The file is no TOML at all.
+        The file is not valid TOML.
     """
     return read_tables(OperatorTables, text, file)
--- a/hollybay/routing/state_compiler.py
+++ b/hollybay/routing/state_compiler.py
@@ -37,7 +37,7 @@
     Parameters
     ----------
     policy
-        The policy before the first change; it is replaced by that after each valid one.
+        The policy before the first change; the policy after each valid change replaces it.
     settings
         The settings that the policy was compiled for.
     """
--- a/hollybay/routing/tenants.py
+++ b/hollybay/routing/tenants.py
@@ -10,13 +10,14 @@
 
 __all__ = ["NO_TENANTS", "TENANT_SCOPE", "Tenants", "compile_tenant_limits"]
 
-# Prefix of a tenant's name in the scope of its requests. Route names have no colon.
+# Prefix of a tenant's name in the scope of its requests. Route names contain no colon, so that
+# scopes do not collide.
 TENANT_SCOPE = "tenant:"
 NO_CLASS = -1
 
 
 class Tenants(Protocol):
-    """The limits of tenants, by name, as a `Mapping[str, EffectiveLimits]` holds them."""
+    """The limits of tenants by name: the part of `Mapping[str, EffectiveLimits]` that policies need."""
 
     def get(self, name: str, /) -> EffectiveLimits | None:
         """Return the limits of a tenant; None: it has none."""
@@ -30,7 +31,7 @@
 
 
 def compile_tenant_limits(name: str, table: TenantTable) -> EffectiveLimits:
-    """Return the limits of a tenant's table; they are of no class."""
+    """Return the limits of a tenant's table, which belong to no class."""
     limits = table.limits
     rate = None
     if limits.rate is not None:
--- a/hollybay/routing/token_bucket.py
+++ b/hollybay/routing/token_bucket.py
@@ -1,4 +1,4 @@
-"""Token bucket rate limiting. The caller passes the time; nothing here reads a clock."""
+"""Token bucket rate limiting. The caller passes the time; this module reads no clock."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class TokenBucket:
-    """Tokens as of a point in time.
+    """The number of tokens at a point in time.
 
     Parameters
     ----------
@@ -28,7 +28,7 @@
 
     @classmethod
     def full(cls, rate: Rate, now: int) -> TokenBucket:
-        """Create a bucket that holds the whole burst of a rate."""
+        """Create a full bucket, which holds the burst of a rate."""
         return cls(float(rate.burst), now)
 
     def take(self, rate: Rate, now: int) -> int:
@@ -49,10 +49,10 @@
         return max(1, int((1.0 - tokens) * SECOND / rate.per_second))
 
     def put_back(self, rate: Rate) -> None:
-        """Return a token that was taken for a request that is not admitted after all."""
+        """Return a token that was taken for a request that other limits then rejected."""
         self.tokens = min(float(rate.burst), self.tokens + 1.0)
 
     def is_full(self, rate: Rate, now: int) -> bool:
-        """Tell whether the bucket has refilled, so that a new one would behave the same."""
+        """Tell whether the bucket has refilled, so that a new bucket would behave the same."""
         elapsed = max(0, now - self.updated_at)
         return self.tokens + elapsed * rate.per_second / SECOND >= rate.burst
--- a/hollybay/routing/tree.py
+++ b/hollybay/routing/tree.py
@@ -1,6 +1,6 @@
 """The tree of path segments that holds the routes of a host, as a persistent value.
 
-A change makes new nodes along the path that it concerns, and shares all others with the tree before it.
+A change creates new nodes along the path of the changed routes, and shares all other nodes with the old tree.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 class SegmentNode(Generic[R]):
-    """A node of the tree; never changed once made.
+    """A node of the tree; immutable.
 
     Parameters
     ----------
@@ -29,7 +29,7 @@
     variable
         The child node of a variable, which matches any segment that is not empty.
     full
-        Routes whose pattern is the path to this node.
+        Routes whose pattern is exactly the path to this node.
     prefix
         Routes whose pattern is a prefix that ends at this node.
     """
--- a/hollybay/routing/typed_tables.py
+++ b/hollybay/routing/typed_tables.py
@@ -1,6 +1,6 @@
-"""Typed tables of a TOML file, read with all errors at once: each with table, key, value and reason.
+"""Typed tables of a TOML file. All errors are reported at once, each with table, key, value and reason.
 
-Types and bounds are those of msgspec, applied field by field: msgspec itself stops at the first error.
+Types and bounds are those of msgspec, but applied field by field: msgspec itself stops at the first error.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 __all__ = ["Duration", "Size", "Table", "parse_duration", "parse_size", "read_plain", "read_tables"]
 
 MAX_FILE_BYTES = 16 << 20
-MAX_SHOWN_NAME = 64  # characters of a name that are shown
+MAX_SHOWN_NAME = 64  # characters of a name in problems
 
 _DURATION = re.compile(r"(\d{1,9}(?:\.\d{1,6})?)(us|ms|s|min)")
 _DURATION_UNITS = {"us": 1_000, "ms": MS, "s": SECOND, "min": 60 * SECOND}
@@ -37,7 +37,7 @@
     Raises
     ------
     ValueError
-        The text is no duration; the message is for the operator.
+        The text is not a duration; the message is shown to the operator.
     """
     found = _DURATION.fullmatch(text) if isinstance(text, str) else None
     if found is None:
@@ -51,19 +51,19 @@
     Raises
     ------
     ValueError
-        The text is no size; the message is for the operator.
+        The text is not a size; the message is shown to the operator.
     """
     if isinstance(text, int) and not isinstance(text, bool):
         return text
     found = _SIZE.fullmatch(text) if isinstance(text, str) else None
     if found is None:
-        raise ValueError('is no size such as 4096, "16KiB" or "1MiB"')
+        raise ValueError('is not a size such as 4096, "16KiB" or "1MiB"')
     return int(found[1]) * _SIZE_UNITS[found[2]]
 
 
 _PARSERS: dict[str, Callable[[object], int]] = {"duration": parse_duration, "size": parse_size}
 
-# In nanoseconds. A duration of more than a day is taken for a typing error.
+# In nanoseconds. A duration of more than a day is taken for a typing error, and rejected.
 Duration = Annotated[int, msgspec.Meta(ge=MS, le=86_400 * SECOND, extra={"parse": "duration"})]
 # In bytes.
 Size = Annotated[int, msgspec.Meta(ge=0, extra={"parse": "size"})]
@@ -75,7 +75,7 @@
     Attributes
     ----------
     all_or_nothing
-        Whether an invalid value makes the whole table invalid; otherwise it counts as absent.
+        Whether an invalid value makes the whole table invalid; otherwise the value counts as absent.
     """
 
     all_or_nothing: ClassVar[bool] = False
@@ -85,12 +85,12 @@
 
 
 def read_tables(table_type: type[T], text: str | bytes, file: str) -> tuple[T, list[FileProblem]]:
-    """Read a file; what is valid can still be checked for its meaning.
+    """Read a file as far as it is valid, so that the valid part can be checked further.
 
     Parameters
     ----------
     table_type
-        The table that the whole file is; each of its fields needs a default.
+        The type of the file's top-level table; each of its fields needs a default.
     file
         The file's name in errors.
 
@@ -102,14 +102,14 @@
     Raises
     ------
     OperatorError
-        The file is no TOML at all, or too long.
+        The file is not valid TOML, or too long.
     """
     if len(text) > MAX_FILE_BYTES:
         raise OperatorError(file, [FileProblem("", "", None, f"longer than {MAX_FILE_BYTES >> 20} MiB")])
     try:
         data = tomllib.loads(text.decode("utf-8") if isinstance(text, bytes) else text)
     except (ValueError, RecursionError) as error:  # TOML and UTF-8 errors are ValueErrors
-        raise OperatorError(file, [FileProblem("", "", None, f"no TOML: {error}")]) from None
+        raise OperatorError(file, [FileProblem("", "", None, f"not valid TOML: {error}")]) from None
     problems: list[FileProblem] = []
     table = _read_table(table_type, data, "", problems)
     return table if table is not None else table_type(), problems
@@ -121,7 +121,7 @@
     Returns
     -------
     tuple
-        The table (None: it is not valid at all), to be used only without problems; and all problems.
+        The table (None: no part of it is usable), to be used only if there are no problems; and all problems.
     """
     problems: list[FileProblem] = []
     return _read_table(table_type, data, "", problems, has_units=False), problems
@@ -139,7 +139,7 @@
     required
         Whether it has no default.
     has_units
-        Whether durations and sizes are texts with a unit.
+        Whether durations and sizes are strings with a unit.
     """
 
     __slots__ = (
@@ -159,7 +159,7 @@
         self.has_units = has_units
         self.value_type = _without_none(annotation)
         self.parser = _parser_of(self.value_type) if has_units else None
-        # The type of the table, of the values of a table of tables, and of the items of a list of tables.
+        # The types of a table, of the values of a table of tables, and of the items of a list of tables.
         self.table_type = self.value_type if _is_table(self.value_type) else None
         is_dict = typing.get_origin(self.value_type) is dict
         self.values_type = typing.get_args(self.value_type)[1] if is_dict else None
@@ -186,7 +186,7 @@
 ) -> T | None:
     """Read one table; problems found are appended. None: it is not valid."""
     if not isinstance(data, dict):
-        problems.append(FileProblem(table, "", data, "is no table"))
+        problems.append(FileProblem(table, "", data, "is not a table"))
         return None
     fields = _fields_of(table_type, has_units)
     problems += [
@@ -214,7 +214,7 @@
 def _unknown_key(
     table: str, key: object, value: object, fields: Mapping[str, _Field], has_units: bool
 ) -> FileProblem:
-    """Return the problem of a key that no field has, naming the nearest known one in files with units."""
+    """Return the problem of a key that no field has; for operator files it names the nearest known key."""
     if not has_units or not isinstance(key, str):
         shown = key if isinstance(key, str) and key.isprintable() else repr(key)
         return FileProblem(table, shown[:MAX_SHOWN_NAME], value, "unknown field")
@@ -229,12 +229,12 @@
         return _read_table(field.table_type, value, inner, problems, field.has_units)
     if field.values_type is not None:
         if not isinstance(value, dict):
-            problems.append(FileProblem(table, key, value, "is no table of tables"))
+            problems.append(FileProblem(table, key, value, "is not a table of tables"))
             return None
         return _read_dict(field, value, inner, problems)
     if field.item_type is not None:
         if not isinstance(value, list):
-            problems.append(FileProblem(table, key, value, "is no list of tables"))
+            problems.append(FileProblem(table, key, value, "is not a list of tables"))
             return None
         return _read_list(field, value, inner, problems)
     return _read_plain_value(field.value_type, value, table, key, problems, field.parser)
@@ -243,7 +243,7 @@
 def _read_dict(
     field: _Field, data: dict[str, object], table: str, problems: list[FileProblem]
 ) -> dict[str, Any]:
-    """Read a table of tables or of plain values, without those that are not valid."""
+    """Read a table of tables or of plain values, leaving out those that are not valid."""
     read: dict[str, Any] = {}
     for name, item in data.items():
         if field.values_type is not None and _is_table(field.values_type):
@@ -256,7 +256,7 @@
 
 
 def _read_list(field: _Field, data: list[object], table: str, problems: list[FileProblem]) -> list[Any]:
-    """Read a list of tables, without those that are not valid."""
+    """Read a list of tables, leaving out those that are not valid."""
     assert field.item_type is not None
     items = (
         _read_table(field.item_type, item, _item_name(table, number, item), problems, field.has_units)
@@ -273,10 +273,10 @@
     problems: list[FileProblem],
     parser: Callable[[object], int] | None = None,
 ) -> Any:
-    """Read a value that is no table; problems found are appended. None: it is not valid."""
+    """Read a value other than a table; problems found are appended. None: it is not valid."""
     try:
         if isinstance(value, float) and not math.isfinite(value):
-            raise ValueError("is no finite number")
+            raise ValueError("is not a finite number")
         plain = parser(value) if parser is not None else value
         return msgspec.convert(plain, value_type, strict=True)
     except msgspec.ValidationError as error:
@@ -290,7 +290,7 @@
 
 
 def _item_name(table: str, number: int, item: object) -> str:
-    """Return the name of one table of a list: the one that it states, else its number."""
+    """Return the name of one table of a list: the name that it states, or else its number."""
     name = item.get("name") if isinstance(item, Mapping) else None
     return f"{table} {name[:MAX_SHOWN_NAME]!r}" if isinstance(name, str) else f"{table} {number}"
 
@@ -307,7 +307,7 @@
 
 
 def _parser_of(value_type: Any) -> Callable[[object], int] | None:
-    """Return the parser of texts with a unit, for a type that has one."""
+    """Return the parser of strings with a unit, for a type that has one."""
     for meta in typing.get_args(value_type)[1:] if typing.get_origin(value_type) is Annotated else ():
         if isinstance(meta, msgspec.Meta) and meta.extra and "parse" in meta.extra:
             return _PARSERS[meta.extra["parse"]]
@@ -315,7 +315,7 @@
 
 
 def _item_type(value_type: Any) -> type[Table] | None:
-    """Return the type of a list's items where these are tables."""
+    """Return the type of a list's items if they are tables."""
     if typing.get_origin(value_type) is Annotated:
         value_type = typing.get_args(value_type)[0]
     if typing.get_origin(value_type) is not list:
--- a/tests/test_invalid_changes.py
+++ b/tests/test_invalid_changes.py
@@ -1,4 +1,4 @@
-"""Which changes of a batch a node names that it cannot serve: those that do not hold by themselves."""
+"""A node reports which changes of a batch it cannot serve: those that are invalid on their own."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
 
 def change_of(number: int, path: str, cls: str | None = None) -> Change:
-    """A change that creates one route."""
+    """Return a change that creates one route."""
     name = f"r{number}"
     body = encode_table(RouteTable(name=name, cls=cls, path=PathTable(prefix=path)))
     return Change(bytes([number]) * 16, 0, "why", "who", (Upsert(Kind.ROUTE, name, 0, body),))
 
 
 def find_invalid_changes(*changes: Change) -> dict[bytes, list[str]]:
-    """What a node names of a batch on no resources."""
+    """Return the invalid changes of a batch that is based on an empty state, with their reasons."""
     compiled_policies = CompiledPolicies(settings_from_json(settings(1)), lambda: ())
     sealed = EMPTY.with_revision((), 1)
     return asyncio.run(compiled_policies.find_invalid_changes(Entry(FIRST_POLICY, sealed, None, 0), changes))
@@ -43,6 +43,6 @@
 
 
 def test_one_that_does_not_hold_only_beside_another_is_not_named() -> None:
-    """The other one may never be in force."""
+    """The other change may never take effect."""
     assert find_invalid_changes(GOOD, SAME) == {}
     assert set(find_invalid_changes(GOOD, SAME, BAD)) == {BAD.id}
--- a/tests/test_load_reports.py
+++ b/tests/test_load_reports.py
@@ -1,4 +1,4 @@
-"""Load reports between nodes: encoding, validity, exchange over UDP, and what the balancer does with them."""
+"""Load reports between nodes: encoding, expiry, exchange over UDP, and their use by the balancer."""
 
 from __future__ import annotations
 
@@ -89,10 +89,10 @@
     assert remote.receive(report_of(1, 9, 1, s1=2), 0) == {"s-1": 2}
     assert remote.receive(report_of(2, 9, 1, s1=1, s2=4), 0) == {"s-1": 3, "s-2": 4}
     assert remote.receive(report_of(1, 9, 3), 0) == {"s-1": 1}
-    assert remote.receive(report_of(1, 9, 2, s3=7), 0) == {}  # late
-    assert remote.receive(report_of(1, 9, 3, s3=7), 0) == {}  # twice
-    assert remote.receive(report_of(0, 9, 1, s3=7), 0) == {}  # this node's own
-    assert remote.receive(report_of(5, 9, 1, s3=7), 0) == {}  # nobody's
+    assert remote.receive(report_of(1, 9, 2, s3=7), 0) == {}  # out of order
+    assert remote.receive(report_of(1, 9, 3, s3=7), 0) == {}  # duplicate
+    assert remote.receive(report_of(0, 9, 1, s3=7), 0) == {}  # from this node itself
+    assert remote.receive(report_of(5, 9, 1, s3=7), 0) == {}  # from an unknown node
     assert remote.peer_count == 2 and remote.ignored_reports == 4
 
 
@@ -103,7 +103,7 @@
     assert remote.expire(SECOND - 1) == {}
     assert remote.expire(SECOND) == {"s-1": 1}
     assert remote.peer_count == 1
-    # A process that was stopped itself for a minute wakes and knows that all reports it received are old.
+    # A process that was stopped for a minute discards all reports when it continues.
     assert remote.expire(60 * SECOND) == {"s-1": 0}
     assert remote.peer_count == 0 and not remote.total
 
@@ -183,14 +183,14 @@
     found = compile_file(b'[peers]\nevery = "1s"\nforget = "2s"\n', make_settings()).peers
     assert found is not None and (found.every, found.forget) == (SECOND, 2 * SECOND)
     assert compile_file(b"", make_settings()).peers is None
-    with pytest.raises(OperatorError, match=r"\[peers\]: forget = 1500000000: is under twice"):
+    with pytest.raises(OperatorError, match=r"\[peers\]: forget = 1500000000: must be at least twice"):
         compile_file(b'[peers]\nevery = "1s"\n', make_settings())
     with pytest.raises(OperatorError, match="unknown key; the nearest known one is 'every'"):
         compile_file(b'[peers]\nevry = "1s"\n', make_settings())
 
 
 def node_run(folder: Path, operator: str, **changes: object) -> subprocess.CompletedProcess[str]:
-    """The node's own start, with this operator file and configuration."""
+    """Start a node process with this operator file and configuration, and wait until it exits."""
     (folder / "operator.toml").write_text(operator)
     config = {
         "name": "n0",
@@ -241,7 +241,7 @@
     assert subprocess.run([sys.executable, "-c", code], cwd=root, check=False).returncode == 0
 
 
-# The module
+# The balancer
 
 READ = (api.RequestClass("r", api.Effect.SAFE, 1.0, SECOND, 3 * SECOND),)
 
@@ -255,7 +255,7 @@
 def test_a_node_that_hears_the_others_takes_only_servers_that_are_idle_for_all() -> None:
     node = talking()
     node.give(api.PeerLoad({b"s0": 1, b"s1": 2, b"s3": 1}, 39))
-    node.run_to(node.now + SECOND)  # a review: every node takes any idle server now
+    node.run_to(node.now + SECOND)  # a review: every node may now select any idle server
     for rid in range(5):
         node.ask(rid)
         assert node.books[rid].attempts[0].server == b"s2"
@@ -340,7 +340,7 @@
             assert exchange.invalid_datagrams == 6
             exchange.attempt_started("s-1")
             other.settimeout(10)
-            while True:  # the first report may be the one of its start
+            while True:  # the first report may be the one sent at the start
                 report = decode_report(await asyncio.to_thread(other.recv, 300))
                 assert report is not None and report.node == 0
                 if report.in_flight:
--- a/tests/test_resource_plan.py
+++ b/tests/test_resource_plan.py
@@ -1,4 +1,4 @@
-"""A plan that takes changes in is the plan that a whole compile of the result makes, for every request."""
+"""A policy updated by changes equals the policy compiled from the whole resulting state."""
 
 from __future__ import annotations
 
@@ -73,7 +73,7 @@
 TENANTS = ("t0", "t1", "t2")
 T = TypeVar("T")
 
-# Small alphabets, so that routes meet: overlaps, shared places and unsound limits must come up often.
+# Few distinct values, so that overlaps, shared paths and invalid limits occur often.
 rates = st.builds(
     RateTable,
     per_second=st.sampled_from([1.0, 5.0]),
@@ -98,7 +98,7 @@
 
 
 def seldom(usual: st.SearchStrategy[T], odd: st.SearchStrategy[T], of: int = 8) -> st.SearchStrategy[T]:
-    """The odd one once in so many times."""
+    """Draw from the rare strategy once in `of` times."""
     return st.integers(0, of - 1).flatmap(lambda n: odd if n == of - 1 else usual)
 
 
@@ -163,7 +163,7 @@
 
 @st.composite
 def edits(draw: st.DrawFn) -> dict[Key, bytes | None]:
-    """What one change makes of some resources; None: deleted. Now and then a body that holds no table."""
+    """The new bodies of some resources after one change; None: deleted. Some bodies are not valid."""
     wanted: dict[Key, bytes | None] = {}
     for _ in range(draw(st.integers(1, 4))):
         kind = draw(
@@ -200,7 +200,7 @@
 class Ask:
     path: bytes
     method: bytes
-    given: dict[bytes, bytes] = field(default_factory=dict)
+    request_headers: dict[bytes, bytes] = field(default_factory=dict)
 
 
 asks = st.lists(
@@ -233,7 +233,7 @@
 
 
 def operations(state: ResourceState, wanted: dict[Key, bytes | None]) -> tuple[Operation, ...]:
-    """What makes this of a state."""
+    """Return the operations that give a state these bodies."""
     found: list[Operation] = []
     for key, body in wanted.items():
         there = state.resources.get(key)
@@ -251,11 +251,11 @@
 
 
 def answers(plan: CompiledPolicy, questions: list[Ask]) -> list[EffectiveLimits | Rejection | None]:
-    return [plan.resolve(ask.method, ask.path, ask.given) for ask in questions]
+    return [plan.resolve(ask.method, ask.path, ask.request_headers) for ask in questions]
 
 
 def fresh(state: ResourceState) -> CompiledPolicy | list[tuple[str, str]] | None:
-    """The whole compile of a state; where it is refused, what it tells; None: a body holds no table."""
+    """Compile a whole state; return its problems if it is not valid; None: a body is not a valid table."""
     try:
         return compile_tables(tables_of(state), SETTINGS)
     except OperatorError as error:
@@ -269,7 +269,7 @@
 
 
 def resource(table: str) -> str:
-    """The resource of a table of the file, worked out here by itself."""
+    """Return the resource of a table of the file, independently of the code under test."""
     if table.startswith("route "):
         return table.split(".")[0].split("'")[0] + "'" + table.split("'")[1] + "'"
     if table.startswith("class."):
@@ -298,7 +298,7 @@
 def refused_alike(
     problems: tuple[ChangeProblem, ...], told: list[tuple[str, str]], changed: set[str]
 ) -> None:
-    """The same problems; of overlaps at least one, of a pair that the whole compile finds too."""
+    """Both report the same problems; of overlaps, at least one that the full compile reports, too."""
     word = "overlaps route"
     found = {(problem.resource, plain(problem.reason)) for problem in problems if word not in problem.reason}
     assert found == {(resource(table), plain(reason)) for table, reason in told if word not in reason}
@@ -310,7 +310,7 @@
     known = {pair(table, reason) for table, reason in told if word in reason}
     assert pairs <= known and bool(pairs) == bool(known)
     assert all(changed & {f"route {name!r}" for name in names} for names in pairs)
-    # What a problem names is what changed, or what meets it by inheritance.
+    # A problem names a changed resource, or one that is affected by inheritance.
     for problem in problems:
         assert (
             problem.resource in changed
@@ -326,7 +326,7 @@
 
 @pytest.mark.parametrize("copied", [256, 2])
 def test_a_plan_after_changes_is_that_of_a_whole_compile(copied: int) -> None:
-    """copied: entries of the largest container that is a dict."""
+    """copied: the largest number of entries that are held in a dict."""
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(persistent_map, "MAX_COPIED", copied)
         _play_changes()
@@ -363,8 +363,8 @@
             for route in new.routes:
                 for cls, one in route.limits_by_class.items():
                     old = kept.get(route.name, {}).get(cls)
-                    assert one is old or one != old  # what did not change is the same object
-            # The old plan goes on as it was.
+                    assert one is old or one != old  # unchanged limits are the same object
+            # The old policy is not modified.
             assert all(one is two for one, two in zip(before, answers(plan, questions), strict=True)) or any(
                 isinstance(one, Rejection) for one in before
             )
@@ -372,7 +372,7 @@
             state, plan = after, new
 
 
-# Where the gates begin: routes at which requests meet, so that they are in flight when these go.
+# Initial routes, which match many of the requests, so that requests are in flight when a route is deleted.
 FIRST = [
     ("r0", PathTable(prefix="/view")),
     ("r1", PathTable(template="/view/{id}")),
@@ -398,7 +398,7 @@
 
 
 Edit: TypeAlias = dict[Key, bytes | None]
-# An edit applies at once; one to narrow applies together with the policy before it.
+# An edit replaces the policy; an edit marked "narrow" applies in intersection with the policy before it.
 Step: TypeAlias = (
     Edit | tuple[Literal["narrow"], Edit] | tuple[Literal["begin"], Ask, int] | tuple[Literal["done"], int]
 )
@@ -417,23 +417,23 @@
 
 @dataclass
 class Held:
-    """A request in flight: its limits at each gate, and what they were when it began."""
+    """A request in flight: its limits at each admission control, and a copy from its start."""
 
-    one: EffectiveLimits
-    other: EffectiveLimits
-    at_first: EffectiveLimits
+    updated_limits: EffectiveLimits
+    compiled_limits: EffectiveLimits
+    limits_at_start: EffectiveLimits
 
 
 @settings(max_examples=120)
 @given(moves)
 def test_the_gate_counts_as_under_whole_compiles(steps: list[Step]) -> None:
-    """Two gates, one under plans that take changes in and one under whole compiles, count the same."""
+    """Admission control counts the same under updated policies and under policies compiled as a whole."""
     limits = LimitsTable(in_flight=2, rate=RateTable(per_second=1.0, burst=4))
     tenant = (Key(Kind.TENANT, "t0"), TenantTable(limits=TenantLimitsTable(in_flight=3)))
     state = state_of(tenant, *(route(name, path=path, limits=limits) for name, path in FIRST))
     plan = compile_state(state, SETTINGS)
     whole = compile_tables(tables_of(state), SETTINGS)
-    one, other = AdmissionControl(plan, 1, SECOND), AdmissionControl(whole, 1, SECOND)
+    updated, compiled = AdmissionControl(plan, 1, SECOND), AdmissionControl(whole, 1, SECOND)
     held: list[Held] = []
     now = SECOND
     for number, step in enumerate(steps):
@@ -449,46 +449,50 @@
                 continue
             new_whole = compile_tables(tables_of(after), SETTINGS)
             if isinstance(step, dict):
-                one.replace_policy(new)
-                other.replace_policy(new_whole)
+                updated.replace_policy(new)
+                compiled.replace_policy(new_whole)
             else:
-                one.replace_policy(PolicyIntersection(plan, new, SETTINGS))
-                other.replace_policy(PolicyIntersection(whole, new_whole, SETTINGS))
+                updated.replace_policy(PolicyIntersection(plan, new, SETTINGS))
+                compiled.replace_policy(PolicyIntersection(whole, new_whole, SETTINGS))
             state, plan, whole = after, new, new_whole
         elif step[0] == "begin":
             _, ask, tenant_index = step
-            _begin(one, other, ask, tenant_index, now, held)
+            _begin(updated, compiled, ask, tenant_index, now, held)
         elif held:
-            request = held.pop(step[1] % len(held))
-            assert request.one == request.at_first
-            one.release(request.one)
-            other.release(request.other)
-        assert counted(one) == counted(other) and one.rejected == other.rejected
-    for request in held:
-        one.release(request.one)
-        other.release(request.other)
-    one.replace_policy(plan)
-    other.replace_policy(whole)
-    assert counted(one) == counted(other) and one.rejected == other.rejected
-    assert all(plan.has_scope(scope) for scope in {*one.counters, *one.rejected}) and not one.orphaned_scopes
+            ended = held.pop(step[1] % len(held))
+            assert ended.updated_limits == ended.limits_at_start
+            updated.release(ended.updated_limits)
+            compiled.release(ended.compiled_limits)
+        assert counted(updated) == counted(compiled) and updated.rejected == compiled.rejected
+    for ended in held:
+        updated.release(ended.updated_limits)
+        compiled.release(ended.compiled_limits)
+    updated.replace_policy(plan)
+    compiled.replace_policy(whole)
+    assert counted(updated) == counted(compiled) and updated.rejected == compiled.rejected
+    assert (
+        all(plan.has_scope(scope) for scope in {*updated.counters, *updated.rejected})
+        and not updated.orphaned_scopes
+    )
 
 
 def _begin(
-    one: AdmissionControl, other: AdmissionControl, ask: Ask, tenant: int, now: int, held: list[Held]
+    updated: AdmissionControl, compiled: AdmissionControl, ask: Ask, tenant: int, now: int, held: list[Held]
 ) -> None:
-    found = [gate.policy.resolve(ask.method, ask.path, ask.given) for gate in (one, other)]
+    found = [gate.policy.resolve(ask.method, ask.path, ask.request_headers) for gate in (updated, compiled)]
     assert type(found[0]) is type(found[1])
     if not isinstance(found[0], EffectiveLimits) or not isinstance(found[1], EffectiveLimits):
         assert found[0] == found[1]
         return
     under = []
-    for gate, answer in zip((one, other), found, strict=True):
+    for gate, answer in zip((updated, compiled), found, strict=True):
         assert isinstance(answer, EffectiveLimits)
         if gate.has_tenant_limits and tenant >= 0:
             answer = gate.with_tenant_limits(answer, TENANTS[tenant])
         under.append(answer)
     waits = [
-        gate.admit(answer, tenant, ask.given, now) for gate, answer in zip((one, other), under, strict=True)
+        gate.admit(answer, tenant, ask.request_headers, now)
+        for gate, answer in zip((updated, compiled), under, strict=True)
     ]
     assert waits[0] == waits[1]
     if waits[0] is None:
@@ -514,7 +518,7 @@
     bad = change(
         state, 2, {Key(Kind.ROUTE, "c"): encode_table(route("c", path=PathTable(prefix="/view/a"))[1])}
     )
-    # Of a pair of changes that would overlap, the first in the batch is taken.
+    # Of two changes that would overlap, the first in the batch is accepted.
     first = change(
         state, 3, {Key(Kind.ROUTE, "d"): encode_table(route("d", path=PathTable(exact="/view/d"))[1])}
     )
@@ -587,7 +591,7 @@
 
 @pytest.mark.parametrize("count", [200, 2000])
 def test_one_changed_route_makes_few_new_nodes(count: int) -> None:
-    """The cost is told by what is shared, not by time: all routes but one are the same objects."""
+    """The cost is measured by shared objects rather than by time: all routes but one are the same objects."""
     state = state_of(*(route(f"r{n}", path=PathTable(exact=f"/view/x/{n}")) for n in range(count)))
     plan = compile_state(state, SETTINGS)
     key, table = route("r7", path=PathTable(exact="/view/x/7"), limits=LimitsTable(in_flight=2))
@@ -616,8 +620,8 @@
     assert gate.counters["r"].in_flight == 1
     gate.release(begun)
     assert not gate.counters
-    # One whose head came before the change, and whose body came after it, counts until it is over, and what
-    # it leaves goes with the next change.
+    # A request whose head arrived before the change and whose body arrived after it is counted until it ends;
+    # its counters are dropped with the next change.
     assert gate.admit(begun, 0, {}, SECOND) is None and gate.counters["r"].in_flight == 1
     other = change(state, 2, {Key(Kind.TENANT, "t"): encode_table(TenantTable())})
     assert other is not None
@@ -641,11 +645,11 @@
         state = state.with_batch([made], state.revision + 1)
         plans.append(update_policy(plans[-1], state, [key], SETTINGS))
     assert sorted(plans[-1].scopes_removed_since(plans[-4]) or ()) == ["r67", "r68", "r69"]
-    assert plans[-1].scopes_removed_since(plans[0]) is None  # so long ago that nobody knows
+    assert plans[-1].scopes_removed_since(plans[0]) is None  # beyond the bounds on the history
     assert plans[-1].scopes_removed_since(compile_tables(tables_of(state), SETTINGS)) is None
 
 
 def test_tables_are_msgspec_structs_all_the_way() -> None:
-    """Equal tables have equal bodies, whatever objects stand in for their defaults."""
+    """Equal tables have equal bodies, also where a default is stated explicitly."""
     one = RouteTable(name="a", limits=LimitsTable(), path=PathTable(prefix="/"))
     assert encode_table(one) == encode_table(RouteTable(name="a")) == msgspec.msgpack.encode({"name": "a"})
--- a/tests/test_resource_tables.py
+++ b/tests/test_resource_tables.py
@@ -1,4 +1,4 @@
-"""Tables as resources: one spelling for each, every error of a body, a file's difference to a state."""
+"""Tables as resources: canonical bodies, errors of a body, and the difference between a file and a state."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 def problems(key: Key, data: Any) -> list[tuple[str, str]]:
-    """Field and reason of all that is wrong with a body of these plain values."""
+    """Return the field and reason of each problem of a body with these plain values."""
     body = data if isinstance(data, bytes) else msgspec.msgpack.encode(data)
     with pytest.raises(ChangeRejectedError) as caught:
         decode_body(key, body)
@@ -86,15 +86,15 @@
         (ROUTE, b"\xc1", "body"),
         (ROUTE, b"\x80\x80", "body"),
         (ROUTE, b"\x91" * 9000, "body"),
-        (ROUTE, {"name": "a", "limits": {}}, "body"),  # a default that is written down
+        (ROUTE, {"name": "a", "limits": {}}, "body"),  # a default that is stated
         (ROUTE, b"\x82\xa4name\xa1a\xa4name\xa1a", "body"),  # a field twice
-        (ROUTE, b"\x81\xa4name\xd9\x01a", "body"),  # a longer way to write a text
+        (ROUTE, b"\x81\xa4name\xd9\x01a", "body"),  # a longer encoding of a string
         (ROUTE, {"limits": {"in_flight": 1}, "name": "a"}, "body"),  # another order
         (
             ROUTE,
             {"name": "a", "limits": {"rate": {"per_second": 5}}},
             "body",
-        ),  # a whole number for a fraction
+        ),  # an integer for a float
         (ROUTE, {"name": "a", "limits": {"rate": {"per_second": math.nan}}}, "limits.rate.per_second"),
         (ROUTE, {"name": "a", "limits": {"rate": {"per_second": math.inf}}}, "limits.rate.per_second"),
         (ROUTE, {"name": "a", "limits": {"request_timeout": "1s"}}, "limits.request_timeout"),
@@ -113,7 +113,7 @@
 
 
 def check_body(key: Key, body: bytes) -> None:
-    """This body is rejected, or it is the one form of the table that it holds."""
+    """Check that a body is rejected, or is the canonical form of the table that it holds."""
     try:
         table = decode_body(key, body)
     except ChangeRejectedError:
--- a/tests/test_routes_node.py
+++ b/tests/test_routes_node.py
@@ -1,4 +1,4 @@
-"""Routes and limits on a node that runs: sockets, reloads under load, and a tenant that floods."""
+"""Routes and limits on a running node: sockets, reloads under load, and a tenant that floods the node."""
 
 from __future__ import annotations
 
@@ -47,14 +47,14 @@
 
 
 def no_pause() -> None:
-    """Nobody else writes to the file."""
+    """Replace the pause between reads: the file does not change meanwhile."""
 
 
 @asynccontextmanager
 async def routed(
     folder: Path, text: str, *backends: ScriptedServer, **more: object
 ) -> AsyncIterator[tuple[RunningNode, OperatorFile]]:
-    """A node under an operator's file; more: settings that are not the usual ones."""
+    """Run a node with an operator file; more: settings that differ from the defaults."""
     path = folder / "operator.toml"
     path.write_text(text)
     known = settings(caps=CAPS, **more)
@@ -66,7 +66,7 @@
 
 
 async def reloaded(operator: OperatorFile, text: str) -> None:
-    """Replace the file, and wait until the reload is over."""
+    """Replace the file, and wait until the reload has finished."""
     operator.path.write_text(text)
     operator.reload_finished.clear()
     operator.reload()
@@ -103,7 +103,7 @@
                         assert b"connection: close" not in head.lower()
             assert answers == [200, 200] + [429] * 10
             assert len(server.heads) == 2 and operator.admission.rejected == {"class:view": 10}
-            assert b" 200 " in await node.ask(request("send", "s", b"{}"))  # another class is as before
+            assert b" 200 " in await node.ask(request("send", "s", b"{}"))  # another class is not affected
             writer.transport.abort()
 
     asyncio.run(play())
@@ -152,7 +152,7 @@
             assert b" 404 " in await node.ask(post)
             post = post.replace(b"service.internal", b"Eu.Example.:80").replace(b"r-3", b"r-4")
             assert b" 200 " in await node.ask(post)
-            # The method is the class's, as ever.
+            # The method must be that of the class.
             wrong = request("send", "r-5", b"{}").replace(b"/send", b"/venues/7/slots")
             assert b" 404 " in await node.ask(wrong) and len(server.heads) == 2
 
@@ -195,7 +195,7 @@
             assert b" 200 " in await node.ask(get(b"/view/a%2Fb", "r-1"))
             assert b" 200 " in await node.ask(get(b"/view//a", "r-2"))
             assert b" 400 " in await node.ask(get(b"/view/%2e%2e/a", "r-3"))
-            # Two readers could each take another one of the two.
+            # Servers could interpret a repeated header in different ways.
             assert b" 400 " in await node.ask(get(b"/view/a", "r-4", b"X-Plan: gold\r\nX-Plan: tin\r\n"))
             assert b" 200 " in await node.ask(get(b"/view/a", "r-5", b"X-Else: 1\r\nX-Else: 2\r\n"))
 
@@ -245,12 +245,12 @@
         async with routed(tmp_path, text, *servers) as (node, _):
             loop = asyncio.get_running_loop()
             begun = loop.time()
-            # The first attempt meets silence, the second an answer.
+            # The first attempt gets no response, the second gets one.
             assert b" 200 " in await node.ask(request(rid="r-1"))
-            # The loop counts in ms, and a difference of such times can be a last bit short.
+            # The loop's clock has a resolution of 1 ms, and a difference of its times may be a bit too small.
             assert 0.1 <= round(loop.time() - begun, 6) < 4.0 and asked == 2
             begun = loop.time()
-            # It may have run: it fails, in time, and is not sent again.
+            # The request may have run: it fails within its time-out, and is not retried.
             assert b" 502 " in await node.ask(request("send", "r-2", b"{}"))
             assert 0.14 <= loop.time() - begun < 4.0 and asked == 3
 
@@ -266,7 +266,7 @@
 
         async def script(head: bytes, writer: asyncio.StreamWriter) -> None:
             await go.wait()
-            writer.transport.abort()  # it may have run
+            writer.transport.abort()  # the request may have run
 
         servers = [ScriptedServer("s-1", script), ScriptedServer("s-2", script)]
 
@@ -278,7 +278,7 @@
             while not heads(b"old"):
                 await asyncio.sleep(0)
             await reloaded(operator, file(2, 1))
-            # What began before counts under the new number, too.
+            # Requests admitted before count under the new limit, too.
             assert b" 429 " in await node.ask(request(rid="over"))
             await reloaded(operator, file(2, 2))
             new = asyncio.ensure_future(node.ask(request(rid="new")))
@@ -299,8 +299,8 @@
     async def play() -> None:
         async with routed(tmp_path, good % 1, ScriptedServer("s-1")) as (node, operator):
             plan = operator.admission.policy
-            for bad in ("[class.send.limits]\nattempts = 2", (good % 1)[:-3], "\x00", "[class.nobody]"):
-                await reloaded(operator, bad)
+            for invalid in ("[class.send.limits]\nattempts = 2", (good % 1)[:-3], "\x00", "[class.nobody]"):
+                await reloaded(operator, invalid)
                 assert operator.admission.policy is plan
             operator.path.unlink()
             operator.reload_finished.clear()
@@ -312,7 +312,7 @@
             assert b" 429 " in await node.ask(request(rid="r-2"))
             await reloaded(operator, "")
             assert b" 200 " in await node.ask(request(rid="r-3"))
-            # Asked for many times at once, the file is read for the last of them.
+            # Of many reloads requested at once, at most two read the file.
             operator.reload_finished.clear()
             for _ in range(50):
                 operator.reload()
@@ -368,7 +368,7 @@
                 heads = [await ask(b"/view/a" if n % 2 else b"/view", name, f"r-{n}") for n in range(6)]
                 assert [status(head) for head in heads] == [200, 200, 429, 429, 429, 429]
                 assert all(b"retry-after: " in head.lower() for head in heads[2:])
-                # Who is not among the node's tenants counts under no tenant's limits, whatever it says.
+                # An account that is not among the node's tenants counts under no tenant's limits.
                 others = [status(await ask(b"/view", "nobody", f"o-{n}")) for n in range(4)]
             assert others == [200] * 4 and len(server.heads) == 6
             assert operator.admission.rejected == {f"tenant:{name}": 4}
@@ -382,7 +382,7 @@
 def test_a_file_that_is_being_written_is_read_when_it_is_whole(tmp_path: Path) -> None:
     whole = "[class.view.limits]\nin_flight = 7\n[class.send.limits]\nin_flight = 8\n"
     path = tmp_path / "operator.toml"
-    halves = [whole[:37], whole[:60]]  # each by itself is a sound file
+    halves = [whole[:37], whole[:60]]  # each is a valid file
 
     def write() -> None:
         path.write_text(halves.pop(0) if halves else whole)
@@ -390,9 +390,9 @@
     write()
     write_config(tmp_path / "c.json", _told(FakeDiscovery()))
     config = load({"BALANCER_CONFIG": str(tmp_path / "c.json")})
-    plan = OperatorFile(str(path), config.settings, 1, write).admission.policy
-    assert isinstance(plan, CompiledPolicy)
-    assert [limits.max_in_flight for limits in plan.class_limits] == [7, 8, 0]
+    policy = OperatorFile(str(path), config.settings, 1, write).admission.policy
+    assert isinstance(policy, CompiledPolicy)
+    assert [limits.max_in_flight for limits in policy.class_limits] == [7, 8, 0]
     numbers = iter(range(1000))
 
     def scribble() -> None:
@@ -484,7 +484,7 @@
             operator.write_text("")
             os.kill(os.getpid(), signal.SIGHUP)
             n = 2
-            while await answer(n) != 200:  # the reload goes on beside the requests
+            while await answer(n) != 200:  # the reload runs concurrently with the requests
                 n += 1
             writer.transport.abort()
             os.kill(os.getpid(), signal.SIGTERM)
@@ -497,7 +497,7 @@
 
 @asynccontextmanager
 async def hosted(folder: Path, scene: Scene, text: str) -> AsyncIterator[tuple[int, OperatorFile]]:
-    """A node in this process in a scene, under an operator's file; its port."""
+    """Run a node of a scene in this process with an operator file; yield its port and the file."""
     await scene.start()
     (folder / "c.json").write_text(json.dumps(scene.config()))
     (folder / "operator.toml").write_text(text)
@@ -520,7 +520,7 @@
 
 
 def test_reloads_in_a_surge_every_second_one_unsafe_or_half_written(tmp_path: Path) -> None:
-    """The ledger's four rules over a surge with a reload at every turn, and every good file in force."""
+    """Under overload and continuous reloads, the ledger's four rules hold and valid files take effect."""
     chance = random.Random(5)
 
     def good(n: int) -> str:
@@ -548,17 +548,17 @@
             turns = 0
             while not surge.done():
                 turns += 1
-                held = operator.admission.policy
+                policy_before = operator.admission.policy
                 if turns % 2:
                     await reloaded(operator, bad[turns // 2 % len(bad)](turns))
-                    assert operator.admission.policy is held
+                    assert operator.admission.policy is policy_before
                 else:
                     await reloaded(operator, good(turns))
                     policy = operator.admission.policy
-                    assert policy is not held
+                    assert policy is not policy_before
                     assert isinstance(policy, CompiledPolicy)
                     assert policy.class_limits[0].max_in_flight == 20 + turns
-                await asyncio.sleep(0.01)  # the servers and clients of the scene live on this loop, too
+                await asyncio.sleep(0.01)  # the servers and clients of the scene run on this loop, too
             await surge
             callers.close()
             assert turns > 20
@@ -587,7 +587,7 @@
             RequestMix(2, b"/book-venue/1", 0.5, ("island-singers",)),
         ]
         async with hosted(tmp_path, scene, text) as (port, operator):
-            # The flood alone is several times what ten servers can do.
+            # The flood alone is several times the capacity of ten servers.
             flooding = LoadGenerator(scene.ledger, [port], flood, rate=500.0, seed=1, prefix="flood")
             usual = LoadGenerator(scene.ledger, [port], others, rate=30.0, seed=2, prefix="usual")
             await asyncio.gather(flooding.run(2.5), usual.run(2.5))
--- a/tests/test_routing_admission_control.py
+++ b/tests/test_routing_admission_control.py
@@ -1,4 +1,4 @@
-"""Admission: buckets, their number, requests in flight, and what outlives a reload, on the test's time."""
+"""Admission control: token buckets and their number, requests in flight, and what survives a reload."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 def ask(
     gate: AdmissionControl, now: int, tenant: int = 0, path: bytes = b"/view", key: bytes | None = None
 ) -> int | None:
-    """When a request may be sent again (ns), None: it is admitted; key: its header X-Key."""
+    """Return the Retry-After (ns) of a request, None if it is admitted; key: the value of its X-Key."""
     headers = {} if key is None else {b"x-key": key}
     return gate.admit(limits_of(gate, path), tenant, headers, now)
 
@@ -49,7 +49,7 @@
     assert admitted(gate, SECOND, 20) == 5
     assert admitted(gate, SECOND + 99 * MS, 5) == 0
     assert admitted(gate, SECOND + 100 * MS, 5) == 1
-    assert admitted(gate, 2 * SECOND + 100 * MS, 20) == 5  # it saves up no more than its burst
+    assert admitted(gate, 2 * SECOND + 100 * MS, 20) == 5  # no more tokens than the burst are saved
     assert gate.rejected["class:view"] == 15 + 5 + 4 + 15
 
 
@@ -85,16 +85,16 @@
     gate = gate_of("rate = { per_second = 1, burst = 2, by = 'header:X-Key' }")
     found = [ask(gate, SECOND, key=key) is None for key in (b"a", b"a", b"a", b"b")]
     assert found == [True, True, False, True]
-    assert admitted(gate, SECOND, 5) == 2  # without the header: one bucket for all of these
+    assert admitted(gate, SECOND, 5) == 2  # all requests without the header share one bucket
 
 
 def test_made_up_keys_get_no_more_than_the_known_ones_and_no_memory() -> None:
     gate = gate_of("rate = { per_second = 1, burst = 2, by = 'header:X-Key', most_keys = 10 }")
     let_in = sum(ask(gate, SECOND, key=b"k%d" % n) is None for n in range(1000))
-    # Ten apart, and the others share one bucket.
+    # Ten keys have a bucket each, and all others share one.
     assert let_in == 10 + 2
     assert len(gate.counters["class:view"].buckets) == 10
-    # Who is known keeps a bucket; after a second those that have filled up again make room.
+    # A known key keeps its bucket; after a second, buckets that are full again are evicted.
     assert ask(gate, SECOND, key=b"k3") is None
     assert sum(ask(gate, 4 * SECOND, key=b"n%d" % n) is None for n in range(1000)) == 10 + 2
     assert len(gate.counters["class:view"].buckets) == 10
@@ -128,7 +128,7 @@
     told = {ask(gate, SECOND) for _ in range(200)}
     assert all(after is not None and SECOND <= after <= 3 * SECOND for after in told)
     assert len(told) > 100 and max(filter(None, told)) - min(filter(None, told)) > SECOND
-    # Where nothing is said: not before there is a token, and within what the platform allows.
+    # Without stated bounds: not before a token is available, and within what the platform allows.
     gate = gate_of("rate = {per_second = 0.4, burst = 1}")
     ask(gate, SECOND)
     told = {ask(gate, SECOND) for _ in range(200)}
@@ -151,15 +151,15 @@
     begun = limits_of(gate, b"/view/x")
     assert admitted(gate, SECOND, 9, path=b"/view/x") == 5
     gate.replace_policy(compile_file(file(5, 9), SETTINGS))
-    assert admitted(gate, SECOND, 9, path=b"/view/x") == 0  # not five more
+    assert admitted(gate, SECOND, 9, path=b"/view/x") == 0  # the bucket is not filled again
     gate.replace_policy(compile_file(file(3, 9), SETTINGS))
-    assert admitted(gate, 100 * SECOND, 9, path=b"/view/x") == 3  # the new burst
+    assert admitted(gate, 100 * SECOND, 9, path=b"/view/x") == 3  # the new burst applies
     assert gate.counters["r"].in_flight == 8
     gate.replace_policy(compile_file(file(3, 8), SETTINGS))
-    assert ask(gate, 200 * SECOND, path=b"/view/x") is not None  # eight are in flight still
+    assert ask(gate, 200 * SECOND, path=b"/view/x") is not None  # eight requests are still in flight
     gate.release(begun)
     assert ask(gate, 200 * SECOND, path=b"/view/x") is None
-    # A route that is gone is forgotten with the last request that began under it.
+    # The counters of a removed route are dropped with the last request that was admitted under it.
     gate.replace_policy(compile_file("", SETTINGS))
     assert list(gate.counters) == ["r"] and gate.rejected == {}
     for _ in range(8):
--- a/tests/test_routing_file.py
+++ b/tests/test_routing_file.py
@@ -1,4 +1,4 @@
-"""The operator's file: its form, its meaning against the four rules, and ten thousand unsafe ones."""
+"""The operator file: its syntax, its checks against the four rules, and ten thousand unsafe files."""
 
 from __future__ import annotations
 
@@ -55,7 +55,7 @@
     return compile_file(text, known, "f.toml")
 
 
-def problems(text: str, known: api.Settings | None = SETTINGS) -> list[str]:
+def problems_of(text: str, known: api.Settings | None = SETTINGS) -> list[str]:
     with pytest.raises(OperatorError) as caught:
         plan(text, known)
     assert all(line.startswith("f.toml: ") for line in str(caught.value).splitlines())
@@ -63,7 +63,7 @@
 
 
 def only(text: str, known: api.Settings | None = SETTINGS) -> str:
-    (problem,) = problems(text, known)
+    (problem,) = problems_of(text, known)
     return problem
 
 
@@ -123,7 +123,7 @@
 
 
 def test_every_problem_is_told_at_once_with_table_key_value_and_reason() -> None:
-    found = problems(
+    found = problems_of(
         """
         colour = "red"
         [defaults]
@@ -153,29 +153,29 @@
         "colour = 'red': unknown key; the nearest known one is 'accord'",
         "[defaults]: request_timout = '1s': unknown key; the nearest known one is 'request_timeout'",
         "[defaults]: attempts = 0: expected `int` >= 1",
-        "[defaults]: body = '64 kilo': is no size",
+        "[defaults]: body = '64 kilo': is not a size",
         "[class.view.limits]: attempt_timeout = '1s': longer than the 200ms within which",
         "[class.send.limits]: attempts = 2: permits a repeat: class 'send' must never run twice",
-        "[class.send.limits.rate]: per_second = inf: is no finite number",
+        "[class.send.limits.rate]: per_second = inf: is not a finite number",
         "[route 1]: name: missing",
         "[route 'a b']: name = 'a b': expected `str` matching regex",
-        "[route 'n'.path]: one of exact, prefix and template is needed",
+        "[route 'n'.path]: exactly one of exact, prefix and template is required",
         "[route 'm'.headers 'content-length']: name = 'content-length': frames the message",
-        "[route 'm'.headers 'x']: one of exact and present is needed",
+        "[route 'm'.headers 'x']: exactly one of exact and present is required",
     ]:
         assert any(part in line for line in found), (part, found)
     assert len(found) == 12
 
 
-# What may not take effect, and the words of its reason. Each is one slip in an otherwise sound file.
+# Files with one error each, and a part of its reason.
 UNSOUND: list[tuple[str, str]] = [
     ("[class.send.limits]\nattempts = 2", "permits a repeat"),
-    ("[class.send.limits]\ncopies = 1", "permits a second copy"),
+    ("[class.send.limits]\ncopies = 1", "permits a hedge"),
     ("[class.send.limits]\nrepeat_window = '1s'", "permits a repeat"),
-    ("[class.send.limits]\ncopy_delay = '1s'", "no copy to delay"),
+    ("[class.send.limits]\ncopy_delay = '1s'", "no hedge to delay"),
     ("[defaults]\nattempts = 2", "permits a repeat"),
     ("[[route]]\nname = 'r'\npath.prefix = '/send'\nlimits.attempts = 3", "permits a repeat"),
-    ("[[route]]\nname = 'r'\npath.template = '/{any}/x'\nlimits.copies = 1", "permits a second copy"),
+    ("[[route]]\nname = 'r'\npath.template = '/{any}/x'\nlimits.copies = 1", "permits a hedge"),
     ("[class.book.limits]\nrepeat_window = '5s'", "past its window of 4s"),
     ("[class.book.limits]\nrepeat_group = 'zone'", "outside its cell"),
     ("[class.tag.limits]\nrepeat_group = 'all'", "outside its zone"),
@@ -184,24 +184,24 @@
     ("[class.book.limits]\nrepeat_window='1s'\nattempts=2\nattempt_timeout='1.2s'", "past the window of 1s"),
     ("[class.view.limits]\nattempt_timeout = '201ms'", "is promised (rule 1)"),
     ("[class.view.limits]\nrequest_timeout = '501ms'", "clients of 'view' wait"),
-    ("[class.view.limits]\nattempts = 4", "the platform allows 3"),
+    ("[class.view.limits]\nattempts = 4", "the platform allows 3 at most"),
     ("[class.view.limits]\nbody = '33MiB'", "33554432 bytes at most"),
     ("[class.view.limits]\nretry_after = { least = '1s', most = '6s' }", "allows 5s at most"),
     ("[class.view.limits]\nretry_after = { least = '2s', most = '1s' }", "least is more than most"),
     ("[class.view.limits]\nattempt_timeout = '150ms'\nrequest_timeout = '100ms'", "for all attempts"),
-    ("[class.view.limits]\nattempts = 1\ncopies = 1", "only one is allowed"),
-    ("[class.view.limits]\nretry_budget = 0\ncopies = 1", "a retry_budget of 0 allows none"),
-    ("[class.view.limits]\nretry_budget = 0\nattempts = 2", "a retry_budget of 0 allows one"),
+    ("[class.view.limits]\nattempts = 1\ncopies = 1", "only one attempt is allowed"),
+    ("[class.view.limits]\nretry_budget = 0\ncopies = 1", "a retry_budget of 0 allows no hedges"),
+    ("[class.view.limits]\nretry_budget = 0\nattempts = 2", "a retry_budget of 0 allows only one attempt"),
     ("[class.view.limits]\ncopies = 0\ncopy_delay = '50ms'", "copies is 0"),
-    ("[class.view.limits]\nattempt_timeout = '100ms'\ncopy_delay = '100ms'", "no copy would go"),
-    ("[class.view.limits]\nrepeat_group = 'cell'", "nothing to narrow"),
+    ("[class.view.limits]\nattempt_timeout = '100ms'\ncopy_delay = '100ms'", "no hedge would be sent"),
+    ("[class.view.limits]\nrepeat_group = 'cell'", "nothing to restrict"),
     ("[class.view]\neffect = 'unsafe'", "the settings say safe"),
     ("[class.book]\nwindow = '5s'", "the settings say 4s"),
     ("[class.views]", "no such class"),
     ("[[route]]\nname = 'r'\npath.exact = '/other'", "names no class"),
-    ("[[route]]\nname = 'r'\nclass = 'view'\npath.prefix = '/'", "may not be repeated as this one"),
-    ("[[route]]\nname = 'r'\nclass = 'view'\npath.exact = '/send/x'", "the path is of class 'send'"),
-    ("[[route]]\nname = 'r'\nclass = 'view'\npath.exact = '/x'\nmethods = ['POST']", "come by GET"),
+    ("[[route]]\nname = 'r'\nclass = 'view'\npath.prefix = '/'", "may not be retried as this one"),
+    ("[[route]]\nname = 'r'\nclass = 'view'\npath.exact = '/send/x'", "path names class 'send'"),
+    ("[[route]]\nname = 'r'\nclass = 'view'\npath.exact = '/x'\nmethods = ['POST']", "use the method GET"),
     ("[[route]]\nname = 'r'\nmethods = ['PUT']", "no class has requests"),
     ("[[route]]\nname = 'r'\n[[route]]\nname = 'r'\npath.prefix = '/view'", "another route has it"),
     ("[[route]]\nname = 'r'\nhosts = ['a..b']", "matching regex"),
@@ -210,16 +210,16 @@
     ("[class.view.limits]\nrate = { per_second = 1, by = 'client' }", "matching regex"),
     ("[class.view.limits]\nattempt_timeout = 200", "is no duration"),
     ("[class.view.limits]\nattempts = true", "got `bool`"),
-    ("[class]\nview = 3", "is no table"),
-    ("route = 3", "is no list of tables"),
-    ("[defaults", "no TOML"),
-    ("a = " + "[" * 5000, "no TOML"),
+    ("[class]\nview = 3", "is not a table"),
+    ("route = 3", "is not a list of tables"),
+    ("[defaults", "not valid TOML"),
+    ("a = " + "[" * 5000, "not valid TOML"),
 ]  # fmt: skip
 
 
 @pytest.mark.parametrize(("text", "reason"), UNSOUND)
 def test_an_unsound_file_is_refused_with_its_reason(text: str, reason: str) -> None:
-    assert any(reason in line for line in problems(text)), problems(text)
+    assert any(reason in line for line in problems_of(text)), problems_of(text)
 
 
 def test_a_default_is_blamed_where_it_stands_and_once() -> None:
@@ -244,7 +244,7 @@
 
 def test_copies_and_retry_after_need_the_platform_to_allow_them() -> None:
     poor = api.Settings(SETTINGS.classes)
-    assert "no second copies" in only("[class.view.limits]\ncopies = 1", poor)
+    assert "no hedges (second copies)" in only("[class.view.limits]\ncopies = 1", poor)
     assert "no Retry-After" in only("[defaults]\nretry_after = { least = '1s', most = '2s' }", poor)
     assert "the platform allows none" in only("[class.view.limits]\ncopy_delay = '50ms'", poor)
 
@@ -271,7 +271,7 @@
             parse_size(size)
 
 
-# Ten thousand unsafe files: a sound file with one or more unsafe turns, each drawn from its whole range.
+# Ten thousand unsafe files: a valid file with one or more unsafe limits, each drawn from its whole range.
 
 TIMES = st.integers(1, 10**9)
 
@@ -324,12 +324,12 @@
     return json.dumps(value) if not isinstance(value, float) else f"{value:.6f}"
 
 
-BATCH = 8  # files that one example makes of one sound base
+BATCH = 8  # files per example, all made from the same valid tables
 
 
 @st.composite
 def unsafe_files(draw: st.DrawFn) -> list[str]:
-    """Files whose other tables are sound, each with an unsafe turn for a class, a route or all."""
+    """Files with unsafe limits for a class, a route or both; all other tables are valid."""
     sound = draw(SOUND_LIMITS)
     path = draw(NAMES)
     others = draw(st.sets(st.sampled_from(["view", "send", "book", "tag"]), max_size=2))
@@ -389,10 +389,10 @@
 
 
 def _is_safe(accepted: CompiledPolicy) -> None:
-    # A cut may have taken the unsafe part away; what is left must then be safe itself.
+    # The mutation may have removed the unsafe limits; the remaining file must then be safe.
     for limits in (
         *accepted.class_limits,
-        *(one for route in accepted.routes for one in route.limits_by_class.values()),
+        *(route_limits for route in accepted.routes for route_limits in route.limits_by_class.values()),
     ):
         cls = SETTINGS.classes[limits.class_index]
         module = limits.balancer_limits
@@ -433,7 +433,7 @@
         assert found
 
 
-# The commands
+# The commands `check` and `routes`
 
 
 def run(*args: str) -> tuple[int, str]:
--- a/tests/test_routing_matcher.py
+++ b/tests/test_routing_matcher.py
@@ -1,4 +1,4 @@
-"""The compiled matcher finds what looking at every route finds, and names every pair that nothing decides."""
+"""The compiled matcher agrees with its reference implementation, and reports all overlaps."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
     path: str
     method: bytes = b"GET"
     host: str = "h"
-    given: dict[bytes, bytes] = field(default_factory=dict)
+    request_headers: dict[bytes, bytes] = field(default_factory=dict)
 
 
 def route(name: str, kind: str = "prefix", path: str = "/", **more: object) -> Rule:
@@ -38,7 +38,7 @@
 def found(rules: list[Rule], ask: Ask) -> str | None:
     matcher = Matcher(rules)
     assert not matcher.overlaps
-    hit = matcher.find(ask.method, ask.host, tuple(ask.path[1:].split("/")), ask.given)
+    hit = matcher.find(ask.method, ask.host, tuple(ask.path[1:].split("/")), ask.request_headers)
     return hit.name if hit is not None else None
 
 
@@ -59,8 +59,8 @@
         assert found(order, Ask("/v/2/y")) == "v"
         assert found(order, Ask("/v/1/x")) == "left"  # the leftmost difference decides
         assert found(order, Ask("/w/1/x")) == "right"
-        assert found(order, Ask("/vv")) == "all"  # prefixes go by segments
-        assert found(order, Ask("/v/")) == "v"  # a variable matches no empty segment
+        assert found(order, Ask("/vv")) == "all"  # prefixes match whole segments
+        assert found(order, Ask("/v/")) == "v"  # a variable does not match an empty segment
         assert found(order, Ask("/")) == "all"
 
 
@@ -79,15 +79,16 @@
     assert found(rules, Ask("/a/b")) == "any-host"
     assert found(rules, Ask("/a/b", host="z.example")) == "wild"
     assert found(rules, Ask("/a/b", host="z.b.example")) == "long-wild"
-    assert found(rules, Ask("/a/b", host="c.b.example")) == "long-wild"  # its host matches no GET
+    # The route of this host does not match GET.
+    assert found(rules, Ask("/a/b", host="c.b.example")) == "long-wild"
     assert found(rules, Ask("/a/b", b"POST", "c.b.example")) == "host"
-    assert found(rules, Ask("/a/b", host="example")) == "any-host"  # a wildcard wants a label
+    assert found(rules, Ask("/a/b", host="example")) == "any-host"  # a wildcard requires a label
     both = {b"x": b"1", b"y": b"2"}
-    assert found(rules, Ask("/m", given=both)) == "method"
-    assert found(rules, Ask("/m", b"POST", given=both)) == "headers"
+    assert found(rules, Ask("/m", request_headers=both)) == "method"
+    assert found(rules, Ask("/m", b"POST", request_headers=both)) == "headers"
     assert found(rules, Ask("/m", b"POST")) is None
-    assert found(rules, Ask("/n", given={b"x": b"1"})) == "value"
-    assert found(rules, Ask("/n", given={b"x": b"2"})) == "present"
+    assert found(rules, Ask("/n", request_headers={b"x": b"1"})) == "value"
+    assert found(rules, Ask("/n", request_headers={b"x": b"2"})) == "present"
     assert found(rules, Ask("/n")) == "bare"
 
 
@@ -120,7 +121,7 @@
 HEADERS = st.lists(
     st.builds(HeaderMatch, st.sampled_from([b"x", b"y", b"z"]), st.sampled_from([None, b"1", b"2"])),
     max_size=3,
-    unique_by=lambda rule: rule.name,
+    unique_by=lambda header: header.name,
 ).map(tuple)
 
 
@@ -154,14 +155,14 @@
 @given(rules_of(), st.lists(ASKS, min_size=1, max_size=6))
 def test_it_agrees_with_looking_at_every_route(rules: list[Rule], asks: list[Ask]) -> None:
     matcher = Matcher(rules)
-    undecided = {id(route) for overlap in matcher.overlaps for route in (overlap.first, overlap.second)}
+    undecided = {id(one) for overlap in matcher.overlaps for one in (overlap.first, overlap.second)}
     sure = [rule for rule in rules if id(rule) not in undecided]
     matcher = Matcher(sure)
     assert not matcher.overlaps
     for ask in asks:
         segments = tuple(ask.path[1:].split("/"))
-        assert matcher.find(ask.method, ask.host, segments, ask.given) is most_specific(
-            sure, ask.method, ask.host, segments, ask.given
+        assert matcher.find(ask.method, ask.host, segments, ask.request_headers) is most_specific(
+            sure, ask.method, ask.host, segments, ask.request_headers
         )
 
 
@@ -174,10 +175,10 @@
 @settings(max_examples=300)
 @given(rules_of(), ASKS)
 def test_two_routes_of_one_rank_that_take_one_request_are_always_named(rules: list[Rule], ask: Ask) -> None:
-    # Of several that stand in the very same place each is named together with the first.
+    # Of several routes at the same key, each is reported together with the first.
     named = set().union(*pairs(rules))
     segments = tuple(ask.path[1:].split("/"))
-    takers = [rule for rule in rules if matches(rule, ask.method, ask.host, segments, ask.given)]
+    takers = [rule for rule in rules if matches(rule, ask.method, ask.host, segments, ask.request_headers)]
     for first, second in combinations(takers, 2):
         if _rank_of(first, ask) == _rank_of(second, ask):
             assert {first.name, second.name} <= named
@@ -185,7 +186,7 @@
 
 @pytest.mark.parametrize("copied", [256, 2])
 def test_routes_that_come_and_go_are_as_if_compiled_at_once(copied: int) -> None:
-    """Also where every container is large; no older matcher is changed by it."""
+    """Also with hash tries in place of dicts (copied: the largest dict); older matchers stay unchanged."""
 
     @settings(max_examples=100)
     @given(st.lists(rules_of(), min_size=1, max_size=4), st.data())
@@ -200,16 +201,16 @@
             new = Rule(f"n{len(before)}-{rule.name}", rule.pattern, rule.hosts, rule.methods, rule.headers)
             whole = [pair for pair in find_overlaps([*rules, new]) if new in (pair.first, pair.second)]
             clashing = {pair.first.name if pair.second is new else pair.second.name for pair in whole}
-            found = [other.name for other in matcher.ambiguous_with(new)]
-            assert sorted(found) == sorted(clashing)
-            if not found:
+            ambiguous_names = [other.name for other in matcher.ambiguous_with(new)]
+            assert sorted(ambiguous_names) == sorted(clashing)
+            if not ambiguous_names:
                 matcher = matcher.with_route(new)
                 rules.append(new)
             for which, taken in ((old, before), (matcher, rules)):
                 ask = data.draw(ASKS)
                 segments = tuple(ask.path[1:].split("/"))
-                hit = which.find(ask.method, ask.host, segments, ask.given)
-                assert hit is most_specific(taken, ask.method, ask.host, segments, ask.given)
+                hit = which.find(ask.method, ask.host, segments, ask.request_headers)
+                assert hit is most_specific(taken, ask.method, ask.host, segments, ask.request_headers)
         for rule in rules:
             matcher = matcher.without_route(rule)
         assert not matcher.exact_hosts and not matcher.wildcard_hosts and matcher.any_host is None
@@ -220,7 +221,7 @@
 
 
 def test_an_index_of_shared_headers_is_kept_up() -> None:
-    """Many routes of one place and two sets of headers, in one of which each differs."""
+    """Many routes of one path with two sets of headers, which differ in the value of the shared header."""
 
     def rule(name: str, other: bytes, value: int) -> Rule:
         return route(name, headers=(HeaderMatch(b"key", b"%d" % value), HeaderMatch(other, b"1")))
@@ -228,7 +229,8 @@
     matcher: Matcher[Rule] = Matcher()
     added = [rule(f"a{n}", b"x", n) for n in range(300)]
     for n, one in enumerate(added):
-        for new in (one, rule(f"b{n}", b"y", 300 + n)):  # in turn: both have an index from the first on
+        # Alternately, so that both groups have an index from the start.
+        for new in (one, rule(f"b{n}", b"y", 300 + n)):
             assert not list(matcher.ambiguous_with(new))
             matcher = matcher.with_route(new)
     assert [other.name for other in matcher.ambiguous_with(rule("c", b"y", 7))] == ["a7"]
--- a/tests/test_routing_paths.py
+++ b/tests/test_routing_paths.py
@@ -1,4 +1,4 @@
-"""Paths and patterns: what two readers could take for two things is refused, and nothing else is changed."""
+"""Paths and patterns: ambiguous paths are rejected, and others are split into segments unchanged."""
 
 from __future__ import annotations
 
@@ -91,8 +91,8 @@
 @pytest.mark.parametrize(
     ("kind", "text", "reason"),
     [
-        ("exact", "a", "begins with /"),
-        ("exact", "", "begins with /"),
+        ("exact", "a", "must begin with /"),
+        ("exact", "", "must begin with /"),
         ("exact", "/a?b", "no query"),
         ("prefix", "/a#b", "no query"),
         ("prefix", "/a/../b", "dot segment"),
--- a/tests/test_routing_policy_intersection.py
+++ b/tests/test_routing_policy_intersection.py
@@ -1,4 +1,4 @@
-"""The intersection of two policies: what both allow, never more, and never against a rule."""
+"""The intersection of two policies allows only what both allow, and violates no rule."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
 
 
 def sound(cls: api.RequestClass, words: dict[str, Any], scope: str) -> EffectiveLimits:
-    """These limits for a class; passed over where they would be refused."""
+    """Return these limits for a class; the example is skipped if they are not valid."""
     said = LimitSettings(**words, sources={key: scope for key, value in words.items() if value is not None})
     assume(not list(check_limits(CheckedLimits(scope, cls, said), SETTINGS)))
     return effective_limits(scope, SETTINGS.classes.index(cls), said)
@@ -85,7 +85,7 @@
             assert (both.limit_settings.hedge_delay or 0) >= part.limit_settings.hedge_delay
         if part.limit_settings.retry_after is not None:
             assert both.retry_after is not None and both.retry_after >= part.limit_settings.retry_after
-    # It does not matter which of them is the old one.
+    # The order of the policies does not matter.
     assert replace(intersect_limits(b, a, cls).limit_settings, sources={}) == replace(
         both.limit_settings, sources={}
     )
@@ -98,7 +98,7 @@
 ) -> None:
     one = sound(cls, words, "same")
     both = intersect_limits(one, one, cls)
-    # Only a copy that could never go is not named any more.
+    # A hedge that could never be sent is left out.
     assert (
         copies(both.balancer_limits) == copies(one.balancer_limits)
         or one.limit_settings.hedge_delay is not None
@@ -179,8 +179,8 @@
     found = both.resolve(b"GET", b"/read/halls/1", {})
     assert isinstance(found, EffectiveLimits)
     assert gate.admit(found, 0, {}, 0) is None
-    assert gate.admit(found, 0, {}, 0) is not None  # special holds one
-    assert gate.counters["halls"].in_flight == 1  # and the one that was turned away counts nowhere
+    assert gate.admit(found, 0, {}, 0) is not None  # the route `special` allows one in flight
+    assert gate.counters["halls"].in_flight == 1  # the rejected request is not counted
     gate.release(found)
     assert gate.counters["halls"].in_flight == 0 == gate.counters["special"].in_flight
     same = both.resolve(b"GET", b"/read/halls/2", {})
@@ -201,5 +201,5 @@
     pair = replace(
         base, components=separate_scopes(replace(base, rate=Rate(1.0, 3)), replace(base, rate=tenants))
     )
-    assert sum(gate.admit(pair, 1, {}, 0) is None for _ in range(9)) == 2  # a tenant's two
-    assert sum(gate.admit(pair, 2, {}, 0) is None for _ in range(9)) <= 1  # of three for all
+    assert sum(gate.admit(pair, 1, {}, 0) is None for _ in range(9)) == 2  # the tenant's burst of two
+    assert sum(gate.admit(pair, 2, {}, 0) is None for _ in range(9)) <= 1  # of the shared burst of three
--- a/tests/test_tenant_limits.py
+++ b/tests/test_tenant_limits.py
@@ -1,4 +1,4 @@
-"""Limits over all requests of a tenant: read, counted beside those of routes, and what outlives a change."""
+"""Limits over all requests of a tenant: reading, counting in addition to routes, and changes of policy."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from hollybay.resources.state import EMPTY, ResourceState
 from hollybay.routing.admission_control import AdmissionControl
 from hollybay.routing.compiled_policy import CompiledPolicy
-from hollybay.routing.incremental_policy import MAX_READY_TENANTS
+from hollybay.routing.incremental_policy import MAX_COMPILED_TENANTS
 from hollybay.routing.limits import EffectiveLimits
 from hollybay.routing.policy_compiler import compile_file
 from hollybay.routing.policy_intersection import PolicyIntersection
@@ -28,7 +28,7 @@
 def ask(
     gate: AdmissionControl, name: str, now: int = SECOND, path: bytes = b"/view/a"
 ) -> tuple[EffectiveLimits, int | None]:
-    """A request of a tenant: the limits that it counts under, and its Retry-After where it is turned away."""
+    """Return the limits that a tenant's request counts under, and its Retry-After if it is rejected."""
     limits = gate.policy.resolve(b"GET", path, {})
     assert isinstance(limits, EffectiveLimits)
     limits = gate.with_tenant_limits(limits, name) if gate.has_tenant_limits else limits
@@ -65,10 +65,10 @@
     )
     gate = AdmissionControl(plan(text), 1, 0)
     assert let_in(gate, "acme", 10) == 2
-    assert let_in(gate, "other", 10) == 2  # the two that are left of the class's four
+    assert let_in(gate, "other", 10) == 2  # the remaining two tokens of the class
     gate = AdmissionControl(plan(text), 1, 0)
     assert let_in(gate, "other", 10) == 4 and let_in(gate, "acme", 10) == 0
-    # What the class turned away took nothing of the tenant's two, and counts nowhere.
+    # The requests that the class rejected consumed none of the tenant's two tokens, and are not counted.
     assert gate.counters["tenant:acme"].buckets[0].tokens == pytest.approx(2.0)
     assert gate.counters["tenant:acme"].in_flight == 0
 
@@ -126,9 +126,9 @@
 
 
 def test_only_the_tenants_that_ask_are_kept_ready() -> None:
-    made = compile_state(state_of(MAX_READY_TENANTS + 10), SETTINGS)
-    assert len(made.tenants) == MAX_READY_TENANTS + 10 and not made.tenants.ready
+    made = compile_state(state_of(MAX_COMPILED_TENANTS + 10), SETTINGS)
+    assert len(made.tenants) == MAX_COMPILED_TENANTS + 10 and not made.tenants.compiled
     for name in made.tenants:
         assert made.tenant_limits(name)
-    assert len(made.tenants.ready) == MAX_READY_TENANTS
+    assert len(made.tenants.compiled) == MAX_COMPILED_TENANTS
     assert made.tenant_limits("nobody") == () and "nobody" not in made.tenants
