--- a/hollybay/admin/__init__.py
+++ b/hollybay/admin/__init__.py
@@ -1,13 +1,13 @@
 """Administration of a running node, free of I/O: admin requests, administrative drains, metrics.
 
-Imported only by a node whose configuration has an admin address (`admin`).
+Imported only by nodes whose configuration has an admin address (`admin`).
 
 Modules
 -------
 requests
     Parsing of admin requests.
 responses
-    Responses to them.
+    Responses to admin requests.
 administrative_drains
     Servers that operators have drained, as an overlay over the server list of discovery.
 metrics
--- a/hollybay/admin/administrative_drains.py
+++ b/hollybay/admin/administrative_drains.py
@@ -17,7 +17,7 @@
 __all__ = ["AdministrativeDrains", "DrainFileError", "decode_drains", "encode_drains"]
 
 FILE_VERSION = 1
-MAX_DRAINED_SERVERS = 10_000  # in a file; a longer list is taken for damage
+MAX_DRAINED_SERVERS = 10_000  # per file; a file with more is treated as damaged
 CHECKSUM_BYTES = 8
 
 
@@ -33,7 +33,7 @@
     discovered
         Servers by id as discovery last reported them; servers reported as gone are not included.
     drained
-        Ids of the drained servers, which need not be on the list of discovery any more.
+        Ids of the drained servers, including those that discovery no longer reports.
     """
 
     def __init__(self) -> None:
@@ -134,7 +134,7 @@
         raise DrainFileError("not of this version")
     ids = content.get("out")
     if not _is_id_list(ids):
-        raise DrainFileError("out: no list of ids")
+        raise DrainFileError("out: not a list of server ids")
     if content.get("sum") != _checksum(ids):
         raise DrainFileError("the checksum does not fit")
     return frozenset(ids)
--- a/hollybay/admin/metrics.py
+++ b/hollybay/admin/metrics.py
@@ -25,11 +25,11 @@
     classes
         Names of the request classes; `served`, `rejected` and `failed` are in their order.
     served, rejected, failed
-        Requests by their final answer.
+        Requests by their final response.
     attempts
-        Attempts that were written completely to a server.
+        Attempts that were completely written to a server.
     in_flight
-        Accepted requests without a final answer.
+        Accepted requests that have no final response yet.
     servers_known
         Servers on the list of discovery.
     servers_excluded
@@ -37,7 +37,7 @@
     reloads_ok, reloads_failed
         Configuration reloads by their result.
     rejection_causes
-        Requests that the balancer rejected at once, by cause.
+        Requests that the balancer rejected immediately, by cause.
     """
 
     classes: Sequence[str]
@@ -72,7 +72,7 @@
         return generate_latest(self.registry)
 
     def describe(self) -> list[Metric]:
-        """Describe nothing: registration must not read a node that may not have started."""
+        """Return no metrics: registration must not read a node that may not have started."""
         return []
 
     def collect(self) -> Iterator[Metric]:
--- a/hollybay/admin/requests.py
+++ b/hollybay/admin/requests.py
@@ -12,7 +12,7 @@
 
 
 class AdminOperation(Enum):
-    """What an admin request asks for."""
+    """The operation that an admin request names."""
 
     READY = "ready"
     METRICS = "metrics"
@@ -31,7 +31,7 @@
     Attributes
     ----------
     operation
-        What is asked for.
+        The requested operation.
     server
         Percent-decoded id of the server that the target names; empty if it names none.
     policy_path
@@ -53,9 +53,9 @@
     Attributes
     ----------
     status
-        HTTP status of the answer.
+        HTTP status of the response.
     reason
-        Text for the body of the answer.
+        Text of the response body.
     allowed_methods
         Value of the `Allow` header; empty if there is none.
     """
@@ -88,7 +88,7 @@
 
 
 def is_policy_target(target: str) -> bool:
-    """Whether a request target is one of the replicated policy (`/-/policy`)."""
+    """Whether a request target belongs to the replicated policy (`/-/policy`)."""
     path = _path_of(target)
     return path == _POLICY_PATH or path.startswith(_POLICY_PATH + "/")
 
--- a/hollybay/admin/responses.py
+++ b/hollybay/admin/responses.py
@@ -21,10 +21,10 @@
 
     @classmethod
     def text(cls, status: int, line: str) -> AdminResponse:
-        """Make a response of one line of text, to which the line end is added."""
+        """Create a response of one line of text; a line feed is appended."""
         return cls(status, line.encode() + b"\n")
 
     @classmethod
     def json(cls, status: int, value: object) -> AdminResponse:
-        """Make a response of a value encoded as JSON."""
+        """Create a response of a value encoded as JSON."""
         return cls(status, json.dumps(value).encode() + b"\n", JSON_CONTENT_TYPE)
--- a/hollybay/gossip/__init__.py
+++ b/hollybay/gossip/__init__.py
@@ -7,7 +7,7 @@
 load_report
     Encoding of load reports.
 remote_load
-    The sum of the other nodes' reports while they are valid, and the load that this node reports itself.
+    The sum of the other nodes' valid reports, and the load that this node reports itself.
 """
 
 from .load_report import LoadReport, decode_report, encode_reports
--- a/hollybay/gossip/load_report.py
+++ b/hollybay/gossip/load_report.py
@@ -1,7 +1,7 @@
 """Encoding of load reports: the complete load of one node, in datagrams of at most 256 bytes.
 
-A report holds the whole state and no changes to an earlier one: the next report makes up for a datagram that
-was lost, duplicated or delayed.
+A report holds the complete load rather than changes to an earlier report, so the next report corrects the
+effect of a datagram that was lost, duplicated or delayed.
 
 Format (big endian)
 -------------------
@@ -44,9 +44,9 @@
 _HEADER = struct.Struct(">2sBHIIBBB")
 _ENTRY = struct.Struct(">IB")
 _MAGIC, _VERSION = b"hb", 1
-_MAX_COUNT = 255  # requests in flight that an entry can tell
+_MAX_COUNT = 255  # highest number of requests in flight that an entry can hold
 MAX_ENTRIES = (MAX_DATAGRAM_BYTES - _HEADER.size) // _ENTRY.size  # per datagram
-MAX_PARTS = 8  # datagrams per report; the servers with the least load are left out beyond that
+MAX_PARTS = 8  # datagrams per report; of more servers, those with the least load are left out
 _HASH_CACHE_SIZE = 4096
 
 
@@ -68,7 +68,7 @@
     sequence
         Sequence number of the report within the incarnation, from 1.
     part, part_count
-        Index of this datagram, and how many there are of the report.
+        Index of this datagram, and the number of datagrams of the report.
     in_flight
         Requests in flight by server hash.
     """
@@ -84,7 +84,7 @@
 def encode_reports(node: int, incarnation: int, sequence: int, in_flight: Mapping[int, int]) -> list[bytes]:
     """Encode one load report as datagrams, the servers with the most requests first.
 
-    There is at least one datagram, as an idle node reports that it is idle. Servers that do not fit into
+    There is at least one datagram, because an idle node reports that it is idle. Servers that do not fit into
     `MAX_PARTS` datagrams are left out.
 
     Raises
--- a/hollybay/gossip/remote_load.py
+++ b/hollybay/gossip/remote_load.py
@@ -1,8 +1,8 @@
 """Load of the other nodes according to their reports, and the load that this node reports.
 
 A report is valid for a limited time, so that a node that died, was stopped or is partitioned stops counting.
-Expiry is checked when the load is used, on a clock that goes on while the process is stopped: a process that
-was stopped itself discards everything that it knew when it continues.
+Expiry is checked when the load is used, on a clock that keeps running while the process is stopped: a process
+that was stopped itself discards all expired reports when it continues.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 __all__ = ["LocalLoad", "RemoteLoad"]
 
-# Past incarnations of a node that are remembered: a delayed report of one of them must not count.
+# Number of past incarnations kept per node: a delayed report of one of them must not count.
 _MAX_PAST_INCARNATIONS = 4
 
 
@@ -55,7 +55,7 @@
         self.parts: dict[int, LoadReport] = {}
 
     def add_part(self, report: LoadReport, now_ns: int) -> dict[int, int] | None:
-        """Collect a part of a report; the requests in flight by server hash once all parts are there."""
+        """Collect a part of a report; return the requests in flight by server hash once it is complete."""
         if report.sequence != self.incomplete_sequence:
             self.incomplete_sequence = report.sequence
             self.parts = {}
@@ -74,7 +74,7 @@
 class RemoteLoad:
     """Sum of the load of all other nodes, by the last report of each.
 
-    Two servers that share a hash are reported for neither.
+    The load of a hash that two servers share is reported for neither of them.
 
     Parameters
     ----------
@@ -101,7 +101,7 @@
         self.total: Counter[int] = Counter()
         self.ignored_reports = 0
         self._servers: dict[int, Hashable | None] = {}  # by hash; None if two servers share it
-        self._next_expiry_ns = 0  # no report expires before
+        self._next_expiry_ns = 0  # no report expires before this time
 
     @property
     def peer_count(self) -> int:
@@ -174,7 +174,7 @@
         return changed
 
     def _replace(self, peer: _Peer, in_flight: Mapping[int, int]) -> dict[Hashable, int]:
-        """Replace the load of a peer; the new totals of the servers where they changed."""
+        """Replace the load of a peer; return the new totals of the servers where they changed."""
         previous = peer.in_flight
         peer.in_flight = in_flight
         changed: dict[Hashable, int] = {}
@@ -230,7 +230,7 @@
         return self._changed or now_ns - self._reported_at_ns >= self.interval_ns
 
     def begin_report(self, now_ns: int) -> Mapping[int, int]:
-        """Begin the next report: requests in flight by server hash, which count as reported."""
+        """Begin the next report; return the requests in flight by server hash, now counted as reported."""
         self.sequence += 1
         self._changed = False
         self._reported_at_ns = now_ns
--- a/hollybay/resources/batch.py
+++ b/hollybay/resources/batch.py
@@ -23,7 +23,7 @@
 ]
 
 MAX_BATCH_CHANGES = 4096
-# Raises ChangeRejectedError if the state that a change would lead to is not acceptable.
+# Raises ChangeRejectedError if the state that a change would lead to is not valid.
 ChangeCheck = Callable[[ResourceState, Change], None]
 Digest = Annotated[bytes, msgspec.Meta(min_length=DIGEST_BYTES, max_length=DIGEST_BYTES)]
 
@@ -36,7 +36,7 @@
     Parameters
     ----------
     revision
-        The revision that the batch makes.
+        The revision that the batch creates.
     before, after
         Digests of the states before and after it.
     changes
@@ -50,7 +50,7 @@
 
 
 class BatchMismatchError(ValueError):
-    """A batch does not follow a state: a gap, another state before it, or another result."""
+    """A batch cannot be applied to a state: revisions are missing, or a digest before or after it differs."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -63,7 +63,7 @@
 
 
 def assemble(state: ResourceState, changes: Iterable[Change], check: ChangeCheck | None = None) -> Assembled:
-    """Form a batch of all changes that fit one after another; the others are left out one by one.
+    """Form a batch of the changes that can be applied one after another; each other change is rejected alone.
 
     Parameters
     ----------
@@ -93,7 +93,7 @@
 
 
 def apply_batch(state: ResourceState, batch: Batch) -> ResourceState:
-    """The state after a batch.
+    """Return the state after a batch.
 
     Raises
     ------
@@ -103,11 +103,15 @@
     if batch.revision != state.revision + 1:
         raise BatchMismatchError(f"revision: {batch.revision} does not follow {state.revision}")
     if batch.before != state.digest:
-        raise BatchMismatchError(f"before: {batch.before.hex()[:12]} is not {state.digest.hex()[:12]}")
+        raise BatchMismatchError(
+            f"before: {batch.before.hex()[:12]} expected, state is {state.digest.hex()[:12]}"
+        )
     try:
         after = state.with_batch(batch.changes, batch.revision)
     except ChangeRejectedError as error:
         raise BatchMismatchError(f"changes: {error}") from None
     if after.digest != batch.after:
-        raise BatchMismatchError(f"after: {batch.after.hex()[:12]} is not {after.digest.hex()[:12]}")
+        raise BatchMismatchError(
+            f"after: {batch.after.hex()[:12]} expected, result is {after.digest.hex()[:12]}"
+        )
     return after
--- a/hollybay/resources/digest.py
+++ b/hollybay/resources/digest.py
@@ -28,7 +28,7 @@
 
 
 def resource_digest(resource: Resource) -> int:
-    """The digest of a resource with its version, as a number under 2**256."""
+    """Return the digest of a resource with its version, as a number below 2**256."""
     hasher = blake2b(digest_size=DIGEST_BYTES, person=b"hollybay.resourc")
     for part in (
         resource.kind.value.encode(),
@@ -36,29 +36,29 @@
         b"%d" % resource.version,
         resource.body,
     ):
-        # Each part with its length, so that different resources never hash the same bytes.
+        # Each part is preceded by its length, so that different resources never hash the same bytes.
         hasher.update(len(part).to_bytes(8, "big"))
         hasher.update(part)
     return int.from_bytes(hasher.digest(), "big")
 
 
 def change_id_digest(change_id: bytes, revision: int) -> int:
-    """The digest of the fact that a change was decided at a revision."""
+    """Return the digest of a decided change: of its id and the revision at which it was decided."""
     hasher = blake2b(change_id, digest_size=DIGEST_BYTES, person=b"hollybay.change")
     hasher.update(revision.to_bytes(8, "big"))
     return int.from_bytes(hasher.digest(), "big")
 
 
 def add_to_set(total: int, member: int) -> int:
-    """The digest of a set with one more member."""
+    """Return the digest of a set with one more member."""
     return (total + member) % _MODULUS
 
 
 def remove_from_set(total: int, member: int) -> int:
-    """The digest of a set without one of its members."""
+    """Return the digest of a set without one of its members."""
     return (total - member) % _MODULUS
 
 
 def encode_set_digest(total: int) -> bytes:
-    """The digest of a set as it is sent and shown."""
+    """Encode the digest of a set as it is sent and displayed."""
     return total.to_bytes(DIGEST_BYTES, "big")
--- a/hollybay/resources/model.py
+++ b/hollybay/resources/model.py
@@ -28,13 +28,13 @@
     "check_change",
 ]
 
-# How a problem names the change itself in place of a resource.
+# The name of the change itself in problems that concern no single resource.
 CHANGE = "change"
 CHANGE_ID_BYTES = 16
 MAX_NAME_LENGTH = 253
 MAX_BODY_BYTES = 16 << 10
 MAX_TEXT_LENGTH = 400
-# Operations of one change: an operator file of the largest supported size is one change.
+# Maximum number of operations of one change: an operator file of the largest supported size is one change.
 MAX_OPERATIONS = 500_000
 
 
@@ -63,7 +63,7 @@
 
 
 class Resource(msgspec.Struct, frozen=True, array_like=True, gc=False):
-    """One resource. version: the revision of the state that last changed it; body: opaque bytes."""
+    """One resource. version: the revision that last changed it; body: opaque bytes."""
 
     kind: Kind
     name: Annotated[str, msgspec.Meta(max_length=MAX_NAME_LENGTH)]
@@ -72,7 +72,7 @@
 
     @property
     def key(self) -> Key:
-        """Its identity."""
+        """The identity of the resource."""
         return Key(self.kind, self.name)
 
 
@@ -117,7 +117,7 @@
     id
         Chosen by the proposer; a repeated proposal carries the same id and takes effect once.
     base_revision
-        The revision of the state that its author saw.
+        The revision of the state that the author based it on.
     reason, author
         Shown in the history.
     operations
@@ -132,7 +132,7 @@
 
 
 class ChangeProblem(msgspec.Struct, frozen=True, array_like=True):
-    """Why a change is rejected, as published: the resource, its field ("": all of it), the reason's text."""
+    """Why a change is rejected, as published: the resource, its field ("": all of it), the reason."""
 
     resource: str
     field: str
@@ -140,7 +140,7 @@
 
     @classmethod
     def because(cls, reason: RejectionReason, resource: str, field: str = "") -> ChangeProblem:
-        """The problem of a resource, or of the change itself (`CHANGE`), for a reason."""
+        """Create the problem of a resource, or of the change itself (`CHANGE`), from a reason."""
         return cls(resource, field, str(reason))
 
     def __str__(self) -> str:
@@ -148,7 +148,7 @@
 
 
 class ChangeRejectedError(ValueError):
-    """A change may not be applied; none of it was. problems: all reasons that were found."""
+    """A change was rejected, and no part of it was applied. problems: all reasons that were found."""
 
     def __init__(self, problems: tuple[ChangeProblem, ...]) -> None:
         super().__init__("; ".join(str(problem) for problem in problems))
@@ -156,12 +156,12 @@
 
 
 def check_change(change: Change) -> None:
-    """Check what does not depend on a state.
+    """Check the properties of a change that do not depend on a state.
 
     Raises
     ------
     ChangeRejectedError
-        An operation or a text is malformed, or a resource stands twice.
+        An operation or a text is malformed, or two operations are on one resource.
     """
     problems: list[ChangeProblem] = []
     seen: set[Key] = set()
@@ -180,7 +180,7 @@
 
 
 def _operation_problems(operation: Operation) -> list[ChangeProblem]:
-    """What is wrong with one operation by itself."""
+    """Return the problems of one operation that do not depend on a state."""
     problems: list[ChangeProblem] = []
     key = operation.key
     if bool(key.name) == (key.kind in SINGLETONS):
--- a/hollybay/resources/rejection_reasons.py
+++ b/hollybay/resources/rejection_reasons.py
@@ -1,8 +1,7 @@
 """Why a change is rejected: a class for each reason, and its published text, `str(reason)`.
 
-A `model.ChangeProblem` says where a reason applies (the resource and its field) and carries its text, as it
-goes over the wire. What is wrong with the body of a resource is said by `hollybay.routing`, which knows
-tables.
+A `model.ChangeProblem` names the resource and field that a reason concerns, and carries its text as it is
+sent. Problems in the body of a resource are reported by `hollybay.routing`, which decodes the tables.
 """
 
 from __future__ import annotations
@@ -29,7 +28,7 @@
 
 
 class RejectionReason(ABC):
-    """A reason; `str` gives its published text."""
+    """A reason; `str` returns its published text."""
 
     __slots__ = ()
 
@@ -37,12 +36,12 @@
     def __str__(self) -> str: ...
 
 
-# The change by itself
+# Reasons that concern the change alone
 
 
 @dataclass(frozen=True, slots=True)
 class Duplicate(RejectionReason):
-    """Two operations of the change are on the resource."""
+    """Two operations of the change are on the same resource."""
 
     def __str__(self) -> str:
         return "stands twice in one change"
@@ -58,7 +57,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MustBeEmpty(RejectionReason):
-    """The field is not empty, and a resource of this kind has none."""
+    """The field is not empty, but must be for a resource of this kind."""
 
     def __str__(self) -> str:
         return "must be empty"
@@ -83,12 +82,12 @@
         return f"{self.size_bytes} bytes, {self.max_bytes} at most"
 
 
-# The change and the state that it is to be applied to
+# Conflicts with the state that the change is applied to
 
 
 @dataclass(frozen=True, slots=True)
 class AlreadyDecided(RejectionReason):
-    """The change is in force already."""
+    """The change has already been decided."""
 
     def __str__(self) -> str:
         return "was decided already"
@@ -96,7 +95,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BaseRevisionTooNew(RejectionReason):
-    """The change was made on a revision after that of the state."""
+    """The change is based on a later revision than that of the state."""
 
     base_revision: int
     revision: int
@@ -107,7 +106,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BaseRevisionTooOld(RejectionReason):
-    """The change was made on a revision whose change ids are forgotten: it may have been decided."""
+    """The change is based on a revision whose change ids are no longer kept: it may have been decided."""
 
     base_revision: int
     revision: int
@@ -118,7 +117,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ResourceMissing(RejectionReason):
-    """The operation replaces or deletes a resource that is not there."""
+    """The operation replaces or deletes a resource that does not exist."""
 
     base_version: int
 
@@ -128,7 +127,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ResourceExists(RejectionReason):
-    """The operation creates a resource that is there."""
+    """The operation creates a resource that already exists."""
 
     version: int
 
@@ -138,7 +137,7 @@
 
 @dataclass(frozen=True, slots=True)
 class VersionConflict(RejectionReason):
-    """The operation was made on another version of the resource."""
+    """The operation is based on another version of the resource than the present one."""
 
     base_version: int
     version: int
@@ -147,7 +146,7 @@
         return f"was made on version {self.base_version}, and {self.version} is there"
 
 
-# The batch of the change
+# Reasons that concern the batch of the change
 
 
 @dataclass(frozen=True, slots=True)
--- a/hollybay/resources/state.py
+++ b/hollybay/resources/state.py
@@ -1,4 +1,4 @@
-"""All resources at one revision, as a persistent value: a change makes a new state that shares the rest."""
+"""All resources at one revision, as an immutable value: a change returns a new state that shares the rest."""
 
 from __future__ import annotations
 
@@ -39,8 +39,8 @@
 
 __all__ = ["EMPTY", "REMEMBERED_REVISIONS", "ResourceState", "restore_state"]
 
-# For how many revisions the ids of decided changes are remembered. A change with an older base revision is
-# rejected, so that a proposal that is repeated late has no second effect.
+# Number of revisions for which the ids of decided changes are kept. A change with an older base revision is
+# rejected, so that a proposal that is repeated late does not take effect a second time.
 REMEMBERED_REVISIONS = 1024
 
 
@@ -57,7 +57,7 @@
     revision_by_change_id
         The revision of each change that was decided within `REMEMBERED_REVISIONS`.
     change_ids_by_revision
-        The same by revision.
+        The ids of the same changes by revision.
     digest_sum
         The digest of the set of resources and change ids; see `digest`.
     """
@@ -70,30 +70,30 @@
 
     @property
     def digest(self) -> bytes:
-        """32 bytes by which two states are compared."""
+        """The digest by which two states are compared (32 bytes)."""
         return encode_set_digest(self.digest_sum)
 
     def get(self, kind: Kind, name: str = "") -> Resource | None:
-        """A resource; None: there is none of this name."""
+        """Return a resource; None: there is none of this name."""
         return self.resources.get(Key(kind, name))
 
     def of_kind(self, kind: Kind) -> Iterator[Resource]:
-        """All resources of a kind in no order; the cost goes with the number of all resources."""
+        """Iterate over the resources of a kind, unordered. Cost: linear in the number of all resources."""
         return (resource for key, resource in self.resources.items() if key.kind is kind)
 
     def revision_of(self, change_id: bytes) -> int | None:
-        """The revision at which a change was decided, if that is remembered."""
+        """Return the revision at which a change was decided; None: unknown, or no longer kept."""
         return self.revision_by_change_id.get(change_id)
 
     def check(self, change: Change) -> None:
         """Check whether a change can be applied to this state.
 
-        The cost goes with the number of its operations, not with the size of the state.
+        Cost: linear in the number of its operations, independent of the size of the state.
 
         Raises
         ------
         ChangeRejectedError
-            It cannot.
+            The change cannot be applied.
         """
         check_change(change)
         if change.id in self.revision_by_change_id:
@@ -107,7 +107,7 @@
             raise ChangeRejectedError(tuple(problems))
 
     def _revision_problems(self, base_revision: int) -> list[ChangeProblem]:
-        """Why a change may not be made on a revision."""
+        """Return the problems of a change's base revision."""
         problems: list[ChangeProblem] = []
         if base_revision > self.revision:
             reason: RejectionReason = BaseRevisionTooNew(base_revision, self.revision)
@@ -118,7 +118,7 @@
         return problems
 
     def _conflict(self, operation: Operation) -> ChangeProblem | None:
-        """Why an operation does not fit the present version of its resource."""
+        """Return the conflict of an operation with the present version of its resource; None: no conflict."""
         resource = self.resources.get(operation.key)
         present = resource.version if resource is not None else 0
         if operation.base_version == present:
@@ -132,7 +132,7 @@
         return ChangeProblem.because(reason, str(operation.key), "version")
 
     def with_batch(self, changes: Iterable[Change], revision: int) -> ResourceState:
-        """The state after a batch of changes, which are checked one after another.
+        """Return the state after a batch of changes, which are checked one after another.
 
         Parameters
         ----------
@@ -142,7 +142,7 @@
         Raises
         ------
         ChangeRejectedError
-            A change does not fit.
+            A change cannot be applied.
         ValueError
             The revision is not the next one.
         """
@@ -156,12 +156,12 @@
         return state.with_revision(tuple(ids), revision)
 
     def with_change(self, change: Change, revision: int) -> ResourceState:
-        """The state, at its old revision, with one more change of the batch that makes `revision`.
+        """Return the state, at its old revision, with one more change of the batch that creates `revision`.
 
         Raises
         ------
         ChangeRejectedError
-            The change does not fit.
+            The change cannot be applied.
         """
         self.check(change)
         total = self.digest_sum
@@ -187,34 +187,34 @@
         )
 
     def with_revision(self, ids: tuple[bytes, ...], revision: int) -> ResourceState:
-        """The state at a new revision, with the ids of the changes that made it; old ids are forgotten."""
+        """Return the state at a new revision, with the ids of its changes; the oldest ids are dropped."""
         decided, total = self.revision_by_change_id, self.digest_sum
-        ids_at = self.change_ids_by_revision.set(revision, ids)
-        forgotten = revision - REMEMBERED_REVISIONS
-        for old in ids_at.get(forgotten, ()):
+        ids_by_revision = self.change_ids_by_revision.set(revision, ids)
+        expired = revision - REMEMBERED_REVISIONS
+        for old in ids_by_revision.get(expired, ()):
             decided = decided.delete(old)
-            total = remove_from_set(total, change_id_digest(old, forgotten))
-        if forgotten in ids_at:
-            ids_at = ids_at.delete(forgotten)
-        return ResourceState(revision, self.resources, decided, ids_at, total)
+            total = remove_from_set(total, change_id_digest(old, expired))
+        if expired in ids_by_revision:
+            ids_by_revision = ids_by_revision.delete(expired)
+        return ResourceState(revision, self.resources, decided, ids_by_revision, total)
 
 
 EMPTY = ResourceState(0, Map(), Map(), Map(), EMPTY_SET)
 
 
 def restore_state(
-    revision: int, resources: Iterable[Resource], ids_at: Iterable[tuple[int, tuple[bytes, ...]]]
+    revision: int, resources: Iterable[Resource], ids_by_revision: Iterable[tuple[int, tuple[bytes, ...]]]
 ) -> ResourceState:
-    """A state from the parts of a snapshot; its digest is computed anew."""
+    """Create a state from the parts of a snapshot; its digest is recomputed."""
     total = EMPTY_SET
     by_key: dict[Key, Resource] = {}
     for resource in resources:
         by_key[resource.key] = resource
         total = add_to_set(total, resource_digest(resource))
-    ids = dict(ids_at)
+    ids = dict(ids_by_revision)
     decided: dict[bytes, int] = {}
-    for at, changes in ids.items():
-        for change_id in changes:
-            decided[change_id] = at
-            total = add_to_set(total, change_id_digest(change_id, at))
+    for decided_at, change_ids in ids.items():
+        for change_id in change_ids:
+            decided[change_id] = decided_at
+            total = add_to_set(total, change_id_digest(change_id, decided_at))
     return ResourceState(revision, Map(by_key), Map(decided), Map(ids), total)
--- a/hollybay/resources/wire.py
+++ b/hollybay/resources/wire.py
@@ -1,7 +1,7 @@
 """The MessagePack encoding of changes, batches and snapshots, bounded in size.
 
-Batches and snapshots end with a checksum of all their bytes: the digests in them cover the resources, but not
-reasons, authors and revisions.
+Batches and snapshots end with a checksum of all their bytes, because the digests in them cover the resources,
+but not reasons, authors and revisions.
 """
 
 from __future__ import annotations
@@ -19,9 +19,9 @@
 
 __all__ = [
     "CHECKSUM_BYTES",
-    "FORM",
     "MAX_BATCH_BYTES",
     "MAX_SNAPSHOT_BYTES",
+    "SNAPSHOT_FORMAT",
     "WireError",
     "decode_batch",
     "decode_change",
@@ -31,8 +31,8 @@
     "encode_snapshot",
 ]
 
-# Format of a snapshot; another one is rejected.
-FORM = 1
+# Version of the snapshot format; snapshots of other versions are rejected.
+SNAPSHOT_FORMAT = 1
 MAX_BATCH_BYTES = 64 << 20
 MAX_SNAPSHOT_BYTES = 512 << 20
 CHECKSUM_BYTES = 16
@@ -41,11 +41,11 @@
 
 
 class WireError(ValueError):
-    """The bytes are not a valid message; the text says why."""
+    """The bytes are not a valid message; the text gives the reason."""
 
 
 class _Snapshot(msgspec.Struct, frozen=True, array_like=True):
-    """A whole state with its digest, by which a damaged or forged snapshot is detected."""
+    """A complete state with its digest, by which a damaged or forged snapshot is detected."""
 
     form: int
     revision: Annotated[int, msgspec.Meta(ge=0)]
@@ -66,12 +66,12 @@
 
 
 def _checked(data: bytes, limit: int) -> memoryview:
-    """The bytes without their checksum."""
+    """Verify the checksum, and return the bytes without it."""
     if len(data) > limit:
         raise WireError(f"{len(data)} bytes, {limit} at most")
     inner = memoryview(data)[:-CHECKSUM_BYTES]
     if len(data) <= CHECKSUM_BYTES or _checksum(inner) != data[-CHECKSUM_BYTES:]:
-        raise WireError("checksum: the bytes are damaged or not whole")
+        raise WireError("checksum: does not match, the bytes are damaged or truncated")
     return inner
 
 
@@ -85,29 +85,29 @@
 
 
 def encode_change(change: Change) -> bytes:
-    """A change as bytes."""
+    """Encode a change."""
     return msgspec.msgpack.encode(change)
 
 
 def decode_change(data: bytes) -> Change:
-    """A change from its bytes. WireError: they hold none."""
+    """Decode a change; raises WireError if the bytes are not a valid change."""
     return _decoded(data, Change, MAX_BATCH_BYTES)
 
 
 def encode_batch(batch: Batch) -> bytes:
-    """A batch as bytes."""
+    """Encode a batch."""
     return _with_checksum(msgspec.msgpack.encode(batch))
 
 
 def decode_batch(data: bytes) -> Batch:
-    """A batch from its bytes. WireError: they hold none."""
+    """Decode a batch; raises WireError if the bytes are not a valid batch."""
     return _decoded(_checked(data, MAX_BATCH_BYTES), Batch, MAX_BATCH_BYTES)
 
 
 def encode_snapshot(state: ResourceState) -> bytes:
-    """A whole state as bytes; equal states give equal bytes."""
+    """Encode a complete state; equal states give equal bytes."""
     snapshot = _Snapshot(
-        FORM,
+        SNAPSHOT_FORMAT,
         state.revision,
         list(_in_order(state)),
         sorted(state.change_ids_by_revision.items()),
@@ -117,7 +117,7 @@
 
 
 def _in_order(state: ResourceState) -> Iterator[Resource]:
-    """All resources by kind and name.
+    """Yield all resources, sorted by kind and name.
 
     Names are sorted kind by kind, as plain strings, so that no sort holds the interpreter lock for long.
     """
@@ -130,27 +130,27 @@
 
 
 def decode_snapshot(data: bytes, expected: bytes | None = None) -> ResourceState:
-    """A state from its bytes.
+    """Decode a state.
 
     Parameters
     ----------
     expected
-        The digest that it must have; None: any.
+        The digest that the state must have; None: any.
 
     Raises
     ------
     WireError
-        The bytes are no snapshot or of another format, or the digest is not that of the resources, or not the
-        expected one.
+        The bytes are not a snapshot or of another format, or the digest does not match the resources or the
+        expected digest.
     """
     snapshot = _decoded(_checked(data, MAX_SNAPSHOT_BYTES), _Snapshot, MAX_SNAPSHOT_BYTES)
-    if snapshot.form != FORM:
-        raise WireError(f"form: {snapshot.form}, and this build reads {FORM}")
+    if snapshot.form != SNAPSHOT_FORMAT:
+        raise WireError(f"form: {snapshot.form}, but this build reads only format {SNAPSHOT_FORMAT}")
     state = restore_state(snapshot.revision, snapshot.resources, snapshot.ids_at)
     if len(state.resources) != len(snapshot.resources):
-        raise WireError("resources: one stands twice")
+        raise WireError("resources: one is listed twice")
     if state.digest != snapshot.digest or (expected is not None and state.digest != expected):
         raise WireError(
-            f"digest: {state.digest.hex()[:12]} is not the one of {DIGEST_BYTES} bytes that was said"
+            f"digest: {state.digest.hex()[:12]} does not match the expected digest of {DIGEST_BYTES} bytes"
         )
     return state
--- a/hollybay/units.py
+++ b/hollybay/units.py
@@ -1,4 +1,4 @@
-"""Units of time, below all packages.
+"""Units of time, used by all packages.
 
 Durations and points in time are integers of nanoseconds unless a name says otherwise (`_S`, `_MS`), so that
 ``3 * SECOND`` is a duration, and ``duration / SECOND`` is a number of seconds.
--- a/tests/test_admin_requests.py
+++ b/tests/test_admin_requests.py
@@ -1,4 +1,4 @@
-"""Admin requests as their request lines name them."""
+"""Parsing of admin requests from their method and target."""
 
 from __future__ import annotations
 
--- a/tests/test_admin_service.py
+++ b/tests/test_admin_service.py
@@ -81,14 +81,14 @@
             assert await send_request(service, "POST /-/servers/s-1/disable") == (200, b"out\n")
             assert (await send_request(service, "POST /-/servers/s-1/disable"))[0] == 200
             before = len(one.heads)
-            fake_discovery.tell(one, two)  # discovery still says that it serves
+            fake_discovery.tell(one, two)  # discovery still reports the server as ready
             await fake_discovery.until(lambda: fake_discovery.calls > 2)
             for n in range(20):
                 assert b" 200 " in await node.ask(request(rid=f"b-{n}"))
             assert len(one.heads) == before
             shown = metrics((await send_request(service, "GET /-/metrics"))[1])
             assert shown["servers_known", ""] == 2 and shown["servers_excluded", ""] == 1
-            # Two calls out take one call back.
+            # One call to enable ends the drain, although it was requested twice.
             assert (await send_request(service, "POST /-/servers/s-1/enable"))[0] == 200
             for n in range(200):
                 assert b" 200 " in await node.ask(request(rid=f"c-{n}"))
@@ -112,7 +112,7 @@
             await send_request(service, "POST /-/servers/s-1/disable")
             three, four = ScriptedServer("s-1"), ScriptedServer("s-2")
             async with running_admin_service(second, three, four, scratch=shared) as (node, beside, _):
-                # Names and addresses of the two are one in truth; here they tell the folders apart.
+                # Both are processes of one node: they have the same name, and share the scratch folder.
                 assert beside.server_drains.drains.drained == {"s-1"}
                 for n in range(20):
                     assert b" 200 " in await node.ask(request(rid=f"a-{n}"))
@@ -121,7 +121,7 @@
                 async with asyncio.timeout(LIMIT):
                     while beside.server_drains.drains.drained != {"s-1", "s-2"}:
                         await asyncio.sleep(0.01)
-                # A file that does not hold changes nothing.
+                # An invalid file changes nothing.
                 path = beside.server_drains.drain_file.path
                 assert path is not None
                 path.write_bytes(b"{")
@@ -144,7 +144,7 @@
                 assert (await send_request(service, "GET /-/ready"))[0] == 503
                 writer.write(b"GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n")
                 assert b" 503 " in (await read_message(busy))[0]
-                # Connections end, used or not; a request that comes before that is served.
+                # Idle and used connections are closed; a request that arrives on a new one is still served.
                 assert await resting.read() == b""
                 assert await busy.read() == b""
                 assert b"connection: close" in await node.ask(request(rid="r-2"))
--- a/tests/test_golden_admin.py
+++ b/tests/test_golden_admin.py
@@ -1,4 +1,4 @@
-"""What operators are answered at the admin paths, held against golden bytes (tests/golden)."""
+"""Responses to operators at the admin paths, compared with golden bytes (tests/golden)."""
 
 from __future__ import annotations
 
--- a/tests/test_golden_commands.py
+++ b/tests/test_golden_commands.py
@@ -1,4 +1,4 @@
-"""What the command line prints and the codes it exits with, held against golden texts (tests/golden)."""
+"""Output and exit codes of the command line, compared with golden texts (tests/golden)."""
 
 from __future__ import annotations
 
--- a/tests/test_golden_load_reports.py
+++ b/tests/test_golden_load_reports.py
@@ -1,4 +1,4 @@
-"""Datagrams in which nodes tell their load, held against golden bytes (tests/golden)."""
+"""Datagrams of load reports, compared with golden bytes (tests/golden)."""
 
 from __future__ import annotations
 
--- a/tests/test_golden_metrics.py
+++ b/tests/test_golden_metrics.py
@@ -1,4 +1,4 @@
-"""Names, labels and texts of the metrics, held against golden texts (tests/golden)."""
+"""Names, labels and texts of the metrics, compared with golden texts (tests/golden)."""
 
 from __future__ import annotations
 
--- a/tests/test_resource_wire.py
+++ b/tests/test_resource_wire.py
@@ -1,4 +1,4 @@
-"""Snapshots of resources: equal states give equal bytes, and what is damaged is told apart."""
+"""Snapshots of resources: equal states give equal bytes, and damage is detected."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 def state_of(bodies: dict[tuple[Kind, str], bytes], seed: int) -> ResourceState:
-    """The state that has these resources, written in an order from a seed."""
+    """Return a state with these resources, created in an order drawn from a seed."""
     keys = list(bodies)
     random.Random(seed).shuffle(keys)
     operations = tuple(Upsert(kind, name, 0, bodies[kind, name]) for kind, name in keys)
@@ -56,7 +56,7 @@
         found = decode_snapshot(bad, state.digest)
     except WireError:
         return
-    # The revision alone is not part of the digest; the accord's log compares it with its entry's version.
+    # The revision alone is not part of the digest; the consensus log compares it with its entry's version.
     assert (found.resources, found.revision_by_change_id, found.change_ids_by_revision) == (
         state.resources,
         state.revision_by_change_id,
--- a/tests/test_resources.py
+++ b/tests/test_resources.py
@@ -1,4 +1,4 @@
-"""Resources: digests without order, changes that hold or are refused alone, and bytes that are told apart."""
+"""Resources: order-independent digests, changes accepted or rejected one by one, and the encoding."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
 
 @st.composite
 def changes(draw: st.DrawFn, state: ResourceState, number: int, sound: bool = False) -> Change:
-    """A change on a state; now and then on a version that is not there."""
+    """A change of a state; sometimes based on a wrong version."""
     ops: list[Operation] = []
     for key in draw(st.lists(st.sampled_from(KEYS), min_size=1, max_size=3, unique=True)):
         there = state.resources.get(key)
@@ -58,7 +58,7 @@
         else:
             body = b"" if key.kind is Kind.DRAINED_SERVER else draw(st.binary(max_size=3))
             ops.append(Upsert(key.kind, key.name, base, body))
-    # A proposal that is repeated now and then.
+    # Sometimes the proposal is repeated.
     again = 0 if sound else draw(st.sampled_from([0, 0, 0, 1]))
     change_id = b"%016d" % max(0, number - again)
     return Change(change_id, state.revision, "why", "who", tuple(ops))
@@ -72,7 +72,7 @@
 
 
 def by_hand(before: dict[Key, Resource], change: Change, revision: int) -> dict[Key, Resource] | None:
-    """What a change makes of resources, worked out the plain way; None: it does not fit."""
+    """Apply a change to a dict of resources; None: it cannot be applied."""
     after = dict(before)
     for op in change.operations:
         there = before.get(op.key)
@@ -146,7 +146,7 @@
 
 
 def test_what_differs_has_another_digest() -> None:
-    """Kind, name, version, body and decided ids, and where one ends and the next begins."""
+    """Kind, name, version, body and decided ids all count, as do the boundaries between them."""
     resources = [
         Resource(Kind.ROUTE, "ab", 1, b"c"),
         Resource(Kind.ROUTE, "a", 1, b"bc"),
@@ -202,7 +202,7 @@
 
 def test_what_accept_refuses_is_left_out_alone() -> None:
     def accept(state: ResourceState, change: Change) -> None:
-        assert state.revision_of(change.id) == 1  # it is the state after the change
+        assert state.revision_of(change.id) == 1  # the state after the change
         if state.get(Kind.ROUTE, "bad") is not None:
             raise ChangeRejectedError((ChangeProblem("route 'bad'", "path", "no"),))
 
@@ -221,7 +221,7 @@
     removed = change_of(Delete(Kind.ROUTE, "a", 1), number=1, made_on=1)
     state = state.with_batch([removed], 2)
     for revision in range(3, REMEMBERED_REVISIONS + 3):
-        for change in (first, removed):  # late repeats: each has had its one effect
+        for change in (first, removed):  # late repeats of changes that have taken effect
             with pytest.raises(ChangeRejectedError):
                 state.check(change)
         state = state.with_batch([], revision)
@@ -239,7 +239,7 @@
     one = assemble(EMPTY, [change_of(Upsert(Kind.ROUTE, "a", 0, b""))])
     two = assemble(one.state, [change_of(Upsert(Kind.ROUTE, "b", 0, b""), number=2)])
     with pytest.raises(BatchMismatchError, match="revision"):
-        apply_batch(EMPTY, two.batch)  # a delta over a gap
+        apply_batch(EMPTY, two.batch)  # revision 1 is missing
     with pytest.raises(BatchMismatchError, match="before"):
         apply_batch(two.state, msgspec.structs.replace(two.batch, revision=3))
     with pytest.raises(BatchMismatchError, match="after"):
@@ -274,7 +274,7 @@
 
 
 def test_what_somebody_writes_anew_with_another_content_does_not_fit_the_digests() -> None:
-    """Sound bytes, so that only the digests tell: a body, a version, a decided change."""
+    """The checksums are valid, so only the digests detect another body, version or decided change."""
     state, batch = some_state()
     parts = msgspec.msgpack.decode(encode_snapshot(state)[:-CHECKSUM_BYTES])
     for resources, ids in (
@@ -290,13 +290,13 @@
 
 
 def sealed(message: object) -> bytes:
-    """A message with a checksum that fits."""
+    """Encode a message with a valid checksum."""
     data = msgspec.msgpack.encode(message)
     return data + blake2b(data, digest_size=CHECKSUM_BYTES, person=b"hollybay.wire").digest()
 
 
 def check_decoding(data: bytes, decode: Callable[[bytes], object]) -> None:
-    """These bytes are decoded, or refused by a short error of one line."""
+    """Check that bytes are decoded, or rejected with a short error of one line."""
     try:
         decode(data)
     except WireError as error:
@@ -330,7 +330,7 @@
     parts = msgspec.msgpack.decode(encode_snapshot(state)[:-CHECKSUM_BYTES])
     with pytest.raises(WireError, match="form: 2"):
         decode_snapshot(sealed([2, *parts[1:]]))
-    with pytest.raises(WireError, match="stands twice"):
+    with pytest.raises(WireError, match="listed twice"):
         decode_snapshot(sealed([*parts[:2], parts[2] * 2, *parts[3:]]))
     with pytest.raises(WireError, match="digest"):
         decode_snapshot(encode_snapshot(state), EMPTY.digest)
@@ -348,13 +348,13 @@
     assert log.since(0) is None and log.bytes_since(2) == 200 and log.bytes == 300
     with pytest.raises(ValueError, match="does not follow"):
         log.append(batches[5], 1)
-    log.append(batches[4], 950)  # too large beside others: these go
+    log.append(batches[4], 950)  # too large for the bound: older batches are dropped
     assert log.since(3) is None and log.since(4) == (batches[4],)
     log.append(batches[5], 2000)
-    assert log.newest == 6 and log.since(5) is None and log.since(6) == ()  # none is kept: a snapshot
+    assert log.newest == 6 and log.since(5) is None and log.since(6) == ()  # none is kept: snapshot required
     with pytest.raises(ValueError, match="does not follow"):
         log.append(batches[4], 1)
-    begun = BatchLog(max_batches=3, max_bytes=1000, newest=4)  # from a snapshot on
+    begun = BatchLog(max_batches=3, max_bytes=1000, newest=4)  # starts after a snapshot
     assert begun.since(3) is None and begun.since(4) == ()
     begun.append(batches[4], 100)
     assert begun.since(3) is None and begun.since(4) == (batches[4],)
