--- a/tests/test_admin_requests.py
+++ b/tests/test_admin_requests.py
@@ -19,7 +19,7 @@
         ("POST", "/-/servers/a%2Fb/enable", AdminRequest(AdminOperation.ENABLE_SERVER, "a/b")),
     ],
 )
-def test_calls(method: str, target: str, expected: AdminRequest) -> None:
+def test_valid_requests_are_parsed(method: str, target: str, expected: AdminRequest) -> None:
     assert parse_request(method, target) == expected
 
 
@@ -35,7 +35,7 @@
         ("GET", "/", 404, ""),
     ],
 )
-def test_what_is_no_call(method: str, target: str, status: int, allow: str) -> None:
+def test_invalid_requests_are_rejected(method: str, target: str, status: int, allow: str) -> None:
     rejected = parse_request(method, target)
     assert isinstance(rejected, RejectedRequest)
     assert (rejected.status, rejected.allowed_methods) == (status, allow)
--- a/tests/test_admin_service.py
+++ b/tests/test_admin_service.py
@@ -72,7 +72,7 @@
 
 
 def test_a_drained_server_gets_no_requests_until_it_is_enabled(tmp_path: Path) -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         one, two = ScriptedServer("s-1"), ScriptedServer("s-2")
         async with running_admin_service(tmp_path, one, two) as (node, service, fake_discovery):
             for n in range(20):
@@ -86,8 +86,8 @@
             for n in range(20):
                 assert b" 200 " in await node.ask(request(rid=f"b-{n}"))
             assert len(one.heads) == before
-            shown = metrics((await send_request(service, "GET /-/metrics"))[1])
-            assert shown["servers_known", ""] == 2 and shown["servers_excluded", ""] == 1
+            samples = metrics((await send_request(service, "GET /-/metrics"))[1])
+            assert samples["servers_known", ""] == 2 and samples["servers_excluded", ""] == 1
             # One call to enable ends the drain, although it was requested twice.
             assert (await send_request(service, "POST /-/servers/s-1/enable"))[0] == 200
             for n in range(200):
@@ -98,11 +98,11 @@
             assert (await send_request(service, "POST /-/servers/s-9/disable"))[0] == 404
             assert (await send_request(service, "POST /-/servers/s-9/enable"))[0] == 404
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_drains_hold_for_the_next_process_and_for_one_beside(tmp_path: Path) -> None:
-    async def play() -> None:
+def test_drains_are_kept_across_processes_and_shared_between_them(tmp_path: Path) -> None:
+    async def scenario() -> None:
         first, second = tmp_path / "1", tmp_path / "2"
         first.mkdir()
         second.mkdir()
@@ -111,30 +111,34 @@
         async with running_admin_service(first, one, two, scratch=shared) as (_, service, _fake_discovery):
             await send_request(service, "POST /-/servers/s-1/disable")
             three, four = ScriptedServer("s-1"), ScriptedServer("s-2")
-            async with running_admin_service(second, three, four, scratch=shared) as (node, beside, _):
+            async with running_admin_service(second, three, four, scratch=shared) as (
+                node,
+                second_service,
+                _,
+            ):
                 # Both are processes of one node: they have the same name, and share the scratch folder.
-                assert beside.server_drains.drains.drained == {"s-1"}
+                assert second_service.server_drains.drains.drained == {"s-1"}
                 for n in range(20):
                     assert b" 200 " in await node.ask(request(rid=f"a-{n}"))
                 assert not three.heads and four.heads
                 await send_request(service, "POST /-/servers/s-2/disable")
                 async with asyncio.timeout(LIMIT):
-                    while beside.server_drains.drains.drained != {"s-1", "s-2"}:
+                    while second_service.server_drains.drains.drained != {"s-1", "s-2"}:
                         await asyncio.sleep(0.01)
                 # An invalid file changes nothing.
-                path = beside.server_drains.drain_file.path
+                path = second_service.server_drains.drain_file.path
                 assert path is not None
                 path.write_bytes(b"{")
-                beside.server_drains.read_file()
-                assert beside.server_drains.drains.drained == {"s-1", "s-2"}
+                second_service.server_drains.read_file()
+                assert second_service.server_drains.drains.drained == {"s-1", "s-2"}
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_a_drained_node_sends_clients_away_and_comes_back(tmp_path: Path) -> None:
-    async def play() -> None:
+def test_a_drained_node_closes_connections_until_it_is_resumed(tmp_path: Path) -> None:
+    async def scenario() -> None:
         async with running_admin_service(tmp_path, ScriptedServer("s-1")) as (node, service, _):
-            resting, resting_writer = await node.connect()
+            idle, idle_writer = await node.connect()
             busy, writer = await node.connect()
             async with asyncio.timeout(LIMIT):
                 writer.write(request(rid="r-1"))
@@ -145,21 +149,21 @@
                 writer.write(b"GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n")
                 assert b" 503 " in (await read_message(busy))[0]
                 # Idle and used connections are closed; a request that arrives on a new one is still served.
-                assert await resting.read() == b""
+                assert await idle.read() == b""
                 assert await busy.read() == b""
                 assert b"connection: close" in await node.ask(request(rid="r-2"))
                 assert (await send_request(service, "POST /-/resume"))[0] == 200
                 assert (await send_request(service, "GET /-/ready"))[0] == 200
                 head = await node.ask(request(rid="r-3"))
                 assert b" 200 " in head and b"close" not in head
-            resting_writer.close()
+            idle_writer.close()
             writer.close()
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_metrics_are_what_clients_and_servers_saw(tmp_path: Path) -> None:
-    async def play() -> None:
+def test_metrics_agree_with_what_clients_and_servers_observed(tmp_path: Path) -> None:
+    async def scenario() -> None:
         async def script(head: bytes, writer: asyncio.StreamWriter) -> None:
             if b"/send" in head:
                 writer.write(b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")
@@ -174,17 +178,17 @@
                 assert b" 200 " in await node.ask(request(rid=f"r-{n}"))
             assert b" 502 " in await node.ask(request("send", rid="r-s"))
             assert b" 503 " in await node.ask(request(rid="r-away"))
-            shown = metrics((await send_request(service, "GET /-/metrics"))[1])
-            assert shown["served_total", "view"] == 5 and shown["served_total", "book"] == 0
-            assert shown["failed_total", "send"] == 1 and shown["refused_total", "view"] == 1
-            assert shown["attempts_total", ""] == len(server.heads)
-            assert shown["in_flight", ""] == 0
+            samples = metrics((await send_request(service, "GET /-/metrics"))[1])
+            assert samples["served_total", "view"] == 5 and samples["served_total", "book"] == 0
+            assert samples["failed_total", "send"] == 1 and samples["refused_total", "view"] == 1
+            assert samples["attempts_total", ""] == len(server.heads)
+            assert samples["in_flight", ""] == 0
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_silent_clients_keep_nobody_waiting(tmp_path: Path) -> None:
-    async def play() -> None:
+def test_silent_clients_do_not_block_others(tmp_path: Path) -> None:
+    async def scenario() -> None:
         async with running_admin_service(tmp_path, ScriptedServer("s-1")) as (_, service, _fake_discovery):
             silent = []
             for n in range(3 * admin_server.MAX_CONNECTIONS):
@@ -196,17 +200,20 @@
             for writer in silent:
                 writer.close()
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 def test_an_invalid_request_is_rejected_and_the_server_stays_open(tmp_path: Path) -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         async with running_admin_service(tmp_path, ScriptedServer("s-1")) as (_, service, _fake_discovery):
             assert (await send_request(service, "GET /-/drain"))[0] == 405
             assert (await send_request(service, "GET /nothing"))[0] == 404
-            for noise in (b"\x00\xff\r\n\r\n", b"GET / HTTP/1.1\r\n" + b"A: " + b"x" * 20_000 + b"\r\n\r\n"):
+            for invalid in (
+                b"\x00\xff\r\n\r\n",
+                b"GET / HTTP/1.1\r\n" + b"A: " + b"x" * 20_000 + b"\r\n\r\n",
+            ):
                 reader, writer = await asyncio.open_connection("127.0.0.1", service.server.port)
-                writer.write(noise)
+                writer.write(invalid)
                 async with asyncio.timeout(LIMIT):
                     assert (await reader.read()).startswith(
                         (b"HTTP/1.1 400", b"HTTP/1.1 413", b"HTTP/1.1 431")
@@ -214,12 +221,12 @@
                 writer.close()
             assert (await send_request(service, "GET /-/ready"))[0] == 200
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 @pytest.mark.parametrize("target", ["/-/ready", "/-/metrics", "/-/none"])
 def test_a_head_request_gets_the_head_of_a_response(target: str, tmp_path: Path) -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         async with running_admin_service(tmp_path, ScriptedServer("s-1")) as (_, service, _):
             answers = []
             for method in ("HEAD", "GET"):
@@ -232,21 +239,21 @@
             assert head.startswith(b"HTTP/1.1 ") and b"connection: close" in head.lower()
             assert body == b"" and answers[1].partition(b"\r\n\r\n")[2] != b""
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 def test_the_server_list_shows_drained_servers(tmp_path: Path) -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         async with running_admin_service(tmp_path, ScriptedServer("s-1")) as (_, service, _fake_discovery):
             await send_request(service, "POST /-/servers/s-1/disable")
             status, body = await send_request(service, "GET /-/servers")
             assert status == 200 and b'"id": "s-1"' in body and b'"disabled": true' in body
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_without_an_admin_address_none_of_it_is_loaded(tmp_path: Path) -> None:
-    async def play() -> None:
+def test_without_an_admin_address_its_modules_are_not_imported(tmp_path: Path) -> None:
+    async def scenario() -> None:
         async with running(tmp_path / "c.json", FakeDiscovery(), ScriptedServer("s-1")) as node:
             config = node.clients.config
             assert config.admin is None and node.dispatcher.apply_drains is None
@@ -255,7 +262,7 @@
                 socket.SOL_SOCKET, socket.SO_REUSEPORT
             )
 
-    asyncio.run(play())
+    asyncio.run(scenario())
     code = (
         "import sys, hollybay.proxy.__main__\n"
         "mine = ('hollybay.admin', 'prometheus_client')\n"
--- a/tests/test_golden_admin.py
+++ b/tests/test_golden_admin.py
@@ -9,5 +9,5 @@
 
 
 @pytest.mark.parametrize("name", ["admin.http", "admin_refused.http", "admin_in_accord.http"])
-def test_operators_are_answered_the_golden_bytes(name: str) -> None:
+def test_admin_responses_equal_the_golden_bytes(name: str) -> None:
     assert build.FILES[name]() == read(name)
--- a/tests/test_golden_load_reports.py
+++ b/tests/test_golden_load_reports.py
@@ -17,12 +17,12 @@
 
 
 @pytest.mark.parametrize("name", DATAGRAMS)
-def test_a_golden_datagram_says_what_it_said(name: str) -> None:
+def test_a_golden_datagram_decodes_to_the_golden_text(name: str) -> None:
     assert build.load_report_read(DATAGRAMS[name]).encode() == READ[name]
 
 
 @pytest.mark.parametrize("name", DATAGRAMS)
-def test_a_damaged_golden_datagram_says_nothing(name: str) -> None:
+def test_a_damaged_golden_datagram_is_rejected(name: str) -> None:
     data = DATAGRAMS[name]
     damaged = (data[:-1], data + b"\0", b"hc" + data[2:], data[:2] + b"\2" + data[3:], data[:9], b"")
     assert [build.load_report_read(one) for one in damaged] == [""] * len(damaged)
--- a/tests/test_golden_metrics.py
+++ b/tests/test_golden_metrics.py
@@ -9,5 +9,5 @@
 
 
 @pytest.mark.parametrize("name", ["metrics.txt", "metrics_of_node.http"])
-def test_the_endpoint_prints_the_golden_text(name: str) -> None:
+def test_metrics_equal_the_golden_text(name: str) -> None:
     assert build.FILES[name]().decode() == read(name).decode()
--- a/tests/test_invalid_changes.py
+++ b/tests/test_invalid_changes.py
@@ -25,24 +25,26 @@
 def find_invalid_changes(*changes: Change) -> dict[bytes, list[str]]:
     """Return the invalid changes of a batch that is based on an empty state, with their reasons."""
     compiled_policies = CompiledPolicies(settings_from_json(settings(1)), lambda: ())
-    sealed = EMPTY.with_revision((), 1)
-    return asyncio.run(compiled_policies.find_invalid_changes(Entry(FIRST_POLICY, sealed, None, 0), changes))
+    base_state = EMPTY.with_revision((), 1)
+    return asyncio.run(
+        compiled_policies.find_invalid_changes(Entry(FIRST_POLICY, base_state, None, 0), changes)
+    )
 
 
-GOOD = change_of(1, "/view-schedule/a")
-BAD = change_of(2, "/view-schedule/b", cls="nobody")
-WORSE = change_of(3, "/view-schedule/c", cls="somebody")
-SAME = change_of(4, "/view-schedule/a")
+VALID = change_of(1, "/view-schedule/a")
+INVALID = change_of(2, "/view-schedule/b", cls="nobody")
+ALSO_INVALID = change_of(3, "/view-schedule/c", cls="somebody")
+CONFLICTING = change_of(4, "/view-schedule/a")
 
 
-def test_each_is_named_for_its_own_reasons() -> None:
-    found = find_invalid_changes(GOOD, BAD, WORSE)
-    assert set(found) == {BAD.id, WORSE.id}
-    assert "'r2'" in found[BAD.id][0] and "'r3'" not in str(found[BAD.id])
-    assert "'r3'" in found[WORSE.id][0] and "'r2'" not in str(found[WORSE.id])
+def test_each_invalid_change_is_reported_with_its_own_reasons() -> None:
+    found = find_invalid_changes(VALID, INVALID, ALSO_INVALID)
+    assert set(found) == {INVALID.id, ALSO_INVALID.id}
+    assert "'r2'" in found[INVALID.id][0] and "'r3'" not in str(found[INVALID.id])
+    assert "'r3'" in found[ALSO_INVALID.id][0] and "'r2'" not in str(found[ALSO_INVALID.id])
 
 
-def test_one_that_does_not_hold_only_beside_another_is_not_named() -> None:
+def test_a_change_that_only_conflicts_with_another_is_not_reported() -> None:
     """The other change may never take effect."""
-    assert find_invalid_changes(GOOD, SAME) == {}
-    assert set(find_invalid_changes(GOOD, SAME, BAD)) == {BAD.id}
+    assert find_invalid_changes(VALID, CONFLICTING) == {}
+    assert set(find_invalid_changes(VALID, CONFLICTING, INVALID)) == {INVALID.id}
--- a/tests/test_load_reports.py
+++ b/tests/test_load_reports.py
@@ -32,7 +32,9 @@
 
 
 @given(STATES, st.integers(0, 65535), st.integers(0, 2**32 - 1), st.integers(1, 2**32 - 1))
-def test_a_state_comes_through_whole(state: dict[int, int], node: int, process: int, count: int) -> None:
+def test_a_state_round_trips_through_reports(
+    state: dict[int, int], node: int, process: int, count: int
+) -> None:
     decoded: dict[int, int] = {}
     datagrams = encode_reports(node, process, count, state)
     for part, data in enumerate(datagrams):
@@ -46,18 +48,18 @@
 
 
 @given(st.binary(max_size=300))
-def test_anything_else_is_invalid(data: bytes) -> None:
+def test_arbitrary_bytes_are_invalid(data: bytes) -> None:
     assert decode_report(data) is None or data[:3] == b"hb\x01"
 
 
 @given(STATES, st.data())
-def test_a_datagram_that_is_cut_or_longer_is_invalid(state: dict[int, int], data: st.DataObject) -> None:
+def test_a_truncated_or_extended_datagram_is_invalid(state: dict[int, int], data: st.DataObject) -> None:
     whole = encode_reports(1, 2, 3, state)[0]
     assert decode_report(whole[: data.draw(st.integers(0, len(whole) - 1))]) is None
     assert decode_report(whole + b"x") is None
 
 
-def test_a_state_of_very_many_servers_keeps_those_with_the_most() -> None:
+def test_a_state_of_too_many_servers_keeps_those_with_the_most_load() -> None:
     state = {n: 1 + n % 200 for n in range(1000)}
     decoded: dict[int, int] = {}
     for data in encode_reports(1, 1, 1, state):
@@ -108,7 +110,7 @@
     assert remote.peer_count == 0 and not remote.total
 
 
-def test_a_new_incarnation_replaces_the_old_one_whose_reports_count_no_more() -> None:
+def test_reports_of_an_old_incarnation_are_ignored() -> None:
     remote = remote_load()
     remote.receive(report_of(1, 9, 50, s1=2), 0)
     assert remote.receive(report_of(1, 10, 1, s2=1), 10) == {"s-1": 0, "s-2": 1}
@@ -128,7 +130,7 @@
     assert remote.receive(first, 0) == dict.fromkeys(servers, 1)
 
 
-def test_two_servers_with_one_hash_are_reported_for_neither(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_load_of_two_servers_with_the_same_hash_is_not_reported(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("hollybay.gossip.remote_load.server_hash", lambda server: 1)
     remote = RemoteLoad(0, 3, SECOND)
     remote.set_servers(["a", "b"])
@@ -179,7 +181,7 @@
             parse_peer_addresses(bad, 2)
 
 
-def test_an_operator_file_whose_reports_would_expire_at_once_is_rejected() -> None:
+def test_an_operator_file_whose_reports_expire_too_soon_is_rejected() -> None:
     found = compile_file(b'[peers]\nevery = "1s"\nforget = "2s"\n', make_settings()).peers
     assert found is not None and (found.every, found.forget) == (SECOND, 2 * SECOND)
     assert compile_file(b"", make_settings()).peers is None
@@ -206,8 +208,8 @@
         "BALANCER_CONFIG": str(folder / "config.json"),
         "HOLLYBAY_OPERATOR": str(folder / "operator.toml"),
     }
-    words = [sys.executable, "-m", "hollybay.proxy"]
-    return subprocess.run(words, env=environ, capture_output=True, text=True, timeout=60, check=False)
+    command = [sys.executable, "-m", "hollybay.proxy"]
+    return subprocess.run(command, env=environ, capture_output=True, text=True, timeout=60, check=False)
 
 
 def test_a_node_without_usable_addresses_for_reports_does_not_start(tmp_path: Path) -> None:
@@ -228,7 +230,7 @@
         assert "Traceback" not in done.stderr
 
 
-def test_a_node_without_the_table_imports_nothing_of_it() -> None:
+def test_without_a_peers_table_its_modules_are_not_imported() -> None:
     code = (
         "import sys, hollybay.proxy.__main__ as m\n"
         "from hollybay.routing.policy_compiler import compile_file\n"
@@ -246,14 +248,14 @@
 READ = (api.RequestClass("r", api.Effect.SAFE, 1.0, SECOND, 3 * SECOND),)
 
 
-def talking(nodes: int = 40) -> BalancerHarness:
+def harness_with_peers(nodes: int = 40) -> BalancerHarness:
     node = BalancerHarness(make_settings(classes=READ, zones=1, kinds=1, nodes=nodes))
     node.tell(tuple(api.Server(b"s%d" % n, weight=1.0) for n in range(4)))
     return node
 
 
-def test_a_node_that_hears_the_others_takes_only_servers_that_are_idle_for_all() -> None:
-    node = talking()
+def test_a_node_with_peer_load_selects_only_servers_idle_at_all_nodes() -> None:
+    node = harness_with_peers()
     node.give(api.PeerLoad({b"s0": 1, b"s1": 2, b"s3": 1}, 39))
     node.run_to(node.now + SECOND)  # a review: every node may now select any idle server
     for rid in range(5):
@@ -268,8 +270,8 @@
     assert node.balancer.servers[b"s1"].in_flight == 1
 
 
-def test_without_others_it_goes_on_as_before() -> None:
-    node = talking()
+def test_without_peers_selection_is_unchanged() -> None:
+    node = harness_with_peers()
     node.give(api.PeerLoad({b"s0": 3}, 39))
     node.give(api.PeerLoad({b"s0": 0, b"gone": 2}, 0))
     node.run_to(node.now + SECOND)
@@ -277,34 +279,34 @@
     assert all(not s.in_flight and not s.peer_in_flight for s in node.balancer.servers.values())
 
 
-def test_what_others_have_and_its_own_are_counted_apart() -> None:
-    node = talking()
-    chance = random.Random(3)
-    others = dict.fromkeys((b"s0", b"s1", b"s2", b"s3"), 0)
+def test_load_of_peers_and_own_load_are_counted_separately() -> None:
+    node = harness_with_peers()
+    rng = random.Random(3)
+    peer_load = dict.fromkeys((b"s0", b"s1", b"s2", b"s3"), 0)
     own: Counter[object] = Counter()
-    open_: list[int] = []
+    pending: list[int] = []
     for rid in range(300):
-        if chance.random() < 0.5:
-            server = chance.choice(list(others))
-            others[server] = chance.randrange(4)
-            node.give(api.PeerLoad({server: others[server]}, 39))
+        if rng.random() < 0.5:
+            server = rng.choice(list(peer_load))
+            peer_load[server] = rng.randrange(4)
+            node.give(api.PeerLoad({server: peer_load[server]}, 39))
         node.ask(rid)
         if node.books[rid].attempts:
             own[node.books[rid].attempts[0].server] += 1
-            open_.append(rid)
-        if open_ and chance.random() < 0.6:
-            done = open_.pop(0)
+            pending.append(rid)
+        if pending and rng.random() < 0.6:
+            done = pending.pop(0)
             node.answer(done, 0)
             own[node.books[done].attempts[0].server] -= 1
         for name, s in node.balancer.servers.items():
-            assert (s.in_flight, s.peer_in_flight) == (own[name] + others[name], others[name])  # type: ignore[index]
+            assert (s.in_flight, s.peer_in_flight) == (own[name] + peer_load[name], peer_load[name])  # type: ignore[index]
 
 
-def test_no_datagram_raises_and_none_of_a_stranger_counts() -> None:
-    asyncio.run(_exchange_with_a_stranger())
+def test_invalid_datagrams_and_those_of_unknown_peers_are_ignored() -> None:
+    asyncio.run(_exchange_with_an_unknown_peer())
 
 
-async def _exchange_with_a_stranger() -> None:
+async def _exchange_with_an_unknown_peer() -> None:
     from hollybay.proxy.load_reports import LoadReportExchange
 
     class RecordingNode:
@@ -318,7 +320,7 @@
     recorder.fed = []
     with (
         socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as other,
-        socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger,
+        socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as unknown_peer,
     ):
         other.bind(("127.0.0.1", 0))
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as free:
@@ -329,7 +331,7 @@
         try:
             exchange.servers_changed(["s-1"])
             good = encode_reports(1, 5, 1, {server_hash("s-1"): 2})[0]
-            stranger.sendto(good, mine)
+            unknown_peer.sendto(good, mine)
             for data in (b"", b"x", bytes(400), good[:-1], encode_reports(0, 5, 1, {})[0]):
                 other.sendto(data, mine)
             other.sendto(good, mine)
--- a/tests/test_resource_tables.py
+++ b/tests/test_resource_tables.py
@@ -49,13 +49,13 @@
         limits.map(lambda t: (KINDS[Kind.DEFAULTS], t)),
     )
 )
-def test_a_table_comes_back_from_its_one_spelling(pair: tuple[Key, Any]) -> None:
+def test_a_table_round_trips_through_its_canonical_body(pair: tuple[Key, Any]) -> None:
     key, table = pair
     body = encode_table(table)
     assert decode_body(key, body) == table and encode_table(table) == body
 
 
-def test_every_error_of_a_body_is_told_with_its_field() -> None:
+def test_all_errors_of_a_body_are_reported_with_their_fields() -> None:
     found = problems(
         ROUTE,
         {
@@ -108,7 +108,7 @@
         (ROUTE, b"\x80" * (17 << 10), "body"),
     ],
 )
-def test_what_is_no_such_table_is_refused(key: Key, data: Any, field: str) -> None:
+def test_an_invalid_body_is_rejected(key: Key, data: Any, field: str) -> None:
     assert field in [name for name, _ in problems(key, data)]
 
 
@@ -123,12 +123,12 @@
 
 @settings(max_examples=300)
 @given(st.sampled_from(list(KINDS.values())), st.binary(max_size=60))
-def test_no_bytes_raise_anything_else(key: Key, body: bytes) -> None:
+def test_arbitrary_bytes_are_decoded_or_rejected(key: Key, body: bytes) -> None:
     check_body(key, body)
 
 
-def test_no_wrong_values_raise_anything_else() -> None:
-    plain = st.recursive(
+def test_arbitrary_values_are_decoded_or_rejected() -> None:
+    plain_values = st.recursive(
         st.none() | st.booleans() | st.integers(-(2**63), 2**64 - 1) | st.floats() | st.text(max_size=5),
         lambda inner: st.lists(inner, max_size=3)
         | st.dictionaries(
@@ -140,14 +140,14 @@
     )
 
     @settings(max_examples=300)
-    @given(st.sampled_from(list(KINDS.values())), plain)
-    def play(key: Key, data: object) -> None:
+    @given(st.sampled_from(list(KINDS.values())), plain_values)
+    def check_values(key: Key, data: object) -> None:
         check_body(key, msgspec.msgpack.encode(data))
 
-    play()
+    check_values()
 
 
-def applied(state: ResourceState, wanted: dict[Key, bytes]) -> ResourceState:
+def apply_operations(state: ResourceState, wanted: dict[Key, bytes]) -> ResourceState:
     ops = operations_between(state, wanted)
     if not ops:
         return state
@@ -177,17 +177,17 @@
 """
 
 
-def test_a_file_is_its_resources_and_back() -> None:
+def test_a_file_round_trips_through_its_resources() -> None:
     tables = read(FILE)
     wanted = resources_of(tables)
     assert len(wanted) == 6
-    state = applied(EMPTY, wanted)
+    state = apply_operations(EMPTY, wanted)
     assert tables_of(state) == tables and tables_of(EMPTY) == OperatorTables()
     assert operations_between(state, wanted) == ()
 
 
-def test_the_difference_to_a_file_touches_what_differs_and_no_server() -> None:
-    state = applied(EMPTY, {**resources_of(read(FILE)), Key(Kind.DRAINED_SERVER, "s-1"): b""})
+def test_the_operations_to_a_file_skip_equal_resources_and_drained_servers() -> None:
+    state = apply_operations(EMPTY, {**resources_of(read(FILE)), Key(Kind.DRAINED_SERVER, "s-1"): b""})
     new = FILE.replace('"200ms"', '"100ms"').replace('[paths]\nempty_segments = "keep"\n', "")
     new = new.replace('name = "a"', 'name = "c"')
     wanted = resources_of(read(new))
@@ -198,11 +198,11 @@
         (Upsert, "route 'b'"),
         (Upsert, "route 'c'"),
     ]
-    after = applied(state, wanted)
+    after = apply_operations(state, wanted)
     assert resources_of(tables_of(after)) == wanted and after.get(Kind.DRAINED_SERVER, "s-1") is not None
 
 
-def test_a_file_with_one_name_twice_makes_no_resources() -> None:
+def test_a_file_with_a_duplicate_route_name_is_rejected() -> None:
     tables = read('[[route]]\nname = "a"\n[[route]]\nname = "a"\npath.prefix = "/x"\n')
     with pytest.raises(ChangeRejectedError, match="another route has it"):
         resources_of(tables)
--- a/tests/test_resource_wire.py
+++ b/tests/test_resource_wire.py
@@ -13,7 +13,7 @@
 from hollybay.resources.state import EMPTY, ResourceState
 from hollybay.resources.wire import WireError, decode_snapshot, encode_snapshot
 
-NAMES = st.dictionaries(
+BODIES = st.dictionaries(
     st.tuples(
         st.sampled_from([Kind.ROUTE, Kind.CLASS, Kind.TENANT]), st.text("abcz", min_size=1, max_size=4)
     ),
@@ -32,8 +32,8 @@
     return EMPTY.with_batch([change], 1)
 
 
-@given(NAMES, st.integers(0, 99))
-def test_equal_states_give_equal_bytes_and_come_back(
+@given(BODIES, st.integers(0, 99))
+def test_equal_states_give_equal_bytes_and_round_trip(
     bodies: dict[tuple[Kind, str], bytes], seed: int
 ) -> None:
     one, other = state_of(bodies, seed), state_of(bodies, seed + 1)
@@ -42,8 +42,8 @@
     assert decode_snapshot(data, one.digest) == one == other
 
 
-@given(NAMES, st.data())
-def test_a_snapshot_that_is_cut_or_changed_is_refused_or_says_the_same(
+@given(BODIES, st.data())
+def test_a_damaged_snapshot_is_rejected_or_holds_the_same_resources(
     bodies: dict[tuple[Kind, str], bytes], draw: st.DataObject
 ) -> None:
     state = state_of(bodies, 1)
--- a/tests/test_resources.py
+++ b/tests/test_resources.py
@@ -45,13 +45,13 @@
 
 
 @st.composite
-def changes(draw: st.DrawFn, state: ResourceState, number: int, sound: bool = False) -> Change:
+def changes(draw: st.DrawFn, state: ResourceState, number: int, valid: bool = False) -> Change:
     """A change of a state; sometimes based on a wrong version."""
     ops: list[Operation] = []
     for key in draw(st.lists(st.sampled_from(KEYS), min_size=1, max_size=3, unique=True)):
         there = state.resources.get(key)
         base = there.version if there is not None else 0
-        if not sound and draw(st.integers(0, 5)) == 0:
+        if not valid and draw(st.integers(0, 5)) == 0:
             base += draw(st.sampled_from([1, 2]))
         if base and draw(st.booleans()):
             ops.append(Delete(key.kind, key.name, base))
@@ -59,7 +59,7 @@
             body = b"" if key.kind is Kind.DRAINED_SERVER else draw(st.binary(max_size=3))
             ops.append(Upsert(key.kind, key.name, base, body))
     # Sometimes the proposal is repeated.
-    again = 0 if sound else draw(st.sampled_from([0, 0, 0, 1]))
+    again = 0 if valid else draw(st.sampled_from([0, 0, 0, 1]))
     change_id = b"%016d" % max(0, number - again)
     return Change(change_id, state.revision, "why", "who", tuple(ops))
 
@@ -123,29 +123,29 @@
 
 @settings(max_examples=100)
 @given(st.data())
-def test_a_change_and_its_inverse_leave_the_resources_as_they_were(data: st.DataObject) -> None:
+def test_a_change_and_its_inverse_restore_the_resources(data: st.DataObject) -> None:
     state = EMPTY
     for number in range(3):
-        state = assemble(state, [data.draw(changes(state, number, sound=True))]).state
-    change = data.draw(changes(state, 7, sound=True))
+        state = assemble(state, [data.draw(changes(state, number, valid=True))]).state
+    change = data.draw(changes(state, 7, valid=True))
     after = state.with_batch([change], state.revision + 1)
-    back: list[Operation] = []
+    inverse_operations: list[Operation] = []
     for op in change.operations:
         was, there = state.resources.get(op.key), after.resources.get(op.key)
         base = there.version if there is not None else 0
         if was is not None:
-            back.append(Upsert(op.kind, op.name, base, was.body))
+            inverse_operations.append(Upsert(op.kind, op.name, base, was.body))
         elif base:
-            back.append(Delete(op.kind, op.name, base))
-    if back:
-        inverse = Change(b"i" * 16, after.revision, "back", "who", tuple(back))
+            inverse_operations.append(Delete(op.kind, op.name, base))
+    if inverse_operations:
+        inverse = Change(b"i" * 16, after.revision, "back", "who", tuple(inverse_operations))
         after = after.with_batch([inverse], after.revision + 1)
     assert {key: one.body for key, one in after.resources.items()} == {
         key: one.body for key, one in state.resources.items()
     }
 
 
-def test_what_differs_has_another_digest() -> None:
+def test_different_states_have_different_digests() -> None:
     """Kind, name, version, body and decided ids all count, as do the boundaries between them."""
     resources = [
         Resource(Kind.ROUTE, "ab", 1, b"c"),
@@ -187,7 +187,7 @@
         (change_of(Upsert(Kind.ROUTE, "a", 0, b""), number=0), "change", "id"),
     ],
 )
-def test_refused_changes_name_resource_field_and_reason_and_change_nothing(
+def test_rejected_changes_name_resource_and_field_and_change_nothing(
     change: Change, resource: str, field: str
 ) -> None:
     state = EMPTY.with_batch([change_of(Upsert(Kind.ROUTE, "there", 0, b"x"), number=0)], 1)
@@ -200,7 +200,7 @@
     assert [one.id for one in found.batch.changes] == [b"%016d" % 5] and len(found.rejected) == 1
 
 
-def test_what_accept_refuses_is_left_out_alone() -> None:
+def test_a_change_that_the_check_rejects_is_left_out_alone() -> None:
     def accept(state: ResourceState, change: Change) -> None:
         assert state.revision_of(change.id) == 1  # the state after the change
         if state.get(Kind.ROUTE, "bad") is not None:
@@ -215,7 +215,7 @@
     assert found.state == assemble(EMPTY, [proposed[0], proposed[2]]).state
 
 
-def test_ids_are_remembered_for_as_long_as_changes_made_then_are_taken() -> None:
+def test_change_ids_are_kept_as_long_as_their_base_revision_is_accepted() -> None:
     first = change_of(Upsert(Kind.ROUTE, "a", 0, b""), number=0)
     state = EMPTY.with_batch([first], 1)
     removed = change_of(Delete(Kind.ROUTE, "a", 1), number=1, made_on=1)
@@ -235,7 +235,7 @@
         state.check(first)
 
 
-def test_a_batch_that_does_not_follow_is_told_apart() -> None:
+def test_a_batch_that_does_not_follow_a_state_is_rejected() -> None:
     one = assemble(EMPTY, [change_of(Upsert(Kind.ROUTE, "a", 0, b""))])
     two = assemble(one.state, [change_of(Upsert(Kind.ROUTE, "b", 0, b""), number=2)])
     with pytest.raises(BatchMismatchError, match="revision"):
@@ -250,15 +250,15 @@
         )
 
 
-def some_state() -> tuple[ResourceState, Batch]:
+def sample_state() -> tuple[ResourceState, Batch]:
     ops = (Upsert(Kind.ROUTE, "a", 0, b"\x81\xa4name\xa1a"), Upsert(Kind.DRAINED_SERVER, "s-1", 0, b""))
     state = assemble(EMPTY, [change_of(*ops)]).state
     batch = assemble(state, [change_of(Delete(Kind.ROUTE, "a", 1), number=2, made_on=1)]).batch
     return state, batch
 
 
-def test_every_cut_and_every_flipped_bit_of_a_batch_or_snapshot_is_refused() -> None:
-    state, batch = some_state()
+def test_every_truncation_and_bit_flip_of_a_batch_or_snapshot_is_rejected() -> None:
+    state, batch = sample_state()
     snapshot, message = encode_snapshot(state), encode_batch(batch)
     assert decode_snapshot(snapshot, state.digest) == state and decode_batch(message) == batch
     for data, decode in ((snapshot, decode_snapshot), (message, decode_batch)):
@@ -273,9 +273,9 @@
                 decode(one)
 
 
-def test_what_somebody_writes_anew_with_another_content_does_not_fit_the_digests() -> None:
+def test_altered_content_with_a_valid_checksum_fails_the_digests() -> None:
     """The checksums are valid, so only the digests detect another body, version or decided change."""
-    state, batch = some_state()
+    state, batch = sample_state()
     parts = msgspec.msgpack.decode(encode_snapshot(state)[:-CHECKSUM_BYTES])
     for resources, ids in (
         ([[*parts[2][0][:3], b"other"], *parts[2][1:]], parts[3]),
@@ -283,13 +283,13 @@
         (parts[2], []),
     ):
         with pytest.raises(WireError, match="digest"):
-            decode_snapshot(sealed([*parts[:2], resources, ids, parts[4]]))
+            decode_snapshot(with_checksum([*parts[:2], resources, ids, parts[4]]))
     other = change_of(Upsert(Kind.ROUTE, "a", 1, b"other"), number=2, made_on=1)
     with pytest.raises(BatchMismatchError, match="after"):
         apply_batch(state, decode_batch(encode_batch(msgspec.structs.replace(batch, changes=(other,)))))
 
 
-def sealed(message: object) -> bytes:
+def with_checksum(message: object) -> bytes:
     """Encode a message with a valid checksum."""
     data = msgspec.msgpack.encode(message)
     return data + blake2b(data, digest_size=CHECKSUM_BYTES, person=b"hollybay.wire").digest()
@@ -305,7 +305,7 @@
 
 @settings(max_examples=300)
 @given(st.binary(max_size=80), st.sampled_from([decode_batch, decode_change, decode_snapshot]))
-def test_no_bytes_raise_anything_but_a_wire_error(data: bytes, decode: Callable[[bytes], object]) -> None:
+def test_arbitrary_bytes_raise_only_wire_errors(data: bytes, decode: Callable[[bytes], object]) -> None:
     check_decoding(data, decode)
 
 
@@ -318,27 +318,25 @@
     ),
     st.sampled_from([decode_batch, decode_change, decode_snapshot]),
 )
-def test_no_other_message_raises_anything_but_a_wire_error(
-    data: object, decode: Callable[[bytes], object]
-) -> None:
-    bytes_of = msgspec.msgpack.encode if decode is decode_change else sealed
+def test_arbitrary_messages_raise_only_wire_errors(data: object, decode: Callable[[bytes], object]) -> None:
+    bytes_of = msgspec.msgpack.encode if decode is decode_change else with_checksum
     check_decoding(bytes_of(data), decode)
 
 
-def test_a_snapshot_of_another_form_or_with_a_resource_twice_is_refused() -> None:
-    state, _ = some_state()
+def test_a_snapshot_of_another_format_or_with_a_duplicate_resource_is_rejected() -> None:
+    state, _ = sample_state()
     parts = msgspec.msgpack.decode(encode_snapshot(state)[:-CHECKSUM_BYTES])
     with pytest.raises(WireError, match="form: 2"):
-        decode_snapshot(sealed([2, *parts[1:]]))
+        decode_snapshot(with_checksum([2, *parts[1:]]))
     with pytest.raises(WireError, match="listed twice"):
-        decode_snapshot(sealed([*parts[:2], parts[2] * 2, *parts[3:]]))
+        decode_snapshot(with_checksum([*parts[:2], parts[2] * 2, *parts[3:]]))
     with pytest.raises(WireError, match="digest"):
         decode_snapshot(encode_snapshot(state), EMPTY.digest)
     change = change_of(Upsert(Kind.ROUTE, "a", 0, b"x"))
     assert decode_change(encode_change(change)) == change
 
 
-def test_a_reader_is_given_what_it_lacks_or_told_to_take_a_snapshot() -> None:
+def test_the_batch_log_returns_missing_batches_or_requires_a_snapshot() -> None:
     log = BatchLog(max_batches=3, max_bytes=1000)
     assert log.since(0) == () and log.newest == 0
     batches = [Batch(n, b"0" * 32, (), b"1" * 32) for n in range(1, 7)]
--- a/tests/test_routes_node.py
+++ b/tests/test_routes_node.py
@@ -46,12 +46,12 @@
 CAPS = {**settings()["caps"], "retry-after": True, "max-retry-after": 5 * SECOND}
 
 
-def no_pause() -> None:
+def no_pause_between_reads() -> None:
     """Replace the pause between reads: the file does not change meanwhile."""
 
 
 @asynccontextmanager
-async def routed(
+async def node_with_operator_file(
     folder: Path, text: str, *backends: ScriptedServer, **more: object
 ) -> AsyncIterator[tuple[RunningNode, OperatorFile]]:
     """Run a node with an operator file; more: settings that differ from the defaults."""
@@ -59,13 +59,13 @@
     path.write_text(text)
     known = settings(caps=CAPS, **more)
     async with running(folder / "c.json", FakeDiscovery(), *backends, settings=known) as node:
-        operator = OperatorFile(str(path), node.dispatcher.settings, 1, no_pause)
+        operator = OperatorFile(str(path), node.dispatcher.settings, 1, no_pause_between_reads)
         node.clients.admission = operator.admission
         yield node, operator
         await operator.close()
 
 
-async def reloaded(operator: OperatorFile, text: str) -> None:
+async def replace_file(operator: OperatorFile, text: str) -> None:
     """Replace the file, and wait until the reload has finished."""
     operator.path.write_text(text)
     operator.reload_finished.clear()
@@ -82,15 +82,15 @@
     return request(rid=rid, extra=extra).replace(b"GET /view ", b"GET " + path + b" ")
 
 
-def test_what_a_rate_turns_away_is_told_429_at_once_and_reaches_no_server(tmp_path: Path) -> None:
+def test_requests_over_a_rate_get_429_and_reach_no_server(tmp_path: Path) -> None:
     text = (
         "[class.view.limits]\nrate = { per_second = 0.5, burst = 2 }\n"
         "retry_after = { least = '1s', most = '3s' }"
     )
 
-    async def play() -> None:
+    async def scenario() -> None:
         server = ScriptedServer("s-1")
-        async with routed(tmp_path, text, server) as (node, operator):
+        async with node_with_operator_file(tmp_path, text, server) as (node, operator):
             reader, writer = await node.connect()
             answers = []
             async with asyncio.timeout(LIMIT):
@@ -106,15 +106,15 @@
             assert b" 200 " in await node.ask(request("send", "s", b"{}"))  # another class is not affected
             writer.transport.abort()
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_requests_in_flight_are_held_to_their_number_until_answered_or_left(tmp_path: Path) -> None:
+def test_requests_in_flight_are_limited_until_answered_or_abandoned(tmp_path: Path) -> None:
     text = "[[route]]\nname = 'r'\npath.prefix = '/view/x'\nlimits.in_flight = 2"
 
-    async def play() -> None:
+    async def scenario() -> None:
         server = StalledServer("s-1")
-        async with routed(tmp_path, text, server) as (node, operator):
+        async with node_with_operator_file(tmp_path, text, server) as (node, operator):
             states = operator.admission.counters
             lines = [await node.connect() for _ in range(2)]
             async with asyncio.timeout(LIMIT):
@@ -133,18 +133,18 @@
             assert states["r"].in_flight == 0
             lines[1][1].transport.abort()
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_a_route_names_the_class_and_the_path_goes_on_unchanged(tmp_path: Path) -> None:
+def test_a_route_states_the_class_and_the_path_is_forwarded_unchanged(tmp_path: Path) -> None:
     text = (
         "[[route]]\nname = 'slots'\nclass = 'view'\nmethods = ['GET']\npath.template = '/venues/{id}/slots'\n"
         "[[route]]\nname = 'host'\nclass = 'send'\nhosts = ['*.example']\npath.prefix = '/call'"
     )
 
-    async def play() -> None:
+    async def scenario() -> None:
         server = ScriptedServer("s-1")
-        async with routed(tmp_path, text, server) as (node, _):
+        async with node_with_operator_file(tmp_path, text, server) as (node, _):
             assert b" 200 " in await node.ask(get(b"/venues/%37/slots?day=%2F..", "r-1"))
             assert server.heads[-1].startswith(b"GET /venues/%37/slots?day=%2F.. HTTP/1.1\r\n")
             assert b" 404 " in await node.ask(get(b"/venues/7/slots/", "r-2"))
@@ -156,7 +156,7 @@
             wrong = request("send", "r-5", b"{}").replace(b"/send", b"/venues/7/slots")
             assert b" 404 " in await node.ask(wrong) and len(server.heads) == 2
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 @pytest.mark.parametrize(
@@ -171,27 +171,27 @@
         b"/view/a\\b",
     ],
 )
-def test_ambiguous_paths_are_refused_before_anything_is_sent(tmp_path: Path, path: bytes) -> None:
-    async def play() -> None:
+def test_ambiguous_paths_are_rejected_before_anything_is_sent(tmp_path: Path, path: bytes) -> None:
+    async def scenario() -> None:
         server = ScriptedServer("s-1")
-        async with routed(tmp_path, "", server) as (node, _):
-            said = await node.ask(get(path, "r-1"))
-            assert b" 400 " in said and b"connection: close" in said.lower()
+        async with node_with_operator_file(tmp_path, "", server) as (node, _):
+            response = await node.ask(get(path, "r-1"))
+            assert b" 400 " in response and b"connection: close" in response.lower()
             assert b" 200 " in await node.ask(get(b"/view/a", "r-2"))
             assert len(server.heads) == 1
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_kept_paths_and_doubled_headers(tmp_path: Path) -> None:
+def test_accepted_ambiguous_paths_and_repeated_headers(tmp_path: Path) -> None:
     text = (
         "[paths]\nencoded_slash = 'keep'\nempty_segments = 'keep'\n"
         "[[route]]\nname = 'r'\npath.exact = '/view/a'\nheaders = [{name = 'X-Plan', exact = 'gold'}]"
     )
 
-    async def play() -> None:
+    async def scenario() -> None:
         server = ScriptedServer("s-1")
-        async with routed(tmp_path, text, server) as (node, _):
+        async with node_with_operator_file(tmp_path, text, server) as (node, _):
             assert b" 200 " in await node.ask(get(b"/view/a%2Fb", "r-1"))
             assert b" 200 " in await node.ask(get(b"/view//a", "r-2"))
             assert b" 400 " in await node.ask(get(b"/view/%2e%2e/a", "r-3"))
@@ -199,18 +199,18 @@
             assert b" 400 " in await node.ask(get(b"/view/a", "r-4", b"X-Plan: gold\r\nX-Plan: tin\r\n"))
             assert b" 200 " in await node.ask(get(b"/view/a", "r-5", b"X-Else: 1\r\nX-Else: 2\r\n"))
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_body_sizes_by_route_told_and_untold(tmp_path: Path) -> None:
+def test_body_limits_by_route_with_and_without_content_length(tmp_path: Path) -> None:
     text = (
         "[class.send.limits]\nbody = '1KiB'\n"
         "[[route]]\nname = 'r'\npath.prefix = '/send/big'\nlimits.body = '4KiB'"
     )
 
-    async def play() -> None:
+    async def scenario() -> None:
         server = ScriptedServer("s-1")
-        async with routed(tmp_path, text, server) as (node, _):
+        async with node_with_operator_file(tmp_path, text, server) as (node, _):
             assert b" 200 " in await node.ask(request("send", "r-1", b"x" * 1024))
             assert b" 413 " in await node.ask(request("send", "r-2", b"x" * 1025))
             big = request("send", "r-3", b"x" * 4096).replace(b"/send", b"/send/big")
@@ -223,45 +223,45 @@
             assert b" 413 " in await node.ask(chunked)
             assert len(server.heads) == 2
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_time_outs_of_attempts_and_of_the_whole_request(tmp_path: Path) -> None:
+def test_timeouts_of_attempts_and_of_the_whole_request(tmp_path: Path) -> None:
     text = (
         "[class.view.limits]\nattempt_timeout = '100ms'\nattempts = 2\n"
         "[class.send.limits]\nrequest_timeout = '150ms'"
     )
 
-    async def play() -> None:
-        asked = 0
+    async def scenario() -> None:
+        request_count = 0
 
         async def script(head: bytes, writer: asyncio.StreamWriter) -> None:
-            nonlocal asked
-            asked += 1
-            if asked > 1 and head.startswith(b"GET"):
+            nonlocal request_count
+            request_count += 1
+            if request_count > 1 and head.startswith(b"GET"):
                 writer.write(OK)
 
         servers = [ScriptedServer("s-1", script), ScriptedServer("s-2", script)]
-        async with routed(tmp_path, text, *servers) as (node, _):
+        async with node_with_operator_file(tmp_path, text, *servers) as (node, _):
             loop = asyncio.get_running_loop()
-            begun = loop.time()
+            started_at = loop.time()
             # The first attempt gets no response, the second gets one.
             assert b" 200 " in await node.ask(request(rid="r-1"))
             # The loop's clock has a resolution of 1 ms, and a difference of its times may be a bit too small.
-            assert 0.1 <= round(loop.time() - begun, 6) < 4.0 and asked == 2
-            begun = loop.time()
+            assert 0.1 <= round(loop.time() - started_at, 6) < 4.0 and request_count == 2
+            started_at = loop.time()
             # The request may have run: it fails within its time-out, and is not retried.
             assert b" 502 " in await node.ask(request("send", "r-2", b"{}"))
-            assert 0.14 <= loop.time() - begun < 4.0 and asked == 3
+            assert 0.14 <= loop.time() - started_at < 4.0 and request_count == 3
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_a_limit_that_changes_while_a_request_waits_is_not_its_own(tmp_path: Path) -> None:
+def test_a_pending_request_keeps_its_limits_across_a_reload(tmp_path: Path) -> None:
     def file(attempts: int, in_flight: int) -> str:
         return f"[class.view.limits]\nattempts = {attempts}\nin_flight = {in_flight}"
 
-    async def play() -> None:
+    async def scenario() -> None:
         go = asyncio.Event()
 
         async def script(head: bytes, writer: asyncio.StreamWriter) -> None:
@@ -273,14 +273,14 @@
         def heads(rid: bytes) -> int:
             return sum(rid in head for server in servers for head in server.heads)
 
-        async with routed(tmp_path, file(1, 5), *servers) as (node, operator):
+        async with node_with_operator_file(tmp_path, file(1, 5), *servers) as (node, operator):
             old = asyncio.ensure_future(node.ask(request(rid="old")))
             while not heads(b"old"):
                 await asyncio.sleep(0)
-            await reloaded(operator, file(2, 1))
+            await replace_file(operator, file(2, 1))
             # Requests admitted before count under the new limit, too.
             assert b" 429 " in await node.ask(request(rid="over"))
-            await reloaded(operator, file(2, 2))
+            await replace_file(operator, file(2, 2))
             new = asyncio.ensure_future(node.ask(request(rid="new")))
             while not heads(b"new"):
                 await asyncio.sleep(0)
@@ -290,27 +290,27 @@
             assert heads(b"old") == 1 and heads(b"new") == 2
             assert operator.admission.counters["class:view"].in_flight == 0
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_a_bad_file_changes_nothing_and_a_good_one_all(tmp_path: Path) -> None:
+def test_an_invalid_file_changes_nothing_and_a_valid_one_takes_effect(tmp_path: Path) -> None:
     good = "[class.view.limits]\nrate = { per_second = 0.1, burst = %d }"
 
-    async def play() -> None:
-        async with routed(tmp_path, good % 1, ScriptedServer("s-1")) as (node, operator):
-            plan = operator.admission.policy
+    async def scenario() -> None:
+        async with node_with_operator_file(tmp_path, good % 1, ScriptedServer("s-1")) as (node, operator):
+            policy_before = operator.admission.policy
             for invalid in ("[class.send.limits]\nattempts = 2", (good % 1)[:-3], "\x00", "[class.nobody]"):
-                await reloaded(operator, invalid)
-                assert operator.admission.policy is plan
+                await replace_file(operator, invalid)
+                assert operator.admission.policy is policy_before
             operator.path.unlink()
             operator.reload_finished.clear()
             operator.reload()
             async with asyncio.timeout(LIMIT):
                 await operator.reload_finished.wait()
-            assert operator.admission.policy is plan
+            assert operator.admission.policy is policy_before
             assert b" 200 " in await node.ask(request(rid="r-1"))
             assert b" 429 " in await node.ask(request(rid="r-2"))
-            await reloaded(operator, "")
+            await replace_file(operator, "")
             assert b" 200 " in await node.ask(request(rid="r-3"))
             # Of many reloads requested at once, at most two read the file.
             operator.reload_finished.clear()
@@ -322,30 +322,32 @@
                     await asyncio.sleep(0)
             assert operator.reloads_finished - done <= 2
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_a_reload_that_fails_in_an_unforeseen_way_leaves_the_old_file_in_force(
+def test_a_reload_that_fails_unexpectedly_keeps_the_old_policy(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def play() -> None:
-        async with routed(tmp_path, "[class.view.limits]\nin_flight = 3", ScriptedServer("s-1")) as (
+    async def scenario() -> None:
+        async with node_with_operator_file(
+            tmp_path, "[class.view.limits]\nin_flight = 3", ScriptedServer("s-1")
+        ) as (
             node,
             operator,
         ):
-            plan = operator.admission.policy
+            policy_before = operator.admission.policy
             with monkeypatch.context() as patch:
                 patch.setattr("hollybay.proxy.operator_file.compile_file", lambda *args: 1 // 0)
-                await reloaded(operator, "")
-            assert operator.admission.policy is plan
+                await replace_file(operator, "")
+            assert operator.admission.policy is policy_before
             assert b" 200 " in await node.ask(request(rid="r-1"))
-            await reloaded(operator, "")
-            assert operator.admission.policy is not plan
+            await replace_file(operator, "")
+            assert operator.admission.policy is not policy_before
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_a_tenants_limits_hold_at_a_node_over_all_its_routes(tmp_path: Path) -> None:
+def test_limits_of_a_tenant_apply_to_all_its_routes_at_a_node(tmp_path: Path) -> None:
     name = "acme"
     text = (
         f"[tenant.{name}.limits]\nrate = {{ per_second = 0.5, burst = 2 }}\nin_flight = 5\n"
@@ -353,10 +355,10 @@
         "[[route]]\nname = 'a'\npath.prefix = '/view/a'\n"
     )
 
-    async def play() -> None:
+    async def scenario() -> None:
         server = ScriptedServer("s-1")
         tenants = [{"name": name, "share": 0.5}]
-        async with routed(tmp_path, text, server, tenants=tenants) as (node, operator):
+        async with node_with_operator_file(tmp_path, text, server, tenants=tenants) as (node, operator):
             reader, writer = await node.connect()
 
             async def ask(path: bytes, account: str, rid: str) -> bytes:
@@ -373,39 +375,39 @@
             assert others == [200] * 4 and len(server.heads) == 6
             assert operator.admission.rejected == {f"tenant:{name}": 4}
             assert [state.in_flight for state in operator.admission.counters.values()] == [0]
-            await reloaded(operator, "")
+            await replace_file(operator, "")
             assert operator.admission.counters == {} and not operator.admission.has_tenant_limits
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_a_file_that_is_being_written_is_read_when_it_is_whole(tmp_path: Path) -> None:
+def test_a_file_that_is_being_written_is_read_once_it_is_complete(tmp_path: Path) -> None:
     whole = "[class.view.limits]\nin_flight = 7\n[class.send.limits]\nin_flight = 8\n"
     path = tmp_path / "operator.toml"
-    halves = [whole[:37], whole[:60]]  # each is a valid file
+    partial_files = [whole[:37], whole[:60]]  # each is a valid file
 
     def write() -> None:
-        path.write_text(halves.pop(0) if halves else whole)
+        path.write_text(partial_files.pop(0) if partial_files else whole)
 
     write()
-    write_config(tmp_path / "c.json", _told(FakeDiscovery()))
+    write_config(tmp_path / "c.json", _with_address(FakeDiscovery()))
     config = load({"BALANCER_CONFIG": str(tmp_path / "c.json")})
     policy = OperatorFile(str(path), config.settings, 1, write).admission.policy
     assert isinstance(policy, CompiledPolicy)
     assert [limits.max_in_flight for limits in policy.class_limits] == [7, 8, 0]
     numbers = iter(range(1000))
 
-    def scribble() -> None:
+    def write_numbered_comment() -> None:
         path.write_text(f"# {next(numbers)}")
 
     with pytest.raises(ConfigError, match="it keeps changing"):
-        OperatorFile(str(path), config.settings, 1, scribble)
+        OperatorFile(str(path), config.settings, 1, write_numbered_comment)
 
 
-def test_an_unsound_file_at_the_start_is_refused(tmp_path: Path) -> None:
+def test_an_invalid_file_prevents_the_start(tmp_path: Path) -> None:
     path = tmp_path / "operator.toml"
     path.write_text("[class.send.limits]\nattempts = 2\ncopies = 1")
-    write_config(tmp_path / "c.json", _told(FakeDiscovery()))
+    write_config(tmp_path / "c.json", _with_address(FakeDiscovery()))
     config = load({"BALANCER_CONFIG": str(tmp_path / "c.json")})
     with pytest.raises(ConfigError) as caught:
         OperatorFile(str(path), config.settings, 1)
@@ -422,22 +424,22 @@
     assert done.returncode == 2 and "permits a repeat" in done.stderr
 
 
-def _told(fake_discovery: FakeDiscovery) -> FakeDiscovery:
+def _with_address(fake_discovery: FakeDiscovery) -> FakeDiscovery:
     fake_discovery.address = "127.0.0.1:1"
     return fake_discovery
 
 
-def test_without_a_file_nothing_of_it_is_imported(tmp_path: Path) -> None:
-    write_config(tmp_path / "c.json", _told(FakeDiscovery()))
+def test_without_an_operator_file_its_modules_are_not_imported(tmp_path: Path) -> None:
+    write_config(tmp_path / "c.json", _with_address(FakeDiscovery()))
     code = (
         "import sys, asyncio, os\n"
         "from hollybay.proxy import __main__, assembly as m\n"
         "from hollybay.proxy.config import load\n"
-        "async def play():\n"
+        "async def scenario():\n"
         "    config = load(os.environ)\n"
         "    assert m.load_operator_file(config, os.environ) is None\n"
         "    m.assemble(config)\n"
-        "asyncio.run(play())\n"
+        "asyncio.run(scenario())\n"
         "mine = ('routing', 'resources', 'cli', 'testbed')\n"
         "print([n for n in sys.modules if n.split('.')[0] in ('immutables', 'msgspec', 'click', 'rich') "
         "or n.startswith(tuple(f'hollybay.{name}' for name in mine)) "
@@ -459,8 +461,8 @@
     ], done
 
 
-def test_sighup_reads_the_operators_file_again(tmp_path: Path) -> None:
-    async def play() -> None:
+def test_sighup_reloads_the_operator_file(tmp_path: Path) -> None:
+    async def scenario() -> None:
         fake_discovery, server = FakeDiscovery(), ScriptedServer("s-1")
         await fake_discovery.start()
         await server.start()
@@ -492,17 +494,17 @@
         await fake_discovery.stop()
         await server.stop()
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 @asynccontextmanager
-async def hosted(folder: Path, scene: Scene, text: str) -> AsyncIterator[tuple[int, OperatorFile]]:
+async def node_in_scene(folder: Path, scene: Scene, text: str) -> AsyncIterator[tuple[int, OperatorFile]]:
     """Run a node of a scene in this process with an operator file; yield its port and the file."""
     await scene.start()
     (folder / "c.json").write_text(json.dumps(scene.config()))
     (folder / "operator.toml").write_text(text)
     config = replace(load({"BALANCER_CONFIG": str(folder / "c.json")}), listen=("127.0.0.1", 0))
-    operator = OperatorFile(str(folder / "operator.toml"), config.settings, 1, no_pause)
+    operator = OperatorFile(str(folder / "operator.toml"), config.settings, 1, no_pause_between_reads)
     clients, _, discovery = assemble(config)
     clients.admission = operator.admission
     port = await clients.listen()
@@ -519,7 +521,7 @@
         await scene.stop()
 
 
-def test_reloads_in_a_surge_every_second_one_unsafe_or_half_written(tmp_path: Path) -> None:
+def test_reloads_under_load_with_every_second_file_invalid(tmp_path: Path) -> None:
     """Under overload and continuous reloads, the ledger's four rules hold and valid files take effect."""
     chance = random.Random(5)
 
@@ -540,44 +542,46 @@
         lambda n: good(n) + "[[route]]\nname = 'r'\n[[route]]\nname = 's'\n",
     ]
 
-    async def play() -> None:
+    async def scenario() -> None:
         scene = Scene(12, seed=4)
-        async with hosted(tmp_path, scene, good(0)) as (port, operator):
-            callers = LoadGenerator(scene.ledger, [port], scene.mixes(), rate=1.2 * scene.capacity(), seed=4)
-            surge = asyncio.ensure_future(callers.run(2.5))
-            turns = 0
+        async with node_in_scene(tmp_path, scene, good(0)) as (port, operator):
+            load_generator = LoadGenerator(
+                scene.ledger, [port], scene.mixes(), rate=1.2 * scene.capacity(), seed=4
+            )
+            surge = asyncio.ensure_future(load_generator.run(2.5))
+            reloads = 0
             while not surge.done():
-                turns += 1
+                reloads += 1
                 policy_before = operator.admission.policy
-                if turns % 2:
-                    await reloaded(operator, bad[turns // 2 % len(bad)](turns))
+                if reloads % 2:
+                    await replace_file(operator, bad[reloads // 2 % len(bad)](reloads))
                     assert operator.admission.policy is policy_before
                 else:
-                    await reloaded(operator, good(turns))
+                    await replace_file(operator, good(reloads))
                     policy = operator.admission.policy
                     assert policy is not policy_before
                     assert isinstance(policy, CompiledPolicy)
-                    assert policy.class_limits[0].max_in_flight == 20 + turns
+                    assert policy.class_limits[0].max_in_flight == 20 + reloads
                 await asyncio.sleep(0.01)  # the servers and clients of the scene run on this loop, too
             await surge
-            callers.close()
-            assert turns > 20
+            load_generator.close()
+            assert reloads > 20
             ends = Counter(entry.final for entry in scene.ledger.requests.values())
             assert ends[FinalOutcome.SERVED] > 100
         verdict = scene.ledger.check()
         assert verdict, verdict.violations[:5]
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_a_tenant_that_floods_one_route_leaves_the_others_their_service(tmp_path: Path) -> None:
+def test_a_tenant_that_floods_one_route_does_not_degrade_other_requests(tmp_path: Path) -> None:
     text = (
         "[[route]]\nname = 'board'\npath.prefix = '/view-schedule/board'\n"
         "[route.limits]\nrate = { per_second = 40, burst = 20, by = 'tenant' }\n"
         "retry_after = { least = '1s', most = '4s' }"
     )
 
-    async def play() -> None:
+    async def scenario() -> None:
         scene = Scene(10, seed=2)
         target = b"/view-schedule/board/1"
         flood = [RequestMix(0, target, 1.0, ("coastal-choirs",))]
@@ -586,18 +590,18 @@
             RequestMix(0, b"/view-schedule/else", 1.0, ("island-singers",)),
             RequestMix(2, b"/book-venue/1", 0.5, ("island-singers",)),
         ]
-        async with hosted(tmp_path, scene, text) as (port, operator):
+        async with node_in_scene(tmp_path, scene, text) as (port, operator):
             # The flood alone is several times the capacity of ten servers.
             flooding = LoadGenerator(scene.ledger, [port], flood, rate=500.0, seed=1, prefix="flood")
             usual = LoadGenerator(scene.ledger, [port], others, rate=30.0, seed=2, prefix="usual")
             await asyncio.gather(flooding.run(2.5), usual.run(2.5))
             flooding.close()
             usual.close()
-            turned = operator.admission.rejected["board"]
+            rejected = operator.admission.rejected["board"]
         entries = scene.ledger.requests.values()
         flooder = [entry for entry in entries if entry.id.startswith("flood")]
         ends = Counter(entry.status for entry in flooder)
-        assert ends[429] > 700 and turned == sum(entry.status == 429 for entry in entries)
+        assert ends[429] > 700 and rejected == sum(entry.status == 429 for entry in entries)
         assert ends[200] <= 20 + 40 * 3.0
         for entry in flooder:
             if entry.status == 429:
@@ -608,4 +612,4 @@
         verdict = scene.ledger.check()
         assert verdict, verdict.violations[:5]
 
-    asyncio.run(play())
+    asyncio.run(scenario())
--- a/tests/test_routing_file.py
+++ b/tests/test_routing_file.py
@@ -51,24 +51,24 @@
 )
 
 
-def plan(text: str, known: api.Settings | None = SETTINGS) -> CompiledPolicy:
+def compile_text(text: str, known: api.Settings | None = SETTINGS) -> CompiledPolicy:
     return compile_file(text, known, "f.toml")
 
 
 def problems_of(text: str, known: api.Settings | None = SETTINGS) -> list[str]:
     with pytest.raises(OperatorError) as caught:
-        plan(text, known)
+        compile_text(text, known)
     assert all(line.startswith("f.toml: ") for line in str(caught.value).splitlines())
     return [str(problem) for problem in caught.value.problems]
 
 
-def only(text: str, known: api.Settings | None = SETTINGS) -> str:
+def only_problem(text: str, known: api.Settings | None = SETTINGS) -> str:
     (problem,) = problems_of(text, known)
     return problem
 
 
 def test_an_empty_file_limits_nothing() -> None:
-    empty = plan("")
+    empty = compile_text("")
     limits = empty.resolve(b"GET", b"/view/1?x=%zz", {})
     assert limits is empty.class_limits[0]
     assert isinstance(limits, EffectiveLimits)
@@ -82,8 +82,8 @@
     assert isinstance(empty.resolve(b"GET", b"/view/../send", {}), Rejection)
 
 
-def test_limits_come_from_route_then_class_then_defaults_field_by_field() -> None:
-    found = plan(
+def test_limits_are_inherited_field_by_field_from_class_and_defaults() -> None:
+    found = compile_text(
         """
         [defaults]
         request_timeout = "400ms"
@@ -122,7 +122,7 @@
     assert (plain.scope, plain.max_in_flight, plain.request_timeout) == ("class:view", 9, 300 * MS)
 
 
-def test_every_problem_is_told_at_once_with_table_key_value_and_reason() -> None:
+def test_all_problems_are_reported_with_table_key_value_and_reason() -> None:
     found = problems_of(
         """
         colour = "red"
@@ -168,7 +168,7 @@
 
 
 # Files with one error each, and a part of its reason.
-UNSOUND: list[tuple[str, str]] = [
+INVALID_FILES: list[tuple[str, str]] = [
     ("[class.send.limits]\nattempts = 2", "permits a repeat"),
     ("[class.send.limits]\ncopies = 1", "permits a hedge"),
     ("[class.send.limits]\nrepeat_window = '1s'", "permits a repeat"),
@@ -217,16 +217,16 @@
 ]  # fmt: skip
 
 
-@pytest.mark.parametrize(("text", "reason"), UNSOUND)
-def test_an_unsound_file_is_refused_with_its_reason(text: str, reason: str) -> None:
+@pytest.mark.parametrize(("text", "reason"), INVALID_FILES)
+def test_an_invalid_file_is_rejected_with_its_reason(text: str, reason: str) -> None:
     assert any(reason in line for line in problems_of(text)), problems_of(text)
 
 
-def test_a_default_is_blamed_where_it_stands_and_once() -> None:
+def test_a_problem_of_a_default_is_reported_once_at_its_table() -> None:
     text = "[defaults]\nattempt_timeout = '300ms'\n" + "".join(
         f"[[route]]\nname = 'r{n}'\npath.exact = '/view/{n}'\n" for n in range(20)
     )
-    assert "[defaults]: attempt_timeout = '300ms': longer than the 200ms" in only(text)
+    assert "[defaults]: attempt_timeout = '300ms': longer than the 200ms" in only_problem(text)
 
 
 def test_overlaps_name_both_routes() -> None:
@@ -238,25 +238,28 @@
     name = "second"
     path.template = "/view/{number}"
     """
-    assert "[route 'second']: path = '/view/{number}': overlaps route 'first' (path /view/{id})" in only(text)
-    plan(text.replace("{number}", "{number}/x"))
+    assert (
+        "[route 'second']: path = '/view/{number}': overlaps route 'first' (path /view/{id})"
+        in only_problem(text)
+    )
+    compile_text(text.replace("{number}", "{number}/x"))
 
 
-def test_copies_and_retry_after_need_the_platform_to_allow_them() -> None:
+def test_hedges_and_retry_after_require_that_the_platform_allows_them() -> None:
     poor = api.Settings(SETTINGS.classes)
-    assert "no hedges (second copies)" in only("[class.view.limits]\ncopies = 1", poor)
-    assert "no Retry-After" in only("[defaults]\nretry_after = { least = '1s', most = '2s' }", poor)
-    assert "the platform allows none" in only("[class.view.limits]\ncopy_delay = '50ms'", poor)
+    assert "no hedges (second copies)" in only_problem("[class.view.limits]\ncopies = 1", poor)
+    assert "no Retry-After" in only_problem("[defaults]\nretry_after = { least = '1s', most = '2s' }", poor)
+    assert "the platform allows none" in only_problem("[class.view.limits]\ncopy_delay = '50ms'", poor)
 
 
-def test_without_settings_a_class_is_what_the_file_says_and_unsafe_where_it_says_nothing() -> None:
-    assert "declares no class" in only("[defaults]\nattempts = 1", None)
+def test_without_settings_classes_are_as_declared_and_unsafe_by_default() -> None:
+    assert "declares no class" in only_problem("[defaults]\nattempts = 1", None)
     text = "[class.a]\neffect = 'safe'\n[class.a.limits]\nattempts = 2\n[class.b.limits]\nattempts = %d"
-    assert "[class.b.limits]: attempts = 2: permits a repeat" in only(text % 2, None)
-    assert plan(text % 1, None).class_indexes == {"a": 0, "b": 1}
+    assert "[class.b.limits]: attempts = 2: permits a repeat" in only_problem(text % 2, None)
+    assert compile_text(text % 1, None).class_indexes == {"a": 0, "b": 1}
 
 
-def test_units() -> None:
+def test_durations_and_sizes_have_units() -> None:
     assert (
         parse_duration("250ms") == 250 * MS
         and parse_duration("1.5s") == 1500 * MS
@@ -273,26 +276,26 @@
 
 # Ten thousand unsafe files: a valid file with one or more unsafe limits, each drawn from its whole range.
 
-TIMES = st.integers(1, 10**9)
+DURATIONS = st.integers(1, 10**9)
 
 
-def _over(limit_ms: int) -> st.SearchStrategy[str]:
+def _longer_than(limit_ms: int) -> st.SearchStrategy[str]:
     return st.integers(limit_ms + 1, 86_000_000).map(lambda ms: f"{ms}ms")
 
 
 NAMES = st.text("abcdefghij-", min_size=1, max_size=8)
-CLASS_TURNS: list[tuple[str, st.SearchStrategy[dict[str, Any]]]] = [
+UNSAFE_LIMITS: list[tuple[str, st.SearchStrategy[dict[str, Any]]]] = [
     ("send", st.fixed_dictionaries({"attempts": st.integers(2, 100)})),
     ("send", st.fixed_dictionaries({"copies": st.just(1)})),
-    ("send", st.fixed_dictionaries({"repeat_window": TIMES.map(lambda n: f"{n % 1000 + 1}ms")})),
+    ("send", st.fixed_dictionaries({"repeat_window": DURATIONS.map(lambda n: f"{n % 1000 + 1}ms")})),
     ("send", st.fixed_dictionaries({"repeat_group": st.sampled_from(["all", "zone", "cell"])})),
-    ("send", st.fixed_dictionaries({"request_timeout": _over(5000)})),
-    ("send", st.fixed_dictionaries({"attempt_timeout": _over(1200)})),
-    ("book", st.fixed_dictionaries({"repeat_window": _over(4000)})),
+    ("send", st.fixed_dictionaries({"request_timeout": _longer_than(5000)})),
+    ("send", st.fixed_dictionaries({"attempt_timeout": _longer_than(1200)})),
+    ("book", st.fixed_dictionaries({"repeat_window": _longer_than(4000)})),
     ("book", st.fixed_dictionaries({"repeat_group": st.sampled_from(["all", "zone"])})),
     ("book", st.fixed_dictionaries({"attempts": st.integers(4, 100)})),
-    ("book", st.fixed_dictionaries({"request_timeout": _over(6000)})),
-    ("book", st.fixed_dictionaries({"attempt_timeout": _over(1500)})),
+    ("book", st.fixed_dictionaries({"request_timeout": _longer_than(6000)})),
+    ("book", st.fixed_dictionaries({"attempt_timeout": _longer_than(1500)})),
     ("tag", st.fixed_dictionaries({"repeat_group": st.just("all")})),
     ("tag", st.fixed_dictionaries(
         {"attempts": st.just(3), "attempt_timeout": st.integers(500, 1500).map(lambda n: f"{n}ms")}
@@ -300,15 +303,15 @@
     ("tag", st.fixed_dictionaries(
         {"copies": st.just(1), "copy_delay": st.integers(1000, 5000).map(lambda n: f"{n}ms")}
     )),
-    ("view", st.fixed_dictionaries({"attempt_timeout": _over(200)})),
-    ("view", st.fixed_dictionaries({"request_timeout": _over(500)})),
+    ("view", st.fixed_dictionaries({"attempt_timeout": _longer_than(200)})),
+    ("view", st.fixed_dictionaries({"request_timeout": _longer_than(500)})),
     ("view", st.fixed_dictionaries({"attempts": st.integers(4, 10**12)})),
     ("view", st.fixed_dictionaries({"copies": st.integers(2, 10**30)})),
     ("view", st.fixed_dictionaries({"body": st.integers((32 << 20) + 1, 10**18)})),
     ("view", st.fixed_dictionaries({"retry_budget": st.floats(1.01, 1e300)})),
     ("view", st.fixed_dictionaries({"in_flight": st.integers(-(10**9), 0)})),
 ]  # fmt: skip
-SOUND_LIMITS = st.fixed_dictionaries(
+VALID_LIMITS = st.fixed_dictionaries(
     {},
     optional={
         "in_flight": st.integers(1, 1000),
@@ -330,19 +333,19 @@
 @st.composite
 def unsafe_files(draw: st.DrawFn) -> list[str]:
     """Files with unsafe limits for a class, a route or both; all other tables are valid."""
-    sound = draw(SOUND_LIMITS)
+    valid_limits = draw(VALID_LIMITS)
     path = draw(NAMES)
     others = draw(st.sets(st.sampled_from(["view", "send", "book", "tag"]), max_size=2))
     texts = []
-    for cls, turn in draw(st.lists(st.sampled_from(CLASS_TURNS), min_size=BATCH, max_size=BATCH)):
-        unsafe = draw(turn)
+    for cls, unsafe_limits in draw(st.lists(st.sampled_from(UNSAFE_LIMITS), min_size=BATCH, max_size=BATCH)):
+        unsafe = draw(unsafe_limits)
         where = draw(st.sampled_from(["class", "route", "broad route", "both"]))
-        lines = [f"[class.{name}]\nlimits = {_toml(sound)}" for name in sorted(others - {cls})]
+        lines = [f"[class.{name}]\nlimits = {_toml(valid_limits)}" for name in sorted(others - {cls})]
         if where in ("class", "both"):
-            lines.append(f"[class.{cls}]\nlimits = {_toml({**sound, **unsafe})}")
+            lines.append(f"[class.{cls}]\nlimits = {_toml({**valid_limits, **unsafe})}")
         for name in sorted(others - {cls}):
             route = f"name = 's-{name}'\npath.exact = '/{name}/{path}'"
-            lines.append(f"[[route]]\n{route}\nlimits = {_toml(sound)}")
+            lines.append(f"[[route]]\n{route}\nlimits = {_toml(valid_limits)}")
         if where != "class":
             target = f"/{cls}/{path}" if where != "broad route" else "/"
             method = "GET" if cls == "view" else "POST"
@@ -355,55 +358,60 @@
 
 
 def test_of_ten_thousand_unsafe_files_none_is_accepted() -> None:
-    seen = 0
+    checked = 0
 
     @settings(max_examples=10_000 // BATCH)
     @given(unsafe_files())
-    def play(texts: list[str]) -> None:
-        nonlocal seen
+    def check_files(texts: list[str]) -> None:
+        nonlocal checked
         for text in texts:
-            seen += 1
+            checked += 1
             with pytest.raises(OperatorError):
-                plan(text)
+                compile_text(text)
 
-    play()
-    assert seen >= 10_000
+    check_files()
+    assert checked >= 10_000
 
 
-def _mangled(text: str, at: int, cut: int, put: str) -> str:
+def _mutated(text: str, at: int, removed: int, insertion: str) -> str:
     at %= len(text) + 1
-    return text[:at] + put + text[at + cut :]
+    return text[:at] + insertion + text[at + removed :]
 
 
 @settings(max_examples=250)
 @given(unsafe_files(), st.integers(0, 2000), st.integers(0, 40), st.text(max_size=6))
-def test_of_mangled_files_none_raises_anything_else(texts: list[str], at: int, cut: int, put: str) -> None:
+def test_mutated_files_raise_only_operator_errors(
+    texts: list[str], at: int, removed: int, insertion: str
+) -> None:
     for text in texts:
-        mangled = _mangled(text, at, cut, put)
+        mutated = _mutated(text, at, removed, insertion)
         try:
-            accepted = compile_file(mangled.encode("utf-8", "surrogatepass"), SETTINGS, "f.toml")
+            accepted = compile_file(mutated.encode("utf-8", "surrogatepass"), SETTINGS, "f.toml")
         except OperatorError as error:
             assert error.problems
         else:
-            _is_safe(accepted)
+            _assert_safe(accepted)
 
 
-def _is_safe(accepted: CompiledPolicy) -> None:
+def _assert_safe(accepted: CompiledPolicy) -> None:
     # The mutation may have removed the unsafe limits; the remaining file must then be safe.
     for limits in (
         *accepted.class_limits,
         *(route_limits for route in accepted.routes for route_limits in route.limits_by_class.values()),
     ):
         cls = SETTINGS.classes[limits.class_index]
-        module = limits.balancer_limits
+        balancer_limits = limits.balancer_limits
         assert limits.request_timeout <= cls.deadline and limits.max_body <= 32 << 20
-        if module is not None:
-            assert module.attempt_timeout <= cls.latency_objective and module.attempts <= 3
+        if balancer_limits is not None:
+            assert balancer_limits.attempt_timeout <= cls.latency_objective and balancer_limits.attempts <= 3
             if cls.effect == api.Effect.UNSAFE:
-                assert module.attempts <= 1 and module.hedges <= 0
+                assert balancer_limits.attempts <= 1 and balancer_limits.hedges <= 0
             if cls.effect == api.Effect.KEYED:
-                assert module.retry_window <= cls.deduplication_window
-                assert module.retry_scope is None or module.retry_scope >= cls.deduplication_scope
+                assert balancer_limits.retry_window <= cls.deduplication_window
+                assert (
+                    balancer_limits.retry_scope is None
+                    or balancer_limits.retry_scope >= cls.deduplication_scope
+                )
 
 
 @settings(max_examples=500)
@@ -436,14 +444,14 @@
 # The commands `check` and `routes`
 
 
-def run(*args: str) -> tuple[int, str]:
+def run_command(*args: str) -> tuple[int, str]:
     result = CliRunner(env={"BALANCER_CONFIG": ""}).invoke(main, list(args))
     assert result.exception is None or isinstance(result.exception, SystemExit), result.exception
     return result.exit_code, result.output
 
 
 @pytest.fixture
-def write(tmp_path: Path) -> Callable[[str], str]:
+def write_file(tmp_path: Path) -> Callable[[str], str]:
     def to_file(text: str) -> str:
         path = tmp_path / "operator.toml"
         path.write_text(text)
@@ -452,34 +460,34 @@
     return to_file
 
 
-def test_the_example_holds_by_itself_and_under_a_configuration(tmp_path: Path) -> None:
+def test_the_example_file_is_valid_with_and_without_a_configuration(tmp_path: Path) -> None:
     example = str(ROOT / "deploy" / "operator.toml")
     config = tmp_path / "c.json"
     config.write_text(json.dumps({"settings": scene_settings()}))
-    code, said = run("check", example)
-    assert code == 0 and "what it declares" in said and "2 routes" in said
-    code, said = run("check", example, "--config", str(config))
-    assert code == 0 and "the settings" in said
+    code, output = run_command("check", example)
+    assert code == 0 and "what it declares" in output and "2 routes" in output
+    code, output = run_command("check", example, "--config", str(config))
+    assert code == 0 and "the settings" in output
 
 
-def test_check_tells_each_problem_and_exits_with_2(write: Callable[[str], str]) -> None:
-    code, said = run("check", write("[class.a.limits]\nattempts = 2\ncopies = 1\n"))
+def test_check_prints_each_problem_and_exits_with_2(write_file: Callable[[str], str]) -> None:
+    code, output = run_command("check", write_file("[class.a.limits]\nattempts = 2\ncopies = 1\n"))
     assert code == 2
-    assert "operator.toml: [class.a.limits]: attempts = 2: permits a repeat" in said
-    assert "2 problems; it would not take effect" in said
-    assert run("check", write("") + ".gone")[0] == 1
+    assert "operator.toml: [class.a.limits]: attempts = 2: permits a repeat" in output
+    assert "2 problems; it would not take effect" in output
+    assert run_command("check", write_file("") + ".gone")[0] == 1
 
 
-def test_routes_tells_the_route_the_limits_and_where_they_come_from(write: Callable[[str], str]) -> None:
+def test_routes_prints_the_route_and_its_limits_with_their_tables(write_file: Callable[[str], str]) -> None:
     example = str(ROOT / "deploy" / "operator.toml")
-    code, said = run("routes", example, "GET", "/venues/7/slots")
+    code, output = run_command("routes", example, "GET", "/venues/7/slots")
     assert code == 0
-    assert "route: hall-slots" in said and "class: view-schedule" in said and "variable id = 7" in said
-    assert "200/s, burst 400" in said and "class.view-schedule.limits" in said and "250ms to 2s" in said
-    code, said = run("routes", example, "GET", "/view-schedule/season", "-H", "X-Client: wallboard")
-    assert code == 0 and "route: season-board" in said
-    code, said = run("routes", example, "GET", "/view-schedule/season")
-    assert code == 0 and "route: none" in said
-    assert run("routes", example, "GET", "/venues/7%2F8/slots")[0] == 1
-    assert run("routes", example, "GET", "/nowhere")[0] == 1
-    assert run("routes", example, "GET", "/venues", "-H", "bad")[0] == 2
+    assert "route: hall-slots" in output and "class: view-schedule" in output and "variable id = 7" in output
+    assert "200/s, burst 400" in output and "class.view-schedule.limits" in output and "250ms to 2s" in output
+    code, output = run_command("routes", example, "GET", "/view-schedule/season", "-H", "X-Client: wallboard")
+    assert code == 0 and "route: season-board" in output
+    code, output = run_command("routes", example, "GET", "/view-schedule/season")
+    assert code == 0 and "route: none" in output
+    assert run_command("routes", example, "GET", "/venues/7%2F8/slots")[0] == 1
+    assert run_command("routes", example, "GET", "/nowhere")[0] == 1
+    assert run_command("routes", example, "GET", "/venues", "-H", "bad")[0] == 2
--- a/tests/test_routing_paths.py
+++ b/tests/test_routing_paths.py
@@ -8,7 +8,7 @@
 
 from hollybay.routing.paths import AmbiguousPathError, PathOptions, PatternKind, parse_pattern, segments_of
 
-KEEP = PathOptions(encoded_slash=True, empty_segments=True)
+KEEP_AMBIGUOUS = PathOptions(encoded_slash=True, empty_segments=True)
 
 
 @pytest.mark.parametrize(
@@ -41,37 +41,39 @@
         "/a%zz", "/a/b//",
     ],
 )  # fmt: skip
-def test_ambiguous_paths_are_none(path: str) -> None:
+def test_ambiguous_paths_are_rejected(path: str) -> None:
     with pytest.raises(AmbiguousPathError):
         segments_of(path)
 
 
-def test_what_is_kept_stays_what_it_is() -> None:
-    assert segments_of("/a%2fb/c", KEEP) == ("a%2Fb", "c")
-    assert segments_of("/a%5cb", KEEP) == ("a%5Cb",)
-    assert segments_of("//a", KEEP) == ("", "a")
-    assert segments_of("/a//b/", KEEP) == ("a", "", "b", "")
+def test_accepted_ambiguous_parts_are_kept_unchanged() -> None:
+    assert segments_of("/a%2fb/c", KEEP_AMBIGUOUS) == ("a%2Fb", "c")
+    assert segments_of("/a%5cb", KEEP_AMBIGUOUS) == ("a%5Cb",)
+    assert segments_of("//a", KEEP_AMBIGUOUS) == ("", "a")
+    assert segments_of("/a//b/", KEEP_AMBIGUOUS) == ("a", "", "b", "")
     for path in ("/a/../b", "/a/%2e%2e/b", "/a\\b", "/a%00"):
         with pytest.raises(AmbiguousPathError):
-            segments_of(path, KEEP)
+            segments_of(path, KEEP_AMBIGUOUS)
     # An escaped slash must not be confused with the text of its escape.
-    assert segments_of("/a%252Fb", KEEP) != segments_of("/a%2Fb", KEEP)
+    assert segments_of("/a%252Fb", KEEP_AMBIGUOUS) != segments_of("/a%2Fb", KEEP_AMBIGUOUS)
 
 
-@given(st.text(st.characters(max_codepoint=255), max_size=40), st.sampled_from([PathOptions(), KEEP]))
-def test_any_text_gives_segments_or_is_refused(text: str, reading: PathOptions) -> None:
+@given(
+    st.text(st.characters(max_codepoint=255), max_size=40), st.sampled_from([PathOptions(), KEEP_AMBIGUOUS])
+)
+def test_any_text_gives_segments_or_is_rejected(text: str, options: PathOptions) -> None:
     try:
-        segments = segments_of("/" + text, reading)
+        segments = segments_of("/" + text, options)
     except AmbiguousPathError:
         return
     assert segments is not None
     for segment in segments:
         assert "/" not in segment and segment not in (".", "..")
-    assert reading.empty_segments or "" not in segments[:-1]
+    assert options.empty_segments or "" not in segments[:-1]
 
 
 @given(st.lists(st.text("abc-_~", min_size=1, max_size=4), min_size=1, max_size=5))
-def test_escaping_what_needs_none_changes_no_segment(parts: list[str]) -> None:
+def test_unnecessary_escapes_do_not_change_segments(parts: list[str]) -> None:
     escaped = "/" + "/".join("".join(f"%{ord(c):02x}" for c in part) for part in parts)
     assert segments_of(escaped) == tuple(parts) == segments_of("/" + "/".join(parts))
 
@@ -107,6 +109,6 @@
         ("exact", "/a" * 65, "segments"),
     ],
 )
-def test_bad_patterns_say_why(kind: str, text: str, reason: str) -> None:
+def test_invalid_patterns_are_rejected_with_a_reason(kind: str, text: str, reason: str) -> None:
     with pytest.raises(ValueError, match=reason):
         parse_pattern(kind, text)
--- a/tests/test_routing_policy_intersection.py
+++ b/tests/test_routing_policy_intersection.py
@@ -25,17 +25,17 @@
 
 SETTINGS = replace(make_settings(), max_retry_after=5 * SECOND, max_attempts=4)
 CLASSES = [SAFE, UNSAFE, CELL]
-TIMES = st.one_of(st.none(), st.sampled_from([1, 20, 50, 100, 150, 200, 400, 900, 1500, 4000])).map(
+DURATIONS = st.one_of(st.none(), st.sampled_from([1, 20, 50, 100, 150, 200, 400, 900, 1500, 4000])).map(
     lambda ms: None if ms is None else ms * MS
 )
-WORDS = st.fixed_dictionaries(
+LIMIT_VALUES = st.fixed_dictionaries(
     {
-        "attempt_timeout": TIMES,
-        "request_timeout": TIMES,
+        "attempt_timeout": DURATIONS,
+        "request_timeout": DURATIONS,
         "attempts": st.one_of(st.none(), st.integers(1, 4)),
         "hedges": st.sampled_from([None, None, 0, 1]),
-        "hedge_delay": TIMES,
-        "retry_window": TIMES,
+        "hedge_delay": DURATIONS,
+        "retry_window": DURATIONS,
         "retry_scope": st.sampled_from([None, "cell", "zone", "all"]),
         "retry_budget": st.sampled_from([None, 0.0, 0.1, 0.5]),
         "body": st.sampled_from([None, 0, 1000, 1 << 20]),
@@ -45,25 +45,27 @@
 )
 
 
-def sound(cls: api.RequestClass, words: dict[str, Any], scope: str) -> EffectiveLimits:
+def valid_limits(cls: api.RequestClass, values: dict[str, Any], scope: str) -> EffectiveLimits:
     """Return these limits for a class; the example is skipped if they are not valid."""
-    said = LimitSettings(**words, sources={key: scope for key, value in words.items() if value is not None})
-    assume(not list(check_limits(CheckedLimits(scope, cls, said), SETTINGS)))
-    return effective_limits(scope, SETTINGS.classes.index(cls), said)
+    settings = LimitSettings(
+        **values, sources={key: scope for key, value in values.items() if value is not None}
+    )
+    assume(not list(check_limits(CheckedLimits(scope, cls, settings), SETTINGS)))
+    return effective_limits(scope, SETTINGS.classes.index(cls), settings)
 
 
-def copies(limits: api.Limits | None) -> int:
+def hedge_count(limits: api.Limits | None) -> int:
     if limits is None:
         return 0
     return limits.hedges if limits.hedges >= 0 else int(limits.hedge_delay > 0)
 
 
 @pytest.mark.parametrize("cls", CLASSES, ids=lambda cls: cls.name)
-@given(one=WORDS, other=WORDS)
+@given(one=LIMIT_VALUES, other=LIMIT_VALUES)
 def test_it_allows_no_more_than_either_and_breaks_no_rule(
     cls: api.RequestClass, one: dict[str, Any], other: dict[str, Any]
 ) -> None:
-    a, b = sound(cls, one, "old"), sound(cls, other, "new")
+    a, b = valid_limits(cls, one, "old"), valid_limits(cls, other, "new")
     both = intersect_limits(a, b, cls)
     assert list(check_limits(CheckedLimits("old", cls, both.limit_settings), SETTINGS)) == []
     for part in (a, b):
@@ -80,8 +82,8 @@
         if part.limit_settings.retry_budget is not None:
             assert both.limit_settings.retry_budget is not None
             assert both.limit_settings.retry_budget <= part.limit_settings.retry_budget
-        assert copies(both.balancer_limits) <= copies(part.balancer_limits)
-        if copies(both.balancer_limits) and part.limit_settings.hedge_delay is not None:
+        assert hedge_count(both.balancer_limits) <= hedge_count(part.balancer_limits)
+        if hedge_count(both.balancer_limits) and part.limit_settings.hedge_delay is not None:
             assert (both.limit_settings.hedge_delay or 0) >= part.limit_settings.hedge_delay
         if part.limit_settings.retry_after is not None:
             assert both.retry_after is not None and both.retry_after >= part.limit_settings.retry_after
@@ -92,15 +94,15 @@
 
 
 @pytest.mark.parametrize("cls", CLASSES, ids=lambda cls: cls.name)
-@given(words=WORDS)
-def test_the_narrower_of_a_policy_and_itself_is_that_policy(
-    cls: api.RequestClass, words: dict[str, Any]
+@given(values=LIMIT_VALUES)
+def test_the_intersection_of_a_policy_with_itself_is_that_policy(
+    cls: api.RequestClass, values: dict[str, Any]
 ) -> None:
-    one = sound(cls, words, "same")
+    one = valid_limits(cls, values, "same")
     both = intersect_limits(one, one, cls)
     # A hedge that could never be sent is left out.
     assert (
-        copies(both.balancer_limits) == copies(one.balancer_limits)
+        hedge_count(both.balancer_limits) == hedge_count(one.balancer_limits)
         or one.limit_settings.hedge_delay is not None
     )
     for key in ("attempt_timeout", "request_timeout", "attempts", "retry_window", "retry_scope", "body"):
@@ -109,13 +111,13 @@
     assert both.retry_after == one.retry_after and both.scope == one.scope
 
 
-def test_limits_of_two_classes_are_no_pair() -> None:
+def test_limits_of_two_classes_cannot_be_intersected() -> None:
     one, other = (effective_limits("r", n, LimitSettings(sources={})) for n in range(2))
     with pytest.raises(ValueError, match="class 0 and of class 1"):
         intersect_limits(one, other, SAFE)
 
 
-def plan(text: str) -> CompiledPolicy:
+def compile_text(text: str) -> CompiledPolicy:
     return compile_file(text, SETTINGS)
 
 
@@ -146,8 +148,8 @@
 """
 
 
-def test_requests_are_resolved_under_both_plans() -> None:
-    old, new = plan(OLD), plan(NEW)
+def test_requests_are_resolved_under_both_policies() -> None:
+    old, new = compile_text(OLD), compile_text(NEW)
     both = PolicyIntersection(old, new, SETTINGS)
     found = both.resolve(b"GET", b"/read/halls/2", {})
     assert isinstance(found, EffectiveLimits)
@@ -164,42 +166,42 @@
     assert both.scopes() == old.scopes() | new.scopes()
 
 
-def test_what_two_policies_take_for_two_classes_is_turned_away() -> None:
+def test_a_request_that_two_policies_assign_different_classes_is_rejected() -> None:
     text = '[[route]]\nname = "x"\nclass = "{}"\npath = {{ prefix = "/{}/x" }}\n'
-    old = plan(text.format("read", "read"))
+    old = compile_text(text.format("read", "read"))
     new = replace(old, class_indexes={**old.class_indexes, "read": 2})
-    turned = PolicyIntersection(replace(old, routes=()), new, SETTINGS).resolve(b"GET", b"/read/y", {})
-    assert isinstance(turned, Rejection) and turned.status == 503
+    rejected = PolicyIntersection(replace(old, routes=()), new, SETTINGS).resolve(b"GET", b"/read/y", {})
+    assert isinstance(rejected, Rejection) and rejected.status == 503
 
 
 def test_a_request_counts_under_both_or_under_neither() -> None:
-    old, new = plan(OLD), plan(NEW)
+    old, new = compile_text(OLD), compile_text(NEW)
     both = PolicyIntersection(old, new, SETTINGS)
-    gate = AdmissionControl(both, 1, 0)
+    admission = AdmissionControl(both, 1, 0)
     found = both.resolve(b"GET", b"/read/halls/1", {})
     assert isinstance(found, EffectiveLimits)
-    assert gate.admit(found, 0, {}, 0) is None
-    assert gate.admit(found, 0, {}, 0) is not None  # the route `special` allows one in flight
-    assert gate.counters["halls"].in_flight == 1  # the rejected request is not counted
-    gate.release(found)
-    assert gate.counters["halls"].in_flight == 0 == gate.counters["special"].in_flight
+    assert admission.admit(found, 0, {}, 0) is None
+    assert admission.admit(found, 0, {}, 0) is not None  # the route `special` allows one in flight
+    assert admission.counters["halls"].in_flight == 1  # the rejected request is not counted
+    admission.release(found)
+    assert admission.counters["halls"].in_flight == 0 == admission.counters["special"].in_flight
     same = both.resolve(b"GET", b"/read/halls/2", {})
     assert isinstance(same, EffectiveLimits)
-    assert [gate.admit(same, 0, {}, 0) is None for _ in range(4)] == [True, True, False, False]
-    gate.release(same)
-    assert gate.admit(same, 0, {}, 0) is None
+    assert [admission.admit(same, 0, {}, 0) is None for _ in range(4)] == [True, True, False, False]
+    admission.release(same)
+    assert admission.admit(same, 0, {}, 0) is None
 
 
-def test_rates_of_one_name_hold_both_also_where_they_share_buckets_in_other_ways() -> None:
+def test_both_rates_of_a_scope_apply_even_with_different_bucket_keys() -> None:
     base = effective_limits("r", 0, LimitSettings(sources={}))
     slow, fast = Rate(1.0, 2), Rate(10.0, 5)
-    gate = AdmissionControl(plan(""), 1, 0)
+    admission = AdmissionControl(compile_text(""), 1, 0)
     pair = replace(base, components=separate_scopes(replace(base, rate=fast), replace(base, rate=slow)))
-    assert sum(gate.admit(pair, 0, {}, 0) is None for _ in range(9)) == 2
-    gate = AdmissionControl(plan(""), 1, 0)
+    assert sum(admission.admit(pair, 0, {}, 0) is None for _ in range(9)) == 2
+    admission = AdmissionControl(compile_text(""), 1, 0)
     tenants = Rate(1.0, 2, tenant=True)
     pair = replace(
         base, components=separate_scopes(replace(base, rate=Rate(1.0, 3)), replace(base, rate=tenants))
     )
-    assert sum(gate.admit(pair, 1, {}, 0) is None for _ in range(9)) == 2  # the tenant's burst of two
-    assert sum(gate.admit(pair, 2, {}, 0) is None for _ in range(9)) <= 1  # of the shared burst of three
+    assert sum(admission.admit(pair, 1, {}, 0) is None for _ in range(9)) == 2  # the tenant's burst of two
+    assert sum(admission.admit(pair, 2, {}, 0) is None for _ in range(9)) <= 1  # of the shared burst of three
