--- a/hollybay/consensus/batch_model.py
+++ b/hollybay/consensus/batch_model.py
@@ -40,7 +40,7 @@
 ]
 
 # Why nodes cannot serve a bad change.
-CANNOT = (ChangeProblem.because(CannotBeServed(), CHANGE),)
+CANNOT = (ChangeProblem.from_reason(CannotBeServed(), CHANGE),)
 # The size that each batch has in the log of a voter, and its bound: it is bounded by number alone.
 BATCH_BYTES = 1
 MAX_LOG_BYTES = 1 << 20
--- a/hollybay/consensus/group_commit.py
+++ b/hollybay/consensus/group_commit.py
@@ -50,7 +50,7 @@
 __all__ = ["ProposalQueue"]
 
 # Why a change is rejected that was alone in a dropped batch, where no node gave a reason.
-CANNOT_BE_SERVED = ChangeProblem.because(CannotBeServed(), CHANGE)
+CANNOT_BE_SERVED = ChangeProblem.from_reason(CannotBeServed(), CHANGE)
 
 
 @dataclass(slots=True)
@@ -137,7 +137,7 @@
         size = len(encode_change(change))
         if size > self.settings.max_change_bytes:
             reason = TooLarge(size, self.settings.max_change_bytes)
-            return RejectedNow((ChangeProblem.because(reason, CHANGE),))
+            return RejectedNow((ChangeProblem.from_reason(reason, CHANGE),))
         waiting_bytes = self.bytes - self._under_way_bytes
         wait = self._estimated_wait_ns(len(self._waiting) + 1, waiting_bytes + size, now)
         if self._is_full(size) or wait > self.settings.max_wait_ns:
--- a/hollybay/consensus/proposals.py
+++ b/hollybay/consensus/proposals.py
@@ -29,7 +29,7 @@
 
 # How long a voter accepts no change after its disk could not store an entry.
 STORAGE_RETRY_NS = 2 * SECOND
-DROPPED_BY_OPERATOR = (ChangeProblem.because(DroppedByOperator(), CHANGE),)
+DROPPED_BY_OPERATOR = (ChangeProblem.from_reason(DroppedByOperator(), CHANGE),)
 
 
 def problems_of(reasons: Sequence[Reason]) -> tuple[ChangeProblem, ...]:
--- a/hollybay/resources/model.py
+++ b/hollybay/resources/model.py
@@ -139,7 +139,7 @@
     reason: str
 
     @classmethod
-    def because(cls, reason: RejectionReason, resource: str, field: str = "") -> ChangeProblem:
+    def from_reason(cls, reason: RejectionReason, resource: str, field: str = "") -> ChangeProblem:
         """Create the problem of a resource, or of the change itself (`CHANGE`), from a reason."""
         return cls(resource, field, str(reason))
 
@@ -167,14 +167,14 @@
     seen: set[Key] = set()
     for operation in change.operations:
         if operation.key in seen:
-            problems.append(ChangeProblem.because(Duplicate(), str(operation.key)))
+            problems.append(ChangeProblem.from_reason(Duplicate(), str(operation.key)))
         seen.add(operation.key)
         problems += _operation_problems(operation)
     for field, text in (("reason", change.reason), ("author", change.author)):
         if not text.isprintable():
-            problems.append(ChangeProblem.because(NotPlainText(), CHANGE, field))
+            problems.append(ChangeProblem.from_reason(NotPlainText(), CHANGE, field))
     if not change.reason.strip():
-        problems.append(ChangeProblem.because(Missing(), CHANGE, "reason"))
+        problems.append(ChangeProblem.from_reason(Missing(), CHANGE, "reason"))
     if problems:
         raise ChangeRejectedError(tuple(problems))
 
@@ -185,9 +185,9 @@
     key = operation.key
     if bool(key.name) == (key.kind in SINGLETONS):
         reason = MustBeEmpty() if key.name else Missing()
-        problems.append(ChangeProblem.because(reason, str(key), "name"))
+        problems.append(ChangeProblem.from_reason(reason, str(key), "name"))
     if not key.name.isprintable():
-        problems.append(ChangeProblem.because(NotPlainText(), key.kind.value, "name"))
+        problems.append(ChangeProblem.from_reason(NotPlainText(), key.kind.value, "name"))
     if isinstance(operation, Upsert) and key.kind is Kind.DRAINED_SERVER and operation.body:
-        problems.append(ChangeProblem.because(MustBeEmpty(), str(key), "body"))
+        problems.append(ChangeProblem.from_reason(MustBeEmpty(), str(key), "body"))
     return problems
--- a/hollybay/resources/state.py
+++ b/hollybay/resources/state.py
@@ -97,7 +97,7 @@
         """
         check_change(change)
         if change.id in self.revision_by_change_id:
-            raise ChangeRejectedError((ChangeProblem.because(AlreadyDecided(), CHANGE, "id"),))
+            raise ChangeRejectedError((ChangeProblem.from_reason(AlreadyDecided(), CHANGE, "id"),))
         problems = self._revision_problems(change.base_revision)
         for operation in change.operations:
             problem = self._conflict(operation)
@@ -111,10 +111,10 @@
         problems: list[ChangeProblem] = []
         if base_revision > self.revision:
             reason: RejectionReason = BaseRevisionTooNew(base_revision, self.revision)
-            problems.append(ChangeProblem.because(reason, CHANGE, "made_on"))
+            problems.append(ChangeProblem.from_reason(reason, CHANGE, "made_on"))
         if base_revision < self.revision - REMEMBERED_REVISIONS:
             reason = BaseRevisionTooOld(base_revision, self.revision)
-            problems.append(ChangeProblem.because(reason, CHANGE, "made_on"))
+            problems.append(ChangeProblem.from_reason(reason, CHANGE, "made_on"))
         return problems
 
     def _conflict(self, operation: Operation) -> ChangeProblem | None:
@@ -129,7 +129,7 @@
             reason = ResourceExists(present)
         else:
             reason = VersionConflict(operation.base_version, present)
-        return ChangeProblem.because(reason, str(operation.key), "version")
+        return ChangeProblem.from_reason(reason, str(operation.key), "version")
 
     def with_batch(self, changes: Iterable[Change], revision: int) -> ResourceState:
         """Return the state after a batch of changes, which are checked one after another.
