--- a/hollybay/consensus/batch_model.py
+++ b/hollybay/consensus/batch_model.py
@@ -40,7 +40,7 @@
 ]
 
 # The problems of a change that no node can serve.
-CANNOT_SERVE = (ChangeProblem.because(CannotBeServed(), CHANGE),)
+CANNOT_SERVE = (ChangeProblem.from_reason(CannotBeServed(), CHANGE),)
 # Size of a batch in the log of a voter, and the bound of the log. The bound is out of reach, so that only the
 # number of batches limits the log.
 BATCH_BYTES = 1
--- a/tests/test_golden_admin.py
+++ b/tests/test_golden_admin.py
@@ -1,4 +1,4 @@
-"""What operators are answered at the admin paths, held against golden bytes (tests/golden)."""
+"""Responses to operators at the admin paths, compared with golden bytes (tests/golden)."""
 
 from __future__ import annotations
 
@@ -9,5 +9,5 @@
 
 
 @pytest.mark.parametrize("name", ["admin.http", "admin_refused.http", "admin_in_accord.http"])
-def test_operators_are_answered_the_golden_bytes(name: str) -> None:
+def test_admin_responses_equal_the_golden_bytes(name: str) -> None:
     assert build.FILES[name]() == read(name)
