--- a/hollybay/consensus/log_events.py
+++ b/hollybay/consensus/log_events.py
@@ -44,7 +44,7 @@
     VOTER_STORAGE_FAILED = "voter storage failed"
     """The voter's record could not be read or written; the voter makes no promise and casts no vote on it."""
 
-    VOTER_FOLDER_LOCKED = "voter folder locked by another process"
+    VOTER_FOLDER_LOCKED = "another process of this name is its keeper"
     """Another process holds the lock of the folder; this one does not act as a voter."""
 
     LOG_NOT_OPENED = "log not opened"
