--- a/benchmarks/capacity/control.py
+++ b/benchmarks/capacity/control.py
@@ -13,9 +13,9 @@
 from pathlib import Path
 from typing import Any
 
-from hollybay.hollow.fleet import Fleet, FleetFailed, fleet
+from hollybay.hollow.fleet import Fleet, FleetError, fleet
 from hollybay.hollow.messages import Report
-from hollybay.hollow.meter import Spent
+from hollybay.hollow.meter import ResourceUsage
 from hollybay.units import SECOND
 
 from . import samples
@@ -78,7 +78,7 @@
     """Run this on a loop like that of the processes. RunFailed: the fleet did not come or did not stay."""
     try:
         return asyncio.run(work)
-    except FleetFailed as error:
+    except FleetError as error:
         raise RunFailed(str(error)) from None
 
 
@@ -166,11 +166,11 @@
     return report.bytes_sent + report.bytes_received + headers
 
 
-def spent_of(reports: list[Report]) -> Spent:
+def spent_of(reports: list[Report]) -> ResourceUsage:
     """How late the worst process of the rig was."""
     worst = max(reports, key=lambda report: report.waited_s / report.wall_s)
     late = max(report.late_s for report in reports)
-    return Spent(
+    return ResourceUsage(
         cpu_s=math.fsum(report.cpu_s for report in reports),
         wall_s=worst.wall_s,
         waited_s=worst.waited_s,
--- a/benchmarks/capacity/measurement.py
+++ b/benchmarks/capacity/measurement.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass, field
 
-from hollybay.hollow.meter import Limits, Spent, late_reason
+from hollybay.hollow.meter import Limits, ResourceUsage, late_reason
 
 __all__ = [
     "Figures",
@@ -36,7 +36,7 @@
     """
 
     values: Mapping[str, float]
-    spent: Spent
+    spent: ResourceUsage
     notes: Mapping[str, float] = field(default_factory=dict)
 
     def only(self, *names: str) -> Figures:
--- a/benchmarks/capacity/starts.py
+++ b/benchmarks/capacity/starts.py
@@ -14,7 +14,7 @@
 from hollybay.consensus.log import PolicyLog
 from hollybay.consensus.log_entry import Snapshot
 from hollybay.consensus.policy import first_policy
-from hollybay.hollow.meter import Spent, metered
+from hollybay.hollow.meter import ResourceUsage, metered
 from hollybay.resources.state import EMPTY
 from hollybay.resources.wire import encode_snapshot
 from hollybay.routing.resource_tables import operations_between, resources_of
@@ -77,4 +77,4 @@
     if done.returncode:
         raise RefusedSize(done.stderr.strip().splitlines()[-1][:200])
     # The parent only waited; what the child took is what counts.
-    return Figures({"cpu_s": float(done.stdout)}, Spent(wall_s=spent.wall_s))
+    return Figures({"cpu_s": float(done.stdout)}, ResourceUsage(wall_s=spent.wall_s))
--- a/benchmarks/capacity/streams.py
+++ b/benchmarks/capacity/streams.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 
 from hollybay.consensus.messages import ChangeOutcome
-from hollybay.hollow.fleet import Fleet, FleetFailed, fleet, version_of
+from hollybay.hollow.fleet import Fleet, FleetError, fleet, version_of
 from hollybay.hollow.messages import Report
 from hollybay.proxy.system import boot_time_ns
 from hollybay.resources.model import CHANGE_ID_BYTES, Change, Kind, Upsert
@@ -134,16 +134,16 @@
     await asyncio.sleep(max(0.0, at - (boot_time_ns() - began) / SECOND))
     operation = Upsert(Kind.DRAINED_SERVER, f"s-{number:06d}", 0, b"")
     change = Change((number + 1).to_bytes(CHANGE_ID_BYTES, "big"), 0, "capacity", "rig", (operation,))
-    while not await running.offer(change):
+    while not await running.propose_change(change):
         if boot_time_ns() > end:
             return None
         await asyncio.sleep(TRY_AGAIN_S)
     while boot_time_ns() < end:
-        found = await running.became_of(change)
+        found = await running.change_status(change)
         if found.outcome is ChangeOutcome.IN_FORCE:
             return version_of(found.policy)
         if found.outcome is ChangeOutcome.REJECTED:
-            raise FleetFailed(f"change {number} was refused: {found.problems}")
+            raise FleetError(f"change {number} was refused: {found.problems}")
         await asyncio.sleep(LOOK_S)
     return None
 
--- a/benchmarks/flood.py
+++ b/benchmarks/flood.py
@@ -11,10 +11,10 @@
 
 from hollybay.cli.demo_report import percentile
 from hollybay.testbed.client_request import RequestMix
+from hollybay.testbed.fake_environment import FakeEnvironment
 from hollybay.testbed.ledger import FinalOutcome
 from hollybay.testbed.load_generator import LoadGenerator
 from hollybay.testbed.process import NodeProcess
-from hollybay.testbed.scene import Scene
 from hollybay.units import MS
 
 SERVERS, SECONDS, FLOOD, USUAL = 20, 8.0, 1500.0, 100.0
@@ -30,7 +30,7 @@
 
 async def play(text: str) -> str:
     """One run; a line of figures."""
-    scene = Scene(SERVERS, seed=3)
+    scene = FakeEnvironment(SERVERS, seed=3)
     await scene.start()
     target = b"/view-schedule/board/1"
     with tempfile.TemporaryDirectory() as folder:
--- a/benchmarks/lists_only.py
+++ b/benchmarks/lists_only.py
@@ -18,7 +18,7 @@
 from collections.abc import Callable
 from itertools import accumulate
 
-from hollybay.testbed.scene import MEAN_WORK, SHARES, WORK, usual_kinds
+from hollybay.testbed.fake_environment import MEAN_WORK, SHARES, WORK, usual_kinds
 
 SERVERS = 24
 STEP = 0.05  # s between two looks at what is idle and what waits
--- a/benchmarks/routed_node.py
+++ b/benchmarks/routed_node.py
@@ -15,8 +15,8 @@
 
 import uvloop
 
+from hollybay.testbed.fake_environment import FakeEnvironment, settings
 from hollybay.testbed.process import NodeProcess
-from hollybay.testbed.scene import Scene, settings
 
 from .files import many_routes
 
@@ -96,7 +96,7 @@
         await asyncio.sleep(0.1)
 
 
-async def pair(scene: Scene, folder: Path, seed: int) -> list[tuple[float, float, int]]:
+async def pair(scene: FakeEnvironment, folder: Path, seed: int) -> list[tuple[float, float, int]]:
     """Two fresh nodes on one core in short turns: requests a second, CPU (us) a request, and not served."""
     nodes = []
     for name, operator in (("plain", ""), ("routed", str(folder / "operator.toml"))):
@@ -134,7 +134,7 @@
 async def play() -> list[list[tuple[float, float, int]]]:
     """Pair after pair: a process keeps the luck of its place in memory, so one pair says little."""
     loop = asyncio.get_running_loop()
-    scene = Scene(SERVERS, words=settings(weights="nominal"))
+    scene = FakeEnvironment(SERVERS, words=settings(weights="nominal"))
     listeners = []
     for server in scene.servers:
         listener = await loop.create_server(_Server, "127.0.0.1", 0)
--- a/hollybay/cli/demo.py
+++ b/hollybay/cli/demo.py
@@ -10,10 +10,10 @@
 from dataclasses import dataclass
 from pathlib import Path
 
+from hollybay.testbed.fake_environment import FakeEnvironment
 from hollybay.testbed.ledger import FinalOutcome
 from hollybay.testbed.load_generator import LoadGenerator
 from hollybay.testbed.process import NodeProcess
-from hollybay.testbed.scene import Scene
 
 from .demo_report import Report, class_rows, kind_rows, on_time_weight
 
@@ -80,7 +80,7 @@
     OSError, RuntimeError
         The node cannot be started.
     """
-    scene = Scene(servers, seed=seed)
+    scene = FakeEnvironment(servers, seed=seed)
     await scene.start()
     with tempfile.TemporaryDirectory() as folder:
         node = NodeProcess(scene.config(), Path(folder))
@@ -101,7 +101,7 @@
 
     def __init__(
         self,
-        scene: Scene,
+        scene: FakeEnvironment,
         node: NodeProcess,
         clients: LoadGenerator,
         seconds: float,
--- a/hollybay/cli/demo_report.py
+++ b/hollybay/cli/demo_report.py
@@ -7,9 +7,9 @@
 from dataclasses import asdict, dataclass
 from typing import Any
 
+from hollybay.testbed.fake_environment import KINDS
 from hollybay.testbed.fake_server import FakeServer
 from hollybay.testbed.ledger import FinalOutcome, Ledger, RequestEntry, Verdict
-from hollybay.testbed.scene import KINDS
 from hollybay.units import MS
 
 __all__ = ["ClassRow", "KindRow", "Report", "class_rows", "kind_rows", "on_time_weight", "percentile"]
--- a/hollybay/cluster/rig.py
+++ b/hollybay/cluster/rig.py
@@ -20,8 +20,8 @@
 
 import msgspec
 
+from hollybay.testbed.fake_environment import MEAN_WORK, usual_kinds
 from hollybay.testbed.fake_server import ServerKind
-from hollybay.testbed.scene import MEAN_WORK, usual_kinds
 from hollybay.testbed.scratch import in_memory
 from hollybay.units import SECOND
 
--- a/hollybay/cluster/roles.py
+++ b/hollybay/cluster/roles.py
@@ -32,11 +32,11 @@
 from hollybay.testbed.client_connection import ClientConnection
 from hollybay.testbed.client_request import ClientRequest, RequestMix
 from hollybay.testbed.cpu_wait import cpu_wait_ns
+from hollybay.testbed.fake_environment import CLASSES, SHARES, TENANTS, WORK, settings
 from hollybay.testbed.fake_server import FakeServer, ServerKind
 from hollybay.testbed.fake_server_connection import ScriptedAnswer
 from hollybay.testbed.ledger import FinalOutcome, Ledger, RequestEntry, RuleLimits, ServerStart
 from hollybay.testbed.load_generator import LoadGenerator
-from hollybay.testbed.scene import CLASSES, SHARES, TENANTS, WORK, settings
 from hollybay.units import SECOND
 
 from . import planted
--- a/hollybay/hollow/fleet.py
+++ b/hollybay/hollow/fleet.py
@@ -21,7 +21,7 @@
 
 from .messages import NO_VERSION, Command, Listening, Report, ReportNow, Reset, Silence, Start
 
-__all__ = ["Fleet", "FleetFailed", "Member", "fleet", "version_of"]
+__all__ = ["Fleet", "FleetError", "Member", "fleet", "version_of"]
 
 ROOT = Path(__file__).resolve().parents[2]
 KEEPERS = 3
@@ -34,7 +34,7 @@
 _NODES_OF_A_BLOCK = 1 << 12  # addresses that each process has for its nodes
 
 
-class FleetFailed(Exception):
+class FleetError(Exception):
     """A process ended, or what was waited for did not come; the text says which."""
 
 
@@ -81,7 +81,7 @@
     async def _asked(self, command: Command) -> bytes:
         assert self._process is not None and self._process.stdin is not None
         if self._process.stdin.is_closing():
-            raise FleetFailed(f"a process of hollow nodes ended with {await self._process.wait()}")
+            raise FleetError(f"a process of hollow nodes ended with {await self._process.wait()}")
         self._process.stdin.write(msgspec.json.encode(command) + b"\n")
         return await self._line()
 
@@ -89,7 +89,7 @@
         assert self._process is not None and self._process.stdout is not None
         line = await self._process.stdout.readline()
         if not line:
-            raise FleetFailed(f"a process of hollow nodes ended with {await self._process.wait()}")
+            raise FleetError(f"a process of hollow nodes ended with {await self._process.wait()}")
         return line
 
 
@@ -144,14 +144,14 @@
         try:
             await ChangeTracker(self._called, [first]).bootstrap(first, file)
         except CallFailedError as error:
-            raise FleetFailed(f"found: {error}") from None
+            raise FleetError(f"found: {error}") from None
 
     async def call(self, path: str, body: bytes | None) -> bytes:
-        """Call the first keeper, as an operator does. FleetFailed: it says no, or nothing."""
+        """Call the first keeper, as an operator does. FleetError: it says no, or nothing."""
         try:
             return await self._called(self.keeper_addresses[0], path, body)
         except CallFailedError as error:
-            raise FleetFailed(f"{path}: {error}") from None
+            raise FleetError(f"{path}: {error}") from None
 
     async def start_nodes(self) -> None:
         """Let all hollow nodes ask for leases, and wait until each holds one."""
@@ -159,7 +159,7 @@
         await self.until(lambda report: report.serving == report.nodes)
 
     async def until(self, holds: Callable[[Report], bool], version: int = NO_VERSION) -> list[Report]:
-        """Ask all processes again and again until this holds for each report. FleetFailed: too late."""
+        """Ask all processes again and again until this holds for each report. FleetError: too late."""
         end = asyncio.get_running_loop().time() + READY_LIMIT_S
         while True:
             reports = await self.reports(version)
@@ -167,7 +167,7 @@
                 return reports
             if asyncio.get_running_loop().time() > end:
                 slow = next(report for report in reports if not holds(report))
-                raise FleetFailed(
+                raise FleetError(
                     f"not within {READY_LIMIT_S:.0f} s: {slow.serving} of {slow.nodes} serve, {slow.problems}"
                 )
             await asyncio.sleep(LOOK_S)
@@ -195,10 +195,10 @@
         changed = messages.decode(await self.call("propose", body), messages.ProposeReply)
         return version_of(changed.change), began
 
-    async def offer(self, change: Change) -> bool:
+    async def propose_change(self, change: Change) -> bool:
         """Propose a change of resources; whether the keeper took it: else it is to be offered again later.
 
-        FleetFailed: it is refused for good.
+        FleetError: it is refused for good.
         """
         body = messages.encode(messages.ChangeCall(base64.b64encode(encode_change(change)).decode()))
         try:
@@ -206,10 +206,10 @@
         except CallFailedError as error:
             if error.status in (0, TOO_BUSY):
                 return False
-            raise FleetFailed(f"change: {error}") from None
+            raise FleetError(f"change: {error}") from None
         return True
 
-    async def became_of(self, change: Change) -> messages.ChangeReply:
+    async def change_status(self, change: Change) -> messages.ChangeReply:
         """What the first keeper knows of a change."""
         return messages.decode(await self.call(f"change/{change.id.hex()}", None), messages.ChangeReply)
 
--- a/hollybay/hollow/meter.py
+++ b/hollybay/hollow/meter.py
@@ -17,7 +17,7 @@
 
 from hollybay.units import SECOND
 
-__all__ = ["LatenessProbe", "Limits", "Meter", "Spent", "late_reason", "memory_bytes", "metered"]
+__all__ = ["LatenessProbe", "Limits", "Meter", "ResourceUsage", "late_reason", "memory_bytes", "metered"]
 
 PROBE_EVERY_S = 0.01
 
@@ -36,7 +36,7 @@
 
 
 @dataclass(slots=True)
-class Spent:
+class ResourceUsage:
     """What a stretch of work took; filled in at its end.
 
     cpu_s: processor time of the process, with all of its threads; waited_s: time that its main thread was
@@ -59,7 +59,7 @@
         return self.waited_s / self.wall_s if self.wall_s > 0 else 0.0
 
 
-def late_reason(spent: Spent, limits: Limits) -> str:
+def late_reason(spent: ResourceUsage, limits: Limits) -> str:
     """Why a run has no figure; empty if it has one."""
     if spent.waited_part > limits.waited_part and spent.waited_s > limits.waited_s:
         return f"kept from its core for {100 * spent.waited_part:.0f} % of {spent.wall_s:.2f} s"
@@ -87,7 +87,7 @@
         self._wall = time.perf_counter()
         self._cpu = time.process_time()
 
-    def read(self, spent: Spent) -> Spent:
+    def read(self, spent: ResourceUsage) -> ResourceUsage:
         """Fill in what was spent so far."""
         spent.cpu_s = time.process_time() - self._cpu
         spent.wall_s = time.perf_counter() - self._wall
@@ -101,9 +101,9 @@
 
 
 @contextmanager
-def metered(memory: bool = False) -> Iterator[Spent]:
+def metered(memory: bool = False) -> Iterator[ResourceUsage]:
     """Measure what the block takes. memory: also by how much the process grows, with rubbish collected."""
-    spent = Spent()
+    spent = ResourceUsage()
     meter = Meter(memory)
     yield spent
     meter.read(spent)
--- a/hollybay/hollow/process.py
+++ b/hollybay/hollow/process.py
@@ -15,9 +15,9 @@
 from hollybay.units import MS
 
 from .messages import Listening, Report, ReportNow, Reset, Silence, Start, decode_command
-from .meter import LatenessProbe, Meter, Spent, memory_bytes
+from .meter import LatenessProbe, Meter, ResourceUsage, memory_bytes
 from .node import HollowNode
-from .wire import MeteredLoop, Wire
+from .traffic_meter import MeteredLoop, Wire
 
 __all__ = ["COMPILED_FOR", "Process", "main"]
 
@@ -68,7 +68,7 @@
 
     def report(self, version: int) -> Report:
         """What was counted since the reset."""
-        spent = self.meter.read(Spent())
+        spent = self.meter.read(ResourceUsage())
         calls_in, calls_out = self._calls()
         services = [node.service for node in self.nodes if node.service is not None]
         wire = self.wire
--- a/hollybay/simulation/watch.py
+++ b/hollybay/simulation/watch.py
@@ -221,7 +221,7 @@
             self.report("dup", rid, attempt_fault(entry.arrived, self.limits.max_attempts))
             self.report("left", rid, left_fault(self.left_at.get(rid), at, 20 * MS))
             if entry.final is FinalOutcome.REFUSED and runs:
-                self.report("dup", rid, rules.refusal_violation(self.limits.classes[entry.cls], True))
+                self.report("dup", rid, rules.rejection_violation(self.limits.classes[entry.cls], True))
         if start.cold:
             window = self._windows.get(id(start))
             if window is None:
--- a/hollybay/testbed/world.py
+++ b/hollybay/testbed/balancer_harness.py
@@ -211,7 +211,7 @@
 
     def _check_refusal(self, book: RequestRecord) -> None:
         cls = self.settings.classes[book.cls]
-        reason = rules.refusal_violation(cls, any(a.result not in NEVER_RAN for a in book.attempts))
+        reason = rules.rejection_violation(cls, any(a.result not in NEVER_RAN for a in book.attempts))
         assert reason is None, reason
 
     def tell(
--- a/hollybay/testbed/scene.py
+++ b/hollybay/testbed/fake_environment.py
@@ -17,7 +17,7 @@
 from .fake_server import FakeServer, ServerKind
 from .ledger import Ledger, RuleLimits
 
-__all__ = ["CLASSES", "KINDS", "MEAN_WORK", "TENANTS", "Scene", "settings", "usual_kinds"]
+__all__ = ["CLASSES", "KINDS", "MEAN_WORK", "TENANTS", "FakeEnvironment", "settings", "usual_kinds"]
 
 
 # Class settings in the platform's form, durations in ns.
@@ -106,7 +106,7 @@
 
 
 @dataclass
-class Scene:
+class FakeEnvironment:
     """Servers, discovery and ledger of one run; start() before use, stop() at its end.
 
     Attributes
--- a/hollybay/testbed/ledger.py
+++ b/hollybay/testbed/ledger.py
@@ -296,7 +296,7 @@
         if entry.arrived > limits.max_attempts:
             yield Violation("dup", entry.id, f"{entry.arrived} attempts, {limits.max_attempts} allowed")
         if entry.final is FinalOutcome.REFUSED:
-            reason = rules.refusal_violation(limits.classes[entry.cls], bool(entry.ran))
+            reason = rules.rejection_violation(limits.classes[entry.cls], bool(entry.ran))
             if reason is not None:
                 yield Violation("dup", entry.id, reason)
         if entry.answers > 1:
--- a/hollybay/testbed/rules.py
+++ b/hollybay/testbed/rules.py
@@ -24,7 +24,7 @@
     "cold_allowance",
     "cold_violation",
     "drain_violation",
-    "refusal_violation",
+    "rejection_violation",
     "repeat_violation",
     "slow_start_factor",
 ]
@@ -60,7 +60,7 @@
     return None
 
 
-def refusal_violation(cls: api.RequestClass, ran: bool) -> str | None:
+def rejection_violation(cls: api.RequestClass, ran: bool) -> str | None:
     """Why a request must not be refused (a retry said to be harmless), or None; ran: it may have run."""
     if not ran or cls.effect == api.Effect.SAFE:
         return None
--- a/hollybay/testbed/soak/run.py
+++ b/hollybay/testbed/soak/run.py
@@ -13,15 +13,15 @@
 
 from hollybay.testbed.cpu_wait import cpu_wait_ns
 from hollybay.testbed.discovery_agent import DiscoveryAgent
+from hollybay.testbed.fake_environment import CLASSES, FakeEnvironment, settings
 from hollybay.testbed.ledger import RuleLimits, Violation
 from hollybay.testbed.listener import request_once
 from hollybay.testbed.process import PORT_VARIABLE, NodeProcess
 from hollybay.testbed.reserved_port import reserved_port
-from hollybay.testbed.scene import CLASSES, Scene, settings
 from hollybay.units import MS, SECOND
 
 from .clients import ClientGroup
-from .crowd import Crowd
+from .idle_clients import Crowd
 from .ledger import SoakLedger
 from .plan import Condition, SoakPlan
 
@@ -118,7 +118,7 @@
         self.port = port
         self.admin_ports = admin_ports
         self.violations: list[Violation] = []
-        self.scene = Scene(
+        self.scene = FakeEnvironment(
             plan.servers,
             seed=plan.seed,
             words=settings(categories=_classes(plan)),
--- a/tests/made_up_world.py
+++ b/tests/made_up_world.py
@@ -20,7 +20,7 @@
     Tenant,
     WeightMode,
 )
-from hollybay.testbed.world import CLASSES, MS, SECOND, make_settings
+from hollybay.testbed.balancer_harness import CLASSES, MS, SECOND, make_settings
 
 from . import recorded_decisions as recorded
 
--- a/tests/scripted_streams.py
+++ b/tests/scripted_streams.py
@@ -19,7 +19,7 @@
     Tenant,
     WeightMode,
 )
-from hollybay.testbed.world import MS, SECOND, make_settings
+from hollybay.testbed.balancer_harness import MS, SECOND, make_settings
 
 from . import recorded_decisions as recorded
 
--- a/tests/test_attempt_tracking.py
+++ b/tests/test_attempt_tracking.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 from hollybay.balancing import interface as api
+from hollybay.testbed.balancer_harness import MS, BalancerHarness, make_settings
 from hollybay.testbed.balancer_invariants import record_fault
-from hollybay.testbed.world import MS, BalancerHarness, make_settings
 
 SERVERS = tuple(api.Server(id=b"s%03d" % number) for number in range(4))
 
--- a/tests/test_balancer.py
+++ b/tests/test_balancer.py
@@ -6,7 +6,7 @@
 from dataclasses import replace
 
 from hollybay.balancing import interface as api
-from hollybay.testbed.world import MS, SECOND, BalancerHarness, fleet, make_settings
+from hollybay.testbed.balancer_harness import MS, SECOND, BalancerHarness, fleet, make_settings
 
 ONE = (api.RequestClass("w", api.Effect.SAFE, 1.0, SECOND, 3 * SECOND),)
 
--- a/tests/test_balancer_many_nodes.py
+++ b/tests/test_balancer_many_nodes.py
@@ -29,7 +29,7 @@
 from hollybay.balancing.traffic_share import TrafficShare
 from hollybay.balancing.zone_reachability import ZoneReachability
 from hollybay.proxy.name_table import NameTable
-from hollybay.testbed.world import MS, SECOND, UNSAFE, BalancerHarness, make_settings
+from hollybay.testbed.balancer_harness import MS, SECOND, UNSAFE, BalancerHarness, make_settings
 
 ONE = (api.RequestClass("w", api.Effect.SAFE, 1.0, SECOND, 3 * SECOND),)
 WORK = 50 * MS  # at a server of size 1
--- a/tests/test_balancer_records.py
+++ b/tests/test_balancer_records.py
@@ -9,8 +9,8 @@
 from hypothesis import strategies as st
 
 from hollybay.balancing import interface as api
+from hollybay.testbed.balancer_harness import MS, SECOND, BalancerHarness, fleet, make_settings
 from hollybay.testbed.balancer_invariants import watch_records
-from hollybay.testbed.world import MS, SECOND, BalancerHarness, fleet, make_settings
 
 SERVERS = 5
 # The ends of an attempt; the server of one that was not sent has never heard of it.
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -29,7 +29,7 @@
 )
 from benchmarks.capacity.registry import MEASUREMENTS
 from benchmarks.capacity.report import series_of
-from hollybay.hollow.meter import LatenessProbe, Limits, Spent, late_reason, metered
+from hollybay.hollow.meter import LatenessProbe, Limits, ResourceUsage, late_reason, metered
 
 # Quantities that a small run may have none of.
 MAY_BE_NONE = {"unfinished", "keeper_cpu_ms"}
@@ -103,18 +103,18 @@
     limits = Limits(waited_part=0.5, waited_s=0.1, worst_late_s=0.2)
     figures = {"cpu_s": 1.0}
     measurement = Measurement(
-        "x", "x", "x", {"cpu_s": "s"}, (1,), (1,), lambda size: Figures({}, Spent()), 1, limits
+        "x", "x", "x", {"cpu_s": "s"}, (1,), (1,), lambda size: Figures({}, ResourceUsage()), 1, limits
     )
-    fine = judge(measurement, 1, Figures(figures, Spent(cpu_s=1.0, wall_s=2.0, waited_s=0.9)))
+    fine = judge(measurement, 1, Figures(figures, ResourceUsage(cpu_s=1.0, wall_s=2.0, waited_s=0.9)))
     assert isinstance(fine, Measured) and fine.values == figures
     for spent, reason in (
-        (Spent(cpu_s=1.0, wall_s=2.0, waited_s=1.1), "kept from its core for 55 %"),
-        (Spent(cpu_s=1.0, wall_s=2.0, late_s=0.3), "300 ms late"),
+        (ResourceUsage(cpu_s=1.0, wall_s=2.0, waited_s=1.1), "kept from its core for 55 %"),
+        (ResourceUsage(cpu_s=1.0, wall_s=2.0, late_s=0.3), "300 ms late"),
     ):
         late = judge(measurement, 1, Figures(figures, spent))
         assert isinstance(late, NotCarried) and reason in late.reason
     # So short a stretch tells nothing of how busy the machine is.
-    assert not late_reason(Spent(wall_s=0.01, waited_s=0.009), limits)
+    assert not late_reason(ResourceUsage(wall_s=0.01, waited_s=0.009), limits)
 
 
 def test_the_probe_sees_a_loop_that_stood_still() -> None:
--- a/tests/test_cluster_evenness.py
+++ b/tests/test_cluster_evenness.py
@@ -24,7 +24,7 @@
 from hollybay.cluster.models import Arrival, drawn, one
 from hollybay.cluster.records import Beat
 from hollybay.cluster.trust import judge
-from hollybay.testbed.world import MS, SECOND
+from hollybay.testbed.balancer_harness import MS, SECOND
 
 SPAN = 30 * SECOND
 LIVES = [Life(f"s{n}", 1.0 + 0.3 * (n % 2), 1, ((0, SPAN),)) for n in range(8)]
--- a/tests/test_cluster_records.py
+++ b/tests/test_cluster_records.py
@@ -24,8 +24,8 @@
     Told,
     read,
 )
+from hollybay.testbed.balancer_harness import CLASSES, MS, SECOND
 from hollybay.testbed.ledger import RuleLimits
-from hollybay.testbed.world import CLASSES, MS, SECOND
 
 LIMITS = RuleLimits(CLASSES, SECOND, 0.3, 8 * SECOND)
 SAFE, UNSAFE = 0, 1
--- a/tests/test_consensus_member.py
+++ b/tests/test_consensus_member.py
@@ -37,6 +37,7 @@
 from hollybay.resources.model import Change, Kind, Upsert
 from hollybay.routing.policy_compiler import compile_file
 from hollybay.routing.problems import OperatorError
+from hollybay.testbed.balancer_harness import make_settings
 from hollybay.testbed.loopback import (
     LIMIT,
     FakeDiscovery,
@@ -46,7 +47,6 @@
     running,
     settings,
 )
-from hollybay.testbed.world import make_settings
 from hollybay.units import MS
 
 START = '[accord]\nkeepers = ["127.0.0.1:1"]\nfolder = "unused"\n'
@@ -507,7 +507,7 @@
     code = (
         "import sys, hollybay.proxy.__main__, hollybay.proxy.operator_file, hollybay.proxy.admin_service\n"
         "from hollybay.routing.policy_compiler import compile_file\n"
-        "from hollybay.testbed.world import make_settings\n"
+        "from hollybay.testbed.balancer_harness import make_settings\n"
         "assert compile_file(b'', make_settings()).consensus is None\n"
         "mine = ('hollybay.consensus', 'structlog', 'hollybay.proxy.consensus_member',\n"
         "    'hollybay.proxy.consensus_setup', 'hollybay.proxy.admin_client')\n"
--- a/tests/test_discovery_agent.py
+++ b/tests/test_discovery_agent.py
@@ -10,10 +10,10 @@
 import pytest
 
 from hollybay.testbed.discovery_agent import DiscoveryAgent
+from hollybay.testbed.fake_environment import KINDS
 from hollybay.testbed.fake_server import FakeServer
 from hollybay.testbed.ledger import Ledger, RuleLimits
 from hollybay.testbed.listener import read_message
-from hollybay.testbed.scene import KINDS
 
 WATCH = b"GET /registry/instances?index=%d&wait=5000 HTTP/1.1\r\nHost: discovery\r\n\r\n"
 WHOLE = b"GET /registry/instances HTTP/1.1\r\nHost: discovery\r\n\r\n"
--- a/tests/test_estimates.py
+++ b/tests/test_estimates.py
@@ -10,7 +10,7 @@
 from hollybay.balancing.estimates import IDLE_MEAN_LOAD
 from hollybay.balancing.service_times import MIN_SAMPLES
 from hollybay.balancing.state import TrackedServer
-from hollybay.testbed.world import MS, SECOND, BalancerHarness, make_settings
+from hollybay.testbed.balancer_harness import MS, SECOND, BalancerHarness, make_settings
 
 ONE = (api.RequestClass("w", api.Effect.SAFE, 1.0, SECOND, 3 * SECOND),)
 WORK, JAM = 10 * MS, 200 * MS
--- a/tests/test_event_loop_delay.py
+++ b/tests/test_event_loop_delay.py
@@ -13,6 +13,7 @@
 from hollybay.balancing import Balancer
 from hollybay.balancing import interface as api
 from hollybay.proxy.downstream.client_context import ACCEPT_BATCH
+from hollybay.testbed.balancer_harness import MS, SECOND, fleet, make_settings
 from hollybay.testbed.loopback import (
     LIMIT,
     OK,
@@ -26,7 +27,6 @@
     running,
     settings,
 )
-from hollybay.testbed.world import MS, SECOND, fleet, make_settings
 
 CAPS = {**settings()["caps"], "retry-after": True, "max-retry-after": 2 * SECOND}
 
--- a/tests/test_fake_server.py
+++ b/tests/test_fake_server.py
@@ -8,11 +8,11 @@
 import pytest
 
 from hollybay.balancing import interface as api
+from hollybay.testbed.fake_environment import work_of
 from hollybay.testbed.fake_server import FakeServer, ServerKind
 from hollybay.testbed.fake_server_connection import ScriptedAnswer
 from hollybay.testbed.ledger import Ledger, RuleLimits
 from hollybay.testbed.listener import LIMIT, read_message
-from hollybay.testbed.scene import work_of
 from hollybay.units import MS, SECOND
 
 SAFE = 0
--- a/tests/test_found_by_seeds.py
+++ b/tests/test_found_by_seeds.py
@@ -13,8 +13,8 @@
 from hollybay.balancing.estimates import REVIEW_INTERVAL_NS
 from hollybay.balancing.event_loop_delay import WINDOW_NS
 from hollybay.proxy import system
+from hollybay.testbed.balancer_harness import MS, SAFE, SECOND, BalancerHarness, fleet, make_settings
 from hollybay.testbed.loopback import CLASSES, FakeDiscovery, ScriptedServer, request, running, settings
-from hollybay.testbed.world import MS, SAFE, SECOND, BalancerHarness, fleet, make_settings
 
 
 def test_no_socket_for_a_server_ends_the_attempt_at_once(
--- a/tests/test_hollow.py
+++ b/tests/test_hollow.py
@@ -23,10 +23,10 @@
 from hollybay.admin.requests import AdminRequest
 from hollybay.admin.responses import AdminResponse
 from hollybay.consensus import messages
-from hollybay.hollow.fleet import FleetFailed, fleet
+from hollybay.hollow.fleet import FleetError, fleet
 from hollybay.hollow.messages import Report, ReportNow, Reset, decode_command
 from hollybay.hollow.node import HollowNode
-from hollybay.hollow.wire import Conversation, MeteredLoop
+from hollybay.hollow.traffic_meter import Conversation, MeteredLoop
 from hollybay.proxy.admin_client import call_policy
 from hollybay.testbed.loopback import LIMIT, FakeDiscovery, settings
 from hollybay.units import MS
@@ -270,7 +270,7 @@
 
 def test_a_fleet_without_its_process_says_so(tmp_path: Path) -> None:
     async def play(loop: MeteredLoop) -> None:
-        with pytest.raises(FleetFailed, match="ended with"):
+        with pytest.raises(FleetError, match="ended with"):
             async with fleet(tmp_path, 1, LEASE_MS, nodes_of_a_process=1) as running:
                 await running.nodes[0].end()
                 await running.reports()
--- a/tests/test_invalid_changes.py
+++ b/tests/test_invalid_changes.py
@@ -12,7 +12,7 @@
 from hollybay.resources.state import EMPTY
 from hollybay.routing.resource_tables import encode_table
 from hollybay.routing.schema import PathTable, RouteTable
-from hollybay.testbed.scene import settings
+from hollybay.testbed.fake_environment import settings
 
 
 def change_of(number: int, path: str, cls: str | None = None) -> Change:
--- a/tests/test_load_reports.py
+++ b/tests/test_load_reports.py
@@ -24,8 +24,8 @@
 from hollybay.proxy.load_reports import PeerAddresses, parse_peer_addresses
 from hollybay.routing.policy_compiler import compile_file
 from hollybay.routing.problems import OperatorError
-from hollybay.testbed.scene import settings
-from hollybay.testbed.world import MS, SECOND, BalancerHarness, make_settings
+from hollybay.testbed.balancer_harness import MS, SECOND, BalancerHarness, make_settings
+from hollybay.testbed.fake_environment import settings
 
 STATES = st.dictionaries(st.integers(0, 2**32 - 1), st.integers(1, 255), max_size=MAX_PARTS * MAX_ENTRIES)
 SERVERS = [f"s-{n}" for n in range(8)]
@@ -232,7 +232,7 @@
     code = (
         "import sys, hollybay.proxy.__main__ as m\n"
         "from hollybay.routing.policy_compiler import compile_file\n"
-        "from hollybay.testbed.world import make_settings\n"
+        "from hollybay.testbed.balancer_harness import make_settings\n"
         "assert compile_file(b'', make_settings()).peers is None\n"
         "mine = ('hollybay.gossip', 'hollybay.proxy.load_reports')\n"
         "sys.exit(any(name.startswith(mine) for name in sys.modules))"
--- a/tests/test_other_customers.py
+++ b/tests/test_other_customers.py
@@ -13,8 +13,8 @@
 from hollybay.balancing import interface as api
 from hollybay.proxy.config import settings_from_json
 from hollybay.proxy.upstream.pools import DRAIN_GRACE_SHARE
+from hollybay.testbed.balancer_harness import MS
 from hollybay.testbed.loopback import FakeDiscovery, ScriptedServer, request, running
-from hollybay.testbed.world import MS
 from hollybay.units import SECOND
 from tests.test_rules import walk
 
--- a/tests/test_request_limits.py
+++ b/tests/test_request_limits.py
@@ -8,7 +8,7 @@
 
 from hollybay.balancing import interface as api
 from hollybay.balancing import retry_budgets as budgets
-from hollybay.testbed.world import MS, SECOND, BalancerHarness, fleet, make_settings
+from hollybay.testbed.balancer_harness import MS, SECOND, BalancerHarness, fleet, make_settings
 
 READ, WRITE, CELL, ZONE, ALL = range(5)
 
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -9,7 +9,7 @@
 from hollybay.balancing import interface as api
 from hollybay.balancing.retries import allowed_scope, is_client_retry_harmless
 from hollybay.balancing.state import TrackedAttempt, TrackedServer
-from hollybay.testbed.world import MS, NEVER_RAN, SECOND
+from hollybay.testbed.balancer_harness import MS, NEVER_RAN, SECOND
 
 WINDOW = 2 * SECOND
 RESULTS = [None, *api.Result]
--- a/tests/test_routes_node.py
+++ b/tests/test_routes_node.py
@@ -23,6 +23,7 @@
 from hollybay.proxy.operator_file import OperatorFile
 from hollybay.routing.compiled_policy import CompiledPolicy
 from hollybay.testbed.client_request import RequestMix
+from hollybay.testbed.fake_environment import FakeEnvironment
 from hollybay.testbed.ledger import FinalOutcome
 from hollybay.testbed.load_generator import LoadGenerator
 from hollybay.testbed.loopback import (
@@ -39,7 +40,6 @@
     settings,
     write_config,
 )
-from hollybay.testbed.scene import Scene
 from hollybay.units import SECOND
 
 ROOT = Path(__file__).resolve().parent.parent
@@ -496,7 +496,7 @@
 
 
 @asynccontextmanager
-async def hosted(folder: Path, scene: Scene, text: str) -> AsyncIterator[tuple[int, OperatorFile]]:
+async def hosted(folder: Path, scene: FakeEnvironment, text: str) -> AsyncIterator[tuple[int, OperatorFile]]:
     """A node in this process in a scene, under an operator's file; its port."""
     await scene.start()
     (folder / "c.json").write_text(json.dumps(scene.config()))
@@ -541,7 +541,7 @@
     ]
 
     async def play() -> None:
-        scene = Scene(12, seed=4)
+        scene = FakeEnvironment(12, seed=4)
         async with hosted(tmp_path, scene, good(0)) as (port, operator):
             callers = LoadGenerator(scene.ledger, [port], scene.mixes(), rate=1.2 * scene.capacity(), seed=4)
             surge = asyncio.ensure_future(callers.run(2.5))
@@ -578,7 +578,7 @@
     )
 
     async def play() -> None:
-        scene = Scene(10, seed=2)
+        scene = FakeEnvironment(10, seed=2)
         target = b"/view-schedule/board/1"
         flood = [RequestMix(0, target, 1.0, ("coastal-choirs",))]
         others = [
--- a/tests/test_routing_file.py
+++ b/tests/test_routing_file.py
@@ -19,7 +19,7 @@
 from hollybay.routing.policy_compiler import compile_file
 from hollybay.routing.problems import OperatorError
 from hollybay.routing.schema import parse_duration, parse_size
-from hollybay.testbed.scene import settings as scene_settings
+from hollybay.testbed.fake_environment import settings as scene_settings
 from hollybay.units import MS, SECOND
 
 ROOT = Path(__file__).resolve().parent.parent
--- a/tests/test_routing_policy_intersection.py
+++ b/tests/test_routing_policy_intersection.py
@@ -21,7 +21,7 @@
 )
 from hollybay.routing.policy_compiler import compile_file
 from hollybay.routing.policy_intersection import PolicyIntersection, intersect_limits, separate_scopes
-from hollybay.testbed.world import CELL, MS, SAFE, SECOND, UNSAFE, make_settings
+from hollybay.testbed.balancer_harness import CELL, MS, SAFE, SECOND, UNSAFE, make_settings
 
 SETTINGS = replace(make_settings(), max_retry_after=5 * SECOND, max_attempts=4)
 CLASSES = [SAFE, UNSAFE, CELL]
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from hollybay.balancing import interface as api
-from hollybay.testbed.world import MS, SECOND, BalancerHarness, fleet, make_settings
+from hollybay.testbed.balancer_harness import MS, SECOND, BalancerHarness, fleet, make_settings
 
 
 def walk(
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -11,7 +11,7 @@
 from hollybay.balancing import interface as api
 from hollybay.balancing.slow_start import SlowStart
 from hollybay.balancing.state import TrackedServer
-from hollybay.testbed.world import MS, SECOND, BalancerHarness, fleet, make_settings
+from hollybay.testbed.balancer_harness import MS, SECOND, BalancerHarness, fleet, make_settings
 
 
 @pytest.mark.parametrize(
--- a/tests/test_slow_start_many_nodes.py
+++ b/tests/test_slow_start_many_nodes.py
@@ -9,8 +9,8 @@
 import pytest
 
 from hollybay.balancing import interface as api
+from hollybay.testbed.balancer_harness import MS, SECOND, BalancerHarness, make_settings
 from hollybay.testbed.rules import cold_allowance
-from hollybay.testbed.world import MS, SECOND, BalancerHarness, make_settings
 
 WORK = 50 * MS  # of a request, at a server of size 1
 ONE = (api.RequestClass("w", api.Effect.SAFE, 1.0, SECOND, 3 * SECOND),)
--- a/tests/test_tenants.py
+++ b/tests/test_tenants.py
@@ -7,8 +7,8 @@
 
 from hollybay.balancing import Balancer
 from hollybay.balancing import interface as api
+from hollybay.testbed.balancer_harness import MS, SECOND, fleet, make_settings
 from hollybay.testbed.loopback import OK, FakeDiscovery, ScriptedServer, request, running, settings
-from hollybay.testbed.world import MS, SECOND, fleet, make_settings
 
 AWAY = b"HTTP/1.1 503 Service Unavailable\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n"
 
