--- a/hollybay/cluster/books.py
+++ b/hollybay/cluster/books.py
@@ -227,7 +227,7 @@
     if not posts:
         return "unreached"
     last = posts[-1]
-    ended = entry.ended or entry.deadline + limits.patience
+    ended = entry.ended or entry.deadline + limits.disconnect_grace
     # A connection that was opened before its node was killed may be used by a client that was late itself.
     unheard = entry.final is FinalOutcome.BROKEN and last.fresh and not entry.arrived
     for excuse in by_node.get(last.node, ()):
--- a/hollybay/cluster/roles.py
+++ b/hollybay/cluster/roles.py
@@ -503,8 +503,8 @@
     def _send(self, call: ClientRequest, port: int) -> None:
         super()._send(call, self.port_of[self.node()])
 
-    def _open_anew(self, call: ClientRequest, port: int) -> None:
-        super()._open_anew(call, port or self.port_of[self.node()])
+    def _send_on_new_connection(self, call: ClientRequest, port: int) -> None:
+        super()._send_on_new_connection(call, port or self.port_of[self.node()])
 
     async def _open(self, call: ClientRequest, port: int) -> None:
         for _ in range(self.ANEW):
@@ -540,7 +540,7 @@
     def connection_broken(self, call: ClientRequest, part: bytes) -> None:
         safe = self.ledger.limits.classes[call.entry.cls].effect == api.Effect.SAFE
         if not call.on_new_connection and not part and safe:
-            self._open_anew(call, 0)
+            self._send_on_new_connection(call, 0)
             return
         self._end(call, FinalOutcome.BROKEN)
 
--- a/hollybay/testbed/ledger.py
+++ b/hollybay/testbed/ledger.py
@@ -58,7 +58,7 @@
     late: int = 50 * MS
 
     @property
-    def patience(self) -> int:
+    def disconnect_grace(self) -> int:
         """How long after its deadline (ns) a client hangs up: later than an answer would be lost."""
         return self.late + self.slack
 
--- a/hollybay/testbed/load_generator.py
+++ b/hollybay/testbed/load_generator.py
@@ -130,7 +130,7 @@
         request = ClientRequest(entry, mix, template, is_retry, cpu_wait_ns())
         self.in_flight += 1
         self.all_ended.clear()
-        patience_s = (request_class.deadline + self.ledger.limits.patience) / SECOND
+        patience_s = (request_class.deadline + self.ledger.limits.disconnect_grace) / SECOND
         request.timer = self.loop.call_later(patience_s, self._give_up, request)
         self._send(request, self.random.choice(self.ports))
         return entry
@@ -144,9 +144,9 @@
                 request.on_new_connection = False
                 connection.send(request)
                 return
-        self._open_anew(request, port)
+        self._send_on_new_connection(request, port)
 
-    def _open_anew(self, request: ClientRequest, port: int) -> None:
+    def _send_on_new_connection(self, request: ClientRequest, port: int) -> None:
         """Send a request on a new connection, unless its client waits no longer."""
         if not request.time_left_ms():
             self._end_without_answer(request, FinalOutcome.BROKEN)
@@ -258,6 +258,6 @@
     def connection_broken(self, request: ClientRequest, received: bytes) -> None:
         """A connection ended under a request. One that the node closed between two may have crossed it."""
         if not request.on_new_connection and not received and not request.entry.arrived:
-            self._open_anew(request, self.random.choice(self.ports))
+            self._send_on_new_connection(request, self.random.choice(self.ports))
             return
         self._end_without_answer(request, FinalOutcome.BROKEN)
--- a/tests/test_load_generator.py
+++ b/tests/test_load_generator.py
@@ -161,7 +161,7 @@
 
         async def open_late(request: ClientRequest, port: int) -> None:
             await asyncio.sleep(0.15)
-            clients._open_anew(request, port)
+            clients._send_on_new_connection(request, port)
 
         monkeypatch.setattr(clients, "_open", open_late)
         clients.ask(clients.mixes[0])
