--- a/hollybay/mutation/soak_defects.py
+++ b/hollybay/mutation/soak_defects.py
@@ -1,7 +1,7 @@
-"""Defects of the end of a node, and the seeds of the soak that find them.
+"""Defects in the shutdown of a node, and the seeds of the soak test that find them.
 
-`python -m hollybay.mutation.soak_defects` plays ten seeds of the soak on a copy of the code with each defect,
-and prints which of them break a rule.
+`python -m hollybay.mutation.soak_defects` runs ten seeds of the soak test on a copy of the code with each
+defect, and prints which of them violate a rule.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 SHUTDOWN = "hollybay/proxy/shutdown.py"
 SEEDS = range(10)
 SEED_TIMEOUT_S = 60.0
-BROKEN = "  BROKEN "  # begins each line of the soak's output that tells of a broken rule
+BROKEN = "  BROKEN "  # start of each line of the soak test's output that reports a violation
 
 SOAK_DEFECTS = (
     Defect(
@@ -54,23 +54,23 @@
 
 
 def seeds_that_find(defect: Defect, seeds: Sequence[int]) -> list[int]:
-    """Return the seeds of the soak that break a rule on a copy of the code with a defect."""
+    """Return the seeds of the soak test that violate a rule on a copy of the code with a defect."""
     found = []
     with mutated_copy(defect.path, defect.old, defect.new) as tree:
         for seed in seeds:
             _, output = run_in(tree, ["-m", "hollybay.testbed.soak", str(seed)], SEED_TIMEOUT_S)
-            if BROKEN in output:  # a run that could not be played has found nothing
+            if BROKEN in output:  # a run that failed to start has found nothing
                 found.append(seed)
     return found
 
 
 def is_found_by(defect: Defect, seed: int) -> bool:
-    """Whether one seed of the soak finds a defect."""
+    """Whether a seed of the soak test finds a defect."""
     return seeds_that_find(defect, [seed]) == [seed]
 
 
 def main() -> int:
-    """Play all; 1 if a defect is found by no seed."""
+    """Run all defects; returns 1 if one is found by no seed."""
     missed = 0
     for defect in SOAK_DEFECTS:
         found = seeds_that_find(defect, SEEDS)
--- a/hollybay/testbed/__init__.py
+++ b/hollybay/testbed/__init__.py
@@ -1,29 +1,29 @@
-"""Scripted stand-ins for what is outside the node, and the ledger over which the four rules are decided.
+"""Fakes of the node's environment, and the ledger from which the four rules are checked.
 
 Fake servers, clients and discovery
-    fake_server             servers with speed, slots, queue, cold start, connection cap, crash, cut, drain
-    fake_server_connection  their connections: requests framed, answers written
-    load_generator          clients that arrive whatever becomes of those before them
-    client_connection       their connections: requests sent, answers parsed
-    client_request          kinds of requests, their bytes, one on its way
-    discovery_agent         the discovery agent of the platform's protocol
-    scene                   all of them in the usual make-up
-    listener                a scripted TCP server, the base of some of them
+    fake_server             servers with speed, slots, queue, cold start, connection limit, crash, hang, drain
+    fake_server_connection  server side of a connection: parses requests, writes responses
+    load_generator          open-loop clients
+    client_connection       client side of a connection: sends requests, parses responses
+    client_request          kinds of requests, their encoding, and requests in flight
+    discovery_agent         fake discovery agent that speaks the platform's protocol
+    fake_environment        servers, discovery agent and ledger in the default configuration
+    listener                a scripted TCP server, base class of some of the fakes
 
 Rules
-    rules                   the four rules as pure functions
-    balancer_invariants     what agrees in a balancer's records after every event
-    ledger                  what happened to each request, server and list, and the verdict over it
+    rules                   the four rules, as pure functions
+    balancer_invariants     invariants of a balancer's records, checked after every event
+    ledger                  event log of requests, servers and server lists, and the verdict on the rules
 
 Nodes under test
-    process                 a real node as a process of its own
-    loopback                a node in this process, its servers and discovery scripted by a test
-    loopback_config         its configuration, and requests to it
-    world                   the decision module alone, with a driver that records and checks what it does
+    process                 a real node in its own process
+    loopback                a node in this process, with servers and discovery scripted by a test
+    loopback_config         configuration of that node, and requests to it
+    balancer_harness        the balancer alone, driven by a test; its actions are recorded and checked
 
 Machine
-    cpu_wait                how long a process waited for a core
-    loop_lateness           how late the loop of this process is
-    reserved_port           a port for node processes that listen one beside the other
-    scratch                 where runs of many processes keep their folders
+    cpu_wait                time that a process waited for a core
+    loop_lateness           lateness of the event loop of this process
+    reserved_port           ports on which several node processes can listen
+    scratch                 folder for the files of runs with many processes
 """
--- a/hollybay/testbed/balancer_harness.py
+++ b/hollybay/testbed/balancer_harness.py
@@ -1,6 +1,6 @@
-"""A driver for tests of the decision module: it records what a node does and asserts the four rules.
+"""Test harness for the balancer: records its actions and asserts the four rules.
 
-Times are integer nanoseconds on a clock that only the driver moves.
+Times are integer nanoseconds on a clock that only the harness advances.
 """
 
 from __future__ import annotations
@@ -41,14 +41,14 @@
 ALL = api.RequestClass(
     "tag", api.Effect.KEYED, 1.0, 800 * MS, 3 * SECOND, 0.0, api.DeduplicationScope.ALL, 2 * SECOND
 )
-# A class for each effect and scope.
+# One class for each effect and deduplication scope.
 CLASSES = (SAFE, UNSAFE, CELL, ZONE, ALL)
-# Results that prove that the server did not run the request.
+# Results which prove that the server did not run the request.
 NEVER_RAN = (api.Result.REJECTED, api.Result.NOT_DELIVERED, api.Result.NOT_SENT)
 
 
 def make_settings(**changes: object) -> api.Settings:
-    """The settings of a node among four, with these fields changed."""
+    """The settings of a node in a group of four, with some fields changed."""
     values: dict[str, object] = {
         "classes": CLASSES,
         "zones": 2,
@@ -68,7 +68,7 @@
 
 
 def fleet(count: int, **changes: object) -> tuple[api.Server, ...]:
-    """So many servers, spread over two zones, three kinds and cells of four, with these fields changed."""
+    """Make `count` servers in two zones, of three kinds, in cells of four, with some fields changed."""
     return tuple(
         api.Server(
             id=b"s%03d" % n,
@@ -84,7 +84,7 @@
 
 @dataclass
 class Attempt:
-    """One attempt of a request: its server, when it was sent, and its result once it has ended."""
+    """An attempt: its server, when it was sent, and its result once it has ended."""
 
     server: api.ServerId
     sent: int
@@ -93,20 +93,20 @@
 
 @dataclass
 class RequestRecord:
-    """What is known of one request.
+    """The record of a request.
 
     Attributes
     ----------
     cls
-        Number of its class.
+        Index of its class.
     deadline
-        When its client waits no longer.
+        When its response is due.
     attempts
         All attempts so far, in order.
     over
-        Whether it has had its final answer, or its client left.
+        Whether it has its final response, or its client has disconnected.
     gone
-        Whether its client left.
+        Whether its client has disconnected.
     """
 
     cls: int
@@ -117,31 +117,31 @@
 
 
 class BalancerHarness:
-    """One balancer, with a record of what it was told and did.
+    """A balancer, with a record of its events and actions.
 
     Parameters
     ----------
     settings
-        Those of the balancer; ``make_settings()`` if not given.
+        Settings of the balancer; ``make_settings()`` by default.
     seed
-        Of the balancer.
+        Seed of the balancer.
     now
         The time at the start.
 
     Attributes
     ----------
     books
-        The requests, by id.
+        The records of the requests, by id.
     lines
-        The servers as they were listed last, by id.
+        The servers as last listed, by id.
     barred
-        Servers that drain or are gone, and since when.
+        When the balancer was told that a server drains or is gone, by id.
     timers
-        Timers that are set: when they fire, and their token.
+        The pending timers: the time, and the token.
     sent
-        All attempts: when, of which request, to which server.
+        All attempts: the time, the request and the server.
     finals
-        Final answers, in order: the request, and what it was.
+        All final responses, in order: the request, and the kind.
     actions
         All actions, in order.
     """
@@ -159,14 +159,14 @@
         self.actions: list[api.Action] = []
 
     def give(self, event: api.Event) -> list[api.Action]:
-        """Give the balancer an event; its actions, recorded and held against the rules."""
+        """Pass an event to the balancer; record its actions, check them and return them."""
         actions = self.balancer.handle(self.now, event)
         self.actions += actions
         for action in actions:
-            self._act(action)
+            self._record(action)
         return actions
 
-    def _act(self, action: api.Action) -> None:
+    def _record(self, action: api.Action) -> None:
         if isinstance(action, api.Send):
             self._check_send(action)
         elif isinstance(action, api.Reject | api.Fail):
@@ -179,7 +179,7 @@
 
     def _check_send(self, action: api.Send) -> None:
         book = self.books[action.id]
-        assert not book.over, "sent after the final answer"
+        assert not book.over, f"request {action.id}: attempt sent after its final response"
         assert len(book.attempts) < self.settings.max_attempts
         self._check_effect(book, action.server)
         barred = self.barred.get(action.server)
@@ -190,26 +190,26 @@
 
     def _check_final_answer(self, action: api.Reject | api.Fail) -> None:
         book = self.books[action.id]
-        assert not book.over, "two final answers"
-        assert self.now <= book.deadline + self.settings.answer_grace, "answered too late"
+        assert not book.over, f"request {action.id}: two final responses"
+        assert self.now <= book.deadline + self.settings.answer_grace, f"{action.id}: response too late"
         if isinstance(action, api.Reject):
-            self._check_refusal(book)
+            self._check_rejection(book)
         book.over = True
         self.finals.append((action.id, type(action).__name__))
 
     def _check_effect(self, book: RequestRecord, server: api.ServerId) -> None:
         cls = self.settings.classes[book.cls]
         if not self.settings.hedging_allowed:
-            assert all(a.result is not None for a in book.attempts), "two at once"
-        ran = [self._place(a.server, a.sent) for a in book.attempts if a.result not in NEVER_RAN]
-        reason = rules.repeat_violation(cls, ran, self._place(server, self.now))
+            assert all(a.result is not None for a in book.attempts), "two attempts in flight without hedging"
+        ran = [self._execution(a.server, a.sent) for a in book.attempts if a.result not in NEVER_RAN]
+        reason = rules.repeat_violation(cls, ran, self._execution(server, self.now))
         assert reason is None, reason
 
-    def _place(self, server: api.ServerId, at: int) -> rules.Execution:
+    def _execution(self, server: api.ServerId, at: int) -> rules.Execution:
         line = self.lines[server]
         return rules.Execution(at, line.zone, line.cell)
 
-    def _check_refusal(self, book: RequestRecord) -> None:
+    def _check_rejection(self, book: RequestRecord) -> None:
         cls = self.settings.classes[book.cls]
         reason = rules.rejection_violation(cls, any(a.result not in NEVER_RAN for a in book.attempts))
         assert reason is None, reason
@@ -217,7 +217,7 @@
     def tell(
         self, servers: tuple[api.Server, ...], kind: api.ListKind = api.ListKind.FULL
     ) -> list[api.Action]:
-        """Tell the balancer of servers: the whole list, or what changed."""
+        """Pass a server list to the balancer: the full list, or the changed servers."""
         named = {s.id for s in servers}
         for s in servers:
             self.lines[s.id] = s
@@ -240,7 +240,7 @@
         limits: api.Limits | None = None,
         body_pending: bool = False,
     ) -> list[api.Action]:
-        """Give it a request with this id and class; left: its time (ns), the class's deadline if 0."""
+        """Pass a request to the balancer; `left`: time (ns) to its deadline, 0 for that of the class."""
         left = left or self.settings.classes[cls].deadline
         self.books[rid] = RequestRecord(cls, self.now + left)
         return self.give(api.Request(rid, cls, left, key=key, limits=limits, body_pending=body_pending))
@@ -248,7 +248,7 @@
     def answer(
         self, rid: int, attempt: int, result: api.Result = api.Result.OK, report: api.Report = ()
     ) -> list[api.Action]:
-        """End one attempt of a request with a result; the first success is the final answer."""
+        """End an attempt with a result; the first success is the final response."""
         book = self.books[rid]
         tried = book.attempts[attempt]
         assert tried.result is None
@@ -261,13 +261,13 @@
         )
 
     def leave(self, rid: int) -> list[api.Action]:
-        """Let the client of a request disconnect."""
+        """Disconnect the client of a request."""
         self.books[rid].over = True
         self.books[rid].gone = True
         return self.give(api.ClientDisconnected(rid))
 
     def run_to(self, when: int) -> None:
-        """Fire the timers and the time-outs at deadlines that fall due, each no earlier than its time."""
+        """Advance the clock, and fire the timers and time-outs of attempts that fall due, in order."""
         while True:
             due = min(self.timers, default=(when + 1, 0))
             ends = [
@@ -288,6 +288,6 @@
         self.now = max(self.now, when)
 
     def check_answered(self) -> None:
-        """Assert that no request is past its deadline without a final answer."""
+        """Assert that no request is past its deadline without a final response."""
         for rid, book in self.books.items():
             assert book.over or self.now <= book.deadline + self.settings.answer_grace, f"{rid} was lost"
--- a/hollybay/testbed/balancer_invariants.py
+++ b/hollybay/testbed/balancer_invariants.py
@@ -1,6 +1,6 @@
-"""The invariant of a balancer's records: servers, idle index and attempts agree after every event.
+"""Invariants of a balancer's records: servers, idle index and attempts agree after every event.
 
-Tests over drawn streams of events and the simulation check it after each event.
+Checked by the tests with random event streams and by the simulation.
 """
 
 from __future__ import annotations
@@ -16,13 +16,13 @@
 
 
 def record_fault(balancer: Balancer, now: int) -> str | None:
-    """Return what disagrees in a balancer's records after an event, or None.
+    """Return a description of an inconsistency in a balancer's records, or None.
 
     - Every attempt in flight is at a server that the balancer knows.
-    - A server's attempts in flight are those of this node at work there, and those that peers report.
-    - The attempts of the queueing delay are those of all servers.
-    - A listed idle server has nothing in flight, and its time to be idle has come.
-    - A server with nothing in flight that may be listed is listed, or will be when its time has come.
+    - A server's in-flight count is the sum of this node's counted attempts there and those reported by peers.
+    - The in-flight count of the queueing delay is the sum of this node's counted attempts at all servers.
+    - A server listed as idle has nothing in flight, and its `idle_from` is not in the future.
+    - A server with nothing in flight that belongs in the idle index is listed, or pending.
 
     Parameters
     ----------
@@ -46,7 +46,7 @@
 
 
 def watch_records(balancer: Balancer, report: Callable[[api.Event, str], None]) -> None:
-    """Report what disagrees in a balancer's records after each event that it handles from now on."""
+    """Check a balancer's records after each event from now on, and report inconsistencies."""
     handle = balancer.handle
 
     def checked(now: int, event: api.Event) -> list[api.Action]:
@@ -62,7 +62,7 @@
 def _unknown_server(balancer: Balancer, attempts: list[TrackedAttempt]) -> str | None:
     for attempt in attempts:
         if balancer.servers.get(attempt.server.id) is not attempt.server:
-            return f"an attempt is in flight at {attempt.server.id!r}, which was deleted"
+            return f"an attempt is in flight at {attempt.server.id!r}, which the balancer does not know"
     return None
 
 
@@ -71,10 +71,10 @@
     for server in balancer.servers.values():
         own = server.in_flight - server.peer_in_flight
         if own != counted[server.id]:
-            return f"{server.id!r} has {counted[server.id]} attempts at work, {own} are counted there"
+            return f"{server.id!r} has {counted[server.id]} attempts in flight, but counts {own}"
     total = balancer.load_shedder.queueing_delay.in_flight
     if total != counted.total():
-        return f"{counted.total()} attempts are at work, the queueing delay counts {total}"
+        return f"{counted.total()} attempts are in flight, but the queueing delay counts {total}"
     return None
 
 
@@ -90,22 +90,22 @@
         for position, server in enumerate(speed_class.idle):
             listed += 1
             if server.idle_position != position or server.speed_class is not speed_class:
-                return f"{server.id!r} is listed as idle at {position}, it says {server.idle_position}"
+                return f"{server.id!r} is listed as idle at {position}, but records {server.idle_position}"
             if server.in_flight:
                 return f"{server.id!r} is listed as idle with {server.in_flight} attempts in flight"
             if server.idle_from > now:
-                return f"{server.id!r} is listed as idle {server.idle_from - now} ns before its time"
+                return f"{server.id!r} is listed as idle {server.idle_from - now} ns too early"
     claims = sum(server.idle_position >= 0 for server in balancer.servers.values())
-    return f"{claims} servers say that they are listed as idle, {listed} are" if claims != listed else None
+    return f"{claims} servers record an idle position, but {listed} are listed" if claims != listed else None
 
 
 def _missing_listing(balancer: Balancer) -> str | None:
-    """Return the server that is not listed as idle and never will be."""
+    """Describe a server that should be listed as idle, but is neither listed nor pending."""
     for server in balancer.servers.values():
         if server.speed_class is None or server.in_flight or not server.in_idle_index:
             continue
         if server.idle_position < 0 and not _is_pending(server, server.speed_class):
-            return f"{server.id!r} has nothing in flight and is neither listed as idle nor to be listed"
+            return f"{server.id!r} has nothing in flight, but is neither listed as idle nor pending"
     return None
 
 
--- a/hollybay/testbed/client_connection.py
+++ b/hollybay/testbed/client_connection.py
@@ -1,4 +1,4 @@
-"""One connection of a client to a node: it sends requests one after the other and parses the answers."""
+"""Client side of a connection to a node: sends one request at a time and parses the responses."""
 
 from __future__ import annotations
 
@@ -15,26 +15,26 @@
 __all__ = ["ClientConnection", "ConnectionOwner", "Response", "parse_response"]
 
 END_OF_HEAD = b"\r\n\r\n"
-# The field of struct tcp_info that holds the ms since the last bytes came.
+# Position in struct tcp_info of the time (ms) since data was last received.
 TCP_INFO_SINCE_LAST_DATA = slice(52, 56)
-# Less than this (ms) is the clock's own step, no time that the bytes lay unread.
+# Clock granularity (ms): shorter times don't show that data was waiting to be read.
 TCP_INFO_RESOLUTION_MS = 4
 
 
 @dataclass(frozen=True, slots=True)
 class Response:
-    """A whole answer.
+    """A complete response.
 
     Attributes
     ----------
     status
-        Its status code.
+        The status code.
     body
-        Its body, as long as Content-Length tells.
+        The body, of the length given by Content-Length.
     retry_after_s
-        The value of Retry-After; None without.
+        The value of Retry-After; None if it has none.
     keeps_alive
-        Whether the connection may carry another request.
+        Whether the connection can be reused.
     """
 
     status: int
@@ -44,7 +44,7 @@
 
 
 def parse_response(data: bytes) -> Response | None:
-    """The answer at the start of these bytes, None before it is whole."""
+    """Parse the response at the start of `data`; None if it is incomplete."""
     end = data.find(END_OF_HEAD)
     if end < 0:
         return None
@@ -67,35 +67,35 @@
 
 
 class ConnectionOwner(Protocol):
-    """What a client connection tells of itself."""
+    """Callbacks of a client connection."""
 
     def connection_opened(self, connection: ClientConnection) -> None:
-        """A connection is up."""
+        """Called when a connection is established."""
 
     def connection_closed(self, connection: ClientConnection) -> None:
-        """A connection is gone."""
+        """Called when a connection is closed."""
 
     def request_sent(self, request: ClientRequest, port: int) -> None:
-        """The bytes of a request go to the node at this port."""
+        """Called when a request is written to a connection to this port."""
 
     def response_received(
         self, connection: ClientConnection, request: ClientRequest, response: Response
     ) -> None:
-        """An answer has come whole."""
+        """Called when a complete response has been received."""
 
     def connection_broken(self, request: ClientRequest, received: bytes) -> None:
-        """A connection ended under a request, after these bytes of its answer."""
+        """Called when a connection closes before the response is complete; `received` is what came of it."""
 
 
 class ClientConnection(asyncio.Protocol):
-    """One client connection; it carries one request at a time.
+    """A client connection that carries one request at a time.
 
     Parameters
     ----------
     owner
-        Hears of all that happens here.
+        Receives the callbacks.
     request
-        The request that it is opened for.
+        The request to send once the connection is established.
     port
         The node's port.
     """
@@ -108,7 +108,7 @@
         self.transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Send the request that it was opened for, unless its client waits no longer."""
+        """Send the first request, or abort if its deadline has passed."""
         self.transport = cast(asyncio.Transport, transport)
         self.owner.connection_opened(self)
         assert self.request is not None
@@ -127,7 +127,7 @@
         self.transport.write(request.encode())
 
     def connection_lost(self, _exc: Exception | None) -> None:
-        """Tell the owner, and of the request that it ended under."""
+        """Notify the owner, also of the request in flight, if any."""
         self.owner.connection_closed(self)
         request, self.request = self.request, None
         if request is not None:
@@ -138,7 +138,7 @@
         return False
 
     def data_received(self, data: bytes) -> None:
-        """Hand a whole answer to the owner; bytes that no request waits for are dropped."""
+        """Pass a complete response to the owner; data without a request in flight is dropped."""
         request = self.request
         if request is None:
             return
@@ -151,7 +151,7 @@
         self.owner.response_received(self, request, response)
 
     def unread_ns(self) -> int:
-        """How long the last bytes lay here unread: lateness of the client's process, no fault of the node."""
+        """Time since data was last received, while unread: a delay of the client process, not the node."""
         sock = self.transport.get_extra_info("socket") if self.transport is not None else None
         if sock is None:
             return 0
@@ -160,6 +160,6 @@
         return max(0, since_last_ms - TCP_INFO_RESOLUTION_MS) * MS
 
     def abort(self) -> None:
-        """Reset the connection, if it is up."""
+        """Reset the connection, if it is established."""
         if self.transport is not None:
             self.transport.abort()
--- a/hollybay/testbed/client_request.py
+++ b/hollybay/testbed/client_request.py
@@ -1,4 +1,4 @@
-"""Requests of the testbed's clients: what kinds there are, their bytes, and one on its way."""
+"""Requests of the testbed's clients: their kinds, their encoding, and their state while in flight."""
 
 from __future__ import annotations
 
@@ -14,27 +14,27 @@
 
 __all__ = ["ClientRequest", "RequestMix", "encode_request"]
 
-# Where the head tells how long the client will wait: filled in when the bytes are sent.
+# Value of X-Time-Left-Ms in an encoded request: filled in when the request is sent.
 TIME_LEFT_PLACEHOLDER = b"%d"
 UNSAFE_BODY = b"{}"
 
 
 @dataclass(frozen=True, slots=True)
 class RequestMix:
-    """One kind of request.
+    """A kind of request, and its share of the load.
 
     Attributes
     ----------
     cls
-        Number of its class.
+        Index of the request class.
     target
-        Its request target.
+        The request target.
     share
         Its weight among all kinds.
     tenants
-        Who sends it, each as often as the others; "" for nobody.
+        The tenants that send it, with equal probability; "" for a request without a tenant.
     headers
-        Further headers.
+        Additional headers.
     """
 
     cls: int
@@ -46,7 +46,7 @@
 
 @dataclass(slots=True)
 class ClientRequest:
-    """One request on its way.
+    """A request in flight.
 
     Attributes
     ----------
@@ -55,19 +55,19 @@
     mix
         Its kind.
     template
-        Its bytes, with a placeholder for the time that its client will wait.
+        The encoded request, with a placeholder for the time left until its deadline.
     is_retry
-        Whether it repeats one that was rejected.
+        Whether it retries a rejected request.
     cpu_wait_ns
-        What this process had waited for a core when it was sent.
+        Total time that this process had waited for a core when the request was made.
     on_new_connection
         Whether its connection was opened for it.
     is_sent
-        Whether its bytes were written to a connection.
+        Whether it was written to a connection.
     excused_ns
-        How much longer its client waits, as this process had no core for so long.
+        Extension of the client's time-out, for the time that this process waited for a core.
     timer
-        Fires once its client waits no longer; None after its end.
+        The client's time-out; None once the request has ended.
     """
 
     entry: RequestEntry
@@ -81,11 +81,11 @@
     timer: asyncio.TimerHandle | None = None
 
     def time_left_ms(self) -> int:
-        """How long its client will wait yet, rounded up."""
+        """Time left until the deadline, rounded up."""
         return max(0, -(-(self.entry.deadline - time.monotonic_ns()) // MS))
 
     def encode(self) -> bytes:
-        """Its bytes, if they were sent now."""
+        """Encode the request with the time left now."""
         return self.template % self.time_left_ms()
 
 
@@ -97,9 +97,9 @@
     is_retry: bool,
     body: bytes = UNSAFE_BODY,
 ) -> bytes:
-    """The bytes of a request, with a placeholder (``%d``) for the time (ms) that its client will wait.
+    """Encode a request, with a placeholder (``%d``) for the time left (ms) until its deadline.
 
-    Its body, where its class has one, may hold no "%".
+    The body, which only unsafe and keyed classes have, must not contain "%".
     """
     is_safe = request_class.effect == api.Effect.SAFE
     lines = [
--- a/hollybay/testbed/cpu_wait.py
+++ b/hollybay/testbed/cpu_wait.py
@@ -1,4 +1,4 @@
-"""How long a process waited for a core: what a busy machine adds to every time that is measured on it."""
+"""Time that a process waited for a core, which a busy machine adds to each time measured on it."""
 
 from __future__ import annotations
 
@@ -8,20 +8,20 @@
 
 
 def cpu_wait_ns(process: int | None = None) -> int:
-    """Sum over the threads of a process of the time that they were ready to run and had no core.
+    """Time that the threads of a process were runnable without a core, summed up since its start.
 
-    Counted since the process's start. A loop that is held up by what runs on it, or a thread that waits for
-    another, adds nothing. 0 where the kernel does not tell, or where the process has ended.
+    An event loop blocked by its own callbacks, or a thread that waits for another one, adds nothing.
+    0 if the kernel does not report it, or if the process has ended.
 
     Parameters
     ----------
     process
-        Its number; None: this one.
+        The process id; None for this process.
     """
     total = 0
     for path in Path(f"/proc/{process or 'self'}/task").glob("*/schedstat"):
         try:
             total += int(path.read_text().split()[1])
-        except (OSError, IndexError, ValueError):  # the thread has ended meanwhile
+        except (OSError, IndexError, ValueError):  # the thread has ended
             continue
     return total
--- a/hollybay/testbed/discovery_agent.py
+++ b/hollybay/testbed/discovery_agent.py
@@ -1,4 +1,4 @@
-"""The discovery agent on the node's machine: it answers with what it was sent, and is silent while down."""
+"""Fake of the discovery agent on the node's machine; while down, it accepts requests but does not reply."""
 
 from __future__ import annotations
 
@@ -18,30 +18,30 @@
 MS_PER_S = 1000
 DELETED = "DELETED"
 READY = "SERVING"
-WHOLE_LIST = -1  # in place of a version
+WHOLE_LIST = -1  # used as a version: the caller has no list yet
 
 _INDEX = re.compile(rb"[?&]index=(\d+)")
 _WAIT_MS = re.compile(rb"[?&]wait=(\d+)")
 
 
 class DiscoveryAgent(Listener):
-    """Pushes the list of servers, whole at first and then what changed.
+    """Sends the full server list at first, and then what changed.
 
-    A change counts as told when an answer that holds it has been written to the node; that moment is noted in
-    the ledger, from which the rule on drains counts.
+    The ledger records when a response with a server's state is written to the node: the drain rule counts
+    from that time.
 
     Attributes
     ----------
     version
-        Of the list; each change adds one.
+        Version of the list; each change adds one.
     lines
-        The servers' lines in discovery's form, by name.
+        The servers' entries in discovery's format, by name.
     versions
-        The version that last changed each server's line.
+        The version that last changed each server's entry.
     calls
-        How many requests have come.
+        Number of requests received.
     down
-        Whether it is silent.
+        Whether it withholds its responses.
     """
 
     def __init__(self, ledger: Ledger, servers: Sequence[FakeServer]) -> None:
@@ -55,14 +55,14 @@
         self.down = False
 
     def publish(self, *servers: FakeServer) -> None:
-        """Send these servers' present lines to the agent, all if none are named."""
+        """Publish the present state of these servers, or of all if none are given."""
         self.version += 1
         for server in servers or self.servers:
             self._put(server, server.state)
         self.note()
 
     def remove(self, *servers: FakeServer) -> None:
-        """Tell that these are gone."""
+        """Publish that these servers are deleted."""
         self.version += 1
         for server in servers:
             self._put(server, DELETED)
@@ -73,7 +73,7 @@
         self.versions[server.name] = self.version
 
     def listing(self, since: int = WHOLE_LIST) -> dict[str, Any]:
-        """The whole list, or what changed after a version."""
+        """The full list, or the entries that changed after a version."""
         is_full = since < 0
         if is_full:
             lines = [line for line in self.lines.values() if line["state"] != DELETED]
@@ -82,21 +82,27 @@
         return {"version": self.version, "full": is_full, "servers": lines}
 
     async def talk(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Answer requests: with the whole list, or to a watch once there is something newer."""
+        """Serve a connection: requests for the full list at once, a watch once there is a newer version."""
         while True:
             head, _ = await read_message(reader)
             self.calls += 1
             self.note()
             since = await self._wait_for_change(head)
             await self._wait_while_down()
-            if writer.is_closing():  # its caller has gone meanwhile
+            if writer.is_closing():  # the caller has disconnected
                 return
             listing = self.listing(since if since <= self.version else WHOLE_LIST)
             writer.write(encode_ok(json.dumps(listing).encode()))
-            self._note_told(listing["servers"])
+            self._note_sent_states(listing["servers"])
 
     async def _wait_for_change(self, head: bytes) -> int:
-        """Wait as long as a watch asks; the version that the node has, or WHOLE_LIST."""
+        """Wait for a newer version, at most as long as the watch asks.
+
+        Returns
+        -------
+        int
+            The version that the caller has, or WHOLE_LIST.
+        """
         index = _INDEX.search(head)
         if index is None:
             return WHOLE_LIST
@@ -106,7 +112,7 @@
         return since
 
     async def _wait_until_newer(self, since: int, wait_s: float) -> None:
-        """Wait until there is something newer than that, or the wait is over."""
+        """Wait until the list is newer than a version, or until the time-out."""
         newer = asyncio.ensure_future(self.until(lambda: self.version > since))
         try:
             await asyncio.wait({newer}, timeout=wait_s)
@@ -118,8 +124,8 @@
             self.changed.clear()
             await self.changed.wait()
 
-    def _note_told(self, lines: Sequence[dict[str, Any]]) -> None:
-        """Note that the node has been told of these servers."""
+    def _note_sent_states(self, lines: Sequence[dict[str, Any]]) -> None:
+        """Record in the ledger that the node was sent the states of these servers."""
         now = time.monotonic_ns()
         for line in lines:
             self.ledger.told(str(line["id"]), line["state"] == READY, now)
--- a/hollybay/testbed/fake_environment.py
+++ b/hollybay/testbed/fake_environment.py
@@ -1,4 +1,4 @@
-"""A scene of the usual make-up: three classes, three kinds of server, discovery, requests and a ledger."""
+"""Fake environment of a node: three classes, three kinds of server, discovery, requests and a ledger."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 __all__ = ["CLASSES", "KINDS", "MEAN_WORK", "TENANTS", "FakeEnvironment", "settings", "usual_kinds"]
 
 
-# Class settings in the platform's form, durations in ns.
+# Class settings in the platform's format, durations in ns.
 CLASSES: list[dict[str, Any]] = [
     {
         "name": "view-schedule",
@@ -49,16 +49,16 @@
         "window": 4 * SECOND,
     },
 ]
-# Share of each class in all requests.
+# Share of the requests, by class.
 SHARES = {"view-schedule": 0.37, "send-callout": 0.34, "book-venue": 0.29}
-# Mean work of a request in seconds at speed 1.
+# Mean work of a request in seconds at speed 1, by class.
 WORK = {"view-schedule": 0.025, "send-callout": 0.085, "book-venue": 0.105}
 MEAN_WORK = sum(SHARES[name] * WORK[name] for name in SHARES)
 KINDS = (ServerKind("fast", 1.3), ServerKind("std", 1.0), ServerKind("slow", 0.7))
 KIND_SHARES = (0.29, 0.44, 0.27)
 SERVERS_IN_A_CELL = 4
-# A request's work, as parts of its class's mean: the ends of a uniform draw.
-MIN_WORK_PART, MAX_WORK_PART = 0.7, 1.3
+# A request's work is drawn uniformly between these multiples of its class's mean.
+MIN_WORK_FACTOR, MAX_WORK_FACTOR = 0.7, 1.3
 TENANTS = ("coastal-choirs", "fraser-bands", "island-singers")
 
 
@@ -93,34 +93,34 @@
 
 
 def usual_kinds(count: int) -> list[ServerKind]:
-    """The kinds of so many servers, by their shares, the fastest first."""
-    marks = list(accumulate(KIND_SHARES))[:-1]
-    return [KINDS[bisect_right(marks, (n + 0.5) / count)] for n in range(count)]
+    """The kinds of `count` servers by KIND_SHARES, the fastest first."""
+    boundaries = list(accumulate(KIND_SHARES))[:-1]
+    return [KINDS[bisect_right(boundaries, (n + 0.5) / count)] for n in range(count)]
 
 
 def work_of(target: bytes, chance: random.Random) -> float:
-    """Seconds of work (speed 1) for a target: a uniform draw about its class's mean."""
+    """Draw the work of a request (seconds at speed 1), uniformly around the mean of its class."""
     name = target.split(b"?", 1)[0].split(b"/")[1].decode("latin-1")
     mean = WORK.get(name, WORK["view-schedule"])
-    return mean * chance.uniform(MIN_WORK_PART, MAX_WORK_PART)
+    return mean * chance.uniform(MIN_WORK_FACTOR, MAX_WORK_FACTOR)
 
 
 @dataclass
 class FakeEnvironment:
-    """Servers, discovery and ledger of one run; start() before use, stop() at its end.
+    """Servers, discovery agent and ledger of a run; call `start()` before and `stop()` after.
 
     Attributes
     ----------
     count
-        How many servers.
+        Number of servers.
     seed
-        Of the servers' kinds and work, and of the node.
+        Seed of the servers' kinds and work, and of the node.
     words
         The settings object of the node's configuration.
     memory_mb, sockets
-        What the node may use.
+        The node's limits.
     make_ledger
-        Makes the ledger of these rules.
+        Makes a ledger for these rule limits.
     """
 
     count: int
@@ -142,20 +142,20 @@
         self.agent = DiscoveryAgent(self.ledger, self.servers)
 
     async def start(self) -> None:
-        """All servers up and warm, the agent told of them."""
+        """Start all servers, warm, and publish them to the agent."""
         for server in self.servers:
             await server.start()
         await self.agent.start()
         self.agent.publish()
 
     async def stop(self) -> None:
-        """End the agent and all servers."""
+        """Stop the agent and all servers."""
         await self.agent.stop()
         for server in self.servers:
             server.crash()
 
     def config(self, name: str = "n0") -> dict[str, Any]:
-        """The configuration of a node in this scene."""
+        """The configuration of a node in this environment."""
         return {
             "name": name,
             "listen": "127.0.0.1:9000",
@@ -166,12 +166,12 @@
         }
 
     def mixes(self) -> list[RequestMix]:
-        """The usual requests, by share."""
+        """The default kinds of requests with their shares."""
         return [
             RequestMix(n, b"/" + c.name.encode() + b"/halls/1", SHARES[c.name], TENANTS)
             for n, c in enumerate(self.settings.classes)
         ]
 
     def capacity(self) -> float:
-        """Requests a second of the usual mix that all servers can do when warm."""
+        """Requests per second of the default mix that all servers together can process when warm."""
         return sum(server.kind.capacity for server in self.servers) / MEAN_WORK
--- a/hollybay/testbed/fake_server.py
+++ b/hollybay/testbed/fake_server.py
@@ -1,9 +1,9 @@
-"""Fake HTTP servers that follow the platform's protocol and note in the ledger what comes to them.
+"""Fake HTTP servers that follow the platform's protocol and record received requests in the ledger.
 
-A server has cores of one speed, slots, a waiting room and a cap on connections. It starts cold or warm, can
-crash (its connections are reset and new ones refused), be cut off (it falls silent), drain, fail by script,
-and come back cold at its old address. Work is in seconds at speed 1; nothing burns CPU: a request's service
-is a timer, so one process holds hundreds of servers.
+A server has cores of one speed, slots, a queue and a connection limit. It starts cold or warm, and can crash
+(its connections are reset and new ones refused), hang (it accepts data but does not respond), drain, fail by
+script, and restart cold at its old address. Work is in seconds at speed 1. Service time is simulated by a
+timer that uses no CPU, so one process can run hundreds of servers.
 """
 
 from __future__ import annotations
@@ -26,31 +26,31 @@
 STATUS_SERVED = 200
 STATUS_REJECTED = 503
 LOAD_REPORT_INTERVAL_S = 0.5
-MIN_LOAD_REPORT_SPAN_S = 0.001  # so that no rate is divided by zero
+MIN_LOAD_REPORT_SPAN_S = 0.001  # avoids a division by zero
 LISTEN_BACKLOG = 256  # connections
 
 
 def body_for(request_id: str, server: str) -> bytes:
-    """The body of a server's 200 answer, by which a client knows whose answer it is."""
+    """The body of a 200 response, which identifies the request and the server."""
     return b"%s from %s\n" % (request_id.encode(), server.encode())
 
 
 @dataclass(frozen=True, slots=True)
 class ServerKind:
-    """A kind of server.
+    """A kind of server: its speed and its limits.
 
     Attributes
     ----------
     name
-        As the settings name it.
+        The name of the kind in the settings.
     speed
-        Work done a second by one core.
+        Seconds of work per second and core.
     cores
-        Jobs that run at once.
+        Maximum number of running jobs.
     slots, queue
-        Jobs that hold a slot, and that wait beside them; beyond these a request is rejected.
+        Maximum numbers of jobs that hold a slot and of further jobs that wait; more requests are rejected.
     connections
-        The most that are open at once.
+        Maximum number of open connections.
     handshake
         Work (s) that a new connection adds to its first request.
     """
@@ -65,13 +65,13 @@
 
     @property
     def capacity(self) -> float:
-        """Seconds of work a second, warm."""
+        """Seconds of work per second, when warm."""
         return self.cores * self.speed
 
 
 @dataclass(slots=True)
 class ServerCounts:
-    """Counts of one server since it was made; work in seconds at speed 1."""
+    """Counters of a server since its creation or the last reset; work in seconds at speed 1."""
 
     requests: int = 0
     rejected: int = 0
@@ -80,11 +80,11 @@
 
 
 Script = Callable[[str, bytes], ScriptedAnswer]
-"""What a request meets, by its id and target."""
+"""Returns the scripted response to a request, given its id and target."""
 
 
 class _LoadReporter:
-    """The load report that answers carry, renewed every half second."""
+    """The load report that responses carry, renewed every half second."""
 
     def __init__(self) -> None:
         self.requests = 0
@@ -93,7 +93,7 @@
         self.report = b""
 
     def current(self, waiting: int) -> bytes:
-        """The report to send now, with so many jobs waiting if it is renewed."""
+        """The report to send now; if it is renewed, it says that `waiting` jobs wait."""
         now = time.monotonic_ns()
         span_s = (now - self.since) / SECOND
         if span_s >= LOAD_REPORT_INTERVAL_S or not self.report:
@@ -105,28 +105,27 @@
 
 
 class FakeServer:
-    """One fake server; its clock is the loop's real one.
+    """A fake server, which runs in real time.
 
-    Jobs beyond the cores share them in order of arrival: a core is taken until its job is done, up to `slots`
-    jobs hold a slot (of which `cores` run) and up to `queue` more wait; beyond that requests are rejected
-    unseen.
+    Jobs run in order of arrival, and each keeps its core until it is done. Up to `slots` jobs hold a slot, of
+    which `cores` run, and up to `queue` more wait; further requests are rejected unprocessed.
 
     Parameters
     ----------
     name
-        Its id at discovery.
+        Its id in discovery.
     kind
-        What machine it is.
+        Its speed and limits.
     ledger
-        Where it notes what comes to it.
+        Records the requests that it receives.
     work_of
-        Seconds of work (speed 1) that a target asks for, given a random source.
+        Returns the work (seconds at speed 1) of a request, given its target and a random source.
     zone, cell
-        Where it stands, as the rule on duplicates asks.
+        Its location, for the rule on duplicates.
     zone_name
-        Its zone, as discovery names it.
+        The name of its zone in discovery.
     seed
-        Of its random source, beside its name.
+        Seeds its random source, together with its name.
     """
 
     def __init__(
@@ -161,17 +160,17 @@
         self._start: ServerStart | None = None
         self._load_reporter = _LoadReporter()
 
-    # Life
+    # Start, stop and state
 
     async def start(self, cold: bool = False) -> None:
-        """Listen, at the address of an earlier life if there was one."""
+        """Start to listen, at the same address as before if it ran before."""
         await self.listen()
         self.state, self.cut, self.up = "SERVING", False, True
         self.started_ms = time.time_ns() // MS if cold else 0
         self._start = self.ledger.started(self.name, time.monotonic_ns(), self.kind.capacity, cold)
 
     async def listen(self) -> None:
-        """Open its port. OSError: that of an earlier life is taken."""
+        """Open its port. Raises OSError if the port that it had before is in use."""
         loop = asyncio.get_running_loop()
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -181,7 +180,7 @@
         self.address = f"127.0.0.1:{self.port}"
 
     def connection(self) -> asyncio.Protocol:
-        """The server's end of a new connection."""
+        """Make the protocol of a new connection."""
         return ServerConnection(self)
 
     def shut(self) -> None:
@@ -191,22 +190,22 @@
             self._server = None
 
     def crash(self) -> None:
-        """The process dies: connections are reset, new ones refused, what ran stops where it was."""
+        """Simulate a crash: connections are reset, new ones refused, and running jobs are dropped."""
         self.up = False
         self.shut()
         for job in (*self.running, *self.waiting):
             self._note_end(job, done=False)
         for connection in list(self.connections):
-            lost, connection.job = connection.job, None
-            if lost is not None and lost.timer is not None:
-                lost.timer.cancel()
+            dropped, connection.job = connection.job, None
+            if dropped is not None and dropped.timer is not None:
+                dropped.timer.cancel()
             connection.transport.abort()
         self.connections.clear()
         self.running.clear()
         self.waiting.clear()
 
     def line(self) -> dict[str, object]:
-        """Its line of the server list, in discovery's form."""
+        """Its entry in the server list, in discovery's format."""
         return {
             "id": self.name,
             "addr": self.address,
@@ -220,12 +219,12 @@
 
     @property
     def in_flight(self) -> int:
-        """Jobs that run or wait."""
+        """Number of jobs that run or wait."""
         return len(self.running) + len(self.waiting)
 
     @property
     def slow_start_factor(self) -> float:
-        """Present part of its capacity, 0 to 1."""
+        """Fraction of its capacity that it has now, 0 to 1."""
         if self._start is None:
             return 1.0
         return self._start.slow_start_factor(time.monotonic_ns(), self.ledger.limits)
@@ -233,22 +232,22 @@
     # Requests
 
     def admit(self, connection: ServerConnection) -> bool:
-        """Take a connection on; a full table resets it."""
+        """Register a new connection; False if the server is down or has too many."""
         if not self.up or len(self.connections) >= self.kind.connections:
             return False
         self.connections.add(connection)
         return True
 
     def connection_closed(self, connection: ServerConnection) -> None:
-        """A connection is gone."""
+        """Forget a closed connection."""
         self.connections.discard(connection)
 
     def first_byte(self) -> None:
-        """A request begins to come."""
+        """Record the first byte of a request."""
         self.ledger.first_byte(self.name, time.monotonic_ns())
 
     def request(self, connection: ServerConnection, target: bytes, headers: dict[bytes, bytes]) -> None:
-        """The last byte of a request is here: it runs, waits, or is rejected."""
+        """Handle a complete request: run it, queue it or reject it."""
         request_id = headers.get(b"x-correlation-id", b"").decode("latin-1")
         answer = self.script(request_id, target) if self.script is not None else ScriptedAnswer()
         is_full = self.in_flight >= self.kind.slots + self.kind.queue
@@ -277,14 +276,14 @@
         self._load_reporter.requests += 1
 
     def _reject(self, connection: ServerConnection, answer: ScriptedAnswer) -> None:
-        """Answer that the request has had no effect."""
+        """Respond that the request was not processed."""
         self.counts.rejected += 1
         status = answer.status if answer.unprocessed else STATUS_REJECTED
         rejection = replace(answer, status=status, unprocessed=True)
         connection.write(rejection, b"turned away\n", self._load_report())
 
     def _run_next(self) -> None:
-        """Give free cores to the jobs that wait longest."""
+        """Run the jobs that have waited longest on free cores."""
         while self.waiting and len(self.running) < self.kind.cores:
             job = self.waiting.popleft()
             self.running.add(job)
@@ -294,7 +293,7 @@
             job.timer = asyncio.get_running_loop().call_later(service_s, self._finish, job)
 
     def _finish(self, job: Job) -> None:
-        """A job's service is over: answer it, unless its connection is gone."""
+        """Complete a job: respond to it, unless its connection is closed."""
         if job not in self.running:
             return
         self.running.discard(job)
@@ -308,8 +307,8 @@
                 connection.write(ScriptedAnswer(), body_for(job.request_id, self.name), self._load_report())
         self._run_next()
 
-    def given_up(self, job: Job) -> None:
-        """Its connection closed: the work stops."""
+    def job_cancelled(self, job: Job) -> None:
+        """Stop a job whose connection was closed."""
         job.connection = None
         if job.timer is not None:
             job.timer.cancel()
@@ -329,5 +328,5 @@
         return self._load_reporter.current(len(self.waiting))
 
     def reset_counts(self) -> None:
-        """Begin to count anew, after a warm-up."""
+        """Reset the counters, after a warm-up."""
         self.counts = ServerCounts()
--- a/hollybay/testbed/fake_server_connection.py
+++ b/hollybay/testbed/fake_server_connection.py
@@ -1,4 +1,4 @@
-"""One connection of a node to a fake server: it frames requests and writes answers."""
+"""Server side of a connection of a node to a fake server: parses requests and writes responses."""
 
 from __future__ import annotations
 
@@ -14,20 +14,20 @@
 
 @dataclass(frozen=True, slots=True)
 class ScriptedAnswer:
-    """What a request meets by script.
+    """The scripted response to a request.
 
     Attributes
     ----------
     status
-        200 is served after its work, any other is answered at once.
+        The status code: 200 is sent once the request's work is done, any other at once.
     unprocessed
-        Rejected unseen, as by a full server.
+        Whether the request is rejected unprocessed, as by a full server.
     reset
-        The connection is reset.
+        Whether the connection is reset instead.
     never
-        There is no answer.
+        Whether no response is sent.
     headers
-        Further headers of the answer.
+        Additional headers of the response.
     """
 
     status: int = 200
@@ -39,18 +39,18 @@
 
 @dataclass(slots=True, eq=False)
 class Job:
-    """A request at a server.
+    """A request that a server processes.
 
     Attributes
     ----------
     request_id
-        Its id.
+        The id of the request.
     work
         Seconds of work at speed 1.
     connection
-        Where its answer goes; None once the node gave it up.
+        The connection for its response; None once the node has closed it.
     timer
-        Ends its service; None while it waits for a core.
+        Completes the job; None while it waits for a core.
     """
 
     request_id: str
@@ -60,51 +60,51 @@
 
 
 class ConnectionOwner(Protocol):
-    """What a server connection tells of itself."""
+    """Callbacks of a server connection."""
 
     cut: bool
 
     def admit(self, connection: ServerConnection) -> bool:
-        """Take a new connection on; if not, it is reset."""
+        """Whether to accept a new connection; it is reset otherwise."""
 
     def connection_closed(self, connection: ServerConnection) -> None:
-        """A connection is gone."""
+        """Called when a connection is closed."""
 
-    def given_up(self, job: Job) -> None:
-        """The connection of a job is gone."""
+    def job_cancelled(self, job: Job) -> None:
+        """Called when the connection of a job is closed."""
 
     def first_byte(self) -> None:
-        """A request begins to come."""
+        """Called at the first byte of a request."""
 
     def request(self, connection: ServerConnection, target: bytes, headers: dict[bytes, bytes]) -> None:
-        """A request has come whole."""
+        """Called when a complete request has been received."""
 
 
 class ServerConnection(asyncio.Protocol):
-    """One connection of the node; it carries one request at a time."""
+    """A connection of the node that carries one request at a time."""
 
     def __init__(self, owner: ConnectionOwner) -> None:
         self.owner = owner
         self.buffer = b""
         self.job: Job | None = None
-        self.is_new = True  # no request has come on it yet
+        self.is_new = True  # no request has been received on it yet
         self.transport: asyncio.Transport
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Reset it, if the server does not take it on."""
+        """Reset the connection if the server does not accept it."""
         self.transport = cast(asyncio.Transport, transport)
         if not self.owner.admit(self):
             self.transport.abort()
 
     def connection_lost(self, _exc: Exception | None) -> None:
-        """Tell the server, and of the job that it ended under."""
+        """Notify the server, also of the job in progress, if any."""
         self.owner.connection_closed(self)
         job, self.job = self.job, None
         if job is not None:
-            self.owner.given_up(job)
+            self.owner.job_cancelled(job)
 
     def data_received(self, data: bytes) -> None:
-        """Hand a whole request to the server; one that is cut off hears nothing."""
+        """Pass a complete request to the server; a server that hangs ignores all data."""
         if self.owner.cut:
             return
         if not self.buffer:
@@ -117,14 +117,14 @@
         if end < 0 or self.job is not None:
             return
         request_line, headers = _parse_head(self.buffer[:end])
-        whole = end + len(END_OF_HEAD) + int(headers.get(b"content-length", b"0"))
-        if len(self.buffer) < whole:
+        request_length = end + len(END_OF_HEAD) + int(headers.get(b"content-length", b"0"))
+        if len(self.buffer) < request_length:
             return
-        self.buffer = self.buffer[whole:]
+        self.buffer = self.buffer[request_length:]
         self.owner.request(self, request_line.split(b" ", 2)[1], headers)
 
     def write(self, answer: ScriptedAnswer, body: bytes, load_report: bytes = b"") -> None:
-        """Write one answer, framed by its length."""
+        """Write a response with Content-Length."""
         lines = [b"HTTP/1.1 %d x" % answer.status, b"Content-Length: %d" % len(body)]
         if answer.unprocessed:
             lines.append(b"X-Unprocessed: 1")
@@ -136,7 +136,7 @@
 
 
 def _parse_head(head: bytes) -> tuple[bytes, dict[bytes, bytes]]:
-    """The request line, and the headers by their lower-case names."""
+    """Parse the request line, and the headers into a dict by lower-case name."""
     request_line, *lines = head.split(b"\r\n")
     headers: dict[bytes, bytes] = {}
     for line in lines:
--- a/hollybay/testbed/ledger.py
+++ b/hollybay/testbed/ledger.py
@@ -1,6 +1,7 @@
-"""What happened, noted by clients, servers and the discovery agent, and the verdict over the four rules.
+"""Event log of a run, written by clients, servers and the discovery agent, and the verdict on the four rules.
 
-The node has no part in it. Times are integer nanoseconds on one monotonic clock that all writers share.
+The node under test does not write to it. Times are integer nanoseconds on one monotonic clock that all
+writers share.
 """
 
 from __future__ import annotations
@@ -21,30 +22,30 @@
 
 
 class FinalOutcome(Enum):
-    """What a client was told, or what became of it without an answer."""
+    """The result of a request, as its client saw it."""
 
     SERVED = "served"
     REFUSED = "refused"
     FAILED = "failed"
-    BROKEN = "broken"  # the connection ended with no whole answer
-    SILENT = "silent"  # nothing came while the client waited
-    WRONG = "wrong"  # the body is none that a server made for this request
+    BROKEN = "broken"  # the connection closed before a complete response
+    SILENT = "silent"  # no response before the client's time-out
+    WRONG = "wrong"  # the body is not one that a server sent for this request
 
 
 @dataclass(frozen=True, slots=True)
 class RuleLimits:
-    """The figures of the rules, durations in ns.
+    """The limits that the rules check, durations in ns.
 
     Attributes
     ----------
     classes, drain_grace, cold_share, warm_up, max_attempts
         As in `hollybay.balancing.settings.Settings`.
     overload_multiple, overload_window
-        The settings' overload_multiple and overload_window.
+        As in `hollybay.balancing.settings.Settings`.
     slack
-        What clocks and the wire may add to a time.
+        Tolerance for differences between clocks and for network delay.
     late
-        An answer so long after its deadline is worth nothing, and a later one is lost.
+        How long after its deadline a response still counts as received; a later one counts as lost.
     """
 
     classes: tuple[api.RequestClass, ...]
@@ -59,12 +60,12 @@
 
     @property
     def disconnect_grace(self) -> int:
-        """How long after its deadline (ns) a client hangs up: later than an answer would be lost."""
+        """How long after the deadline (ns) a client disconnects: longer than `late`, see above."""
         return self.late + self.slack
 
     @classmethod
     def of(cls, settings: api.Settings) -> RuleLimits:
-        """Those of a node's settings."""
+        """The limits for a node's settings."""
         return cls(
             settings.classes,
             settings.drain_grace,
@@ -78,32 +79,32 @@
 
 @dataclass(slots=True)
 class RequestEntry:
-    """One request of one client, as all sides saw it.
+    """A request, as recorded by its client and the servers.
 
     Attributes
     ----------
     id, cls, tenant
-        Its id, the number of its class, and who sent it; "" for nobody.
+        Its id, the index of its class, and its tenant ("" for none).
     at
         When its last byte was written.
     deadline
-        When its client waits no longer.
+        When its response is due.
     final
-        What became of it; None before its end.
+        Its result; None before its end.
     ended
-        When its answer's last byte came.
+        When the last byte of its response was received.
     answers
-        How many answers came.
+        Number of responses.
     excused
-        Held by a node at the moment that the test killed it, or its client left.
+        Whether it may go without a response: its node was killed by the test, or its client disconnected.
     retry_after
-        Seconds, as its answer told.
+        The value (s) of Retry-After in its response.
     status
-        Of its answer; 0 without one.
+        The status code of its response; 0 without one.
     ran
-        Where it came whole to a server that did not reject it.
+        The servers that received it completely and did not reject it.
     arrived
-        How often it came whole to any server.
+        Number of times that a server received it completely.
     """
 
     id: str
@@ -123,20 +124,20 @@
 
 @dataclass(slots=True)
 class ServerStart:
-    """One start of one server.
+    """A start of a server.
 
     Attributes
     ----------
     server
-        Its name.
+        The name of the server.
     at
         When it started.
     capacity
-        Seconds of work a second, warm.
+        Seconds of work per second, when warm.
     cold
-        Whether its capacity grows from then on.
+        Whether it starts at reduced capacity and warms up.
     came
-        Age of the server and work (ns) of each request that came whole to it.
+        Server age and work (ns) of each request that it received completely.
     """
 
     server: str
@@ -146,13 +147,13 @@
     came: list[tuple[int, int]] = field(default_factory=list)
 
     def slow_start_factor(self, now: int, limits: RuleLimits) -> float:
-        """The part of its capacity that it has at this time (ns)."""
+        """The fraction of its capacity that the server has at this time (ns)."""
         return rules.slow_start_factor(now - self.at, limits.cold_share, limits.warm_up) if self.cold else 1.0
 
 
 @dataclass(frozen=True, slots=True)
 class Violation:
-    """One broken rule: which of lost, dup, drain, cold, about what, and how."""
+    """A violation of a rule: the rule (lost, dup, drain, cold), the request or server, and the reason."""
 
     rule: str
     subject: str
@@ -161,18 +162,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Verdict:
-    """All broken rules."""
+    """All violations of a run."""
 
     violations: tuple[Violation, ...]
 
     @property
     def counts(self) -> dict[str, int]:
-        """Violations by rule, in the fixed order lost, dup, drain, cold."""
+        """Number of violations by rule, in the fixed order lost, dup, drain, cold."""
         found = Counter(violation.rule for violation in self.violations)
         return {rule: found[rule] for rule in RULES}
 
     def __bool__(self) -> bool:
-        """Whether every rule is kept."""
+        """Whether there are no violations."""
         return not self.violations
 
     def __str__(self) -> str:
@@ -180,7 +181,7 @@
 
 
 class Ledger:
-    """The event log of one run. Writers only add; check() decides.
+    """The event log of a run. Writers only append; `check()` decides the rules.
 
     Attributes
     ----------
@@ -189,9 +190,9 @@
     starts
         All starts of each server, by its name.
     ended
-        Since when servers drain or are gone, by the node that was told and the server.
+        When a node was told that a server drains or is gone, by node and server.
     violations
-        Those that were found while writing.
+        Violations found while events were recorded.
     """
 
     def __init__(self, limits: RuleLimits) -> None:
@@ -204,21 +205,21 @@
     # Clients
 
     def asked(self, rid: str, cls: int, at: int, deadline: int, tenant: str = "") -> RequestEntry:
-        """A request's last byte was written."""
+        """Record that the last byte of a request was written."""
         entry = self.requests[rid] = RequestEntry(rid, cls, at, deadline, tenant)
         return entry
 
     def answered(
         self, rid: str, final: FinalOutcome, at: int, status: int = 0, retry_after: float | None = None
     ) -> None:
-        """What a client saw in the end; a second answer to one request is counted too."""
+        """Record the result of a request; a second response to it is counted, too."""
         entry = self.requests[rid]
         entry.answers += 1
         if entry.answers == 1:
             entry.final, entry.ended, entry.status, entry.retry_after = final, at, status, retry_after
 
     def killed(self, at: int) -> None:
-        """The test killed the node: what it held then is for the clients to retry."""
+        """Record that the test killed the node: requests without a result by then are excused."""
         for entry in self.requests.values():
             if entry.final is None or entry.ended >= at:
                 entry.excused = True
@@ -226,13 +227,13 @@
     # Servers
 
     def started(self, server: str, at: int, capacity: float, cold: bool = True) -> ServerStart:
-        """A server's process has started."""
+        """Record the start of a server."""
         start = ServerStart(server, at, capacity, cold)
         self.starts.setdefault(server, []).append(start)
         return start
 
     def first_byte(self, server: str, at: int, node: str = "") -> None:
-        """A request's first byte has come to a server from a node: the rule on drains counts from it."""
+        """Record the first byte of a request that a server received from a node, and check the drain rule."""
         told = self.ended.get((node, server))
         reason = rules.drain_violation(told, at, self.limits.drain_grace + self.limits.slack)
         if reason is not None:
@@ -241,7 +242,23 @@
     def arrived(
         self, rid: str, start: ServerStart, at: int, zone: int, cell: int, work: int, runs: bool
     ) -> None:
-        """A request is whole at a server; work (ns) at speed 1; runs: not turned away."""
+        """Record that a server received a complete request.
+
+        Parameters
+        ----------
+        rid
+            The id of the request.
+        start
+            The current start of the server.
+        at
+            The time.
+        zone, cell
+            The location of the server.
+        work
+            The work of the request (ns at speed 1).
+        runs
+            Whether the server did not reject it.
+        """
         start.came.append((at - start.at, work))
         entry = self.requests.get(rid)
         if entry is None:
@@ -251,37 +268,37 @@
             return
         entry.arrived += 1
         if runs:
-            place = rules.Execution(at, zone, cell)
+            execution = rules.Execution(at, zone, cell)
             reason = rules.repeat_violation(
-                self.limits.classes[entry.cls], entry.ran, place, self.limits.slack
+                self.limits.classes[entry.cls], entry.ran, execution, self.limits.slack
             )
             if reason is not None:
                 self.violations.append(Violation("dup", rid, reason))
-            entry.ran.append(place)
+            entry.ran.append(execution)
 
     def work_began(self, rid: str, start: ServerStart, at: int) -> None:
-        """A core of the server has begun with a request. For logs that follow queues; no rule asks."""
+        """Called when a server starts to process a request; for subclasses, as no rule uses it."""
 
     def work_ended(self, rid: str, start: ServerStart, at: int, done: bool) -> None:
-        """A request is no more at the server: done, or given up."""
+        """Called when a server is done with a request, or has dropped it."""
 
     # Discovery
 
     def told(self, server: str, ready: bool, at: int, node: str = "") -> None:
-        """A node was told of a server's state."""
+        """Record that a node was sent the state of a server."""
         if ready:
             self.ended.pop((node, server), None)
         else:
             self.ended.setdefault((node, server), at)
 
     def forget(self, node: str) -> None:
-        """A node's process has ended: what it was told is gone with it."""
+        """Forget what a node was sent, when its process has ended."""
         self.ended = {key: at for key, at in self.ended.items() if key[0] != node}
 
     # The verdict
 
     def check(self) -> Verdict:
-        """Decide the four rules over all that was noted."""
+        """Check the four rules against all recorded events."""
         violations = list(self.violations)
         for entry in self.requests.values():
             violations += self.violations_of(entry)
@@ -291,7 +308,7 @@
         return Verdict(tuple(violations))
 
     def violations_of(self, entry: RequestEntry) -> Iterable[Violation]:
-        """The rules that one request breaks as things stand."""
+        """The rules that a request violates by the events recorded so far."""
         limits = self.limits
         if entry.arrived > limits.max_attempts:
             yield Violation("dup", entry.id, f"{entry.arrived} attempts, {limits.max_attempts} allowed")
@@ -300,17 +317,17 @@
             if reason is not None:
                 yield Violation("dup", entry.id, reason)
         if entry.answers > 1:
-            yield Violation("lost", entry.id, f"{entry.answers} final answers")
+            yield Violation("lost", entry.id, f"{entry.answers} final responses, expected 1")
         if entry.final is FinalOutcome.WRONG:
-            yield Violation("lost", entry.id, "an answer that no server made for it")
+            yield Violation("lost", entry.id, "the response body is not from a server that ran it")
         elif entry.excused:
             return
         elif entry.final is None or entry.final in (FinalOutcome.BROKEN, FinalOutcome.SILENT):
-            how = "no answer at all" if entry.final is None else entry.final.value
+            how = "no response" if entry.final is None else entry.final.value
             yield Violation("lost", entry.id, how)
         elif entry.ended > entry.deadline + limits.late:
             yield Violation(
-                "lost", entry.id, f"answered {(entry.ended - entry.deadline) / MS:.0f} ms too late"
+                "lost", entry.id, f"response {(entry.ended - entry.deadline) / MS:.0f} ms after its deadline"
             )
 
     def _violations_of_start(self, start: ServerStart) -> Iterable[Violation]:
@@ -324,7 +341,7 @@
                 return
 
     def cold_window(self, start: ServerStart) -> rules.ColdWindow:
-        """What the rule on cold servers counts for one start."""
+        """The window in which the rule on cold servers counts the work of a start."""
         limits = self.limits
         return rules.ColdWindow(
             start.capacity,
--- a/hollybay/testbed/listener.py
+++ b/hollybay/testbed/listener.py
@@ -1,4 +1,4 @@
-"""A scripted TCP server, the base of fake servers and of a fake discovery that speak for themselves."""
+"""A scripted TCP server, base class of fake servers and of the fake discovery."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 
 __all__ = ["LIMIT", "OK", "Listener", "encode_ok", "read_message", "request_once", "round_trip"]
 
-LIMIT = 20.0  # seconds; nothing is waited for longer: what waits then fails, it does not go on
+LIMIT = 20.0  # time-out (s) of every wait in tests
 END_OF_HEAD = b"\r\n\r\n"
 
 
 def encode_ok(body: bytes) -> bytes:
-    """A 200 answer with this body."""
+    """Encode a 200 response with this body."""
     return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
 
 
@@ -20,18 +20,18 @@
 
 
 class Listener:
-    """A TCP server that keeps count of its connections and can be waited for.
+    """A TCP server that counts its connections; tests can wait for a condition on it.
 
     Attributes
     ----------
     address
-        Where it listens, host and port; "" before its start.
+        Its host and port; "" before its start.
     accepted
-        How many connections it has accepted.
+        Number of connections accepted.
     changed
-        Set whenever something has happened that a test may wait for.
+        Set on each change that a test may wait for.
     writers
-        Those of all connections so far.
+        The writers of all connections so far.
     """
 
     def __init__(self) -> None:
@@ -62,22 +62,22 @@
             writer.close()
 
     async def talk(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Serve one connection until it ends. Subclasses say how."""
+        """Serve one connection until it ends. Implemented by subclasses."""
         raise NotImplementedError
 
     def note(self) -> None:
-        """Something has happened that a test may wait for."""
+        """Signal a change that a test may wait for."""
         self.changed.set()
 
     async def until(self, holds: Callable[[], bool]) -> None:
-        """Wait until a condition holds, asked after each change. TimeoutError: not within LIMIT."""
+        """Wait until a condition holds; it is checked after each change. Raises TimeoutError after LIMIT."""
         async with asyncio.timeout(LIMIT):
             while not holds():
                 self.changed.clear()
                 await self.changed.wait()
 
     async def stop(self) -> None:
-        """Take no new connection and end the open ones."""
+        """Stop listening and abort the open connections."""
         if self._server is not None:
             self._server.close()
         for conversation in self._conversations:
@@ -87,12 +87,12 @@
 
 
 async def read_message(reader: asyncio.StreamReader) -> tuple[bytes, bytes]:
-    """Read a head, and the body that its Content-Length tells.
+    """Read a head, and a body of the length given by its Content-Length.
 
     Raises
     ------
     asyncio.IncompleteReadError
-        The connection ended before that.
+        The connection closed before the end of the message.
     """
     head = await reader.readuntil(END_OF_HEAD)
     length = 0
@@ -105,19 +105,19 @@
 async def round_trip(
     reader: asyncio.StreamReader, writer: asyncio.StreamWriter, data: bytes
 ) -> tuple[bytes, bytes]:
-    """Send a request on an open connection; the head and the body of its response.
+    """Send a request on an open connection; returns head and body of the response.
 
     Raises
     ------
     asyncio.IncompleteReadError
-        The connection ended before that.
+        The connection closed before the end of the response.
     """
     writer.write(data)
     return await read_message(reader)
 
 
 async def request_once(port: int, data: bytes) -> tuple[bytes, bytes]:
-    """Send a request on a connection of its own to a port on loopback; the head and body of its response."""
+    """Send a request to a loopback port on a new connection; returns head and body of the response."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     try:
         return await round_trip(reader, writer, data)
--- a/hollybay/testbed/load_generator.py
+++ b/hollybay/testbed/load_generator.py
@@ -1,6 +1,6 @@
-"""An open-loop load generator: clients that arrive whatever becomes of those before them.
+"""Open-loop load generator: requests are sent at a given rate, however long the responses take.
 
-Every attempt and every answer is noted in the ledger.
+Every request and every response is recorded in the ledger.
 """
 
 from __future__ import annotations
@@ -23,14 +23,14 @@
 
 STATUS_SERVED = 200
 STATUSES_REFUSED = (429, 503)
-# The most (ns) that a client waits longer because its own process had no core.
+# Maximum extension (ns) of a client's time-out for the time that its own process waited for a core.
 MAX_EXCUSED_NS = 5 * SECOND
-# Ends that an answer led to, beside those that came without any.
+# Outcomes that come from a response.
 ANSWERED = (FinalOutcome.SERVED, FinalOutcome.REFUSED, FinalOutcome.FAILED, FinalOutcome.WRONG)
 
 
 def final_outcome(ledger: Ledger, entry: RequestEntry, response: Response) -> FinalOutcome:
-    """What an answer says became of a request."""
+    """The outcome of a request that got this response."""
     if response.status == STATUS_SERVED:
         bodies = (body_for(entry.id, server) for server in ledger.starts)
         return FinalOutcome.SERVED if response.body in bodies else FinalOutcome.WRONG
@@ -39,36 +39,36 @@
 
 @dataclass
 class LoadGenerator:
-    """An open stream of requests to one or several nodes.
+    """Sends requests to one or several nodes at a given rate.
 
     Attributes
     ----------
     ledger
-        Where requests and answers are noted.
+        Records requests and responses.
     ports
-        The nodes' ports on this machine; each request goes to one by chance.
+        The nodes' ports on this machine; each request goes to a random one.
     mixes
         The kinds of requests.
     rate
-        Requests a second.
+        Requests per second.
     seed
-        Of all that is drawn by chance.
+        Seed of all random choices.
     retries
-        Share of the refused requests that come again once, under a new id.
+        Share of the rejected requests that are retried, once and with a new id.
     pause
-        Seconds until then, where the answer has no Retry-After.
+        Delay (s) of a retry, if the response has no Retry-After.
     prefix
-        Of the requests' ids.
+        Prefix of the request ids.
     connections
-        All connections that are up.
+        All open connections.
     idle
-        Those that carry no request, by port.
+        The open connections without a request, by port.
     in_flight
-        Requests without an end yet.
+        Number of requests that have not ended.
     sent
-        Requests so far.
+        Number of requests so far.
     late
-        The most (s) that an arrival came after its time.
+        The longest delay (s) of a request beyond its scheduled time.
     """
 
     ledger: Ledger
@@ -93,7 +93,7 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def run(self, seconds: float) -> None:
-        """Send for so long, in a Poisson stream, then wait for the last answer."""
+        """Send requests for a duration, as a Poisson process, then wait until all have ended."""
         began = self.loop.time()
         due = began
         while due - began < seconds:
@@ -106,7 +106,7 @@
         await self.all_ended.wait()
 
     def close(self) -> None:
-        """End all connections."""
+        """Abort all connections."""
         for task in list(self._tasks):
             task.cancel()
         for connection in list(self.connections):
@@ -115,11 +115,11 @@
     # Requests
 
     def _draw(self) -> RequestMix:
-        """The kind of the next request."""
+        """Draw the kind of the next request."""
         return self.random.choices(self.mixes, [mix.share for mix in self.mixes])[0]
 
     def ask(self, mix: RequestMix, is_retry: bool = False) -> RequestEntry:
-        """Send one request now; its entry in the ledger."""
+        """Send a request now; returns its entry in the ledger."""
         self.sent += 1
         request_id = f"{self.prefix}-{self.seed}-{self.sent}"
         request_class = self.ledger.limits.classes[mix.cls]
@@ -130,8 +130,8 @@
         request = ClientRequest(entry, mix, template, is_retry, cpu_wait_ns())
         self.in_flight += 1
         self.all_ended.clear()
-        patience_s = (request_class.deadline + self.ledger.limits.disconnect_grace) / SECOND
-        request.timer = self.loop.call_later(patience_s, self._give_up, request)
+        timeout_s = (request_class.deadline + self.ledger.limits.disconnect_grace) / SECOND
+        request.timer = self.loop.call_later(timeout_s, self._time_out, request)
         self._send(request, self.random.choice(self.ports))
         return entry
 
@@ -147,7 +147,7 @@
         self._send_on_new_connection(request, port)
 
     def _send_on_new_connection(self, request: ClientRequest, port: int) -> None:
-        """Send a request on a new connection, unless its client waits no longer."""
+        """Send a request on a new connection, unless its deadline has passed."""
         if not request.time_left_ms():
             self._end_without_answer(request, FinalOutcome.BROKEN)
             return
@@ -157,7 +157,7 @@
         task.add_done_callback(self._tasks.discard)
 
     async def _open(self, request: ClientRequest, port: int) -> None:
-        """Open a connection, which sends the request once it is up."""
+        """Open a connection, which sends the request once it is established."""
         try:
             await self.loop.create_connection(
                 lambda: ClientConnection(self, request, port), "127.0.0.1", port
@@ -166,19 +166,20 @@
             self._end_without_answer(request, FinalOutcome.BROKEN)
 
     def _own_delay_ns(self, request: ClientRequest) -> int:
-        """How long this process has waited for a core since a request was asked."""
+        """Time that this process has waited for a core since a request was made."""
         return cpu_wait_ns() - request.cpu_wait_ns
 
-    def _give_up(self, request: ClientRequest) -> None:
-        """The client of a request waits no longer: its connection is reset.
+    def _time_out(self, request: ClientRequest) -> None:
+        """Time out a request: its connection is reset.
 
-        Its patience does not run while this process waits for a core: an answer may lie unread meanwhile.
+        The time-out is extended by the time that this process waited for a core: in that time a response may
+        have been received that was not read.
         """
         own_delay_ns = min(self._own_delay_ns(request), MAX_EXCUSED_NS)
         if own_delay_ns > request.excused_ns:
             extension_s = (own_delay_ns - request.excused_ns) / SECOND
             request.excused_ns = own_delay_ns
-            request.timer = self.loop.call_later(extension_s, self._give_up, request)
+            request.timer = self.loop.call_later(extension_s, self._time_out, request)
             return
         for connection in [connection for connection in self.connections if connection.request is request]:
             connection.request = None
@@ -186,9 +187,9 @@
         self._end_without_answer(request, FinalOutcome.SILENT)
 
     def _end_without_answer(self, request: ClientRequest, final: FinalOutcome) -> None:
-        """Note the end of a request that got no answer.
+        """Record the end of a request without a response.
 
-        No node is to blame where its time ran out, before it was sent, because this process had no core.
+        It is excused if its deadline passed before it was sent because this process waited for a core.
         """
         late_ns = time.monotonic_ns() - request.entry.deadline
         if not request.is_sent and request.timer is not None and 0 < late_ns <= self._own_delay_ns(request):
@@ -203,7 +204,7 @@
         status: int = 0,
         retry_after_s: float | None = None,
     ) -> None:
-        """Note the end of a request, at a time (ns) or now; after its end only what a further answer says."""
+        """Record the outcome of a request at a time (ns), or now; after its end, only further responses."""
         is_first = request.timer is not None
         if not is_first and final not in ANSWERED:
             return
@@ -219,23 +220,23 @@
     # Connections
 
     def connection_opened(self, connection: ClientConnection) -> None:
-        """A connection is up."""
+        """Register an established connection."""
         self.connections.add(connection)
 
     def connection_closed(self, connection: ClientConnection) -> None:
-        """A connection is gone."""
+        """Forget a closed connection."""
         self.connections.discard(connection)
         if connection in self.idle.get(connection.port, ()):
             self.idle[connection.port].remove(connection)
 
     def request_sent(self, request: ClientRequest, port: int) -> None:
-        """The bytes of a request go to a node. For subclasses that record it."""
+        """Called when a request is written to a connection; for subclasses that record it."""
 
     def response_received(
         self, connection: ClientConnection, request: ClientRequest, response: Response
     ) -> None:
-        """Note an answer, keep its connection for others, and retry the request if it was refused."""
-        at = self._time_of(connection, request)
+        """Record a response, keep its connection for reuse, and retry the request if it was rejected."""
+        at = self._received_at(connection, request)
         if response.keeps_alive:
             self.idle.setdefault(connection.port, []).append(connection)
         elif connection.transport is not None:
@@ -246,17 +247,20 @@
             pause_s = self.pause if response.retry_after_s is None else response.retry_after_s
             self.loop.call_later(pause_s, self.ask, request.mix, True)
 
-    def _time_of(self, connection: ClientConnection, request: ClientRequest) -> int:
-        """When (ns) the answer that has just been read came."""
+    def _received_at(self, connection: ClientConnection, request: ClientRequest) -> int:
+        """When (ns) the response that has just been read was received by the kernel."""
         now = time.monotonic_ns()
         at = now - connection.unread_ns()
         if at > request.entry.deadline:
-            # What this process waited for a core is not the node's lateness, which may live in it.
+            # The time that this process waited for a core must not count as a delay of the node.
             at = min(at, now - self._own_delay_ns(request))
         return at
 
     def connection_broken(self, request: ClientRequest, received: bytes) -> None:
-        """A connection ended under a request. One that the node closed between two may have crossed it."""
+        """Record a request whose connection closed, or send it again if the node closed an idle connection.
+
+        The node may close a reused connection just as a request is sent on it.
+        """
         if not request.on_new_connection and not received and not request.entry.arrived:
             self._send_on_new_connection(request, self.random.choice(self.ports))
             return
--- a/hollybay/testbed/loop_lateness.py
+++ b/hollybay/testbed/loop_lateness.py
@@ -1,4 +1,4 @@
-"""How late the event loop of this process is: what it adds to every time that is measured on it."""
+"""Lateness of the event loop of this process, which adds to each time measured on it."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 
 class LoopLateness:
-    """The lateness of a timer that is set again and again, summed up.
+    """Sums up the lateness of a periodic timer.
 
-    Its cause may be that the process had no core, or that the loop was busy.
+    The timer is late when the process has no core, or when the loop is busy.
 
     Attributes
     ----------
     total_ns
-        Sum over all turns of the timer.
+        Lateness of all firings so far, summed up.
     """
 
     def __init__(self) -> None:
@@ -29,17 +29,17 @@
         self._timer: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
-        """Begin to measure."""
+        """Start to measure."""
         self._due = self._loop.time() + INTERVAL_S
         self._timer = self._loop.call_at(self._due, self._fire)
 
     def stop(self) -> None:
-        """End the measurement."""
+        """Stop to measure."""
         if self._timer is not None:
             self._timer.cancel()
 
     def until_now_ns(self) -> int:
-        """The sum, with the lateness of the turn that is due now."""
+        """The sum, with the lateness of a firing that is overdue."""
         return self.total_ns + max(0, int((self._loop.time() - self._due) * SECOND))
 
     def _fire(self) -> None:
--- a/hollybay/testbed/loopback.py
+++ b/hollybay/testbed/loopback.py
@@ -1,4 +1,4 @@
-"""A node in this process between a discovery and servers that tests script, all on loopback sockets."""
+"""A node in this process, with discovery and servers scripted by a test, all on loopback sockets."""
 
 from __future__ import annotations
 
@@ -42,16 +42,16 @@
 
 
 class FakeDiscovery(Listener):
-    """A discovery that pushes: a watch is answered as soon as there is something newer.
+    """A fake discovery: a watch gets its response as soon as there is a newer list.
 
     Attributes
     ----------
     version
-        Of the list; each change adds one.
+        Version of the list; each change adds one.
     lines
-        The servers' lines in discovery's form.
+        The servers' entries in discovery's format.
     calls
-        How many requests have come.
+        Number of requests received.
     """
 
     def __init__(self, version: int = 1) -> None:
@@ -61,7 +61,7 @@
         self.calls = 0
 
     def tell(self, *backends: ScriptedServer, state: str = "SERVING") -> None:
-        """Replace the list by these servers, all in one state."""
+        """Replace the list by these servers, all in the same state."""
         self.lines = [
             {"id": b.name, "addr": b.address, "zone": "a", "kind": "m", "cell": 0, "state": state}
             for b in backends
@@ -70,7 +70,7 @@
         self.note()
 
     async def talk(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Answer each request with the whole list; a watch waits for a newer one."""
+        """Respond to each request with the full list; a watch waits for a newer version."""
         while True:
             head, _ = await read_message(reader)
             target = head.split(b" ")[1].decode()
@@ -86,11 +86,11 @@
 
 
 Script = Callable[[bytes, asyncio.StreamWriter], Awaitable[None]]
-"""Answers a request, given its head."""
+"""Responds to a request, given its head and the writer."""
 
 
 class ScriptedServer(Listener):
-    """A server: it notes each request's head and answers it as the script says."""
+    """A server that records each request's head and responds as scripted."""
 
     def __init__(self, name: str, script: Script | bytes = OK) -> None:
         super().__init__()
@@ -99,7 +99,7 @@
         self.heads: list[bytes] = []
 
     async def talk(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Answer each request as the script says."""
+        """Respond to each request as scripted."""
         while True:
             head, _ = await read_message(reader)
             self.heads.append(head)
@@ -111,7 +111,7 @@
 
 
 class StalledServer(ScriptedServer):
-    """A server that notes requests and answers none of them before `go` is set."""
+    """A server that records requests, but responds only once `go` is set."""
 
     def __init__(self, name: str) -> None:
         super().__init__(name, self._wait)
@@ -123,20 +123,20 @@
 
 
 class RunningNode:
-    """A node that runs, with its parts in reach.
+    """A running node and its components.
 
     Attributes
     ----------
     clients
-        Its listener for clients.
+        The listener for clients.
     dispatcher
-        Its requests and its pools of connections to servers.
+        The request dispatcher, with the connection pools.
     discovery
-        Its discovery client.
+        The discovery client.
     port
-        Where clients reach it.
+        The port for clients.
     path
-        Its configuration.
+        The configuration file.
     """
 
     def __init__(
@@ -158,13 +158,13 @@
         return await asyncio.open_connection("127.0.0.1", self.port)
 
     async def until(self, holds: Callable[[], bool]) -> None:
-        """Wait for what the node has no event for, a few turns of the loop at a time."""
+        """Wait for a condition that the node signals by no event, by polling."""
         async with asyncio.timeout(LIMIT):
             while not holds():
                 await asyncio.sleep(0.001)
 
     async def ask(self, data: bytes) -> bytes:
-        """What comes for these bytes until the node closes, or the first whole message."""
+        """Send data on a new connection; returns the first response, or what came until the node closed."""
         reader, writer = await self.connect()
         try:
             async with asyncio.timeout(LIMIT):
@@ -179,14 +179,14 @@
 
 
 class ConnectBarrier:
-    """Holds up a node's connections to servers, from the first one after `free` on, until `open` is set.
+    """Delays a node's new connections to servers, except the first `free` ones, until `open` is set.
 
     Attributes
     ----------
     open
-        Lets all connections through once it is set.
+        Releases all connections once it is set.
     waiting
-        How many connections have been held up.
+        Number of connections delayed so far.
     """
 
     def __init__(self, node: RunningNode, free: int = 0) -> None:
@@ -208,7 +208,7 @@
 
 
 def call(node: RunningNode, data: bytes) -> socket.socket:
-    """Connect and send while the loop stands still: all of it waits in the kernel."""
+    """Connect and send without running the event loop, so that connection and data wait in the kernel."""
     sock = socket.create_connection(("127.0.0.1", node.port))
     sock.sendall(data)
     return sock
@@ -222,18 +222,18 @@
     adjust: Callable[[Config], Config] = lambda config: config,
     **changes: Any,
 ) -> AsyncIterator[RunningNode]:
-    """Run a node that has heard of all these servers; on a free port, so that tests never meet.
+    """Run a node that has received the list of these servers, on a free port so that tests don't collide.
 
     Parameters
     ----------
     path
-        Where its configuration is written.
+        The configuration file to write.
     fake_discovery
-        Its discovery; started here, if it does not run yet.
+        The discovery; started here if it does not run yet.
     backends
         The servers; started here.
     adjust
-        Changes the configuration once it is read.
+        Modifies the loaded configuration.
     changes
         Keys of the configuration to change.
     """
--- a/hollybay/testbed/loopback_config.py
+++ b/hollybay/testbed/loopback_config.py
@@ -1,4 +1,4 @@
-"""The configuration of a node on loopback sockets, and the bytes of requests to it."""
+"""The configuration of a node on loopback sockets, and requests to it."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 __all__ = ["CLASSES", "request", "settings", "write_config"]
 
-# Class settings in the platform's form, durations in ns.
+# Class settings in the platform's format, durations in ns.
 CLASSES = [
     {"name": "view", "effect": "retryable", "slo": 5 * SECOND, "give-up": 10 * SECOND, "worth": 3.0},
     {"name": "send", "effect": "fragile", "slo": 5 * SECOND, "give-up": 10 * SECOND, "worth": 2.0},
@@ -29,7 +29,7 @@
 
 
 def settings(**changes: Any) -> dict[str, Any]:
-    """The settings object of a node's configuration, with these keys changed."""
+    """The settings object of a node's configuration, with some keys changed."""
     return {
         "balancers": 1,
         "zones": ["a"],
@@ -49,7 +49,7 @@
 
 
 def write_config(path: Path, discovery: Listener, **changes: Any) -> None:
-    """Write the configuration of a node that asks this discovery, with these keys changed."""
+    """Write the configuration of a node that uses this discovery, with some keys changed."""
     data = {
         "name": "n0",
         "listen": "127.0.0.1:9000",
@@ -63,18 +63,18 @@
 
 
 def request(cls: str = "view", rid: str = "r-1", body: bytes = b"", extra: bytes = b"") -> bytes:
-    """The bytes of a request.
+    """Encode a request.
 
     Parameters
     ----------
     cls
-        The class, which is the target's first part: ``view`` is a GET, ``book`` carries a key.
+        The class, which is the first segment of the target: ``view`` is a GET, ``book`` has a key.
     rid
-        Its id.
+        The id.
     body
-        Its body, where it is no GET.
+        The body, unless it is a GET.
     extra
-        Further header lines, each with its end.
+        Additional header lines, each with its line end.
     """
     key = b"Idempotency-Key: k-" + rid.encode() + b"\r\n" if cls == "book" else b""
     if cls == "view":
--- a/hollybay/testbed/process.py
+++ b/hollybay/testbed/process.py
@@ -1,8 +1,8 @@
-"""A real node as a process of its own, on a port of the kernel's choice.
+"""A real node in its own process, on a port chosen by the kernel.
 
-`python -m hollybay.testbed.process` runs the node of `hollybay.proxy` unchanged, but for the port: that of
-the environment variable `TESTBED_PORT`, or 0, in place of the configured one, told on standard output once
-the node listens.
+`python -m hollybay.testbed.process` runs the node of `hollybay.proxy` unchanged except for the port: it uses
+that of the environment variable `TESTBED_PORT`, or 0, in place of the configured one, and prints the port to
+standard output once the node listens.
 """
 
 from __future__ import annotations
@@ -19,29 +19,29 @@
 __all__ = ["PORT_VARIABLE", "NodeProcess", "main"]
 
 START_LIMIT_S = 20.0
-LOG_TAIL_CHARACTERS = 2000  # of the log, in the error of a node that did not start
+LOG_TAIL_CHARACTERS = 2000  # quoted from the log in the error of a node that did not start
 EXIT_INVALID_CONFIG = 2
 PORT_VARIABLE = "TESTBED_PORT"
 
 
 class NodeProcess:
-    """A node that runs.
+    """A node in its own process.
 
     Parameters
     ----------
     config
-        The object that BALANCER_CONFIG names a file of.
+        The configuration, written to the file that BALANCER_CONFIG names.
     folder
-        Where its configuration and its log go.
+        The folder for its configuration and its log.
     log_name
-        Name of the log in the folder.
+        The file name of the log.
     environ
-        Environment variables, beside those of this process.
+        Additional environment variables.
 
     Attributes
     ----------
     port
-        Where it listens; 0 before its start.
+        The port that it listens on; 0 before its start.
     """
 
     def __init__(
@@ -55,14 +55,14 @@
         self._process: asyncio.subprocess.Process | None = None
 
     async def start(self) -> int:
-        """Start it, wait until it listens and return its port.
+        """Start the process, wait until the node listens, and return its port.
 
         Raises
         ------
         RuntimeError
-            The process ended before it listened; the message holds the end of its log.
+            The process ended before it listened; the message quotes the end of its log.
         TimeoutError
-            It did not listen in time.
+            It did not listen within START_LIMIT_S.
         """
         self.path.write_text(json.dumps(self.config))
         environ = {**os.environ, "BALANCER_CONFIG": str(self.path), **self.environ}
@@ -85,32 +85,32 @@
 
     @property
     def pid(self) -> int:
-        """The process's number."""
+        """The process id."""
         assert self._process is not None
         return self._process.pid
 
     def cpu_seconds(self) -> float:
-        """CPU time that it has used so far."""
+        """CPU time used so far (s)."""
         fields = Path(f"/proc/{self.pid}/stat").read_text().rpartition(")")[2].split()
         return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
     def memory_mb(self) -> float:
-        """Its resident memory in MiB."""
+        """Resident memory in MiB."""
         pages = int(Path(f"/proc/{self.pid}/statm").read_text().split()[1])
         return pages * os.sysconf("SC_PAGE_SIZE") / (1 << 20)
 
     def descriptors(self) -> int:
-        """How many file descriptors it holds."""
+        """Number of open file descriptors."""
         return len(os.listdir(f"/proc/{self.pid}/fd"))
 
     @property
     def exit_status(self) -> int | None:
-        """Its exit status; negative: the signal that ended it; None while it runs."""
+        """The exit status; negative for the signal that ended it; None while it runs."""
         assert self._process is not None
         return self._process.returncode
 
     async def wait(self) -> int:
-        """Wait for its end; its exit status."""
+        """Wait for its end; returns the exit status."""
         assert self._process is not None
         return await self._process.wait()
 
@@ -120,14 +120,14 @@
         self._process.send_signal(number)
 
     async def stop(self, number: signal.Signals = signal.SIGTERM) -> int:
-        """End it and wait for that; its exit status."""
+        """Send a signal to end it and wait for its end; returns the exit status."""
         if self.exit_status is None:
             self.send_signal(number)
         return await self.wait()
 
 
 def main() -> int:
-    """Run the node that BALANCER_CONFIG names, on the port that the environment names or a free one.
+    """Run the node that BALANCER_CONFIG configures, on the port given by TESTBED_PORT or a free one.
 
     Returns
     -------
--- a/hollybay/testbed/rules.py
+++ b/hollybay/testbed/rules.py
@@ -1,12 +1,12 @@
-"""The four rules as pure functions over what is known of one request or one server.
+"""The four rules, as pure functions over the records of one request or one server.
 
-lost   each request gets exactly one final answer, in time (in `ledger`)
-dup    a request has no effect twice, and is not rejected as harmless to retry once it may have run
-drain  a server gets nothing later than the drain grace after the node was told that it drains
-cold   a starting server gets no more work in any window than its present capacity allows, by a multiple
+lost   each request gets exactly one final response, in time (checked in `ledger`)
+dup    a request takes effect at most once, and is not rejected as safe to retry once it may have run
+drain  a server gets no request later than the drain grace after the node was told that it drains
+cold   the work sent to a starting server in any window is limited to a multiple of its present capacity
 
-Times are integer nanoseconds on one monotonic clock. Source of the rules: the protocol page of the platform
-(outcomes and what they prove) and the settings (grace, window, group, cold share).
+Times are integer nanoseconds on one monotonic clock. The rules come from the platform's protocol page
+(results and what they prove) and from the settings (grace, window, group, cold share).
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Execution:
-    """Where and when a request may have run: the zone and cell of the server, the time (ns)."""
+    """A possible execution of a request: the time (ns), and the zone and cell of the server."""
 
     at: int
     zone: int = 0
@@ -42,9 +42,18 @@
 def repeat_violation(
     cls: api.RequestClass, ran: Sequence[Execution], again: Execution, slack: int = 0
 ) -> str | None:
-    """Why a request that may have run at these places must not run at a further one, or None.
-
-    ran is in order of time; slack (ns) widens the window for clocks and the wire.
+    """Return why a request that may have run before must not run again, or None.
+
+    Parameters
+    ----------
+    cls
+        The class of the request.
+    ran
+        Its possible executions so far, in order of time.
+    again
+        The further execution.
+    slack
+        Extension of the deduplication window (ns), for differences between clocks and network delay.
     """
     if not ran or cls.effect == api.Effect.SAFE:
         return None
@@ -61,23 +70,33 @@
 
 
 def rejection_violation(cls: api.RequestClass, ran: bool) -> str | None:
-    """Why a request must not be refused (a retry said to be harmless), or None; ran: it may have run."""
+    """Return why a request must not be rejected as safe to retry, or None; `ran`: it may have run."""
     if not ran or cls.effect == api.Effect.SAFE:
         return None
     if cls.effect == api.Effect.KEYED and cls.deduplication_scope == api.DeduplicationScope.ALL:
         return None
-    return "refused what may have run"
+    return "rejected as safe to retry, but it may have run"
 
 
 def drain_violation(told: int | None, sent: int, grace: int) -> str | None:
-    """Why nothing may be sent at this time (ns) to a server whose end was told then, or None."""
+    """Return why no request may be sent to a server at this time, or None.
+
+    Parameters
+    ----------
+    told
+        When (ns) the node was told that the server drains or is gone; None if it was not.
+    sent
+        When (ns) the request is sent.
+    grace
+        How long (ns) after `told` requests may be sent.
+    """
     if told is None or sent <= told + grace:
         return None
-    return f"sent {(sent - told) / SECOND:.3f} s after the drain was told"
+    return f"sent {(sent - told) / SECOND:.3f} s after the node was told of the drain"
 
 
 def slow_start_factor(age: int, cold_share: float, warm_up: int) -> float:
-    """The part of its capacity that a server has at least at this age (ns), from cold_share to 1."""
+    """The fraction of its capacity that a server has at least at this age (ns), from `cold_share` to 1."""
     if age >= warm_up:
         return 1.0
     return cold_share + (1.0 - cold_share) * max(0, age) / warm_up
@@ -86,19 +105,19 @@
 def cold_allowance(
     capacity: float, at: int, cold_share: float, warm_up: int, multiple: float, span: int
 ) -> float:
-    """Work (ns) that may come to a starting server in the span (ns) that ends at this age (ns).
+    """Work (ns) that may be sent to a starting server within the span (ns) that ends at this age (ns).
 
-    capacity: work done a second of time when warm, in seconds (cores x speed).
+    capacity: seconds of work per second when warm (cores x speed).
     """
     middle = max(0, at - span // 2)
     return multiple * capacity * slow_start_factor(middle, cold_share, warm_up) * span
 
 
 class ColdWindow:
-    """The work that came to one starting server within the span that ends with the last of it.
+    """Sliding window over the work sent to a starting server.
 
-    The work of any span must stay within multiple x present capacity x span; one request is left to chance.
-    Past its warm-up it is no cold server any more. Times in ns, capacity in seconds of work a second.
+    The work of any span must not exceed multiple x present capacity x span by more than one request.
+    After the warm-up nothing is counted. Times in ns, capacity in seconds of work per second.
     """
 
     def __init__(self, capacity: float, cold_share: float, warm_up: int, multiple: float, span: int) -> None:
@@ -108,7 +127,7 @@
         self._total = 0
 
     def add(self, age: int, work: int) -> str | None:
-        """Note a request, in order of age; why the server was pushed over by it, or None."""
+        """Add a request, in order of age; returns why it overloads the server, or None."""
         if age >= self.warm_up:
             return None
         self._came.append((age, work))
@@ -132,7 +151,7 @@
     multiple: float,
     span: int,
 ) -> str | None:
-    """Why a starting server was pushed over, or None; see ColdWindow.
+    """Return why a starting server was overloaded, or None; see `ColdWindow`.
 
     arrivals: age of the server (ns) and work (ns) of each request sent to it, in order of age.
     """
--- a/hollybay/testbed/scratch.py
+++ b/hollybay/testbed/scratch.py
@@ -1,4 +1,4 @@
-"""Where runs of many processes keep their folders."""
+"""Folder for the files of runs with many processes."""
 
 from __future__ import annotations
 
@@ -8,19 +8,19 @@
 __all__ = ["in_memory"]
 
 MEMORY_FOLDER = "/dev/shm"  # a file system in memory
-MIN_FREE_BYTES = 1 << 30  # what must be free there for a run's folder
+MIN_FREE_BYTES = 1 << 30  # required for the files of a run
 
 
 def in_memory() -> str | None:
-    """Find a folder in memory with room for a run.
+    """Find a folder in memory with enough free space for a run.
 
-    All processes of a run, and of those beside it, share one disk that machines of their own would not, and
-    its flushes take seconds at times.
+    The processes of all runs on this machine share one disk, unlike nodes on separate machines, and its
+    flushes can take seconds.
 
     Returns
     -------
     str or None
-        None where there is no such folder: the run then goes where temporary files usually do.
+        None if there is no such folder: the run then uses the default folder for temporary files.
     """
     try:
         free_bytes = shutil.disk_usage(MEMORY_FOLDER).free
--- a/hollybay/testbed/soak/__init__.py
+++ b/hollybay/testbed/soak/__init__.py
@@ -1,11 +1,10 @@
-"""Soak of ends: real node processes that are told to end while clients use every open connection.
+"""Soak test of the shutdown: real node processes get signals while clients use every open connection.
 
-`python -m hollybay.testbed.soak 0..49` plays seeds; each prints its plan and what it broke.
+`python -m hollybay.testbed.soak 0..49` runs these seeds; each prints its plan and its violations.
 
-    plan        one run, drawn from a seed
-    ledger      the rules that concern closed connections and clients that have left, beside the four
-    clients     clients that send on every open connection until it ends
-    crowd       idle clients up to the node's descriptors
-    node        node processes: signals, exit status, log, descriptors and memory
-    run         plays a plan and judges it
+    plan          the plan of a run, drawn from a seed
+    ledger        adds rules on closed connections and disconnected clients to the four rules
+    clients       clients that send on every connection until it closes
+    idle_clients  idle clients, more than the node's file descriptors
+    run           runs a plan and checks the rules
 """
--- a/hollybay/testbed/soak/__main__.py
+++ b/hollybay/testbed/soak/__main__.py
@@ -1,6 +1,6 @@
-"""Plays seeds of the soak: python -m hollybay.testbed.soak FIRST..LAST [--jobs N].
+"""Runs the soak test for a range of seeds: python -m hollybay.testbed.soak FIRST..LAST [--jobs N].
 
-It ends with 1 if one of them broke a rule.
+Exits with status 1 if a run violated a rule.
 """
 
 from __future__ import annotations
@@ -20,11 +20,11 @@
 
 
 async def play_seeds(seeds: Iterable[int], jobs: int) -> list[SoakResult]:
-    """Play the runs of seeds, so many at a time; each is printed at its end."""
-    free = asyncio.Semaphore(jobs)
+    """Run the plans of these seeds, at most `jobs` at a time, and print each result."""
+    slots = asyncio.Semaphore(jobs)
 
     async def play_one(seed: int) -> SoakResult:
-        async with free:
+        async with slots:
             with tempfile.TemporaryDirectory() as folder:
                 result = await play(draw(seed), Path(folder))
         print(result, flush=True)
@@ -34,7 +34,7 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Play the seeds that are named."""
+    """Run the seeds given on the command line."""
     parser = ArgumentParser(prog="python -m hollybay.testbed.soak")
     parser.add_argument("seeds", help="one seed, or FIRST..LAST")
     parser.add_argument("--jobs", type=int, default=4, help="runs at a time")
@@ -42,10 +42,10 @@
     first, _, last = options.seeds.partition("..")
     seeds = range(int(first), int(last or first) + 1)
     results = asyncio.run(play_seeds(seeds, options.jobs))
-    broken = [result.plan.seed for result in results if result.violations]
+    failed = [result.plan.seed for result in results if result.violations]
     load = ", ".join(f"{value:.1f}" for value in os.getloadavg())
-    print(f"{len(results)} seeds, {len(broken)} broke a rule: {broken}; load of the machine {load}")
-    return 1 if broken else 0
+    print(f"{len(results)} seeds, {len(failed)} violated a rule: {failed}; load average {load}")
+    return 1 if failed else 0
 
 
 if __name__ == "__main__":
--- a/hollybay/testbed/soak/clients.py
+++ b/hollybay/testbed/soak/clients.py
@@ -1,4 +1,4 @@
-"""Clients that send on every open connection until it ends."""
+"""Clients that send on every connection until it closes."""
 
 from __future__ import annotations
 
@@ -21,41 +21,41 @@
 __all__ = ["ClientGroup"]
 
 HOST = "127.0.0.1"
-# A request written at most this long before its connection closed may have crossed the close: the slack of
-# every time limit of the platform.
+# A request written at most this long before the node closed the connection may not have been read: the
+# platform allows this slack in all its time limits.
 CROSSING_NS = 50 * MS
-# How long a client waits beyond what an answer may be late.
-PATIENCE_S = 1.0
-LEAVE_SHARE = 0.05  # of the requests, where clients leave
-UPLOAD_SHARE = 0.2  # of the requests, where bodies are long
-NEWCOMER_INTERVAL_S = 0.02
+# How long a client waits beyond the time at which a response counts as lost.
+RESPONSE_GRACE_S = 1.0
+DISCONNECT_SHARE = 0.05  # of the requests, with Condition.LEAVING_CLIENTS
+UPLOAD_SHARE = 0.2  # of the requests, with Condition.UPLOADS
+NEW_CLIENT_INTERVAL_S = 0.02
 PIPELINED_REQUESTS = (2, 4)
 UPLOAD_BYTES = (70 << 10, 200 << 10)
 UPLOAD_PIECES = 20
-UPLOAD_TIME_S = 1.0  # at the most
-# How long after its usual deadline an upload is due that is not complete: nobody has taken it.
+MAX_UPLOAD_TIME_S = 1.0
+# Added to the deadline of an upload until it is complete: the node has not accepted it yet.
 INCOMPLETE_GRACE_NS = 60 * SECOND
-MAX_EXTENSION_NS = 30 * SECOND  # of a client's patience, on a machine that is busy
-MAX_STAY_S = 0.05  # of a client that leaves while it waits
+MAX_EXTENSION_NS = 30 * SECOND  # of a client's time-out, on a busy machine
+MAX_DISCONNECT_DELAY_S = 0.05  # of a client that disconnects while it waits for its response
 
 
 class ClientGroup:
-    """All clients of one run.
+    """The clients of a run.
 
     Parameters
     ----------
     plan
-        The run.
+        The plan of the run.
     ledger
-        Where requests and answers are noted.
+        Records requests and responses.
     port
-        Where the node listens.
+        The node's port.
     mixes
-        Kinds of requests.
+        The kinds of requests.
     may_connect
-        Whether new connections are to be opened now.
+        Returns whether clients may open new connections now.
     nodes_waited_ns
-        How long the node's processes have waited for a core in all.
+        Returns the total time that the node processes have waited for a core.
     """
 
     def __init__(
@@ -80,41 +80,41 @@
         self.tasks: list[asyncio.Task[None]] = []
 
     def start(self) -> None:
-        """Let all clients begin."""
+        """Start the planned clients."""
         self.lateness.start()
         for _ in range(self.plan.clients):
-            self._start_one()
+            self._start_client()
 
-    async def keep_coming(self) -> None:
-        """Let further clients come, as long as new connections are to be opened."""
+    async def keep_starting(self) -> None:
+        """Start further clients, as long as they may open new connections."""
         while self.may_connect():
-            self._start_one()
-            await asyncio.sleep(NEWCOMER_INTERVAL_S)
+            self._start_client()
+            await asyncio.sleep(NEW_CLIENT_INTERVAL_S)
 
-    def _start_one(self) -> None:
+    def _start_client(self) -> None:
         client = _Client(self, random.Random(f"client {self.plan.seed} {len(self.tasks)}"))
         self.tasks.append(asyncio.ensure_future(client.run()))
 
     async def finish(self) -> None:
-        """Let all clients end with their next answer, and wait for that."""
+        """Stop each client after its current exchange, and wait for their ends."""
         self.is_ending = True
         await asyncio.gather(*self.tasks)
         self.lateness.stop()
 
     def disturbance_ns(self) -> int:
-        """How much time the machine has taken in all: lateness of this loop, and nodes that had no core."""
+        """Total delay caused by the machine: lateness of this loop, and time that nodes waited for a core."""
         return self.lateness.until_now_ns() + self.nodes_waited_ns()
 
 
 class _Client:
-    """One client: a connection after the other, on each a request after the other.
+    """A client that uses one connection after the other, with one exchange at a time.
 
     Parameters
     ----------
     group
-        All clients of the run.
+        The clients of the run.
     chance
-        Its own source of chance.
+        Its random source.
     """
 
     def __init__(self, group: ClientGroup, chance: random.Random) -> None:
@@ -122,10 +122,10 @@
         self.ledger = group.ledger
         self.chance = chance
         self.is_first_use = True
-        self.disturbance_before: dict[str, int] = {}  # by request, as it was written (ns)
+        self.disturbance_before: dict[str, int] = {}  # by request: disturbance (ns) when it was written
 
     async def run(self) -> None:
-        """Open connections and use each until it ends, as long as new ones are to be opened."""
+        """Open connections and use each until it closes, as long as new ones may be opened."""
         while self.group.may_connect():
             try:
                 reader, writer = await asyncio.open_connection(HOST, self.group.port)
@@ -142,7 +142,7 @@
                 writer.transport.abort()
 
     async def _exchange(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
-        """Send one or several requests and read their answers; whether the connection can be used again."""
+        """Send one or more requests and read the responses; returns whether the connection can be reused."""
         if reader.at_eof():
             return False
         if self.group.plan.has(Condition.UPLOADS) and self.chance.random() < UPLOAD_SHARE:
@@ -153,10 +153,10 @@
             entry, data = self._ask(self.chance.choice(self.group.mixes))
             entries.append(entry)
             writer.write(data)
-        return await self._read_answers(reader, entries)
+        return await self._read_responses(reader, entries)
 
     def _ask(self, mix: RequestMix, body: bytes = UNSAFE_BODY) -> tuple[RequestEntry, bytes]:
-        """Note a request; its entry and its bytes."""
+        """Record a request; returns its entry and its encoding."""
         self.group.sent += 1
         request_id = f"soak-{self.group.plan.seed}-{self.group.sent}"
         request_class = self.ledger.limits.classes[mix.cls]
@@ -168,130 +168,138 @@
         return entry, template % (request_class.deadline // MS)
 
     async def _upload(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
-        """Send a request with a long body in pieces; an answer may come before its end."""
-        mix = next(mix for mix in self.group.mixes if mix.cls)  # one that has a body
+        """Send a request with a long body in pieces; the response may come before the end of the body."""
+        mix = next(mix for mix in self.group.mixes if mix.cls)  # the first class is safe and has no body
         entry, data = self._ask(mix, bytes(self.chance.randint(*UPLOAD_BYTES)))
-        # Nobody has taken it before its last byte.
+        # The node accepts the request only with its last byte.
         deadline, entry.deadline = entry.deadline - entry.at, entry.deadline + INCOMPLETE_GRACE_NS
-        answer = asyncio.ensure_future(read_message(reader))
+        response = asyncio.ensure_future(read_message(reader))
         size = -(-len(data) // UPLOAD_PIECES)
-        pause_s = self.chance.uniform(0.0, UPLOAD_TIME_S / UPLOAD_PIECES)
+        pause_s = self.chance.uniform(0.0, MAX_UPLOAD_TIME_S / UPLOAD_PIECES)
         for start in range(0, len(data), size):
             if start:
                 await asyncio.sleep(pause_s)
-            if answer.done() or writer.transport.is_closing():
+            if response.done() or writer.transport.is_closing():
                 break
             writer.write(data[start : start + size])
         else:
             entry.at = time.monotonic_ns()
             entry.deadline = entry.at + deadline
             self.disturbance_before[entry.id] = self.group.disturbance_ns()
-            return await self._take_answer(answer, [entry])
-        return await self._end_upload_early(answer, entry)
+            return await self._take_response(response, [entry])
+        return await self._end_upload_early(response, entry)
 
-    async def _end_upload_early(self, answer: asyncio.Task[tuple[bytes, bytes]], entry: RequestEntry) -> bool:
-        """Take what came before the last byte of a body: nobody has taken that request."""
+    async def _end_upload_early(
+        self, response: asyncio.Task[tuple[bytes, bytes]], entry: RequestEntry
+    ) -> bool:
+        """Record a response that came before the end of the body; without one the request is excused."""
         try:
-            head, body = await asyncio.wait_for(answer, PATIENCE_S)
+            head, body = await asyncio.wait_for(response, RESPONSE_GRACE_S)
         except (OSError, EOFError, TimeoutError):
             entry.excused = True
             return False
-        self._note_answer(entry, head, body)
+        self._record_response(entry, head, body)
         return False
 
-    async def _read_answers(self, reader: asyncio.StreamReader, entries: list[RequestEntry]) -> bool:
-        """Read the answers of requests that were written together."""
+    async def _read_responses(self, reader: asyncio.StreamReader, entries: list[RequestEntry]) -> bool:
+        """Read the responses of pipelined requests."""
         for number, entry in enumerate(entries):
-            # One that lies behind others is due at once when they are answered, however late that is.
+            # A request behind others is due no earlier than the response before it, even if that was late.
             entry.deadline = max(entry.deadline, time.monotonic_ns())
-            answer = asyncio.ensure_future(read_message(reader))
-            if not await self._take_answer(answer, entries[number:]):
+            response = asyncio.ensure_future(read_message(reader))
+            if not await self._take_response(response, entries[number:]):
                 return False
         return True
 
-    async def _take_answer(
-        self, answer: asyncio.Task[tuple[bytes, bytes]], entries: list[RequestEntry]
+    async def _take_response(
+        self, response: asyncio.Task[tuple[bytes, bytes]], entries: list[RequestEntry]
     ) -> bool:
-        """Take the answer of the first of these requests; whether the connection stays open.
+        """Wait for the response of the first of these requests; returns whether the connection stays open.
 
         Parameters
         ----------
-        answer
-            Reads it.
+        response
+            The task that reads the response.
         entries
-            The requests that have no answer yet.
+            The requests on the connection without a response.
         """
         entry = entries[0]
-        if self.group.plan.has(Condition.LEAVING_CLIENTS) and self.chance.random() < LEAVE_SHARE:
-            await self._leave(answer, entries)
+        if self.group.plan.has(Condition.LEAVING_CLIENTS) and self.chance.random() < DISCONNECT_SHARE:
+            await self._disconnect(response, entries)
             return False
-        await self._wait_for(answer, entry)
-        if not answer.done():
-            answer.cancel()
+        await self._wait_for(response, entry)
+        if not response.done():
+            response.cancel()
             self.ledger.answered(entry.id, FinalOutcome.SILENT, time.monotonic_ns())
             for rest in entries[1:]:
-                rest.excused = True  # they were never due
+                rest.excused = True  # not due before the first one
             return False
         try:
-            head, body = answer.result()
+            head, body = response.result()
         except (OSError, EOFError) as error:
-            self._closed(entries, getattr(error, "partial", b""))
+            self._record_close(entries, getattr(error, "partial", b""))
             return False
-        closes = self._note_answer(entry, head, body)
+        closes = self._record_response(entry, head, body)
         for rest in entries[1:] if closes else ():
-            self.ledger.closed_unread(rest.id)  # the node said that it reads no further
+            self.ledger.closed_unread(rest.id)  # Connection: close announced that the node reads no further
         return not closes
 
-    async def _wait_for(self, answer: asyncio.Task[tuple[bytes, bytes]], entry: RequestEntry) -> None:
-        """Wait for an answer until it would be lost, longer by what the machine has taken meanwhile."""
+    async def _wait_for(self, response: asyncio.Task[tuple[bytes, bytes]], entry: RequestEntry) -> None:
+        """Wait for a response until it counts as lost, extended by the delay that the machine caused."""
         extension_ns = 0
         while True:
             due_ns = entry.deadline + self.ledger.limits.late + extension_ns
-            left_s = (due_ns - time.monotonic_ns()) / SECOND + PATIENCE_S
-            await asyncio.wait({answer}, timeout=max(0.0, left_s))
+            left_s = (due_ns - time.monotonic_ns()) / SECOND + RESPONSE_GRACE_S
+            await asyncio.wait({response}, timeout=max(0.0, left_s))
             disturbance_ns = min(self._disturbance_of(entry), MAX_EXTENSION_NS)
-            if answer.done() or disturbance_ns <= extension_ns:
+            if response.done() or disturbance_ns <= extension_ns:
                 return
             extension_ns = disturbance_ns
 
     def _disturbance_of(self, entry: RequestEntry) -> int:
-        """How much time (ns) the machine has taken since a request was written."""
+        """Delay (ns) caused by the machine since a request was written."""
         return self.group.disturbance_ns() - self.disturbance_before[entry.id]
 
-    async def _leave(self, answer: asyncio.Task[tuple[bytes, bytes]], entries: list[RequestEntry]) -> None:
-        """Leave while the answer is awaited."""
-        await asyncio.wait({answer}, timeout=self.chance.uniform(0.0, MAX_STAY_S))
-        answer.cancel()
-        await asyncio.gather(answer, return_exceptions=True)
+    async def _disconnect(
+        self, response: asyncio.Task[tuple[bytes, bytes]], entries: list[RequestEntry]
+    ) -> None:
+        """Disconnect while waiting for a response."""
+        await asyncio.wait({response}, timeout=self.chance.uniform(0.0, MAX_DISCONNECT_DELAY_S))
+        response.cancel()
+        await asyncio.gather(response, return_exceptions=True)
         for entry in entries:
             self.ledger.left(entry.id, time.monotonic_ns())
 
-    def _note_answer(self, entry: RequestEntry, head: bytes, body: bytes) -> bool:
-        """Note an answer; whether the node closes the connection after it."""
+    def _record_response(self, entry: RequestEntry, head: bytes, body: bytes) -> bool:
+        """Record a response; returns whether the node closes the connection after it."""
         response = parse_response(head + body)
         assert response is not None
         outcome = final_outcome(self.ledger, entry, response)
         now = time.monotonic_ns()
-        # What the machine took is neither the node's lateness nor the client's.
+        # Delay caused by the machine does not count as lateness of the node.
         late_ns = max(0, now - entry.deadline)
         at = now - min(late_ns, self._disturbance_of(entry))
         self.ledger.answered(entry.id, outcome, at, response.status, response.retry_after_s)
         return not response.keeps_alive
 
-    def _closed(self, entries: list[RequestEntry], partial: bytes) -> None:
-        """Note requests whose connection was closed before their answer."""
+    def _record_close(self, entries: list[RequestEntry], partial: bytes) -> None:
+        """Record requests whose connection closed before their responses."""
         now = time.monotonic_ns()
-        shut_for_the_crowd = self.is_first_use and self.group.plan.has(Condition.CROWD)
+        # To make room for others, the node may close a new connection before it reads from it.
+        may_be_displaced = self.is_first_use and self.group.plan.has(Condition.CROWD)
         for entry in entries:
             age_ns = now - entry.at
             crossed = age_ns <= CROSSING_NS + self._disturbance_of(entry)
-            if not partial and (crossed or shut_for_the_crowd):
+            if not partial and (crossed or may_be_displaced):
                 self.ledger.closed_unread(entry.id)
             else:
-                self.ledger.broke_off(entry.id, now, self._describe(age_ns, partial))
-
-    def _describe(self, age_ns: int, partial: bytes) -> str:
-        """Tell how a connection was closed under a request of so much age."""
-        use = "its first use" if self.is_first_use else "a later use"
-        came = f"{len(partial)} bytes of an answer" if partial else "no byte of an answer"
-        return f"closed {age_ns / MS:.0f} ms after it was written, on {use} of the connection, with {came}"
+                self.ledger.response_broken(entry.id, now, self._describe_close(age_ns, partial))
+
+    def _describe_close(self, age_ns: int, partial: bytes) -> str:
+        """Describe how a connection closed that a request of this age was sent on."""
+        use = "first" if self.is_first_use else "a later"
+        received = f"{len(partial)} bytes" if partial else "nothing"
+        return (
+            f"connection closed {age_ns / MS:.0f} ms after the request was written, on {use} use, "
+            f"with {received} of the response received"
+        )
--- a/hollybay/testbed/soak/idle_clients.py
+++ b/hollybay/testbed/soak/idle_clients.py
@@ -1,24 +1,24 @@
-"""Idle clients up to a node's descriptors: they connect, say nothing, and come again when they are closed."""
+"""Idle clients that use up a node's file descriptors: they send nothing, and reconnect when closed."""
 
 from __future__ import annotations
 
 import asyncio
 
-__all__ = ["Crowd"]
+__all__ = ["IdleClients"]
 
 HOST = "127.0.0.1"
 RECONNECT_PAUSE_S = 0.05
 
 
-class Crowd:
-    """Connections on which nothing is sent.
+class IdleClients:
+    """Client connections on which nothing is sent.
 
     Parameters
     ----------
     port
-        Where the node listens.
+        The node's port.
     size
-        How many.
+        Number of connections.
     """
 
     def __init__(self, port: int, size: int) -> None:
@@ -27,21 +27,21 @@
         self.tasks: list[asyncio.Task[None]] = []
 
     def start(self) -> None:
-        """Let all connect."""
-        self.tasks = [asyncio.ensure_future(self._stay()) for _ in range(self.size)]
+        """Open all connections."""
+        self.tasks = [asyncio.ensure_future(self._stay_connected()) for _ in range(self.size)]
 
-    def leave(self) -> None:
-        """Let all leave."""
+    def disconnect(self) -> None:
+        """Close all connections."""
         for task in self.tasks:
             task.cancel()
 
     async def stop(self) -> None:
-        """Let all leave, and wait for that."""
-        self.leave()
+        """Close all connections and wait until they are closed."""
+        self.disconnect()
         await asyncio.gather(*self.tasks, return_exceptions=True)
 
-    async def _stay(self) -> None:
-        """Connect, wait for the node's close, and come again, until new ones are refused."""
+    async def _stay_connected(self) -> None:
+        """Connect, and reconnect after each close, until a connection is refused."""
         while True:
             try:
                 reader, writer = await asyncio.open_connection(HOST, self.port)
--- a/hollybay/testbed/soak/plan.py
+++ b/hollybay/testbed/soak/plan.py
@@ -1,4 +1,4 @@
-"""One run of the soak, drawn from a seed."""
+"""Plan of a soak run, drawn from a seed."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 
 __all__ = ["Condition", "SoakPlan", "TimedSignal", "draw"]
 
-# Share of the runs with each condition.
+# Probability of each condition in a run.
 CONDITION_SHARE = 0.3
-# The platform sends new connections for 0.2 to 0.4 s after SIGTERM.
+# The platform opens new connections for 0.2 to 0.4 s after SIGTERM.
 CONNECTS_AFTER_TERM_S = (0.2, 0.4)
-# The longest time between two signals of a series.
+# Maximum time between two signals of a series.
 MAX_SIGNAL_GAP_S = 0.3
-# Deadlines of the three classes (ms): all below, and some above, the 3 s that the end of a node allows for.
+# Deadlines of the three classes (ms), below and above the 3 s that a node's shutdown allows for requests.
 DEADLINES_MS = ((300, 800, 1200), (400, 1500, 2500), (500, 3000, 3000), (500, 5000, 6000))
-# Signals in series; the node is killed by the time of its first SIGTERM.
+# Series of signals; the time until SIGKILL counts from the first SIGTERM.
 SERIES = (
     ("TERM",),
     ("TERM", "TERM"),
@@ -31,21 +31,21 @@
 
 
 class Condition(Enum):
-    """What happens beside the end."""
+    """Conditions during the shutdown; reports show their names."""
 
-    CROWD = "idle clients up to the node's descriptors"
-    HANGING_SERVERS = "a quarter to a half of the servers hang from that moment on"
-    SILENT_WATCH = "discovery is silent from shortly before"
-    DRAINING_SERVERS = "a server drains in that moment"
-    UPLOADS = "long bodies are coming"
-    LEAVING_CLIENTS = "clients leave while they wait"
-    PIPELINED = "requests lie unread behind others"
-    SUCCESSOR = "the next process of the node takes over"
-    NO_LIST = "no list has come yet"
-    RELOAD = "an operator file that takes long to compile is reloaded by each SIGHUP"
+    CROWD = "idle clients use up the node's file descriptors"
+    HANGING_SERVERS = "a quarter to a half of the servers hang from the first signal on"
+    SILENT_WATCH = "discovery stops responding just before the first signal"
+    DRAINING_SERVERS = "a server drains just before the first signal"
+    UPLOADS = "clients send long bodies"
+    LEAVING_CLIENTS = "clients disconnect while they wait for a response"
+    PIPELINED = "clients send requests before the response to the one before"
+    SUCCESSOR = "a new process of the node takes over"
+    NO_LIST = "the node has no server list yet"
+    RELOAD = "each SIGHUP reloads an operator file that takes long to compile"
 
 
-# Conditions that leave nothing of one another.
+# Pairs of conditions that cannot be combined; the second one is dropped.
 EXCLUSIVE = (
     (Condition.NO_LIST, Condition.SUCCESSOR),
     (Condition.NO_LIST, Condition.HANGING_SERVERS),
@@ -56,43 +56,43 @@
 
 @dataclass(frozen=True, slots=True)
 class TimedSignal:
-    """A signal, and how long (s) after the one before it is sent; 0: in the same turn of the node's loop."""
+    """A signal, and its delay (s) after the signal before it; with 0 both arrive at once."""
 
     name: str
     after_s: float
 
     @property
     def number(self) -> signal.Signals:
-        """The signal's number."""
+        """The signal to send."""
         return signal.Signals[f"SIG{self.name}"]
 
 
 @dataclass(frozen=True, slots=True)
 class SoakPlan:
-    """One run.
+    """The plan of a run.
 
     Attributes
     ----------
     seed
-        What it was drawn from.
+        The seed that it was drawn from.
     servers, clients
-        How many.
+        Numbers of servers and clients.
     deadlines_ms
-        Of the three classes.
+        Deadlines of the three classes.
     traffic_s
-        How long clients have sent before the first signal.
+        How long clients send before the first signal.
     pause_s
-        The longest pause of a client between an answer and its next request.
+        Maximum pause of a client between a response and its next request.
     connects_after_term_s
         How long after SIGTERM clients open new connections.
     signals
-        In order.
+        The signals, in order.
     hanging_share
-        The share of the servers that hang, where some do.
+        Share of the servers that hang, with HANGING_SERVERS.
     crowd_stays
-        Whether a crowd stays until it is closed; if not, it leaves when no new connections come any more.
+        Whether the idle clients stay until they are closed, or disconnect once no new connections are opened.
     conditions
-        What happens beside.
+        The conditions during the shutdown.
     """
 
     seed: int
@@ -108,20 +108,20 @@
     conditions: frozenset[Condition]
 
     def has(self, condition: Condition) -> bool:
-        """Whether a condition is part of the run."""
+        """Whether the run has a condition."""
         return condition in self.conditions
 
     def __str__(self) -> str:
-        signals = " ".join(f"+{one.after_s:.3f} {one.name}" for one in self.signals)
-        conditions = ", ".join(sorted(one.name.lower() for one in self.conditions)) or "nothing"
+        signals = " ".join(f"+{timed.after_s:.3f} {timed.name}" for timed in self.signals)
+        conditions = ", ".join(sorted(condition.name.lower() for condition in self.conditions)) or "none"
         return (
             f"seed {self.seed}: {self.clients} clients, {self.servers} servers, "
-            f"deadlines {self.deadlines_ms} ms, signals {signals}; beside: {conditions}"
+            f"deadlines {self.deadlines_ms} ms, signals {signals}; conditions: {conditions}"
         )
 
 
 def draw(seed: int) -> SoakPlan:
-    """Draw the run of a seed."""
+    """Draw the plan of a run from a seed."""
     chance = random.Random(f"soak {seed}")
     return SoakPlan(
         seed,
@@ -149,7 +149,7 @@
 
 def _draw_conditions(chance: random.Random) -> frozenset[Condition]:
     drawn = [condition for condition in Condition if chance.random() < CONDITION_SHARE]
-    for one, other in EXCLUSIVE:
-        if one in drawn and other in drawn:
-            drawn.remove(other)
+    for kept, dropped in EXCLUSIVE:
+        if kept in drawn and dropped in drawn:
+            drawn.remove(dropped)
     return frozenset(drawn)
--- a/hollybay/testbed/soak/run.py
+++ b/hollybay/testbed/soak/run.py
@@ -1,4 +1,4 @@
-"""Plays one run of the soak, and judges it."""
+"""Runs a soak plan and checks the rules."""
 
 from __future__ import annotations
 
@@ -21,46 +21,46 @@
 from hollybay.units import MS, SECOND
 
 from .clients import ClientGroup
-from .idle_clients import Crowd
+from .idle_clients import IdleClients
 from .ledger import SoakLedger
 from .plan import Condition, SoakPlan
 
 __all__ = ["SoakResult", "play"]
 
 HOST = "127.0.0.1"
-# The platform counts an answer as lost once it is this late.
+# The platform counts a response as lost if it is later than this.
 LATE_NS = 500 * MS
-# The platform sends SIGKILL this long after the longest deadline, of which so much counts at the most.
+# The platform sends SIGKILL this long after the longest deadline, which is capped at MAX_DEADLINE_S.
 KILL_DELAY_S = 0.7
 MAX_DEADLINE_S = 3.0
 READY_LIMIT_S = 10.0
 READY_POLL_S = 0.02
 SAMPLE_INTERVAL_S = 0.05
-# How much more of each a node may hold at its end than before the crowd came.
+# How many more descriptors a node may have at its end than before the idle clients connected.
 MAX_MORE_DESCRIPTORS = 8
-CROWD_SETTLE_S = 0.5  # in which a node sees that a crowd has left
+DISCONNECTS_SEEN_S = 0.5  # within which a node notices that the idle clients have disconnected
 DESCRIPTORS_PER_CLIENT = 2  # its connection, and one to a server
 MAX_MORE_MEMORY_MB = 8.0
 DESCRIPTORS = 256
-CROWD_SIZE = 2 * DESCRIPTORS
+IDLE_CLIENTS = 2 * DESCRIPTORS
 OPERATOR_ROUTES = 400
 HEALTH_REQUEST = b"GET /health/ready HTTP/1.1\r\nHost: soak\r\n\r\n"
 
 
 @dataclass(frozen=True, slots=True)
 class SoakResult:
-    """What a run showed.
+    """The result of a run.
 
     Attributes
     ----------
     plan
-        The run.
+        The plan of the run.
     violations
-        What was broken.
+        The violations of rules.
     ends
-        How many requests ended in which way.
+        Number of requests by outcome.
     crossed
-        Requests that crossed the close of their connection.
+        Number of requests whose connection was closed before the node could read them.
     ended_after_s
         Time from the first SIGTERM to the end of the process.
     """
@@ -75,14 +75,14 @@
         ends = ", ".join(f"{count} {name}" for name, count in sorted(self.ends.items()))
         lines = [
             f"{self.plan}",
-            f"  ended after {self.ended_after_s:.2f} s; {ends}, {self.crossed} crossed a close",
+            f"  ended after {self.ended_after_s:.2f} s; {ends}, {self.crossed} closed before they were read",
         ]
-        lines += [f"  BROKEN {one.rule}: {one.subject}: {one.reason}" for one in self.violations]
+        lines += [f"  BROKEN {found.rule}: {found.subject}: {found.reason}" for found in self.violations]
         return "\n".join(lines)
 
 
 async def play(plan: SoakPlan, folder: Path) -> SoakResult:
-    """Play a run in an empty folder."""
+    """Run a plan, with its files in an empty folder."""
     with reserved_port() as port, reserved_port() as admin_port, reserved_port() as other_admin_port:
         run = _Run(plan, folder, port, (admin_port, other_admin_port))
         await run.begin()
@@ -95,21 +95,21 @@
 
 @dataclass(frozen=True, slots=True)
 class _Sample:
-    """What a node process holds at one time."""
+    """Resources of a node process at one time."""
 
     descriptors: int
     memory_mb: float
 
 
 class _Run:
-    """One run under way.
+    """A run in progress.
 
     Parameters
     ----------
     plan, folder, port
-        The run, where its files go, and where the node listens.
+        The plan, the folder for the run's files, and the node's port.
     admin_ports
-        Those of the node and of its successor.
+        The admin ports of the node and of its successor.
     """
 
     def __init__(self, plan: SoakPlan, folder: Path, port: int, admin_ports: tuple[int, int]) -> None:
@@ -131,7 +131,7 @@
         self.clients = ClientGroup(
             plan, self.ledger, port, self.scene.mixes(), self._may_connect, self._nodes_waited_ns
         )
-        self.crowd = Crowd(port, CROWD_SIZE)
+        self.idle_clients = IdleClients(port, IDLE_CLIENTS)
         self.node: NodeProcess
         self.successor: NodeProcess | None = None
         self.node_end: asyncio.Future[int]
@@ -142,13 +142,13 @@
         self.last = _Sample(0, 0.0)
 
     def _may_connect(self) -> bool:
-        """Whether clients are to open new connections now."""
+        """Whether clients may open new connections now."""
         if self.term_at is None:
             return True
         return time.monotonic() < self.term_at + self.plan.connects_after_term_s
 
     def _nodes_waited_ns(self) -> int:
-        """How long the node's processes have waited for a core in all."""
+        """Total time that the node processes have waited for a core."""
         for process in (self.node, self.successor):
             if process is not None and process.exit_status is None:
                 self.waited_ns[process.pid] = max(
@@ -156,10 +156,10 @@
                 )
         return sum(self.waited_ns.values())
 
-    # The beginning
+    # Start
 
     async def begin(self) -> None:
-        """Start servers, discovery, the node and its clients, and let them run."""
+        """Start servers, discovery, node and clients, and wait while the clients send."""
         await self.scene.start()
         await self.other_agent.start()
         self.other_agent.publish()
@@ -176,7 +176,7 @@
         await asyncio.sleep(self.plan.traffic_s)
         self.before = self._sample()
         if self.plan.has(Condition.CROWD):
-            self.crowd.start()
+            self.idle_clients.start()
             await asyncio.sleep(self.plan.traffic_s)
         if self.plan.has(Condition.SUCCESSOR):
             successor = self._node_process("successor.log", self.admin_ports[1])
@@ -209,12 +209,12 @@
         self.scene.agent.down = True
         self.other_agent.down = True
 
-    # The end
+    # Shutdown
 
     async def end_node(self) -> None:
-        """Send the signals, and wait for the end of the process until it would be killed."""
-        self._strike()
-        newcomers = asyncio.ensure_future(self.clients.keep_coming())
+        """Send the signals, and wait for the end of the process; kill it when the platform would."""
+        self._start_conditions()
+        new_clients = asyncio.ensure_future(self.clients.keep_starting())
         for number, timed in enumerate(self.plan.signals):
             if timed.after_s:
                 await asyncio.sleep(timed.after_s)
@@ -222,16 +222,18 @@
         assert self.term_at is not None
         sampler = asyncio.ensure_future(self._keep_sampling())
         if not self.plan.crowd_stays:
-            asyncio.get_running_loop().call_later(self.plan.connects_after_term_s, self.crowd.leave)
-        if not await self._ends_before_the_kill(self.term_at):
-            self._note("end", "it had not ended by itself when it was killed")
+            asyncio.get_running_loop().call_later(
+                self.plan.connects_after_term_s, self.idle_clients.disconnect
+            )
+        if not await self._ends_before_kill(self.term_at):
+            self._report("end", "still running when the platform sends SIGKILL")
             await self.node.stop(signal.SIGKILL)
         self.ended_after_s = time.monotonic() - self.term_at
         sampler.cancel()
-        await asyncio.gather(sampler, newcomers, return_exceptions=True)
+        await asyncio.gather(sampler, new_clients, return_exceptions=True)
 
-    async def _ends_before_the_kill(self, term_at: float) -> bool:
-        """Wait for the end of the process; a core that it did not have counts neither for nor against it."""
+    async def _ends_before_kill(self, term_at: float) -> bool:
+        """Wait for the end of the process; the time limit excludes time that it waited for a core."""
         waited_before = self._nodes_waited_ns()
         limit_s = self._kill_after_s()
         while self.node.exit_status is None and time.monotonic() < term_at + limit_s:
@@ -239,8 +241,8 @@
             limit_s = self._kill_after_s() + (self._nodes_waited_ns() - waited_before) / SECOND
         return self.node.exit_status is not None
 
-    def _strike(self) -> None:
-        """Let happen what happens beside the end."""
+    def _start_conditions(self) -> None:
+        """Start the conditions that accompany the shutdown."""
         if self.plan.has(Condition.SILENT_WATCH):
             self._silence_discovery()
         if self.plan.has(Condition.HANGING_SERVERS):
@@ -253,7 +255,7 @@
                 agent.publish(server)
 
     def _send(self, number: signal.Signals, version: int) -> None:
-        """Send a signal; with SIGHUP the configuration names the other discovery."""
+        """Send a signal; SIGHUP reloads a configuration with the other discovery agent."""
         if number == signal.SIGHUP:
             self.node.path.write_text(json.dumps({**self.node.config, "discovery": self.other_agent.address}))
             if self.plan.has(Condition.RELOAD):
@@ -264,7 +266,7 @@
             self.node.send_signal(number)
 
     def _kill_after_s(self) -> float:
-        """How long after SIGTERM the node is killed at the earliest."""
+        """Time from SIGTERM to SIGKILL (s), without extensions."""
         return min(max(self.plan.deadlines_ms) / 1000, MAX_DEADLINE_S) + KILL_DELAY_S
 
     def _sample(self) -> _Sample:
@@ -274,13 +276,13 @@
         while True:
             try:
                 self.last = self._sample()
-            except (OSError, IndexError):  # it has ended
+            except (OSError, IndexError):  # the process has ended
                 return
             await asyncio.sleep(SAMPLE_INTERVAL_S)
 
     async def stop(self) -> None:
-        """End clients, servers and the successor."""
-        await self.crowd.stop()
+        """Stop clients, servers and the successor."""
+        await self.idle_clients.stop()
         await self.clients.finish()
         if self.node.exit_status is None:
             await self.node.stop(signal.SIGKILL)
@@ -289,22 +291,25 @@
         await self.other_agent.stop()
         await self.scene.stop()
 
-    # The verdict
+    # Verdict
 
-    def _note(self, rule: str, reason: str, subject: str = "node") -> None:
+    def _report(self, rule: str, reason: str, subject: str = "node") -> None:
         self.violations.append(Violation(rule, subject, reason))
 
     def result(self) -> SoakResult:
-        """Judge the run."""
+        """Check the rules."""
         self.violations += self.ledger.check().violations
         self._check_process(self.node)
         if self.successor is not None:
             self._check_process(self.successor)
         if self.clients.refused_connects:
-            self._note("listen", f"{self.clients.refused_connects} new connections were refused")
+            self._report("listen", f"{self.clients.refused_connects} new connections were refused")
         self._check_descriptors()
         if self.last.memory_mb > self.before.memory_mb + MAX_MORE_MEMORY_MB:
-            self._note("rest", f"{self.last.memory_mb:.0f} MB at the end, {self.before.memory_mb:.0f} before")
+            self._report(
+                "rest",
+                f"{self.last.memory_mb:.0f} MiB of memory at the end, {self.before.memory_mb:.0f} MiB before",
+            )
         ends = Counter(
             "unanswered" if entry.final is None else entry.final.value
             for entry in self.ledger.requests.values()
@@ -314,29 +319,30 @@
         )
 
     def _check_descriptors(self) -> None:
-        """Once a crowd has left, the node holds what it held before, and what clients have come since."""
+        """Check that the node has closed the descriptors of idle clients that disconnected."""
         if not self.plan.has(Condition.CROWD) or self.plan.crowd_stays:
             return
-        if self.ended_after_s < self.plan.connects_after_term_s + CROWD_SETTLE_S:
+        if self.ended_after_s < self.plan.connects_after_term_s + DISCONNECTS_SEEN_S:
             return
-        newcomers = len(self.clients.tasks) - self.plan.clients
-        most = self.before.descriptors + DESCRIPTORS_PER_CLIENT * newcomers + MAX_MORE_DESCRIPTORS
+        new_clients = len(self.clients.tasks) - self.plan.clients
+        most = self.before.descriptors + DESCRIPTORS_PER_CLIENT * new_clients + MAX_MORE_DESCRIPTORS
         if self.last.descriptors > most:
-            self._note(
+            self._report(
                 "rest",
-                f"{self.last.descriptors} descriptors at the end, {self.before.descriptors} before the crowd",
+                f"{self.last.descriptors} descriptors at the end, {self.before.descriptors} before "
+                f"the idle clients, at most {most} expected",
             )
 
     def _check_process(self, process: NodeProcess) -> None:
         subject = process.log.stem
         if process.exit_status:
-            self._note("end", f"exit status {process.exit_status}", subject)
+            self._report("end", f"exit status {process.exit_status}, expected 0", subject)
         if "Traceback" in process.log.read_text():
-            self._note("end", f"a traceback in {process.log.name}", subject)
+            self._report("end", f"{process.log.name} contains a traceback", subject)
 
 
 def _classes(plan: SoakPlan) -> list[dict[str, Any]]:
-    """The classes of the usual scene with the deadlines of a run."""
+    """The default classes with the deadlines of a run."""
     return [
         {**request_class, "give-up": deadline_ms * MS, "slo": min(request_class["slo"], deadline_ms * MS)}
         for request_class, deadline_ms in zip(CLASSES, plan.deadlines_ms, strict=True)
