--- a/hollybay/hollow/__init__.py
+++ b/hollybay/hollow/__init__.py
@@ -1,13 +1,14 @@
-"""Hollow nodes: what a node is to its keepers, without clients and servers, many in one process.
+"""Hollow nodes: light stand-ins of nodes that take part in the consensus group, many in one process.
 
-Each is the real protocol code (hollybay.consensus.service, the operators' listener of
-hollybay.proxy.admin_server, the client of hollybay.proxy.admin_client) with an address of its own on the
-loopback. What it leaves out is the data plane: it puts no policy in force at a gate, and compiles one only
-where it is told to.
+A hollow node runs the real protocol code (hollybay.consensus.service, the admin server of
+hollybay.proxy.admin_server, the client of hollybay.proxy.admin_client) at its own loopback address. It has
+no data plane: it has no clients and servers, applies policies to no traffic, and compiles them only if it is
+told to.
 
-node       one hollow node; a keeper is one whose address stands among the keepers
-wire       an event loop that counts bytes, connections and segments, and can record conversations
-messages   what a process of hollow nodes is told, and what it reports
-process    many of them in one process, led by lines of JSON (python -m hollybay.hollow)
-fleet      several such processes: keepers and nodes, started, asked and ended
+node           a hollow node; it is a voter if its address is among the voters'
+traffic_meter  an event loop that counts bytes, connections and segments, and can record conversations
+messages       commands to a process of hollow nodes, and its replies
+process        a process of hollow nodes, controlled by lines of JSON (python -m hollybay.hollow)
+fleet          starts and controls several such processes of voters and nodes
+meter          CPU time, memory and lateness of the measuring process
 """
--- a/hollybay/hollow/__main__.py
+++ b/hollybay/hollow/__main__.py
@@ -1,4 +1,4 @@
-"""python -m hollybay.hollow: one process of hollow nodes."""
+"""python -m hollybay.hollow: runs a process of hollow nodes."""
 
 from __future__ import annotations
 
--- a/hollybay/hollow/messages.py
+++ b/hollybay/hollow/messages.py
@@ -1,4 +1,4 @@
-"""What a process of hollow nodes is told and what it reports: one line of JSON each."""
+"""Commands to a process of hollow nodes and its replies, each a line of JSON."""
 
 from __future__ import annotations
 
@@ -17,28 +17,28 @@
 ]
 
 
-# Of a policy that no node ever serves under.
+# Higher than the version of any policy.
 NO_VERSION = 1 << 62
 
 
 class Start(msgspec.Struct, frozen=True, tag="start"):
-    """Begin to ask these keepers for leases."""
+    """Start the nodes, which request leases from these voters."""
 
     keepers: list[str]
 
 
 class Reset(msgspec.Struct, frozen=True, tag="reset"):
-    """Count from now on."""
+    """Reset the counters."""
 
 
 class ReportNow(msgspec.Struct, frozen=True, tag="report"):
-    """Report what was counted. version: when each node began to serve under it, or a later one, alone."""
+    """Report the counters, and when each node first served under `version` or a later one alone."""
 
     version: int = NO_VERSION
 
 
 class Silence(msgspec.Struct, frozen=True, tag="silence"):
-    """Let the first nodes end without a word."""
+    """Stop the first `nodes` nodes without notice to the voters."""
 
     nodes: int
 
@@ -47,16 +47,17 @@
 
 
 class Listening(msgspec.Struct, frozen=True):
-    """The first line: where the nodes of the process are called."""
+    """The first line of output: the addresses of the nodes in the process."""
 
     addresses: list[str]
 
 
 class Report(msgspec.Struct, frozen=True):
-    """What was counted since the last reset, of a whole process.
+    """The counters of a process since the last reset.
 
-    cpu_s: processor time; waited_s: ready to run without a core; late_s: worst lateness of its loop;
-    serving: nodes that may begin requests now; in_force_ns: times of CLOCK_BOOTTIME.
+    cpu_s: CPU time; waited_s: time that the main thread was runnable without a core; late_s: maximum lateness
+    of the event loop; serving: number of nodes that may start requests now; in_force_ns: times of
+    CLOCK_BOOTTIME.
     """
 
     nodes: int
@@ -78,6 +79,6 @@
 
 
 def decode_command(line: bytes) -> Command:
-    """A command from its line; msgspec.DecodeError: it is none."""
-    found: Command = msgspec.json.decode(line, type=Command)
-    return found
+    """Decode a command from its line. Raises msgspec.DecodeError if it is not a command."""
+    command: Command = msgspec.json.decode(line, type=Command)
+    return command
--- a/hollybay/hollow/meter.py
+++ b/hollybay/hollow/meter.py
@@ -1,7 +1,7 @@
-"""What the measuring process itself spends and how late it was.
+"""Resource usage and lateness of the measuring process.
 
-Processor time is the process's own, so that other work on the machine moves it little. A run that was kept
-from its cores for too long, or whose event loop was too late, has no figure.
+CPU time is that of this process alone, so other work on the machine affects it little. A run that waited too
+long for a core, or whose event loop was too late, has no valid result.
 """
 
 from __future__ import annotations
@@ -24,10 +24,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """Beyond these a run has no figure.
+    """Limits beyond which a run has no valid result.
 
-    waited_part: of the time from begin to end, what the process waited for a core, where that is more than
-    waited_s altogether; worst_late_s: how late a timer of the event loop was at the worst.
+    waited_part: fraction of its duration that the process waited for a core, if that is longer than waited_s
+    in total; worst_late_s: maximum lateness of an event loop timer.
     """
 
     waited_part: float = 0.6
@@ -37,12 +37,12 @@
 
 @dataclass(slots=True)
 class ResourceUsage:
-    """What a stretch of work took; filled in at its end.
+    """Resource usage of a measured interval; filled in at its end.
 
-    cpu_s: processor time of the process, with all of its threads; waited_s: time that its main thread was
-    ready to run and had no core; preempted: involuntary switches; memory: growth of the proportional set
-    size, peak: the largest resident set before it over that of the begin (bytes); late_s: worst lateness of
-    a timer.
+    cpu_s: CPU time of the process, of all threads; waited_s: time that its main thread was runnable without a
+    core; preempted: involuntary context switches; memory: growth of the proportional set size (bytes); peak:
+    growth of the peak resident set, read before garbage is collected (bytes); late_s: maximum lateness of a
+    timer.
     """
 
     cpu_s: float = 0.0
@@ -55,21 +55,21 @@
 
     @property
     def waited_part(self) -> float:
-        """The part of the time that the process was kept from a core."""
+        """The fraction of the time that the process waited for a core."""
         return self.waited_s / self.wall_s if self.wall_s > 0 else 0.0
 
 
 def late_reason(spent: ResourceUsage, limits: Limits) -> str:
-    """Why a run has no figure; empty if it has one."""
+    """Why a run has no valid result; empty if it has one."""
     if spent.waited_part > limits.waited_part and spent.waited_s > limits.waited_s:
-        return f"kept from its core for {100 * spent.waited_part:.0f} % of {spent.wall_s:.2f} s"
+        return f"waited for a core for {100 * spent.waited_part:.0f} % of {spent.wall_s:.2f} s"
     if spent.late_s > limits.worst_late_s:
-        return f"a timer of the rig was {1000 * spent.late_s:.0f} ms late"
+        return f"an event loop timer was {1000 * spent.late_s:.0f} ms late"
     return ""
 
 
 class Meter:
-    """What this process spends from the last reset on. memory: also by how much it grows."""
+    """Resource usage of this process since the last reset; `memory`: also its memory growth."""
 
     def __init__(self, memory: bool = False) -> None:
         self._memory = memory
@@ -77,7 +77,7 @@
         self.reset()
 
     def reset(self) -> None:
-        """Count from now on."""
+        """Start to measure from now."""
         if self._memory:
             gc.collect()
             self._size = memory_bytes()
@@ -88,7 +88,7 @@
         self._cpu = time.process_time()
 
     def read(self, spent: ResourceUsage) -> ResourceUsage:
-        """Fill in what was spent so far."""
+        """Fill in the usage so far."""
         spent.cpu_s = time.process_time() - self._cpu
         spent.wall_s = time.perf_counter() - self._wall
         spent.waited_s = (_run_queue_wait_ns() - self._waited) / SECOND
@@ -102,7 +102,7 @@
 
 @contextmanager
 def metered(memory: bool = False) -> Iterator[ResourceUsage]:
-    """Measure what the block takes. memory: also by how much the process grows, with rubbish collected."""
+    """Measure the resource usage of the block; `memory`: also the memory growth, after garbage collection."""
     spent = ResourceUsage()
     meter = Meter(memory)
     yield spent
@@ -126,12 +126,12 @@
 
 
 def _run_queue_wait_ns() -> int:
-    """How long the main thread has been ready to run without a core (ns)."""
+    """Time that the main thread has been runnable without a core (ns)."""
     return int(Path("/proc/self/schedstat").read_text().split()[1])
 
 
 class LatenessProbe:
-    """A timer in the measured event loop; lateness is how long after its time it was called (s)."""
+    """A periodic timer in the measured event loop that records its lateness (s)."""
 
     def __init__(self, every: float = PROBE_EVERY_S) -> None:
         self.every = every
@@ -141,27 +141,27 @@
         self._timer: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
-        """Begin to look, and forget what was seen before."""
+        """Start the timer, and clear the recorded lateness."""
         self.stop()
         self.lateness.clear()
-        self._arm()
+        self._schedule()
 
     def stop(self) -> None:
-        """Look no more."""
+        """Stop the timer."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
 
     @property
     def worst(self) -> float:
-        """The worst lateness so far (s), with a timer that is overdue now."""
+        """The maximum lateness so far (s), including a timer that is overdue now."""
         overdue = max(0.0, self._loop.time() - self._due) if self._timer is not None else 0.0
         return max([overdue, *self.lateness])
 
-    def _arm(self) -> None:
+    def _schedule(self) -> None:
         self._due = self._loop.time() + self.every
         self._timer = self._loop.call_at(self._due, self._fired)
 
     def _fired(self) -> None:
         self.lateness.append(max(0.0, self._loop.time() - self._due))
-        self._arm()
+        self._schedule()
--- a/hollybay/hollow/node.py
+++ b/hollybay/hollow/node.py
@@ -1,6 +1,6 @@
-"""One hollow node: a service of the accord behind a listener, with no data plane.
+"""A hollow node: the consensus service behind an admin server, without a data plane.
 
-Its disk work goes to threads, as a real node's does. Policies that come into force are noted with their time.
+Disk operations run in threads, as in a real node. The times at which policies come into force are recorded.
 """
 
 from __future__ import annotations
@@ -32,9 +32,11 @@
 
 
 class HollowNode:
-    """See above. settings: a policy is compiled for these, as a real node does; None: it is taken as it is.
+    """A hollow node.
 
-    in_force: by version of the policy, when the node began to serve under it alone (ns of
+    settings: policies are compiled for these, as in a real node; None: they are accepted without compilation.
+
+    in_force: by policy version, when it came into force as the only one (ns of
     hollybay.proxy.system.boot_time_ns).
     """
 
@@ -44,7 +46,9 @@
         self.name = name
         self.folder = folder
         self.lease_ns = lease_ns
-        self.compiled_policies = CompiledPolicies(settings, self._in_use) if settings is not None else None
+        self.compiled_policies = (
+            CompiledPolicies(settings, self._policies_in_force) if settings is not None else None
+        )
         self.address = ""
         self.in_force: dict[int, int] = {}
         self.problems: list[str] = []
@@ -57,15 +61,15 @@
         self._listener.backlog = POLICY_BACKLOG
 
     async def listen(self, host: str, port: int = 0) -> str:
-        """Take calls at an address of its own; the address."""
-        found = await self._listener.open(host, port)
-        self.address = f"{host}:{found}"
+        """Listen at its own address; returns the address."""
+        bound_port = await self._listener.open(host, port)
+        self.address = f"{host}:{bound_port}"
         return self.address
 
-    async def start(self, keepers: tuple[str, ...]) -> None:
-        """Take up what is on disk, and begin to ask for leases. StoreFailed, OSError: it cannot be used."""
+    async def start(self, voters: tuple[str, ...]) -> None:
+        """Load the stored state and start to request leases; StoreFailed or OSError if it is unusable."""
         settings = MemberSettings(
-            self.name, self.address, tuple(sorted(keepers)), self.lease_ns, 0, self.folder
+            self.name, self.address, tuple(sorted(voters)), self.lease_ns, 0, self.folder
         )
         (self.folder / self.name).mkdir(parents=True, exist_ok=True)
         boot = Path("/proc/sys/kernel/random/boot_id").read_text().strip()
@@ -75,66 +79,66 @@
             self,
             boot_time_ns,
             lambda: time.time_ns() // MS,
-            self._disk,
+            self._run_in_thread,
             self._random,
             boot,
         )
         await self.service.start()
 
     def close(self) -> None:
-        """Answer and ask no more, without a word to anybody."""
+        """Stop without notice to other members: no more replies and requests."""
         if self.service is not None:
             self.service.close()
         self._listener.close()
 
-    def _in_use(self) -> tuple[str, ...]:
+    def _policies_in_force(self) -> tuple[str, ...]:
         return self.service.policies_in_force if self.service is not None else ()
 
     def in_force_since(self, version: int) -> int | None:
-        """When it began to serve under this version or a later one alone (ns); None: it did not yet."""
-        return min((at for one, at in self.in_force.items() if one >= version), default=None)
+        """When this policy version or a later one came into force alone (ns); None if none did yet."""
+        return min((at for known, at in self.in_force.items() if known >= version), default=None)
 
-    # What a service asks of its node
+    # Callbacks of the consensus service
 
     async def compile_policy(self, entry: Entry) -> list[str]:
-        """Compile a policy as a real node does, where there are settings to compile it for."""
+        """Compile a policy as a real node does, if there are settings; returns the problems."""
         if self.compiled_policies is None:
             return []
         return await self.compiled_policies.compile_policy(entry)
 
     async def find_invalid_changes(self, base: Entry, changes: tuple[Change, ...]) -> dict[bytes, list[str]]:
-        """Which changes of a batch do not hold; by their ids."""
+        """Find the invalid changes of a batch; returns their problems by change id."""
         if self.compiled_policies is None:
             return {}
         return await self.compiled_policies.find_invalid_changes(base, changes)
 
     async def read_operator_file(self, file: bytes, state: ResourceState) -> OperatorFileChanges:
-        """What an operator file says, as differences to a state. BadFile: it does not hold."""
+        """Read an operator file as changes to a state. Raises BadFile if it is invalid."""
         return await read_operator_file(file, state)
 
     def apply_policies(self, entries: tuple[Entry, ...]) -> None:
-        """Note since when a policy is in force alone."""
+        """Record the time at which a policy comes into force alone."""
         if len(entries) == 1:
             self.in_force.setdefault(entries[0].policy.version, boot_time_ns())
 
     def log_event(self, event: LogEvent, **fields: object) -> None:
-        """Keep what went wrong."""
+        """Record errors."""
         if event is LogEvent.TASK_FAILED or "error" in fields:
             self.problems.append(f"{event}: {fields.get('error')}")
 
-    # Calls
+    # Requests and responses
 
     def _answer(self, request: AdminRequest) -> AdminResponse | Awaitable[AdminResponse]:
         if request.operation is not AdminOperation.POLICY or self.service is None:
             return AdminResponse.text(404, "no such call")
-        return self._answered(self.service, request)
+        return self._answer_policy_request(self.service, request)
 
-    async def _answered(self, service: Service, request: AdminRequest) -> AdminResponse:
-        found = await service.answer(request.policy_path, request.body)
-        return AdminResponse(found.status, found.body, "application/json")
+    async def _answer_policy_request(self, service: Service, request: AdminRequest) -> AdminResponse:
+        reply = await service.answer(request.policy_path, request.body)
+        return AdminResponse(reply.status, reply.body, "application/json")
 
-    async def _call(self, door: str, path: str, body: bytes | None, limit: float) -> bytes:
-        return await call_policy(door, path, body, limit, self.name)
+    async def _call(self, address: str, path: str, body: bytes | None, limit: float) -> bytes:
+        return await call_policy(address, path, body, limit, self.name)
 
-    def _disk(self, work: Callable[[], None]) -> Awaitable[None]:
+    def _run_in_thread(self, work: Callable[[], None]) -> Awaitable[None]:
         return self._loop.run_in_executor(None, work)
--- a/hollybay/hollow/traffic_meter.py
+++ b/hollybay/hollow/traffic_meter.py
@@ -1,7 +1,7 @@
-"""An event loop that counts what goes over its connections.
+"""An event loop that counts the traffic of its connections.
 
-Bytes are those of the application. Segments are what the kernel says of connections that this process
-opened (TCP_INFO), as far as they had come when the connection was closed.
+Bytes are application data. Segments are the kernel's counts (TCP_INFO) of connections that this process
+aborted, read just before.
 """
 
 from __future__ import annotations
@@ -15,18 +15,18 @@
 
 import uvloop
 
-__all__ = ["Conversation", "MeteredLoop", "Wire"]
+__all__ = ["Conversation", "MeteredLoop", "TrafficCounters"]
 
 _TCP_INFO_LENGTH = 144
 _SEGMENTS = struct.Struct("=II")  # sent, received
 _SEGMENTS_AT = 136
-# The end of a connection and its acknowledgement, which come after the count is taken.
+# Segments sent after the count is read: the end of the connection and its acknowledgement.
 _CLOSING_SEGMENTS = 2
 
 
 @dataclass(slots=True)
 class Conversation:
-    """All bytes of one connection, both ways. opened: by this process."""
+    """All data of a connection, in both directions; `opened`: by this process."""
 
     opened: bool
     received: bytearray = field(default_factory=bytearray)
@@ -34,8 +34,8 @@
 
 
 @dataclass(slots=True)
-class Wire:
-    """What went over all connections of a loop. conversations: None where they are not recorded."""
+class TrafficCounters:
+    """Traffic of all connections of a loop; `conversations` is None if they are not recorded."""
 
     bytes_received: int = 0
     bytes_sent: int = 0
@@ -47,11 +47,13 @@
 
 
 class _MeteredTransport:
-    """A transport whose writes are counted; all else is the transport's own."""
+    """Wraps a transport and counts its writes."""
 
-    def __init__(self, inner: asyncio.Transport, wire: Wire, conversation: Conversation | None) -> None:
+    def __init__(
+        self, inner: asyncio.Transport, traffic: TrafficCounters, conversation: Conversation | None
+    ) -> None:
         self._inner = inner
-        self._wire = wire
+        self._traffic = traffic
         self._conversation = conversation
         self._counted = False
 
@@ -59,26 +61,26 @@
         return getattr(self._inner, name)
 
     def write(self, data: bytes) -> None:
-        self._wire.bytes_sent += len(data)
+        self._traffic.bytes_sent += len(data)
         if self._conversation is not None:
             self._conversation.sent += data
         self._inner.write(data)
 
     def count_segments(self) -> None:
-        """Take the kernel's count, once, while the connection is there."""
+        """Add the kernel's segment count of the connection, once, before it is closed."""
         sock = self._inner.get_extra_info("socket")
         if self._counted or sock is None:
             return
         self._counted = True
         try:
-            told = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, _TCP_INFO_LENGTH)
+            info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, _TCP_INFO_LENGTH)
         except OSError:
             return
-        if len(told) < _SEGMENTS_AT + _SEGMENTS.size:
+        if len(info) < _SEGMENTS_AT + _SEGMENTS.size:
             return
-        sent, received = _SEGMENTS.unpack_from(told, _SEGMENTS_AT)
-        self._wire.segments += sent + received + _CLOSING_SEGMENTS
-        self._wire.segment_connections += 1
+        sent, received = _SEGMENTS.unpack_from(info, _SEGMENTS_AT)
+        self._traffic.segments += sent + received + _CLOSING_SEGMENTS
+        self._traffic.segment_connections += 1
 
     def abort(self) -> None:
         self.count_segments()
@@ -86,27 +88,27 @@
 
 
 class _MeteredProtocol(asyncio.Protocol):
-    """A protocol whose reads are counted, and whose transport counts what is written."""
+    """Wraps a protocol, counts its reads, and gives it a metered transport."""
 
-    def __init__(self, inner: asyncio.Protocol, wire: Wire, opened: bool) -> None:
+    def __init__(self, inner: asyncio.Protocol, traffic: TrafficCounters, opened: bool) -> None:
         self._inner = inner
-        self._wire = wire
+        self._traffic = traffic
         self._opened = opened
-        self._conversation = Conversation(opened) if wire.conversations is not None else None
+        self._conversation = Conversation(opened) if traffic.conversations is not None else None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        wire = self._wire
+        traffic = self._traffic
         if self._opened:
-            wire.opened += 1
+            traffic.opened += 1
         else:
-            wire.accepted += 1
-        if wire.conversations is not None and self._conversation is not None:
-            wire.conversations.append(self._conversation)
-        metered = _MeteredTransport(cast(asyncio.Transport, transport), wire, self._conversation)
+            traffic.accepted += 1
+        if traffic.conversations is not None and self._conversation is not None:
+            traffic.conversations.append(self._conversation)
+        metered = _MeteredTransport(cast(asyncio.Transport, transport), traffic, self._conversation)
         self._inner.connection_made(cast(asyncio.BaseTransport, metered))
 
     def data_received(self, data: bytes) -> None:
-        self._wire.bytes_received += len(data)
+        self._traffic.bytes_received += len(data)
         if self._conversation is not None:
             self._conversation.received += data
         self._inner.data_received(data)
@@ -125,19 +127,19 @@
 
 
 class MeteredLoop(uvloop.Loop):
-    """The loop of a real node, with its connections counted in `wire`."""
+    """The event loop of a real node, which counts the traffic of its connections in `traffic`."""
 
     def __init__(self) -> None:
-        self.wire = Wire()
+        self.traffic = TrafficCounters()
 
     async def create_connection(self, protocol_factory: Callable[[], Any], *args: Any, **more: Any) -> Any:
         def metered() -> asyncio.Protocol:
-            return _MeteredProtocol(protocol_factory(), self.wire, opened=True)
+            return _MeteredProtocol(protocol_factory(), self.traffic, opened=True)
 
         return await super().create_connection(metered, *args, **more)
 
     async def create_server(self, protocol_factory: Callable[[], Any], *args: Any, **more: Any) -> Any:
         def metered() -> asyncio.Protocol:
-            return _MeteredProtocol(protocol_factory(), self.wire, opened=False)
+            return _MeteredProtocol(protocol_factory(), self.traffic, opened=False)
 
         return await super().create_server(metered, *args, **more)
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -108,7 +108,7 @@
     fine = judge(measurement, 1, Figures(figures, ResourceUsage(cpu_s=1.0, wall_s=2.0, waited_s=0.9)))
     assert isinstance(fine, Measured) and fine.values == figures
     for spent, reason in (
-        (ResourceUsage(cpu_s=1.0, wall_s=2.0, waited_s=1.1), "kept from its core for 55 %"),
+        (ResourceUsage(cpu_s=1.0, wall_s=2.0, waited_s=1.1), "waited for a core for 55 %"),
         (ResourceUsage(cpu_s=1.0, wall_s=2.0, late_s=0.3), "300 ms late"),
     ):
         late = judge(measurement, 1, Figures(figures, spent))
--- a/tests/test_hollow.py
+++ b/tests/test_hollow.py
@@ -194,7 +194,7 @@
 
 async def one_run(loop: MeteredLoop, folder: Path) -> dict[str, Heard]:
     """What keepers heard of each kind of node in a run with two changes."""
-    loop.wire.conversations = []
+    loop.traffic.conversations = []
     keepers = [HollowNode(f"k{n}", folder / "keepers", LEASE_MS * MS, 1) for n in range(3)]
     addresses = [await keeper.listen("127.0.0.1") for keeper in keepers]
     for keeper in keepers:
@@ -226,7 +226,7 @@
             await serve_epoch(keepers, set(doors), 3 * number)
         for node in [*planted, *keepers]:
             node.close()
-    return {name: heard_of(name, at, addresses, loop.wire.conversations) for name, at in doors.items()}
+    return {name: heard_of(name, at, addresses, loop.traffic.conversations) for name, at in doors.items()}
 
 
 def test_a_hollow_node_is_to_its_keepers_what_a_real_one_is(tmp_path: Path) -> None:
@@ -247,7 +247,7 @@
 
 def test_many_nodes_hold_leases_take_in_a_change_and_fall_silent(tmp_path: Path) -> None:
     async def play(loop: MeteredLoop) -> None:
-        async with fleet(tmp_path, 12, LEASE_MS, nodes_of_a_process=6) as running:
+        async with fleet(tmp_path, 12, LEASE_MS, nodes_per_process=6) as running:
             assert len({one for member in running.nodes for one in member.addresses}) == 12
             await running.reset()
             version, began = await running.change(["s-1"])
@@ -271,7 +271,7 @@
 def test_a_fleet_without_its_process_says_so(tmp_path: Path) -> None:
     async def play(loop: MeteredLoop) -> None:
         with pytest.raises(FleetError, match="ended with"):
-            async with fleet(tmp_path, 1, LEASE_MS, nodes_of_a_process=1) as running:
+            async with fleet(tmp_path, 1, LEASE_MS, nodes_per_process=1) as running:
                 await running.nodes[0].end()
                 await running.reports()
 
