--- a/tests/test_discovery_agent.py
+++ b/tests/test_discovery_agent.py
@@ -1,4 +1,4 @@
-"""The fake discovery agent: what it does while it is down, and where its caller has gone."""
+"""The fake discovery agent while it is down, and after its caller has disconnected."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 WHOLE = b"GET /registry/instances HTTP/1.1\r\nHost: discovery\r\n\r\n"
 
 
-async def started() -> tuple[DiscoveryAgent, FakeServer]:
+async def start_agent() -> tuple[DiscoveryAgent, FakeServer]:
     ledger = Ledger(RuleLimits((), 0, 0.5, 0))
     server = FakeServer("s-1", KINDS[0], ledger, lambda target, chance: 0.0)
     agent = DiscoveryAgent(ledger, [server])
@@ -33,13 +33,13 @@
     return await asyncio.open_connection(host, int(port))
 
 
-# Guards against: an exception past the connection of a node that ended while its watch was open.
+# Guards against: an exception when a list is published after a node ended while its watch was open.
 @pytest.mark.parametrize("reset", [False, True])
-def test_a_change_after_the_caller_of_a_watch_has_gone_is_written_to_nobody(reset: bool) -> None:
+def test_change_is_not_written_to_a_watch_whose_caller_has_disconnected(reset: bool) -> None:
     async def play() -> list[dict[str, Any]]:
         raised: list[dict[str, Any]] = []
         asyncio.get_running_loop().set_exception_handler(lambda _, context: raised.append(context))
-        agent, server = await started()
+        agent, server = await start_agent()
         for _ in range(5):
             _, writer = await connect(agent)
             writer.write(WATCH % agent.version)
@@ -59,11 +59,11 @@
     assert asyncio.run(play()) == []
 
 
-# Guards against: runs that mean to have no list and get one, as a call for the whole list was answered.
+# Guards against: a list in runs that are to have none, because a request for the full list got a response.
 @pytest.mark.parametrize("call", [WHOLE, WATCH % 0])
-def test_while_it_is_down_it_answers_no_call(call: bytes) -> None:
+def test_agent_that_is_down_does_not_respond(call: bytes) -> None:
     async def play() -> None:
-        agent, _ = await started()
+        agent, _ = await start_agent()
         agent.down = True
         reader, writer = await connect(agent)
         writer.write(call)
--- a/tests/test_fake_server.py
+++ b/tests/test_fake_server.py
@@ -1,4 +1,4 @@
-"""Fake servers on sockets: queue, rejections, cap on connections, cold starts; and the work of a scene."""
+"""Fake servers: queue, rejections, connection limit and cold starts; the work that requests draw."""
 
 from __future__ import annotations
 
@@ -24,26 +24,26 @@
 )
 
 
-def test_a_server_queues_rejects_and_counts_its_connections() -> None:
+def test_full_server_rejects_requests_and_limits_connections() -> None:
     async def play() -> None:
         ledger = Ledger(LIMITS)
-        gate = ServerKind("m", 1.0, slots=1, queue=1, connections=3)
-        server = FakeServer("s-1", gate, ledger, lambda target, chance: 60.0)
+        kind = ServerKind("m", 1.0, slots=1, queue=1, connections=3)
+        server = FakeServer("s-1", kind, ledger, lambda target, chance: 60.0)
         server.script = lambda rid, target: ScriptedAnswer(500) if rid == "bad" else ScriptedAnswer()
         await server.start()
-        lines = [await asyncio.open_connection("127.0.0.1", server.port) for _ in range(3)]
+        connections = [await asyncio.open_connection("127.0.0.1", server.port) for _ in range(3)]
         async with asyncio.timeout(LIMIT):
             for n, rid in enumerate(["r-0", "r-1", "r-2"]):
                 ledger.asked(rid, SAFE, 0, 1)
-                lines[n][1].write(b"GET /view HTTP/1.1\r\nX-Correlation-Id: %s\r\n\r\n" % rid.encode())
+                connections[n][1].write(b"GET /view HTTP/1.1\r\nX-Correlation-Id: %s\r\n\r\n" % rid.encode())
                 while server.counts.requests <= n:
                     await asyncio.sleep(0)
-            head, _ = await read_message(lines[2][0])  # one runs, one waits, the third is turned away
+            head, _ = await read_message(connections[2][0])  # one runs, one waits, the third is rejected
             assert b" 503 " in head and server.counts.rejected == 1
-            one_more, _ = await asyncio.open_connection("127.0.0.1", server.port)
+            excess, _ = await asyncio.open_connection("127.0.0.1", server.port)
             with pytest.raises((ConnectionError, asyncio.IncompleteReadError)):
-                await one_more.readexactly(1)
-            lines[0][1].transport.abort()  # given up: its work stops, the next one runs
+                await excess.readexactly(1)
+            connections[0][1].transport.abort()  # cancels the running job, and the next one runs
             while server.waiting:
                 await asyncio.sleep(0)
             assert len(server.running) == 1
@@ -52,7 +52,7 @@
     asyncio.run(play())
 
 
-def test_a_cold_server_is_slower_and_comes_back_at_its_address() -> None:
+def test_cold_server_is_slower_and_restarts_at_its_address() -> None:
     async def play() -> None:
         ledger = Ledger(LIMITS)
         server = FakeServer("s-1", ServerKind("m", 2.0), ledger, lambda target, chance: 0.0)
@@ -69,7 +69,7 @@
     asyncio.run(play())
 
 
-def test_the_work_of_a_scene_follows_its_seed() -> None:
+def test_work_of_requests_is_determined_by_the_seed() -> None:
     first = [work_of(b"/book-venue/1", random.Random(3)) for _ in range(3)]
     assert first == [work_of(b"/book-venue/1", random.Random(3)) for _ in range(3)]
     assert all(0.07 < work < 0.14 for work in first)
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -1,4 +1,4 @@
-"""The ledger's verdict: it finds each broken rule, on its own books and on sockets, and nothing else."""
+"""The ledger's verdict: each violation is found, from recorded events and on sockets, and nothing else."""
 
 from __future__ import annotations
 
@@ -32,58 +32,58 @@
 )
 
 
-def books(cls: int = SAFE) -> tuple[Ledger, ServerStart, RequestEntry]:
+def recorded_request(cls: int = SAFE) -> tuple[Ledger, ServerStart, RequestEntry]:
     ledger = Ledger(LIMITS)
     start = ledger.started("s-1", 0, capacity=1.0, cold=False)
     return ledger, start, ledger.asked("r", cls, 10 * SECOND, 10 * SECOND + LIMITS.classes[cls].deadline)
 
 
-def run(ledger: Ledger, start: ServerStart, at: int, cell: int = 0, runs: bool = True) -> None:
+def record_arrival(ledger: Ledger, start: ServerStart, at: int, cell: int = 0, runs: bool = True) -> None:
     ledger.arrived("r", start, 10 * SECOND + at, 0, cell, 10 * MS, runs)
 
 
-def found(ledger: Ledger) -> dict[str, int]:
+def violation_counts(ledger: Ledger) -> dict[str, int]:
     return {rule: count for rule, count in ledger.check().counts.items() if count}
 
 
 @pytest.mark.parametrize("final", [FinalOutcome.SERVED, FinalOutcome.REFUSED, FinalOutcome.FAILED])
 @pytest.mark.parametrize("cls", [SAFE, UNSAFE, CELL, ALL])
-def test_one_answer_in_time_keeps_all_rules(final: FinalOutcome, cls: int) -> None:
-    ledger, start, _ = books(cls)
+def test_one_response_in_time_violates_no_rule(final: FinalOutcome, cls: int) -> None:
+    ledger, start, _ = recorded_request(cls)
     if final is not FinalOutcome.REFUSED:
-        run(ledger, start, 0)
+        record_arrival(ledger, start, 0)
     ledger.answered("r", final, 10 * SECOND + 100 * MS)
-    assert ledger.check() and found(ledger) == {}
+    assert ledger.check() and violation_counts(ledger) == {}
 
 
 @pytest.mark.parametrize("final", [FinalOutcome.BROKEN, FinalOutcome.SILENT, FinalOutcome.WRONG, None])
-def test_a_request_without_its_answer_is_lost(final: FinalOutcome | None) -> None:
-    ledger, _, _ = books()
+def test_request_without_a_valid_response_is_lost(final: FinalOutcome | None) -> None:
+    ledger, _, _ = recorded_request()
     if final is not None:
         ledger.answered("r", final, 10 * SECOND + 100 * MS)
     assert not ledger.check()
-    assert found(ledger) == {"lost": 1}
+    assert violation_counts(ledger) == {"lost": 1}
 
 
-def test_a_late_or_second_answer_is_a_loss() -> None:
-    ledger, _, _ = books()
+def test_late_or_second_response_counts_as_lost() -> None:
+    ledger, _, _ = recorded_request()
     ledger.answered("r", FinalOutcome.FAILED, 10 * SECOND + 551 * MS)
-    assert found(ledger) == {"lost": 1}
-    ledger, _, _ = books()
+    assert violation_counts(ledger) == {"lost": 1}
+    ledger, _, _ = recorded_request()
     ledger.answered("r", FinalOutcome.SERVED, 10 * SECOND)
     ledger.answered("r", FinalOutcome.FAILED, 10 * SECOND)
-    assert found(ledger) == {"lost": 1}
+    assert violation_counts(ledger) == {"lost": 1}
 
 
-def test_what_a_killed_node_held_is_excused_and_a_wrong_answer_never() -> None:
-    ledger, _, entry = books()
+def test_requests_of_a_killed_node_are_excused_but_not_a_wrong_response() -> None:
+    ledger, _, entry = recorded_request()
     ledger.killed(11 * SECOND)
     ledger.answered("r", FinalOutcome.BROKEN, 11 * SECOND)
-    assert entry.excused and found(ledger) == {}
-    ledger, _, _ = books()
+    assert entry.excused and violation_counts(ledger) == {}
+    ledger, _, _ = recorded_request()
     ledger.killed(11 * SECOND)
     ledger.answered("r", FinalOutcome.WRONG, 11 * SECOND)
-    assert found(ledger) == {"lost": 1}
+    assert violation_counts(ledger) == {"lost": 1}
 
 
 @pytest.mark.parametrize(
@@ -98,63 +98,65 @@
         (ALL, 5 * SECOND, 0, True),
     ],
 )
-def test_a_second_run_is_judged_by_class_group_and_window(cls: int, at: int, cell: int, broken: bool) -> None:
-    ledger, start, _ = books(cls)
-    run(ledger, start, 0)
-    run(ledger, start, at, cell)
+def test_second_execution_is_judged_by_class_group_and_window(
+    cls: int, at: int, cell: int, broken: bool
+) -> None:
+    ledger, start, _ = recorded_request(cls)
+    record_arrival(ledger, start, 0)
+    record_arrival(ledger, start, at, cell)
     ledger.answered("r", FinalOutcome.SERVED, 10 * SECOND + 400 * MS)
-    assert found(ledger) == ({"dup": 1} if broken else {})
+    assert violation_counts(ledger) == ({"dup": 1} if broken else {})
 
 
 @pytest.mark.parametrize(("cls", "broken"), [(SAFE, False), (UNSAFE, True), (CELL, True), (ALL, False)])
-def test_a_refusal_after_a_run_is_judged_by_class(cls: int, broken: bool) -> None:
-    ledger, start, _ = books(cls)
-    run(ledger, start, 0, runs=False)
-    run(ledger, start, MS)
+def test_rejection_after_an_execution_is_judged_by_class(cls: int, broken: bool) -> None:
+    ledger, start, _ = recorded_request(cls)
+    record_arrival(ledger, start, 0, runs=False)
+    record_arrival(ledger, start, MS)
     ledger.answered("r", FinalOutcome.REFUSED, 10 * SECOND + 400 * MS)
-    assert found(ledger) == ({"dup": 1} if broken else {})
+    assert violation_counts(ledger) == ({"dup": 1} if broken else {})
 
 
-def test_more_attempts_than_the_settings_allow_are_found() -> None:
-    ledger, start, _ = books()
+def test_more_attempts_than_allowed_are_found() -> None:
+    ledger, start, _ = recorded_request()
     for n in range(LIMITS.max_attempts + 1):
-        run(ledger, start, n, runs=False)
+        record_arrival(ledger, start, n, runs=False)
     ledger.answered("r", FinalOutcome.REFUSED, 10 * SECOND)
-    assert found(ledger) == {"dup": 1}
+    assert violation_counts(ledger) == {"dup": 1}
 
 
-def test_a_server_that_gets_what_no_client_sent() -> None:
+def test_request_that_no_client_sent_is_found() -> None:
     ledger = Ledger(LIMITS)
     ledger.arrived("nobody", ledger.started("s-1", 0, 1.0), 0, 0, 0, 0, True)
-    assert found(ledger) == {"lost": 1}
+    assert violation_counts(ledger) == {"lost": 1}
 
 
-def test_drains_are_counted_from_when_they_were_told_until_taken_back() -> None:
+def test_drain_grace_counts_from_the_first_notice_until_the_server_is_ready_again() -> None:
     ledger = Ledger(LIMITS)
     ledger.told("s-1", False, 5 * SECOND)
-    ledger.told("s-1", False, 9 * SECOND)  # told again: the first telling counts
+    ledger.told("s-1", False, 9 * SECOND)  # told again: the first time counts
     ledger.first_byte("s-1", 6 * SECOND + 50 * MS)
-    assert found(ledger) == {}
+    assert violation_counts(ledger) == {}
     ledger.first_byte("s-1", 6 * SECOND + 51 * MS)
-    assert found(ledger) == {"drain": 1}
+    assert violation_counts(ledger) == {"drain": 1}
     ledger.told("s-1", True, 10 * SECOND)
     ledger.first_byte("s-1", 60 * SECOND)
-    assert found(ledger) == {"drain": 1}
+    assert violation_counts(ledger) == {"drain": 1}
 
 
 @pytest.mark.parametrize(("requests", "broken"), [(40, False), (90, True)])
-def test_work_sent_to_a_cold_server_is_held_to_its_budget(requests: int, broken: bool) -> None:
-    # 0.1 s of work each within the first 2 s; some 4 x 0.5 x 2 s = 4 s are allowed.
+def test_work_sent_to_a_cold_server_is_limited(requests: int, broken: bool) -> None:
+    # Each request is 0.1 s of work, all within the first 2 s; about 4 x 0.5 x 2 s = 4 s are allowed.
     ledger = Ledger(LIMITS)
     start = ledger.started("s-1", 0, capacity=1.0)
     for n in range(requests):
         ledger.asked(f"r-{n}", SAFE, 0, 60 * SECOND)
         ledger.arrived(f"r-{n}", start, n * 2 * SECOND // requests, 0, 0, 100 * MS, True)
         ledger.answered(f"r-{n}", FinalOutcome.SERVED, SECOND)
-    assert found(ledger) == ({"cold": 1} if broken else {})
+    assert violation_counts(ledger) == ({"cold": 1} if broken else {})
 
 
-def test_the_cold_budget_grows_with_age_and_ends_with_the_warm_up() -> None:
+def test_cold_limit_grows_with_age_and_ends_with_the_warm_up() -> None:
     assert rules.slow_start_factor(0, 0.5, 8 * SECOND) == 0.5
     assert rules.slow_start_factor(4 * SECOND, 0.5, 8 * SECOND) == 0.75
     assert rules.slow_start_factor(9 * SECOND, 0.5, 8 * SECOND) == 1.0
@@ -162,8 +164,8 @@
     assert rules.cold_violation(heavy, 1.0, 0.5, 8 * SECOND, 4.0, 2 * SECOND) is None
 
 
-def test_a_bad_proxy_on_sockets_is_caught() -> None:
-    """What a node must not do, done by hand to modelled servers: run twice, overload, send after a drain."""
+def test_violations_on_sockets_are_found() -> None:
+    """Run an unsafe request twice on a fake server, and send to it after a drain."""
 
     async def play() -> None:
         ledger = Ledger(LIMITS)
@@ -182,7 +184,7 @@
             head, _ = await round_trip(reader, writer, data)
             assert b" 503 " in head and b"X-Unprocessed: 1" in head
         ledger.answered("r-1", FinalOutcome.SERVED, time.monotonic_ns())
-        assert found(ledger) == {"dup": 1, "drain": 1}
+        assert violation_counts(ledger) == {"dup": 1, "drain": 1}
         server.crash()
         assert await reader.read() == b""
         with pytest.raises(ConnectionRefusedError):
--- a/tests/test_load_generator.py
+++ b/tests/test_load_generator.py
@@ -1,4 +1,4 @@
-"""The load generator: what it tells a node when a connection that a node closed is replaced by another."""
+"""The load generator: time left in the request head, time-outs, and parsing of responses."""
 
 from __future__ import annotations
 
@@ -16,19 +16,24 @@
 from hollybay.units import MS
 
 
-async def played(deadline: int, closed_after: float) -> tuple[list[int], FinalOutcome | None]:
-    """Two requests of so many ms to a node that answers the first and closes the connection so long (s) after
-    the second; the time left that each head told, and what became of the second."""
-    heads: list[int] = []
+async def send_on_closed_connection(
+    deadline: int, closed_after: float
+) -> tuple[list[int], FinalOutcome | None]:
+    """Send two requests with a deadline (ms) to a node that responds to the first one, and that closes the
+    connection some time (s) after it received the second one.
+
+    Returns the time left (ms) in each request head, and the outcome of the second request.
+    """
+    times_left: list[int] = []
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        first = not heads
+        first = not times_left
         while True:
             head = await reader.readuntil(b"\r\n\r\n")
-            told = re.search(rb"X-Time-Left-Ms: (\d+)", head)
-            assert told is not None and b"Host" in head and b"X-Tag: 100%d\r\n" in head
-            heads.append(int(told[1]))
-            if first and len(heads) == 2:
+            time_left = re.search(rb"X-Time-Left-Ms: (\d+)", head)
+            assert time_left is not None and b"Host" in head and b"X-Tag: 100%d\r\n" in head
+            times_left.append(int(time_left[1]))
+            if first and len(times_left) == 2:
                 await asyncio.sleep(closed_after)
                 break
             writer.write(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
@@ -45,20 +50,20 @@
     await clients.all_ended.wait()
     clients.close()
     server.close()
-    return heads, entry.final
+    return times_left, entry.final
 
 
 @pytest.mark.parametrize(
     ("deadline", "closed_after", "heads", "final"),
     [(5000, 0.1, 3, FinalOutcome.REFUSED), (150, 0.2, 2, FinalOutcome.BROKEN)],
 )
-def test_a_request_that_goes_out_again_tells_the_time_that_is_left_and_none_goes_too_late(
+def test_request_sent_again_after_a_close_carries_its_time_left_and_is_not_sent_past_its_deadline(
     deadline: int, closed_after: float, heads: int, final: FinalOutcome
 ) -> None:
-    told, found = asyncio.run(played(deadline, closed_after))
-    assert (len(told), found) == (heads, final)
-    assert all(0 <= left <= deadline for left in told)
-    assert all(left <= deadline - 100 for left in told[2:]), told
+    times_left, outcome = asyncio.run(send_on_closed_connection(deadline, closed_after))
+    assert (len(times_left), outcome) == (heads, final)
+    assert all(0 <= left <= deadline for left in times_left)
+    assert all(left <= deadline - 100 for left in times_left[2:]), times_left
 
 
 @pytest.mark.parametrize(
@@ -70,7 +75,7 @@
         (b"HTTP/1.1 503 x\r\nRetry-After: 2\r\nCONNECTION: Close\r\n\r\n", Response(503, b"", 2.0, False)),
     ],
 )
-def test_an_answer_is_parsed_once_it_is_whole(data: bytes, response: Response | None) -> None:
+def test_response_is_parsed_once_it_is_complete(data: bytes, response: Response | None) -> None:
     assert parse_response(data) == response
 
 
@@ -90,7 +95,9 @@
         ),
     ],
 )
-def test_a_request_has_a_body_or_a_key_by_its_effect(effect: api.Effect, start: bytes, end: bytes) -> None:
+def test_request_has_a_body_or_a_key_depending_on_its_effect(
+    effect: api.Effect, start: bytes, end: bytes
+) -> None:
     cls = api.RequestClass("ask", effect, 1.0, MS, MS)
     data = encode_request("r-1", cls, RequestMix(0, b"/a%20b"), "choirs", is_retry=True)
     assert data.startswith(start + b"\r\nHost: service.internal\r\nX-Correlation-Id: r-1\r\n")
@@ -98,7 +105,8 @@
     assert (data % 7).count(b"X-Time-Left-Ms: 7\r\n") == 1
 
 
-# Guards against: an answer counted as lost that lies unread because the clients' own process had no core.
+# Guards against: a response counted as lost that was received, but not read, because the clients' own process
+# waited for a core.
 @pytest.mark.parametrize(
     ("answered_after", "waited_ms", "final", "lost"),
     [
@@ -108,15 +116,15 @@
         (None, 200, FinalOutcome.SILENT, True),
     ],
 )
-def test_a_client_is_patient_while_its_own_process_has_no_core(
+def test_time_out_is_extended_while_the_client_process_waits_for_a_core(
     monkeypatch: pytest.MonkeyPatch,
     answered_after: float | None,
     waited_ms: int,
     final: FinalOutcome,
     lost: bool,
 ) -> None:
-    """A request of 100 ms, for which clients wait 200 ms in all; answered after so long (s), or never."""
-    waits = iter([0])  # as the request is asked; from then on what the process has waited
+    """A request with a deadline of 100 ms and a time-out of 200 ms; the response is late or never comes."""
+    waits = iter([0])  # when the request is made; afterwards the process has waited for `waited_ms`
     monkeypatch.setattr(load_generator, "cpu_wait_ns", lambda: next(waits, waited_ms * MS))
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -124,7 +132,7 @@
         if answered_after is not None:
             await asyncio.sleep(answered_after)
             writer.write(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
-        await reader.read()  # until the client goes
+        await reader.read()  # until the client disconnects
         writer.close()
 
     async def play() -> Ledger:
@@ -145,12 +153,12 @@
     assert bool(ledger.check().violations) is lost
 
 
-# Guards against: a request counted as lost that its own process never sent, for want of a core.
+# Guards against: a request counted as lost that was not sent because the clients' process waited for a core.
 @pytest.mark.parametrize(("waited_ms", "lost"), [(0, True), (20, True), (120, False)])
-def test_a_request_that_was_not_sent_in_time_is_lost_unless_its_own_process_had_no_core(
+def test_request_not_sent_by_its_deadline_is_lost_unless_the_client_process_waited_for_a_core(
     monkeypatch: pytest.MonkeyPatch, waited_ms: int, lost: bool
 ) -> None:
-    """A request of 100 ms whose connection is up after 150 ms."""
+    """A request with a deadline of 100 ms, whose connection is established after 150 ms."""
     waits = iter([0])
     monkeypatch.setattr(load_generator, "cpu_wait_ns", lambda: next(waits, waited_ms * MS))
 
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""Real nodes that are told to end while clients use every open connection: a short part of the soak."""
+"""Shutdown of real nodes while clients use every open connection: some seeds of the soak test."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 from hollybay.testbed.soak.__main__ import play_seeds
 from hollybay.testbed.soak.plan import Condition, draw
 
-# Together they have every condition, and deadlines below and above those that the end of a node allows for.
+# Together these have every condition, and deadlines below and above those that a node's shutdown allows for.
 SEEDS = (0, 2, 3, 8, 10, 17, 19, 24)
 JOBS = 4
-# By defect, a seed that finds it: python -m hollybay.mutation.soak_defects
+# For each defect a seed that finds it, from python -m hollybay.mutation.soak_defects
 FOUND_BY = {
     "no-last-answers": 4,
     "listens-no-longer": 4,
@@ -25,15 +25,15 @@
 }
 
 
-def test_the_seeds_have_every_condition() -> None:
+def test_seeds_cover_every_condition() -> None:
     plans = [draw(seed) for seed in SEEDS]
     assert {condition for plan in plans for condition in plan.conditions} == set(Condition)
     assert {max(plan.deadlines_ms) > 3000 for plan in plans} == {True, False}
     assert str(draw(SEEDS[0])) == str(draw(SEEDS[0]))
 
 
-# Guards against: requests that get no answer while their node ends, and nodes that have to be killed.
-def test_no_rule_is_broken_while_nodes_end() -> None:
+# Guards against: requests without a response during a node's shutdown, and nodes that have to be killed.
+def test_no_rule_is_violated_during_shutdown() -> None:
     for result in asyncio.run(play_seeds(SEEDS, JOBS)):
         assert not result.violations, str(result)
 
@@ -46,5 +46,5 @@
 
 
 @pytest.mark.parametrize("name", sorted(FOUND_BY))
-def test_a_defect_of_the_end_is_found(name: str, found: dict[str, bool]) -> None:
+def test_shutdown_defect_is_found(name: str, found: dict[str, bool]) -> None:
     assert found[name]
