--- a/hollybay/testbed/balancer_harness.py
+++ b/hollybay/testbed/balancer_harness.py
@@ -122,7 +122,7 @@
     Parameters
     ----------
     settings
-        Settings of the balancer; ``make_settings()`` by default.
+        Settings of the balancer; `make_settings()` by default.
     seed
         Seed of the balancer.
     now
@@ -170,7 +170,7 @@
         if isinstance(action, api.Send):
             self._check_send(action)
         elif isinstance(action, api.Reject | api.Fail):
-            self._check_final_answer(action)
+            self._check_final_response(action)
         elif isinstance(action, api.Cancel):
             assert action.attempt < len(self.books[action.id].attempts)
         elif isinstance(action, api.SetTimer):
@@ -188,7 +188,7 @@
         book.attempts.append(Attempt(action.server, self.now))
         self.sent.append((self.now, action.id, action.server))
 
-    def _check_final_answer(self, action: api.Reject | api.Fail) -> None:
+    def _check_final_response(self, action: api.Reject | api.Fail) -> None:
         book = self.books[action.id]
         assert not book.over, f"request {action.id}: two final responses"
         assert self.now <= book.deadline + self.settings.answer_grace, f"{action.id}: response too late"
--- a/hollybay/testbed/fake_environment.py
+++ b/hollybay/testbed/fake_environment.py
@@ -98,11 +98,11 @@
     return [KINDS[bisect_right(boundaries, (n + 0.5) / count)] for n in range(count)]
 
 
-def work_of(target: bytes, chance: random.Random) -> float:
+def work_of(target: bytes, rng: random.Random) -> float:
     """Draw the work of a request (seconds at speed 1), uniformly around the mean of its class."""
     name = target.split(b"?", 1)[0].split(b"/")[1].decode("latin-1")
     mean = WORK.get(name, WORK["view-schedule"])
-    return mean * chance.uniform(MIN_WORK_FACTOR, MAX_WORK_FACTOR)
+    return mean * rng.uniform(MIN_WORK_FACTOR, MAX_WORK_FACTOR)
 
 
 @dataclass
--- a/hollybay/testbed/fake_server.py
+++ b/hollybay/testbed/fake_server.py
@@ -150,7 +150,7 @@
         self.started_ms = 0
         self.state = "SERVING"
         self.script: Script | None = None
-        self.cut = False
+        self.is_hanging = False
         self.up = False
         self.connections: set[ServerConnection] = set()
         self.running: set[Job] = set()
@@ -165,7 +165,7 @@
     async def start(self, cold: bool = False) -> None:
         """Start to listen, at the same address as before if it ran before."""
         await self.listen()
-        self.state, self.cut, self.up = "SERVING", False, True
+        self.state, self.is_hanging, self.up = "SERVING", False, True
         self.started_ms = time.time_ns() // MS if cold else 0
         self._start = self.ledger.started(self.name, time.monotonic_ns(), self.kind.capacity, cold)
 
@@ -249,22 +249,22 @@
     def request(self, connection: ServerConnection, target: bytes, headers: dict[bytes, bytes]) -> None:
         """Handle a complete request: run it, queue it or reject it."""
         request_id = headers.get(b"x-correlation-id", b"").decode("latin-1")
-        answer = self.script(request_id, target) if self.script is not None else ScriptedAnswer()
+        response = self.script(request_id, target) if self.script is not None else ScriptedAnswer()
         is_full = self.in_flight >= self.kind.slots + self.kind.queue
-        runs = not (answer.unprocessed or is_full or self.state != "SERVING")
+        runs = not (response.unprocessed or is_full or self.state != "SERVING")
         work = self.work_of(target, self.random) + (self.kind.handshake if connection.is_new else 0.0)
         connection.is_new = False
         self._note_arrival(request_id, work, runs)
         if not runs:
-            self._reject(connection, answer)
-        elif answer.reset:
+            self._reject(connection, response)
+        elif response.reset:
             connection.transport.abort()
-        elif answer.status != STATUS_SERVED:
+        elif response.status != STATUS_SERVED:
             self._load_reporter.errors += 1
-            connection.write(answer, b"error\n", self._load_report())
+            connection.write(response, b"error\n", self._load_report())
         else:
             job = connection.job = Job(request_id, work, connection)
-            if not answer.never:
+            if not response.never:
                 self.waiting.append(job)
                 self._run_next()
 
@@ -275,11 +275,11 @@
         self.counts.requests += 1
         self._load_reporter.requests += 1
 
-    def _reject(self, connection: ServerConnection, answer: ScriptedAnswer) -> None:
+    def _reject(self, connection: ServerConnection, response: ScriptedAnswer) -> None:
         """Respond that the request was not processed."""
         self.counts.rejected += 1
-        status = answer.status if answer.unprocessed else STATUS_REJECTED
-        rejection = replace(answer, status=status, unprocessed=True)
+        status = response.status if response.unprocessed else STATUS_REJECTED
+        rejection = replace(response, status=status, unprocessed=True)
         connection.write(rejection, b"turned away\n", self._load_report())
 
     def _run_next(self) -> None:
@@ -301,7 +301,7 @@
         connection = job.connection
         if connection is not None and connection.job is job:
             connection.job = None
-            if not self.cut:
+            if not self.is_hanging:
                 self.counts.done += 1
                 self.counts.work += job.work
                 connection.write(ScriptedAnswer(), body_for(job.request_id, self.name), self._load_report())
--- a/hollybay/testbed/fake_server_connection.py
+++ b/hollybay/testbed/fake_server_connection.py
@@ -62,7 +62,7 @@
 class ConnectionOwner(Protocol):
     """Callbacks of a server connection."""
 
-    cut: bool
+    is_hanging: bool
 
     def admit(self, connection: ServerConnection) -> bool:
         """Whether to accept a new connection; it is reset otherwise."""
@@ -105,7 +105,7 @@
 
     def data_received(self, data: bytes) -> None:
         """Pass a complete request to the server; a server that hangs ignores all data."""
-        if self.owner.cut:
+        if self.owner.is_hanging:
             return
         if not self.buffer:
             self.owner.first_byte()
@@ -123,14 +123,14 @@
         self.buffer = self.buffer[request_length:]
         self.owner.request(self, request_line.split(b" ", 2)[1], headers)
 
-    def write(self, answer: ScriptedAnswer, body: bytes, load_report: bytes = b"") -> None:
+    def write(self, response: ScriptedAnswer, body: bytes, load_report: bytes = b"") -> None:
         """Write a response with Content-Length."""
-        lines = [b"HTTP/1.1 %d x" % answer.status, b"Content-Length: %d" % len(body)]
-        if answer.unprocessed:
+        lines = [b"HTTP/1.1 %d x" % response.status, b"Content-Length: %d" % len(body)]
+        if response.unprocessed:
             lines.append(b"X-Unprocessed: 1")
         if load_report:
             lines.append(b"X-Backend-Load: TEXT " + load_report)
-        lines += [b"%s: %s" % pair for pair in answer.headers]
+        lines += [b"%s: %s" % pair for pair in response.headers]
         if not self.transport.is_closing():
             self.transport.write(b"\r\n".join(lines) + END_OF_HEAD + body)
 
--- a/hollybay/testbed/ledger.py
+++ b/hollybay/testbed/ledger.py
@@ -25,7 +25,7 @@
     """The result of a request, as its client saw it."""
 
     SERVED = "served"
-    REFUSED = "refused"
+    REFUSED = "refused"  # rejected by the node, with status 429 or 503
     FAILED = "failed"
     BROKEN = "broken"  # the connection closed before a complete response
     SILENT = "silent"  # no response before the client's time-out
@@ -45,7 +45,7 @@
     slack
         Tolerance for differences between clocks and for network delay.
     late
-        How long after its deadline a response still counts as received; a later one counts as lost.
+        A response up to this long after its deadline has no value, but only a later one counts as lost.
     """
 
     classes: tuple[api.RequestClass, ...]
@@ -60,7 +60,7 @@
 
     @property
     def disconnect_grace(self) -> int:
-        """How long after the deadline (ns) a client disconnects: longer than `late`, see above."""
+        """How long after the deadline (ns) a client disconnects: later than a response counts as lost."""
         return self.late + self.slack
 
     @classmethod
@@ -136,7 +136,7 @@
         Seconds of work per second, when warm.
     cold
         Whether it starts at reduced capacity and warms up.
-    came
+    arrivals
         Server age and work (ns) of each request that it received completely.
     """
 
@@ -144,7 +144,7 @@
     at: int
     capacity: float
     cold: bool
-    came: list[tuple[int, int]] = field(default_factory=list)
+    arrivals: list[tuple[int, int]] = field(default_factory=list)
 
     def slow_start_factor(self, now: int, limits: RuleLimits) -> float:
         """The fraction of its capacity that the server has at this time (ns)."""
@@ -219,7 +219,7 @@
             entry.final, entry.ended, entry.status, entry.retry_after = final, at, status, retry_after
 
     def killed(self, at: int) -> None:
-        """Record that the test killed the node: requests without a result by then are excused."""
+        """Record that the test killed the node: requests in flight are for the clients to retry."""
         for entry in self.requests.values():
             if entry.final is None or entry.ended >= at:
                 entry.excused = True
@@ -259,7 +259,7 @@
         runs
             Whether the server did not reject it.
         """
-        start.came.append((at - start.at, work))
+        start.arrivals.append((at - start.at, work))
         entry = self.requests.get(rid)
         if entry is None:
             self.violations.append(
@@ -319,7 +319,7 @@
         if entry.answers > 1:
             yield Violation("lost", entry.id, f"{entry.answers} final responses, expected 1")
         if entry.final is FinalOutcome.WRONG:
-            yield Violation("lost", entry.id, "the response body is not from a server that ran it")
+            yield Violation("lost", entry.id, "the response body is not one that a server sent for it")
         elif entry.excused:
             return
         elif entry.final is None or entry.final in (FinalOutcome.BROKEN, FinalOutcome.SILENT):
@@ -334,7 +334,7 @@
         if not start.cold:
             return
         window = self.cold_window(start)
-        for age, work in sorted(start.came):
+        for age, work in sorted(start.arrivals):
             reason = window.add(age, work)
             if reason is not None:
                 yield Violation("cold", start.server, reason)
--- a/hollybay/testbed/load_generator.py
+++ b/hollybay/testbed/load_generator.py
@@ -22,7 +22,7 @@
 __all__ = ["LoadGenerator", "final_outcome"]
 
 STATUS_SERVED = 200
-STATUSES_REFUSED = (429, 503)
+STATUSES_REJECTED = (429, 503)
 # Maximum extension (ns) of a client's time-out for the time that its own process waited for a core.
 MAX_EXCUSED_NS = 5 * SECOND
 # Outcomes that come from a response.
@@ -34,7 +34,7 @@
     if response.status == STATUS_SERVED:
         bodies = (body_for(entry.id, server) for server in ledger.starts)
         return FinalOutcome.SERVED if response.body in bodies else FinalOutcome.WRONG
-    return FinalOutcome.REFUSED if response.status in STATUSES_REFUSED else FinalOutcome.FAILED
+    return FinalOutcome.REFUSED if response.status in STATUSES_REJECTED else FinalOutcome.FAILED
 
 
 @dataclass
@@ -149,7 +149,7 @@
     def _send_on_new_connection(self, request: ClientRequest, port: int) -> None:
         """Send a request on a new connection, unless its deadline has passed."""
         if not request.time_left_ms():
-            self._end_without_answer(request, FinalOutcome.BROKEN)
+            self._end_without_response(request, FinalOutcome.BROKEN)
             return
         request.on_new_connection = True
         task = self.loop.create_task(self._open(request, port))
@@ -163,7 +163,7 @@
                 lambda: ClientConnection(self, request, port), "127.0.0.1", port
             )
         except OSError:
-            self._end_without_answer(request, FinalOutcome.BROKEN)
+            self._end_without_response(request, FinalOutcome.BROKEN)
 
     def _own_delay_ns(self, request: ClientRequest) -> int:
         """Time that this process has waited for a core since a request was made."""
@@ -184,9 +184,9 @@
         for connection in [connection for connection in self.connections if connection.request is request]:
             connection.request = None
             connection.abort()
-        self._end_without_answer(request, FinalOutcome.SILENT)
+        self._end_without_response(request, FinalOutcome.SILENT)
 
-    def _end_without_answer(self, request: ClientRequest, final: FinalOutcome) -> None:
+    def _end_without_response(self, request: ClientRequest, final: FinalOutcome) -> None:
         """Record the end of a request without a response.
 
         It is excused if its deadline passed before it was sent because this process waited for a core.
@@ -264,4 +264,4 @@
         if not request.on_new_connection and not received and not request.entry.arrived:
             self._send_on_new_connection(request, self.random.choice(self.ports))
             return
-        self._end_without_answer(request, FinalOutcome.BROKEN)
+        self._end_without_response(request, FinalOutcome.BROKEN)
--- a/hollybay/testbed/soak/clients.py
+++ b/hollybay/testbed/soak/clients.py
@@ -113,14 +113,14 @@
     ----------
     group
         The clients of the run.
-    chance
+    rng
         Its random source.
     """
 
-    def __init__(self, group: ClientGroup, chance: random.Random) -> None:
+    def __init__(self, group: ClientGroup, rng: random.Random) -> None:
         self.group = group
         self.ledger = group.ledger
-        self.chance = chance
+        self.rng = rng
         self.is_first_use = True
         self.disturbance_before: dict[str, int] = {}  # by request: disturbance (ns) when it was written
 
@@ -137,7 +137,7 @@
             try:
                 while await self._exchange(reader, writer) and not self.group.is_ending:
                     self.is_first_use = False
-                    await asyncio.sleep(self.chance.uniform(0.0, self.group.plan.pause_s))
+                    await asyncio.sleep(self.rng.uniform(0.0, self.group.plan.pause_s))
             finally:
                 writer.transport.abort()
 
@@ -145,12 +145,12 @@
         """Send one or more requests and read the responses; returns whether the connection can be reused."""
         if reader.at_eof():
             return False
-        if self.group.plan.has(Condition.UPLOADS) and self.chance.random() < UPLOAD_SHARE:
+        if self.group.plan.has(Condition.UPLOADS) and self.rng.random() < UPLOAD_SHARE:
             return await self._upload(reader, writer)
-        count = self.chance.randint(*PIPELINED_REQUESTS) if self.group.plan.has(Condition.PIPELINED) else 1
+        count = self.rng.randint(*PIPELINED_REQUESTS) if self.group.plan.has(Condition.PIPELINED) else 1
         entries = []
         for _ in range(count):
-            entry, data = self._ask(self.chance.choice(self.group.mixes))
+            entry, data = self._ask(self.rng.choice(self.group.mixes))
             entries.append(entry)
             writer.write(data)
         return await self._read_responses(reader, entries)
@@ -160,7 +160,7 @@
         self.group.sent += 1
         request_id = f"soak-{self.group.plan.seed}-{self.group.sent}"
         request_class = self.ledger.limits.classes[mix.cls]
-        tenant = self.chance.choice(mix.tenants)
+        tenant = self.rng.choice(mix.tenants)
         now = time.monotonic_ns()
         entry = self.ledger.asked(request_id, mix.cls, now, now + request_class.deadline, tenant)
         self.disturbance_before[request_id] = self.group.disturbance_ns()
@@ -170,12 +170,12 @@
     async def _upload(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
         """Send a request with a long body in pieces; the response may come before the end of the body."""
         mix = next(mix for mix in self.group.mixes if mix.cls)  # the first class is safe and has no body
-        entry, data = self._ask(mix, bytes(self.chance.randint(*UPLOAD_BYTES)))
+        entry, data = self._ask(mix, bytes(self.rng.randint(*UPLOAD_BYTES)))
         # The node accepts the request only with its last byte.
         deadline, entry.deadline = entry.deadline - entry.at, entry.deadline + INCOMPLETE_GRACE_NS
         response = asyncio.ensure_future(read_message(reader))
         size = -(-len(data) // UPLOAD_PIECES)
-        pause_s = self.chance.uniform(0.0, MAX_UPLOAD_TIME_S / UPLOAD_PIECES)
+        pause_s = self.rng.uniform(0.0, MAX_UPLOAD_TIME_S / UPLOAD_PIECES)
         for start in range(0, len(data), size):
             if start:
                 await asyncio.sleep(pause_s)
@@ -224,7 +224,7 @@
             The requests on the connection without a response.
         """
         entry = entries[0]
-        if self.group.plan.has(Condition.LEAVING_CLIENTS) and self.chance.random() < DISCONNECT_SHARE:
+        if self.group.plan.has(Condition.LEAVING_CLIENTS) and self.rng.random() < DISCONNECT_SHARE:
             await self._disconnect(response, entries)
             return False
         await self._wait_for(response, entry)
@@ -264,7 +264,7 @@
         self, response: asyncio.Task[tuple[bytes, bytes]], entries: list[RequestEntry]
     ) -> None:
         """Disconnect while waiting for a response."""
-        await asyncio.wait({response}, timeout=self.chance.uniform(0.0, MAX_DISCONNECT_DELAY_S))
+        await asyncio.wait({response}, timeout=self.rng.uniform(0.0, MAX_DISCONNECT_DELAY_S))
         response.cancel()
         await asyncio.gather(response, return_exceptions=True)
         for entry in entries:
--- a/hollybay/testbed/soak/plan.py
+++ b/hollybay/testbed/soak/plan.py
@@ -89,7 +89,7 @@
         The signals, in order.
     hanging_share
         Share of the servers that hang, with HANGING_SERVERS.
-    crowd_stays
+    idle_clients_stay
         Whether the idle clients stay until they are closed, or disconnect once no new connections are opened.
     conditions
         The conditions during the shutdown.
@@ -104,7 +104,7 @@
     connects_after_term_s: float
     signals: tuple[TimedSignal, ...]
     hanging_share: float
-    crowd_stays: bool
+    idle_clients_stay: bool
     conditions: frozenset[Condition]
 
     def has(self, condition: Condition) -> bool:
@@ -122,33 +122,33 @@
 
 def draw(seed: int) -> SoakPlan:
     """Draw the plan of a run from a seed."""
-    chance = random.Random(f"soak {seed}")
+    rng = random.Random(f"soak {seed}")
     return SoakPlan(
         seed,
-        servers=chance.randint(4, 10),
-        clients=chance.randint(8, 32),
-        deadlines_ms=chance.choice(DEADLINES_MS),
-        traffic_s=chance.uniform(0.2, 0.8),
-        pause_s=chance.choice((0.0, 0.01, 0.1)),
-        connects_after_term_s=chance.uniform(*CONNECTS_AFTER_TERM_S),
-        signals=_draw_signals(chance),
-        hanging_share=chance.uniform(0.25, 0.5),
-        crowd_stays=chance.random() < 0.5,
-        conditions=_draw_conditions(chance),
+        servers=rng.randint(4, 10),
+        clients=rng.randint(8, 32),
+        deadlines_ms=rng.choice(DEADLINES_MS),
+        traffic_s=rng.uniform(0.2, 0.8),
+        pause_s=rng.choice((0.0, 0.01, 0.1)),
+        connects_after_term_s=rng.uniform(*CONNECTS_AFTER_TERM_S),
+        signals=_draw_signals(rng),
+        hanging_share=rng.uniform(0.25, 0.5),
+        idle_clients_stay=rng.random() < 0.5,
+        conditions=_draw_conditions(rng),
     )
 
 
-def _draw_signals(chance: random.Random) -> tuple[TimedSignal, ...]:
-    series = chance.choice(SERIES)
-    gaps = [chance.choice((0.0, chance.uniform(0.0, MAX_SIGNAL_GAP_S))) for _ in series]
+def _draw_signals(rng: random.Random) -> tuple[TimedSignal, ...]:
+    series = rng.choice(SERIES)
+    gaps = [rng.choice((0.0, rng.uniform(0.0, MAX_SIGNAL_GAP_S))) for _ in series]
     return tuple(
         TimedSignal(name, gap if number else 0.0)
         for number, (name, gap) in enumerate(zip(series, gaps, strict=True))
     )
 
 
-def _draw_conditions(chance: random.Random) -> frozenset[Condition]:
-    drawn = [condition for condition in Condition if chance.random() < CONDITION_SHARE]
+def _draw_conditions(rng: random.Random) -> frozenset[Condition]:
+    drawn = [condition for condition in Condition if rng.random() < CONDITION_SHARE]
     for kept, dropped in EXCLUSIVE:
         if kept in drawn and dropped in drawn:
             drawn.remove(dropped)
--- a/hollybay/testbed/soak/run.py
+++ b/hollybay/testbed/soak/run.py
@@ -118,18 +118,18 @@
         self.port = port
         self.admin_ports = admin_ports
         self.violations: list[Violation] = []
-        self.scene = FakeEnvironment(
+        self.environment = FakeEnvironment(
             plan.servers,
             seed=plan.seed,
             words=settings(categories=_classes(plan)),
             sockets=DESCRIPTORS,
             make_ledger=lambda limits: SoakLedger(_late_limits(limits)),
         )
-        assert isinstance(self.scene.ledger, SoakLedger)
-        self.ledger: SoakLedger = self.scene.ledger
-        self.other_agent = DiscoveryAgent(self.ledger, self.scene.servers)
+        assert isinstance(self.environment.ledger, SoakLedger)
+        self.ledger: SoakLedger = self.environment.ledger
+        self.other_agent = DiscoveryAgent(self.ledger, self.environment.servers)
         self.clients = ClientGroup(
-            plan, self.ledger, port, self.scene.mixes(), self._may_connect, self._nodes_waited_ns
+            plan, self.ledger, port, self.environment.mixes(), self._may_connect, self._nodes_waited_ns
         )
         self.idle_clients = IdleClients(port, IDLE_CLIENTS)
         self.node: NodeProcess
@@ -160,7 +160,7 @@
 
     async def begin(self) -> None:
         """Start servers, discovery, node and clients, and wait while the clients send."""
-        await self.scene.start()
+        await self.environment.start()
         await self.other_agent.start()
         self.other_agent.publish()
         if self.plan.has(Condition.NO_LIST):
@@ -184,7 +184,7 @@
             self.successor = successor
 
     def _node_process(self, log_name: str, admin_port: int) -> NodeProcess:
-        config = self.scene.config()
+        config = self.environment.config()
         if self.plan.has(Condition.SUCCESSOR):
             config["admin"] = f"{HOST}:{admin_port}"
         environ = {PORT_VARIABLE: str(self.port), "TMPDIR": str(self.folder)}
@@ -206,7 +206,7 @@
                 await asyncio.sleep(READY_POLL_S)
 
     def _silence_discovery(self) -> None:
-        self.scene.agent.down = True
+        self.environment.agent.down = True
         self.other_agent.down = True
 
     # Shutdown
@@ -221,7 +221,7 @@
             self._send(timed.number, number)
         assert self.term_at is not None
         sampler = asyncio.ensure_future(self._keep_sampling())
-        if not self.plan.crowd_stays:
+        if not self.plan.idle_clients_stay:
             asyncio.get_running_loop().call_later(
                 self.plan.connects_after_term_s, self.idle_clients.disconnect
             )
@@ -246,12 +246,14 @@
         if self.plan.has(Condition.SILENT_WATCH):
             self._silence_discovery()
         if self.plan.has(Condition.HANGING_SERVERS):
-            for server in self.scene.servers[: round(self.plan.hanging_share * len(self.scene.servers))]:
-                server.cut = True
+            for server in self.environment.servers[
+                : round(self.plan.hanging_share * len(self.environment.servers))
+            ]:
+                server.is_hanging = True
         if self.plan.has(Condition.DRAINING_SERVERS):
-            server = self.scene.servers[-1]
+            server = self.environment.servers[-1]
             server.state = "DRAINING"
-            for agent in (self.scene.agent, self.other_agent):
+            for agent in (self.environment.agent, self.other_agent):
                 agent.publish(server)
 
     def _send(self, number: signal.Signals, version: int) -> None:
@@ -289,7 +291,7 @@
         if self.successor is not None:
             await self.successor.stop()
         await self.other_agent.stop()
-        await self.scene.stop()
+        await self.environment.stop()
 
     # Verdict
 
@@ -320,7 +322,7 @@
 
     def _check_descriptors(self) -> None:
         """Check that the node has closed the descriptors of idle clients that disconnected."""
-        if not self.plan.has(Condition.CROWD) or self.plan.crowd_stays:
+        if not self.plan.has(Condition.CROWD) or self.plan.idle_clients_stay:
             return
         if self.ended_after_s < self.plan.connects_after_term_s + DISCONNECTS_SEEN_S:
             return
--- a/tests/test_discovery_agent.py
+++ b/tests/test_discovery_agent.py
@@ -21,7 +21,7 @@
 
 async def start_agent() -> tuple[DiscoveryAgent, FakeServer]:
     ledger = Ledger(RuleLimits((), 0, 0.5, 0))
-    server = FakeServer("s-1", KINDS[0], ledger, lambda target, chance: 0.0)
+    server = FakeServer("s-1", KINDS[0], ledger, lambda target, rng: 0.0)
     agent = DiscoveryAgent(ledger, [server])
     await agent.start()
     agent.publish()
--- a/tests/test_fake_server.py
+++ b/tests/test_fake_server.py
@@ -28,7 +28,7 @@
     async def play() -> None:
         ledger = Ledger(LIMITS)
         kind = ServerKind("m", 1.0, slots=1, queue=1, connections=3)
-        server = FakeServer("s-1", kind, ledger, lambda target, chance: 60.0)
+        server = FakeServer("s-1", kind, ledger, lambda target, rng: 60.0)
         server.script = lambda rid, target: ScriptedAnswer(500) if rid == "bad" else ScriptedAnswer()
         await server.start()
         connections = [await asyncio.open_connection("127.0.0.1", server.port) for _ in range(3)]
@@ -55,7 +55,7 @@
 def test_cold_server_is_slower_and_restarts_at_its_address() -> None:
     async def play() -> None:
         ledger = Ledger(LIMITS)
-        server = FakeServer("s-1", ServerKind("m", 2.0), ledger, lambda target, chance: 0.0)
+        server = FakeServer("s-1", ServerKind("m", 2.0), ledger, lambda target, rng: 0.0)
         await server.start()
         port = server.port
         assert server.slow_start_factor == 1.0 and server.line()["started_ms"] == 0
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -169,7 +169,7 @@
 
     async def play() -> None:
         ledger = Ledger(LIMITS)
-        server = FakeServer("s-1", ServerKind("m", 1.0), ledger, lambda target, chance: 0.001)
+        server = FakeServer("s-1", ServerKind("m", 1.0), ledger, lambda target, rng: 0.001)
         await server.start()
         now = time.monotonic_ns()
         ledger.asked("r-1", UNSAFE, now, now + 5 * SECOND)
