--- a/benchmarks/flood.py
+++ b/benchmarks/flood.py
@@ -30,23 +30,23 @@
 
 async def play(text: str) -> str:
     """One run; a line of figures."""
-    scene = FakeEnvironment(SERVERS, seed=3)
-    await scene.start()
+    environment = FakeEnvironment(SERVERS, seed=3)
+    await environment.start()
     target = b"/view-schedule/board/1"
     with tempfile.TemporaryDirectory() as folder:
         operator = Path(folder) / "operator.toml"
         operator.write_text(text)
-        node = NodeProcess(scene.config(), Path(folder), HOLLYBAY_OPERATOR=str(operator))
+        node = NodeProcess(environment.config(), Path(folder), HOLLYBAY_OPERATOR=str(operator))
         port = await node.start()
         try:
-            await scene.agent.until(lambda: scene.agent.calls >= 2)
+            await environment.agent.until(lambda: environment.agent.calls >= 2)
             mixes = [
                 RequestMix(0, target, 2.0, ("fraser-bands", "island-singers")),
                 RequestMix(2, b"/book-venue/1", 1.0, ("island-singers",)),
             ]
-            usual = LoadGenerator(scene.ledger, [port], mixes, USUAL, seed=2, prefix="usual")
+            usual = LoadGenerator(environment.ledger, [port], mixes, USUAL, seed=2, prefix="usual")
             flooder = [RequestMix(0, target, 1.0, ("coastal-choirs",))]
-            flood = LoadGenerator(scene.ledger, [port], flooder, FLOOD, seed=1, prefix="flood")
+            flood = LoadGenerator(environment.ledger, [port], flooder, FLOOD, seed=1, prefix="flood")
             spent = node.cpu_seconds()
             await asyncio.gather(usual.run(SECONDS), flood.run(SECONDS))
             spent = node.cpu_seconds() - spent
@@ -54,16 +54,16 @@
             flood.close()
         finally:
             await node.stop()
-            await scene.stop()
-    entries = [e for e in scene.ledger.requests.values() if e.id.startswith("usual") and e.cls == 0]
+            await environment.stop()
+    entries = [e for e in environment.ledger.requests.values() if e.id.startswith("usual") and e.cls == 0]
     ends = Counter(entry.final for entry in entries)
     took = [(entry.ended - entry.at) / MS for entry in entries if entry.final is FinalOutcome.SERVED]
-    answers = Counter(e.status for e in scene.ledger.requests.values() if e.id.startswith("flood"))
+    answers = Counter(e.status for e in environment.ledger.requests.values() if e.id.startswith("flood"))
     in_time = sum(ms <= 200 for ms in took) / len(entries)
     return (
         f"{len(entries):>6} {ends[FinalOutcome.SERVED]:>7} {in_time:>8.3f} {percentile(took, 0.5):>7.0f} "
         f"{percentile(took, 0.99):>7.0f} {answers[200]:>9} {answers[429]:>6} {answers[503]:>6} "
-        f"{100 * spent / SECONDS:>6.0f}  {scene.ledger.check()}"
+        f"{100 * spent / SECONDS:>6.0f}  {environment.ledger.check()}"
     )
 
 
--- a/benchmarks/routed_node.py
+++ b/benchmarks/routed_node.py
@@ -96,21 +96,21 @@
         await asyncio.sleep(0.1)
 
 
-async def pair(scene: FakeEnvironment, folder: Path, seed: int) -> list[tuple[float, float, int]]:
+async def pair(environment: FakeEnvironment, folder: Path, seed: int) -> list[tuple[float, float, int]]:
     """Two fresh nodes on one core in short turns: requests a second, CPU (us) a request, and not served."""
     nodes = []
     for name, operator in (("plain", ""), ("routed", str(folder / "operator.toml"))):
         home = folder / f"{name}-{seed}"
         home.mkdir()
-        nodes.append(NodeProcess(scene.config(), home, HOLLYBAY_OPERATOR=operator))
+        nodes.append(NodeProcess(environment.config(), home, HOLLYBAY_OPERATOR=operator))
     loads = [_Load(b"a%d" % seed), _Load(b"b%d" % seed)]
     rounds: list[list[tuple[float, float]]] = [[], []]
-    calls = scene.agent.calls
+    calls = environment.agent.calls
     try:
         for node in nodes:
             await node.start()
             os.sched_setaffinity(node.pid, {max(os.sched_getaffinity(0))})
-        await scene.agent.until(lambda: scene.agent.calls >= calls + 4)
+        await environment.agent.until(lambda: environment.agent.calls >= calls + 4)
         for turn in range(ROUNDS + 2):
             for n in (0, 1) if turn % 2 else (1, 0):
                 done, spent = loads[n].done, nodes[n].cpu_seconds()
@@ -134,20 +134,20 @@
 async def play() -> list[list[tuple[float, float, int]]]:
     """Pair after pair: a process keeps the luck of its place in memory, so one pair says little."""
     loop = asyncio.get_running_loop()
-    scene = FakeEnvironment(SERVERS, words=settings(weights="nominal"))
+    environment = FakeEnvironment(SERVERS, words=settings(weights="nominal"))
     listeners = []
-    for server in scene.servers:
+    for server in environment.servers:
         listener = await loop.create_server(_Server, "127.0.0.1", 0)
         listeners.append(listener)
         server.address = f"127.0.0.1:{listener.sockets[0].getsockname()[1]}"
-    await scene.agent.start()
-    scene.agent.publish()
+    await environment.agent.start()
+    environment.agent.publish()
     try:
         with tempfile.TemporaryDirectory() as folder:
             (Path(folder) / "operator.toml").write_text(many_routes(1000))
-            return [await pair(scene, Path(folder), seed) for seed in range(PAIRS)]
+            return [await pair(environment, Path(folder), seed) for seed in range(PAIRS)]
     finally:
-        await scene.agent.stop()
+        await environment.agent.stop()
         for listener in listeners:
             listener.close()
 
--- a/hollybay/cli/demo.py
+++ b/hollybay/cli/demo.py
@@ -80,19 +80,19 @@
     OSError, RuntimeError
         The node cannot be started.
     """
-    scene = FakeEnvironment(servers, seed=seed)
-    await scene.start()
+    environment = FakeEnvironment(servers, seed=seed)
+    await environment.start()
     with tempfile.TemporaryDirectory() as folder:
-        node = NodeProcess(scene.config(), Path(folder))
+        node = NodeProcess(environment.config(), Path(folder))
         port = await node.start()
         try:
-            await scene.agent.until(lambda: scene.agent.calls >= CALLS_OF_A_READY_NODE)
-            clients = LoadGenerator(scene.ledger, [port], scene.mixes(), rate, seed)
-            run = _Run(scene, node, clients, seconds, show)
+            await environment.agent.until(lambda: environment.agent.calls >= CALLS_OF_A_READY_NODE)
+            clients = LoadGenerator(environment.ledger, [port], environment.mixes(), rate, seed)
+            run = _Run(environment, node, clients, seconds, show)
             await run.play()
         finally:
             await node.stop()
-            await scene.stop()
+            await environment.stop()
     return run.report()
 
 
@@ -101,19 +101,19 @@
 
     def __init__(
         self,
-        scene: FakeEnvironment,
+        environment: FakeEnvironment,
         node: NodeProcess,
         clients: LoadGenerator,
         seconds: float,
         show: Callable[[Progress], None],
     ) -> None:
-        self.scene = scene
+        self.environment = environment
         self.node = node
         self.clients = clients
         self.seconds = seconds
         self.show = show
-        chance = random.Random(scene.seed)
-        self.victims = chance.sample(scene.servers, max(1, round(KILLED_SHARE * scene.count)))
+        chance = random.Random(environment.seed)
+        self.victims = chance.sample(environment.servers, max(1, round(KILLED_SHARE * environment.count)))
         self.phase = "steady"
         self.loop = asyncio.get_running_loop()
         self.began_at = self.loop.time()
@@ -129,14 +129,14 @@
 
     def report(self) -> Report:
         """The figures, once node and servers have stopped: until then the event log may grow."""
-        ledger = self.scene.ledger
+        ledger = self.environment.ledger
         return Report(
             seconds=self.seconds,
             rate=self.clients.rate,
-            servers=self.scene.count,
+            servers=self.environment.count,
             killed=len(self.victims),
             classes=class_rows(ledger),
-            kinds=kind_rows(self.scene.servers),
+            kinds=kind_rows(self.environment.servers),
             on_time_weight=on_time_weight(ledger),
             cpu_ms_a_request=MS_PER_S * self.cpu_seconds / max(1, self.clients.sent),
             node_memory_mb=self.memory_mb,
@@ -165,13 +165,13 @@
             server.crash()
         self._enter_phase(f"{len(self.victims)} killed")
         await asyncio.sleep(min(DISCOVERY_DELAY_S, down_seconds / 2))
-        self.scene.agent.remove(*self.victims)
+        self.environment.agent.remove(*self.victims)
         await asyncio.sleep(max(0.0, down_seconds - DISCOVERY_DELAY_S))
         for server in self.victims:
             await server.start(cold=True)
         self._enter_phase(f"{len(self.victims)} back, cold")
         await asyncio.sleep(DISCOVERY_DELAY_S)
-        self.scene.agent.publish(*self.victims)
+        self.environment.agent.publish(*self.victims)
 
     def _enter_phase(self, phase: str) -> None:
         self.phase = phase
@@ -184,16 +184,16 @@
 
     async def _publish_weights(self) -> None:
         """Tell discovery of the present weights of all servers that it lists."""
-        agent = self.scene.agent
+        agent = self.environment.agent
         while True:
             await asyncio.sleep(WEIGHTS_INTERVAL_S)
-            agent.publish(*(s for s in self.scene.servers if s.up and s.name in agent.lines))
+            agent.publish(*(s for s in self.environment.servers if s.up and s.name in agent.lines))
 
     def _show(self) -> None:
         self.show(self._progress())
 
     def _progress(self) -> Progress:
-        entries = self.scene.ledger.requests.values()
+        entries = self.environment.ledger.requests.values()
         counts: Counter[FinalOutcome | None] = Counter(entry.final for entry in entries)
         served, refused, unanswered = counts[FinalOutcome.SERVED], counts[FinalOutcome.REFUSED], counts[None]
         return Progress(
@@ -204,5 +204,5 @@
             served=served,
             refused=refused,
             failed=len(entries) - served - refused - unanswered,
-            up=sum(server.up for server in self.scene.servers),
+            up=sum(server.up for server in self.environment.servers),
         )
--- a/hollybay/testbed/balancer_harness.py
+++ b/hollybay/testbed/balancer_harness.py
@@ -130,11 +130,11 @@
 
     Attributes
     ----------
-    books
+    requests
         The records of the requests, by id.
     lines
         The servers as last listed, by id.
-    barred
+    unavailable_since
         When the balancer was told that a server drains or is gone, by id.
     timers
         The pending timers: the time, and the token.
@@ -150,9 +150,9 @@
         self.settings = settings or make_settings()
         self.balancer = Balancer(self.settings, seed, now)
         self.now = now
-        self.books: dict[int, RequestRecord] = {}
+        self.requests: dict[int, RequestRecord] = {}
         self.lines: dict[api.ServerId, api.Server] = {}
-        self.barred: dict[api.ServerId, int] = {}
+        self.unavailable_since: dict[api.ServerId, int] = {}
         self.timers: list[tuple[int, int]] = []
         self.sent: list[tuple[int, int, api.ServerId]] = []
         self.finals: list[tuple[int, str]] = []
@@ -172,24 +172,24 @@
         elif isinstance(action, api.Reject | api.Fail):
             self._check_final_response(action)
         elif isinstance(action, api.Cancel):
-            assert action.attempt < len(self.books[action.id].attempts)
+            assert action.attempt < len(self.requests[action.id].attempts)
         elif isinstance(action, api.SetTimer):
             assert action.delay > 0
             self.timers.append((self.now + action.delay, action.token))
 
     def _check_send(self, action: api.Send) -> None:
-        book = self.books[action.id]
+        book = self.requests[action.id]
         assert not book.over, f"request {action.id}: attempt sent after its final response"
         assert len(book.attempts) < self.settings.max_attempts
         self._check_effect(book, action.server)
-        barred = self.barred.get(action.server)
-        reason = rules.drain_violation(barred, self.now, self.settings.drain_grace)
+        unavailable_since = self.unavailable_since.get(action.server)
+        reason = rules.drain_violation(unavailable_since, self.now, self.settings.drain_grace)
         assert reason is None, reason
         book.attempts.append(Attempt(action.server, self.now))
         self.sent.append((self.now, action.id, action.server))
 
     def _check_final_response(self, action: api.Reject | api.Fail) -> None:
-        book = self.books[action.id]
+        book = self.requests[action.id]
         assert not book.over, f"request {action.id}: two final responses"
         assert self.now <= book.deadline + self.settings.answer_grace, f"{action.id}: response too late"
         if isinstance(action, api.Reject):
@@ -222,13 +222,13 @@
         for s in servers:
             self.lines[s.id] = s
             if s.state == api.ServerState.READY:
-                self.barred.pop(s.id, None)
+                self.unavailable_since.pop(s.id, None)
             else:
-                self.barred.setdefault(s.id, self.now)
+                self.unavailable_since.setdefault(s.id, self.now)
         if kind in (api.ListKind.FULL, api.ListKind.CACHED):
             for sid in self.lines:
                 if sid not in named:
-                    self.barred.setdefault(sid, self.now)
+                    self.unavailable_since.setdefault(sid, self.now)
         return self.give(api.ServerList(kind, servers))
 
     def ask(
@@ -242,14 +242,14 @@
     ) -> list[api.Action]:
         """Pass a request to the balancer; `left`: time (ns) to its deadline, 0 for that of the class."""
         left = left or self.settings.classes[cls].deadline
-        self.books[rid] = RequestRecord(cls, self.now + left)
+        self.requests[rid] = RequestRecord(cls, self.now + left)
         return self.give(api.Request(rid, cls, left, key=key, limits=limits, body_pending=body_pending))
 
     def answer(
         self, rid: int, attempt: int, result: api.Result = api.Result.OK, report: api.Report = ()
     ) -> list[api.Action]:
         """End an attempt with a result; the first success is the final response."""
-        book = self.books[rid]
+        book = self.requests[rid]
         tried = book.attempts[attempt]
         assert tried.result is None
         tried.result = result
@@ -262,8 +262,8 @@
 
     def leave(self, rid: int) -> list[api.Action]:
         """Disconnect the client of a request."""
-        self.books[rid].over = True
-        self.books[rid].gone = True
+        self.requests[rid].over = True
+        self.requests[rid].gone = True
         return self.give(api.ClientDisconnected(rid))
 
     def run_to(self, when: int) -> None:
@@ -272,7 +272,7 @@
             due = min(self.timers, default=(when + 1, 0))
             ends = [
                 (book.deadline, rid, n)
-                for rid, book in self.books.items()
+                for rid, book in self.requests.items()
                 for n, a in enumerate(book.attempts)
                 if a.result is None
             ]
@@ -289,5 +289,5 @@
 
     def check_answered(self) -> None:
         """Assert that no request is past its deadline without a final response."""
-        for rid, book in self.books.items():
+        for rid, book in self.requests.items():
             assert book.over or self.now <= book.deadline + self.settings.answer_grace, f"{rid} was lost"
--- a/tests/test_attempt_tracking.py
+++ b/tests/test_attempt_tracking.py
@@ -25,7 +25,7 @@
     node = harness()
     for rid in range(20):
         node.ask(rid, 1, body_pending=True)
-        sent_to = node.books[rid].attempts[0].server
+        sent_to = node.requests[rid].attempts[0].server
         node.tell(tuple(server for server in SERVERS if server.id != sent_to))
         node.give(api.RequestCompleted(rid))
         node.answer(rid, 0)
@@ -52,7 +52,7 @@
 def test_a_server_that_fails_while_a_body_is_coming_is_not_idle_for_the_next_request() -> None:
     node = harness()
     node.ask(1, 1, body_pending=True)
-    failed = node.books[1].attempts[0].server
+    failed = node.requests[1].attempts[0].server
     node.answer(1, 0, api.Result.NOT_DELIVERED)
     check_records(node)
     node.sent.clear()
@@ -71,5 +71,5 @@
     node.ask(20, limits=limits, body_pending=True)
     node.ask(21, limits=limits)
     node.run_to(node.now + 100 * MS)
-    assert len(node.books[20].attempts) == 1
-    assert len(node.books[21].attempts) == 2
+    assert len(node.requests[20].attempts) == 1
+    assert len(node.requests[21].attempts) == 2
--- a/tests/test_balancer.py
+++ b/tests/test_balancer.py
@@ -20,7 +20,7 @@
     for rid in range(first, first + count):
         node.ask(rid)
         node.run_to(node.now + every)
-        for r, book in node.books.items():
+        for r, book in node.requests.items():
             for n, a in enumerate(book.attempts):
                 if a.result is None and node.now - a.sent >= work:
                     node.answer(r, n)
@@ -147,11 +147,11 @@
     node.tell(servers([1.0] * 4))
     for rid in range(400):
         node.ask(rid)
-        for n, a in enumerate(node.books[rid].attempts):
+        for n, a in enumerate(node.requests[rid].attempts):
             if a.result is None and a.server == b"s0":
                 node.answer(rid, n, api.Result.ERROR)
         node.run_to(node.now + 20 * MS)
-        for r, book in node.books.items():
+        for r, book in node.requests.items():
             for n, a in enumerate(book.attempts):
                 if a.result is None:
                     node.answer(r, n)
@@ -164,7 +164,7 @@
     node.tell(servers([1.0] * 4))
     for rid in range(200):
         node.ask(rid)
-        for n, a in enumerate(node.books[rid].attempts):
+        for n, a in enumerate(node.requests[rid].attempts):
             if a.result is None:
                 node.answer(rid, n, api.Result.ERROR)
         node.run_to(node.now + 20 * MS)
@@ -186,7 +186,7 @@
     for rid in range(40):
         node.ask(rid, 0, 3 * SECOND)
         node.run_to(node.now + 100 * MS)
-        book = node.books[rid]
+        book = node.requests[rid]
         for n, a in enumerate(book.attempts):
             if a.result is None:
                 ok = node.now - last.get(a.server, 0) > 500 * MS
@@ -211,7 +211,7 @@
             rid += 1
             node.ask(rid, 0, 300 * MS)
             node.run_to(node.now + 20 * MS)
-            for r, book in node.books.items():
+            for r, book in node.requests.items():
                 for n, a in enumerate(book.attempts):
                     if a.result is None and not (silent and a.server == b"s0"):
                         node.answer(r, n)
@@ -247,7 +247,7 @@
     assert sum(sent[b"s%d" % n] for n in range(4, 8)) < 10
 
     def answer() -> None:
-        for r, book in node.books.items():
+        for r, book in node.requests.items():
             for n, a in enumerate(book.attempts):
                 slow = 900 * MS if node.lines[a.server].zone == 0 else 10 * MS
                 if a.result is None and node.now - a.sent >= slow:
@@ -272,11 +272,13 @@
     for rid in range(3000):
         node.ask(rid, rid % 2)
         node.run_to(node.now + 5 * MS)
-        out = [(r, n) for r, b in node.books.items() for n, a in enumerate(b.attempts) if a.result is None]
+        out = [(r, n) for r, b in node.requests.items() for n, a in enumerate(b.attempts) if a.result is None]
         for r, n in out[:1] if rid % 2 else []:
             node.answer(r, n)
     refused = Counter(
-        node.books[rid].cls for rid, kind in node.finals if kind == "Reject" and not node.books[rid].attempts
+        node.requests[rid].cls
+        for rid, kind in node.finals
+        if kind == "Reject" and not node.requests[rid].attempts
     )
     assert refused[0] > 200
     assert refused[0] > 3 * refused[1]
@@ -292,9 +294,9 @@
     node.ask(1000, limits=api.Limits(hedges=1))
     node.ask(1001)
     node.run_to(node.now + 700 * MS)
-    assert len(node.books[1000].attempts) == 2
+    assert len(node.requests[1000].attempts) == 2
     # Unasked, each copy that loses costs a connection, and all of them work that others wait for.
-    assert len(node.books[1001].attempts) == 1
+    assert len(node.requests[1001].attempts) == 1
 
 
 def test_odd_input_does_no_harm() -> None:
@@ -317,11 +319,11 @@
         api.ServerList(api.ListKind.FULL, ()),
     ):
         assert all(isinstance(a, api.SetTimer) for a in b.handle(node.now, event))
-    node.barred.update({sid: node.now for sid in node.lines})
+    node.unavailable_since.update({sid: node.now for sid in node.lines})
     node.ask(2, 0, 1)
     node.ask(3, 1)
     node.run_to(node.now + 20 * SECOND)
-    assert node.books[2].over and node.books[3].over
+    assert node.requests[2].over and node.requests[3].over
 
 
 def test_an_unknown_class_fails_and_an_unknown_tenant_is_served() -> None:
@@ -347,10 +349,10 @@
     node = BalancerHarness(make_settings(classes=(cls,)))
     node.tell(fleet(4))
     node.ask(1)
-    node.give(api.ResponseStarted(1, 0, node.books[1].attempts[0].server))
-    node.books[1].deadline = node.now + 100 * SECOND
+    node.give(api.ResponseStarted(1, 0, node.requests[1].attempts[0].server))
+    node.requests[1].deadline = node.now + 100 * SECOND
     node.run_to(node.now + 2 * SECOND)
-    assert len(node.books[1].attempts) == 1 and not node.finals
+    assert len(node.requests[1].attempts) == 1 and not node.finals
 
 
 def test_few_of_many_nodes_take_a_server_for_idle() -> None:
@@ -372,7 +374,7 @@
     )
     node.tell(servers([1.0] * 3))
     node.ask(1)
-    failed = node.books[1].attempts[0].server
+    failed = node.requests[1].attempts[0].server
     node.answer(1, 0, api.Result.ERROR)
     for rid in range(2, 30):
         node.run_to(node.now + 10 * MS)
--- a/tests/test_balancer_many_nodes.py
+++ b/tests/test_balancer_many_nodes.py
@@ -65,7 +65,7 @@
 
 
 def settle(node: BalancerHarness, down: frozenset[object] = frozenset()) -> None:
-    for rid, book in list(node.books.items()):
+    for rid, book in list(node.requests.items()):
         for n, tried in enumerate(book.attempts):
             if tried.result is None and tried.server in down:
                 node.answer(rid, n, api.Result.NOT_DELIVERED)
@@ -128,10 +128,10 @@
     node = tier(40)[0]
     node.tell(lines(40))
     node.ask(1)
-    first = node.books[1].attempts[0]
+    first = node.requests[1].attempts[0]
     assert node.lines[first.server].zone == 0
     node.answer(1, 0, api.Result.NOT_DELIVERED)
-    assert node.lines[node.books[1].attempts[1].server].zone == 1
+    assert node.lines[node.requests[1].attempts[1].server].zone == 1
 
 
 def test_nothing_crosses_into_a_zone_that_is_lost() -> None:
@@ -158,7 +158,7 @@
     play(node, node.now + SECOND, 20 * MS)
     down = frozenset([b"s00"])
     play(node, node.now + 4 * SECOND, 20 * MS, down=down, first=1000)
-    assert sum(a.result == api.Result.NOT_DELIVERED for b in node.books.values() for a in b.attempts) >= 2
+    assert sum(a.result == api.Result.NOT_DELIVERED for b in node.requests.values() for a in b.attempts) >= 2
     back = node.now
     play(node, node.now + 2 * SECOND, 20 * MS, first=2000)
     again = sum(sid == b"s00" for at, _, sid in node.sent if at >= back)
@@ -183,7 +183,7 @@
     node.tell(lines(10, zones=1))
     for rid in range(40):
         node.ask(rid)
-        tried = node.books[rid].attempts[0]
+        tried = node.requests[rid].attempts[0]
         failing = tried.server == b"s03"
         node.run_to(node.now + 20 * MS)
         node.answer(rid, 0, report=(6.0, 10.0, 0.0) if failing else (0.0, 16.0, 0.0))
@@ -223,7 +223,7 @@
         node.ask(rid)
         node.run_to(node.now + 40 * MS)
         if rid >= 50:  # answers that come 2 s late
-            for n, tried in enumerate(node.books[rid - 50].attempts):
+            for n, tried in enumerate(node.requests[rid - 50].attempts):
                 if tried.result is None:
                     node.answer(rid - 50, n)
     assert node.balancer.load_shedder.shed_share > 0.3
@@ -393,7 +393,7 @@
     for rid in range(1000, 1050):  # what the warm ones get stays out
         node.ask(rid, 1)
         node.run_to(node.now + 100 * MS)
-        for n, tried in enumerate(node.books[rid].attempts):
+        for n, tried in enumerate(node.requests[rid].attempts):
             if tried.server in {s.id for s in cold} and tried.result is None:
                 node.answer(rid, n)
     late = range(1025, 1050)
@@ -414,7 +414,7 @@
     while not any(sid == b"s02" for _, _, sid in node.sent):
         node.ask(rid)
         node.run_to(node.now + 10 * MS)
-        tried = node.books[rid].attempts[0]
+        tried = node.requests[rid].attempts[0]
         told = (9.0, 2.0) if tried.server == b"s02" else (0.0, 10.0)
         node.answer(rid, 0, report=told)
         rid += 1
@@ -598,7 +598,7 @@
     while silent is None:
         rid += 1
         node.ask(rid)
-        silent = next((n for n, a in enumerate(node.books[rid].attempts) if a.server in near), None)
+        silent = next((n for n, a in enumerate(node.requests[rid].attempts) if a.server in near), None)
     node.answer(rid, silent, api.Result.TIMEOUT)
     assert node.balancer.estimates.zone_reachability.local_failure_rate == share
     assert all(s.up_since == 0 for s in node.balancer.servers.values())
--- a/tests/test_balancer_records.py
+++ b/tests/test_balancer_records.py
@@ -70,7 +70,7 @@
         """One attempt in flight: the request and the attempt's number."""
         in_flight = [
             (rid, n)
-            for rid, book in self.node.books.items()
+            for rid, book in self.node.requests.items()
             for n, attempt in enumerate(book.attempts)
             if attempt.result is None
         ]
@@ -78,11 +78,11 @@
 
     def start(self, number: int) -> None:
         found = self._in_flight(number)
-        if found is None or found[0] in self.started or self.node.books[found[0]].over:
+        if found is None or found[0] in self.started or self.node.requests[found[0]].over:
             return
         rid, n = found
         self.started.add(rid)
-        self.node.give(api.ResponseStarted(rid, n, self.node.books[rid].attempts[n].server, MS))
+        self.node.give(api.ResponseStarted(rid, n, self.node.requests[rid].attempts[n].server, MS))
 
     def end(self, number: int, result: api.Result) -> None:
         found = self._in_flight(number)
@@ -90,7 +90,7 @@
             self.node.answer(*found, result)
 
     def leave(self, number: int) -> None:
-        book = self.node.books.get(number)
+        book = self.node.requests.get(number)
         if book is not None and not book.over:
             self.node.leave(number)
 
--- a/tests/test_estimates.py
+++ b/tests/test_estimates.py
@@ -35,8 +35,8 @@
             node.tell(WARM)  # a list that is overdue would stop what is learned
         for _ in range(EVERY):
             node.run_to(node.now + STEP)
-            for r in [r for r, book in node.books.items() if not book.over]:
-                for n, tried in enumerate(node.books[r].attempts):
+            for r in [r for r, book in node.requests.items() if not book.over]:
+                for n, tried in enumerate(node.requests[r].attempts):
                     takes = odd if node.lines[tried.server].kind else even
                     if tried.result is None and node.now - tried.sent >= takes:
                         node.answer(r, n)
--- a/tests/test_found_by_seeds.py
+++ b/tests/test_found_by_seeds.py
@@ -61,7 +61,7 @@
     for rid in range(400):
         node.ask(rid)
         node.run_to(node.now + 5 * MS)
-        for n, attempt in enumerate(node.books[rid].attempts):
+        for n, attempt in enumerate(node.requests[rid].attempts):
             if attempt.result is None:
                 attempt.sent -= 450 * MS
                 node.answer(rid, n)
--- a/tests/test_load_reports.py
+++ b/tests/test_load_reports.py
@@ -258,13 +258,13 @@
     node.run_to(node.now + SECOND)  # a review: every node takes any idle server now
     for rid in range(5):
         node.ask(rid)
-        assert node.books[rid].attempts[0].server == b"s2"
+        assert node.requests[rid].attempts[0].server == b"s2"
         node.run_to(node.now + 20 * MS)
         node.answer(rid, 0)
     node.give(api.PeerLoad({b"s1": 0}, 39))
     node.ask(10)
     node.ask(11)
-    assert {node.books[rid].attempts[0].server for rid in (10, 11)} == {b"s1", b"s2"}
+    assert {node.requests[rid].attempts[0].server for rid in (10, 11)} == {b"s1", b"s2"}
     assert node.balancer.servers[b"s1"].in_flight == 1
 
 
@@ -289,13 +289,13 @@
             others[server] = chance.randrange(4)
             node.give(api.PeerLoad({server: others[server]}, 39))
         node.ask(rid)
-        if node.books[rid].attempts:
-            own[node.books[rid].attempts[0].server] += 1
+        if node.requests[rid].attempts:
+            own[node.requests[rid].attempts[0].server] += 1
             open_.append(rid)
         if open_ and chance.random() < 0.6:
             done = open_.pop(0)
             node.answer(done, 0)
-            own[node.books[done].attempts[0].server] -= 1
+            own[node.requests[done].attempts[0].server] -= 1
         for name, s in node.balancer.servers.items():
             assert (s.in_flight, s.peer_in_flight) == (own[name] + others[name], others[name])  # type: ignore[index]
 
--- a/tests/test_other_customers.py
+++ b/tests/test_other_customers.py
@@ -140,12 +140,12 @@
     node = walk(seed, taken, steps=60)
     sends = [action for action in node.actions if isinstance(action, api.Send)]
     for send in sends:
-        cls = taken.classes[node.books[send.id].cls]
-        first = node.books[send.id].attempts[0].sent
+        cls = taken.classes[node.requests[send.id].cls]
+        first = node.requests[send.id].attempts[0].sent
         if cls.effect != api.Effect.KEYED:
             assert send.write_deadline == 0
         elif send.write_deadline:
-            last = node.books[send.id].attempts[-1].sent
+            last = node.requests[send.id].attempts[-1].sent
             assert (
                 first + cls.deduplication_window - taken.tick
                 <= send.write_deadline
--- a/tests/test_request_limits.py
+++ b/tests/test_request_limits.py
@@ -39,7 +39,7 @@
     node.ask(1, READ, limits=api.Limits(attempts=attempts))
     for n in range(sent):
         node.answer(1, n, api.Result.RESET)
-    assert len(node.books[1].attempts) == sent and node.books[1].over
+    assert len(node.requests[1].attempts) == sent and node.requests[1].over
 
 
 def test_an_attempt_that_never_ran_counts_too() -> None:
@@ -84,16 +84,16 @@
         node = BalancerHarness(make_settings(hedging_allowed=False), seed=seed)
         node.tell(fleet(12))
         node.ask(1, ALL, limits=api.Limits(retry_scope=api.DeduplicationScope.CELL))
-        first = node.lines[node.books[1].attempts[0].server]
+        first = node.lines[node.requests[1].attempts[0].server]
         (repeat,) = sends(node.answer(1, 0, api.Result.RESET))
         assert node.lines[repeat.server].cell == first.cell
         node.ask(2, ALL, limits=api.Limits(retry_scope=api.DeduplicationScope.ZONE))
-        first = node.lines[node.books[2].attempts[0].server]
+        first = node.lines[node.requests[2].attempts[0].server]
         (repeat,) = sends(node.answer(2, 0, api.Result.RESET))
         assert node.lines[repeat.server].zone == first.zone
         # Wider than the class says is not wider.
         node.ask(3, CELL, limits=api.Limits(retry_scope=api.DeduplicationScope.ZONE))
-        first = node.lines[node.books[3].attempts[0].server]
+        first = node.lines[node.requests[3].attempts[0].server]
         (repeat,) = sends(node.answer(3, 0, api.Result.RESET))
         assert node.lines[repeat.server].cell == first.cell
 
@@ -114,10 +114,10 @@
             node.ask(rid + n, READ, limits=limits)
             node.answer(rid + n, 0, api.Result.RESET if n % 2 else api.Result.OK)
             node.run_to(node.now + 20 * MS)
-            if len(node.books[rid + n].attempts) > 1:
+            if len(node.requests[rid + n].attempts) > 1:
                 node.answer(rid + n, 1)
     repeats = {
-        name: sum(len(node.books[rid + n].attempts) - 1 for n in range(200))
+        name: sum(len(node.requests[rid + n].attempts) - 1 for n in range(200))
         for name, rid in (("tight", 0), ("loose", 10_000))
     }
     assert 10 <= repeats["tight"] <= 0.1 * 200 + 1
@@ -162,11 +162,11 @@
             budget=chance.choice("ab"),
         )
         node.ask(rid, chance.randrange(5), limits=limits)
-        out = [(r, n) for r, b in node.books.items() for n, a in enumerate(b.attempts) if a.result is None]
+        out = [(r, n) for r, b in node.requests.items() for n, a in enumerate(b.attempts) if a.result is None]
         for r, n in out:
             if chance.random() < 0.4:
                 node.answer(r, n, chance.choice([r for r in api.Result if r != api.Result.TIMEOUT]))
         node.run_to(node.now + chance.randrange(30 * MS))
         node.check_answered()
     node.run_to(node.now + 20 * SECOND)
-    assert all(book.over for book in node.books.values()) and not node.balancer.requests
+    assert all(book.over for book in node.requests.values()) and not node.balancer.requests
--- a/tests/test_routes_node.py
+++ b/tests/test_routes_node.py
@@ -496,10 +496,12 @@
 
 
 @asynccontextmanager
-async def hosted(folder: Path, scene: FakeEnvironment, text: str) -> AsyncIterator[tuple[int, OperatorFile]]:
+async def hosted(
+    folder: Path, environment: FakeEnvironment, text: str
+) -> AsyncIterator[tuple[int, OperatorFile]]:
     """A node in this process in a scene, under an operator's file; its port."""
-    await scene.start()
-    (folder / "c.json").write_text(json.dumps(scene.config()))
+    await environment.start()
+    (folder / "c.json").write_text(json.dumps(environment.config()))
     (folder / "operator.toml").write_text(text)
     config = replace(load({"BALANCER_CONFIG": str(folder / "c.json")}), listen=("127.0.0.1", 0))
     operator = OperatorFile(str(folder / "operator.toml"), config.settings, 1, no_pause)
@@ -516,7 +518,7 @@
         await operator.close()
         await discovery.close()
         clients.close()
-        await scene.stop()
+        await environment.stop()
 
 
 def test_reloads_in_a_surge_every_second_one_unsafe_or_half_written(tmp_path: Path) -> None:
@@ -541,9 +543,11 @@
     ]
 
     async def play() -> None:
-        scene = FakeEnvironment(12, seed=4)
-        async with hosted(tmp_path, scene, good(0)) as (port, operator):
-            callers = LoadGenerator(scene.ledger, [port], scene.mixes(), rate=1.2 * scene.capacity(), seed=4)
+        environment = FakeEnvironment(12, seed=4)
+        async with hosted(tmp_path, environment, good(0)) as (port, operator):
+            callers = LoadGenerator(
+                environment.ledger, [port], environment.mixes(), rate=1.2 * environment.capacity(), seed=4
+            )
             surge = asyncio.ensure_future(callers.run(2.5))
             turns = 0
             while not surge.done():
@@ -562,9 +566,9 @@
             await surge
             callers.close()
             assert turns > 20
-            ends = Counter(entry.final for entry in scene.ledger.requests.values())
+            ends = Counter(entry.final for entry in environment.ledger.requests.values())
             assert ends[FinalOutcome.SERVED] > 100
-        verdict = scene.ledger.check()
+        verdict = environment.ledger.check()
         assert verdict, verdict.violations[:5]
 
     asyncio.run(play())
@@ -578,7 +582,7 @@
     )
 
     async def play() -> None:
-        scene = FakeEnvironment(10, seed=2)
+        environment = FakeEnvironment(10, seed=2)
         target = b"/view-schedule/board/1"
         flood = [RequestMix(0, target, 1.0, ("coastal-choirs",))]
         others = [
@@ -586,15 +590,15 @@
             RequestMix(0, b"/view-schedule/else", 1.0, ("island-singers",)),
             RequestMix(2, b"/book-venue/1", 0.5, ("island-singers",)),
         ]
-        async with hosted(tmp_path, scene, text) as (port, operator):
+        async with hosted(tmp_path, environment, text) as (port, operator):
             # The flood alone is several times what ten servers can do.
-            flooding = LoadGenerator(scene.ledger, [port], flood, rate=500.0, seed=1, prefix="flood")
-            usual = LoadGenerator(scene.ledger, [port], others, rate=30.0, seed=2, prefix="usual")
+            flooding = LoadGenerator(environment.ledger, [port], flood, rate=500.0, seed=1, prefix="flood")
+            usual = LoadGenerator(environment.ledger, [port], others, rate=30.0, seed=2, prefix="usual")
             await asyncio.gather(flooding.run(2.5), usual.run(2.5))
             flooding.close()
             usual.close()
             turned = operator.admission.rejected["board"]
-        entries = scene.ledger.requests.values()
+        entries = environment.ledger.requests.values()
         flooder = [entry for entry in entries if entry.id.startswith("flood")]
         ends = Counter(entry.status for entry in flooder)
         assert ends[429] > 700 and turned == sum(entry.status == 429 for entry in entries)
@@ -605,7 +609,7 @@
                 assert not entry.arrived
         usual_ends = Counter(entry.final for entry in entries if entry.id.startswith("usual"))
         assert usual_ends[FinalOutcome.SERVED] >= 0.97 * usual_ends.total() > 50, usual_ends
-        verdict = scene.ledger.check()
+        verdict = environment.ledger.check()
         assert verdict, verdict.violations[:5]
 
     asyncio.run(play())
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -45,22 +45,22 @@
         elif roll < 0.64:
             node.give(api.ServerList(api.ListKind.FAILED))
         elif roll < 0.67:
-            open_ids = [r for r, b in node.books.items() if not b.over]
+            open_ids = [r for r, b in node.requests.items() if not b.over]
             if open_ids:
                 node.leave(chance.choice(open_ids))
         elif roll < 0.70:
             node.run_to(node.now + chance.randrange(2 * SECOND))
-        out = [(r, n) for r, b in node.books.items() for n, a in enumerate(b.attempts) if a.result is None]
+        out = [(r, n) for r, b in node.requests.items() for n, a in enumerate(b.attempts) if a.result is None]
         for r, n in out:
             if chance.random() < 0.3:
                 results = [
-                    x for x in api.Result if x != api.Result.TIMEOUT or node.now >= node.books[r].deadline
+                    x for x in api.Result if x != api.Result.TIMEOUT or node.now >= node.requests[r].deadline
                 ]
                 node.answer(r, n, api.Result.OK if chance.random() < 0.6 else chance.choice(results))
         node.run_to(node.now + chance.randrange(20 * MS))
         node.check_answered()
     node.run_to(node.now + 20 * SECOND)
-    assert all(book.over for book in node.books.values())
+    assert all(book.over for book in node.requests.values())
     assert not node.balancer.requests, "requests are left behind"
     return node
 
@@ -105,9 +105,9 @@
         for _ in range(count):
             rid += 1
             node.ask(rid)
-            sent.extend(node.now for a in node.books[rid].attempts if a.server == b"new")
+            sent.extend(node.now for a in node.requests[rid].attempts if a.server == b"new")
             node.run_to(node.now + span // count)
-            for r, book in node.books.items():
+            for r, book in node.requests.items():
                 for n, a in enumerate(book.attempts):
                     if a.result is None and node.now - a.sent >= work:
                         node.answer(r, n)
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -29,7 +29,7 @@
     node = BalancerHarness(make_settings(warm_up=0))
     node.tell(fleet(4, up_since=node.now + 300 * MS))
     node.ask(1)
-    assert node.books[1].attempts
+    assert node.requests[1].attempts
 
 
 @pytest.mark.parametrize("body_pending", [False, True])
--- a/tests/test_slow_start_many_nodes.py
+++ b/tests/test_slow_start_many_nodes.py
@@ -43,7 +43,7 @@
                 node.ask(self.rid)
                 self.rid += 1
                 due = node.now + int(self.chance.expovariate(self.rate) * SECOND)
-            for rid, book in list(node.books.items()):
+            for rid, book in list(node.requests.items()):
                 for n, tried in enumerate(book.attempts):
                     if tried.result is None and node.now - tried.sent >= WORK:
                         lost = self.chance.random() < failing
