--- a/hollybay/testbed/balancer_harness.py
+++ b/hollybay/testbed/balancer_harness.py
@@ -178,30 +178,32 @@
             self.timers.append((self.now + action.delay, action.token))
 
     def _check_send(self, action: api.Send) -> None:
-        book = self.requests[action.id]
-        assert not book.over, f"request {action.id}: attempt sent after its final response"
-        assert len(book.attempts) < self.settings.max_attempts
-        self._check_effect(book, action.server)
+        record = self.requests[action.id]
+        assert not record.over, f"request {action.id}: attempt sent after its final response"
+        assert len(record.attempts) < self.settings.max_attempts
+        self._check_effect(record, action.server)
         unavailable_since = self.unavailable_since.get(action.server)
         reason = rules.drain_violation(unavailable_since, self.now, self.settings.drain_grace)
         assert reason is None, reason
-        book.attempts.append(Attempt(action.server, self.now))
+        record.attempts.append(Attempt(action.server, self.now))
         self.sent.append((self.now, action.id, action.server))
 
     def _check_final_response(self, action: api.Reject | api.Fail) -> None:
-        book = self.requests[action.id]
-        assert not book.over, f"request {action.id}: two final responses"
-        assert self.now <= book.deadline + self.settings.answer_grace, f"{action.id}: response too late"
+        record = self.requests[action.id]
+        assert not record.over, f"request {action.id}: two final responses"
+        assert self.now <= record.deadline + self.settings.answer_grace, f"{action.id}: response too late"
         if isinstance(action, api.Reject):
-            self._check_rejection(book)
-        book.over = True
+            self._check_rejection(record)
+        record.over = True
         self.finals.append((action.id, type(action).__name__))
 
-    def _check_effect(self, book: RequestRecord, server: api.ServerId) -> None:
-        cls = self.settings.classes[book.cls]
+    def _check_effect(self, record: RequestRecord, server: api.ServerId) -> None:
+        cls = self.settings.classes[record.cls]
         if not self.settings.hedging_allowed:
-            assert all(a.result is not None for a in book.attempts), "two attempts in flight without hedging"
-        ran = [self._execution(a.server, a.sent) for a in book.attempts if a.result not in NEVER_RAN]
+            assert all(
+                a.result is not None for a in record.attempts
+            ), "two attempts in flight without hedging"
+        ran = [self._execution(a.server, a.sent) for a in record.attempts if a.result not in NEVER_RAN]
         reason = rules.repeat_violation(cls, ran, self._execution(server, self.now))
         assert reason is None, reason
 
@@ -209,9 +211,9 @@
         line = self.lines[server]
         return rules.Execution(at, line.zone, line.cell)
 
-    def _check_rejection(self, book: RequestRecord) -> None:
-        cls = self.settings.classes[book.cls]
-        reason = rules.rejection_violation(cls, any(a.result not in NEVER_RAN for a in book.attempts))
+    def _check_rejection(self, record: RequestRecord) -> None:
+        cls = self.settings.classes[record.cls]
+        reason = rules.rejection_violation(cls, any(a.result not in NEVER_RAN for a in record.attempts))
         assert reason is None, reason
 
     def tell(
@@ -249,15 +251,17 @@
         self, rid: int, attempt: int, result: api.Result = api.Result.OK, report: api.Report = ()
     ) -> list[api.Action]:
         """End an attempt with a result; the first success is the final response."""
-        book = self.requests[rid]
-        tried = book.attempts[attempt]
+        record = self.requests[rid]
+        tried = record.attempts[attempt]
         assert tried.result is None
         tried.result = result
-        if result == api.Result.OK and not book.over:
-            book.over = True
+        if result == api.Result.OK and not record.over:
+            record.over = True
             self.finals.append((rid, "Served"))
         return self.give(
-            api.AttemptFinished(rid, attempt, tried.server, result, self.now - tried.sent, book.over, report)
+            api.AttemptFinished(
+                rid, attempt, tried.server, result, self.now - tried.sent, record.over, report
+            )
         )
 
     def leave(self, rid: int) -> list[api.Action]:
@@ -271,9 +275,9 @@
         while True:
             due = min(self.timers, default=(when + 1, 0))
             ends = [
-                (book.deadline, rid, n)
-                for rid, book in self.requests.items()
-                for n, a in enumerate(book.attempts)
+                (record.deadline, rid, n)
+                for rid, record in self.requests.items()
+                for n, a in enumerate(record.attempts)
                 if a.result is None
             ]
             end = min(ends, default=(when + 1, 0, 0))
@@ -289,5 +293,5 @@
 
     def check_answered(self) -> None:
         """Assert that no request is past its deadline without a final response."""
-        for rid, book in self.requests.items():
-            assert book.over or self.now <= book.deadline + self.settings.answer_grace, f"{rid} was lost"
+        for rid, record in self.requests.items():
+            assert record.over or self.now <= record.deadline + self.settings.answer_grace, f"{rid} was lost"
