--- a/hollybay/cluster/roles.py
+++ b/hollybay/cluster/roles.py
@@ -32,11 +32,11 @@
 from hollybay.testbed.client_connection import ClientConnection
 from hollybay.testbed.client_request import ClientRequest, RequestMix
 from hollybay.testbed.cpu_wait import cpu_wait_ns
+from hollybay.testbed.fake_environment import CLASSES, SHARES, TENANTS, WORK, settings
 from hollybay.testbed.fake_server import FakeServer, ServerKind
 from hollybay.testbed.fake_server_connection import ScriptedAnswer
 from hollybay.testbed.ledger import FinalOutcome, Ledger, RequestEntry, RuleLimits, ServerStart
 from hollybay.testbed.load_generator import LoadGenerator
-from hollybay.testbed.scene import CLASSES, SHARES, TENANTS, WORK, settings
 from hollybay.units import SECOND
 
 from . import planted
@@ -503,8 +503,8 @@
     def _send(self, call: ClientRequest, port: int) -> None:
         super()._send(call, self.port_of[self.node()])
 
-    def _open_anew(self, call: ClientRequest, port: int) -> None:
-        super()._open_anew(call, port or self.port_of[self.node()])
+    def _send_on_new_connection(self, call: ClientRequest, port: int) -> None:
+        super()._send_on_new_connection(call, port or self.port_of[self.node()])
 
     async def _open(self, call: ClientRequest, port: int) -> None:
         for _ in range(self.ANEW):
@@ -540,7 +540,7 @@
     def connection_broken(self, call: ClientRequest, part: bytes) -> None:
         safe = self.ledger.limits.classes[call.entry.cls].effect == api.Effect.SAFE
         if not call.on_new_connection and not part and safe:
-            self._open_anew(call, 0)
+            self._send_on_new_connection(call, 0)
             return
         self._end(call, FinalOutcome.BROKEN)
 
--- a/hollybay/testbed/world.py
+++ b/hollybay/testbed/balancer_harness.py
@@ -1,6 +1,6 @@
-"""A driver for tests of the decision module: it records what a node does and asserts the four rules.
+"""Test harness for the balancer: records its actions and asserts the four rules.
 
-Times are integer nanoseconds on a clock that only the driver moves.
+Times are integer nanoseconds on a clock that only the harness advances.
 """
 
 from __future__ import annotations
@@ -41,14 +41,14 @@
 ALL = api.RequestClass(
     "tag", api.Effect.KEYED, 1.0, 800 * MS, 3 * SECOND, 0.0, api.DeduplicationScope.ALL, 2 * SECOND
 )
-# A class for each effect and scope.
+# One class for each effect and deduplication scope.
 CLASSES = (SAFE, UNSAFE, CELL, ZONE, ALL)
-# Results that prove that the server did not run the request.
+# Results which prove that the server did not run the request.
 NEVER_RAN = (api.Result.REJECTED, api.Result.NOT_DELIVERED, api.Result.NOT_SENT)
 
 
 def make_settings(**changes: object) -> api.Settings:
-    """The settings of a node among four, with these fields changed."""
+    """The settings of a node in a group of four, with some fields changed."""
     values: dict[str, object] = {
         "classes": CLASSES,
         "zones": 2,
@@ -68,7 +68,7 @@
 
 
 def fleet(count: int, **changes: object) -> tuple[api.Server, ...]:
-    """So many servers, spread over two zones, three kinds and cells of four, with these fields changed."""
+    """Make `count` servers in two zones, of three kinds, in cells of four, with some fields changed."""
     return tuple(
         api.Server(
             id=b"s%03d" % n,
@@ -84,7 +84,7 @@
 
 @dataclass
 class Attempt:
-    """One attempt of a request: its server, when it was sent, and its result once it has ended."""
+    """An attempt: its server, when it was sent, and its result once it has ended."""
 
     server: api.ServerId
     sent: int
@@ -93,20 +93,20 @@
 
 @dataclass
 class RequestRecord:
-    """What is known of one request.
+    """The record of a request.
 
     Attributes
     ----------
     cls
-        Number of its class.
+        Index of its class.
     deadline
-        When its client waits no longer.
+        When its response is due.
     attempts
         All attempts so far, in order.
     over
-        Whether it has had its final answer, or its client left.
+        Whether it has its final response, or its client has disconnected.
     gone
-        Whether its client left.
+        Whether its client has disconnected.
     """
 
     cls: int
@@ -117,31 +117,31 @@
 
 
 class BalancerHarness:
-    """One balancer, with a record of what it was told and did.
+    """A balancer, with a record of its events and actions.
 
     Parameters
     ----------
     settings
-        Those of the balancer; ``make_settings()`` if not given.
+        Settings of the balancer; `make_settings()` by default.
     seed
-        Of the balancer.
+        Seed of the balancer.
     now
         The time at the start.
 
     Attributes
     ----------
-    books
-        The requests, by id.
+    requests
+        The records of the requests, by id.
     lines
-        The servers as they were listed last, by id.
-    barred
-        Servers that drain or are gone, and since when.
+        The servers as last listed, by id.
+    unavailable_since
+        When the balancer was told that a server drains or is gone, by id.
     timers
-        Timers that are set: when they fire, and their token.
+        The pending timers: the time, and the token.
     sent
-        All attempts: when, of which request, to which server.
+        All attempts: the time, the request and the server.
     finals
-        Final answers, in order: the request, and what it was.
+        All final responses, in order: the request, and the kind.
     actions
         All actions, in order.
     """
@@ -150,85 +150,87 @@
         self.settings = settings or make_settings()
         self.balancer = Balancer(self.settings, seed, now)
         self.now = now
-        self.books: dict[int, RequestRecord] = {}
+        self.requests: dict[int, RequestRecord] = {}
         self.lines: dict[api.ServerId, api.Server] = {}
-        self.barred: dict[api.ServerId, int] = {}
+        self.unavailable_since: dict[api.ServerId, int] = {}
         self.timers: list[tuple[int, int]] = []
         self.sent: list[tuple[int, int, api.ServerId]] = []
         self.finals: list[tuple[int, str]] = []
         self.actions: list[api.Action] = []
 
     def give(self, event: api.Event) -> list[api.Action]:
-        """Give the balancer an event; its actions, recorded and held against the rules."""
+        """Pass an event to the balancer; record its actions, check them and return them."""
         actions = self.balancer.handle(self.now, event)
         self.actions += actions
         for action in actions:
-            self._act(action)
+            self._record(action)
         return actions
 
-    def _act(self, action: api.Action) -> None:
+    def _record(self, action: api.Action) -> None:
         if isinstance(action, api.Send):
             self._check_send(action)
         elif isinstance(action, api.Reject | api.Fail):
-            self._check_final_answer(action)
+            self._check_final_response(action)
         elif isinstance(action, api.Cancel):
-            assert action.attempt < len(self.books[action.id].attempts)
+            assert action.attempt < len(self.requests[action.id].attempts)
         elif isinstance(action, api.SetTimer):
             assert action.delay > 0
             self.timers.append((self.now + action.delay, action.token))
 
     def _check_send(self, action: api.Send) -> None:
-        book = self.books[action.id]
-        assert not book.over, "sent after the final answer"
-        assert len(book.attempts) < self.settings.max_attempts
-        self._check_effect(book, action.server)
-        barred = self.barred.get(action.server)
-        reason = rules.drain_violation(barred, self.now, self.settings.drain_grace)
+        record = self.requests[action.id]
+        assert not record.over, f"request {action.id}: attempt sent after its final response"
+        assert len(record.attempts) < self.settings.max_attempts
+        self._check_effect(record, action.server)
+        unavailable_since = self.unavailable_since.get(action.server)
+        reason = rules.drain_violation(unavailable_since, self.now, self.settings.drain_grace)
         assert reason is None, reason
-        book.attempts.append(Attempt(action.server, self.now))
+        record.attempts.append(Attempt(action.server, self.now))
         self.sent.append((self.now, action.id, action.server))
 
-    def _check_final_answer(self, action: api.Reject | api.Fail) -> None:
-        book = self.books[action.id]
-        assert not book.over, "two final answers"
-        assert self.now <= book.deadline + self.settings.answer_grace, "answered too late"
+    def _check_final_response(self, action: api.Reject | api.Fail) -> None:
+        record = self.requests[action.id]
+        assert not record.over, f"request {action.id}: two final responses"
+        assert self.now <= record.deadline + self.settings.answer_grace, f"{action.id}: response too late"
         if isinstance(action, api.Reject):
-            self._check_refusal(book)
-        book.over = True
+            self._check_rejection(record)
+        record.over = True
         self.finals.append((action.id, type(action).__name__))
 
-    def _check_effect(self, book: RequestRecord, server: api.ServerId) -> None:
-        cls = self.settings.classes[book.cls]
+    def _check_effect(self, record: RequestRecord, server: api.ServerId) -> None:
+        cls = self.settings.classes[record.cls]
         if not self.settings.hedging_allowed:
-            assert all(a.result is not None for a in book.attempts), "two at once"
-        ran = [self._place(a.server, a.sent) for a in book.attempts if a.result not in NEVER_RAN]
-        reason = rules.repeat_violation(cls, ran, self._place(server, self.now))
+            assert all(
+                a.result is not None for a in record.attempts
+            ), "two attempts in flight without hedging"
+        ran = [self._execution(a.server, a.sent) for a in record.attempts if a.result not in NEVER_RAN]
+        reason = rules.repeat_violation(cls, ran, self._execution(server, self.now))
         assert reason is None, reason
 
-    def _place(self, server: api.ServerId, at: int) -> rules.Execution:
+    def _execution(self, server: api.ServerId, at: int) -> rules.Execution:
         line = self.lines[server]
         return rules.Execution(at, line.zone, line.cell)
 
-    def _check_refusal(self, book: RequestRecord) -> None:
-        cls = self.settings.classes[book.cls]
-        reason = rules.refusal_violation(cls, any(a.result not in NEVER_RAN for a in book.attempts))
+    def _check_rejection(self, record: RequestRecord) -> None:
+        cls = self.settings.classes[record.cls]
+        reason = rules.rejection_violation(cls, any(a.result not in NEVER_RAN for a in record.attempts))
         assert reason is None, reason
 
     def tell(
         self, servers: tuple[api.Server, ...], kind: api.ListKind = api.ListKind.FULL
     ) -> list[api.Action]:
-        """Tell the balancer of servers: the whole list, or what changed."""
+        """Pass a server list to the balancer: the full list, or the changed servers."""
         named = {s.id for s in servers}
         for s in servers:
             self.lines[s.id] = s
             if s.state == api.ServerState.READY:
-                self.barred.pop(s.id, None)
+                self.unavailable_since.pop(s.id, None)
             else:
-                self.barred.setdefault(s.id, self.now)
+                self.unavailable_since.setdefault(s.id, self.now)
         if kind in (api.ListKind.FULL, api.ListKind.CACHED):
             for sid in self.lines:
                 if sid not in named:
-                    self.barred.setdefault(sid, self.now)
+                    self.unavailable_since.setdefault(sid, self.now)
         return self.give(api.ServerList(kind, servers))
 
     def ask(
@@ -240,40 +242,42 @@
         limits: api.Limits | None = None,
         body_pending: bool = False,
     ) -> list[api.Action]:
-        """Give it a request with this id and class; left: its time (ns), the class's deadline if 0."""
+        """Pass a request to the balancer; `left`: time (ns) to its deadline, 0 for that of the class."""
         left = left or self.settings.classes[cls].deadline
-        self.books[rid] = RequestRecord(cls, self.now + left)
+        self.requests[rid] = RequestRecord(cls, self.now + left)
         return self.give(api.Request(rid, cls, left, key=key, limits=limits, body_pending=body_pending))
 
     def answer(
         self, rid: int, attempt: int, result: api.Result = api.Result.OK, report: api.Report = ()
     ) -> list[api.Action]:
-        """End one attempt of a request with a result; the first success is the final answer."""
-        book = self.books[rid]
-        tried = book.attempts[attempt]
+        """End an attempt with a result; the first success is the final response."""
+        record = self.requests[rid]
+        tried = record.attempts[attempt]
         assert tried.result is None
         tried.result = result
-        if result == api.Result.OK and not book.over:
-            book.over = True
+        if result == api.Result.OK and not record.over:
+            record.over = True
             self.finals.append((rid, "Served"))
         return self.give(
-            api.AttemptFinished(rid, attempt, tried.server, result, self.now - tried.sent, book.over, report)
+            api.AttemptFinished(
+                rid, attempt, tried.server, result, self.now - tried.sent, record.over, report
+            )
         )
 
     def leave(self, rid: int) -> list[api.Action]:
-        """Let the client of a request disconnect."""
-        self.books[rid].over = True
-        self.books[rid].gone = True
+        """Disconnect the client of a request."""
+        self.requests[rid].over = True
+        self.requests[rid].gone = True
         return self.give(api.ClientDisconnected(rid))
 
     def run_to(self, when: int) -> None:
-        """Fire the timers and the time-outs at deadlines that fall due, each no earlier than its time."""
+        """Advance the clock, and fire the timers and time-outs of attempts that fall due, in order."""
         while True:
             due = min(self.timers, default=(when + 1, 0))
             ends = [
-                (book.deadline, rid, n)
-                for rid, book in self.books.items()
-                for n, a in enumerate(book.attempts)
+                (record.deadline, rid, n)
+                for rid, record in self.requests.items()
+                for n, a in enumerate(record.attempts)
                 if a.result is None
             ]
             end = min(ends, default=(when + 1, 0, 0))
@@ -288,6 +292,6 @@
         self.now = max(self.now, when)
 
     def check_answered(self) -> None:
-        """Assert that no request is past its deadline without a final answer."""
-        for rid, book in self.books.items():
-            assert book.over or self.now <= book.deadline + self.settings.answer_grace, f"{rid} was lost"
+        """Assert that no request is past its deadline without a final response."""
+        for rid, record in self.requests.items():
+            assert record.over or self.now <= record.deadline + self.settings.answer_grace, f"{rid} was lost"
--- a/tests/test_balancer.py
+++ b/tests/test_balancer.py
@@ -6,7 +6,7 @@
 from dataclasses import replace
 
 from hollybay.balancing import interface as api
-from hollybay.testbed.world import MS, SECOND, BalancerHarness, fleet, make_settings
+from hollybay.testbed.balancer_harness import MS, SECOND, BalancerHarness, fleet, make_settings
 
 ONE_CLASS = (api.RequestClass("w", api.Effect.SAFE, 1.0, SECOND, 3 * SECOND),)
 
@@ -22,7 +22,7 @@
     for rid in range(first, first + count):
         node.ask(rid)
         node.run_to(node.now + interval)
-        for r, book in node.books.items():
+        for r, book in node.requests.items():
             for n, a in enumerate(book.attempts):
                 if a.result is None and node.now - a.sent >= response_time:
                     node.answer(r, n)
@@ -155,11 +155,11 @@
     node.tell(servers([1.0] * 4))
     for rid in range(400):
         node.ask(rid)
-        for n, a in enumerate(node.books[rid].attempts):
+        for n, a in enumerate(node.requests[rid].attempts):
             if a.result is None and a.server == b"s0":
                 node.answer(rid, n, api.Result.ERROR)
         node.run_to(node.now + 20 * MS)
-        for r, book in node.books.items():
+        for r, book in node.requests.items():
             for n, a in enumerate(book.attempts):
                 if a.result is None:
                     node.answer(r, n)
@@ -174,7 +174,7 @@
     node.tell(servers([1.0] * 4))
     for rid in range(200):
         node.ask(rid)
-        for n, a in enumerate(node.books[rid].attempts):
+        for n, a in enumerate(node.requests[rid].attempts):
             if a.result is None:
                 node.answer(rid, n, api.Result.ERROR)
         node.run_to(node.now + 20 * MS)
@@ -198,7 +198,7 @@
     for rid in range(40):
         node.ask(rid, 0, 3 * SECOND)
         node.run_to(node.now + 100 * MS)
-        book = node.books[rid]
+        book = node.requests[rid]
         for n, a in enumerate(book.attempts):
             if a.result is None:
                 ok = node.now - last.get(a.server, 0) > 500 * MS
@@ -223,7 +223,7 @@
             rid += 1
             node.ask(rid, 0, 300 * MS)
             node.run_to(node.now + 20 * MS)
-            for r, book in node.books.items():
+            for r, book in node.requests.items():
                 for n, a in enumerate(book.attempts):
                     if a.result is None and not (silent and a.server == b"s0"):
                         node.answer(r, n)
@@ -263,7 +263,7 @@
     assert sum(sent[b"s%d" % n] for n in range(4, 8)) < 10
 
     def answer() -> None:
-        for r, book in node.books.items():
+        for r, book in node.requests.items():
             for n, a in enumerate(book.attempts):
                 slow = 900 * MS if node.lines[a.server].zone == 0 else 10 * MS
                 if a.result is None and node.now - a.sent >= slow:
@@ -288,11 +288,13 @@
     for rid in range(3000):
         node.ask(rid, rid % 2)
         node.run_to(node.now + 5 * MS)
-        out = [(r, n) for r, b in node.books.items() for n, a in enumerate(b.attempts) if a.result is None]
+        out = [(r, n) for r, b in node.requests.items() for n, a in enumerate(b.attempts) if a.result is None]
         for r, n in out[:1] if rid % 2 else []:
             node.answer(r, n)
     rejected = Counter(
-        node.books[rid].cls for rid, kind in node.finals if kind == "Reject" and not node.books[rid].attempts
+        node.requests[rid].cls
+        for rid, kind in node.finals
+        if kind == "Reject" and not node.requests[rid].attempts
     )
     assert rejected[0] > 200
     assert rejected[0] > 3 * rejected[1]
@@ -308,10 +310,10 @@
     node.ask(1000, limits=api.Limits(hedges=1))
     node.ask(1001)
     node.run_to(node.now + 700 * MS)
-    assert len(node.books[1000].attempts) == 2
+    assert len(node.requests[1000].attempts) == 2
     # Without a route that asks for hedges there are none: each losing hedge costs a connection, and all
     # hedges cost work that delays other requests.
-    assert len(node.books[1001].attempts) == 1
+    assert len(node.requests[1001].attempts) == 1
 
 
 def test_invalid_or_unexpected_events_do_no_harm() -> None:
@@ -334,11 +336,11 @@
         api.ServerList(api.ListKind.FULL, ()),
     ):
         assert all(isinstance(a, api.SetTimer) for a in b.handle(node.now, event))
-    node.barred.update({sid: node.now for sid in node.lines})
+    node.unavailable_since.update({sid: node.now for sid in node.lines})
     node.ask(2, 0, 1)
     node.ask(3, 1)
     node.run_to(node.now + 20 * SECOND)
-    assert node.books[2].over and node.books[3].over
+    assert node.requests[2].over and node.requests[3].over
 
 
 def test_an_unknown_class_fails_and_an_unknown_tenant_is_served() -> None:
@@ -364,10 +366,10 @@
     node = BalancerHarness(make_settings(classes=(cls,)))
     node.tell(fleet(4))
     node.ask(1)
-    node.give(api.ResponseStarted(1, 0, node.books[1].attempts[0].server))
-    node.books[1].deadline = node.now + 100 * SECOND
+    node.give(api.ResponseStarted(1, 0, node.requests[1].attempts[0].server))
+    node.requests[1].deadline = node.now + 100 * SECOND
     node.run_to(node.now + 2 * SECOND)
-    assert len(node.books[1].attempts) == 1 and not node.finals
+    assert len(node.requests[1].attempts) == 1 and not node.finals
 
 
 def test_few_of_many_nodes_list_a_server_as_idle() -> None:
@@ -390,7 +392,7 @@
     )
     node.tell(servers([1.0] * 3))
     node.ask(1)
-    failed = node.books[1].attempts[0].server
+    failed = node.requests[1].attempts[0].server
     node.answer(1, 0, api.Result.ERROR)
     for rid in range(2, 30):
         node.run_to(node.now + 10 * MS)
--- a/tests/test_balancer_many_nodes.py
+++ b/tests/test_balancer_many_nodes.py
@@ -29,7 +29,7 @@
 from hollybay.balancing.traffic_share import TrafficShare
 from hollybay.balancing.zone_reachability import ZoneReachability
 from hollybay.proxy.name_table import NameTable
-from hollybay.testbed.world import MS, SECOND, UNSAFE, BalancerHarness, make_settings
+from hollybay.testbed.balancer_harness import MS, SECOND, UNSAFE, BalancerHarness, make_settings
 
 ONE_CLASS = (api.RequestClass("w", api.Effect.SAFE, 1.0, SECOND, 3 * SECOND),)
 WORK = 50 * MS  # service time of a request at a server of size 1
@@ -66,7 +66,7 @@
 
 
 def answer_due_attempts(node: BalancerHarness, down: frozenset[object] = frozenset()) -> None:
-    for rid, book in list(node.books.items()):
+    for rid, book in list(node.requests.items()):
         for n, attempt in enumerate(book.attempts):
             if attempt.result is None and attempt.server in down:
                 node.answer(rid, n, api.Result.NOT_DELIVERED)
@@ -131,10 +131,10 @@
     node = make_nodes(40)[0]
     node.tell(list_entries(40))
     node.ask(1)
-    first = node.books[1].attempts[0]
+    first = node.requests[1].attempts[0]
     assert node.lines[first.server].zone == 0
     node.answer(1, 0, api.Result.NOT_DELIVERED)
-    assert node.lines[node.books[1].attempts[1].server].zone == 1
+    assert node.lines[node.requests[1].attempts[1].server].zone == 1
 
 
 def test_requests_do_not_cross_to_unreachable_remote_zones() -> None:
@@ -161,7 +161,7 @@
     play(node, node.now + SECOND, 20 * MS)
     down = frozenset([b"s00"])
     play(node, node.now + 4 * SECOND, 20 * MS, down=down, first=1000)
-    assert sum(a.result == api.Result.NOT_DELIVERED for b in node.books.values() for a in b.attempts) >= 2
+    assert sum(a.result == api.Result.NOT_DELIVERED for b in node.requests.values() for a in b.attempts) >= 2
     back = node.now
     play(node, node.now + 2 * SECOND, 20 * MS, first=2000)
     again = sum(sid == b"s00" for at, _, sid in node.sent if at >= back)
@@ -186,7 +186,7 @@
     node.tell(list_entries(10, zones=1))
     for rid in range(40):
         node.ask(rid)
-        attempt = node.books[rid].attempts[0]
+        attempt = node.requests[rid].attempts[0]
         failing = attempt.server == b"s03"
         node.run_to(node.now + 20 * MS)
         node.answer(rid, 0, report=(6.0, 10.0, 0.0) if failing else (0.0, 16.0, 0.0))
@@ -226,7 +226,7 @@
         node.ask(rid)
         node.run_to(node.now + 40 * MS)
         if rid >= 50:  # responses take 2 s
-            for n, attempt in enumerate(node.books[rid - 50].attempts):
+            for n, attempt in enumerate(node.requests[rid - 50].attempts):
                 if attempt.result is None:
                     node.answer(rid - 50, n)
     assert node.balancer.load_shedder.shed_share > 0.3
@@ -397,7 +397,7 @@
     for rid in range(1000, 1050):  # attempts at the warm servers stay in flight
         node.ask(rid, 1)
         node.run_to(node.now + 100 * MS)
-        for n, attempt in enumerate(node.books[rid].attempts):
+        for n, attempt in enumerate(node.requests[rid].attempts):
             if attempt.server in {s.id for s in starting} and attempt.result is None:
                 node.answer(rid, n)
     late = range(1025, 1050)
@@ -418,7 +418,7 @@
     while not any(sid == b"s02" for _, _, sid in node.sent):
         node.ask(rid)
         node.run_to(node.now + 10 * MS)
-        attempt = node.books[rid].attempts[0]
+        attempt = node.requests[rid].attempts[0]
         report = (9.0, 2.0) if attempt.server == b"s02" else (0.0, 10.0)
         node.answer(rid, 0, report=report)
         rid += 1
@@ -605,7 +605,9 @@
     while silent is None:
         rid += 1
         node.ask(rid)
-        silent = next((n for n, a in enumerate(node.books[rid].attempts) if a.server in local_servers), None)
+        silent = next(
+            (n for n, a in enumerate(node.requests[rid].attempts) if a.server in local_servers), None
+        )
     node.answer(rid, silent, api.Result.TIMEOUT)
     assert node.balancer.estimates.zone_reachability.local_failure_rate == share
     assert all(s.up_since == 0 for s in node.balancer.servers.values())
--- a/tests/test_estimates.py
+++ b/tests/test_estimates.py
@@ -10,7 +10,7 @@
 from hollybay.balancing.estimates import IDLE_MEAN_LOAD
 from hollybay.balancing.service_times import MIN_SAMPLES
 from hollybay.balancing.state import TrackedServer
-from hollybay.testbed.world import MS, SECOND, BalancerHarness, make_settings
+from hollybay.testbed.balancer_harness import MS, SECOND, BalancerHarness, make_settings
 
 ONE_CLASS = (api.RequestClass("w", api.Effect.SAFE, 1.0, SECOND, 3 * SECOND),)
 SERVICE_TIME, QUEUED_TIME = 10 * MS, 200 * MS
@@ -38,8 +38,8 @@
             node.tell(WARM)  # while a list is overdue, nothing is learned
         for _ in range(STEPS_PER_REQUEST):
             node.run_to(node.now + STEP)
-            for r in [r for r, book in node.books.items() if not book.over]:
-                for n, attempt in enumerate(node.books[r].attempts):
+            for r in [r for r, book in node.requests.items() if not book.over]:
+                for n, attempt in enumerate(node.requests[r].attempts):
                     takes = odd if node.lines[attempt.server].kind else even
                     if attempt.result is None and node.now - attempt.sent >= takes:
                         node.answer(r, n)
--- a/tests/test_load_reports.py
+++ b/tests/test_load_reports.py
@@ -24,8 +24,8 @@
 from hollybay.proxy.load_reports import PeerAddresses, parse_peer_addresses
 from hollybay.routing.policy_compiler import compile_file
 from hollybay.routing.problems import OperatorError
-from hollybay.testbed.scene import settings
-from hollybay.testbed.world import MS, SECOND, BalancerHarness, make_settings
+from hollybay.testbed.balancer_harness import MS, SECOND, BalancerHarness, make_settings
+from hollybay.testbed.fake_environment import settings
 
 STATES = st.dictionaries(st.integers(0, 2**32 - 1), st.integers(1, 255), max_size=MAX_PARTS * MAX_ENTRIES)
 SERVERS = [f"s-{n}" for n in range(8)]
@@ -234,7 +234,7 @@
     code = (
         "import sys, hollybay.proxy.__main__ as m\n"
         "from hollybay.routing.policy_compiler import compile_file\n"
-        "from hollybay.testbed.world import make_settings\n"
+        "from hollybay.testbed.balancer_harness import make_settings\n"
         "assert compile_file(b'', make_settings()).peers is None\n"
         "mine = ('hollybay.gossip', 'hollybay.proxy.load_reports')\n"
         "sys.exit(any(name.startswith(mine) for name in sys.modules))"
@@ -260,13 +260,13 @@
     node.run_to(node.now + SECOND)  # a review: every node may now select any idle server
     for rid in range(5):
         node.ask(rid)
-        assert node.books[rid].attempts[0].server == b"s2"
+        assert node.requests[rid].attempts[0].server == b"s2"
         node.run_to(node.now + 20 * MS)
         node.answer(rid, 0)
     node.give(api.PeerLoad({b"s1": 0}, 39))
     node.ask(10)
     node.ask(11)
-    assert {node.books[rid].attempts[0].server for rid in (10, 11)} == {b"s1", b"s2"}
+    assert {node.requests[rid].attempts[0].server for rid in (10, 11)} == {b"s1", b"s2"}
     assert node.balancer.servers[b"s1"].in_flight == 1
 
 
@@ -291,13 +291,13 @@
             peer_load[server] = rng.randrange(4)
             node.give(api.PeerLoad({server: peer_load[server]}, 39))
         node.ask(rid)
-        if node.books[rid].attempts:
-            own[node.books[rid].attempts[0].server] += 1
+        if node.requests[rid].attempts:
+            own[node.requests[rid].attempts[0].server] += 1
             pending.append(rid)
         if pending and rng.random() < 0.6:
             done = pending.pop(0)
             node.answer(done, 0)
-            own[node.books[done].attempts[0].server] -= 1
+            own[node.requests[done].attempts[0].server] -= 1
         for name, s in node.balancer.servers.items():
             assert (s.in_flight, s.peer_in_flight) == (own[name] + peer_load[name], peer_load[name])  # type: ignore[index]
 
--- a/tests/test_other_deployments.py
+++ b/tests/test_other_deployments.py
@@ -13,8 +13,8 @@
 from hollybay.balancing import interface as api
 from hollybay.proxy.config import settings_from_json
 from hollybay.proxy.upstream.pools import DRAIN_GRACE_SHARE
+from hollybay.testbed.balancer_harness import MS
 from hollybay.testbed.loopback import FakeDiscovery, ScriptedServer, request, running
-from hollybay.testbed.world import MS
 from hollybay.units import SECOND
 from tests.test_rules import walk
 
@@ -142,12 +142,12 @@
     node = walk(seed, parsed, steps=60)
     sends = [action for action in node.actions if isinstance(action, api.Send)]
     for send in sends:
-        cls = parsed.classes[node.books[send.id].cls]
-        first = node.books[send.id].attempts[0].sent
+        cls = parsed.classes[node.requests[send.id].cls]
+        first = node.requests[send.id].attempts[0].sent
         if cls.effect != api.Effect.KEYED:
             assert send.write_deadline == 0
         elif send.write_deadline:
-            last = node.books[send.id].attempts[-1].sent
+            last = node.requests[send.id].attempts[-1].sent
             assert (
                 first + cls.deduplication_window - parsed.tick
                 <= send.write_deadline
--- a/tests/test_request_limits.py
+++ b/tests/test_request_limits.py
@@ -8,7 +8,7 @@
 
 from hollybay.balancing import interface as api
 from hollybay.balancing import retry_budgets as budgets
-from hollybay.testbed.world import MS, SECOND, BalancerHarness, fleet, make_settings
+from hollybay.testbed.balancer_harness import MS, SECOND, BalancerHarness, fleet, make_settings
 
 READ, WRITE, CELL, ZONE, ALL = range(5)
 
@@ -39,7 +39,7 @@
     node.ask(1, READ, limits=api.Limits(attempts=attempts))
     for n in range(sent):
         node.answer(1, n, api.Result.RESET)
-    assert len(node.books[1].attempts) == sent and node.books[1].over
+    assert len(node.requests[1].attempts) == sent and node.requests[1].over
 
 
 def test_an_attempt_that_never_ran_counts_towards_the_limit() -> None:
@@ -84,16 +84,16 @@
         node = BalancerHarness(make_settings(hedging_allowed=False), seed=seed)
         node.tell(fleet(12))
         node.ask(1, ALL, limits=api.Limits(retry_scope=api.DeduplicationScope.CELL))
-        first = node.lines[node.books[1].attempts[0].server]
+        first = node.lines[node.requests[1].attempts[0].server]
         (retry,) = sends(node.answer(1, 0, api.Result.RESET))
         assert node.lines[retry.server].cell == first.cell
         node.ask(2, ALL, limits=api.Limits(retry_scope=api.DeduplicationScope.ZONE))
-        first = node.lines[node.books[2].attempts[0].server]
+        first = node.lines[node.requests[2].attempts[0].server]
         (retry,) = sends(node.answer(2, 0, api.Result.RESET))
         assert node.lines[retry.server].zone == first.zone
         # A scope wider than that of the class has no effect.
         node.ask(3, CELL, limits=api.Limits(retry_scope=api.DeduplicationScope.ZONE))
-        first = node.lines[node.books[3].attempts[0].server]
+        first = node.lines[node.requests[3].attempts[0].server]
         (retry,) = sends(node.answer(3, 0, api.Result.RESET))
         assert node.lines[retry.server].cell == first.cell
 
@@ -115,10 +115,10 @@
             node.ask(rid + n, READ, limits=limits)
             node.answer(rid + n, 0, api.Result.RESET if n % 2 else api.Result.OK)
             node.run_to(node.now + 20 * MS)
-            if len(node.books[rid + n].attempts) > 1:
+            if len(node.requests[rid + n].attempts) > 1:
                 node.answer(rid + n, 1)
     retry_counts = {
-        name: sum(len(node.books[rid + n].attempts) - 1 for n in range(200))
+        name: sum(len(node.requests[rid + n].attempts) - 1 for n in range(200))
         for name, rid in (("tight", 0), ("loose", 10_000))
     }
     assert 10 <= retry_counts["tight"] <= 0.1 * 200 + 1
@@ -164,7 +164,7 @@
         )
         node.ask(rid, rng.randrange(5), limits=limits)
         in_flight = [
-            (r, n) for r, b in node.books.items() for n, a in enumerate(b.attempts) if a.result is None
+            (r, n) for r, b in node.requests.items() for n, a in enumerate(b.attempts) if a.result is None
         ]
         for r, n in in_flight:
             if rng.random() < 0.4:
@@ -172,4 +172,4 @@
         node.run_to(node.now + rng.randrange(30 * MS))
         node.check_answered()
     node.run_to(node.now + 20 * SECOND)
-    assert all(book.over for book in node.books.values()) and not node.balancer.requests
+    assert all(book.over for book in node.requests.values()) and not node.balancer.requests
--- a/tests/test_routes_node.py
+++ b/tests/test_routes_node.py
@@ -23,6 +23,7 @@
 from hollybay.proxy.operator_file import OperatorFile
 from hollybay.routing.compiled_policy import CompiledPolicy
 from hollybay.testbed.client_request import RequestMix
+from hollybay.testbed.fake_environment import FakeEnvironment
 from hollybay.testbed.ledger import FinalOutcome
 from hollybay.testbed.load_generator import LoadGenerator
 from hollybay.testbed.loopback import (
@@ -39,7 +40,6 @@
     settings,
     write_config,
 )
-from hollybay.testbed.scene import Scene
 from hollybay.units import SECOND
 
 ROOT = Path(__file__).resolve().parent.parent
@@ -498,10 +498,12 @@
 
 
 @asynccontextmanager
-async def node_in_scene(folder: Path, scene: Scene, text: str) -> AsyncIterator[tuple[int, OperatorFile]]:
+async def node_in_scene(
+    folder: Path, environment: FakeEnvironment, text: str
+) -> AsyncIterator[tuple[int, OperatorFile]]:
     """Run a node of a scene in this process with an operator file; yield its port and the file."""
-    await scene.start()
-    (folder / "c.json").write_text(json.dumps(scene.config()))
+    await environment.start()
+    (folder / "c.json").write_text(json.dumps(environment.config()))
     (folder / "operator.toml").write_text(text)
     config = replace(load({"BALANCER_CONFIG": str(folder / "c.json")}), listen=("127.0.0.1", 0))
     operator = OperatorFile(str(folder / "operator.toml"), config.settings, 1, no_pause_between_reads)
@@ -518,7 +520,7 @@
         await operator.close()
         await discovery.close()
         clients.close()
-        await scene.stop()
+        await environment.stop()
 
 
 def test_reloads_under_load_with_every_second_file_invalid(tmp_path: Path) -> None:
@@ -543,10 +545,10 @@
     ]
 
     async def scenario() -> None:
-        scene = Scene(12, seed=4)
-        async with node_in_scene(tmp_path, scene, good(0)) as (port, operator):
+        environment = FakeEnvironment(12, seed=4)
+        async with node_in_scene(tmp_path, environment, good(0)) as (port, operator):
             load_generator = LoadGenerator(
-                scene.ledger, [port], scene.mixes(), rate=1.2 * scene.capacity(), seed=4
+                environment.ledger, [port], environment.mixes(), rate=1.2 * environment.capacity(), seed=4
             )
             surge = asyncio.ensure_future(load_generator.run(2.5))
             reloads = 0
@@ -566,9 +568,9 @@
             await surge
             load_generator.close()
             assert reloads > 20
-            ends = Counter(entry.final for entry in scene.ledger.requests.values())
+            ends = Counter(entry.final for entry in environment.ledger.requests.values())
             assert ends[FinalOutcome.SERVED] > 100
-        verdict = scene.ledger.check()
+        verdict = environment.ledger.check()
         assert verdict, verdict.violations[:5]
 
     asyncio.run(scenario())
@@ -582,7 +584,7 @@
     )
 
     async def scenario() -> None:
-        scene = Scene(10, seed=2)
+        environment = FakeEnvironment(10, seed=2)
         target = b"/view-schedule/board/1"
         flood = [RequestMix(0, target, 1.0, ("coastal-choirs",))]
         others = [
@@ -590,15 +592,15 @@
             RequestMix(0, b"/view-schedule/else", 1.0, ("island-singers",)),
             RequestMix(2, b"/book-venue/1", 0.5, ("island-singers",)),
         ]
-        async with node_in_scene(tmp_path, scene, text) as (port, operator):
+        async with node_in_scene(tmp_path, environment, text) as (port, operator):
             # The flood alone is several times the capacity of ten servers.
-            flooding = LoadGenerator(scene.ledger, [port], flood, rate=500.0, seed=1, prefix="flood")
-            usual = LoadGenerator(scene.ledger, [port], others, rate=30.0, seed=2, prefix="usual")
+            flooding = LoadGenerator(environment.ledger, [port], flood, rate=500.0, seed=1, prefix="flood")
+            usual = LoadGenerator(environment.ledger, [port], others, rate=30.0, seed=2, prefix="usual")
             await asyncio.gather(flooding.run(2.5), usual.run(2.5))
             flooding.close()
             usual.close()
             rejected = operator.admission.rejected["board"]
-        entries = scene.ledger.requests.values()
+        entries = environment.ledger.requests.values()
         flooder = [entry for entry in entries if entry.id.startswith("flood")]
         ends = Counter(entry.status for entry in flooder)
         assert ends[429] > 700 and rejected == sum(entry.status == 429 for entry in entries)
@@ -609,7 +611,7 @@
                 assert not entry.arrived
         usual_ends = Counter(entry.final for entry in entries if entry.id.startswith("usual"))
         assert usual_ends[FinalOutcome.SERVED] >= 0.97 * usual_ends.total() > 50, usual_ends
-        verdict = scene.ledger.check()
+        verdict = environment.ledger.check()
         assert verdict, verdict.violations[:5]
 
     asyncio.run(scenario())
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from hollybay.balancing import interface as api
-from hollybay.testbed.world import MS, SECOND, BalancerHarness, fleet, make_settings
+from hollybay.testbed.balancer_harness import MS, SECOND, BalancerHarness, fleet, make_settings
 
 
 def walk(
@@ -45,24 +45,24 @@
         elif roll < 0.64:
             node.give(api.ServerList(api.ListKind.FAILED))
         elif roll < 0.67:
-            open_ids = [r for r, b in node.books.items() if not b.over]
+            open_ids = [r for r, b in node.requests.items() if not b.over]
             if open_ids:
                 node.leave(rng.choice(open_ids))
         elif roll < 0.70:
             node.run_to(node.now + rng.randrange(2 * SECOND))
         in_flight = [
-            (r, n) for r, b in node.books.items() for n, a in enumerate(b.attempts) if a.result is None
+            (r, n) for r, b in node.requests.items() for n, a in enumerate(b.attempts) if a.result is None
         ]
         for r, n in in_flight:
             if rng.random() < 0.3:
                 results = [
-                    x for x in api.Result if x != api.Result.TIMEOUT or node.now >= node.books[r].deadline
+                    x for x in api.Result if x != api.Result.TIMEOUT or node.now >= node.requests[r].deadline
                 ]
                 node.answer(r, n, api.Result.OK if rng.random() < 0.6 else rng.choice(results))
         node.run_to(node.now + rng.randrange(20 * MS))
         node.check_answered()
     node.run_to(node.now + 20 * SECOND)
-    assert all(book.over for book in node.books.values())
+    assert all(book.over for book in node.requests.values())
     assert not node.balancer.requests, "finished requests are still tracked"
     return node
 
@@ -107,9 +107,9 @@
         for _ in range(count):
             rid += 1
             node.ask(rid)
-            sent.extend(node.now for a in node.books[rid].attempts if a.server == b"new")
+            sent.extend(node.now for a in node.requests[rid].attempts if a.server == b"new")
             node.run_to(node.now + span // count)
-            for r, book in node.books.items():
+            for r, book in node.requests.items():
                 for n, a in enumerate(book.attempts):
                     if a.result is None and node.now - a.sent >= work:
                         node.answer(r, n)
--- a/tests/test_slow_start_many_nodes.py
+++ b/tests/test_slow_start_many_nodes.py
@@ -9,8 +9,8 @@
 import pytest
 
 from hollybay.balancing import interface as api
+from hollybay.testbed.balancer_harness import MS, SECOND, BalancerHarness, make_settings
 from hollybay.testbed.rules import cold_allowance
-from hollybay.testbed.world import MS, SECOND, BalancerHarness, make_settings
 
 WORK = 50 * MS  # service time of a request at a server of size 1
 ONE_CLASS = (api.RequestClass("w", api.Effect.SAFE, 1.0, SECOND, 3 * SECOND),)
@@ -43,7 +43,7 @@
                 node.ask(self.rid)
                 self.rid += 1
                 due = node.now + int(self.rng.expovariate(self.rate) * SECOND)
-            for rid, book in list(node.books.items()):
+            for rid, book in list(node.requests.items()):
                 for n, attempt in enumerate(book.attempts):
                     if attempt.result is None and node.now - attempt.sent >= WORK:
                         lost = self.rng.random() < failing
