--- a/hollybay/cli/__init__.py
+++ b/hollybay/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The operator's command line and the demo. Nothing of it is imported by a node on the platform."""
+"""The command line `hollybay` and the demo. A node in production imports nothing from this package."""
--- a/hollybay/cli/__main__.py
+++ b/hollybay/cli/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m hollybay.cli`: the same as the command `hollybay`."""
+"""`python -m hollybay.cli`: equivalent to the command `hollybay`."""
 
 from .main import main
 
--- a/hollybay/cli/demo.py
+++ b/hollybay/cli/demo.py
@@ -1,4 +1,4 @@
-"""The demo: a real node between fake servers of three speeds, a fifth of which die and come back cold."""
+"""Demo run: a real node and fake servers of three speeds; a fifth of the servers crash and return cold."""
 
 from __future__ import annotations
 
@@ -19,20 +19,20 @@
 
 __all__ = ["Progress", "play"]
 
-KILLED_SHARE = 0.2  # of the servers
-KILLED_AT_SHARE = 0.5  # of the run: when they die
-COLD_RETURN_SHARE = 0.125  # of the run: from their death until they are back
-DISCOVERY_DELAY_S = 0.6  # until discovery tells of a death or a return
+KILLED_SHARE = 0.2  # share of the servers that are killed
+KILLED_AT_SHARE = 0.5  # when they are killed, as a share of the run
+COLD_RETURN_SHARE = 0.125  # how long they stay down, as a share of the run
+DISCOVERY_DELAY_S = 0.6  # until discovery reports that a server is gone or back
 PROGRESS_INTERVAL_S = 0.25
-WEIGHTS_INTERVAL_S = 1.0  # between two lists with the servers' present weights
-# A node that asks what is newer than the first list has taken that list.
+WEIGHTS_INTERVAL_S = 1.0  # between two server lists with the current weights
+# The node's second call to discovery asks for changes since the first list: it has applied that list.
 CALLS_OF_A_READY_NODE = 2
 MS_PER_S = 1000
 
 
 @dataclass(slots=True)
 class Progress:
-    """How far a run has come: elapsed and whole time (s), counts by outcome, servers that are up."""
+    """Progress of a run: elapsed and total time (s), requests by outcome, number of servers that are up."""
 
     elapsed: float
     seconds: float
@@ -45,7 +45,7 @@
 
 
 def _ignore(_progress: Progress) -> None:
-    """Show nothing."""
+    """Ignore the progress of a run."""
 
 
 async def play(
@@ -55,25 +55,25 @@
     seed: int = 1,
     show: Callable[[Progress], None] = _ignore,
 ) -> Report:
-    """Run the demo; the node is a process of its own, servers, discovery and clients live in this one.
+    """Run the demo: the node in a separate process; servers, discovery and clients in this one.
 
     Parameters
     ----------
     seconds
-        How long clients send.
+        How long the clients send requests.
     rate
-        Requests a second.
+        Requests per second.
     servers
         Number of fake servers.
     seed
-        Of the servers' kinds, the requests, and which servers die.
+        Determines the kinds of the servers, the requests, and which servers are killed.
     show
-        Called at each change of phase, and four times a second with the counts.
+        Called with the current counts at each change of phase and four times a second.
 
     Returns
     -------
     Report
-        The figures and the verdict over the four rules.
+        The figures, and the verdict on the four rules.
 
     Raises
     ------
@@ -97,7 +97,7 @@
 
 
 class _Run:
-    """One run over a scene and a node that are up."""
+    """One run, with a scene and a node that are already running."""
 
     def __init__(
         self,
@@ -117,18 +117,18 @@
         self.phase = "steady"
         self.loop = asyncio.get_running_loop()
         self.began_at = self.loop.time()
-        self.cpu_seconds = 0.0  # of the node, while the clients sent
-        self.memory_mb = 0.0  # of the node, at their end
+        self.cpu_seconds = 0.0  # CPU time of the node while clients sent requests
+        self.memory_mb = 0.0  # memory of the node once the clients have finished
 
     async def play(self) -> None:
-        """Send the requests with all that happens beside them, and measure the node."""
+        """Run clients, faults and discovery updates, and measure the CPU time and memory of the node."""
         cpu_seconds_before = self.node.cpu_seconds()
         await self._send_requests()
         self.cpu_seconds = self.node.cpu_seconds() - cpu_seconds_before
         self.memory_mb = self.node.memory_mb()
 
     def report(self) -> Report:
-        """The figures, once node and servers have stopped: until then the event log may grow."""
+        """The figures. Call it after node and servers have stopped: until then the event log may grow."""
         ledger = self.scene.ledger
         return Report(
             seconds=self.seconds,
@@ -145,7 +145,7 @@
         )
 
     async def _send_requests(self) -> None:
-        """Run the clients, with the faults, the weights and the display beside them."""
+        """Run the clients, and concurrently the faults, the weight updates and the display."""
         background = [self.loop.create_task(work) for work in (self._show_counts(), self._publish_weights())]
         faults = self.loop.create_task(self._inject_faults())
         try:
@@ -158,7 +158,7 @@
             self.clients.close()
 
     async def _inject_faults(self) -> None:
-        """Kill the victims, and start them again cold; discovery learns of each a little later."""
+        """Kill the victims, later restart them cold; discovery reports both after a delay."""
         down_seconds = COLD_RETURN_SHARE * self.seconds
         await asyncio.sleep(KILLED_AT_SHARE * self.seconds)
         for server in self.victims:
@@ -183,7 +183,7 @@
             await asyncio.sleep(PROGRESS_INTERVAL_S)
 
     async def _publish_weights(self) -> None:
-        """Tell discovery of the present weights of all servers that it lists."""
+        """Publish the current weights of all listed servers at a fixed interval."""
         agent = self.scene.agent
         while True:
             await asyncio.sleep(WEIGHTS_INTERVAL_S)
--- a/hollybay/cli/demo_command.py
+++ b/hollybay/cli/demo_command.py
@@ -1,4 +1,4 @@
-"""`hollybay demo`: play the demo with a progress bar, and print its report."""
+"""`hollybay demo`: run the demo with a progress bar, and print its report."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
 
 
 def _play(console: Console, seconds: float, rate: float, servers: int, seed: int) -> Report:
-    """Play the demo under a progress bar."""
+    """Run the demo with a progress bar."""
     import uvloop
 
     from . import demo as demo_run
@@ -69,7 +69,7 @@
 
 
 def _counts(progress: demo_run.Progress) -> str:
-    """The counts beside the bar."""
+    """The counts that are shown next to the progress bar."""
     return (
         f"served {progress.served}  refused {progress.refused}  failed {progress.failed}  "
         f"servers up {progress.up}"
@@ -80,7 +80,7 @@
     console.print(_class_table(report))
     console.print(_kind_table(report))
     console.print(
-        f"worth in time {report.on_time_weight:.3f}, node {report.cpu_ms_a_request:.2f} ms CPU a request, "
+        f"on-time weight {report.on_time_weight:.3f}, node {report.cpu_ms_a_request:.2f} ms CPU per request, "
         f"{report.node_memory_mb:.0f} MiB"
     )
 
@@ -92,9 +92,9 @@
 
 
 def _class_table(report: Report) -> Table:
-    """What became of the requests, a row for each class."""
+    """Outcomes and latencies of the requests, a row for each class."""
     table = Table(title="Requests")
-    for column in ("class", "asked", "served", "refused", "failed", "p50 ms", "p99 ms", "worth in time"):
+    for column in ("class", "asked", "served", "refused", "failed", "p50 ms", "p99 ms", "on time"):
         table.add_column(column, justify="left" if column == "class" else "right")
     for row in report.classes:
         table.add_row(
@@ -111,9 +111,9 @@
 
 
 def _kind_table(report: Report) -> Table:
-    """What the servers did, a row for each kind."""
+    """Work and capacity of the servers, a row for each kind."""
     table = Table(title="Servers")
-    for column in ("speed", "servers", "share of work", "share of capacity", "answers"):
+    for column in ("speed", "servers", "share of work", "share of capacity", "responses"):
         table.add_column(column, justify="left" if column == "speed" else "right")
     for row in report.kinds:
         table.add_row(
--- a/hollybay/cli/demo_report.py
+++ b/hollybay/cli/demo_report.py
@@ -1,4 +1,4 @@
-"""The report of a demo run: what became of the requests by class, and of the work by kind of server."""
+"""The report of a demo run: outcomes of the requests by class, and work by kind of server."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClassRow:
-    """What became of the requests of one class.
+    """Outcomes of the requests of one class.
 
     Attributes
     ----------
@@ -26,9 +26,9 @@
     asked, served, refused, failed
         Counts of requests.
     p50_ms, p99_ms
-        Latency of the served ones.
+        Latency of the served requests.
     on_time_share
-        Requests answered within the latency objective over all requests, 0 to 1; 1 without any.
+        Share of the requests that were served within the latency objective, 0 to 1; 1 without requests.
     """
 
     name: str
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class KindRow:
-    """What one kind of server did: its shares (0 to 1) of the work and of the capacity, and its answers."""
+    """One kind of server: its shares (0 to 1) of the work and of the capacity, and its responses."""
 
     name: str
     servers: int
@@ -59,19 +59,19 @@
     Attributes
     ----------
     seconds, rate, servers
-        Length (s), requests a second and number of servers, as asked for.
+        Requested length (s), requests per second and number of servers.
     killed
         Number of servers that were killed.
     classes, kinds
         A row for each class of requests and each kind of server.
     on_time_weight
-        Priority weight of the requests answered within their latency objective over that of all, 0 to 1.
+        Share of the requests, by priority weight, that were served within their latency objective, 0 to 1.
     cpu_ms_a_request
-        CPU time of the node for a request (ms).
+        CPU time of the node per request (ms).
     node_memory_mb
         Resident memory of the node at the end (MiB).
     late_ms
-        The most that a request was sent after its time (ms): how busy the machine was.
+        Longest delay (ms) of a request after its scheduled time; shows how busy the machine was.
     verdict
         The four rules.
     """
@@ -89,7 +89,7 @@
     verdict: Verdict
 
     def as_json(self) -> dict[str, object]:
-        """All figures under their published names, for a file."""
+        """All figures as a JSON object, under their published names."""
         data = asdict(self, dict_factory=_published)
         data["rules"] = self.verdict.counts
         del data["verdict"]
@@ -97,17 +97,17 @@
         return data
 
 
-# Names in the JSON file that differ from the attributes.
+# Keys of the JSON file that differ from the attributes.
 _PUBLISHED_NAMES = {"on_time_share": "worth", "on_time_weight": "worth"}
 
 
 def _published(items: list[tuple[str, Any]]) -> dict[str, Any]:
-    """A dataclass's fields as a JSON object."""
+    """The fields of a dataclass as a JSON object with the published keys."""
     return {_PUBLISHED_NAMES.get(name, name): value for name, value in items}
 
 
 def percentile(values: Sequence[float], part: float) -> float:
-    """The value below which that part (0 to 1) lies, by nearest rank; 0 for none."""
+    """The percentile of the values at a rank (0 to 1), by nearest rank; 0 without values."""
     if not values:
         return 0.0
     ordered = sorted(values)
@@ -115,7 +115,7 @@
 
 
 def class_rows(ledger: Ledger) -> tuple[ClassRow, ...]:
-    """What became of the requests, by class."""
+    """Outcomes of the requests, a row for each class."""
     return tuple(_class_row(ledger, number) for number in range(len(ledger.limits.classes)))
 
 
@@ -142,18 +142,18 @@
 
 
 def _latencies_ms(entries: Sequence[RequestEntry]) -> list[float]:
-    """How long the served requests took."""
+    """Latencies (ms) of the served requests."""
     return [(entry.ended - entry.at) / MS for entry in entries if entry.final is FinalOutcome.SERVED]
 
 
 def _count_on_time(ledger: Ledger, number: int, latencies_ms: Sequence[float]) -> int:
-    """How many requests of a class were answered within its latency objective."""
+    """How many of the latencies are within the latency objective of a class."""
     objective_ns = ledger.limits.classes[number].latency_objective
     return sum(latency * MS <= objective_ns for latency in latencies_ms)
 
 
 def on_time_weight(ledger: Ledger) -> float:
-    """Priority weight of the requests answered within their latency objective over that of all, 0 to 1."""
+    """Share of the requests, by priority weight, served within their latency objective, 0 to 1."""
     earned = possible = 0.0
     for number, request_class in enumerate(ledger.limits.classes):
         entries = _entries_of(ledger, number)
@@ -164,7 +164,7 @@
 
 
 def kind_rows(servers: Sequence[FakeServer]) -> tuple[KindRow, ...]:
-    """What each kind of server did."""
+    """Work, capacity and responses, a row for each kind of server."""
     all_work = sum(server.counts.work for server in servers) or 1.0
     all_capacity = sum(server.kind.capacity for server in servers)
     rows = []
--- a/hollybay/cli/main.py
+++ b/hollybay/cli/main.py
@@ -1,4 +1,4 @@
-"""The command `hollybay`: the group that holds all commands, each of which has a module of its own."""
+"""The command `hollybay`: the group of all commands, each of which is defined in its own module."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 try:
     from .policy import policy as _policy
-except ModuleNotFoundError as _missing:  # without the extra `accord`
+except ModuleNotFoundError as _missing:  # the extra `accord` is not installed
     _absent = _missing.name
 
     @main.command("policy")
--- a/hollybay/cli/operator_files.py
+++ b/hollybay/cli/operator_files.py
@@ -1,4 +1,4 @@
-"""`hollybay check` and `hollybay routes`: check an operator file, and explain which route takes a request."""
+"""`hollybay check` and `hollybay routes`: check an operator file, and explain the route of a request."""
 
 from __future__ import annotations
 
@@ -72,12 +72,12 @@
     Parameters
     ----------
     config
-        Path of the configuration; where it is None, BALANCER_CONFIG names it.
+        Path of the configuration; None: the path in BALANCER_CONFIG.
 
     Returns
     -------
     Settings or None
-        None where no configuration is named.
+        None if neither names a configuration.
 
     Raises
     ------
@@ -97,7 +97,7 @@
 
 
 def _compile(file: str, settings: Settings | None) -> CompiledPolicy:
-    """Compile an operator file; print its problems and exit with 2 where it has any."""
+    """Compile an operator file; if it has problems, print them and exit with 2."""
     from hollybay.routing.policy_compiler import compile_file
     from hollybay.routing.problems import OperatorError
 
@@ -116,12 +116,12 @@
 
 
 def _encode(text: str) -> bytes:
-    """The bytes of an argument as they would stand in a request's head."""
+    """An argument as bytes, encoded as in the head of a request."""
     return text.encode("latin-1", "replace")
 
 
 def _parse_header(header: str) -> tuple[bytes, bytes]:
-    """The lower-case name and the value of a NAME:VALUE option."""
+    """Parse NAME:VALUE of an option into the name in lower case and the value."""
     name, separator, value = header.partition(":")
     if not separator or not name.strip():
         raise click.BadParameter(f"{header!r} is no NAME:VALUE", param_hint="-H")
@@ -129,7 +129,7 @@
 
 
 def _print_explanation(explanation: Explanation) -> None:
-    """Print the route and the limits of a request; exit with 1 where it would be rejected."""
+    """Print the route and the limits of a request; exit with 1 if it would be rejected."""
     rejection = explanation.rejection
     if rejection is not None:
         click.echo(f"turned away with {rejection.status}: {rejection.reason}")
--- a/hollybay/cli/policy.py
+++ b/hollybay/cli/policy.py
@@ -1,4 +1,4 @@
-"""`hollybay policy`: the group of commands that change and show the policy of all nodes."""
+"""`hollybay policy`: the group of commands that show and change the policy of all nodes."""
 
 from __future__ import annotations
 
--- a/hollybay/cli/policy_options.py
+++ b/hollybay/cli/policy_options.py
@@ -1,4 +1,4 @@
-"""What the commands of `hollybay policy` share: their options, the addresses of nodes, and how they end."""
+"""Shared parts of the `hollybay policy` commands: options, addresses of nodes, output and exit status."""
 
 from __future__ import annotations
 
@@ -64,39 +64,39 @@
     Parameters
     ----------
     addresses
-        Those of the options; the environment adds to them.
+        Addresses from the options; those in HOLLYBAY_DOORS are added.
     on_update
         Called with each new view of the cluster.
 
     Raises
     ------
     click.UsageError
-        There is no address, or a malformed one.
+        There is no address, or one is malformed.
     """
     return ChangeTracker(call_node, _all_addresses(addresses), on_update)
 
 
 def _all_addresses(addresses: Iterable[str]) -> list[str]:
-    """The addresses of the options and of the environment. click.UsageError: none, or a malformed one."""
+    """The addresses from options and environment. click.UsageError: there is none, or one is malformed."""
     given = [*addresses, *os.environ.get(ADDRESSES_VARIABLE, "").replace(",", " ").split()]
     if not given:
         raise click.UsageError("no --door, and HOLLYBAY_DOORS is not set: where is any node called?")
     for address in given:
         host, separator, port = address.rpartition(":")
         if not separator or not host or not port.isdigit() or not 0 < int(port) <= MAX_PORT:
-            raise click.BadParameter(f"{address!r} is no HOST:PORT", param_hint="--door")
+            raise click.BadParameter(f"{address!r}: expected HOST:PORT", param_hint="--door")
     return given
 
 
 async def call_node(address: str, path: str, body: bytes | None) -> bytes:
-    """Call a node's admin address; the body of its answer."""
+    """Call the admin endpoint of a node; returns the body of its response."""
     from hollybay.proxy.admin_client import call_policy
 
     return await call_policy(address, path, body, CALL_LIMIT_S)
 
 
 def exit_with(verdict: Verdict, as_json: bool) -> NoReturn:
-    """Print what became of a change, and exit with its status."""
+    """Print the outcome of a change, and exit with its status."""
     if as_json:
         click.echo(json.dumps(verdict_document(verdict)))
         sys.exit(verdict.code)
@@ -106,17 +106,17 @@
 
 
 def unknown(text: str) -> Verdict:
-    """The verdict on a change whose outcome cannot be told."""
+    """The verdict on a change whose outcome is not known."""
     return Verdict(ExitStatus.UNKNOWN, text=text)
 
 
 def no_voter_answers() -> Verdict:
     """The verdict on a change where no voter can be reached."""
-    return unknown("no keeper answers")
+    return unknown("no voter answered")
 
 
 def read_file(file: str) -> bytes:
-    """Read a file; where that fails, print why and exit with 2."""
+    """Read a file; if that fails, print the reason and exit with 2."""
     try:
         return Path(file).read_bytes()
     except OSError as error:
@@ -125,7 +125,7 @@
 
 
 def user_name() -> str:
-    """The name of the user that runs the command, "" where the system does not know it."""
+    """The name of the user who runs the command; "" if the system has no name for the user."""
     try:
         return getpass.getuser()
     except (KeyError, OSError):
--- a/hollybay/cli/policy_output.py
+++ b/hollybay/cli/policy_output.py
@@ -1,4 +1,4 @@
-"""Output of `hollybay policy` for people: progress, verdicts and tables."""
+"""Text and JSON output of `hollybay policy`: progress, verdicts and tables."""
 
 from __future__ import annotations
 
@@ -23,21 +23,21 @@
 MAX_NAMES_SHOWN = 6
 TEXTS = {
     ExitStatus.IN_FORCE: "in force everywhere",
-    ExitStatus.NOT_IN_FORCE: "nowhere",
+    ExitStatus.NOT_IN_FORCE: "in force at no node",
     ExitStatus.BAD_INPUT: "bad input",
     ExitStatus.UNKNOWN: "not known yet",
 }
 
 
 class Progress:
-    """Prints the progress of a change on standard error, whenever it differs from what was printed last."""
+    """Prints the progress of a change to standard error whenever it has changed."""
 
     def __init__(self, is_quiet: bool) -> None:
         self.is_quiet = is_quiet
         self.last_text = ""
 
     def __call__(self, view: ClusterView) -> None:
-        """Print where the latest change stands, unless that was printed last."""
+        """Print the state of the latest change, unless it is the same as last time."""
         latest = view.latest
         if self.is_quiet or latest is None:
             return
@@ -48,42 +48,42 @@
 
 
 def _stage_line(latest: VoterStatus) -> str:
-    """The latest epoch: its stage and its policies."""
+    """Describe the latest epoch: its stage and its policies."""
     line = f"epoch {latest.epoch} {latest.stage.lower()}: {latest.policy}"
     return f"{line}, then {latest.new}" if latest.new else line
 
 
 def _lease_lines(view: ClusterView) -> list[str]:
-    """The leases that a change waits for, by node."""
+    """Describe the leases that delay a change, by node."""
     leases: dict[str, OlderLease] = {}
     for voter in view.voters.values():
         for lease in (*voter.blocking_leases, *voter.older_leases):
             leases[lease.name] = lease
     lines = []
     for name, lease in sorted(leases.items(), key=lambda item: item[0]):
-        state = "cannot serve it" if lease.cannot_serve else "silent"
+        state = "cannot serve it" if lease.cannot_serve else "under an earlier epoch"
         lines.append(f"  {state}: {name}, lease ends in {lease.left_ns / SECOND:.0f} s")
     return lines
 
 
 def _lagging_lines(view: ClusterView, latest: VoterStatus) -> list[str]:
-    """The nodes that serve under an earlier epoch."""
+    """Describe the nodes that still serve under an earlier epoch."""
     members = [member for voter in view.voters.values() for member in voter.members]
     lagging = sorted({member.name for member in members if member.epoch < latest.epoch and member.left_s})
     if not lagging:
         return []
     names = ", ".join(lagging[:MAX_NAMES_SHOWN]) + (", ..." if len(lagging) > MAX_NAMES_SHOWN else "")
-    return [f"  not there yet: {len(lagging)} ({names})"]
+    return [f"  nodes under an earlier epoch: {len(lagging)} ({names})"]
 
 
 def verdict_lines(verdict: Verdict) -> list[str]:
-    """What became of a change."""
+    """The outcome of a change, with the reasons of the nodes that cannot serve it."""
     name = verdict.change or "the change"
     lines = [f"{name}: {TEXTS[verdict.status]}: {verdict.text}"]
     for node, reasons in sorted(verdict.reasons.items()):
         lines += [f"  {node}: {reason}" for reason in reasons]
     if not verdict.is_final:
-        lines.append("  `hollybay policy status` tells how far it is, `hollybay policy drop` gives it up")
+        lines.append("  `hollybay policy status` shows its progress, `hollybay policy drop` drops it")
     return lines
 
 
@@ -99,8 +99,8 @@
 
 
 def lines_without_voters(view: ClusterView) -> list[str]:
-    """The processes that answer, where none of them knows the cluster."""
-    lines = ["no keeper answers" if view.statuses else "nobody answers"]
+    """The nodes that answered when none of them is a voter."""
+    lines = ["no voter answered" if view.statuses else "no node answered"]
     for address, status in view.statuses.items():
         policies = ", ".join(status.serves) or "nothing"
         lines.append(f"  {address}: {status.name} serves {policies}; {status.voter_waits or ''}")
@@ -108,7 +108,7 @@
 
 
 def _latest_members(view: ClusterView) -> dict[str, MemberStatus]:
-    """Each node by its name, as the voter knows it that heard from it last."""
+    """The nodes by name, each as reported by the voter with the most recent contact."""
     members: dict[str, MemberStatus] = {}
     for voter in view.voters.values():
         for member in voter.members:
@@ -119,11 +119,11 @@
 
 
 def member_table(view: ClusterView, latest: VoterStatus) -> Table:
-    """All nodes that voters heard from."""
-    table = Table("node", "epoch", "lease left s", "heard s ago", "can serve", "keeper")
+    """Table of all nodes that have been in contact with a voter."""
+    table = Table("node", "epoch", "lease left s", "last contact s", "can serve", "voter")
     for name, member in sorted(_latest_members(view).items(), key=lambda item: item[0]):
         table.add_row(
-            name + (" (twice)" if member.is_duplicate else ""),
+            name + (" (duplicate)" if member.is_duplicate else ""),
             str(member.epoch),
             f"{member.left_s:.1f}",
             f"{member.last_contact_s:.1f}",
@@ -134,7 +134,7 @@
 
 
 def history_table(entries: list[dict[str, Any]]) -> Table:
-    """All epochs that voters remember, from their JSON."""
+    """Table of the epochs in the history of the voters, from their JSON."""
     table = Table("epoch", "stage", "policy", "new", "reason", "author")
     for entry in entries:
         table.add_row(
--- a/hollybay/cli/policy_proposals.py
+++ b/hollybay/cli/policy_proposals.py
@@ -1,4 +1,4 @@
-"""The commands of `hollybay policy` that change it: `found`, `propose`, `change`, `drop` and `back`."""
+"""The commands of `hollybay policy` that change the policy: found, propose, change, drop and back."""
 
 from __future__ import annotations
 
@@ -30,13 +30,13 @@
 
 __all__ = ["back", "change", "drop", "found", "propose"]
 
-# The first policy has nothing before it.
+# The policy of version 1 has no parent.
 FIRST_VERSION_WITH_PARENT = 2
 
 
 @dataclass(frozen=True, slots=True)
 class _Origin:
-    """Why a change is made and by whom, and for how long (s) it is tracked."""
+    """The reason and the author of a change, and how long (s) the change is tracked."""
 
     reason: str
     author: str
@@ -53,9 +53,9 @@
 
 
 async def _bootstrap(cluster: ChangeTracker, data: bytes) -> str:
-    """Have the first voter that can do it write the first policy. click.ClickException: none could."""
+    """Bootstrap the cluster at the first voter that accepts. click.ClickException: no voter accepted."""
     await cluster.refresh()
-    reason = "no keeper answers"
+    reason = "no voter answered"
     for address, node in cluster.view.statuses.items():
         if node.voter is None and node.voter_waits is None:
             continue
@@ -64,7 +64,7 @@
         except CallFailedError as error:
             reason = str(error)
             continue
-        return f"founded: {reply['policy']}, keepers {', '.join(reply['keepers'])}"
+        return f"founded: policy {reply['policy']}, voters {', '.join(reply['keepers'])}"
     raise click.ClickException(reason)
 
 
@@ -113,20 +113,20 @@
 async def _propose_alone(
     cluster: ChangeTracker, request: ChangeRequest, voters: list[str] | None, parent: str, origin: _Origin
 ) -> Verdict:
-    """Propose a change that shares its batch with no other, and track it.
+    """Propose a change that is not batched with others, and track it.
 
     Parameters
     ----------
     cluster
-        Tracks it.
+        Proposes and tracks the change.
     request
-        An operator file, and the servers to take out of service or put back.
+        The operator file, and the servers to drain or to undrain.
     voters
-        The voters from then on; None: they stay.
+        The new set of voters; None: no change.
     parent
-        The policy that it was made on; "": the one in force.
+        The policy that the change is based on; "": the one in force.
     origin
-        Why, by whom, and for how long it is tracked.
+        The reason, the author, and how long the change is tracked.
     """
     drained = None
     if request.drain or request.undrain:
@@ -140,7 +140,7 @@
 
 
 async def _build_and_submit(cluster: ChangeTracker, request: ChangeRequest, origin: _Origin) -> Verdict:
-    """Have a change built, submit it and wait for its outcome."""
+    """Have a voter build a change, submit it and wait for its outcome."""
     try:
         draft, built = await cluster.build_change(origin.reason, origin.author, request)
     except InvalidInputError as error:
@@ -200,7 +200,7 @@
 
 
 async def _drop(cluster: ChangeTracker, change_name: str | None, limit: float) -> Verdict:
-    """Give up a change, or the one under way, and track it for so long (s)."""
+    """Drop a change, or the one under way, and track it for up to limit seconds."""
     view = await cluster.refresh()
     latest = view.latest
     if latest is None:
@@ -221,7 +221,7 @@
 
 
 def _first_epoch(view: ClusterView, change_name: str) -> int | None:
-    """The last epoch that a change began with; None: it has not begun, as far as is known."""
+    """The latest known epoch in which a change began; None if there is none."""
     epochs = (
         epoch
         for epoch, record in view.epochs.items()
@@ -245,17 +245,17 @@
 
 
 async def _roll_back(cluster: ChangeTracker, reason: str, limit: float) -> Verdict:
-    """Propose the policy before the one in force, and track that for so long (s)."""
+    """Propose the policy before the one in force, and track the change for up to limit seconds."""
     await cluster.refresh()
     latest = cluster.view.latest
     if latest is None:
         return no_voter_answers()
     current = await cluster.fetch_policy(latest.policy)
     if current is None or current.version < FIRST_VERSION_WITH_PARENT:
-        return Verdict(ExitStatus.BAD_INPUT, text="nothing was in force before")
+        return Verdict(ExitStatus.BAD_INPUT, text="there is no earlier policy")
     before = await cluster.fetch_policy(current.parent_name)
     if before is None:
-        return unknown("no keeper has what was in force before")
+        return unknown(f"no voter has the earlier policy {current.parent_name}")
     origin = _Origin(reason, user_name(), limit)
     if before.voters == current.voters:
         return await _build_and_submit(cluster, ChangeRequest(like_policy=before.name), origin)
--- a/hollybay/cli/policy_queries.py
+++ b/hollybay/cli/policy_queries.py
@@ -1,4 +1,4 @@
-"""The commands of `hollybay policy` that change nothing: `status`, `history` and `diff`."""
+"""The read-only commands of `hollybay policy`: `status`, `history` and `diff`."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
     Console().print(member_table(view, latest))
     for address in latest.voters:
         if address not in view.voters:
-            click.echo(f"keeper {address} does not answer as one")
+            click.echo(f"{address} did not answer as a voter")
 
 
 @click.command()
@@ -54,7 +54,7 @@
 
 
 async def _fetch_history(cluster: ChangeTracker) -> list[dict[str, Any]]:
-    """The epochs that any voter remembers, as their JSON objects, in order."""
+    """The history of all voters as JSON objects, one for each epoch, the oldest first."""
     await cluster.refresh()
     by_epoch: dict[int, dict[str, Any]] = {}
     for address in cluster.view.voters:
@@ -85,7 +85,7 @@
 
 
 async def _fetch_difference(cluster: ChangeTracker, one: str, other: str | None) -> list[str]:
-    """The lines that differ between two policies, or between the one in force and a file."""
+    """The difference between two policies, or between the one in force and a file, as lines."""
     await cluster.refresh()
     if other is not None:
         return await cluster.diff(one, other)
--- a/hollybay/cli/simulate.py
+++ b/hollybay/cli/simulate.py
@@ -1,4 +1,4 @@
-"""Simulated runs for `hollybay simulate`: play seeds on several cores, and shrink or trace one run."""
+"""Simulated runs for `hollybay simulate`: play seeds on several cores, shrink or trace a single run."""
 
 from __future__ import annotations
 
@@ -23,26 +23,26 @@
 
 EXIT_CLEAN = 0
 EXIT_FAULT_FOUND = 1
-MAX_FAULTS_SHOWN = 5  # of one run
-RUNS_IN_A_CHUNK = 4  # handed to a process at a time
+MAX_FAULTS_SHOWN = 5  # per run
+RUNS_IN_A_CHUNK = 4  # runs that are passed to a worker process at a time
 SECONDS_PER_MINUTE = 60
-MIN_DURATION_S = 1e-9  # so that no rate is divided by zero
+MIN_DURATION_S = 1e-9  # avoids a division by zero in the rates
 
 
 @dataclass(frozen=True, slots=True)
 class RunSelection:
-    """Which runs are asked for: seeds under some kinds of faults, or one plan.
+    """The selected runs: seeds with the permitted kinds of faults, or a single plan.
 
     Attributes
     ----------
     seeds
-        The seeds to play; that of the plan, where there is one.
+        The seeds to play; if there is a plan, its seed alone.
     faults
-        Kinds of faults that may happen; empty for all.
+        Kinds of faults that may occur; empty for all.
     plan
-        A plan that was written before, in place of a drawn one.
+        A plan read from a file, in place of one drawn from a seed.
     path
-        The file that holds the plan.
+        Path of that file.
     """
 
     seeds: range
@@ -59,13 +59,13 @@
         Raises
         ------
         ValueError
-            They contradict each other, name an unknown kind of fault, or a plan that cannot be read.
+            Options contradict each other, a kind of fault is unknown, or the plan cannot be read.
         """
         if sum(option is not None for option in (seed, seeds, path)) > 1:
-            raise ValueError("one of --seed, --seeds A..B and --plan")
+            raise ValueError("expected at most one of --seed, --seeds A..B and --plan")
         allowed: tuple[str, ...] = tuple(faults.split(",")) if faults else ()
         if allowed:
-            draw(0, allowed)  # raises where one of them is unknown
+            draw(0, allowed)  # raises ValueError if a kind is unknown
         if path is not None:
             plan = _read_plan(path)
             return cls(range(plan.seed, plan.seed + 1), allowed, plan, str(path))
@@ -76,17 +76,17 @@
 
     @property
     def has_many(self) -> bool:
-        """Whether this is more than one run."""
+        """Whether there is more than one run."""
         return len(self.seeds) > 1
 
     def plan_of(self, seed: int) -> Plan:
-        """The plan of one of its runs."""
+        """The plan of the run with this seed."""
         if self.plan is not None:
             return self.plan
         return draw(seed, self.faults) if self.faults else draw(seed)
 
     def command_of(self, seed: int) -> str:
-        """The command that plays one of its runs again."""
+        """The command that replays the run with this seed."""
         if self.plan is not None:
             return f"hollybay simulate --plan {self.path}"
         faults = f" --faults {','.join(self.faults)}" if self.faults else ""
@@ -94,7 +94,7 @@
 
 
 def _read_plan(path: Path) -> Plan:
-    """Read a plan from a file. ValueError: it cannot be read, or is no plan."""
+    """Read a plan from a file. ValueError: the file cannot be read, or does not contain a plan."""
     try:
         return msgspec.json.decode(path.read_bytes(), type=Plan)
     except (OSError, msgspec.MsgspecError) as error:
@@ -102,34 +102,34 @@
 
 
 def _parse_seeds(text: str) -> range:
-    """The seeds of `A..B`, or of one number. ValueError: there are none."""
+    """Parse `A..B`, or a single seed. ValueError: not a number, or the range is empty."""
     first, separator, last = text.partition("..")
     seeds = range(int(first), int(last if separator else first) + 1)
     if not seeds:
-        raise ValueError("--seeds A..B with A up to B")
+        raise ValueError(f"--seeds {text}: expected A..B with A <= B")
     return seeds
 
 
 @dataclass(frozen=True, slots=True)
 class RunResult:
-    """What one run showed, as it comes back from another process.
+    """The result of one run, in a form that worker processes can return.
 
     Attributes
     ----------
     seed
-        Of the run.
+        Seed of the run.
     kinds
-        Kinds of faults that the run was put under.
+        Kinds of faults that were injected.
     steps
-        Steps of the simulated loop.
+        Number of steps of the simulated event loop.
     node_seconds
-        Virtual time, summed over the nodes.
+        Virtual time (s), summed over the nodes.
     trace
         Digest of all steps.
     faults
-        What was found, a line for each.
+        Violations that were found, a line for each.
     rules
-        Rules and oracles that were broken.
+        Rules that were broken, and oracles that reported a violation.
     """
 
     seed: int
@@ -161,7 +161,7 @@
 
 
 def _play_each(selection: RunSelection, jobs: int) -> Iterator[RunResult]:
-    """The results of all runs, in order of their seeds."""
+    """Play all runs; yields their results in order of the seeds."""
     play_seed = partial(play_one, selection)
     if jobs == 1:
         yield from map(play_seed, selection.seeds)
@@ -172,7 +172,7 @@
 
 @dataclass(slots=True)
 class _Totals:
-    """Counts over all runs: of kinds and of pairs of them by runs, and of broken rules by failed runs."""
+    """Totals over all runs: runs by kind and by pair of kinds of faults, and failed runs by broken rule."""
 
     kinds: Counter[str] = field(default_factory=Counter)
     pairs: Counter[tuple[str, ...]] = field(default_factory=Counter)
@@ -192,7 +192,7 @@
             self.rules.update(result.rules)
 
     def summary(self, selection: RunSelection, duration_s: float) -> str:
-        """All counts in a line."""
+        """All totals in one line."""
         allowed = selection.faults or tuple(FAULTS)
         possible_pairs = len(list(combinations(allowed, 2)))
         rules = f" ({', '.join(sorted(self.rules))})" if self.rules else ""
@@ -208,14 +208,14 @@
 def play_all(
     selection: RunSelection, jobs: int, write_line: Callable[[str], None], advance: Callable[[], None]
 ) -> int:
-    """Play all runs and write what they found.
+    """Play all runs and write the violations that they found.
 
     Parameters
     ----------
     selection
         The runs.
     jobs
-        How many processes play them.
+        Number of worker processes.
     write_line
         Writes one line of output.
     advance
@@ -224,7 +224,7 @@
     Returns
     -------
     int
-        Exit status: 1 if a run found something.
+        Exit status: 1 if a run found a violation.
     """
     totals = _Totals()
     began_at = monotonic()
@@ -238,7 +238,7 @@
 
 
 def _result_lines(selection: RunSelection, result: RunResult) -> list[str]:
-    """What is said of one run: its faults and how to play it again, or the trace of a single clean run."""
+    """The output for one run: violations and the command to replay it, or the trace of a single clean run."""
     if result.faults:
         lines = [f"seed {result.seed}: {fault}" for fault in result.faults[:MAX_FAULTS_SHOWN]]
         return [*lines, f"  {selection.command_of(result.seed)}"]
@@ -246,17 +246,17 @@
 
 
 def shrink_run(selection: RunSelection, target: Path, write_line: Callable[[str], None]) -> int:
-    """Shrink one failing run to the least plan that still breaks its rule, into a file.
+    """Shrink a failing run to a smaller plan that still breaks the same rule, and write that to a file.
 
     Returns
     -------
     int
-        Exit status: 1 once that is done, 0 where nothing fails.
+        Exit status: 1 if a plan was written, 0 if the run does not fail.
     """
     plan = selection.plan_of(selection.seeds[0])
     outcome = play(plan)
     if not outcome.wrong:
-        write_line("nothing is wrong here, so there is nothing to shrink")
+        write_line("the run does not fail: nothing to shrink")
         return EXIT_CLEAN
     rule = outcome.wrong[0].rule
     write_line(f"{events(plan)} events: {_fault_lines(outcome)[0]}")
@@ -268,12 +268,12 @@
 
 
 def trace_run(selection: RunSelection, target: Path, write_line: Callable[[str], None]) -> int:
-    """Write every step of one run into a file.
+    """Write every step of one run to a file.
 
     Returns
     -------
     int
-        Exit status: 1 if something was found.
+        Exit status: 1 if the run found a violation.
     """
     with target.open("w") as file:
         outcome = play(selection.plan_of(selection.seeds[0]), lambda line: print(line, file=file))
--- a/hollybay/cli/simulate_command.py
+++ b/hollybay/cli/simulate_command.py
@@ -1,4 +1,4 @@
-"""`hollybay simulate`: the options of simulated runs: play, shrink or trace them."""
+"""`hollybay simulate`: play, shrink or trace simulated runs."""
 
 from __future__ import annotations
 
@@ -48,7 +48,7 @@
     except ValueError as error:
         raise click.UsageError(str(error)) from None
     if (target is not None or trace is not None) and selection.has_many:
-        raise click.UsageError("--shrink and --trace go with one --seed or --plan")
+        raise click.UsageError(f"--shrink and --trace take a single run, not {len(selection)} seeds")
     console = Console()
 
     def write_line(text: str) -> None:
--- a/hollybay/cli/tier.py
+++ b/hollybay/cli/tier.py
@@ -1,4 +1,4 @@
-"""Cluster runs for `hollybay tier`: play a plan of many processes, and print what came of it."""
+"""Cluster runs for `hollybay tier`: play a plan with many processes, and print the report."""
 
 from __future__ import annotations
 
@@ -26,22 +26,22 @@
 
 @dataclass(frozen=True, slots=True)
 class RunRequest:
-    """What the command line asks for.
+    """A cluster run as requested on the command line.
 
     Attributes
     ----------
     file
-        The plan.
+        Path of the plan.
     seed
-        Of all that is drawn by chance.
+        Seed of all random choices.
     nodes, load
-        Number of nodes and share of all capacity, in place of the plan's own; 0 for these.
+        Number of nodes and load as a share of all capacity; 0 for the values of the plan.
     json_path, plot_path
-        Where the figures and the plot go; None for neither.
+        Where to write the figures and the plot; None to write none.
     keep
-        A new folder for logs and journals; None to throw them away.
+        A new folder for logs and journals; None to discard them.
     defect
-        A defect to plant in every node, or "".
+        The defect to plant in every node, or "".
     """
 
     file: Path
@@ -55,7 +55,7 @@
 
 
 class _InvalidPlanError(Exception):
-    """The plan cannot be played; the lines say why."""
+    """The plan cannot be played; `lines` gives the reasons."""
 
     def __init__(self, lines: list[str]) -> None:
         super().__init__("\n".join(lines))
@@ -68,7 +68,7 @@
     Returns
     -------
     int
-        Exit status: 0 held, 1 a rule or bound broken, 2 an invalid plan, 3 the run is not to be trusted.
+        Exit status: 0 all rules and bounds held, 1 one was broken, 2 invalid plan, 3 untrustworthy run.
     """
     console = Console()
     try:
@@ -90,7 +90,7 @@
 
 
 def _read_plan(request: RunRequest) -> Plan:
-    """Read and compile the plan. _InvalidPlanError: it does not hold, or is too large for this machine."""
+    """Read and compile the plan. _InvalidPlanError: it is invalid, or too large for this machine."""
     file = request.file
     try:
         plan = compile_plan(file.read_bytes(), str(file), request.seed, request.nodes, request.load)
@@ -105,7 +105,7 @@
 
 
 def _play(plan: Plan, request: RunRequest, console: Console) -> Outcome:
-    """Play a plan under a progress bar. RigFailed, after it was printed: the rig could not carry it."""
+    """Play a plan with a progress bar. RigFailed: the rig could not carry the run; its reason was printed."""
     bar = Progress(
         TextColumn("[bold]{task.description:<32}"),
         BarColumn(),
@@ -122,20 +122,20 @@
         try:
             return asyncio.run(play(plan, show, request.defect, request.keep))
         except RigFailed as error:
-            _write_lines(console, [f"not to be trusted: {error}"])
+            _write_lines(console, [f"run not trustworthy: {error}"])
             raise
 
 
 def _write_lines(console: Console, lines: list[str]) -> None:
-    """Write lines as they are, without markup or breaks."""
+    """Write lines verbatim: no markup, no highlighting, no wrapping."""
     for line in lines:
         console.print(line, markup=False, highlight=False, soft_wrap=True)
 
 
 def _print_report(console: Console, report: Report) -> None:
-    """Print the tables and figures of a run, or why it is not to be trusted."""
+    """Print the tables and figures of a run, or why the run is not trustworthy."""
     if not report.trusted:
-        _write_lines(console, [f"not to be trusted: {reason}" for reason in report.reasons])
+        _write_lines(console, [f"run not trustworthy: {reason}" for reason in report.reasons])
         return
     for table in tables(report):
         console.print(table)
@@ -143,7 +143,7 @@
 
 
 def _summary_lines(report: Report) -> Iterator[str]:
-    """What the run took, and its counts."""
+    """Resources that the run used, broken rules, excused requests, and calls to the admin endpoints."""
     yield (
         f"{report.nodes} nodes up in {report.up_seconds:.1f} s; a node takes {100 * report.node_cpu:.2f} % "
         f"of a core and {report.node_memory_mb:.1f} MiB of its own, the rig {report.rig_cpu:.2f} cores"
@@ -153,17 +153,17 @@
         yield "excused: " + ", ".join(f"{why} {count}" for why, count in sorted(report.excused.items()))
     if report.door:
         calls = ", ".join(f"{status} {count}" for status, count in report.door.items())
-        yield f"operators' calls by status (0: none): {calls}"
+        yield f"admin calls by status (0: no response): {calls}"
 
 
 def _finding_lines(report: Report) -> Iterator[str]:
-    """Broken rules, changes of the policy, and bounds that did not hold."""
+    """Broken rules, changes of the policy, and bounds that were exceeded."""
     yield from report.faults[:MAX_FAULTS_SHOWN]
     for code, name, text, seconds in report.changes:
         yield f"change {name or '(none)'}: {code} after {seconds:.2f} s: {text}"
     if report.under:
         policies = ", ".join(f"{names}: {count}" for names, count in report.under.items())
-        yield f"requests began under {policies}"
+        yield f"requests by policy in force when they began: {policies}"
     for fault in report.torn[:MAX_FAULTS_SHOWN]:
         yield f"policy: {fault}"
     for bound in report.broken:
--- a/hollybay/cli/tier_command.py
+++ b/hollybay/cli/tier_command.py
@@ -1,4 +1,4 @@
-"""`hollybay tier`: the options of a cluster run."""
+"""`hollybay tier`: play a cluster run."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
     except ModuleNotFoundError as error:
         raise click.ClickException(f"needs {error.name}, see the extra `tier`") from None
     if defect and defect not in DEFECTS:
-        raise click.BadParameter(f"none of {', '.join(DEFECTS)}", param_hint="--defect")
+        raise click.BadParameter(f"{defect!r}: expected one of {', '.join(DEFECTS)}", param_hint="--defect")
     request = cluster_run.RunRequest(
         file, seed, nodes or 0, load or 0.0, json_path=target, plot_path=picture, keep=keep, defect=defect
     )
