--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""The project's own benchmarks: `make bench`, or `python -m benchmarks NAME`. No part of the tests."""
+"""The project's benchmarks: `make bench`, or `python -m benchmarks NAME`. They are not part of the tests."""
--- a/benchmarks/__main__.py
+++ b/benchmarks/__main__.py
@@ -1,4 +1,4 @@
-"""Run the benchmarks by name, all if none is named."""
+"""Run benchmarks by name; all by default."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 
 
 def main(names: list[str]) -> int:
-    """2 for a name that is none."""
+    """Run the named benchmarks. Exit status: 2 if a name is unknown."""
     unknown = [name for name in names if name not in ALL]
     if unknown:
-        print(f"no such benchmark: {', '.join(unknown)}; there are {', '.join(ALL)}", file=sys.stderr)
+        print(f"unknown benchmarks: {', '.join(unknown)}; expected any of {', '.join(ALL)}", file=sys.stderr)
         return 2
     for name in names or ALL:
         print(f"== {name}")
--- a/benchmarks/accord.py
+++ b/benchmarks/accord.py
@@ -1,9 +1,9 @@
-"""How long a change of policy takes, and what being in an accord costs.
+"""Duration of a policy change, and the cost of membership in a consensus group.
 
     python -m benchmarks.accord --nodes 5,40,200
 
-For each size: a change with no node silent, one stopped, and a third stopped, on real processes under load;
-beside it the same time without a change. Then the cost of looking at a lease, for each request.
+For each size: a change with no node stopped, with one stopped and with a third stopped, on real processes
+under load, and a run of the same length without a change. Also the cost of the lease check per request.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 
 __all__ = ["main"]
 
-LEASE = 5.0  # seconds
+LEASE = 5.0  # s
 CHANGE = '[[change]]\nat = "4s"\nout = ["s-001"]\n'
 
 
@@ -55,14 +55,14 @@
     return run + (CHANGE if changes else "")
 
 
-def _played(nodes: int, silent: float, changes: bool) -> Report | str:
+def _run(nodes: int, silent: float, changes: bool) -> Report | str:
     try:
         return report_of(asyncio.run(play(compile_plan(_plan(nodes, silent, changes), "accord", 1))))
     except RigFailed as error:
         return str(error)[:80]
 
 
-class _Hands:
+class _NullNode:
     async def compile_policy(self, entry: Entry) -> list[str]:
         return []
 
@@ -73,28 +73,30 @@
         return OperatorFileChanges((), None)
 
     def apply_policies(self, entries: tuple[Entry, ...]) -> None:
-        """Nothing is served here."""
+        """Ignore policies: this node serves no requests."""
 
     def log_event(self, event: LogEvent, **fields: object) -> None:
-        """Nothing is written."""
+        """Ignore events."""
 
 
-async def _cost() -> float:
-    """ns that looking at a lease takes."""
+async def _lease_check_ns() -> float:
+    """ns per lease check of a request."""
 
-    async def way(door: str, path: str, body: bytes | None, limit: float) -> bytes:
-        raise AssertionError("nobody is called")
+    async def unreachable(address: str, path: str, body: bytes | None, limit: float) -> bytes:
+        raise AssertionError("expected no call to another node")
 
-    async def disk(work: object) -> None:
-        raise AssertionError("nothing is kept")
+    async def no_disk(work: object) -> None:
+        raise AssertionError("expected no disk access")
 
     with tempfile.TemporaryDirectory() as folder:
-        terms = MemberSettings("n0", "127.0.0.1:1", (), 10**12, 0, Path(folder))
+        member_settings = MemberSettings("n0", "127.0.0.1:1", (), 10**12, 0, Path(folder))
 
         def clock() -> int:
             return time.clock_gettime_ns(time.CLOCK_BOOTTIME)
 
-        service = Service(terms, way, _Hands(), clock, clock, disk, random.Random(1), "boot")
+        service = Service(
+            member_settings, unreachable, _NullNode(), clock, clock, no_disk, random.Random(1), "boot"
+        )
         state = EpochState(0, Stage.SETTLED, "0-000000000000")
         service.lease_client.leaseholder = Leaseholder(
             1, effective_epoch=state, lease_end=clock() + 10**12, latest_epoch=state
@@ -105,37 +107,37 @@
 
 
 def main() -> int:
-    """Play and print."""
+    """Measure all sizes, and print a table."""
     parser = argparse.ArgumentParser(description=(__doc__ or "").split("\n")[0])
     parser.add_argument("--nodes", default="5,40,200")
-    words = parser.parse_args()
-    print(f"looking at a lease: {asyncio.run(_cost()):.0f} ns a request")
+    options = parser.parse_args()
+    print(f"lease check: {asyncio.run(_lease_check_ns()):.0f} ns a request")
     print(
         "nodes silent    in force s  refused %  p99 ms  node CPU %  keeper + %  keeper calls/s in, out  said"
     )
-    for nodes in map(int, words.nodes.split(",")):
+    for nodes in map(int, options.nodes.split(",")):
         for label, silent, changes in (
             ("no change", 0.0, False),
             ("none", 0.0, True),
             ("one", 1 / nodes, True),
             ("a third", 1 / 3, True),
         ):
-            found = _played(nodes, silent, changes)
-            if isinstance(found, str) or not found.trusted:
-                why = found if isinstance(found, str) else found.reasons
-                print(f"{nodes:5d} {label:9s} not to be trusted: {why}")
+            report = _run(nodes, silent, changes)
+            if isinstance(report, str) or not report.trusted:
+                reason = report if isinstance(report, str) else report.reasons
+                print(f"{nodes:5d} {label:9s} run not trustworthy: {reason}")
                 continue
-            took = f"{found.changes[0][3]:10.2f}" if found.changes else " " * 10
-            keeper = next(iter(found.status.values()))
-            lived = 13.0 + found.up_seconds
-            refused, p99 = 100 * found.figures["refused"], found.figures["p99_ms"]
-            calls = f"{keeper['calls_in'] / lived:10.0f} {keeper['calls_out'] / lived:6.0f}"
-            said = found.changes[0][2] if found.changes else ""
-            cpu, keeps = 100 * found.node_cpu, 100 * found.keeper_cpu
+            duration = f"{report.changes[0][3]:10.2f}" if report.changes else " " * 10
+            voter = next(iter(report.status.values()))
+            uptime_s = 13.0 + report.up_seconds
+            rejected, p99 = 100 * report.figures["refused"], report.figures["p99_ms"]
+            calls = f"{voter['calls_in'] / uptime_s:10.0f} {voter['calls_out'] / uptime_s:6.0f}"
+            outcome = report.changes[0][2] if report.changes else ""
+            node_cpu, voter_cpu = 100 * report.node_cpu, 100 * report.keeper_cpu
             print(
-                f"{nodes:5d} {label:9s} {took}  {refused:8.2f} {p99:8.0f} {cpu:9.2f} {keeps:11.2f}"
-                f"  {calls}  {said}"
-                f"{f', torn {len(found.torn)}' if found.torn else ''}"
+                f"{nodes:5d} {label:9s} {duration}  {rejected:8.2f} {p99:8.0f} {node_cpu:9.2f}"
+                f" {voter_cpu:11.2f}  {calls}  {outcome}"
+                f"{f', torn {len(report.torn)}' if report.torn else ''}"
             )
     return 0
 
--- a/benchmarks/capacity/__init__.py
+++ b/benchmarks/capacity/__init__.py
@@ -1,16 +1,16 @@
-"""What the control plane costs by the size of its state: measured slopes, and where they bend.
+"""Cost of the control plane by the size of its state: measured slopes, and where they are not linear.
 
     python -m benchmarks.capacity --help
 
-target        the size that is expected, and the budgets
-fits          straight-line and power fits with residuals; pure
-measurement   what a measurement is, and what it may come to
-samples       servers, routes and tenants to measure with
+target        the expected size, and the budgets
+fits          linear and power-law fits with residuals; pure
+measurement   definition of a measurement, and its possible outcomes
+samples       generated servers, routes and tenants
 servers, routes, requests, tenants, starts, resource_states, control, streams
-              one module for each part that is measured
-registry      the one table of all measurements
-runner        each size of each measurement in a process of its own
-report        the table, JSON and the plot
-budgets       slopes held against the budgets, over or under
+              the measurements, one module for each part of the control plane
+registry      the table of all measurements
+runner        runs each size of each measurement in a separate process
+report        results as a table, JSON and a plot
+budgets       compares the slopes with the budgets
 page          the tables of docs/CAPACITY.md
 """
--- a/benchmarks/capacity/__main__.py
+++ b/benchmarks/capacity/__main__.py
@@ -1,4 +1,4 @@
-"""The command: sizes in, a table out; JSON and a plot where they are asked for."""
+"""The command line of the capacity benchmark: prints a table; optionally writes JSON and a plot."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """0 if each run was carried, 1 if one was not, 2 for bad arguments."""
+    """Exit status: 0 if every run has a figure, 1 if the rig failed or was late, 2 for bad arguments."""
     parser = _parser()
     words = parser.parse_args(arguments)
     if words.one:
@@ -30,7 +30,7 @@
         return 0
     unknown = [name for name in words.names if name not in MEASUREMENTS]
     if unknown:
-        parser.error(f"no such measurement: {', '.join(unknown)}; there are {', '.join(MEASUREMENTS)}")
+        parser.error(f"unknown measurements: {', '.join(unknown)}; expected any of {', '.join(MEASUREMENTS)}")
     chosen = [MEASUREMENTS[name] for name in words.names or MEASUREMENTS]
     plan = [(one, _sizes(one, words)) for one in chosen]
     found = runner.run_all(plan, lambda outcome: print(report.outcome_line(outcome), flush=True))
@@ -51,21 +51,19 @@
 def _parser() -> argparse.ArgumentParser:
     parser = argparse.ArgumentParser(
         prog="python -m benchmarks.capacity",
-        description="What the control plane costs by the size of its state.",
+        description="Measures the cost of the control plane by the size of its state.",
         epilog="Measurements: "
         + "; ".join(f"{one.name} ({one.title}; {one.counted})" for one in MEASUREMENTS.values()),
     )
-    parser.add_argument("names", nargs="*", help="measurements; all where none is named")
+    parser.add_argument("names", nargs="*", help="measurements to run; all by default")
+    parser.add_argument("--sizes", type=_numbers, help="comma-separated sizes, in place of the defaults")
+    parser.add_argument("--quick", action="store_true", help="run the small sizes that the tests use")
+    parser.add_argument("--json", type=Path, help="also write outcomes and fits to this file")
+    parser.add_argument("--plot", type=Path, help="also plot them to this file")
     parser.add_argument(
-        "--sizes", type=_numbers, help="sizes with commas between them, in place of the usual"
+        "--page", type=Path, nargs="+", help="print the tables of docs/CAPACITY.md from these JSON files"
     )
-    parser.add_argument("--quick", action="store_true", help="the small sizes of the tests")
-    parser.add_argument("--json", type=Path, help="also write outcomes and fits here")
-    parser.add_argument("--plot", type=Path, help="also draw them here")
-    parser.add_argument(
-        "--page", type=Path, nargs="+", help="print the tables of the page from these JSON files"
-    )
-    parser.add_argument("--one", nargs=2, metavar=("NAME", "SIZE"), help="one size, in this very process")
+    parser.add_argument("--one", nargs=2, metavar=("NAME", "SIZE"), help="measure one size in this process")
     return parser
 
 
--- a/benchmarks/capacity/budgets.py
+++ b/benchmarks/capacity/budgets.py
@@ -1,7 +1,7 @@
-"""Measured slopes held against the budgets: over or under, and by what factor. Pure.
+"""Compares measured slopes with the budgets: over or under, and by what factor. Pure.
 
-Each row is arithmetic on measured quantities at the expected size. What is assumed beyond the operators'
-letter stands here as a constant with the word "assumed".
+Each row is computed from measured quantities at the expected size. Assumptions beyond the operators'
+requirements are constants whose comment says "assumed".
 """
 
 from __future__ import annotations
@@ -12,77 +12,77 @@
 from . import target
 from .report import Series
 
-__all__ = ["ROWS", "Range", "Row", "Verdict", "judged"]
+__all__ = ["ROWS", "Range", "Row", "Verdict", "compare_with_budgets"]
 
-# Assumed: a server that is restarted or replaced changes its line twice, gone and ready.
+# Assumed: a restarted or replaced server changes its line in the server list twice, when gone and when ready.
 LINES_OF_A_REPLACED_SERVER = 2
-# Assumed peaks: servers in a rack; servers restarted by one release within an hour; changes in one second.
+# Assumed peaks: servers in a rack, servers restarted by a release within an hour, changes within a second.
 RACK_SERVERS = 40
 RELEASE_SERVERS_AN_HOUR = 6_000
 BURST_CHANGES = 20
-# How often `hollybay policy` looks while it follows a change (hollybay.consensus.change_tracker.LOOK).
-LOOKS_A_SECOND = 20
+# Polls of `hollybay policy` while it tracks a change (hollybay.consensus.voter_client.POLL_INTERVAL_S).
+POLLS_A_SECOND = 20
 ZONES = 17
-# The aim for one changed route in a node.
+# Target time to apply one changed route in a node.
 LONGEST_CHANGE_MS = 10.0
 
 CHANGES_A_SECOND = target.CHANGES_A_DAY / target.DAY_S
 SERVER_LINES_A_SECOND = LINES_OF_A_REPLACED_SERVER * target.REPLACED_SERVERS_A_DAY / target.DAY_S
 RELEASE_LINES_A_SECOND = LINES_OF_A_REPLACED_SERVER * RELEASE_SERVERS_AN_HOUR / 3_600
 CORE_PERCENT = 100 * target.CONTROL_CORE_PART
-ONE_CORE_PERCENT = 100.0  # a keeper is one process of Python, so one core
+ONE_CORE_PERCENT = 100.0  # a voter is a single Python process and uses at most one core
 
 
 @dataclass(frozen=True, slots=True)
 class Range:
-    """A figure at the expected size, between two values where the fits differ."""
+    """A figure at the expected size: the least and the most that the fits predict."""
 
     least: float
     most: float
 
     def times(self, factor: float) -> Range:
-        """So many times as much."""
+        """The range multiplied by a factor."""
         return Range(self.least * factor, self.most * factor)
 
     def plus(self, other: Range) -> Range:
-        """Both together."""
+        """The sum of two ranges."""
         return Range(self.least + other.least, self.most + other.most)
 
 
-At = Callable[[str, str], Range]
+FigureLookup = Callable[[str, str], Range]
 
 
 @dataclass(frozen=True, slots=True)
 class Row:
-    """One figure held against its budget. how: the slope and what it is multiplied with, in words."""
+    """One figure and its budget. how: the measurement and its factor, as text for the table."""
 
     role: str
     what: str
     unit: str
     budget: float
     how: str
-    figure: Callable[[At], Range]
+    figure: Callable[[FigureLookup], Range]
 
 
 @dataclass(frozen=True, slots=True)
 class Verdict:
-    """A row with its figure. None: what it is made of was not measured."""
+    """A row with its figure; None if a measurement that it needs is missing."""
 
     row: Row
     figure: Range | None
 
     @property
     def factor(self) -> Range | None:
-        """How many times the budget; above 1 is over."""
+        """The figure as a multiple of the budget; above 1 is over budget."""
         return None if self.figure is None else self.figure.times(1 / self.row.budget)
 
 
-def _of(measurement: str, quantity: str, factor: float = 1.0) -> Callable[[At], Range]:
+def _figure_of(measurement: str, quantity: str, factor: float = 1.0) -> Callable[[FigureLookup], Range]:
     return lambda at: at(measurement, quantity).times(factor)
 
 
-def _sum(*parts: Callable[[At], Range]) -> Callable[[At], Range]:
-    def whole(at: At) -> Range:
+def _sum(*parts: Callable[[FigureLookup], Range]) -> Callable[[FigureLookup], Range]:
+    def whole(at: FigureLookup) -> Range:
         found = Range(0.0, 0.0)
         for part in parts:
             found = found.plus(part(at))
@@ -92,13 +92,13 @@
 
 
 MB = 1 / 1024
-SERVER_MEMORY = _of("servers-list-few-nodes", "memory_kb", MB)
-ROUTE_MEMORY = _of("routes-compiled", "memory_kb", MB)
-TENANT_MEMORY = _of("tenants-named", "memory_kb", MB)
-BUCKET_MEMORY = _of("tenant-buckets", "memory_kb", MB)
-PLAN_MEMORY = _of("routes-plan", "memory_kb", MB)
-ROUTE_STATE_MEMORY = _of("resources-routes", "memory_kb", MB)
-TENANT_STATE_MEMORY = _of("resources-tenants", "memory_kb", MB)
+SERVER_MEMORY = _figure_of("servers-list-few-nodes", "memory_kb", MB)
+ROUTE_MEMORY = _figure_of("routes-compiled", "memory_kb", MB)
+TENANT_MEMORY = _figure_of("tenants-named", "memory_kb", MB)
+BUCKET_MEMORY = _figure_of("tenant-buckets", "memory_kb", MB)
+PLAN_MEMORY = _figure_of("routes-plan", "memory_kb", MB)
+ROUTE_STATE_MEMORY = _figure_of("resources-routes", "memory_kb", MB)
+TENANT_STATE_MEMORY = _figure_of("resources-tenants", "memory_kb", MB)
 CHANGE_RATE = f"{CHANGES_A_SECOND:.2f} changes/s"
 LINE_RATE = f"{SERVER_LINES_A_SECOND:.2f} lines/s"
 
@@ -128,7 +128,7 @@
         "% of a core",
         CORE_PERCENT,
         f"route-changed-by-file x {CHANGE_RATE}",
-        _of("route-changed-by-file", "cpu_s", 100 * CHANGES_A_SECOND),
+        _figure_of("route-changed-by-file", "cpu_s", 100 * CHANGES_A_SECOND),
     ),
     Row(
         "node",
@@ -136,7 +136,7 @@
         "% of a core",
         CORE_PERCENT,
         "servers-review, twice a second",
-        _of("servers-review", "core_percent"),
+        _figure_of("servers-review", "core_percent"),
     ),
     Row(
         "node",
@@ -144,7 +144,7 @@
         "% of a core",
         CORE_PERCENT,
         f"server-changed x {LINE_RATE}",
-        _of("server-changed", "cpu_ms", 0.1 * SERVER_LINES_A_SECOND),
+        _figure_of("server-changed", "cpu_ms", 0.1 * SERVER_LINES_A_SECOND),
     ),
     Row(
         "node",
@@ -152,7 +152,7 @@
         "% of a core",
         CORE_PERCENT,
         f"change-costs x {CHANGE_RATE}",
-        _of("change-costs", "node_cpu_ms", 0.1 * CHANGES_A_SECOND),
+        _figure_of("change-costs", "node_cpu_ms", 0.1 * CHANGES_A_SECOND),
     ),
     Row(
         "node",
@@ -160,7 +160,7 @@
         "% of a core",
         CORE_PERCENT,
         "renewals",
-        _of("renewals", "node_core_percent"),
+        _figure_of("renewals", "node_core_percent"),
     ),
     Row(
         "node",
@@ -168,7 +168,7 @@
         "B/s",
         target.CONTROL_BYTES_A_SECOND,
         "renewals",
-        _of("renewals", "node_bytes_a_second"),
+        _figure_of("renewals", "node_bytes_a_second"),
     ),
     Row(
         "node",
@@ -176,7 +176,7 @@
         "B/s",
         target.CONTROL_BYTES_A_SECOND,
         f"change-costs x {CHANGE_RATE}",
-        _of("change-costs", "node_bytes", CHANGES_A_SECOND),
+        _figure_of("change-costs", "node_bytes", CHANGES_A_SECOND),
     ),
     Row(
         "node",
@@ -184,7 +184,7 @@
         "B/s",
         target.CONTROL_BYTES_A_SECOND,
         f"change-by-file x {CHANGE_RATE}",
-        _of("change-by-file", "node_bytes", CHANGES_A_SECOND),
+        _figure_of("change-by-file", "node_bytes", CHANGES_A_SECOND),
     ),
     Row(
         "node",
@@ -192,7 +192,7 @@
         "s of processor",
         target.START_LIMIT_S,
         "servers-list + start-from-file",
-        _sum(_of("servers-list", "cpu_s"), _of("start-from-file", "cpu_s")),
+        _sum(_figure_of("servers-list", "cpu_s"), _figure_of("start-from-file", "cpu_s")),
     ),
     Row(
         "node",
@@ -200,7 +200,7 @@
         "ms",
         target.REQUEST_ADDED_MS,
         "servers-review",
-        _of("servers-review", "cpu_ms"),
+        _figure_of("servers-review", "cpu_ms"),
     ),
     Row(
         "node",
@@ -208,7 +208,7 @@
         "ms",
         target.REQUEST_ADDED_MS,
         "server-changed",
-        _of("server-changed", "cpu_ms"),
+        _figure_of("server-changed", "cpu_ms"),
     ),
     Row(
         "node",
@@ -216,7 +216,7 @@
         "ms",
         target.REQUEST_ADDED_MS,
         "request-route + request-server",
-        _sum(_of("request-route", "cpu_us", 1e-3), _of("request-server", "cpu_us", 1e-3)),
+        _sum(_figure_of("request-route", "cpu_us", 1e-3), _figure_of("request-server", "cpu_us", 1e-3)),
     ),
     Row(
         "node",
@@ -224,7 +224,7 @@
         "ms",
         target.REQUEST_ADDED_MS,
         "request-rejected",
-        _of("request-rejected", "cpu_us", 1e-3),
+        _figure_of("request-rejected", "cpu_us", 1e-3),
     ),
     Row(
         "keeper",
@@ -232,7 +232,7 @@
         "% of a core",
         ONE_CORE_PERCENT,
         "renewals",
-        _of("renewals", "keeper_core_percent"),
+        _figure_of("renewals", "keeper_core_percent"),
     ),
     Row(
         "keeper",
@@ -240,7 +240,7 @@
         "% of a core",
         ONE_CORE_PERCENT,
         f"change-costs x {CHANGE_RATE}",
-        _of("change-costs", "keeper_cpu_s", 100 * CHANGES_A_SECOND),
+        _figure_of("change-costs", "keeper_cpu_s", 100 * CHANGES_A_SECOND),
     ),
     Row(
         "keeper",
@@ -248,7 +248,7 @@
         "s",
         target.CHANGE_LIMIT_S,
         "change-costs",
-        _of("change-costs", "keeper_cpu_s"),
+        _figure_of("change-costs", "keeper_cpu_s"),
     ),
     Row(
         "keeper",
@@ -256,15 +256,15 @@
         "s",
         target.CHANGE_LIMIT_S,
         "change-by-file",
-        _of("change-by-file", "keeper_cpu_s"),
+        _figure_of("change-by-file", "keeper_cpu_s"),
     ),
     Row(
         "operator's command",
         "following one change: processor of each keeper",
         "% of a core",
         ONE_CORE_PERCENT,
-        f"operator-status x {LOOKS_A_SECOND} looks/s",
-        _of("operator-status", "keeper_cpu_ms", 0.1 * LOOKS_A_SECOND),
+        f"operator-status x {POLLS_A_SECOND} looks/s",
+        _figure_of("operator-status", "keeper_cpu_ms", 0.1 * POLLS_A_SECOND),
     ),
     Row(
         "peak",
@@ -272,7 +272,7 @@
         "% of a core",
         CORE_PERCENT,
         f"server-changed x {RELEASE_LINES_A_SECOND:.1f} lines/s",
-        _of("server-changed", "cpu_ms", 0.1 * RELEASE_LINES_A_SECOND),
+        _figure_of("server-changed", "cpu_ms", 0.1 * RELEASE_LINES_A_SECOND),
     ),
     Row(
         "peak",
@@ -280,7 +280,7 @@
         "s",
         target.CHANGE_LIMIT_S,
         f"server-changed x {RACK_SERVERS}",
-        _of("server-changed", "cpu_ms", RACK_SERVERS / 1000),
+        _figure_of("server-changed", "cpu_ms", RACK_SERVERS / 1000),
     ),
     Row(
         "peak",
@@ -288,7 +288,7 @@
         "s",
         target.START_LIMIT_S,
         f"servers-list / {ZONES}",
-        _of("servers-list", "cpu_s", 1 / ZONES),
+        _figure_of("servers-list", "cpu_s", 1 / ZONES),
     ),
     Row(
         "peak",
@@ -296,7 +296,7 @@
         "s",
         target.CHANGE_LIMIT_S,
         f"change-costs x {BURST_CHANGES}",
-        _of("change-costs", "keeper_cpu_s", BURST_CHANGES),
+        _figure_of("change-costs", "keeper_cpu_s", BURST_CHANGES),
     ),
     Row(
         "peak",
@@ -304,7 +304,7 @@
         "s",
         target.CHANGE_LIMIT_S,
         "change-silent-tenth",
-        _of("change-silent-tenth", "in_force_s"),
+        _figure_of("change-silent-tenth", "in_force_s"),
     ),
     Row(
         "resources",
@@ -345,8 +345,8 @@
         CORE_PERCENT,
         f"(resource-changed + route-changed-by-resource) x {CHANGE_RATE}",
         _sum(
-            _of("resource-changed", "cpu_us", 1e-4 * CHANGES_A_SECOND),
-            _of("route-changed-by-resource", "cpu_ms", 0.1 * CHANGES_A_SECOND),
+            _figure_of("resource-changed", "cpu_us", 1e-4 * CHANGES_A_SECOND),
+            _figure_of("route-changed-by-resource", "cpu_ms", 0.1 * CHANGES_A_SECOND),
         ),
     ),
     Row(
@@ -355,7 +355,7 @@
         "ms",
         LONGEST_CHANGE_MS,
         "route-changed-worst",
-        _of("route-changed-worst", "worst_cpu_ms"),
+        _figure_of("route-changed-worst", "worst_cpu_ms"),
     ),
     Row(
         "resources",
@@ -363,7 +363,7 @@
         "B/s",
         target.CONTROL_BYTES_A_SECOND,
         f"resource-changed x {CHANGE_RATE}",
-        _of("resource-changed", "batch_bytes", CHANGES_A_SECOND),
+        _figure_of("resource-changed", "batch_bytes", CHANGES_A_SECOND),
     ),
     Row(
         "resources",
@@ -371,13 +371,13 @@
         "s of processor",
         target.START_LIMIT_S,
         "start-from-snapshot",
-        _of("start-from-snapshot", "cpu_s"),
+        _figure_of("start-from-snapshot", "cpu_s"),
     ),
 )
 
 
-def judged(series: Iterable[Series], rows: Iterable[Row] = ROWS) -> list[Verdict]:
-    """Each row with its figure, as far as what it is made of was measured at two sizes or more."""
+def compare_with_budgets(series: Iterable[Series], rows: Iterable[Row] = ROWS) -> list[Verdict]:
+    """Each row with its figure; None where a measurement that it needs was not run at two sizes or more."""
     known = {(one.measurement, one.quantity): one.target for one in series if one.target is not None}
 
     def at(measurement: str, quantity: str) -> Range:
--- a/benchmarks/capacity/fits.py
+++ b/benchmarks/capacity/fits.py
@@ -1,7 +1,7 @@
-"""Straight-line and power fits of a figure by size, with residuals. Pure.
+"""Linear and power-law fits of a figure by size, with residuals. Pure.
 
-Both fits weigh relative errors: a straight line over sizes from 1,000 to 100,000 would otherwise be decided
-by the largest size alone.
+Both fits use relative errors: otherwise the largest size alone would determine a line over sizes from 1,000
+to 100,000.
 """
 
 from __future__ import annotations
@@ -13,13 +13,14 @@
 
 __all__ = ["Extrapolation", "Fit", "Line", "Point", "Power", "extrapolate", "fit", "fit_line", "fit_power"]
 
-# A straight line that misses a point by more than this part, or two neighbouring slopes further apart than
-# this factor, is not taken for straight.
+# Points are not linear if the line misses one by more than this share of its value, or if the slopes between
+# neighbours differ by more than this factor.
 MOST_RESIDUAL = 0.25
 MOST_SLOPE_CHANGE = 1.6
-# An exponent this far from 1 is a bend also where the few points fit a line.
+# If the base of the line is negative, an exponent further above 1 than this is a bend, although a line fits
+# the few points.
 MOST_EXPONENT_DISTANCE = 0.25
-# A figure that spreads little does not depend on the size if a line misses by this part of its spread.
+# A figure with a small spread does not depend on the size if the line's residual is this share of the spread.
 LEAST_NOISE = 0.2
 NO_SPREAD = 0.1
 LEAST_POINTS_FOR_A_BEND = 3
@@ -35,14 +36,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Line:
-    """value = base + slope * size. residuals: (value - line) / value, point by point."""
+    """value = base + slope * size. residuals: (value - line) / value, for each point."""
 
     base: float
     slope: float
     residuals: tuple[float, ...]
 
     def at(self, size: float) -> float:
-        """The line's value at a size."""
+        """The value of the line at a size."""
         return self.base + self.slope * size
 
     @property
@@ -53,14 +54,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Power:
-    """value = factor * size ** exponent. residuals: (value - power) / value, point by point."""
+    """value = factor * size ** exponent. residuals: (value - power) / value, for each point."""
 
     factor: float
     exponent: float
     residuals: tuple[float, ...]
 
     def at(self, size: float) -> float:
-        """The power's value at a size."""
+        """The value of the power law at a size."""
         return float(self.factor * size**self.exponent)
 
     @property
@@ -71,9 +72,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Fit:
-    """Both fits of the same points. power: None where a value is not above 0.
+    """Both fits of the same points. power: None if a size or a value is not positive.
 
-    bends: with three sizes or more, a straight line through them does not hold.
+    bends: whether three or more points are not linear.
     """
 
     points: tuple[Point, ...]
@@ -84,7 +85,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Extrapolation:
-    """A figure at a size: least and most are what the fits say; beyond: times the largest size of a run."""
+    """A figure at a size: least and most of the predictions; beyond: size over the largest measured size."""
 
     size: float
     least: float
@@ -93,25 +94,25 @@
 
 
 def fit_line(points: Sequence[Point]) -> Line:
-    """The line with the least squares of relative residuals. ValueError: fewer than two sizes."""
+    """Least-squares line by relative residuals. ValueError: fewer than two sizes."""
     if len({point.size for point in points}) < 2:
-        raise ValueError("points: a line needs at least two sizes")
+        raise ValueError(f"points: expected at least two sizes for a line, got {len(points)} points")
     weights = [1.0 / max(abs(point.value), 1e-12) ** 2 for point in points]
-    whole = sum(weights)
-    mean_size = sum(w * p.size for w, p in zip(weights, points, strict=True)) / whole
-    mean_value = sum(w * p.value for w, p in zip(weights, points, strict=True)) / whole
+    total_weight = sum(weights)
+    mean_size = sum(w * p.size for w, p in zip(weights, points, strict=True)) / total_weight
+    mean_value = sum(w * p.value for w, p in zip(weights, points, strict=True)) / total_weight
     spread = sum(w * (p.size - mean_size) ** 2 for w, p in zip(weights, points, strict=True))
-    together = sum(
+    covariance = sum(
         w * (p.size - mean_size) * (p.value - mean_value) for w, p in zip(weights, points, strict=True)
     )
-    slope = together / spread
+    slope = covariance / spread
     base = mean_value - slope * mean_size
     residuals = tuple(_relative(p.value, base + slope * p.size) for p in points)
     return Line(base, slope, residuals)
 
 
 def fit_power(points: Sequence[Point]) -> Power | None:
-    """The power with the least squares of logarithms; None where a size or a value is not above 0."""
+    """Least-squares power law by logarithms; None if a size or a value is not positive, or with one size."""
     if any(point.size <= 0 or point.value <= 0 for point in points):
         return None
     logs = [(math.log(point.size), math.log(point.value)) for point in points]
@@ -127,7 +128,7 @@
 
 
 def fit(points: Sequence[Point]) -> Fit:
-    """Both fits, and whether the points bend. ValueError: fewer than two sizes."""
+    """Both fits, and whether the points are not linear. ValueError: fewer than two sizes."""
     ordered = tuple(sorted(points, key=lambda point: point.size))
     line = fit_line(ordered)
     power = fit_power(ordered)
@@ -135,7 +136,7 @@
 
 
 def extrapolate(found: Fit, size: float) -> Extrapolation:
-    """What the fits say of a size, or what was run there; they differ where the points bend or are few."""
+    """The measured figure at a size, else a prediction: a range if the points are not linear or are few."""
     last = found.points[-1]
     known = [point.value for point in found.points if point.size == size]
     if known:
@@ -143,11 +144,11 @@
     elif _flat(found.points, found.line):
         values = [point.value for point in found.points]
     else:
-        values = _beyond(found, size)
+        values = _predictions(found, size)
     return Extrapolation(size, min(values), max(values), size / last.size)
 
 
-def _beyond(found: Fit, size: float) -> list[float]:
+def _predictions(found: Fit, size: float) -> list[float]:
     values = [max(0.0, found.line.at(size)), _last_slope(found.points, size)]
     if found.power is not None and (found.bends or len(found.points) < LEAST_POINTS_FOR_A_BEND):
         values.append(found.power.at(size))
@@ -155,7 +156,7 @@
 
 
 def _last_slope(points: Sequence[Point], size: float) -> float:
-    """The line through the two largest sizes: what counts where an earlier part was flat or steep."""
+    """Extrapolate from the two largest sizes, as smaller sizes may have a different slope."""
     before, last = points[-2], points[-1]
     if last.size == before.size:
         return last.value
@@ -181,8 +182,8 @@
 
 
 def _flat(points: Sequence[Point], line: Line) -> bool:
-    """Whether the figure does not depend on the size, as far as its noise tells: it spreads little, and the
-    line explains little of that."""
+    """Whether the figure does not depend on the size, within its noise: the spread is small, and a line
+    explains little of it."""
     values = [point.value for point in points]
     if min(values) <= 0:
         return False
--- a/benchmarks/capacity/measurement.py
+++ b/benchmarks/capacity/measurement.py
@@ -1,4 +1,4 @@
-"""What a measurement is, and what one size of it may come to."""
+"""Definition of a measurement, and the possible outcomes of a run at one size."""
 
 from __future__ import annotations
 
@@ -13,26 +13,26 @@
     "Measurement",
     "NotCarried",
     "Outcome",
-    "RefusedSize",
     "Rejected",
     "RunFailed",
+    "SizeRejected",
     "judge",
 ]
 
 
-class RefusedSize(Exception):
-    """What is measured refuses this size; the text is its own reason."""
+class SizeRejected(Exception):
+    """The measured code rejects this size; the message is the reason that it gives."""
 
 
 class RunFailed(Exception):
-    """The rig could not carry a run; the text says what failed."""
+    """The rig could not carry the run; the message says what failed."""
 
 
 @dataclass(frozen=True, slots=True)
 class Figures:
-    """What a run found, by name of the quantity; spent: what the rig was while it ran.
+    """Values of a run by quantity. spent: CPU, waiting time and lateness of the rig during the run.
 
-    notes: what else the page should say, such as the size of a file.
+    notes: additional values to report, such as the size of a file.
     """
 
     values: Mapping[str, float]
@@ -40,13 +40,13 @@
     notes: Mapping[str, float] = field(default_factory=dict)
 
     def only(self, *names: str) -> Figures:
-        """These quantities of it."""
+        """A copy with only these quantities."""
         return Figures({name: self.values[name] for name in names}, self.spent, self.notes)
 
 
 @dataclass(frozen=True, slots=True)
 class Measured:
-    """One size with its figures."""
+    """A run at one size with its figures."""
 
     measurement: str
     size: int
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NotCarried:
-    """One size that the rig could not carry: it has no figure."""
+    """A run at one size that the rig could not carry; it has no figures."""
 
     measurement: str
     size: int
@@ -67,7 +67,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Rejected:
-    """One size that the measured code refuses, and the reason that it gives."""
+    """A size that the measured code rejects, and the reason that it gives."""
 
     measurement: str
     size: int
@@ -79,11 +79,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Measurement:
-    """One thing that is measured by size.
+    """A cost that is measured at several sizes.
 
-    run: measures one size in this process, RefusedSize where the code refuses it; quantities: the unit of
-    each value; sizes: those that are run by default; quick: those of a test; counted: what the size counts;
-    processes: whether it starts other processes, and so takes seconds also where it is small.
+    run: measures one size in this process, or raises SizeRejected; quantities: the unit of each value;
+    sizes: the default sizes; quick: the sizes of the tests; counted: the unit of the size; target: the
+    expected size; processes: whether it starts other processes, and so takes seconds even at a small size.
     """
 
     name: str
@@ -100,7 +100,7 @@
 
 
 def judge(measurement: Measurement, size: int, figures: Figures) -> Outcome:
-    """The figures, unless the rig was late."""
+    """The outcome of a run: its figures, or NotCarried if the rig was too late or starved of CPU."""
     reason = late_reason(figures.spent, measurement.limits)
     if reason:
         return NotCarried(measurement.name, size, reason)
--- a/benchmarks/capacity/page.py
+++ b/benchmarks/capacity/page.py
@@ -1,4 +1,4 @@
-"""The tables of docs/CAPACITY.md, from outcomes that were written as JSON."""
+"""Tables of docs/CAPACITY.md, generated from outcomes in JSON files."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from .budgets import Range, Verdict, judged
+from .budgets import Range, Verdict, compare_with_budgets
 from .measurement import Measured, NotCarried, Outcome, Rejected
 from .registry import MEASUREMENTS
 from .report import Series, series_of
@@ -19,12 +19,12 @@
 
 
 def read_outcomes(paths: Iterable[Path]) -> list[Outcome]:
-    """Outcomes of several files; of one size of one measurement the last that has a figure counts."""
+    """Read outcomes from files; for each measurement and size, the last that is not NotCarried counts."""
     found: dict[tuple[str, int], Outcome] = {}
     for path in paths:
         for one in msgspec.json.decode(path.read_bytes())["outcomes"]:
             if one["measurement"] not in MEASUREMENTS:
-                continue  # of an earlier state of the table
+                continue  # the measurement was removed from the registry
             kind: type[Outcome] = _KINDS[one.pop("kind")]
             outcome = cast(Outcome, msgspec.convert(one, kind))
             key = (outcome.measurement, outcome.size)
@@ -35,7 +35,7 @@
 
 
 def slope_table(outcomes: Sequence[Outcome]) -> str:
-    """Each quantity with the sizes that were run, its slope, and its value at the expected size."""
+    """Table of all quantities: values by size, slope, and the value at the expected size."""
     lines = [
         "| measurement | quantity | size: value | slope, base (worst residual) | power (worst residual) "
         "| bends | at the expected size |",
@@ -56,47 +56,48 @@
     line, power = one.fit.line, one.fit.power
     straight = f"{short(line.slope)}, {short(line.base)} ({100 * line.worst:.0f} %)"
     curve = f"{power.exponent:.2f} ({100 * power.worst:.0f} %)" if power is not None else ""
-    figure = span(Range(one.target.least, one.target.most))
+    figure = range_text(Range(one.target.least, one.target.most))
     beyond = "run" if one.target.beyond <= 1 else f"{one.target.beyond:.1f} x the last size"
     bends = "yes" if one.fit.bends else ""
     return f"{head} {straight} | {curve} | {bends} | {figure} at {one.target.size:,.0f} ({beyond}) |"
 
 
 def budget_table(outcomes: Sequence[Outcome]) -> str:
-    """Each row of the budgets with its verdict."""
+    """Table of the budgets, each with its figure and verdict."""
     lines = [
         "| role | what | figure | budget | verdict | slope x size |",
         "| --- | --- | --- | --- | --- | --- |",
     ]
-    for verdict in judged(series_of(outcomes)):
+    for verdict in compare_with_budgets(series_of(outcomes)):
         row = verdict.row
-        figure = "not measured" if verdict.figure is None else f"{span(verdict.figure)} {row.unit}"
+        figure = "not measured" if verdict.figure is None else f"{range_text(verdict.figure)} {row.unit}"
         lines.append(
-            f"| {row.role} | {row.what} | {figure} | {short(row.budget)} | {said(verdict)} | {row.how} |"
+            f"| {row.role} | {row.what} | {figure} | {short(row.budget)} | {verdict_text(verdict)} "
+            f"| {row.how} |"
         )
     return "\n".join(lines)
 
 
-def said(verdict: Verdict) -> str:
-    """Over or under, and by what factor."""
+def verdict_text(verdict: Verdict) -> str:
+    """Whether the figure is over or under its budget, and by what factor."""
     factor = verdict.factor
     if factor is None:
         return ""
     if factor.least > 1:
-        return f"**OVER {span(factor)} x**"
+        return f"**OVER {range_text(factor)} x**"
     if factor.most <= 1:
-        return f"under, {span(factor)} x"
-    return f"**OVER or under, {span(factor)} x**"
+        return f"under, {range_text(factor)} x"
+    return f"**OVER or under, {range_text(factor)} x**"
 
 
-def span(found: Range) -> str:
-    """One figure, or two where they differ."""
-    least, most = short(found.least), short(found.most)
+def range_text(figure: Range) -> str:
+    """The range as one number, or as two if they differ."""
+    least, most = short(figure.least), short(figure.most)
     return least if least == most else f"{least} to {most}"
 
 
 def short(value: float) -> str:
-    """Two or three digits that count."""
+    """Format a value with two or three significant digits."""
     if abs(value) >= 100:
         return f"{value:,.0f}"
     return f"{value:.2g}" if abs(value) < 1 else f"{value:.3g}"
--- a/benchmarks/capacity/registry.py
+++ b/benchmarks/capacity/registry.py
@@ -1,4 +1,4 @@
-"""The one table of all measurements. A new one is a function of a size in a module, and a line here."""
+"""Table of all measurements. To add one, write a function that takes a size, and list it here."""
 
 from __future__ import annotations
 
@@ -33,14 +33,14 @@
     "node_bytes_a_second": "B/s",
 }
 CHANGE_TIMES = {"in_force_s": "s", "in_force_worst_s": "s"}
-# Processor time bears waiting; how long something takes does not.
+# CPU time is still valid when the process waits for a core; elapsed time is not.
 CPU_ONLY = Limits(waited_part=0.6, worst_late_s=1.0)
 LATENCY = Limits(waited_part=0.25, worst_late_s=0.3)
 
 _ALL = (
     Measurement(
         "servers-list",
-        "whole list of servers into the module, 2,900 nodes told",
+        "complete server list into the decision module, 2,900 nodes configured",
         "servers",
         CPU_MEMORY,
         (1_000, 3_000, 10_000, 30_000),
@@ -50,7 +50,7 @@
     ),
     Measurement(
         "servers-list-few-nodes",
-        "the same with 100 nodes told",
+        "the same with 100 nodes configured",
         "servers",
         CPU_MEMORY,
         (1_000, 10_000, 30_000, 120_000),
@@ -70,7 +70,7 @@
     ),
     Measurement(
         "servers-review",
-        "what the module looks over every half second",
+        "periodic review in the decision module, every half second",
         "servers",
         {"cpu_ms": "ms", "core_percent": "% of a core"},
         (1_000, 10_000, 30_000, 120_000),
@@ -80,7 +80,7 @@
     ),
     Measurement(
         "servers-list-read",
-        "a whole list as discovery sends it, read",
+        "parsing of a complete server list from discovery",
         "servers",
         {"cpu_s": "s"},
         (1_000, 10_000, 30_000, 120_000),
@@ -120,7 +120,7 @@
     ),
     Measurement(
         "route-changed-by-file",
-        "one changed route, the file read and compiled anew",
+        "one changed route, whole file recompiled",
         "routes",
         {"cpu_s": "s"},
         (1_000, 3_000, 10_000, 30_000, 90_000),
@@ -150,7 +150,7 @@
     ),
     Measurement(
         "start-from-file",
-        "a process started, routes from a file",
+        "start of a process with routes from a file",
         "routes",
         {"cpu_s": "s"},
         (100, 1_000, 10_000, 110_000),
@@ -160,12 +160,12 @@
     ),
     Measurement(
         "start-from-accord",
-        "a process started, routes from its accord's folder",
+        "start of a process with routes from its consensus folder",
         "routes",
         {"cpu_s": "s"},
         (100, 1_000, 10_000, 110_000),
         (10, 20),
-        starts.from_accord_folder,
+        starts.from_consensus_folder,
         target.ROUTES,
     ),
     Measurement(
@@ -175,17 +175,17 @@
         {"cpu_us": "us"},
         (1_000, 10_000, 110_000),
         (50, 100),
-        requests.routed,
+        requests.route_lookup,
         target.ROUTES,
     ),
     Measurement(
         "request-server",
-        "a request and its answer in the decision module",
+        "a request and its response in the decision module",
         "servers",
         {"cpu_us": "us"},
         (1_000, 10_000, 120_000),
         (50, 100),
-        requests.looked_up,
+        requests.server_choice,
         target.SERVERS,
     ),
     Measurement(
@@ -195,7 +195,7 @@
         {"cpu_us": "us"},
         (3_000, 30_000, 300_000),
         (50, 100),
-        requests.turned_away,
+        requests.rejection,
         target.TENANTS,
     ),
     Measurement(
@@ -220,7 +220,7 @@
     ),
     Measurement(
         "resource-changed",
-        "one changed route as a resource: assembled, encoded, followed",
+        "one changed route as a resource: batch assembled, encoded, applied",
         "routes",
         {"cpu_us": "us", "batch_bytes": "B"},
         (1_000, 10_000, 110_000),
@@ -230,7 +230,7 @@
     ),
     Measurement(
         "resources-snapshot-read",
-        "a snapshot of routes as resources, read",
+        "decoding of a snapshot of routes as resources",
         "routes",
         {"cpu_s": "s"},
         (1_000, 10_000, 110_000),
@@ -240,7 +240,7 @@
     ),
     Measurement(
         "route-changed-by-resource",
-        "one changed route, taken in by the plan",
+        "one changed route, applied to the compiled policy",
         "routes",
         {"cpu_ms": "ms"},
         (1_000, 10_000, 110_000),
@@ -250,7 +250,7 @@
     ),
     Measurement(
         "route-changed-worst",
-        "the same, the dearest of 200 changes",
+        "the same, the slowest of 200 changes",
         "routes",
         {"worst_cpu_ms": "ms"},
         (1_000, 10_000, 110_000),
@@ -260,7 +260,7 @@
     ),
     Measurement(
         "routes-plan",
-        "the plan of routes that are resources",
+        "compiled policy of routes as resources",
         "routes",
         CPU_MEMORY,
         (1_000, 10_000, 110_000),
@@ -270,7 +270,7 @@
     ),
     Measurement(
         "start-from-snapshot",
-        "a snapshot of routes read, and their plan made",
+        "a snapshot of routes, decoded and compiled",
         "routes",
         {"cpu_s": "s"},
         (1_000, 10_000, 110_000),
@@ -280,7 +280,7 @@
     ),
     Measurement(
         "renewals",
-        "leases renewed, three keepers, hollow nodes",
+        "renewals of leases, three voters, hollow nodes",
         "nodes",
         {
             "keeper_core_percent": "% of a core",
@@ -299,7 +299,7 @@
     ),
     Measurement(
         "change-costs",
-        "a change at the keepers, what it costs, hollow nodes",
+        "cost of a change, hollow nodes",
         "nodes",
         CHANGE_COSTS,
         (50, 100, 200, 400),
@@ -311,7 +311,7 @@
     ),
     Measurement(
         "change-by-file",
-        "a change beside routes in the file, ten nodes",
+        "cost of a change by routes in the policy, ten nodes",
         "routes",
         {"keeper_cpu_s": "s", "node_cpu_ms": "ms", "node_bytes": "B"},
         (100, 1_000, 10_000, 30_000),
@@ -323,7 +323,7 @@
     ),
     Measurement(
         "operator-status",
-        "one look of an operator at a keeper",
+        "one status call to a voter",
         "nodes",
         {"keeper_cpu_ms": "ms", "bytes": "B"},
         (50, 100, 200, 400),
@@ -335,7 +335,7 @@
     ),
     Measurement(
         "change-time",
-        "changes one after another, until in force everywhere, hollow nodes",
+        "sequential changes until in force everywhere, hollow nodes",
         "nodes",
         CHANGE_TIMES,
         (50, 100, 200, 400),
@@ -359,7 +359,7 @@
     ),
     Measurement(
         "stream",
-        "changes at 0.9 a second for 30 s, hollow nodes",
+        "0.9 changes per second for 30 s, hollow nodes",
         "nodes",
         STREAM,
         (40, 200),
--- a/benchmarks/capacity/report.py
+++ b/benchmarks/capacity/report.py
@@ -1,4 +1,4 @@
-"""Outcomes as a table, as JSON and as a plot."""
+"""Formats outcomes as a text table, as JSON and as a plot."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Series(msgspec.Struct, frozen=True):
-    """One quantity of one measurement over its sizes. fit, target: None with fewer than two sizes."""
+    """One quantity of a measurement at all sizes. fit, target: None with fewer than two sizes."""
 
     measurement: str
     quantity: str
@@ -26,7 +26,7 @@
 
 
 def series_of(outcomes: Iterable[Outcome]) -> list[Series]:
-    """The quantities of all sizes that have figures, with their fits."""
+    """Group the measured values by quantity, and fit each quantity by size."""
     measured = [one for one in outcomes if isinstance(one, Measured)]
     found = []
     for name in dict.fromkeys(one.measurement for one in measured):
@@ -41,7 +41,7 @@
 
 
 def outcome_line(outcome: Outcome) -> str:
-    """One outcome in words."""
+    """Format an outcome as a line of text."""
     head = f"{outcome.measurement:24s} {outcome.size:>8,d}  "
     if isinstance(outcome, NotCarried):
         return f"{head}not carried: {outcome.reason}"
@@ -54,7 +54,7 @@
 
 
 def as_table(outcomes: Sequence[Outcome]) -> str:
-    """All outcomes, and below them the fits and what they say of the expected size."""
+    """Format all outcomes, then the fits and their predictions at the expected size."""
     lines = [outcome_line(outcome) for outcome in outcomes]
     lines += ["", "fits (straight line by relative squares; power by logarithms)"]
     for one in series_of(outcomes):
@@ -74,7 +74,7 @@
 
 
 def as_json(outcomes: Sequence[Outcome]) -> bytes:
-    """Outcomes and series, for other programs."""
+    """Encode outcomes and series as JSON."""
     kinds = {Measured: "measured", NotCarried: "not carried", Rejected: "refused"}
     found = {
         "outcomes": [{"kind": kinds[type(one)], **msgspec.to_builtins(one)} for one in outcomes],
@@ -84,8 +84,8 @@
 
 
 def plot(outcomes: Sequence[Outcome], path: Path) -> None:
-    """A panel for each thing that sizes count: every quantity by size, its value at its largest size is 1;
-    logarithmic axes. What does not depend on the size is flat, what costs the state is a diagonal."""
+    """Plot every quantity by size on logarithmic axes, relative to its value at its largest size; a panel for
+    each unit of size. A quantity that does not depend on the size is flat, a proportional one diagonal."""
     import matplotlib
 
     matplotlib.use("Agg")
@@ -107,7 +107,7 @@
         axis.set_xscale("log")
         axis.set_yscale("log")
         axis.set_xlabel(panel)
-        axis.set_ylabel("part of the value at the largest size")
+        axis.set_ylabel("value over value at the largest size")
         axis.legend(fontsize=7, loc="center left", bbox_to_anchor=(1.0, 0.5))
         axis.grid(True, which="major", alpha=0.3)
     figure.savefig(path, dpi=80, bbox_inches="tight")
--- a/benchmarks/capacity/requests.py
+++ b/benchmarks/capacity/requests.py
@@ -1,4 +1,4 @@
-"""What one request pays for the size of the state: its route, and its server."""
+"""Cost of a request by the size of the state: finding its route, choosing its server, a rejection."""
 
 from __future__ import annotations
 
@@ -15,31 +15,31 @@
 from .measurement import Figures
 from .servers import FEW_NODES
 
-__all__ = ["looked_up", "routed", "turned_away"]
+__all__ = ["rejection", "route_lookup", "server_choice"]
 
 LOOKUPS = 5_000
 ROUNDS = 5
 REJECTIONS = 40
 
 
-def routed(size: int) -> Figures:
-    """The route and the limits of a request, in a plan of so many routes; requests spread over all routes."""
-    plan = compile_file(samples.short_routes_file(size), samples.settings())
-    asks = matcher.targets(size)[:LOOKUPS]
+def route_lookup(size: int) -> Figures:
+    """Find the route and limits of requests in a policy with `size` routes, spread over all of them."""
+    policy = compile_file(samples.short_routes_file(size), samples.settings())
+    requests = matcher.targets(size)[:LOOKUPS]
     gc.collect()
-    apply = plan.resolve
+    resolve = policy.resolve
     best = float("inf")
     with metered() as spent:
         for _ in range(ROUNDS):
             with metered() as one:
-                for target, given in asks:
-                    apply(b"GET", target, given)
+                for target, headers in requests:
+                    resolve(b"GET", target, headers)
             best = min(best, one.cpu_s)
     return Figures({"cpu_us": 1e6 * best / LOOKUPS}, spent)
 
 
-def looked_up(size: int) -> Figures:
-    """A request and its answer in the decision module, with so many servers."""
+def server_choice(size: int) -> Figures:
+    """Handle a request and its response in the decision module, with `size` servers."""
     balancer = Balancer(samples.settings(FEW_NODES), 1, SECOND)
     balancer.handle(2 * SECOND, samples.server_list(size))
     gc.collect()
@@ -50,27 +50,27 @@
             with metered() as one:
                 for n in range(LOOKUPS):
                     now += MS
-                    _played(balancer, now, turn * LOOKUPS + n)
+                    _handle_request(balancer, now, turn * LOOKUPS + n)
             best = min(best, one.cpu_s)
     return Figures({"cpu_us": 1e6 * best / LOOKUPS}, spent)
 
 
-def turned_away(size: int) -> Figures:
-    """An answer that is a rejection, with so many tenants: the module compares it with what others get."""
+def rejection(size: int) -> Figures:
+    """Handle a rejection with `size` tenants: the module compares it with the rejections of other tenants."""
     balancer = Balancer(samples.settings(tenant_count=size), 1, SECOND)
     balancer.handle(2 * SECOND, samples.server_list(100))
     now = 3 * SECOND
     with metered() as spent:
         for n in range(REJECTIONS):
             now += 10 * MS
-            _played(balancer, now, n, tenant=7 % size, result=api.Result.REJECTED)
+            _handle_request(balancer, now, n, tenant=7 % size, result=api.Result.REJECTED)
     return Figures({"cpu_us": 1e6 * spent.cpu_s / REJECTIONS}, spent)
 
 
-def _played(
+def _handle_request(
     balancer: Balancer, now: int, number: int, tenant: int = 0, result: api.Result = api.Result.OK
 ) -> None:
-    """One request from its head to the outcome of its first attempt; what else it would do is left out."""
+    """Pass a request and the outcome of its first attempt to the balancer; other actions are ignored."""
     for action in balancer.handle(now, api.Request(number, 0, 500 * MS, tenant)):
         if isinstance(action, api.Send):
             outcome = api.AttemptFinished(number, 0, action.server, result, 5 * MS, final=True)
--- a/benchmarks/capacity/resource_plans.py
+++ b/benchmarks/capacity/resource_plans.py
@@ -1,4 +1,4 @@
-"""The plan of routes that are resources: whole, one route changed, and a tenant's limits changed."""
+"""Cost of compiling routes that are resources: the whole policy, and one changed route."""
 
 from __future__ import annotations
 
@@ -20,23 +20,23 @@
 __all__ = ["changed_route", "changed_route_worst", "memory", "start"]
 
 CHANGES = 200
-MOVED_EACH = 4  # one change in so many is of a path, the others are of limits
+MOVED_EACH = 4  # every fourth change is of a path, the others are of limits
 KIB = 1 << 10
 MIB = 1 << 20
 
 
 def changed_route(size: int) -> Figures:
-    """One changed route taken in by the plan of so many: the mean of many changes."""
-    return _changed(size).only("cpu_ms")
+    """Mean time to apply one changed route to a compiled policy of `size` routes."""
+    return _measure_changes(size).only("cpu_ms")
 
 
 def changed_route_worst(size: int) -> Figures:
-    """The same, the dearest of them: for so long a loop would stand still."""
-    return _changed(size).only("worst_cpu_ms")
+    """Longest time to apply one changed route: the event loop of a node is blocked for that long."""
+    return _measure_changes(size).only("worst_cpu_ms")
 
 
 def memory(size: int) -> Figures:
-    """The plan of so many routes with limits, made of their state; the state's own memory is not in it."""
+    """Compile a state of `size` routes with limits; memory is without that of the state."""
     state = restore_state(1, samples.route_resources(size), ())
     with metered(memory=True) as spent:
         plan = compile_state(state, samples.settings())
@@ -46,7 +46,7 @@
 
 
 def start(size: int) -> Figures:
-    """A snapshot of so many routes read, checked and made a plan of."""
+    """Decode, check and compile a snapshot of `size` routes."""
     data = encode_snapshot(restore_state(1, samples.route_resources(size), ()))
     gc.collect()
     with metered() as spent:
@@ -54,7 +54,7 @@
     return Figures({"cpu_s": spent.cpu_s}, spent, {"snapshot_mib": len(data) / MIB})
 
 
-def _changed(size: int) -> Figures:
+def _measure_changes(size: int) -> Figures:
     settings = samples.settings()
     state = restore_state(1, samples.route_resources(size), ())
     plan = compile_state(state, settings)
@@ -64,7 +64,7 @@
     worst = 0.0
     with metered() as spent:
         for number in range(CHANGES):
-            state, key = _with_another(state, chance.randrange(size), number)
+            state, key = _replace_route(state, chance.randrange(size), number)
             with metered() as one:
                 plan = update_policy(plan, state, (key,), settings)
             worst = max(worst, one.cpu_s)
@@ -72,8 +72,8 @@
     return Figures({"cpu_ms": 1000 * spent.cpu_s / CHANGES, "worst_cpu_ms": 1000 * worst}, spent)
 
 
-def _with_another(state: ResourceState, number: int, turn: int) -> tuple[ResourceState, Key]:
-    """The state with another route in place of one; what a batch costs is measured in resource_states."""
+def _replace_route(state: ResourceState, number: int, turn: int) -> tuple[ResourceState, Key]:
+    """Replace one route in the state. The cost of a batch is measured in resource_states."""
     key = Key(Kind.ROUTE, f"r{number}")
     table = samples.route_table(number, burst=turn + 1, moved=turn if turn % MOVED_EACH == 0 else 0)
     changed = Resource(key.kind, key.name, state.revision + 1, encode_table(table))
--- a/benchmarks/capacity/resource_states.py
+++ b/benchmarks/capacity/resource_states.py
@@ -1,6 +1,6 @@
-"""Configuration as resources: the state in memory, one change, and the snapshot that a start reads.
+"""Cost of configuration as resources: the state in memory, one change, and reading a snapshot.
 
-Routes have the limits of samples.routes_file, tenants a rate.
+Routes have the limits of samples.routes_file; each tenant has a rate.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from hollybay.routing.resource_tables import encode_table
 
 from . import samples
-from .measurement import Figures, RefusedSize
+from .measurement import Figures, SizeRejected
 
 __all__ = ["changed", "routes_in_memory", "snapshot_read", "tenants_in_memory"]
 
@@ -26,33 +26,33 @@
 
 
 def routes_in_memory(size: int) -> Figures:
-    """A state of so many routes."""
+    """Build a state of `size` routes."""
     return _in_memory(samples.route_resources(size))
 
 
 def tenants_in_memory(size: int) -> Figures:
-    """A state of so many tenants."""
+    """Build a state of `size` tenants."""
     return _in_memory(samples.tenant_resources(size))
 
 
 def changed(size: int) -> Figures:
-    """One route changed beside so many: a batch of one change assembled, sent, and followed by a node."""
+    """Change one of `size` routes: assemble a batch of one change, encode it and apply it."""
     state = restore_state(1, samples.route_resources(size), ())
     gc.collect()
-    sent = 0
+    batch_bytes = 0
     with metered() as spent:
         for number in range(CHANGES):
             body = encode_table(samples.route_table(number % size, burst=number + 1))
             operation = Upsert(Kind.ROUTE, f"r{number % size}", _version(state, number % size), body)
             change = Change(number.to_bytes(16, "big"), state.revision, "capacity", "rig", (operation,))
             batch = assemble(state, (change,)).batch
-            sent += len(encode_batch(batch))
+            batch_bytes += len(encode_batch(batch))
             state = apply_batch(state, batch)
-    return Figures({"cpu_us": 1e6 * spent.cpu_s / CHANGES, "batch_bytes": sent / CHANGES}, spent)
+    return Figures({"cpu_us": 1e6 * spent.cpu_s / CHANGES, "batch_bytes": batch_bytes / CHANGES}, spent)
 
 
 def snapshot_read(size: int) -> Figures:
-    """A snapshot of so many routes, read and checked against its digest."""
+    """Decode a snapshot of `size` routes, and check it against its digest."""
     state = restore_state(1, samples.route_resources(size), ())
     data = encode_snapshot(state)
     gc.collect()
@@ -60,7 +60,7 @@
         with metered() as spent:
             found = decode_snapshot(data, state.digest)
     except WireError as error:
-        raise RefusedSize(str(error)) from None
+        raise SizeRejected(str(error)) from None
     assert found.digest == state.digest
     return Figures({"cpu_s": spent.cpu_s}, spent, {"snapshot_mib": len(data) / MIB})
 
@@ -73,5 +73,5 @@
 
 
 def _version(state: ResourceState, number: int) -> int:
-    there = state.get(Kind.ROUTE, f"r{number}")
-    return there.version if there is not None else 0
+    current = state.get(Kind.ROUTE, f"r{number}")
+    return current.version if current is not None else 0
--- a/benchmarks/capacity/routes.py
+++ b/benchmarks/capacity/routes.py
@@ -1,4 +1,4 @@
-"""Routes of an operator file: compiled, changed, kept in memory."""
+"""Cost of the routes of an operator file: compilation, a change, and memory."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from hollybay.routing.problems import OperatorError
 
 from . import samples
-from .measurement import Figures, RefusedSize
+from .measurement import Figures, SizeRejected
 
 __all__ = ["changed_route", "compiled", "compiled_short"]
 
@@ -20,17 +20,17 @@
 
 
 def compiled(size: int) -> Figures:
-    """An operator file of routes with limits, read, checked and compiled."""
+    """Read, check and compile an operator file of routes with limits."""
     return _compiled(samples.routes_file, size)
 
 
 def compiled_short(size: int) -> Figures:
-    """The same with routes that have no limits of their own, so that more of them fit into a file."""
+    """Compile routes without limits of their own, of which more fit into a file."""
     return _compiled(samples.short_routes_file, size)
 
 
 def changed_route(size: int) -> Figures:
-    """One route more or less, as it works with a file: all of it is read and compiled anew."""
+    """Change one route of an operator file: the whole file is read and compiled again."""
     settings = samples.settings()
     gate = AdmissionControl(_plan(samples.routes_file(size), settings), 1, 0)
     text = samples.routes_file(size).replace("/halls/h0'", "/halls/other'", 1)
@@ -53,4 +53,4 @@
     try:
         return compile_file(text, settings)
     except OperatorError as error:
-        raise RefusedSize(str(error).splitlines()[0][:200]) from None
+        raise SizeRejected(str(error).splitlines()[0][:200]) from None
--- a/benchmarks/capacity/samples.py
+++ b/benchmarks/capacity/samples.py
@@ -1,4 +1,4 @@
-"""Servers, routes and tenants to measure with: as many as are asked for, the same each time."""
+"""Generates servers, routes and tenants for the measurements; the same arguments give the same result."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 
 def settings(nodes: int = target.NODES, tenant_count: int = 0) -> api.Settings:
-    """What a node is told at the expected size: its place among all nodes, and the zones of all regions."""
+    """Settings of a node at the expected size: its index among all nodes, and the zones of all regions."""
     return api.Settings(
         (api.RequestClass(CLASS, api.Effect.SAFE, 3.0, 200 * MS, 500 * MS),),
         tenants=tenants(tenant_count),
@@ -55,12 +55,12 @@
 
 
 def tenants(count: int) -> tuple[api.Tenant, ...]:
-    """So many tenants of equal shares."""
+    """`count` tenants with equal shares."""
     return tuple(api.Tenant(f"tenant-{n:06d}", 1.0 / count, 10.0) for n in range(count))
 
 
 def server(number: int, up_since: int = 0) -> api.Server:
-    """One line of the list. up_since: ns; another time than before is another process."""
+    """One server of the list. up_since: start time (ns); a new value means a new process."""
     return api.Server(
         id=f"s-{number:06d}",
         zone=number % ZONES,
@@ -72,12 +72,12 @@
 
 
 def server_list(count: int) -> api.ServerList:
-    """A whole list."""
+    """A complete server list."""
     return api.ServerList(api.ListKind.FULL, tuple(server(n) for n in range(count)), version=1)
 
 
 def route_table(number: int, burst: int = 100_000, moved: int = 0) -> RouteTable:
-    """A route like those of routes_file. moved: other than 0: with another path."""
+    """A route like those of routes_file, with `moved` in its path to make the path differ."""
     path = (
         PathTable(exact=f"/{CLASS}/halls/h{number}m{moved}"),
         PathTable(template=f"/{CLASS}/v{number}m{moved}/{{id}}/slots"),
@@ -89,12 +89,12 @@
 
 
 def route_resources(count: int) -> Iterator[Resource]:
-    """So many routes as resources of the first revision."""
+    """`count` routes as resources of the first revision."""
     return (Resource(Kind.ROUTE, f"r{n}", 1, encode_table(route_table(n))) for n in range(count))
 
 
 def tenant_resources(count: int) -> Iterator[Resource]:
-    """So many tenants, each with a rate, as resources of the first revision."""
+    """`count` tenants, each with a rate, as resources of the first revision."""
     for number in range(count):
         rate = TenantRateTable(per_second=10.0 + number % 7, burst=10)
         table = TenantTable(limits=TenantLimitsTable(rate=rate))
@@ -102,10 +102,10 @@
 
 
 def routes_file(count: int) -> str:
-    """An operator file of so many routes, each with limits by tenant."""
+    """An operator file of `count` routes, each with limits by tenant."""
     return many_routes(count, cls=CLASS)
 
 
 def short_routes_file(count: int) -> str:
-    """An operator file of so many routes without limits of their own."""
+    """An operator file of `count` routes without limits of their own."""
     return many_routes(count, limits="", cls=CLASS)
--- a/benchmarks/capacity/servers.py
+++ b/benchmarks/capacity/servers.py
@@ -1,4 +1,4 @@
-"""The list of servers in the decision module: whole, one line changed, and the connections it leads to."""
+"""Cost of the server list in the decision module: a complete list, a change, reviews, and connections."""
 
 from __future__ import annotations
 
@@ -32,13 +32,13 @@
 MIB = 1 << 20
 CHANGES = 20
 REVIEWS = 10
-# How many nodes are told where that does not matter: each server that is new costs a walk over all of them.
+# Number of nodes in the settings where it does not matter: each new server costs a loop over all nodes.
 FEW_NODES = 100
-SERVER_TIME = 10 * MS  # that a request takes at a server
+SERVER_TIME = 10 * MS  # service time of a request
 
 
 class _VirtualNode:
-    """Carries out what the module asks for in virtual time: answers after SERVER_TIME, timers when due."""
+    """Carries out the actions of the module in virtual time: responses after SERVER_TIME, timers when due."""
 
     def __init__(self, balancer: Balancer, now: int) -> None:
         self.balancer = balancer
@@ -47,32 +47,32 @@
         self._due: list[tuple[int, int, api.Event]] = []
         self._count = 0
 
-    def go_on(self, until: int) -> None:
-        """Let all happen that is due by then."""
+    def advance(self, until: int) -> None:
+        """Advance the clock, and handle all events that are due by then."""
         while self._due and self._due[0][0] <= until:
             self.now, _, event = heappop(self._due)
             self.handle(event)
         self.now = until
 
     def handle(self, event: api.Event) -> None:
-        """Tell the module, and do what it says."""
+        """Pass an event to the module, and carry out its actions."""
         for action in self.balancer.handle(self.now, event):
             if isinstance(action, api.Send):
                 self.reached.add(action.server)
                 outcome = api.AttemptFinished(
                     action.id, 0, action.server, api.Result.OK, SERVER_TIME, final=True
                 )
-                self._later(SERVER_TIME, outcome)
+                self._schedule(SERVER_TIME, outcome)
             elif isinstance(action, api.SetTimer):
-                self._later(action.delay, api.TimerFired(action.token))
+                self._schedule(action.delay, api.TimerFired(action.token))
 
-    def _later(self, delay: int, event: api.Event) -> None:
+    def _schedule(self, delay: int, event: api.Event) -> None:
         self._count += 1
         heappush(self._due, (self.now + delay, self._count, event))
 
 
 def whole_list(size: int) -> Figures:
-    """A whole list of servers into a module that knows none."""
+    """Pass a complete list to a module that has no servers yet."""
     return _whole_list(size, target.NODES)
 
 
@@ -88,7 +88,7 @@
 
 
 def whole_list_few_nodes(size: int) -> Figures:
-    """The same with few nodes told, so that the rest of the work and the memory show up to the whole size."""
+    """Pass a complete list with few nodes in the settings, to measure the other costs up to the full size."""
     return _whole_list(size, FEW_NODES)
 
 
@@ -105,7 +105,7 @@
 
 
 def review(size: int) -> Figures:
-    """What the module looks over every half second (learning.REVIEW), with nothing changed and no request."""
+    """The periodic review of all servers, every half second, with no changes and no requests."""
     balancer = _filled(size)
     now = 3 * SECOND
     with metered() as spent:
@@ -118,7 +118,7 @@
 
 
 def list_read(size: int) -> Figures:
-    """A whole list as discovery sends it, read and checked; nothing is decided yet."""
+    """Parse and check a complete list as sent by discovery, without the decision module."""
     lines = [
         {
             "id": f"s-{n:06d}",
@@ -142,9 +142,9 @@
 
 
 def connections(size: int) -> Figures:
-    """Servers that one node reaches while an idle connection is kept, at its share of the peak.
+    """Number of servers that a node sends requests to within the idle timeout, at its share of the peak rate.
 
-    Time is virtual; each request is answered after SERVER_TIME.
+    Time is virtual; each response arrives after SERVER_TIME.
     """
     settings = samples.settings()
     balancer = _filled(size, target.NODES)
@@ -154,7 +154,7 @@
     node = _VirtualNode(balancer, 10 * SECOND)
     with metered() as spent:
         for number in range(count):
-            node.go_on(node.now + int(SECOND / rate))
+            node.advance(node.now + int(SECOND / rate))
             node.handle(api.Request(number, 0, 500 * MS))
     return Figures(
         {"connections": float(len(node.reached)), "request_cpu_us": 1e6 * spent.cpu_s / count},
--- a/benchmarks/capacity/starts.py
+++ b/benchmarks/capacity/starts.py
@@ -1,4 +1,4 @@
-"""A node's start: its imports, its servers and its routes, from a file or from the folder of its accord."""
+"""Cost of starting a node: imports and routes, from a file or from the folder of its consensus group."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
 from hollybay.routing.schema import read
 
 from . import samples
-from .measurement import Figures, RefusedSize
+from .measurement import Figures, SizeRejected
 
-__all__ = ["from_accord_folder", "from_file"]
+__all__ = ["from_consensus_folder", "from_file"]
 
-KEEPERS = ("127.0.0.1:1",)
-# Processor time of the whole process, with its imports, as it says it itself at its end.
+VOTERS = ("127.0.0.1:1",)
+# The process prints its own CPU time at its end, imports included.
 SCRIPT = """
 import sys, time
 from pathlib import Path
@@ -48,33 +48,33 @@
 
 
 def from_file(size: int) -> Figures:
-    """A process that starts and compiles a file of so many routes."""
+    """Start a process that compiles a file of `size` routes."""
     with tempfile.TemporaryDirectory() as folder:
         (Path(folder) / "operator.toml").write_text(samples.short_routes_file(size))
-        return _started("file", folder, "operator.toml")
+        return _start_process("file", folder, "operator.toml")
 
 
-def from_accord_folder(size: int) -> Figures:
-    """A process that starts from the snapshot that its accord left on disk."""
+def from_consensus_folder(size: int) -> Figures:
+    """Start a process that loads and compiles the snapshot of its consensus group from disk."""
     tables = read(samples.short_routes_file(size))
     try:
-        policy = first_policy([bootstrap_change(operations_between(EMPTY, resources_of(tables)))], KEEPERS)
+        policy = first_policy([bootstrap_change(operations_between(EMPTY, resources_of(tables)))], VOTERS)
     except RejectedError as error:
-        raise RefusedSize(str(error)) from None
+        raise SizeRejected(str(error)) from None
     state = EMPTY.with_batch(policy.changes or (), policy.version)
     data = msgspec.msgpack.encode(Snapshot(policy.without_changes(), encode_snapshot(state)))
     with tempfile.TemporaryDirectory() as folder:
         PolicyLog(Path(folder)).install_snapshot(data)
-        figures = _started("accord", folder, policy.name)
+        figures = _start_process("accord", folder, policy.name)
     return Figures(figures.values, figures.spent, {"snapshot_kib": len(data) / 1024})
 
 
-def _started(kind: str, folder: str, name: str) -> Figures:
+def _start_process(kind: str, folder: str, name: str) -> Figures:
     with metered() as spent:
         done = subprocess.run(
             [sys.executable, "-c", SCRIPT, kind, folder, name], capture_output=True, text=True, check=False
         )
     if done.returncode:
-        raise RefusedSize(done.stderr.strip().splitlines()[-1][:200])
-    # The parent only waited; what the child took is what counts.
+        raise SizeRejected(done.stderr.strip().splitlines()[-1][:200])
+    # The parent only waited, so its CPU time is left out.
     return Figures({"cpu_s": float(done.stdout)}, Spent(wall_s=spent.wall_s))
--- a/benchmarks/capacity/target.py
+++ b/benchmarks/capacity/target.py
@@ -1,4 +1,4 @@
-"""The size that is expected within two years, and the budgets: the operators' figures."""
+"""The size expected within two years, and the budgets, as given by the operators."""
 
 from __future__ import annotations
 
@@ -30,14 +30,14 @@
 REQUEST_ADDED_MS = 1.7  # for 99 in 100 requests
 
 CHANGES_A_DAY = 77_000
-CHANGE_LIMIT_S = 3.0  # from a proposal until it is in force everywhere
+CHANGE_LIMIT_S = 3.0  # from the proposal of a change until it is in force everywhere
 REPLACED_SERVERS_A_DAY = 48_000
 DAY_S = 86_400
 
-# What a node may spend on control.
+# Budget of a node for the control plane.
 CONTROL_CORE_PART = 0.011
 CONTROL_MEMORY_MB = 64.0
 CONTROL_BYTES_A_SECOND = 5_000.0
-# Machines that are set aside for control.
+# Machines reserved for the control plane.
 CONTROL_MACHINES = 51
 START_LIMIT_S = 10.0
--- a/benchmarks/capacity/tenants.py
+++ b/benchmarks/capacity/tenants.py
@@ -1,4 +1,4 @@
-"""Tenants: named in a node's configuration, and their buckets once they have sent requests."""
+"""Cost of tenants: in the configuration of a node, and their rate-limit buckets."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 
 __all__ = ["buckets", "named"]
 
-# As many keys as a bucket may keep apart, at the most.
+# most_keys is the largest permitted value, so that each tenant has its own bucket.
 LIMITS = "limits = { rate = { per_second = 10, burst = 10, by = 'tenant', most_keys = 1000000 } }\n"
 
 
 def named(size: int) -> Figures:
-    """So many tenants in the settings of a node, read from its configuration and told to the module."""
+    """Read `size` tenants from the configuration of a node, and create the decision module with them."""
     configuration = _configuration(size)
     with metered(memory=True) as spent:
         settings = settings_from_json(configuration)
@@ -30,7 +30,7 @@
 
 
 def buckets(size: int) -> Figures:
-    """The bucket of each of so many tenants at one route, once each has sent a request."""
+    """Create the buckets of `size` tenants at one route, by one request of each."""
     file = f"[[route]]\nname = 'r'\npath.prefix = '/{samples.CLASS}/x'\n{LIMITS}"
     plan = compile_file(file, samples.settings())
     gate = AdmissionControl(plan, 1, 0)
--- a/benchmarks/change_stream.py
+++ b/benchmarks/change_stream.py
@@ -1,9 +1,9 @@
-"""How long changes of single routes take from their proposal until they are in force at every node.
+"""Time that changes of single routes take from proposal until they are in force at every node.
 
     python -m benchmarks.change_stream --nodes 40,200 --seconds 60
 
-Real node processes under load, three keepers among them: a steady stream with a burst in it, and the same
-while a tenth of the nodes is stopped for a part of it. A run that the rig could not carry gives no figure.
+Real node processes under load, three of them voters: a steady stream of changes with a burst, and the same
+with a tenth of the nodes stopped for a quarter of it. A run that the rig could not carry has no figures.
 """
 
 from __future__ import annotations
@@ -19,14 +19,14 @@
 
 __all__ = ["main"]
 
-RATE = 0.9  # changes a second, as in docs/CAPACITY.md
+RATE = 0.9  # changes per second, as in docs/CAPACITY.md
 BURST = 20
-WARM, LAST = 3.0, 12.0  # s before the first change and after the last one
+WARM_UP_S, SETTLE_S = 3.0, 12.0  # before the first change, and after the last one
 
 
 @dataclass(frozen=True, slots=True)
 class Row:
-    """Figures of one run. times: s from proposal to in force everywhere, of those that came into force."""
+    """Figures of one run. times: s from proposal until in force everywhere, of the changes in force."""
 
     times: tuple[float, ...]
     proposed: int
@@ -36,14 +36,14 @@
     node_core_percent: float
     keeper_core_percent: float
 
-    def at(self, part: float) -> float:
-        """The time that this part of the changes did not exceed, s."""
+    def percentile(self, part: float) -> float:
+        """The time (s) that this share (0 to 1) of the changes did not exceed."""
         return self.times[min(len(self.times) - 1, int(part * len(self.times)))]
 
 
 def _plan(nodes: int, seconds: float, stopped: bool) -> str:
     text = f"""[run]
-seconds = "{seconds + WARM + LAST}s"
+seconds = "{seconds + WARM_UP_S + SETTLE_S}s"
 warm = "2s"
 nodes = {nodes}
 servers = 24
@@ -58,14 +58,14 @@
 """
     if stopped:
         text += '[group.stopped]\nof = "nodes"\nbegin = 0.9\nend = 1.0\n'
-        begin, lasts = WARM + seconds / 4, seconds / 4
+        begin, lasts = WARM_UP_S + seconds / 4, seconds / 4
         text += f'[[fault]]\nkind = "stop"\nat = "{begin}s"\nlasts = "{lasts}s"\non = "stopped"\n'
     return text
 
 
 def _stream(seconds: float) -> Stream:
-    burst = Burst(WARM + 0.75 * seconds, BURST)
-    return Stream(begin=WARM, end=WARM + seconds, rate=RATE, bursts=(burst,), limit=30.0)
+    burst = Burst(WARM_UP_S + 0.75 * seconds, BURST)
+    return Stream(begin=WARM_UP_S, end=WARM_UP_S + seconds, rate=RATE, bursts=(burst,), limit=30.0)
 
 
 def _row(told: Told, stream: Stream) -> Row:
@@ -82,8 +82,8 @@
     )
 
 
-def _played(nodes: int, seconds: float, stopped: bool) -> Row | str:
-    """The figures of one run, or why there are none."""
+def _run(nodes: int, seconds: float, stopped: bool) -> Row | str:
+    """Run once; returns the figures, or the reason why there are none."""
     stream = _stream(seconds)
     try:
         told = asyncio.run(play(compile_plan(_plan(nodes, seconds, stopped), "changes", 1), stream))
@@ -95,21 +95,21 @@
 
 
 def main() -> int:
-    """Play and print."""
+    """Measure all sizes, and print a table."""
     parser = argparse.ArgumentParser(description=(__doc__ or "").split("\n")[0])
     parser.add_argument("--nodes", default="40,200")
     parser.add_argument("--seconds", type=float, default=60.0)
-    words = parser.parse_args()
+    options = parser.parse_args()
     print(
         "nodes stopped   in force of  p50 s  p99 s  worst s  largest batch  refused %  node %  keeper % wrong"
     )
-    for nodes in map(int, words.nodes.split(",")):
+    for nodes in map(int, options.nodes.split(",")):
         for label, stopped in (("none", False), ("a tenth", True)):
-            row = _played(nodes, words.seconds, stopped)
+            row = _run(nodes, options.seconds, stopped)
             if isinstance(row, str):
                 print(f"{nodes:5d} {label:8s} {row}", flush=True)
                 continue
-            times = f"{row.at(0.5):6.2f} {row.at(0.99):6.2f} {row.times[-1]:8.2f}"
+            times = f"{row.percentile(0.5):6.2f} {row.percentile(0.99):6.2f} {row.times[-1]:8.2f}"
             print(
                 f"{nodes:5d} {label:8s} {len(row.times):8d} {row.proposed:3d} {times} {row.largest_batch:14d}"
                 f" {row.refused_percent:10.2f} {row.node_core_percent:7.2f} {row.keeper_core_percent:10.2f}"
--- a/benchmarks/evenness.py
+++ b/benchmarks/evenness.py
@@ -1,10 +1,10 @@
-"""Evenness of whole tiers of processes, at several sizes and loads, with another checkout beside it.
+"""Evenness of load in clusters of processes at several sizes and loads, optionally against another checkout.
 
     python -m benchmarks.evenness --plan experiments/calm.toml --nodes 1,40,200 --loads 0.5,0.7 \\
         --seeds 1,2,3 [--talk] [--beside PATH] [--jobs 3] [--plot docs/evenness.png]
 
-Trees take turns, so that a machine that slows down slows all of them; a run that is not to be trusted is
-played once more and then told as a gap. Prints a Markdown table of medians over the seeds.
+Runs alternate between the checkouts, so that a slow phase of the machine affects both. A run that is not
+trustworthy is repeated once and then left out. Prints a Markdown table of medians over the seeds.
 """
 
 from __future__ import annotations
@@ -25,68 +25,68 @@
 Key = tuple[str, int, float]
 
 
-def _one(tree: Path, plan: Path, nodes: int, load: float, seed: int) -> dict[str, Any] | None:
-    """One run's JSON; None if it was twice not to be trusted."""
+def _run(tree: Path, plan: Path, nodes: int, load: float, seed: int) -> dict[str, Any] | None:
+    """Run a plan; returns its JSON report, or None if two runs were not trustworthy."""
     with tempfile.TemporaryDirectory() as folder:
         for n in range(2):
             target = Path(folder) / f"{n}.json"
-            words = ["--load", str(load), "--seed", str(seed), "--json", str(target)]
-            words += ["--nodes", str(nodes)] if nodes else []
+            arguments = ["--load", str(load), "--seed", str(seed), "--json", str(target)]
+            arguments += ["--nodes", str(nodes)] if nodes else []
             subprocess.run(
-                [sys.executable, "-m", "hollybay.cli", "tier", str(plan), *words],
+                [sys.executable, "-m", "hollybay.cli", "tier", str(plan), *arguments],
                 cwd=tree,
                 stdout=subprocess.DEVNULL,
                 stderr=subprocess.DEVNULL,
                 check=False,
             )
             if target.exists():
-                found: dict[str, Any] = json.loads(target.read_text())
-                if found["trusted"]:
-                    return found
+                report: dict[str, Any] = json.loads(target.read_text())
+                if report["trusted"]:
+                    return report
     return None
 
 
 def main() -> int:
-    """Play all, print the table; 1 if a rule was broken in any run."""
+    """Run all plans and print the table. Exit status: 1 if a rule was broken in any run."""
     parser = argparse.ArgumentParser(description=__doc__.split("\n")[0] if __doc__ else "")
     parser.add_argument("--plan", type=Path, action="append", required=True)
-    parser.add_argument("--nodes", default="1,40,200", help="0: the plan's own number")
+    parser.add_argument("--nodes", default="1,40,200", help="numbers of nodes; 0: the number in the plan")
     parser.add_argument("--loads", default="0.7")
     parser.add_argument("--seeds", default="1,2,3")
-    parser.add_argument("--talk", action="store_true", help="with word between nodes, whatever the plans say")
-    parser.add_argument("--beside", type=Path, help="another checkout of the program, played in turn")
+    parser.add_argument("--talk", action="store_true", help="nodes exchange load information in all plans")
+    parser.add_argument("--beside", type=Path, help="another checkout, run in turn with this one")
     parser.add_argument(
-        "--jobs", type=int, default=1, help="runs at once; more than the machine bears give gaps"
+        "--jobs", type=int, default=1, help="concurrent runs; too many for the machine are not trustworthy"
     )
     parser.add_argument("--plot", type=Path)
-    words = parser.parse_args()
+    options = parser.parse_args()
     with tempfile.TemporaryDirectory() as folder:
-        if words.talk:
-            words.plan = [_talking(plan, Path(folder)) for plan in words.plan]
-        return _table(words)
+        if options.talk:
+            options.plan = [_with_talk(plan, Path(folder)) for plan in options.plan]
+        return _print_table(options)
 
 
-def _talking(plan: Path, folder: Path) -> Path:
-    """A copy of a plan in which nodes have word of one another."""
+def _with_talk(plan: Path, folder: Path) -> Path:
+    """Write a copy of a plan with `talk = true`: nodes exchange load information."""
     text = plan.read_text()
     changed = folder / f"{plan.stem}-talk.toml"
     changed.write_text(text if "talk = true" in text else text.replace("[run]\n", "[run]\ntalk = true\n", 1))
     return changed
 
 
-def _table(words: argparse.Namespace) -> int:
-    trees = [("this", ROOT)] + ([("beside", words.beside.resolve())] if words.beside else [])
+def _print_table(options: argparse.Namespace) -> int:
+    trees = [("this", ROOT)] + ([("beside", options.beside.resolve())] if options.beside else [])
     jobs = [
         (f"{plan.stem}, {name}" if len(trees) > 1 else plan.stem, tree, plan.resolve(), nodes, load, seed)
-        for seed in map(int, words.seeds.split(","))
-        for load in map(float, words.loads.split(","))
-        for nodes in map(int, words.nodes.split(","))
-        for plan in words.plan
+        for seed in map(int, options.seeds.split(","))
+        for load in map(float, options.loads.split(","))
+        for nodes in map(int, options.nodes.split(","))
+        for plan in options.plan
         for name, tree in trees
     ]
     found: dict[Key, list[dict[str, Any]]] = {}
-    with ThreadPoolExecutor(words.jobs) as pool:
-        for job, result in zip(jobs, pool.map(lambda job: _one(*job[1:]), jobs), strict=True):
+    with ThreadPoolExecutor(options.jobs) as pool:
+        for job, result in zip(jobs, pool.map(lambda job: _run(*job[1:]), jobs), strict=True):
             found.setdefault((job[0], job[3], job[4]), [])
             if result is not None:
                 found[job[0], job[3], job[4]].append(result)
@@ -100,8 +100,8 @@
         size = f"{median(run['node_memory_mb'] for run in runs):.1f}" if runs else "-"
         print(f"| {name} | {nodes} | {load:g} | {len(runs)} | {' | '.join(values)} | {cpu} | {size} |")
     print(f"rules broken in {broken} runs")
-    if words.plot is not None:
-        _plot(found, words.plot)
+    if options.plot is not None:
+        _plot(found, options.plot)
     return 1 if broken else 0
 
 
--- a/benchmarks/files.py
+++ b/benchmarks/files.py
@@ -1,4 +1,4 @@
-"""Operator files of many routes, for benchmarks."""
+"""Generated operator files with many routes, for benchmarks."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def many_routes(count: int, limits: str = LIMITS, cls: str = "view-schedule") -> str:
-    """A file of so many routes: a third exact, a third templates, a third prefixes; a tenth by a header."""
+    """A file of `count` routes: exact paths, templates and prefixes in turn; every tenth matches a header."""
     lines = []
     for n in range(count):
         shape = n % 3
--- a/benchmarks/flood.py
+++ b/benchmarks/flood.py
@@ -1,4 +1,4 @@
-"""A tenant that floods one route: what its neighbours on that route see, with limits and without."""
+"""A tenant floods one route: effect on other tenants of that route, with limits and without."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from hollybay.testbed.scene import Scene
 from hollybay.units import MS
 
-SERVERS, SECONDS, FLOOD, USUAL = 20, 8.0, 1500.0, 100.0
+SERVERS, SECONDS, FLOOD_RATE, NORMAL_RATE = 20, 8.0, 1500.0, 100.0
 LIMITS = """
 [[route]]
 name = "board"
@@ -29,7 +29,7 @@
 
 
 async def play(text: str) -> str:
-    """One run; a line of figures."""
+    """Run once with an operator file; returns a line of figures."""
     scene = Scene(SERVERS, seed=3)
     await scene.start()
     target = b"/view-schedule/board/1"
@@ -44,26 +44,27 @@
                 RequestMix(0, target, 2.0, ("fraser-bands", "island-singers")),
                 RequestMix(2, b"/book-venue/1", 1.0, ("island-singers",)),
             ]
-            usual = LoadGenerator(scene.ledger, [port], mixes, USUAL, seed=2, prefix="usual")
-            flooder = [RequestMix(0, target, 1.0, ("coastal-choirs",))]
-            flood = LoadGenerator(scene.ledger, [port], flooder, FLOOD, seed=1, prefix="flood")
-            spent = node.cpu_seconds()
-            await asyncio.gather(usual.run(SECONDS), flood.run(SECONDS))
-            spent = node.cpu_seconds() - spent
-            usual.close()
+            normal = LoadGenerator(scene.ledger, [port], mixes, NORMAL_RATE, seed=2, prefix="usual")
+            flood_mixes = [RequestMix(0, target, 1.0, ("coastal-choirs",))]
+            flood = LoadGenerator(scene.ledger, [port], flood_mixes, FLOOD_RATE, seed=1, prefix="flood")
+            cpu_seconds = node.cpu_seconds()
+            await asyncio.gather(normal.run(SECONDS), flood.run(SECONDS))
+            cpu_seconds = node.cpu_seconds() - cpu_seconds
+            normal.close()
             flood.close()
         finally:
             await node.stop()
             await scene.stop()
     entries = [e for e in scene.ledger.requests.values() if e.id.startswith("usual") and e.cls == 0]
-    ends = Counter(entry.final for entry in entries)
-    took = [(entry.ended - entry.at) / MS for entry in entries if entry.final is FinalOutcome.SERVED]
-    answers = Counter(e.status for e in scene.ledger.requests.values() if e.id.startswith("flood"))
-    in_time = sum(ms <= 200 for ms in took) / len(entries)
+    outcomes = Counter(entry.final for entry in entries)
+    latencies_ms = [(entry.ended - entry.at) / MS for entry in entries if entry.final is FinalOutcome.SERVED]
+    statuses = Counter(e.status for e in scene.ledger.requests.values() if e.id.startswith("flood"))
+    on_time = sum(ms <= 200 for ms in latencies_ms) / len(entries)
     return (
-        f"{len(entries):>6} {ends[FinalOutcome.SERVED]:>7} {in_time:>8.3f} {percentile(took, 0.5):>7.0f} "
-        f"{percentile(took, 0.99):>7.0f} {answers[200]:>9} {answers[429]:>6} {answers[503]:>6} "
-        f"{100 * spent / SECONDS:>6.0f}  {scene.ledger.check()}"
+        f"{len(entries):>6} {outcomes[FinalOutcome.SERVED]:>7} {on_time:>8.3f} "
+        f"{percentile(latencies_ms, 0.5):>7.0f} {percentile(latencies_ms, 0.99):>7.0f} "
+        f"{statuses[200]:>9} {statuses[429]:>6} {statuses[503]:>6} {100 * cpu_seconds / SECONDS:>6.0f}  "
+        f"{scene.ledger.check()}"
     )
 
 
--- a/benchmarks/lists_only.py
+++ b/benchmarks/lists_only.py
@@ -1,11 +1,10 @@
-"""What a tier can reach that knows of its servers by lists alone: a computed model, no processes.
+"""Model of a cluster whose nodes learn the load of servers from lists alone; no processes are started.
 
     python -m benchmarks.lists_only [--nodes 200] [--loads 0.7,0.85] [--seconds 300] [--seed 1]
 
-24 servers of three speeds, one core each, first come first served; Poisson arrivals at random nodes; a list
-each second that tells what every server holds at that moment, heard by all at once. Each rule is given what
-nodes of a tier could know: the last list, the time since, their own requests and answers. Prints a Markdown
-table.
+24 servers of three speeds, one core each, first come first served; Poisson arrivals at random nodes. Every
+second all nodes receive a list with the requests in flight at each server. A balancing rule sees only what a
+node could know: the last list, the time since, and its own requests and responses. Prints a Markdown table.
 """
 
 from __future__ import annotations
@@ -21,28 +20,29 @@
 from hollybay.testbed.scene import MEAN_WORK, SHARES, WORK, usual_kinds
 
 SERVERS = 24
-STEP = 0.05  # s between two looks at what is idle and what waits
-EVERY = 1.0  # s between two lists
+SAMPLE_INTERVAL_S = 0.05  # between two samples of idle servers and queued requests
+LIST_INTERVAL_S = 1.0  # between two lists
 
 SPEEDS = [kind.speed for kind in usual_kinds(SERVERS)]
 
 
-class Known:
-    """What a rule may look at when a node draws."""
+class Observations:
+    """The information that a rule may use to choose a server for a request."""
 
     def __init__(self, nodes: int, rate: float, chance: random.Random) -> None:
         self.nodes = nodes
         self.rate = rate
         self.chance = chance
-        self.listed = [0] * SERVERS  # requests held, as the last list tells
-        self.before = [0] * SERVERS  # the list before it
-        self.since = 0.0  # s since the last list
+        self.listed = [0] * SERVERS  # requests in flight at each server, by the last list
+        self.previous = [0] * SERVERS  # the same by the list before it
+        self.list_age_s = 0.0  # time since the last list
         self.now = 0.0
-        self.drawn = [0] * nodes  # requests that each node has sent
-        self.answers: list[dict[int, tuple[float, int]]] = [{} for _ in range(nodes)]  # when, and queue told
+        self.sent = [0] * nodes  # requests that each node has sent
+        # For each node, by server: when its last response arrived, and the queue length that it reported.
+        self.reports: list[dict[int, tuple[float, int]]] = [{} for _ in range(nodes)]
 
 
-Rule = Callable[[Known, int], int]
+Rule = Callable[[Observations, int], int]
 
 
 def _pick(chance: random.Random, weights: list[float]) -> int:
@@ -50,67 +50,67 @@
     return min(bisect_right(bounds, chance.random() * bounds[-1]), SERVERS - 1)
 
 
-def draw(known: Known, node: int) -> int:
-    """By capacity, looking at nothing."""
-    return _pick(known.chance, SPEEDS)
+def draw(seen: Observations, node: int) -> int:
+    """Random, weighted by capacity, without load information."""
+    return _pick(seen.chance, SPEEDS)
 
 
-def _tilted(listed: list[int], rate: float, span: float) -> list[float]:
+def _load_weights(listed: list[int], rate: float, span: float) -> list[float]:
     mean = sum(h * s for h, s in zip(listed, SPEEDS, strict=True)) / sum(SPEEDS)
-    turn = max(1.0, rate / SERVERS * span)
-    return [s * max(0.1, min(2.0, 1.0 + (mean - h) / turn)) for s, h in zip(SPEEDS, listed, strict=True)]
+    scale = max(1.0, rate / SERVERS * span)
+    return [s * max(0.1, min(2.0, 1.0 + (mean - h) / scale)) for s, h in zip(SPEEDS, listed, strict=True)]
 
 
-def tilted(span: float) -> Rule:
-    """By capacity, more where the list tells of less: what is above the mean is worked off over span (s)."""
-    return lambda known, node: _pick(known.chance, _tilted(known.listed, known.rate, span))
+def load_weighted(span: float) -> Rule:
+    """By capacity and listed load: servers above the mean load return to it over `span` seconds."""
+    return lambda seen, node: _pick(seen.chance, _load_weights(seen.listed, seen.rate, span))
 
 
-def spread(known: Known, node: int) -> int:
-    """The same, but each node goes over to a new list in its own part of the time until the next."""
-    listed = known.listed if known.since >= EVERY * node / known.nodes else known.before
-    return _pick(known.chance, _tilted(listed, known.rate, 2.0))
+def staggered(seen: Observations, node: int) -> int:
+    """Like load_weighted, but nodes start to use a new list at different times within the list interval."""
+    listed = seen.listed if seen.list_age_s >= LIST_INTERVAL_S * node / seen.nodes else seen.previous
+    return _pick(seen.chance, _load_weights(listed, seen.rate, 2.0))
 
 
-def systematic(known: Known, node: int) -> int:
-    """By capacity without chance: each node goes through a low-discrepancy sequence from its own offset."""
-    at = (node / known.nodes + 0.6180339887498949 * known.drawn[node]) % 1.0
+def systematic(seen: Observations, node: int) -> int:
+    """By capacity, not random: each node follows a low-discrepancy sequence from its own offset."""
+    at = (node / seen.nodes + 0.6180339887498949 * seen.sent[node]) % 1.0
     bounds = list(accumulate(SPEEDS))
     return min(bisect_right(bounds, at * bounds[-1]), SERVERS - 1)
 
 
-def told(known: Known, node: int) -> int:
-    """Of two draws the one whose last answer to this node, within 2 s, told of the shorter queue."""
-    heard = known.answers[node]
+def shorter_reported_queue(seen: Observations, node: int) -> int:
+    """Of two random servers, the one that reported the shorter queue to this node within the last 2 s."""
+    reports = seen.reports[node]
 
     def queue(server: int) -> float:
-        at, waiting = heard.get(server, (-9.0, 0))
-        return waiting if known.now - at < 2.0 else 1.0
+        at, waiting = reports.get(server, (-9.0, 0))
+        return waiting if seen.now - at < 2.0 else 1.0
 
-    return min((draw(known, node) for _ in range(2)), key=queue)
+    return min((draw(seen, node) for _ in range(2)), key=queue)
 
 
-class Vessel:
-    """All nodes fill the servers as water fills a vessel, from the queues that the list tells."""
+class WaterFilling:
+    """Water-filling: from the listed queues, new work goes to the shortest queues until all are equal."""
 
     def __init__(self, steps: int) -> None:
         self.steps = steps
-        self.of: list[int] | None = None
+        self.computed_for: list[int] | None = None
         self.shares: list[list[float]] = []
 
-    def __call__(self, known: Known, node: int) -> int:
-        if self.of is not known.listed:
-            self.of = known.listed
-            self.shares = self._filled(known)
-        step = min(self.steps - 1, int(known.since / EVERY * self.steps))
-        return _pick(known.chance, self.shares[step])
+    def __call__(self, seen: Observations, node: int) -> int:
+        if self.computed_for is not seen.listed:
+            self.computed_for = seen.listed
+            self.shares = self._compute_shares(seen)
+        step = min(self.steps - 1, int(seen.list_age_s / LIST_INTERVAL_S * self.steps))
+        return _pick(seen.chance, self.shares[step])
 
-    def _filled(self, known: Known) -> list[list[float]]:
-        ahead = [held * MEAN_WORK / speed for held, speed in zip(known.listed, SPEEDS, strict=True)]
-        span = EVERY / self.steps
+    def _compute_shares(self, seen: Observations) -> list[list[float]]:
+        ahead = [held * MEAN_WORK / speed for held, speed in zip(seen.listed, SPEEDS, strict=True)]
+        span = LIST_INTERVAL_S / self.steps
         shares = []
         for _ in range(self.steps):
-            work = known.rate * span * MEAN_WORK
+            work = seen.rate * span * MEAN_WORK
             size = level = filled = 0.0
             order = sorted(range(SERVERS), key=lambda n: ahead[n])
             for place, n in enumerate(order):
@@ -119,40 +119,40 @@
                 level = (work + filled) / size
                 if place + 1 == SERVERS or level <= ahead[order[place + 1]]:
                     break
-            poured = [max(0.0, level - a) * s for a, s in zip(ahead, SPEEDS, strict=True)]
-            shares.append(poured)
-            ahead = [max(0.0, a + p / s - span) for a, p, s in zip(ahead, poured, SPEEDS, strict=True)]
+            added = [max(0.0, level - a) * s for a, s in zip(ahead, SPEEDS, strict=True)]
+            shares.append(added)
+            ahead = [max(0.0, a + p / s - span) for a, p, s in zip(ahead, added, SPEEDS, strict=True)]
         return shares
 
 
-def sees_all(known: Known, node: int) -> int:
-    """Never called: the floor, see played."""
+def sees_all(seen: Observations, node: int) -> int:
+    """Marks the rule with full knowledge, a lower bound. `simulate` implements it; it is never called."""
     raise AssertionError
 
 
-def played(rule: Rule, nodes: int, load: float, seconds: float, seed: int) -> tuple[float, float]:
-    """Idle while queued (0 to 1), and the 99th percentile (ms) of the first class, under a rule."""
+def simulate(rule: Rule, nodes: int, load: float, seconds: float, seed: int) -> tuple[float, float]:
+    """Simulate a rule; gives idle servers while requests queue (0 to 1), and p99 of the first class (ms)."""
     chance = random.Random(seed)
-    known = Known(nodes, load * sum(SPEEDS) / MEAN_WORK, chance)
+    seen = Observations(nodes, load * sum(SPEEDS) / MEAN_WORK, chance)
     names = list(SHARES)
-    ends: list[deque[float]] = [deque() for _ in SPEEDS]  # of what is held, in order
+    ends: list[deque[float]] = [deque() for _ in SPEEDS]  # end times of the requests at each server, in order
     idle: list[float] = []
     times: list[float] = []
-    answers: deque[tuple[float, int, int]] = deque()
-    now = listed = looked = 0.0
+    responses: deque[tuple[float, int, int]] = deque()
+    now = next_list_at = next_sample_at = 0.0
     while now < seconds:
-        now += chance.expovariate(known.rate)
-        while looked <= now:
-            held = [sum(end > looked for end in queue) for queue in ends]
-            idle.append(min(sum(h == 0 for h in held), sum(max(0, h - 2) for h in held)) / SERVERS)
-            looked += STEP
-        while listed <= now:
-            known.before, known.listed = known.listed, [sum(e > listed for e in queue) for queue in ends]
-            listed += EVERY
-        known.now, known.since = now, now - (listed - EVERY)
-        while answers and answers[0][0] <= now:
-            at, node, server = answers.popleft()
-            known.answers[node][server] = (at, max(0, sum(e > at for e in ends[server]) - 1))
+        now += chance.expovariate(seen.rate)
+        while next_sample_at <= now:
+            in_flight = [sum(end > next_sample_at for end in queue) for queue in ends]
+            idle.append(min(sum(n == 0 for n in in_flight), sum(max(0, n - 2) for n in in_flight)) / SERVERS)
+            next_sample_at += SAMPLE_INTERVAL_S
+        while next_list_at <= now:
+            seen.previous, seen.listed = seen.listed, [sum(e > next_list_at for e in q) for q in ends]
+            next_list_at += LIST_INTERVAL_S
+        seen.now, seen.list_age_s = now, now - (next_list_at - LIST_INTERVAL_S)
+        while responses and responses[0][0] <= now:
+            at, node, server = responses.popleft()
+            seen.reports[node][server] = (at, max(0, sum(e > at for e in ends[server]) - 1))
         for queue in ends:
             while queue and queue[0] <= now - 2.0:
                 queue.popleft()
@@ -160,19 +160,19 @@
         name = chance.choices(names, list(SHARES.values()))[0]
         work = WORK[name] * chance.uniform(0.7, 1.3)
         if rule is sees_all:
-            free = [n for n, queue in enumerate(ends) if not queue or queue[-1] <= now]
-            fastest = [n for n in free if SPEEDS[n] == max(SPEEDS[m] for m in free)]
+            idle_servers = [n for n, queue in enumerate(ends) if not queue or queue[-1] <= now]
+            fastest = [n for n in idle_servers if SPEEDS[n] == max(SPEEDS[m] for m in idle_servers)]
             server = (
                 chance.choice(fastest)
-                if free
+                if idle_servers
                 else min(range(SERVERS), key=lambda n: ends[n][-1] + work / SPEEDS[n])
             )
         else:
-            server = rule(known, node)
-        known.drawn[node] += 1
+            server = rule(seen, node)
+        seen.sent[node] += 1
         end = max(now, ends[server][-1] if ends[server] else now) + work / SPEEDS[server]
         ends[server].append(end)
-        answers.append((end, node, server))
+        responses.append((end, node, server))
         if name == names[0]:
             times.append(end - now)
     times.sort()
@@ -182,15 +182,15 @@
 RULES: dict[str, Callable[[], Rule]] = {
     "one that sees everything": lambda: sees_all,
     "draw by capacity": lambda: draw,
-    "tilted by told loads, over 2 s (as today)": lambda: tilted(2.0),
-    "the same, over 1 s": lambda: tilted(1.0),
-    "the same, over 0.5 s": lambda: tilted(0.5),
-    "the same, over 0.25 s": lambda: tilted(0.25),
-    "as today, each node's list in its own part of the second": lambda: spread,
+    "tilted by told loads, over 2 s (as today)": lambda: load_weighted(2.0),
+    "the same, over 1 s": lambda: load_weighted(1.0),
+    "the same, over 0.5 s": lambda: load_weighted(0.5),
+    "the same, over 0.25 s": lambda: load_weighted(0.25),
+    "as today, each node's list in its own part of the second": lambda: staggered,
     "systematic, each node from its own offset": lambda: systematic,
-    "two draws, the shorter queue by the node's own answers": lambda: told,
-    "filled like a vessel, 20 steps a second": lambda: Vessel(20),
-    "filled like a vessel, 2 steps a second": lambda: Vessel(2),
+    "two draws, the shorter queue by the node's own answers": lambda: shorter_reported_queue,
+    "filled like a vessel, 20 steps a second": lambda: WaterFilling(20),
+    "filled like a vessel, 2 steps a second": lambda: WaterFilling(2),
 }
 
 
@@ -201,14 +201,14 @@
     parser.add_argument("--loads", default="0.7,0.85")
     parser.add_argument("--seconds", type=float, default=300.0)
     parser.add_argument("--seed", type=int, default=1)
-    words = parser.parse_args()
-    loads = list(map(float, words.loads.split(",")))
+    options = parser.parse_args()
+    loads = list(map(float, options.loads.split(",")))
     print("| rule | " + " | ".join(f"idle while queued, {load:g} | p99 ms" for load in loads) + " |")
     print("| --- " * (1 + 2 * len(loads)) + "|")
     for name, make in RULES.items():
         cells = []
         for load in loads:
-            idle, p99 = played(make(), words.nodes, load, words.seconds, words.seed)
+            idle, p99 = simulate(make(), options.nodes, load, options.seconds, options.seed)
             cells.append(f"{idle:.3f} | {p99:.0f}")
         print(f"| {name} | " + " | ".join(cells) + " |", flush=True)
     return 0
--- a/benchmarks/matcher.py
+++ b/benchmarks/matcher.py
@@ -1,4 +1,4 @@
-"""What a look-up costs at 10, 1,000 and 10,000 routes, and what compiling the file takes."""
+"""Cost of a route look-up with 10, 1,000 and 10,000 routes, and the time to compile the file."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
 
 
 def targets(count: int, seed: int = 1, distinct: int = 0) -> list[tuple[bytes, dict[bytes, bytes]]]:
-    """Requests that meet every shape of route, and a quarter that meet none; distinct: of so many routes."""
+    """Requests for all shapes of routes, a quarter without a match; distinct: for only so many routes."""
     chance = random.Random(seed)
-    found: list[tuple[bytes, dict[bytes, bytes]]] = []
+    requests: list[tuple[bytes, dict[bytes, bytes]]] = []
     for _ in range(LOOKUPS):
         n = chance.randrange(distinct or count)
-        given = {b"host": b"book.example", b"x-account": b"coastal-choirs", b"accept": b"*/*"}
+        headers = {b"host": b"book.example", b"x-account": b"coastal-choirs", b"accept": b"*/*"}
         if n % 10 == 0:
-            given[b"x-plan"] = b"gold"
+            headers[b"x-plan"] = b"gold"
         path = (
             f"/view-schedule/halls/h{n}"
             if n % 3 == 0
@@ -38,24 +38,24 @@
         )
         if chance.random() < 0.25:
             path = f"/view-schedule/none/{n}"
-        found.append((path.encode() + b"?day=1", given))
-    return found
+        requests.append((path.encode() + b"?day=1", headers))
+    return requests
 
 
-def measure(plan: CompiledPolicy, asks: list[tuple[bytes, dict[bytes, bytes]]]) -> float:
-    """Nanoseconds a look-up: the median of rounds."""
-    apply = plan.resolve
+def measure(policy: CompiledPolicy, requests: list[tuple[bytes, dict[bytes, bytes]]]) -> float:
+    """Time per look-up (ns): the median of ROUNDS rounds."""
+    resolve = policy.resolve
     rounds = []
     for _ in range(ROUNDS):
-        begun = time.perf_counter_ns()
-        for target, given in asks:
-            apply(b"GET", target, given)
-        rounds.append((time.perf_counter_ns() - begun) / len(asks))
+        started = time.perf_counter_ns()
+        for target, headers in requests:
+            resolve(b"GET", target, headers)
+        rounds.append((time.perf_counter_ns() - started) / len(requests))
     return statistics.median(rounds)
 
 
 def adversarial() -> str:
-    """Templates that share their segments, so that many dead ends must be looked at."""
+    """Templates with shared segments, for which the matcher has to try many paths that do not match."""
     lines = []
     for n in range(1 << 8):
         parts = [f"{{v{i}}}" if n >> i & 1 else "a" for i in range(8)]
@@ -71,11 +71,11 @@
     print(f"{'routes':>8} {'ns a look-up':>13} {'of ten routes':>14} {'compile ms':>11}")
     for count in COUNTS:
         text = many_routes(count)
-        begun = time.perf_counter()
-        plan = compile_file(text, SETTINGS)
-        took = time.perf_counter() - begun
-        spread, few = measure(plan, targets(count)), measure(plan, targets(count, distinct=10))
-        print(f"{count:>8} {spread:>13.0f} {few:>14.0f} {1000 * took:>11.0f}")
-    plan = compile_file(adversarial(), SETTINGS)
-    asks = [(b"/view-schedule/" + b"a/" * 8 + b"none", {b"host": b"h"})] * 200
-    print(f"   worst {measure(plan, asks):>13.0f}   (255 templates that share 8 segments, a path none takes)")
+        started = time.perf_counter()
+        policy = compile_file(text, SETTINGS)
+        compile_s = time.perf_counter() - started
+        spread, few = measure(policy, targets(count)), measure(policy, targets(count, distinct=10))
+        print(f"{count:>8} {spread:>13.0f} {few:>14.0f} {1000 * compile_s:>11.0f}")
+    policy = compile_file(adversarial(), SETTINGS)
+    requests = [(b"/view-schedule/" + b"a/" * 8 + b"none", {b"host": b"h"})] * 200
+    print(f"   worst {measure(policy, requests):>13.0f}   (255 templates that share 8 segments, no match)")
--- a/benchmarks/routed_node.py
+++ b/benchmarks/routed_node.py
@@ -1,7 +1,7 @@
-"""What routes and limits cost a node: requests/s and CPU a request, with no file and with 1,000 routes.
+"""Cost of routes and limits at a node: requests/s and CPU per request, without a file and with 1,000 routes.
 
-Pairs of fresh nodes take short turns on one core against the same servers, so that a noisy machine and the
-luck of a process's place in memory meet both alike.
+Pairs of new nodes alternate in short rounds on one core against the same servers, so that noise of the
+machine affects both alike. Several pairs even out the effect of the memory layout of a process.
 """
 
 from __future__ import annotations
@@ -21,11 +21,11 @@
 from .files import many_routes
 
 SERVERS, CONNECTIONS, SECONDS, ROUNDS, PAIRS = 75, 32, 0.4, 10, 8
-ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 512\r\n\r\n" + b"x" * 512
+RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 512\r\n\r\n" + b"x" * 512
 
 
 class _Server(asyncio.Protocol):
-    """Answers each request at once; its last byte may come by itself."""
+    """Responds to each request at once. A request may arrive in several pieces."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
@@ -35,31 +35,31 @@
         self.buffer += data
         if self.buffer.endswith(b"\r\n\r\n"):
             self.buffer = b""
-            self.transport.write(ANSWER)
+            self.transport.write(RESPONSE)
 
 
 class _Client(asyncio.Protocol):
-    """Asks again as soon as it is answered."""
+    """Sends a request as soon as the previous response has ended."""
 
     def __init__(self, load: _Load) -> None:
         self.load = load
-        self.have = 0
+        self.received = 0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
-        self.ask()
+        self.send_request()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        if self.load.on:
+        if self.load.is_running:
             self.load.broken += 1
 
-    def ask(self) -> None:
-        if not self.load.on:
+    def send_request(self) -> None:
+        if not self.load.is_running:
             self.transport.abort()
             return
         self.load.sent += 1
         n = self.load.sent
-        self.have = 0
+        self.received = 0
         self.transport.write(
             b"GET /view-schedule/%s HTTP/1.1\r\nHost: book.example\r\nX-Correlation-Id: %s-%d\r\n"
             b"X-Account: coastal-choirs\r\nX-Time-Left-Ms: 500\r\n\r\n"
@@ -67,37 +67,37 @@
         )
 
     def data_received(self, data: bytes) -> None:
-        if not self.have and data[9:12] != b"200":
-            self.load.refused += 1
-        self.have += len(data)
+        if not self.received and data[9:12] != b"200":
+            self.load.rejected += 1
+        self.received += len(data)
         if data.endswith(b"\n") or data.endswith(b"x"):
             self.load.done += 1
-            self.ask()
+            self.send_request()
 
 
 class _Load:
-    """A closed loop of clients on one node."""
+    """A closed loop of clients of one node."""
 
     def __init__(self, name: bytes) -> None:
         self.name = name
         self.paths = [b"halls/h%d" % n for n in range(0, 999, 3)] + [
             b"v%d/7/slots" % n for n in range(1, 999, 3)
         ]
-        self.on = False
-        self.sent = self.done = self.refused = self.broken = 0
+        self.is_running = False
+        self.sent = self.done = self.rejected = self.broken = 0
 
     async def run(self, port: int, seconds: float) -> None:
         loop = asyncio.get_running_loop()
-        self.on = True
+        self.is_running = True
         for _ in range(CONNECTIONS):
             await loop.create_connection(lambda: _Client(self), "127.0.0.1", port)
         await asyncio.sleep(seconds)
-        self.on = False
+        self.is_running = False
         await asyncio.sleep(0.1)
 
 
 async def pair(scene: Scene, folder: Path, seed: int) -> list[tuple[float, float, int]]:
-    """Two fresh nodes on one core in short turns: requests a second, CPU (us) a request, and not served."""
+    """Run two new nodes in turn on one core; gives requests/s, CPU (us) per request, requests not served."""
     nodes = []
     for name, operator in (("plain", ""), ("routed", str(folder / "operator.toml"))):
         home = folder / f"{name}-{seed}"
@@ -113,11 +113,11 @@
         await scene.agent.until(lambda: scene.agent.calls >= calls + 4)
         for turn in range(ROUNDS + 2):
             for n in (0, 1) if turn % 2 else (1, 0):
-                done, spent = loads[n].done, nodes[n].cpu_seconds()
+                done, cpu_s = loads[n].done, nodes[n].cpu_seconds()
                 await loads[n].run(nodes[n].port, SECONDS)
-                done, spent = loads[n].done - done, nodes[n].cpu_seconds() - spent
-                if turn > 1:  # before that they warm up
-                    rounds[n].append((done / SECONDS, 1e6 * spent / done))
+                done, cpu_s = loads[n].done - done, nodes[n].cpu_seconds() - cpu_s
+                if turn > 1:  # the first two rounds are warm-up
+                    rounds[n].append((done / SECONDS, 1e6 * cpu_s / done))
     finally:
         for node in nodes:
             await node.stop()
@@ -125,14 +125,14 @@
         (
             statistics.median(rate for rate, _ in mine),
             sum(cpu for _, cpu in mine) / len(mine),
-            load.refused + load.broken,
+            load.rejected + load.broken,
         )
         for mine, load in zip(rounds, loads, strict=True)
     ]
 
 
 async def play() -> list[list[tuple[float, float, int]]]:
-    """Pair after pair: a process keeps the luck of its place in memory, so one pair says little."""
+    """Run PAIRS pairs: the speed of a process depends on its memory layout, so one pair is not enough."""
     loop = asyncio.get_running_loop()
     scene = Scene(SERVERS, words=settings(weights="nominal"))
     listeners = []
@@ -153,7 +153,7 @@
 
 
 def main() -> None:
-    """Print the table."""
+    """Print a table, and the difference in CPU per request."""
     pairs = uvloop.run(play())
     print(f"{'':>14} {'requests/s':>11} {'CPU us a request':>17} {'not served':>11}")
     for n, name in enumerate(("no file", "1,000 routes")):
--- a/hollybay/cli/simulate_command.py
+++ b/hollybay/cli/simulate_command.py
@@ -48,7 +48,7 @@
     except ValueError as error:
         raise click.UsageError(str(error)) from None
     if (target is not None or trace is not None) and selection.has_many:
-        raise click.UsageError(f"--shrink and --trace take a single run, not {len(selection)} seeds")
+        raise click.UsageError(f"--shrink and --trace take one --seed or --plan, not {len(selection)} seeds")
     console = Console()
 
     def write_line(text: str) -> None:
--- a/tests/test_demo.py
+++ b/tests/test_demo.py
@@ -1,4 +1,4 @@
-"""The demo's run in short, and its command: the rules are decided by the ledger, its exit status tells."""
+"""A short run of the demo, and the command `hollybay demo`: its report, figures and exit status."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from hollybay.testbed.ledger import Verdict, Violation
 
 
-def test_a_short_run_keeps_the_rules_and_counts_every_request() -> None:
+def test_short_run_keeps_the_rules_and_counts_every_request() -> None:
     shown: list[demo.Progress] = []
     report = uvloop.run(demo.play(seconds=3.0, rate=60.0, servers=10, seed=3, show=shown.append))
     assert report.verdict, report.verdict.violations
@@ -25,8 +25,8 @@
         assert 0 < row.p50_ms <= row.p99_ms
     assert sum(row.asked for row in report.classes) > 100
     assert abs(sum(row.work_share for row in report.kinds) - 1.0) < 1e-9
-    # Every change of phase is shown as it happens, whatever the clock's samples between them met.
-    phases = [(at.phase, at.up) for at in shown]
+    # Each change of phase is shown at once; the periodic updates in between depend on timing.
+    phases = [(progress.phase, progress.up) for progress in shown]
     assert [step for n, step in enumerate(phases) if step not in phases[:n]] == [
         ("steady", 10),
         ("2 killed", 8),
@@ -36,7 +36,7 @@
 
 
 @pytest.mark.parametrize("broken", [False, True])
-def test_the_exit_status_tells_whether_a_rule_broke(
+def test_exit_status_is_1_if_a_rule_was_broken(
     broken: bool, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     faults = (Violation("dup", "r-1", "an unsafe request ran again"),) if broken else ()
@@ -54,7 +54,7 @@
     assert f"rules: lost 0, dup {dup}, drain 0, cold 0" in result.output
     figures = json.loads(target.read_text())
     assert figures["rules"] == {"lost": 0, "dup": dup, "drain": 0, "cold": 0}
-    # The file's keys are published.
+    # The keys of the file are published: they must not change.
     assert list(figures) == [
         *("seconds", "rate", "servers", "killed", "classes", "kinds", "worth", "cpu_ms_a_request"),
         *("node_memory_mb", "late_ms", "rules", "faults"),
@@ -65,7 +65,7 @@
     assert list(figures["kinds"][0]) == ["name", "servers", "work_share", "capacity_share", "answers"]
 
 
-def test_percentiles_by_nearest_rank() -> None:
+def test_percentile_uses_the_nearest_rank() -> None:
     assert demo_report.percentile([], 0.5) == 0.0
     assert demo_report.percentile([3.0, 1.0, 2.0], 0.5) == 2.0
     assert demo_report.percentile([float(n) for n in range(100)], 0.99) == 99.0
