--- a/benchmarks/capacity/report.py
+++ b/benchmarks/capacity/report.py
@@ -107,7 +107,7 @@
         axis.set_xscale("log")
         axis.set_yscale("log")
         axis.set_xlabel(panel)
-        axis.set_ylabel("value over value at the largest size")
+        axis.set_ylabel("part of the value at the largest size")
         axis.legend(fontsize=7, loc="center left", bbox_to_anchor=(1.0, 0.5))
         axis.grid(True, which="major", alpha=0.3)
     figure.savefig(path, dpi=80, bbox_inches="tight")
--- a/benchmarks/capacity/requests.py
+++ b/benchmarks/capacity/requests.py
@@ -56,7 +56,7 @@
 
 
 def rejection(size: int) -> Figures:
-    """Handle a rejection with `size` tenants: the module compares it with the rejections of other tenants."""
+    """Handle a rejection with `size` tenants: the module compares it with the results of other tenants."""
     balancer = Balancer(samples.settings(tenant_count=size), 1, SECOND)
     balancer.handle(2 * SECOND, samples.server_list(100))
     now = 3 * SECOND
--- a/benchmarks/lists_only.py
+++ b/benchmarks/lists_only.py
@@ -144,7 +144,7 @@
         now += chance.expovariate(seen.rate)
         while next_sample_at <= now:
             in_flight = [sum(end > next_sample_at for end in queue) for queue in ends]
-            idle.append(min(sum(n == 0 for n in in_flight), sum(max(0, n - 2) for n in in_flight)) / SERVERS)
+            idle.append(min(sum(h == 0 for h in in_flight), sum(max(0, h - 2) for h in in_flight)) / SERVERS)
             next_sample_at += SAMPLE_INTERVAL_S
         while next_list_at <= now:
             seen.previous, seen.listed = seen.listed, [sum(e > next_list_at for e in q) for q in ends]
--- a/benchmarks/matcher.py
+++ b/benchmarks/matcher.py
@@ -78,4 +78,7 @@
         print(f"{count:>8} {spread:>13.0f} {few:>14.0f} {1000 * compile_s:>11.0f}")
     policy = compile_file(adversarial(), SETTINGS)
     requests = [(b"/view-schedule/" + b"a/" * 8 + b"none", {b"host": b"h"})] * 200
-    print(f"   worst {measure(policy, requests):>13.0f}   (255 templates that share 8 segments, no match)")
+    print(
+        f"   worst {measure(policy, requests):>13.0f}   "
+        "(255 templates that share 8 segments, a path none takes)"
+    )
--- a/hollybay/cli/policy_options.py
+++ b/hollybay/cli/policy_options.py
@@ -26,7 +26,7 @@
     "REASON",
     "call_node",
     "exit_with",
-    "no_voter_answers",
+    "no_voter_answered",
     "read_file",
     "tracker",
     "unknown",
@@ -110,7 +110,7 @@
     return Verdict(ExitStatus.UNKNOWN, text=text)
 
 
-def no_voter_answers() -> Verdict:
+def no_voter_answered() -> Verdict:
     """The verdict on a change where no voter can be reached."""
     return unknown("no voter answered")
 
--- a/hollybay/cli/policy_proposals.py
+++ b/hollybay/cli/policy_proposals.py
@@ -20,7 +20,7 @@
     LIMIT,
     REASON,
     exit_with,
-    no_voter_answers,
+    no_voter_answered,
     read_file,
     tracker,
     unknown,
@@ -133,7 +133,7 @@
         await cluster.refresh()
         latest = cluster.view.latest
         if latest is None:
-            return no_voter_answers()
+            return no_voter_answered()
         drained = sorted((set(latest.drained_servers) | set(request.drain)) - set(request.undrain))
     proposal = PolicyProposal(origin.reason, origin.author, request.file, drained, voters, parent)
     return await cluster.propose(proposal, origin.limit)
@@ -204,7 +204,7 @@
     view = await cluster.refresh()
     latest = view.latest
     if latest is None:
-        return no_voter_answers()
+        return no_voter_answered()
     name = change_name or latest.new or _pending_change(view)
     if not name:
         return Verdict(ExitStatus.BAD_INPUT, text="no change is under way")
@@ -249,7 +249,7 @@
     await cluster.refresh()
     latest = cluster.view.latest
     if latest is None:
-        return no_voter_answers()
+        return no_voter_answered()
     current = await cluster.fetch_policy(latest.policy)
     if current is None or current.version < FIRST_VERSION_WITH_PARENT:
         return Verdict(ExitStatus.BAD_INPUT, text="there is no earlier policy")
