--- a/benchmarks/capacity/budgets.py
+++ b/benchmarks/capacity/budgets.py
@@ -24,7 +24,7 @@
 POLLS_A_SECOND = 20
 ZONES = 17
 # Target time to apply one changed route in a node.
-LONGEST_CHANGE_MS = 10.0
+MAX_CHANGE_MS = 10.0
 
 CHANGES_A_SECOND = target.CHANGES_A_DAY / target.DAY_S
 SERVER_LINES_A_SECOND = LINES_OF_A_REPLACED_SERVER * target.REPLACED_SERVERS_A_DAY / target.DAY_S
@@ -353,7 +353,7 @@
         "resources",
         "the dearest changed route",
         "ms",
-        LONGEST_CHANGE_MS,
+        MAX_CHANGE_MS,
         "route-changed-worst",
         _figure_of("route-changed-worst", "worst_cpu_ms"),
     ),
--- a/benchmarks/capacity/fits.py
+++ b/benchmarks/capacity/fits.py
@@ -15,15 +15,15 @@
 
 # Points are not linear if the line misses one by more than this share of its value, or if the slopes between
 # neighbours differ by more than this factor.
-MOST_RESIDUAL = 0.25
-MOST_SLOPE_CHANGE = 1.6
+MAX_RESIDUAL = 0.25
+MAX_SLOPE_RATIO = 1.6
 # If the base of the line is negative, an exponent further above 1 than this is a bend, although a line fits
 # the few points.
-MOST_EXPONENT_DISTANCE = 0.25
+MAX_EXPONENT_DISTANCE = 0.25
 # A figure with a small spread does not depend on the size if the line's residual is this share of the spread.
-LEAST_NOISE = 0.2
-NO_SPREAD = 0.1
-LEAST_POINTS_FOR_A_BEND = 3
+MIN_NOISE_SHARE = 0.2
+NEGLIGIBLE_SPREAD = 0.1
+MIN_POINTS_FOR_A_BEND = 3
 
 
 @dataclass(frozen=True, slots=True)
@@ -150,7 +150,7 @@
 
 def _predictions(found: Fit, size: float) -> list[float]:
     values = [max(0.0, found.line.at(size)), _last_slope(found.points, size)]
-    if found.power is not None and (found.bends or len(found.points) < LEAST_POINTS_FOR_A_BEND):
+    if found.power is not None and (found.bends or len(found.points) < MIN_POINTS_FOR_A_BEND):
         values.append(found.power.at(size))
     return values
 
@@ -165,20 +165,20 @@
 
 
 def _bends(points: Sequence[Point], line: Line, power: Power | None) -> bool:
-    if len(points) < LEAST_POINTS_FOR_A_BEND:
+    if len(points) < MIN_POINTS_FOR_A_BEND:
         return False
     if _flat(points, line):
         return False
-    if line.worst > MOST_RESIDUAL:
+    if line.worst > MAX_RESIDUAL:
         return True
     slopes = [
         (after.value - before.value) / (after.size - before.size)
         for before, after in pairwise(points)
         if after.size > before.size
     ]
-    if min(slopes) <= 0 or max(slopes) / min(slopes) > MOST_SLOPE_CHANGE:
+    if min(slopes) <= 0 or max(slopes) / min(slopes) > MAX_SLOPE_RATIO:
         return True
-    return line.base < 0 and power is not None and power.exponent > 1 + MOST_EXPONENT_DISTANCE
+    return line.base < 0 and power is not None and power.exponent > 1 + MAX_EXPONENT_DISTANCE
 
 
 def _flat(points: Sequence[Point], line: Line) -> bool:
@@ -188,9 +188,9 @@
     if min(values) <= 0:
         return False
     spread = max(values) / min(values) - 1
-    if spread <= NO_SPREAD:
+    if spread <= NEGLIGIBLE_SPREAD:
         return True
-    return spread <= MOST_RESIDUAL and line.worst >= spread * LEAST_NOISE
+    return spread <= MAX_RESIDUAL and line.worst >= spread * MIN_NOISE_SHARE
 
 
 def _relative(value: float, fitted: float) -> float:
--- a/benchmarks/capacity/resource_plans.py
+++ b/benchmarks/capacity/resource_plans.py
@@ -20,7 +20,7 @@
 __all__ = ["changed_route", "changed_route_worst", "memory", "start"]
 
 CHANGES = 200
-MOVED_EACH = 4  # every fourth change is of a path, the others are of limits
+MOVE_INTERVAL = 4  # every fourth change is of a path, the others are of limits
 KIB = 1 << 10
 MIB = 1 << 20
 
@@ -75,7 +75,7 @@
 def _replace_route(state: ResourceState, number: int, turn: int) -> tuple[ResourceState, Key]:
     """Replace one route in the state. The cost of a batch is measured in resource_states."""
     key = Key(Kind.ROUTE, f"r{number}")
-    table = samples.route_table(number, burst=turn + 1, moved=turn if turn % MOVED_EACH == 0 else 0)
+    table = samples.route_table(number, burst=turn + 1, moved=turn if turn % MOVE_INTERVAL == 0 else 0)
     changed = Resource(key.kind, key.name, state.revision + 1, encode_table(table))
     after = replace(state, revision=state.revision + 1, resources=state.resources.set(key, changed))
     return after, key
--- a/benchmarks/capacity/runner.py
+++ b/benchmarks/capacity/runner.py
@@ -14,10 +14,10 @@
 from .measurement import Measured, Measurement, NotCarried, Outcome, Rejected, RunFailed, SizeRejected, judge
 from .registry import MEASUREMENTS
 
-__all__ = ["MOST_MEMORY_BYTES", "decode", "encode", "run_all", "run_here", "run_one"]
+__all__ = ["MAX_MEMORY_BYTES", "decode", "encode", "run_all", "run_here", "run_one"]
 
 # Limit for each measuring process and each process that it starts, as the machine is shared.
-MOST_MEMORY_BYTES = 12 << 30
+MAX_MEMORY_BYTES = 12 << 30
 ROOT = Path(__file__).resolve().parents[2]
 _KINDS: dict[str, type[Outcome]] = {"measured": Measured, "not carried": NotCarried, "refused": Rejected}
 _NAMES = {kind: name for name, kind in _KINDS.items()}
@@ -33,12 +33,12 @@
     except RunFailed as error:
         return NotCarried(name, size, str(error))
     except MemoryError:
-        return NotCarried(name, size, f"used more than {MOST_MEMORY_BYTES >> 30} GiB of memory")
+        return NotCarried(name, size, f"used more than {MAX_MEMORY_BYTES >> 30} GiB of memory")
 
 
 def limit_memory() -> None:
     """Limit the memory of this process and of each process that it starts."""
-    resource.setrlimit(resource.RLIMIT_DATA, (MOST_MEMORY_BYTES, MOST_MEMORY_BYTES))
+    resource.setrlimit(resource.RLIMIT_DATA, (MAX_MEMORY_BYTES, MAX_MEMORY_BYTES))
 
 
 def run_one(measurement: Measurement, size: int) -> Outcome:
