--- a/tests/test_simulation_consensus.py
+++ b/tests/test_simulation_consensus.py
@@ -31,13 +31,13 @@
     scenarios = [replace(scenario_of(seed), seconds=7.0) for seed in SEEDS]
     with ProcessPoolExecutor(8) as pool:
         found = list(pool.map(play, SEEDS, scenarios, chunksize=2))
-    for played in found:
-        assert not played.faults, (played.seed, played.faults[:3])
-        assert played.ended, (played.seed, played.detail)
+    for result in found:
+        assert not result.violations, (result.seed, result.violations[:3])
+        assert result.converged, (result.seed, result.detail)
     # Else they would show nothing.
-    assert sum(played.begun for played in found) > 60_000
-    assert sum(played.held for played in found) > 30
-    assert sum(played.dropped for played in found) > 5
+    assert sum(result.requests_begun for result in found) > 60_000
+    assert sum(result.in_force for result in found) > 30
+    assert sum(result.dropped for result in found) > 5
 
 
 def test_streams_of_changes_are_decided_once_and_each_proposer_is_told_of_its_own() -> None:
@@ -45,27 +45,31 @@
     scenarios = [replace(stream_scenario_of(seed), seconds=10.0) for seed in STREAM_SEEDS]
     with ProcessPoolExecutor(8) as pool:
         found = list(pool.map(play, STREAM_SEEDS, scenarios, chunksize=2))
-    for played in found:
-        assert not played.faults, (played.seed, played.faults[:3])
-        assert played.ended, (played.seed, played.detail)
+    for result in found:
+        assert not result.violations, (result.seed, result.violations[:3])
+        assert result.converged, (result.seed, result.detail)
     # Else they would show nothing.
-    assert sum(played.streamed for played in found) > 500
-    assert sum(played.refused for played in found) > 200
+    assert sum(result.streamed for result in found) > 500
+    assert sum(result.rejected for result in found) > 200
 
 
 def test_a_seed_plays_the_same_twice() -> None:
     scenario = Scenario(seconds=6.0)
     one, other = play(3, scenario), play(3, scenario)
-    assert isinstance(one, SimulationResult) and one.trace == other.trace and one.begun == other.begun > 0
+    assert (
+        isinstance(one, SimulationResult)
+        and one.trace == other.trace
+        and one.requests_begun == other.requests_begun > 0
+    )
 
 
 def test_a_change_that_is_given_up_is_driven_by_one_keeper() -> None:
     """All of them at once took back what the others were promised: seconds passed, at times many."""
     quiet = Scenario(seconds=15.0, faults=0.0, loss=0.0, duplicated=0.0, drops=1.0)
     for seed in (1, 2):
-        played = play(seed, quiet)
-        assert played.ended and played.dropped > 2, (seed, played.detail)
-        assert played.rounds < 2.5 * played.decided, (seed, played.rounds, played.decided)
+        result = play(seed, quiet)
+        assert result.converged and result.dropped > 2, (seed, result.detail)
+        assert result.ballots < 2.5 * result.epochs_decided, (seed, result.ballots, result.epochs_decided)
 
 
 OLD, NEW, LATER = "1-00000000000a", "2-00000000000b", "3-00000000000c"
