--- a/hollybay/simulation/clients.py
+++ b/hollybay/simulation/clients.py
@@ -147,11 +147,11 @@
 class _ClientConnection(asyncio.Protocol):
     """One client connection."""
 
-    def __init__(self, clients: Clients, call: _ClientRequest, key: tuple[int, int]) -> None:
+    def __init__(self, clients: Clients, request: _ClientRequest, key: tuple[int, int]) -> None:
         self.clients = clients
         self.world: RunContext = clients.world
-        call.connection = self
-        self.calls: list[_ClientRequest] = [call]  # requests without a response yet, in order
+        request.connection = self
+        self.calls: list[_ClientRequest] = [request]  # requests without a response yet, in order
         self.key = key
         self.reader = MessageReader(answers=True)
         self.sent = 0
@@ -167,37 +167,37 @@
         self.send(first)
 
     def _attached(self) -> None:
-        for call in self.calls:
-            self.clients.on_received(call)
+        for request in self.calls:
+            self.clients.on_received(request)
 
-    def send(self, call: _ClientRequest) -> None:
+    def send(self, request: _ClientRequest) -> None:
         """Send a request in its manner."""
-        manner, arg = call.ask.manner, call.ask.arg
-        self.clients.request_started(call)
-        if call.pipelined is not None:
-            call.pipelined.connection = self
-            self.clients.request_started(call.pipelined)
-            self.calls.append(call.pipelined)
+        manner, arg = request.ask.manner, request.ask.arg
+        self.clients.request_started(request)
+        if request.pipelined is not None:
+            request.pipelined.connection = self
+            self.clients.request_started(request.pipelined)
+            self.calls.append(request.pipelined)
         if manner in ("slow", "dribble"):
             parts = 2 + int(4 * arg)
-            step = max(1, len(call.data) // parts)
-            pieces = [call.data[at : at + step] for at in range(0, len(call.data), step)]
+            step = max(1, len(request.data) // parts)
+            pieces = [request.data[at : at + step] for at in range(0, len(request.data), step)]
             if manner == "dribble":
-                pieces = pieces[:-1] or [call.data[:1]]
-            self._write_pieces(call, pieces, 0.002 + 0.1 * arg, manner == "slow")
+                pieces = pieces[:-1] or [request.data[:1]]
+            self._write_pieces(request, pieces, 0.002 + 0.1 * arg, manner == "slow")
         elif manner == "expect":
-            head, _, body = call.data.partition(b"\r\n\r\n")
-            self._write(call, head + b"\r\n\r\n", not body)
-            self.world.loop.call_later(0.02, self._write, call, body)
+            head, _, body = request.data.partition(b"\r\n\r\n")
+            self._write(request, head + b"\r\n\r\n", not body)
+            self.world.loop.call_later(0.02, self._write, request, body)
         else:
-            self._write(call, call.data)
-            if call.pipelined is not None:
-                self._write(call.pipelined, call.pipelined.data)
+            self._write(request, request.data)
+            if request.pipelined is not None:
+                self._write(request.pipelined, request.pipelined.data)
         loop = self.world.loop
         if manner == "leave":
-            loop.call_later(0.3 * arg * arg, self._disconnect, call)
+            loop.call_later(0.3 * arg * arg, self._disconnect, request)
         elif manner == "half":
-            loop.call_later(0.01 * arg, self._half_close, call)
+            loop.call_later(0.01 * arg, self._half_close, request)
         elif manner == "lazy":
             loop.call_soon(self.transport.pause_reading)
             loop.call_later(0.05 + 0.3 * arg, self._resume_reading)
@@ -206,40 +206,40 @@
         if not self.transport.is_closing():
             self.transport.resume_reading()
 
-    def _write_pieces(self, call: _ClientRequest, pieces: list[bytes], pause: float, whole: bool) -> None:
-        if not call.finished and not self.transport.is_closing():
-            self._write(call, pieces.pop(0), whole and not pieces)
+    def _write_pieces(self, request: _ClientRequest, pieces: list[bytes], pause: float, whole: bool) -> None:
+        if not request.finished and not self.transport.is_closing():
+            self._write(request, pieces.pop(0), whole and not pieces)
             if pieces:
-                self.world.loop.call_later(pause, self._write_pieces, call, pieces, pause, whole)
+                self.world.loop.call_later(pause, self._write_pieces, request, pieces, pause, whole)
 
-    def _write(self, call: _ClientRequest, data: bytes, whole: bool = True) -> None:
-        call.fully_written = whole
-        if not data or call.finished or self.transport.is_closing():
+    def _write(self, request: _ClientRequest, data: bytes, whole: bool = True) -> None:
+        request.fully_written = whole
+        if not data or request.finished or self.transport.is_closing():
             return
         self.sent += len(data)
-        call.accepted_at_byte = self.sent
-        self.transport.peer.receive_callbacks.append((self.sent, partial(self.clients.on_received, call)))
+        request.accepted_at_byte = self.sent
+        self.transport.peer.receive_callbacks.append((self.sent, partial(self.clients.on_received, request)))
         self.transport.write(data)
 
-    def _disconnect(self, call: _ClientRequest) -> None:
-        if not call.finished and call.connection is self:
-            self.clients.disconnect(call)
+    def _disconnect(self, request: _ClientRequest) -> None:
+        if not request.finished and request.connection is self:
+            self.clients.disconnect(request)
             self.transport.abort()
 
-    def _half_close(self, call: _ClientRequest) -> None:
-        if not call.finished and call.connection is self:
-            self.clients.disconnect(call)
+    def _half_close(self, request: _ClientRequest) -> None:
+        if not request.finished and request.connection is self:
+            self.clients.disconnect(request)
             self.transport.write_eof()
 
-    def accepted(self, call: _ClientRequest) -> bool:
+    def accepted(self, request: _ClientRequest) -> bool:
         """Whether the node has read the whole request."""
-        if self.close_announced or not call.fully_written or not call.reached_node:
+        if self.close_announced or not request.fully_written or not request.reached_node:
             return False  # requests after a final response or the end of the connection are not accepted
         peer = self.transport.peer
         # A node that shuts down is responsible for connections in its accept queue, too.
         return (
             0
-            < call.accepted_at_byte
+            < request.accepted_at_byte
             <= (peer.received_bytes if peer.dropped_by_listener else peer.delivered_bytes)
         )
 
@@ -254,8 +254,8 @@
                 message = None
             if message is not None:
                 self.clients.answered(calls.pop(0), message, self)
-        for call in calls:
-            self.clients.connection_broken(call, self)
+        for request in calls:
+            self.clients.connection_broken(request, self)
 
     def data_received(self, data: bytes) -> None:
         ledger = self.world.ledger
@@ -270,8 +270,8 @@
                     if self.reader.head is not None and self.clients.is_streamed(self.calls[0]):
                         # A streamed response has no deadline, and requests pipelined after it wait for its
                         # end; the node ends one that stalls.
-                        for call in self.calls:
-                            self.clients.response_started(call)
+                        for request in self.calls:
+                            self.clients.response_started(request)
                     return
                 self.clients.answered(self.calls.pop(0), message, self)
             if self.reader.in_progress:
@@ -309,23 +309,23 @@
             data, right = encode_malformed_request(world, ask, rid)
         else:
             data = b"".join(encode_request(world, ask, rid, repeat))
-        call = self._begin(ask, rid, data, right, repeat)
+        request = self._begin(ask, rid, data, right, repeat)
         if ask.manner == "pair":
             second = msgspec.structs.replace(ask, manner="keep", answer=0)
             more = b"".join(encode_request(world, second, rid + "b"))
-            call.pipelined = self._begin(second, rid + "b", more, (), False)
+            request.pipelined = self._begin(second, rid + "b", more, (), False)
         elif ask.manner == "twin":
             # A second request with the same ID while the first is pending is rejected.
             again = _ClientRequest(msgspec.structs.replace(ask, manner="fresh"), rid, data, (409,), False)
-            world.loop.call_later(0.005, self._send_duplicate, call, again)
-        self._connect(call)
+            world.loop.call_later(0.005, self._send_duplicate, request, again)
+        self._connect(request)
 
     def _begin(
         self, ask: RequestPlan, rid: str, data: bytes, right: tuple[int, ...], repeat: bool
     ) -> _ClientRequest:
         world = self.world
         cls = world.plan.classes[ask.cls]
-        call = _ClientRequest(ask, rid, data, right, repeat)
+        request = _ClientRequest(ask, rid, data, right, repeat)
         if not right:
             now = world.now()
             world.requests[rid] = ask
@@ -336,80 +336,80 @@
             )
             entry.excused = ask.manner == "dribble"
             self.open_count += 1
-            self.calls[rid] = call
-        return call
+            self.calls[rid] = request
+        return request
 
-    def request_started(self, call: _ClientRequest) -> None:
+    def request_started(self, request: _ClientRequest) -> None:
         """Set the deadline of a request that is being sent; it has 2 s to reach the node."""
-        self._set_deadline(call, 2 * SECOND)
+        self._set_deadline(request, 2 * SECOND)
 
-    def on_received(self, call: _ClientRequest) -> None:
+    def on_received(self, request: _ClientRequest) -> None:
         """Reset the deadline of a request of which a part has reached the node's host."""
-        if call.connection is not None:
-            peer = call.connection.transport.peer
-            call.reached_node = not (peer.write_ended or peer.detached)
-        self._set_deadline(call, 0)
+        if request.connection is not None:
+            peer = request.connection.transport.peer
+            request.reached_node = not (peer.write_ended or peer.detached)
+        self._set_deadline(request, 0)
 
-    def is_streamed(self, call: _ClientRequest) -> bool:
+    def is_streamed(self, request: _ClientRequest) -> bool:
         """Whether its response is streamed: that of a streamed class, or a long one."""
-        return self.world.plan.classes[call.ask.cls].streamed or call.ask.answer > STREAMING_THRESHOLD
+        return self.world.plan.classes[request.ask.cls].streamed or request.ask.answer > STREAMING_THRESHOLD
 
-    def response_started(self, call: _ClientRequest) -> None:
+    def response_started(self, request: _ClientRequest) -> None:
         """Extend the deadline by 12 s when a streamed response has started."""
-        if not call.response_started:
-            call.response_started = True
-            self._set_deadline(call, 12 * SECOND)
+        if not request.response_started:
+            request.response_started = True
+            self._set_deadline(request, 12 * SECOND)
 
-    def _set_deadline(self, call: _ClientRequest, more: int) -> None:
-        if call.expected_statuses or call.finished:
+    def _set_deadline(self, request: _ClientRequest, more: int) -> None:
+        if request.expected_statuses or request.finished:
             return
         world = self.world
         now = world.now()
-        deadline = now + world.plan.classes[call.ask.cls].deadline * MS + more
-        world.ledger.deadline(call.rid, deadline)
-        if call.timer is not None:
-            call.timer.cancel()
-        call.timer = world.loop.call_later((deadline - now) / SECOND + 0.2, self._on_timeout, call)
-
-    def _send_duplicate(self, call: _ClientRequest, again: _ClientRequest) -> None:
-        connection = call.connection
+        deadline = now + world.plan.classes[request.ask.cls].deadline * MS + more
+        world.ledger.deadline(request.rid, deadline)
+        if request.timer is not None:
+            request.timer.cancel()
+        request.timer = world.loop.call_later((deadline - now) / SECOND + 0.2, self._on_timeout, request)
+
+    def _send_duplicate(self, request: _ClientRequest, again: _ClientRequest) -> None:
+        connection = request.connection
         if (
             connection is not None
-            and connection.transport.peer.delivered_bytes >= call.accepted_at_byte
+            and connection.transport.peer.delivered_bytes >= request.accepted_at_byte
             and not connection.transport.is_closing()
         ):
             self.world.loop.create_task(self._open(again, int(connection.transport.remote[0][1:])))
 
-    def _connect(self, call: _ClientRequest) -> None:
-        kept = self.idle_connections.get((call.ask.client, call.ask.node), [])
+    def _connect(self, request: _ClientRequest) -> None:
+        kept = self.idle_connections.get((request.ask.client, request.ask.node), [])
         if (
-            call.ask.manner in ("keep", "pair", "lazy", "chunked")
-            and not call.attempts
-            and not call.expected_statuses
+            request.ask.manner in ("keep", "pair", "lazy", "chunked")
+            and not request.attempts
+            and not request.expected_statuses
         ):
             while kept:
                 connection = kept.pop()
                 if not connection.transport.is_closing():
-                    connection.calls.append(call)
-                    call.connection = connection
-                    connection.send(call)
+                    connection.calls.append(request)
+                    request.connection = connection
+                    connection.send(request)
                     return
-        self.world.loop.create_task(self._open(call))
+        self.world.loop.create_task(self._open(request))
 
-    async def _open(self, call: _ClientRequest, only: int = -1) -> None:
+    async def _open(self, request: _ClientRequest, only: int = -1) -> None:
         world = self.world
-        call.attempts += 1
+        request.attempts += 1
         give_up = world.loop.now + CONNECT_RETRY_S
-        node = call.ask.node if only < 0 else only
-        while not call.finished:
-            key = (call.ask.client, node)
+        node = request.ask.node if only < 0 else only
+        while not request.finished:
+            key = (request.ask.client, node)
             try:
                 async with asyncio.timeout(CONNECT_RETRY_S):
                     await world.net.create_connection(
-                        lambda key=key: _ClientConnection(self, call, key),  # type: ignore[misc]
+                        lambda key=key: _ClientConnection(self, request, key),  # type: ignore[misc]
                         f"n{node}",
                         80,
-                        local=f"c{call.ask.client}",
+                        local=f"c{request.ask.client}",
                     )
                 return
             except OSError:  # TimeoutError is one, too
@@ -417,12 +417,12 @@
                     break
                 await asyncio.sleep(0.05)
                 node = (node + 1) % world.plan.nodes
-        for one in (call, call.pipelined):
+        for one in (request, request.pipelined):
             if (
                 one is not None
                 and not one.finished
                 and not one.expected_statuses
-                and (one is call or one.connection is None)
+                and (one is request or one.connection is None)
             ):
                 # No node accepted it.
                 world.ledger.requests[one.rid].excused = True
@@ -430,110 +430,112 @@
 
     # Results
 
-    def answered(self, call: _ClientRequest, message: Message, connection: _ClientConnection) -> None:
+    def answered(self, request: _ClientRequest, message: Message, connection: _ClientConnection) -> None:
         """Handle a complete response."""
         world = self.world
         status = int(message.first.split(b" ")[1])
         keeps = (message.get(b"connection") or b"").lower() != b"close"
         connection.close_announced = connection.close_announced or not keeps
         key = connection.key
-        if keeps and not connection.calls and call.ask.manner in ("keep", "pair", "lazy", "chunked"):
+        if keeps and not connection.calls and request.ask.manner in ("keep", "pair", "lazy", "chunked"):
             self.idle_connections.setdefault(key, []).append(connection)
         elif not connection.calls:
             connection.transport.close()
         for name, value in message.headers:
             if name in NOT_FOR_CLIENTS:
-                world.ledger.report("head", call.rid, f"{name.decode()} was forwarded to a client")
+                world.ledger.report("head", request.rid, f"{name.decode()} was forwarded to a client")
             if name == b"retry-after":
                 most = world.plan.retry_after * MS
-                world.ledger.report("retry", call.rid, retry_after_violation(value, most))
-        if call.expected_statuses:
-            excused = call.expected_statuses == (409,) and world.restarts > 0
+                world.ledger.report("retry", request.rid, retry_after_violation(value, most))
+        if request.expected_statuses:
+            excused = request.expected_statuses == (409,) and world.restarts > 0
             right = (
-                (*call.expected_statuses, 503) if call.expected_statuses == (409,) else call.expected_statuses
+                (*request.expected_statuses, 503)
+                if request.expected_statuses == (409,)
+                else request.expected_statuses
             )
             if not excused:
-                world.ledger.report("status", call.rid, status_violation(status, right))
-            call.finished = True
+                world.ledger.report("status", request.rid, status_violation(status, right))
+            request.finished = True
             return
         final = FinalOutcome.FAILED
         if status == 200:
-            reason = answer_violation(message.content, world.served_bodies.get(call.rid, {}))
+            reason = answer_violation(message.content, world.served_bodies.get(request.rid, {}))
             final = FinalOutcome.SERVED if reason is None else FinalOutcome.WRONG
-            world.ledger.report("bytes", call.rid, reason)
+            world.ledger.report("bytes", request.rid, reason)
         elif status in (429, 503):
             final = FinalOutcome.REFUSED
-        elif status == 409 and call.ask.manner == "twin":
+        elif status == 409 and request.ask.manner == "twin":
             # The duplicate came first and is processed; its response is checked there.
-            world.ledger.requests[call.rid].excused = True
-        elif status not in (502, 504) and not (status == 408 and call.ask.manner == "dribble"):
-            world.ledger.report("status", call.rid, f"status {status} for a valid request")
+            world.ledger.requests[request.rid].excused = True
+        elif status not in (502, 504) and not (status == 408 and request.ask.manner == "dribble"):
+            world.ledger.report("status", request.rid, f"status {status} for a valid request")
         after = message.get(b"retry-after")
-        self._finish(call, final, status)
-        if final is FinalOutcome.REFUSED and not call.repeat and self.repeats < 300:
-            rng = world.rng_for(f"retry {call.rid}")
+        self._finish(request, final, status)
+        if final is FinalOutcome.REFUSED and not request.repeat and self.repeats < 300:
+            rng = world.rng_for(f"retry {request.rid}")
             if rng.random() < world.plan.retries:
                 self.repeats += 1
                 pause = float(after) if after is not None else 0.05
-                again = msgspec.structs.replace(call.ask, manner="keep")
-                world.loop.call_later(pause, self.ask, again, f"{call.rid}-again", True)
+                again = msgspec.structs.replace(request.ask, manner="keep")
+                world.loop.call_later(pause, self.ask, again, f"{request.rid}-again", True)
 
-    def connection_broken(self, call: _ClientRequest, connection: _ClientConnection) -> None:
+    def connection_broken(self, request: _ClientRequest, connection: _ClientConnection) -> None:
         """Handle the end of the connection before a complete response."""
         world = self.world
-        if call.finished:
+        if request.finished:
             return
-        if call.expected_statuses:
-            call.finished = True
+        if request.expected_statuses:
+            request.finished = True
             # If bytes are left unread, the node's close is a reset, which may drop the response.
             return
-        entry = world.ledger.requests[call.rid]
-        accepted = connection.accepted(call)
+        entry = world.ledger.requests[request.rid]
+        accepted = connection.accepted(request)
         if connection.transport.peer_killed:
             entry.excused = True
         if not accepted and not connection.reader.in_progress:
-            if call.attempts < 4 and call.ask.manner != "dribble":
-                if call.pipelined is not None and call.pipelined.connection is not None:
-                    call.pipelined = None  # already sent, and handled by itself
-                call.reached_node = False
-                self._set_deadline(call, 2 * SECOND)
-                world.loop.create_task(self._open(call))
+            if request.attempts < 4 and request.ask.manner != "dribble":
+                if request.pipelined is not None and request.pipelined.connection is not None:
+                    request.pipelined = None  # already sent, and handled by itself
+                request.reached_node = False
+                self._set_deadline(request, 2 * SECOND)
+                world.loop.create_task(self._open(request))
                 return
             entry.excused = True
-        streamed = connection.reader.head is not None and self.is_streamed(call)
-        self._finish(call, FinalOutcome.FAILED if streamed else FinalOutcome.BROKEN)
+        streamed = connection.reader.head is not None and self.is_streamed(request)
+        self._finish(request, FinalOutcome.FAILED if streamed else FinalOutcome.BROKEN)
 
-    def disconnect(self, call: _ClientRequest) -> None:
+    def disconnect(self, request: _ClientRequest) -> None:
         """Record that a client disconnects before its response."""
-        self.world.ledger.left(call.rid)
-        self._finish(call, FinalOutcome.BROKEN)
+        self.world.ledger.left(request.rid)
+        self._finish(request, FinalOutcome.BROKEN)
 
-    def _on_timeout(self, call: _ClientRequest) -> None:
-        if call.finished:
+    def _on_timeout(self, request: _ClientRequest) -> None:
+        if request.finished:
             return
-        if not self.accepted(call.rid):
-            self.world.ledger.requests[call.rid].excused = True
+        if not self.accepted(request.rid):
+            self.world.ledger.requests[request.rid].excused = True
         for connection in list(self.connections):
-            if call in connection.calls:
+            if request in connection.calls:
                 connection.calls.clear()
                 connection.transport.abort()
-        self._finish(call, FinalOutcome.SILENT)
+        self._finish(request, FinalOutcome.SILENT)
 
-    def _finish(self, call: _ClientRequest, final: FinalOutcome, status: int = 0) -> None:
-        if call.finished:
+    def _finish(self, request: _ClientRequest, final: FinalOutcome, status: int = 0) -> None:
+        if request.finished:
             return
-        call.finished = True
-        del self.calls[call.rid]
-        if call.timer is not None:
-            call.timer.cancel()
+        request.finished = True
+        del self.calls[request.rid]
+        if request.timer is not None:
+            request.timer.cancel()
         self.open_count -= 1
         world = self.world
-        world.ledger.answered(call.rid, final, world.now(), status)
+        world.ledger.answered(request.rid, final, world.now(), status)
 
     def accepted(self, rid: str) -> bool:
         """Whether a node has read the whole of an open request."""
-        call = self.calls.get(rid)
-        return call is not None and call.connection is not None and call.connection.accepted(call)
+        request = self.calls.get(rid)
+        return request is not None and request.connection is not None and request.connection.accepted(request)
 
     def forget(self, connection: _ClientConnection) -> None:
         """Remove a closed connection from the idle ones."""
--- a/hollybay/simulation/consensus_simulation.py
+++ b/hollybay/simulation/consensus_simulation.py
@@ -66,9 +66,8 @@
     late: float = 0.0
     loss: float = 0.03  # probability that a message of a call is lost, in each direction
     duplicated: float = 0.02  # probability that a call arrives twice
-    faults: float = (
-        0.25  # per second: crash, pause, partition, one-way loss, disk full, disk lost, clock step
-    )
+    # Per second: crash, pause, partition, one-way loss, disk full, disk lost, clock step.
+    faults: float = 0.25
     losses: int = 1  # the maximum number of lost disks
     drops: float = 0.2  # the share of changes that their operator drops
     proposals: float = 0.6  # per second: changes of the whole policy
--- a/hollybay/simulation/http.py
+++ b/hollybay/simulation/http.py
@@ -6,8 +6,8 @@
 
 __all__ = ["MalformedMessageError", "Message", "MessageReader", "filler"]
 
-MOST_HEAD = 64 << 10
-MOST_BODY = 4 << 20
+MAX_HEAD_BYTES = 64 << 10
+MAX_BODY_BYTES = 4 << 20
 _TOKEN = frozenset(b"!#$%&'*+-.^_`|~0123456789abcdefghijklmnopqrstuvwxyz")
 
 
@@ -104,14 +104,14 @@
             head.body.append(self.buffer[:size])
             head.size += size
             self.buffer = self.buffer[size:]
-            if head.size > MOST_BODY:
-                raise MalformedMessageError(f"body of more than {MOST_BODY} bytes")
+            if head.size > MAX_BODY_BYTES:
+                raise MalformedMessageError(f"body of more than {MAX_BODY_BYTES} bytes")
 
     def _head(self) -> bool:
         at = self.buffer.find(b"\r\n\r\n")
         if at < 0:
-            if len(self.buffer) > MOST_HEAD:
-                raise MalformedMessageError(f"head of more than {MOST_HEAD} bytes")
+            if len(self.buffer) > MAX_HEAD_BYTES:
+                raise MalformedMessageError(f"head of more than {MAX_HEAD_BYTES} bytes")
             return False
         lines = self.buffer[:at].split(b"\r\n")
         self.buffer = self.buffer[at + 4 :]
--- a/hollybay/simulation/world.py
+++ b/hollybay/simulation/world.py
@@ -145,7 +145,7 @@
         if self.loop.errors:
             error = self.loop.errors[0]
             self.ledger.report(
-                "process", "models", f"unhandled: {error.get('exception') or error.get('message')}"
+                "process", "models", f"unhandled exception: {error.get('exception') or error.get('message')}"
             )
 
     async def main(self) -> None:
--- a/tests/test_found_by_seeds.py
+++ b/tests/test_found_by_seeds.py
@@ -1,4 +1,4 @@
-"""Defects that seeds of the simulation found, each mended at its cause and tested there."""
+"""Regression tests for defects that seeds of the simulation have found."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from hollybay.testbed.world import MS, SAFE, SECOND, BalancerHarness, fleet, make_settings
 
 
-def test_no_socket_for_a_server_ends_the_attempt_at_once(
+def test_an_attempt_without_a_free_descriptor_fails_at_once(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def play() -> None:
@@ -30,7 +30,7 @@
             with monkeypatch.context() as patch:
                 patch.setattr(system, "tcp_socket", none_left)
                 for rid, cls in (("r-1", "view"), ("r-2", "send")):
-                    # Nothing ran, so it is refused, long before the ten seconds that its client has.
+                    # Nothing has run, so the request is rejected long before its deadline of ten seconds.
                     async with asyncio.timeout(5.0):
                         answer = await node.ask(request(cls, rid))
                     assert answer.startswith(b"HTTP/1.1 503 ")
@@ -40,7 +40,7 @@
     asyncio.run(play())
 
 
-def test_a_streamed_answer_with_two_framings_is_none(tmp_path: Path) -> None:
+def test_a_streamed_response_with_two_framings_is_rejected(tmp_path: Path) -> None:
     both = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nabcd\r\n0\r\n\r\n"
     streamed = [{**CLASSES[0], "streamed": True}, *CLASSES[1:]]
 
@@ -55,8 +55,8 @@
     asyncio.run(play())
 
 
-def shedding(node: BalancerHarness) -> None:
-    """Bring a module to shed nearly everything: all that is sent comes back late."""
+def make_balancer_shed(node: BalancerHarness) -> None:
+    """Make a balancer shed nearly all requests: responses to all attempts are late."""
     node.tell(fleet(4))
     for rid in range(400):
         node.ask(rid)
@@ -67,9 +67,9 @@
                 node.answer(rid, n)
 
 
-def test_what_was_shed_is_served_again_after_a_calm_in_which_nothing_was_heard() -> None:
+def test_load_shedding_ends_after_a_period_without_requests() -> None:
     node = BalancerHarness(make_settings(classes=(SAFE,)))
-    shedding(node)
+    make_balancer_shed(node)
     node.balancer.load_shedder.shed_share = 0.98
     node.balancer.estimates.loss_share = 0.9
     node.balancer.estimates.lost_weight = 0.9 * node.balancer.estimates.offered_weight
@@ -78,9 +78,9 @@
     assert any(isinstance(action, api.Send) for action in node.ask(1000))
 
 
-def test_evidence_does_not_fade_while_it_is_heard() -> None:
+def test_the_loss_share_does_not_decay_while_outcomes_arrive() -> None:
     node = BalancerHarness(make_settings(classes=(SAFE,)))
-    shedding(node)
+    make_balancer_shed(node)
     before = node.balancer.estimates.loss_share
     assert before > 0.3
     node.balancer.estimates.load_outcomes = 8
@@ -88,7 +88,7 @@
     assert node.balancer.estimates.loss_share == pytest.approx(before)
 
 
-def test_lateness_is_as_old_as_the_time_without_requests() -> None:
+def test_the_event_loop_delay_decays_with_time_without_requests() -> None:
     node = BalancerHarness(make_settings(classes=(SAFE,)))
     node.tell(fleet(4))
     balancer = node.balancer
@@ -103,7 +103,7 @@
     assert balancer.load_shedder.event_loop_delay.shed_share == pytest.approx(0.54)
 
 
-def test_a_class_without_an_answer_does_not_free_the_cold_budget() -> None:
+def test_the_mean_service_time_is_the_longest_objective_until_a_class_has_responses() -> None:
     node = BalancerHarness(make_settings())
     balancer = node.balancer
     longest = max(c.latency_objective for c in balancer.settings.classes)
@@ -115,31 +115,31 @@
     assert balancer.estimates.service_times.mean == 40 * MS
 
 
-def test_a_jam_does_not_teach_what_a_request_adds() -> None:
+def test_queueing_does_not_change_the_learned_service_time() -> None:
     node = BalancerHarness(make_settings(classes=(SAFE,)))
     node.tell(fleet(4))
     balancer = node.balancer
     s = next(iter(balancer.servers.values()))
     balancer.estimates.service_times.observe(s, 0, 90 * MS, in_flight=0, stale=False, servers_busy=False)
     assert balancer.estimates.service_times.by_class[0] == pytest.approx(90 * MS * s.size)
-    for _ in range(50):  # idle servers answer faster: the first was chance
+    for _ in range(50):  # idle servers respond faster: the first sample was an outlier
         balancer.estimates.service_times.observe(s, 0, 30 * MS, in_flight=0, stale=False, servers_busy=False)
     learned = balancer.estimates.service_times.by_class[0]
     assert learned < 35 * MS * s.size
-    for _ in range(50):  # as many wait before it
+    for _ in range(50):  # nine requests are ahead of it
         balancer.estimates.service_times.observe(s, 0, 900 * MS, in_flight=9, stale=False, servers_busy=False)
     s.reported_load = 8.0
-    for _ in range(50):  # the list tells of a queue of others
+    for _ in range(50):  # the server list reports a queue of other nodes' requests
         balancer.estimates.service_times.observe(s, 0, 900 * MS, in_flight=0, stale=False, servers_busy=False)
     assert balancer.estimates.service_times.by_class[0] == learned
 
 
-def test_a_gap_that_shrinks_frees_a_cold_server_at_once() -> None:
+def test_a_shorter_slow_start_interval_applies_to_a_server_at_once() -> None:
     node = BalancerHarness(make_settings(cold_share=0.3, warm_up=8 * SECOND))
     node.tell(fleet(4, up_since=node.now))
     balancer = node.balancer
     cold = list(balancer.servers.values())
-    assert all(s.slow_start_interval > SECOND // 4 for s in cold)  # nothing is known yet
+    assert all(s.slow_start_interval > SECOND // 4 for s in cold)  # no service time is known yet
     balancer.estimates.offered = [9.0] * len(balancer.estimates.offered)
     times = balancer.estimates.service_times
     times.by_class = [10.0 * MS] * len(times.by_class)
--- a/tests/test_simulation_consensus.py
+++ b/tests/test_simulation_consensus.py
@@ -1,4 +1,4 @@
-"""A whole tier's accord on a virtual clock, from seeds; the oracle; and what operators are told."""
+"""The simulated consensus group: seeds, the invariants, and the verdicts that operators get."""
 
 from __future__ import annotations
 
@@ -27,33 +27,33 @@
 STREAM_SEEDS = range(25)
 
 
-def test_fifty_seeds_keep_the_guarantee_and_come_to_their_end() -> None:
+def test_fifty_seeds_violate_no_invariant_and_converge() -> None:
     scenarios = [replace(scenario_of(seed), seconds=7.0) for seed in SEEDS]
     with ProcessPoolExecutor(8) as pool:
         found = list(pool.map(play, SEEDS, scenarios, chunksize=2))
     for result in found:
         assert not result.violations, (result.seed, result.violations[:3])
         assert result.converged, (result.seed, result.detail)
-    # Else they would show nothing.
+    # The runs must have enough events to be meaningful.
     assert sum(result.requests_begun for result in found) > 60_000
     assert sum(result.in_force for result in found) > 30
     assert sum(result.dropped for result in found) > 5
 
 
-def test_streams_of_changes_are_decided_once_and_each_proposer_is_told_of_its_own() -> None:
-    """With keepers killed, cut off, stopped, disks full or lost, and proposers that repeat themselves."""
+def test_each_change_of_a_stream_is_decided_once_and_its_proposer_gets_the_verdict() -> None:
+    """Voters are killed, partitioned or suspended, disks are full or lost, and proposers repeat changes."""
     scenarios = [replace(stream_scenario_of(seed), seconds=10.0) for seed in STREAM_SEEDS]
     with ProcessPoolExecutor(8) as pool:
         found = list(pool.map(play, STREAM_SEEDS, scenarios, chunksize=2))
     for result in found:
         assert not result.violations, (result.seed, result.violations[:3])
         assert result.converged, (result.seed, result.detail)
-    # Else they would show nothing.
+    # The runs must have enough events to be meaningful.
     assert sum(result.streamed for result in found) > 500
     assert sum(result.rejected for result in found) > 200
 
 
-def test_a_seed_plays_the_same_twice() -> None:
+def test_two_runs_of_a_seed_are_the_same() -> None:
     scenario = Scenario(seconds=6.0)
     one, other = play(3, scenario), play(3, scenario)
     assert (
@@ -63,8 +63,8 @@
     )
 
 
-def test_a_change_that_is_given_up_is_driven_by_one_keeper() -> None:
-    """All of them at once took back what the others were promised: seconds passed, at times many."""
+def test_one_voter_at_a_time_drives_a_dropped_change_to_a_decision() -> None:
+    """When all voters did at once, their ballots invalidated each other's, and a decision took seconds."""
     quiet = Scenario(seconds=15.0, faults=0.0, loss=0.0, duplicated=0.0, drops=1.0)
     for seed in (1, 2):
         result = play(seed, quiet)
@@ -106,47 +106,50 @@
         ([nowhere(1, NEW), in_force(2, NEW)], "is reported as both in force and dropped"),
     ],
 )
-def test_the_invariants(events: list[RequestBegun | OutcomeReported], reason: str) -> None:
+def test_find_violations(events: list[RequestBegun | OutcomeReported], reason: str) -> None:
     found = find_violations(events)
     assert bool(found) == bool(reason) and all(reason in violation.reason for violation in found), found
 
 
-def keeper(epoch: int, stage: str, policy: str, new: str = "", **more: object) -> dict[str, object]:
-    words: dict[str, object] = {
+def voter(epoch: int, stage: str, policy: str, new: str = "", **more: object) -> dict[str, object]:
+    fields: dict[str, object] = {
         "epoch": epoch, "stage": stage, "policy": policy, "new": new, "quiet_s": 0.0, "late_s": 0.0,
         "older": [], "reasons": {}, "pending": "",
     }  # fmt: skip
-    return words | more
+    return fields | more
 
 
-def known(*keepers: dict[str, object], **epochs: tuple[str, str, str]) -> ClusterView:
-    found = ClusterView({f"k{n}": parse_status({"keeper": one}) for n, one in enumerate(keepers)})
+def cluster_view(*voters: dict[str, object], **epochs: tuple[str, str, str]) -> ClusterView:
+    found = ClusterView({f"k{n}": parse_status({"keeper": one}) for n, one in enumerate(voters)})
     found.epochs = {int(epoch[1:]): EpochRecord(int(epoch[1:]), *one) for epoch, one in epochs.items()}
     found.voters_by_policy = {NEW: ["k0", "k1", "k2"]}
     return found
 
 
-def test_what_became_of_a_change_is_judged_from_what_is_decided() -> None:
+def test_the_verdict_on_a_change_follows_from_the_decided_epochs() -> None:
     prepare, narrow = ("PREPARE", OLD, NEW), ("NARROW", OLD, NEW)
     new, old = ("SETTLED", NEW, ""), ("SETTLED", OLD, "")
-    held = keeper(3, "SETTLED", NEW)
-    assert judge(known(), NEW, 1).code == 3
-    assert judge(known(keeper(0, "SETTLED", OLD)), NEW, 1).text == "not begun"
-    assert judge(known(keeper(1, *prepare), e1=("PREPARE", OLD, "2-00000000000d")), NEW, 1).code == 1
-    assert judge(known(keeper(2, *narrow), e1=prepare, e2=narrow), NEW, 1).text == "under way"
-    assert judge(known(keeper(2, *old), e1=prepare, e2=old), NEW, 1).text == "dropped"
-    assert judge(known(keeper(3, *old), e2=narrow, e3=old), NEW, 1).code == 1
-    # In force everywhere: a majority of the board is sure that no lease on an older epoch runs.
-    one = judge(known(held, e1=prepare, e2=narrow, e3=new), NEW, 1)
+    held = voter(3, "SETTLED", NEW)
+    assert judge(cluster_view(), NEW, 1).code == 3
+    assert judge(cluster_view(voter(0, "SETTLED", OLD)), NEW, 1).text == "not begun"
+    assert judge(cluster_view(voter(1, *prepare), e1=("PREPARE", OLD, "2-00000000000d")), NEW, 1).code == 1
+    assert judge(cluster_view(voter(2, *narrow), e1=prepare, e2=narrow), NEW, 1).text == "under way"
+    assert judge(cluster_view(voter(2, *old), e1=prepare, e2=old), NEW, 1).text == "dropped"
+    assert judge(cluster_view(voter(3, *old), e2=narrow, e3=old), NEW, 1).code == 1
+    # In force everywhere: a majority of the voters knows that no lease of an older epoch is running.
+    one = judge(cluster_view(held, e1=prepare, e2=narrow, e3=new), NEW, 1)
     assert one.code == 3 and "some nodes" in one.text
-    assert judge(known(held, held, e2=narrow, e3=new), NEW, 1).code == 0
-    running = keeper(3, "SETTLED", NEW, older=[{"epoch": 2}])
-    assert judge(known(held, running, e2=narrow, e3=new), NEW, 1).code == 3
-    assert judge(known(held, keeper(3, "SETTLED", NEW, quiet_s=1.0), e2=narrow, e3=new), NEW, 1).code == 3
-    # A later change is under way: nobody voted for it while a lease on an older epoch ran, but late ones may.
-    later = keeper(4, "PREPARE", NEW, LATER)
-    assert judge(known(later, e2=narrow, e3=new), NEW, 1).code == 0
-    late = keeper(4, "PREPARE", NEW, LATER, late_s=9.0, older=[{"epoch": 2}])
-    assert judge(known(late, late, e2=narrow, e3=new), NEW, 1).code == 3
-    # A keeper whose status is older than another's history tells nothing final.
-    assert judge(known(keeper(2, *narrow), e2=narrow, e3=new), NEW, 1).code == 3
+    assert judge(cluster_view(held, held, e2=narrow, e3=new), NEW, 1).code == 0
+    running = voter(3, "SETTLED", NEW, older=[{"epoch": 2}])
+    assert judge(cluster_view(held, running, e2=narrow, e3=new), NEW, 1).code == 3
+    assert (
+        judge(cluster_view(held, voter(3, "SETTLED", NEW, quiet_s=1.0), e2=narrow, e3=new), NEW, 1).code == 3
+    )
+    # With a later change under way: no voter accepted it while a lease of an older epoch was running, but
+    # such a lease may be late.
+    later = voter(4, "PREPARE", NEW, LATER)
+    assert judge(cluster_view(later, e2=narrow, e3=new), NEW, 1).code == 0
+    late = voter(4, "PREPARE", NEW, LATER, late_s=9.0, older=[{"epoch": 2}])
+    assert judge(cluster_view(late, late, e2=narrow, e3=new), NEW, 1).code == 3
+    # The status of a voter that is older than another's history is not final.
+    assert judge(cluster_view(voter(2, *narrow), e2=narrow, e3=new), NEW, 1).code == 3
--- a/tests/test_simulation_loop.py
+++ b/tests/test_simulation_loop.py
@@ -1,4 +1,4 @@
-"""The simulated loop and network: virtual time, one trace from one seed, and the faults of a network."""
+"""The simulated event loop and network: virtual time, reproducible traces, and network faults."""
 
 from __future__ import annotations
 
@@ -17,16 +17,16 @@
 from hollybay.simulation.network import Link, Network, SimTransport
 
 ROOT = Path(__file__).resolve().parent.parent
-# A loop without asyncio's sub-processes and pipes is abstract to a type checker.
+# SimLoop doesn't implement subprocesses and pipes, so that it is abstract for the type checker.
 new_loop: Callable[..., SimLoop] = SimLoop
 
 
-def played(main: Any, seed: int = 1, **more: Any) -> tuple[Any, SimLoop]:
+def run_loop(main: Any, seed: int = 1, **more: Any) -> tuple[Any, SimLoop]:
     loop = new_loop(seed, **more)
     return loop.run_until_complete(main(loop)), loop
 
 
-def test_time_passes_only_when_nothing_is_due() -> None:
+def test_time_advances_only_when_no_callback_is_ready() -> None:
     async def main(loop: SimLoop) -> list[float]:
         began = loop.time()
         await asyncio.sleep(3600)
@@ -35,11 +35,11 @@
                 await loop.create_future()
         return [loop.time() - began]
 
-    (took,), loop = played(main)
+    (took,), loop = run_loop(main)
     assert took == pytest.approx(90_000) and loop.steps < 30 and not loop.pending_callbacks()
 
 
-def test_call_soon_keeps_its_order_and_timers_of_one_moment_do_not() -> None:
+def test_call_soon_keeps_its_order_and_simultaneous_timers_do_not() -> None:
     async def main(loop: SimLoop) -> tuple[list[int], list[int]]:
         soon: list[int] = []
         timed: list[int] = []
@@ -53,23 +53,23 @@
 
     orders = set()
     for seed in range(5):
-        (soon, timed), _ = played(main, seed)
+        (soon, timed), _ = run_loop(main, seed)
         assert soon == list(range(20)) and sorted(timed) == list(range(20))
         orders.add(tuple(timed))
     assert len(orders) == 5
-    assert played(main, 3)[0] == played(main, 3)[0]
+    assert run_loop(main, 3)[0] == run_loop(main, 3)[0]
 
 
-def test_waiting_for_what_never_comes_is_told() -> None:
+def test_a_deadlock_and_an_endless_loop_raise() -> None:
     with pytest.raises(Deadlock):
-        played(lambda loop: asyncio.wait_for(loop.create_future(), None))
+        run_loop(lambda loop: asyncio.wait_for(loop.create_future(), None))
 
     async def spin(loop: SimLoop) -> None:
         while True:
             await asyncio.sleep(0)
 
     with pytest.raises(StepLimit):
-        played(spin, max_steps=1000)
+        run_loop(spin, max_steps=1000)
 
 
 def test_signals_and_executor_calls_are_steps() -> None:
@@ -83,15 +83,15 @@
         assert loop.remove_signal_handler(15) and not loop.deliver_signal(15)
         return seen
 
-    assert played(main)[0] == ["term", "done"]
+    assert run_loop(main)[0] == ["term", "done"]
 
 
-def test_what_nobody_handles_is_kept() -> None:
+def test_unhandled_exceptions_are_recorded() -> None:
     async def main(loop: SimLoop) -> None:
         loop.call_soon(lambda: 1 // 0)
         await asyncio.sleep(1)
 
-    _, loop = played(main)
+    _, loop = run_loop(main)
     (context,) = loop.errors
     assert isinstance(context["exception"], ZeroDivisionError)
 
@@ -108,12 +108,12 @@
         await asyncio.sleep(1)
         await asyncio.sleep(1)
 
-    _, loop = played(main)
+    _, loop = run_loop(main)
     assert checked == loop.steps > 3
 
 
 class Echo(asyncio.Protocol):
-    """Sends back what comes, and notes how it ended."""
+    """Echoes data, and logs how the connection ended."""
 
     def __init__(self, log: list[object]) -> None:
         self.log = log
@@ -133,7 +133,7 @@
 
 
 class Caller(asyncio.Protocol):
-    """Keeps what comes, piece by piece."""
+    """Stores the received pieces."""
 
     def __init__(self) -> None:
         self.pieces: list[bytes] = []
@@ -174,7 +174,7 @@
     return caller
 
 
-def test_bytes_keep_their_order_however_they_are_cut() -> None:
+def test_segmented_bytes_keep_their_order() -> None:
     async def main(loop: SimLoop) -> tuple[bytes, int, list[object]]:
         log: list[object] = []
         net = Network(loop, Link(split=0.9))
@@ -195,13 +195,13 @@
 
     counts = set()
     for seed in range(4):
-        (_, pieces, log), loop = played(main, seed)
+        (_, pieces, log), loop = run_loop(main, seed)
         assert pieces > 200 and log == ["closed"] and not loop.errors and not loop.pending_callbacks()
         counts.add(pieces)
     assert len(counts) > 1
 
 
-def test_a_reset_a_crash_and_a_refusal() -> None:
+def test_reset_crash_and_refused_connection() -> None:
     async def main(loop: SimLoop) -> None:
         log: list[object] = []
         net = Network(loop)
@@ -217,10 +217,10 @@
             await net.create_connection(Caller, "s", 80)
         assert not net.transports
 
-    played(main)
+    run_loop(main)
 
 
-def test_a_cut_way_is_silent_and_comes_up_for_no_one() -> None:
+def test_a_partition_is_silent_and_blocks_new_connections() -> None:
     async def main(loop: SimLoop) -> None:
         net = Network(loop)
         caller = await connected(net, [])
@@ -238,11 +238,11 @@
         again.transport.write(b"three")
         assert await again.have(5) == b"three"
 
-    played(main)
+    run_loop(main)
 
 
-def test_a_reader_that_pauses_fills_the_writers_buffer_and_frees_it_again() -> None:
-    class Deaf(Echo):
+def test_a_paused_reader_pauses_the_writer_until_it_resumes() -> None:
+    class PausedReader(Echo):
         def connection_made(self, transport: asyncio.BaseTransport) -> None:
             super().connection_made(transport)
             self.transport.pause_reading()
@@ -254,7 +254,7 @@
     async def main(loop: SimLoop) -> None:
         log: list[Any] = []
         net = Network(loop, Link(window=1000, buffer=0, split=0.0))
-        await net.create_server(lambda: Deaf(log), "s", 80)
+        await net.create_server(lambda: PausedReader(log), "s", 80)
         _, caller = await net.create_connection(Caller, "s", 80)
         assert isinstance(caller, Caller)
         caller.transport.set_write_buffer_limits(high=0)
@@ -265,21 +265,21 @@
         await asyncio.sleep(10)
         assert caller.paused == 0 and sum(log) == 4000
 
-    played(main)
+    run_loop(main)
 
 
-SCENE = """
+SCRIPT = """
 import asyncio, random, sys
 sys.path.insert(0, {root!r})
-from tests.test_simulation_loop import crowd
+from tests.test_simulation_loop import echo_traffic
 from hollybay.simulation.loop import SimLoop
 loop = SimLoop(int(sys.argv[1]))
-print(loop.run_until_complete(crowd(loop)), loop.steps, loop.trace)
+print(loop.run_until_complete(echo_traffic(loop)), loop.steps, loop.trace)
 """
 
 
-async def crowd(loop: SimLoop) -> int:
-    """Clients and servers that come, echo, crash and are cut off; how many bytes came back."""
+async def echo_traffic(loop: SimLoop) -> int:
+    """Run clients and echo servers under crashes and partitions; returns the number of bytes received."""
     chance = random.Random(loop.random.random())
     net = Network(loop, Link(split=0.5))
     total = 0
@@ -297,20 +297,20 @@
             except (TimeoutError, OSError):
                 pass
 
-    async def trouble() -> None:
+    async def inject_faults() -> None:
         for n in range(8):
             await asyncio.sleep(chance.random())
             net.crash(f"s{n % 5}")
             net.partitions ^= {frozenset(("client", f"s{(n + 2) % 5}"))}
 
-    await asyncio.gather(trouble(), *(client(n) for n in range(20)))
+    await asyncio.gather(inject_faults(), *(client(n) for n in range(20)))
     return total
 
 
 def test_the_same_seed_gives_the_same_trace_in_two_processes_under_any_hash_seed() -> None:
     def run(seed: int, hashes: str) -> str:
         done = subprocess.run(
-            [sys.executable, "-c", SCENE.format(root=str(ROOT)), str(seed)],
+            [sys.executable, "-c", SCRIPT.format(root=str(ROOT)), str(seed)],
             env={**os.environ, "PYTHONHASHSEED": hashes},
             capture_output=True,
             text=True,
@@ -324,10 +324,10 @@
     assert first != run(8, "1") and int(first.split()[1]) > 1000
 
 
-def test_a_trace_differs_where_anything_does() -> None:
-    traces = {played(crowd, seed)[1].trace for seed in range(6)}
+def test_different_runs_have_different_traces() -> None:
+    traces = {run_loop(echo_traffic, seed)[1].trace for seed in range(6)}
     assert len(traces) == 6
-    _, loop = played(crowd, 2)
+    _, loop = run_loop(echo_traffic, 2)
     before = loop.trace
     loop.record_trace("something")
     assert loop.trace != before
--- a/tests/test_simulation_node.py
+++ b/tests/test_simulation_node.py
@@ -1,4 +1,4 @@
-"""Whole nodes under simulation: unchanged code, bytes in memory, time that only the seed moves."""
+"""Simulation of whole nodes: reproducibility, plans, shrinking, and the command `hollybay simulate`."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 import pytest
 from click.testing import CliRunner
 
-from hollybay.cli import simulate as player
+from hollybay.cli import simulate as simulate
 from hollybay.cli.main import main
 from hollybay.cli.simulate import RunResult, RunSelection
 from hollybay.simulation.fault_injection import INJECTORS
@@ -23,11 +23,11 @@
 from hollybay.simulation.world import play
 
 ROOT = Path(__file__).resolve().parent.parent
-FIXED = range(96)  # the seeds that every run of the tests plays
+FIXED = range(96)  # the seeds of each test run
 
 
-def calm(seed: int = 3, **changes: object) -> Plan:
-    """A plan without faults, at a load that its servers carry, all its clients polite."""
+def plan_without_faults(seed: int = 3, **changes: object) -> Plan:
+    """Return a plan without faults and malformed requests, with a load that its servers can handle."""
     plan = draw(seed)
     asks = tuple(
         RequestPlan(0.05 * n, n % len(plan.classes), client=n % 5, size=0, answer=100 * n) for n in range(60)
@@ -35,29 +35,31 @@
     return msgspec.structs.replace(plan, asks=asks, faults=(), nodes=1, attempts=3, **changes)
 
 
-def test_calm_requests_are_all_served_in_virtual_time() -> None:
-    outcome = play(calm(operator=""))
-    assert outcome.violations == () and outcome.ends == {"served": 60 + 3 * len(calm().classes)}
-    assert outcome.seconds > 15  # the rests and the drain took their time, on the loop's clock
+def test_without_faults_all_requests_are_served_in_virtual_time() -> None:
+    outcome = play(plan_without_faults(operator=""))
+    assert outcome.violations == () and outcome.ends == {
+        "served": 60 + 3 * len(plan_without_faults().classes)
+    }
+    assert outcome.seconds > 15  # virtual time, including idle periods and the drain
 
 
-def test_the_seam_is_put_back() -> None:
+def test_a_run_restores_the_system_functions() -> None:
     import time
 
     from hollybay.proxy import system
 
-    play(calm())
+    play(plan_without_faults())
     assert system.monotonic_ns is time.monotonic_ns and system.sleep is time.sleep
     with system.tcp_socket("127.0.0.1") as tcp_socket:
         assert type(tcp_socket) is socket.socket
 
 
-def test_one_seed_plays_the_same_in_other_processes_and_under_other_hashes() -> None:
+def test_a_seed_gives_the_same_run_in_other_processes_and_with_other_hash_seeds() -> None:
     code = (
         "from hollybay.simulation.world import play_seed; p, o = play_seed(8); "
         "print(o.trace, o.steps, o.ends)"
     )
-    said = [
+    output = [
         subprocess.run(
             [sys.executable, "-c", code],
             capture_output=True,
@@ -68,13 +70,13 @@
         ).stdout
         for seed in ("0", "1", "77")
     ]
-    assert said[0] == said[1] == said[2] != ""
-    play(draw(9))  # what ran before in this process does not matter
+    assert output[0] == output[1] == output[2] != ""
+    play(draw(9))  # an earlier run in this process has no effect
     outcome = play(draw(8))
-    assert said[0].split()[0] == outcome.trace != play(draw(10)).trace
+    assert output[0].split()[0] == outcome.trace != play(draw(10)).trace
 
 
-def test_a_plan_is_data_and_comes_back_from_its_file() -> None:
+def test_a_plan_survives_encoding_and_decoding() -> None:
     plan = draw(5)
     assert msgspec.json.decode(to_json(plan), type=Plan) == plan == draw(5) != draw(6)
     assert events(plan) == len(plan.asks) + len(plan.faults)
@@ -82,7 +84,7 @@
         draw(1, ("crash", "fire"))
 
 
-def test_swarms_switch_kinds_on_and_off_and_reach_all_of_them() -> None:
+def test_drawn_plans_have_different_kinds_of_faults_and_together_all_of_them() -> None:
     plans = [draw(seed) for seed in range(300)]
     kinds = [{fault.kind for fault in plan.faults} for plan in plans]
     assert set().union(*kinds) == set(FAULTS) == set(INJECTORS)
@@ -94,17 +96,19 @@
         assert {fault.kind for fault in draw(seed, ("crash", "drain")).faults} <= {"crash", "drain"}
 
 
-def test_the_fixed_seeds_find_nothing() -> None:
-    said: list[str] = []
+def test_the_fixed_seeds_find_no_violation() -> None:
+    output: list[str] = []
     jobs = min(8, os.cpu_count() or 1)
-    assert player.play_all(RunSelection(FIXED, ()), jobs, said.append, lambda: None) == 0, "\n".join(said)
-    assert f"kinds {len(FAULTS)} of {len(FAULTS)}" in said[-1]
+    assert simulate.play_all(RunSelection(FIXED, ()), jobs, output.append, lambda: None) == 0, "\n".join(
+        output
+    )
+    assert f"kinds {len(FAULTS)} of {len(FAULTS)}" in output[-1]
 
 
 # Shrinking
 
 
-def test_the_least_part_that_fails_is_found() -> None:
+def test_minimal_finds_the_smallest_failing_part() -> None:
     tries = 0
 
     def fails(items: Sequence[int]) -> bool:
@@ -116,16 +120,16 @@
     assert minimal(range(10), lambda items: True) == []
 
 
-def test_a_plan_shrinks_to_what_it_takes() -> None:
+def test_a_plan_shrinks_to_the_parts_that_fail() -> None:
     plan = draw(5)
     needed = plan.asks[7]
 
     def fails(smaller: Plan) -> bool:
         return any(ask.at == needed.at for ask in smaller.asks) and len(smaller.servers) >= 2
 
-    least = shrink(plan, fails)
-    assert fails(least) and events(least) == 1 and len(least.servers) == 2 and least.nodes == 1
-    assert least.asks[0].manner == "fresh" and least.operator == ""
+    shrunk = shrink(plan, fails)
+    assert fails(shrunk) and events(shrunk) == 1 and len(shrunk.servers) == 2 and shrunk.nodes == 1
+    assert shrunk.asks[0].manner == "fresh" and shrunk.operator == ""
 
 
 # The command
@@ -137,13 +141,13 @@
 
 
 def test_the_command_plays_seeds_and_plans(tmp_path: Path) -> None:
-    code, said = run("--seeds", "3..4", "--jobs", "2", "--faults", "crash,cut")
-    assert code == 0 and "2 runs" in said and "0 with something wrong" in said
-    code, said = run("--seed", "3")
-    assert code == 0 and f"trace {play(draw(3)).trace}" in said
+    code, output = run("--seeds", "3..4", "--jobs", "2", "--faults", "crash,cut")
+    assert code == 0 and "2 runs" in output and "0 with something wrong" in output
+    code, output = run("--seed", "3")
+    assert code == 0 and f"trace {play(draw(3)).trace}" in output
     path = tmp_path / "plan.json"
-    path.write_bytes(to_json(calm()))
-    code, said = run("--plan", str(path), "--trace", str(tmp_path / "trace.txt"))
+    path.write_bytes(to_json(plan_without_faults()))
+    code, output = run("--plan", str(path), "--trace", str(tmp_path / "trace.txt"))
     assert code == 0 and "r-59 served" in (tmp_path / "trace.txt").read_text()
     assert run("--plan", str(path), "--shrink", str(tmp_path / "least.json"))[0] == 0
     assert run("--faults", "fire")[0] == run("--seeds", "4..3")[0] == run("--seed", "x")[0] == 2
@@ -156,14 +160,14 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     wrong = RunResult(7, ("crash",), 10, 1.0, "t", ("dup: r-1: an unsafe request ran again",), ("dup",))
-    monkeypatch.setattr(player, "play_one", lambda selection, seed: wrong)
-    code, said = run("--seed", "7", "--faults", "crash")
-    assert code == 1 and "seed 7: dup: r-1: an unsafe request ran again" in said
-    assert "hollybay simulate --seed 7 --faults crash" in said
+    monkeypatch.setattr(simulate, "play_one", lambda selection, seed: wrong)
+    code, output = run("--seed", "7", "--faults", "crash")
+    assert code == 1 and "seed 7: dup: r-1: an unsafe request ran again" in output
+    assert "hollybay simulate --seed 7 --faults crash" in output
 
 
-def test_a_fault_of_a_plan_names_what_it_strikes() -> None:
-    plan = msgspec.structs.replace(calm(), faults=(FaultPlan(0.5, "crash", 0, 0.5, 0.5),))
+def test_the_trace_has_the_kind_and_target_of_a_fault() -> None:
+    plan = msgspec.structs.replace(plan_without_faults(), faults=(FaultPlan(0.5, "crash", 0, 0.5, 0.5),))
     lines: list[str] = []
     outcome = play(plan, lines.append)
     assert outcome.violations == () and any(line.endswith("# crash  0 is over") for line in lines)
--- a/tests/test_simulation_oracles.py
+++ b/tests/test_simulation_oracles.py
@@ -1,4 +1,4 @@
-"""Each oracle fails on a case of its own, and holds its peace beside it."""
+"""Each oracle reports a violation in a failing case, and none in a similar valid one."""
 
 from __future__ import annotations
 
@@ -72,7 +72,7 @@
         (lambda: oracles.leak_violation({"a": 0, "b": 2}), lambda: oracles.leak_violation({"a": 0})),
     ],
 )
-def test_an_oracle_speaks_on_its_own_case_only(wrong: object, right: object) -> None:
+def test_an_oracle_reports_only_violations(wrong: object, right: object) -> None:
     assert wrong() is not None  # type: ignore[operator]
     assert right() is None  # type: ignore[operator]
 
@@ -81,7 +81,7 @@
 SEND = api.RequestClass("send", api.Effect.UNSAFE, 1.0, 100 * MS, 500 * MS)
 
 
-def watched() -> tuple[OracleLedger, list[int]]:
+def new_ledger() -> tuple[OracleLedger, list[int]]:
     now = [0]
     limits = RuleLimits((READ, SEND), SECOND, 0.3, 4 * SECOND, max_attempts=2)
     return OracleLedger(limits, lambda: now[0]), now
@@ -91,8 +91,8 @@
     return [fault.rule for fault in ledger.found]
 
 
-def test_an_answer_that_is_overdue_is_found_at_the_step_and_not_before() -> None:
-    ledger, now = watched()
+def test_an_overdue_response_is_reported_at_the_first_step_after_its_deadline() -> None:
+    ledger, now = new_ledger()
     ledger.asked("a", 0, 0, 500 * MS)
     ledger.asked("b", 0, 0, 500 * MS)
     ledger.asked("c", 0, 0, 500 * MS)
@@ -106,8 +106,8 @@
     assert [(fault.rule, fault.subject) for fault in ledger.found] == [("lost", "b")]
 
 
-def test_a_repeat_a_refusal_and_work_for_one_who_left_are_found_as_they_come() -> None:
-    ledger, now = watched()
+def test_repeated_effects_wrong_rejections_and_attempts_after_a_disconnect_are_reported_at_once() -> None:
+    ledger, now = new_ledger()
     start = ledger.started("s", 0, 1.0, cold=False)
     ledger.asked("a", 1, 0, 500 * MS)
     ledger.arrived("a", start, MS, 0, 0, MS, True)
@@ -128,8 +128,8 @@
     assert any("attempts" in fault.reason for fault in ledger.found)
 
 
-def test_a_cold_server_that_is_pushed_over_is_found_and_a_warm_one_is_overload() -> None:
-    ledger, _ = watched()
+def test_too_much_work_for_a_server_is_reported_in_slow_start_only() -> None:
+    ledger, _ = new_ledger()
     cold = ledger.started("cold", 0, 1.0, cold=True)
     warm = ledger.started("warm", 0, 1.0, cold=False)
     for n in range(40):
@@ -138,12 +138,12 @@
     assert not ledger.found
     for n in range(26):
         ledger.arrived(f"a{n}", cold, 10 * MS, 0, 0, 100 * MS, False)
-    # 4 x 0.3 x 2 s and one request to chance stand against 2.6 s.
+    # The limit is 4 x 0.3 x 2 s and one request of tolerance; 2.6 s of work were sent.
     assert rules(ledger) == ["cold"]
 
 
-def test_a_send_after_the_grace_is_found_node_by_node() -> None:
-    ledger, _ = watched()
+def test_an_attempt_after_the_drain_grace_is_reported_for_each_node_separately() -> None:
+    ledger, _ = new_ledger()
     ledger.told("s", False, 0, "n0")
     ledger.first_byte("s", 2 * SECOND, "n1")
     assert not ledger.found
@@ -166,14 +166,14 @@
         b"\x00" * 70_000,
     ],
 )
-def test_the_models_reader_takes_nothing_malformed(data: bytes) -> None:
+def test_the_message_reader_rejects_malformed_messages(data: bytes) -> None:
     reader = MessageReader(answers=True)
     reader.feed(data)
     with pytest.raises(MalformedMessageError):
         reader.next()
 
 
-def test_the_models_reader_reads_byte_by_byte() -> None:
+def test_the_message_reader_parses_byte_by_byte() -> None:
     body = filler("r", 100)
     data = (
         b"HTTP/1.1 103 x\r\nLink: y\r\n\r\nHTTP/1.1 200 x\r\nTransfer-Encoding: chunked\r\n\r\n"
