--- a/hollybay/simulation/consensus_simulation.py
+++ b/hollybay/simulation/consensus_simulation.py
@@ -167,8 +167,8 @@
         assert entry.state is not None
         # Resources that came into force while this node was down are served; only changed ones are checked.
         keys = {*(entry.changed_keys or ()), Key(Kind.ROUTE, FILE)}
-        there = [one for key in sorted(keys) if (one := entry.state.resources.get(key)) is not None]
-        return [reason for one in there if (reason := self._rejection_of(one.body))]
+        current = [one for key in sorted(keys) if (one := entry.state.resources.get(key)) is not None]
+        return [reason for one in current if (reason := self._rejection_of(one.body))]
 
     async def find_invalid_changes(self, base: Entry, changes: tuple[Change, ...]) -> dict[bytes, list[str]]:
         await asyncio.sleep(self.simulation.rng.uniform(0.001, 0.03))
@@ -183,10 +183,10 @@
         return "route x: invalid on this node" if body.startswith(REJECTED_BODY) and self.n % 2 else ""
 
     async def read_operator_file(self, file: bytes, state: ResourceState) -> OperatorFileChanges:
-        there = state.get(Kind.ROUTE, FILE)
-        if there is not None and there.body == file:
+        current = state.get(Kind.ROUTE, FILE)
+        if current is not None and current.body == file:
             return OperatorFileChanges((), None)
-        version = there.version if there is not None else 0
+        version = current.version if current is not None else 0
         return OperatorFileChanges((Upsert(Kind.ROUTE, FILE, version, file),), None)
 
     def apply_policies(self, entries: tuple[Entry, ...]) -> None:
@@ -307,13 +307,13 @@
                 ("crash", "crash", "pause", "pause", "part", "one way", "full", "lose", "halves", "clock")
             )
             node = self.rng.choice(self.nodes)
-            lasts = self.rng.choice((0.2, 1.0, 3.0, 6.0)) * self.rng.uniform(0.5, 1.5)
-            self.loop.record_trace(f"trouble {kind} {node.name} {lasts:.2f}")
-            self.loop.create_task(self._inject(kind, node, lasts))
+            duration = self.rng.choice((0.2, 1.0, 3.0, 6.0)) * self.rng.uniform(0.5, 1.5)
+            self.loop.record_trace(f"trouble {kind} {node.name} {duration:.2f}")
+            self.loop.create_task(self._inject(kind, node, duration))
 
-    async def _inject(self, kind: str, node: _SimulatedNode, lasts: float) -> None:
+    async def _inject(self, kind: str, node: _SimulatedNode, duration: float) -> None:
         others = [one for one in self.nodes if one is not node]
-        cut: set[tuple[str, str]] = set()
+        partition: set[tuple[str, str]] = set()
         if kind in ("crash", "lose"):
             if not node.up:
                 return
@@ -325,7 +325,7 @@
                 else:
                     self.losses += 1
                     self._wipe(node)
-            await asyncio.sleep(lasts)
+            await asyncio.sleep(duration)
             if not node.up:
                 node.start()
             return
@@ -334,7 +334,7 @@
             if process is None or process.stopped:
                 return
             process.suspend()
-            await asyncio.sleep(lasts)
+            await asyncio.sleep(duration)
             if process.alive:
                 process.resume()
             return
@@ -345,24 +345,26 @@
             return
         if kind == "full":
             node.disk_full = True
-            await asyncio.sleep(lasts)
+            await asyncio.sleep(duration)
             node.disk_full = False
             return
         if kind == "part":
-            cut = {(a.name, b.name) for a in (node,) for b in others} | {(b.name, node.name) for b in others}
+            partition = {(a.name, b.name) for a in (node,) for b in others} | {
+                (b.name, node.name) for b in others
+            }
         elif kind == "one way":
-            cut = {(node.name, b.name) for b in others}
+            partition = {(node.name, b.name) for b in others}
         elif kind == "halves":
             half = {one.name for one in self.rng.sample(self.nodes, k=len(self.nodes) // 2)}
-            cut = {
+            partition = {
                 (a.name, b.name)
                 for a in self.nodes
                 for b in self.nodes
                 if (a.name in half) != (b.name in half)
             }
-        self.partitions |= cut
-        await asyncio.sleep(lasts)
-        self.partitions -= cut
+        self.partitions |= partition
+        await asyncio.sleep(duration)
+        self.partitions -= partition
 
     def _wipe(self, node: _SimulatedNode) -> None:
         for path in sorted((self.folder / node.name).rglob("*"), reverse=True):
@@ -393,9 +395,9 @@
 
     def _other_voters(self) -> list[str] | None:
         for node in self.nodes:
-            keeping = node.service.acceptor if node.service is not None else None
-            if keeping is not None and keeping.state is not None:
-                policy = keeping.log.policy(keeping.state.decided.policy)
+            acceptor = node.service.acceptor if node.service is not None else None
+            if acceptor is not None and acceptor.state is not None:
+                policy = acceptor.log.policy(acceptor.state.decided.policy)
                 if policy is not None:
                     voters = list(policy.voters)
                     others = [one.address for one in self.nodes if one.address not in voters]
@@ -436,14 +438,14 @@
             return None
         state = self.rng.choice(states)  # of any node, may be outdated
         name = f"r{self.rng.randrange(RESOURCES)}"
-        there = state.get(Kind.ROUTE, name)
+        current = state.get(Kind.ROUTE, name)
         self.number += 1
         body = b"%d" % self.number
         if self.rng.random() < self.scenario.rejected_share:
             body = REJECTED_BODY + body
-        operation: Operation = Upsert(Kind.ROUTE, name, there.version if there is not None else 0, body)
-        if there is not None and self.rng.random() < 0.2:
-            operation = Delete(Kind.ROUTE, name, there.version)
+        operation: Operation = Upsert(Kind.ROUTE, name, current.version if current is not None else 0, body)
+        if current is not None and self.rng.random() < 0.2:
+            operation = Delete(Kind.ROUTE, name, current.version)
         return Change(self.rng.randbytes(16), state.revision, f"change {self.number}", "", (operation,))
 
     async def _follow_change(self, change: Change) -> None:
--- a/hollybay/simulation/servers.py
+++ b/hollybay/simulation/servers.py
@@ -127,13 +127,13 @@
             if head is not None:
                 if server.fault_applies("halfway", head):
                     self.transport.abort()
-                elif not self.early and self._held(head) and server.fault_applies("early", head):
+                elif not self.early and self._awaits_last_byte(head) and server.fault_applies("early", head):
                     self.early = True
                     self.write_whole(b"early\n")
             return
         server.request(self, message)
 
-    def _held(self, head: Message) -> bool:
+    def _awaits_last_byte(self, head: Message) -> bool:
         """Whether only the last byte is missing, which the node holds back, and a response can precede it."""
         plan = self.world.plan
         if head.length is None or head.length > 2000 or plan.delay + plan.jitter >= 0.001:
@@ -154,7 +154,7 @@
         if not self.transport.is_closing():
             self.transport.write(data)
 
-    def rest(self) -> None:
+    def mark_idle(self) -> None:
         """Mark the connection as idle after a response, and start the idle timer."""
         self.job = None
         self.early = False
@@ -169,10 +169,10 @@
         """Close the connection after the idle timeout; reports it, as the node must close it earlier."""
         self.timer = None
         world = self.world
-        heard = world.net.can_reach(self.node, self.server.host)
+        reachable = world.net.can_reach(self.node, self.server.host)
         # A long response may stay in buffers: for the node it ends when its last byte is read.
-        heard = heard and world.loop.now - self.transport.peer.last_delivered_at >= limit - 0.02
-        if limit == world.plan.idle / 1000 and heard and not self.transport.is_closing():
+        reachable = reachable and world.loop.now - self.transport.peer.last_delivered_at >= limit - 0.02
+        if limit == world.plan.idle / 1000 and reachable and not self.transport.is_closing():
             world.ledger.report("idle", self.server.host, idle_violation(limit + 0.001, limit))
         self.transport.close()
 
@@ -297,11 +297,11 @@
                 world.ledger.report("route", rid, attempt_violation(arrived, ROUTE_ATTEMPTS))
         if not runs:
             connection.write_whole(b"turned away\n", b"X-Unprocessed: 1", *self._load(), status=503)
-            connection.rest()
+            connection.mark_idle()
         elif fails:
             self._load_window[1] += 1
             connection.write_whole(b"error\n", *self._load(), status=500)
-            connection.rest()
+            connection.mark_idle()
         else:
             job = _Job(rid, message, work, planned.answer if planned is not None else 0, connection, rng)
             connection.job = job
@@ -390,7 +390,7 @@
         if variant in _INCOMPLETE_RESPONSES:
             connection.job = None  # without a complete response the connection does not become idle
         elif not connection.transport.is_closing():
-            connection.rest()
+            connection.mark_idle()
 
     def _stream(self, connection: _ServerConnection, job: _Job, body: bytes, head: tuple[bytes, ...]) -> None:
         """Send a response in parts, chunked or with a Content-Length."""
@@ -414,7 +414,7 @@
             else:
                 if chunked:
                     connection.send(b"0\r\n\r\n")
-                connection.rest()
+                connection.mark_idle()
 
         send_next()
 
