--- a/hollybay/consensus/service.py
+++ b/hollybay/consensus/service.py
@@ -2,7 +2,7 @@
 
 The parts communicate with other processes only through a `Transport`, and with their node only through a
 `DataPlane`, so the same code runs over sockets (`hollybay.proxy.consensus_member`) and on a virtual clock
-(`hollybay.simulation.accord_rehearsal`).
+(`hollybay.simulation.consensus_simulation`).
 
 See Also
 --------
--- a/hollybay/simulation/agent.py
+++ b/hollybay/simulation/agent.py
@@ -1,4 +1,4 @@
-"""The discovery agent of a node, as a model: it tells the fleet's list, late, twice, in part or wrongly."""
+"""A model of a node's discovery agent, which serves the server list: also late, repeatedly, partially or wrongly."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 from collections.abc import Callable
 from typing import Any, cast
 
-from .http import Malformed, Reader
+from .http import MalformedMessageError, MessageReader
 from .network import SimTransport
-from .stage import Stage
+from .run_context import RunContext
 
 __all__ = ["Agent"]
 
 _INDEX = re.compile(rb"[?&]index=(\d+)")
 _WAIT = re.compile(rb"[?&]wait=(\d+)")
-# What a broken agent answers in place of a list.
+# The responses of a broken agent in place of a list.
 _BROKEN: tuple[bytes, ...] = (
     b"HTTP/1.1 500 x\r\nContent-Length: 2\r\n\r\nno",
     b'HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n{"version',
@@ -29,49 +29,49 @@
 
 
 class Agent:
-    """One for each node. Every change of the fleet's list bumps its version."""
+    """The discovery agent of one node. Every change of the server list increments its version."""
 
-    def __init__(self, world: Stage, node: str) -> None:
+    def __init__(self, world: RunContext, node: str) -> None:
         self.world = world
         self.node = node
         self.host = f"agent-{node}"
         self.version = 1
         self.versions: dict[str, int] = {}
-        self.lines: dict[str, dict[str, Any]] = {}
-        self.silent = self.dead = self.broken = self.again = 0  # faults of each kind that last
+        self.entries: dict[str, dict[str, Any]] = {}
+        self.silent = self.dead = self.broken = self.again = 0  # the number of active faults of each kind
         self.calls = 0
         self._changed = asyncio.Event()
 
     async def begin(self) -> None:
-        """Listen."""
+        """Listen for the node's polls."""
         if (self.host, 8500) not in self.world.net.listening:
-            await self.world.net.create_server(lambda: _Line(self), self.host, 8500)
+            await self.world.net.create_server(lambda: _AgentConnection(self), self.host, 8500)
 
     def stop(self) -> None:
-        """Die: connections are reset, new ones refused."""
+        """Stop as in a crash: connections are reset, new ones refused."""
         self.world.net.crash(self.host)
 
-    def publish(self, line: dict[str, Any]) -> None:
-        """One server's line has changed."""
+    def publish(self, entry: dict[str, Any]) -> None:
+        """Publish a changed entry of the server list."""
         self.version += 1
-        self.lines[str(line["id"])] = line
-        self.versions[str(line["id"])] = self.version
-        self.note()
+        self.entries[str(entry["id"])] = entry
+        self.versions[str(entry["id"])] = self.version
+        self.notify_waiters()
 
-    def note(self) -> None:
-        """Something has changed that calls may wait for."""
+    def notify_waiters(self) -> None:
+        """Wake the polls that wait for a change."""
         self._changed.set()
         self._changed = asyncio.Event()
 
     def listing(self, since: int) -> dict[str, Any]:
-        """The whole list, or what changed after a version."""
+        """Return the whole list, or the entries that changed after a version."""
         full = since < 0 or since > self.version
-        lines = [
-            line
-            for name, line in self.lines.items()
-            if (line["state"] != "DELETED" if full else self.versions[name] > since)
+        entries = [
+            entry
+            for name, entry in self.entries.items()
+            if (entry["state"] != "DELETED" if full else self.versions[name] > since)
         ]
-        return {"version": self.version, "full": full, "servers": lines}
+        return {"version": self.version, "full": full, "servers": entries}
 
     async def _until(self, holds: Callable[[], bool], limit: float) -> None:
         try:
@@ -82,7 +82,7 @@
             pass
 
     async def answer(self, head: bytes, transport: SimTransport) -> None:
-        """Answer one call, and note what the node has been told by it."""
+        """Respond to one poll, and record the list that the node is sent."""
         self.calls += 1
         found = _INDEX.search(head)
         since = int(found.group(1)) if found else -1
@@ -102,15 +102,15 @@
         listing = self.listing(-1 if self.again else since)
         body = json.dumps(listing).encode()
         transport.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
-        self.world.was_told(self.node, listing)
+        self.world.on_list_delivered(self.node, listing)
 
 
-class _Line(asyncio.Protocol):
-    """One connection of the node."""
+class _AgentConnection(asyncio.Protocol):
+    """One connection from the node."""
 
     def __init__(self, agent: Agent) -> None:
         self.agent = agent
-        self.reader = Reader(answers=False)
+        self.reader = MessageReader(answers=False)
         self.transport: SimTransport
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -120,7 +120,7 @@
         self.reader.feed(data)
         try:
             message = self.reader.next()
-        except Malformed as error:
+        except MalformedMessageError as error:
             self.agent.world.ledger.report("bytes", self.agent.host, str(error))
             self.transport.abort()
             return
--- a/hollybay/simulation/loop.py
+++ b/hollybay/simulation/loop.py
@@ -1,13 +1,12 @@
-"""A deterministic event loop: time passes only when nothing is left to do, and chance comes from a seed.
+"""A deterministic event loop: virtual time advances only when no callback is ready, and choices are seeded.
 
-What is due at one moment from different sources (timers, the network) comes in an order drawn from the
-seed. Callbacks of call_soon stay in their order, as asyncio promises it to its users; transports and futures
-rely on that. Every callback that runs is a step, and goes into the hash of the trace by its time and name, so
-that two runs can be compared without keeping either. Not safe for threads; run_in_executor runs its call as a
-later step.
+Timers that are due at the same time (also those of the network) run in an order drawn from the seed.
+Callbacks of call_soon run in their order, as asyncio guarantees; transports and futures rely on that. Every
+callback that runs is a step. Its time and name are added to the hash of the trace, by which two runs can be
+compared without storing either. The loop is not thread-safe; run_in_executor runs its call as a later step.
 
-Several processes can live on one loop: each sees a `Process`, a loop of its own over the same clock and
-queue, and can be killed without a word, after which nothing of it runs any more.
+Several simulated processes can share one loop. Each has a `Process`: an event loop of its own over the same
+clock and queue. A process can be killed, after which none of its callbacks run.
 """
 
 from __future__ import annotations
@@ -22,22 +21,22 @@
 from hashlib import blake2b
 from typing import Any, TypeVar, TypeVarTuple
 
-__all__ = ["AnyLoop", "Deadlock", "Process", "SimLoop", "StepLimit"]
+__all__ = ["BaseSimLoop", "Deadlock", "Process", "SimLoop", "StepLimit"]
 
 T = TypeVar("T")
 Ts = TypeVarTuple("Ts")
 
 
 class Deadlock(RuntimeError):
-    """Nothing is due any more, and what was waited for has not come."""
+    """No callback or timer is left, and the awaited future is not done."""
 
 
 class StepLimit(RuntimeError):
-    """More steps than allowed: it would go on for ever."""
+    """The run has taken more steps than allowed, as an endless loop does."""
 
 
-def _name(callback: Callable[..., object]) -> str:
-    """A callback's name, the same in every process: no addresses, no hashes."""
+def _callback_name(callback: Callable[..., object]) -> str:
+    """Return a callback's name, which is the same in every run: it contains no address or hash."""
     target: Any = callback
     while hasattr(target, "func"):  # functools.partial
         target = target.func
@@ -47,20 +46,20 @@
     return getattr(target, "__qualname__", type(target).__name__)
 
 
-class AnyLoop(asyncio.AbstractEventLoop):
-    """What a process sees of the loop: callbacks, timers, tasks and signals of its own."""
+class BaseSimLoop(asyncio.AbstractEventLoop):
+    """The event loop as one process sees it: its own callbacks, timers, tasks and signals."""
 
     root: SimLoop
     name = ""
-    machine: Any = None  # on which the process runs
+    sim_host: Any = None  # the `SimHost` of the process
 
     def __init__(self) -> None:
         self.alive = True
-        self.errors: list[dict[str, Any]] = []  # what no one handled
+        self.errors: list[dict[str, Any]] = []  # contexts of unhandled exceptions
         self._signals: dict[int, asyncio.Handle] = {}
-        self._handler: Callable[[asyncio.AbstractEventLoop, dict[str, Any]], object] | None = None
+        self._exception_handler: Callable[[asyncio.AbstractEventLoop, dict[str, Any]], object] | None = None
         self._tasks: list[asyncio.Task[Any]] = []
-        self._most_tasks = 64  # so many are kept before those that are done are let go
+        self._reap_threshold = 64  # the number of tasks at which finished ones are dropped
 
     # Time and callbacks
 
@@ -100,7 +99,7 @@
         return handle
 
     def _timer_handle_cancelled(self, handle: asyncio.TimerHandle) -> None:
-        """asyncio tells of each cancelled timer; it is skipped when it comes up."""
+        """Called by asyncio for each cancelled timer; such a timer is skipped when it is due."""
 
     def create_future(self) -> asyncio.Future[Any]:
         return asyncio.Future(loop=self)
@@ -113,15 +112,15 @@
         context: contextvars.Context | None = None,
     ) -> asyncio.Task[T]:
         task = asyncio.Task(coro, loop=self, name=name or "task", context=context)
-        # Held until it is done: collected by chance, a task would end at a moment that does not repeat.
+        # Referenced until done: garbage collection would end a task at a time that is not reproducible.
         self._tasks.append(task)
-        if len(self._tasks) > self._most_tasks:
-            self.look_at_tasks()
-            self._most_tasks = 2 * len(self._tasks) + 64
+        if len(self._tasks) > self._reap_threshold:
+            self.reap_finished_tasks()
+            self._reap_threshold = 2 * len(self._tasks) + 64
         return task
 
-    def look_at_tasks(self) -> None:
-        """Let go of tasks that are done; an exception that nobody asked one for is noted among the errors."""
+    def reap_finished_tasks(self) -> None:
+        """Drop the tasks that are done; adds exceptions that were not retrieved to the errors."""
         for task in self._tasks:
             if task.done() and getattr(task, "_log_traceback", False):
                 self.errors.append({"message": "a task failed", "exception": task.exception()})
@@ -151,10 +150,10 @@
         return future
 
     async def shutdown_asyncgens(self) -> None:
-        """There are none that outlive their task."""
+        """Nothing to do: no asynchronous generator outlives its task."""
 
     async def shutdown_default_executor(self, timeout: float | None = None) -> None:
-        """There is none."""
+        """Nothing to do: there is no default executor."""
 
     def is_running(self) -> bool:
         return self.alive and self.root.running
@@ -170,8 +169,8 @@
     def remove_signal_handler(self, sig: int) -> bool:
         return self._signals.pop(sig, None) is not None
 
-    def deliver(self, sig: int) -> bool:
-        """Send the process under simulation a signal; False: nobody handles it, it would end the process."""
+    def deliver_signal(self, sig: int) -> bool:
+        """Send the process a signal; False: it has no handler, so that the signal would end the process."""
         handle = self._signals.get(sig)
         if handle is None:
             return False
@@ -184,97 +183,102 @@
         return False
 
     def set_debug(self, enabled: bool) -> None:
-        """Not here: debug mode reads the real clock."""
+        """Ignored: debug mode reads the real clock."""
 
     def set_exception_handler(self, handler: Any) -> None:
-        self._handler = handler
+        self._exception_handler = handler
 
     def get_exception_handler(self) -> Any:
-        return self._handler
+        return self._exception_handler
 
     def default_exception_handler(self, context: dict[str, Any]) -> None:
         self.errors.append(context)
 
     def call_exception_handler(self, context: dict[str, Any]) -> None:
         if not self.alive:
-            return  # what a killed process leaves behind
-        if self._handler is not None:
-            self._handler(self, context)
+            return  # left over by a killed process
+        if self._exception_handler is not None:
+            self._exception_handler(self, context)
         else:
             self.default_exception_handler(context)
 
 
-class Process(AnyLoop):
-    """One process on a SimLoop. kill() ends it as SIGKILL does: no handler, no finally, no callback runs."""
+class Process(BaseSimLoop):
+    """A simulated process on a SimLoop. kill() ends it like SIGKILL: no handler, finally or callback runs."""
 
     def __init__(self, root: SimLoop, name: str) -> None:
         super().__init__()
         self.root, self.name = root, name
         self.stopped = False
-        self._held: list[asyncio.Handle] = []
+        self._deferred: list[asyncio.Handle] = []
 
-    def stop_running(self) -> None:
-        """SIGSTOP: what falls due waits, while time goes on."""
+    def suspend(self) -> None:
+        """SIGSTOP: due callbacks are deferred while time advances."""
         self.stopped = True
 
-    def go_on(self) -> None:
-        """SIGCONT: what waited is run, in its order."""
+    def resume(self) -> None:
+        """SIGCONT: the deferred callbacks run in their order."""
         self.stopped = False
-        held, self._held = self._held, []
-        self.root.ready.extend(held)
+        deferred, self._deferred = self._deferred, []
+        self.root.ready.extend(deferred)
 
-    def hold(self, handle: asyncio.Handle) -> None:
-        """Keep what fell due while it is stopped."""
-        self._held.append(handle)
+    def defer(self, handle: asyncio.Handle) -> None:
+        """Defer a callback that is due while the process is stopped."""
+        self._deferred.append(handle)
 
     def kill(self) -> None:
-        """Nothing of it runs from here on; its tasks are kept as they were until the loop goes."""
+        """Run no more of its callbacks; its tasks stay referenced as they are for as long as the loop."""
         self.alive = False
-        self.root.graveyard.append(self)
+        self.root.killed_processes.append(self)
 
 
-class SimLoop(AnyLoop):
-    """Virtual time in seconds from `start`; seed: of every choice; most_steps: then StepLimit is raised."""
+class SimLoop(BaseSimLoop):
+    """The loop of a run.
 
-    def __init__(self, seed: int, start: float = 1000.0, most_steps: int = 50_000_000) -> None:
+    start: the initial virtual time (s); seed: of all random choices; max_steps: beyond, StepLimit is raised.
+    """
+
+    def __init__(self, seed: int, start: float = 1000.0, max_steps: int = 50_000_000) -> None:
         super().__init__()
         self.root = self
         self.random = random.Random(seed)
         self.now = start
         self.steps = 0
-        self.most_steps = most_steps
-        self.after_step: Callable[[], None] | None = None  # a check, after every step
-        self.recorder: Callable[[str], None] | None = None  # hears each line of the trace
-        self.graveyard: list[Process] = []
+        self.max_steps = max_steps
+        self.after_step: Callable[[], None] | None = None  # called after every step
+        self.recorder: Callable[[str], None] | None = None  # receives each line of the trace
+        self.killed_processes: list[Process] = []
         self.ready: deque[asyncio.Handle] = deque()
         self.running = False
         self._hash = blake2b(digest_size=16)
         self._timers: list[tuple[float, float, int, asyncio.TimerHandle]] = []
-        self._ties = 0
+        self._timer_sequence = 0
         self._stopping = False
-        self._current: Any = None
+        self._current_loop: Any = None
 
     @property
     def trace(self) -> str:
-        """The hash of all steps so far."""
+        """The hash of the trace so far."""
         return self._hash.hexdigest()
 
-    def note(self, text: str) -> None:
-        """Put something that happened into the trace."""
+    def record_trace(self, text: str) -> None:
+        """Add an event to the trace."""
         self._hash.update(f"{self.now:.9f} {text}\n".encode())
         if self.recorder is not None:
             self.recorder(f"{self.now:.6f} {text}")
 
     def add_timer(self, when: float, handle: asyncio.TimerHandle) -> None:
-        """Set a timer of any process; those of one moment come in an order drawn from the seed."""
-        self._ties += 1
-        heapq.heappush(self._timers, (max(when, self.now), self.random.random(), self._ties, handle))
-
-    def timers_of(self, loop: AnyLoop) -> list[str]:
-        """The names of one process's timers."""
+        """Add a timer of any process; timers of the same time run in an order drawn from the seed."""
+        self._timer_sequence += 1
+        heapq.heappush(
+            self._timers, (max(when, self.now), self.random.random(), self._timer_sequence, handle)
+        )
+
+    def timers_of(self, loop: BaseSimLoop) -> list[str]:
+        """Return the callback names of one process's timers."""
         handles = [entry[3] for entry in self._timers]
         return [
-            _name(h._callback)  # type: ignore[attr-defined]
+            _callback_name(h._callback)  # type: ignore[attr-defined]
             for h in handles
             if not h.cancelled() and h._loop is loop  # type: ignore[attr-defined]
         ]
@@ -282,7 +286,7 @@
     # Running
 
     def step(self) -> bool:
-        """Run the next callback; False: nothing is left."""
+        """Run the next callback; returns False if none is left."""
         while True:
             if not self.ready:
                 while self._timers and self._timers[0][3].cancelled():
@@ -295,15 +299,15 @@
             handle = self.ready.popleft()
             loop = handle._loop  # type: ignore[attr-defined]
             if loop.alive and isinstance(loop, Process) and loop.stopped:
-                loop.hold(handle)
+                loop.defer(handle)
             elif not handle.cancelled() and loop.alive:
                 break
         self.steps += 1
-        self.note(f"{loop.name} {_name(handle._callback)}")  # type: ignore[attr-defined]
-        if self.steps > self.most_steps:
-            raise StepLimit(f"{self.steps} steps at {self.now:.3f} s")
-        if loop is not self._current:
-            self._current = loop
+        self.record_trace(f"{loop.name} {_callback_name(handle._callback)}")  # type: ignore[attr-defined]
+        if self.steps > self.max_steps:
+            raise StepLimit(f"{self.steps} steps at {self.now:.3f} s, at most {self.max_steps} allowed")
+        if loop is not self._current_loop:
+            self._current_loop = loop
             events._set_running_loop(loop)
         handle._run()
         if self.after_step is not None:
@@ -316,7 +320,7 @@
         try:
             while not task.done():
                 if not self.step():
-                    raise Deadlock(f"nothing is due at {self.now:.3f} s, step {self.steps}")
+                    raise Deadlock(f"no callback or timer is left at {self.now:.3f} s, step {self.steps}")
         finally:
             self._leave()
         return task.result()
@@ -331,14 +335,14 @@
             self._leave()
 
     def run_for(self, seconds: float) -> None:
-        """Let so much virtual time pass."""
+        """Run for a duration (s) of virtual time."""
         self.run_until_complete(asyncio.sleep(seconds))
 
     def _enter(self) -> None:
         if not self.alive or self.running:
-            raise RuntimeError("the loop is closed or runs already")
+            raise RuntimeError("the loop is closed or already running")
         self.running = True
-        self._current = self
+        self._current_loop = self
         events._set_running_loop(self)
 
     def _leave(self) -> None:
@@ -353,7 +357,7 @@
         self.ready.clear()
         self._timers.clear()
 
-    def left(self) -> list[str]:
-        """The names of what still waits: nothing must, once a scene is over."""
+    def pending_callbacks(self) -> list[str]:
+        """Return the names of pending callbacks and timers; there are none after a run that ended cleanly."""
         waiting = [*self.ready, *(entry[3] for entry in self._timers)]
-        return [_name(h._callback) for h in waiting if not h.cancelled()]  # type: ignore[attr-defined]
+        return [_callback_name(h._callback) for h in waiting if not h.cancelled()]  # type: ignore[attr-defined]
--- a/hollybay/simulation/network.py
+++ b/hollybay/simulation/network.py
@@ -1,7 +1,7 @@
-"""Connections in memory between protocols on one SimLoop, with the faults of real ones.
+"""In-memory connections between protocols on one SimLoop, with the faults of real ones.
 
-Bytes of one direction keep their order; between connections nothing does. A connection that is cut off says
-nothing to either side, as where a machine vanishes. Addresses are (host, port), any text and number.
+Bytes of one direction stay in order; between connections there is no order. A partition is silent to both
+sides, as if the other host had vanished. Addresses are (host, port), any text and number.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from functools import partial
 from typing import Any, cast
 
-from .loop import AnyLoop, SimLoop
+from .loop import BaseSimLoop, SimLoop
 
 __all__ = ["Address", "Link", "Network", "SimTransport"]
 
@@ -23,9 +23,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Link:
-    """How a network carries: one-way delay and jitter (s), the chance that a write is cut into segments, the
-    bytes that wait unread at a receiver before its sender's buffer fills up, and the size of that buffer in
-    the sender's kernel: what is in it is sent even after its process has closed."""
+    """The properties of the network's links.
+
+    delay, jitter: one-way (s); split: the probability that a write is cut into segments; window: the number
+    of bytes unread at the receiver from which the sender's buffer fills up; buffer: the size of that buffer
+    in the sender's kernel, whose content is sent even after the process has closed the connection.
+    """
 
     delay: float = 0.0005
     jitter: float = 0.0002
@@ -35,7 +38,7 @@
 
 
 class _Server(asyncio.AbstractServer):
-    """A listener; what it accepted lives on when it closes."""
+    """A listener. Connections that it accepted outlive it."""
 
     def __init__(self, network: Network, address: Address) -> None:
         self.network = network
@@ -51,13 +54,13 @@
         return self.network.loop
 
     async def start_serving(self) -> None:
-        """It serves from its making on."""
+        """Nothing to do: it serves from its creation."""
 
     async def serve_forever(self) -> None:
         await self.network.loop.create_future()
 
     async def wait_closed(self) -> None:
-        """Nothing is left to wait for once it is closed."""
+        """Nothing to do: close() takes effect at once."""
 
 
 class SimTransport(asyncio.Transport):
@@ -68,54 +71,55 @@
     ) -> None:
         super().__init__({"sockname": local, "peername": remote})
         self.network = network
-        # Whose process this end lives in: what it is told runs there.
-        self.loop: AnyLoop = network.processes.get(local[0], network.loop)
+        # The loop of the process that has this end; callbacks run there.
+        self.loop: BaseSimLoop = network.processes.get(local[0], network.loop)
         self.random = network.loop.random
-        self._protocol = protocol  # None: in the kernel, nobody has taken it yet
-        self.on_attach: Callable[[], None] | None = None  # a process has taken what the kernel held
-        self.on_gone: Callable[[], None] | None = None  # the descriptor's
-        self.dropped = False  # its process closed its listener with this still in the queue
-        self.orphaned = False  # the process at the other end was killed
-        self.came = 0  # bytes that have come from the wire
-        self.marks: deque[tuple[int, Callable[[], None]]] = deque()  # what is told once so many have come
-        self.handed_at = 0.0  # when the last of them were handed over
-        self.taken = 0  # bytes that its protocol has been handed
-        self.arrived = network.loop.now  # when the last bytes came
-        self.finished = False  # the peer's end of sending has come
+        self._protocol = protocol  # None: in the kernel, not yet accepted
+        self.on_attach: Callable[[], None] | None = None  # called when a protocol is attached
+        self.on_released: Callable[[], None] | None = None  # called when the descriptor is released
+        self.dropped_by_listener = False  # still in the accept queue when its process closed the listener
+        self.peer_killed = False  # the process at the other end was killed
+        self.received_bytes = 0  # from the network
+        self.receive_callbacks: deque[tuple[int, Callable[[], None]]] = deque()  # by number of received bytes
+        self.last_delivered_at = 0.0  # the last time bytes were passed to the protocol
+        self.delivered_bytes = 0  # passed to the protocol
+        self.last_received_at = network.loop.now  # from the network, bytes or the end
+        self.peer_finished = False  # the peer's FIN or reset has arrived
         self.local, self.remote = local, remote
         self.peer: SimTransport
-        self.hard = True  # an abort is a reset at the other end, whatever lies in the buffers
-        self.detached = False  # its process has let go of it; the kernel may still send
-        self.lost = False  # nothing of it is left
-        self.error: Exception | None = None  # with which it was lost
+        self.reset_on_abort = True  # abort() always resets the other end, whatever is in the buffers
+        self.detached = False  # released by its process; the kernel may still send
+        self.lost = False  # gone from the kernel, too
+        self.error: Exception | None = None  # the reason why it was lost
         self.closing = False
-        self.ended = False  # its end of sending is on its way
+        self.write_ended = False  # the FIN is sent after the unsent bytes
         self.reading = True
-        # Arrived, not yet handed over; None: the end. A reset stands behind what came before it, as in Linux.
+        # Received, not yet passed to the protocol; None: the FIN. A reset takes effect after the bytes
+        # before it, as in Linux.
         self.unread: deque[bytes | Exception | None] = deque()
         self.unread_size = 0
-        self.unsent: deque[bytes] = deque()  # written, the peer has no room
+        self.unsent: deque[bytes] = deque()  # written, not yet on the network for lack of room at the peer
         self.high = 64 << 10
         self.paused = False
-        self._free_at = 0.0  # no byte of this direction arrives before the one ahead of it
+        self._next_arrival_at = 0.0  # keeps bytes of this direction in order
 
     @property
     def protocol(self) -> asyncio.BaseProtocol:
-        """Who reads here."""
+        """The attached protocol."""
         assert self._protocol is not None
         return self._protocol
 
     def attach(self, protocol: asyncio.BaseProtocol) -> None:
-        """Hand a connection that the kernel held to a protocol, with all that has come meanwhile."""
+        """Attach a protocol to a connection that the kernel held; it gets all bytes received so far."""
         self._protocol = protocol
         protocol.connection_made(self)
         if self.on_attach is not None:
             self.on_attach()
-        self.loop.call_soon(self._hand_over)
+        self.loop.call_soon(self._deliver)
         if self.lost:
             self.loop.call_soon(protocol.connection_lost, self.error)
 
-    # What a protocol asks of it
+    # The methods of asyncio.Transport
 
     def set_protocol(self, protocol: asyncio.BaseProtocol) -> None:
         self._protocol = protocol
@@ -133,7 +137,7 @@
         return max(0, sum(map(len, self.unsent)) - self.network.link.buffer)
 
     def write(self, data: bytes | bytearray | memoryview) -> None:
-        if self.is_closing() or self.ended or not data:
+        if self.is_closing() or self.write_ended or not data:
             return
         self.unsent.append(bytes(data))
         self._push()
@@ -145,7 +149,7 @@
         return True
 
     def write_eof(self) -> None:
-        self.ended = True
+        self.write_ended = True
         self._push()
 
     def pause_reading(self) -> None:
@@ -153,27 +157,30 @@
 
     def resume_reading(self) -> None:
         self.reading = True
-        self.loop.call_soon(self._hand_over)
+        self.loop.call_soon(self._deliver)
 
     def is_reading(self) -> bool:
         return self.reading
 
     def close(self) -> None:
-        """Send what is unsent and the end, then be gone."""
+        """Close the connection after sending the unsent bytes and a FIN."""
         if self.is_closing():
             return
         self.closing = True
-        self.ended = True
+        self.write_ended = True
         self._push()
 
     def abort(self) -> None:
-        """Let go of it at once. What the process held unsent is dropped, what its kernel has is sent; with
-        bytes unread, or where it is hard, the other end sees a reset instead."""
+        """Release the connection at once.
+
+        Bytes in the kernel's buffer are sent, those buffered by the process are dropped. If bytes are unread,
+        or with `reset_on_abort`, the other end sees a reset instead.
+        """
         if self.detached:
             return
-        if self.hard or self.unread:
+        if self.reset_on_abort or self.unread:
             self._reset_peer()
-            self._gone(None)
+            self._destroy(None)
             return
         room = self.network.link.buffer
         kept: deque[bytes] = deque()
@@ -184,18 +191,18 @@
             kept.append(data)
             room -= len(data)
         self.unsent = kept
-        self.closing = self.ended = True
+        self.closing = self.write_ended = True
         self._detach(None)
         self._push()
 
-    # The wire
+    # The network
 
     def _delay(self) -> float:
         link = self.network.link
         return link.delay + self.random.random() * link.jitter
 
     def _push(self) -> None:
-        """Put on the wire what the peer has room for, the end last."""
+        """Transmit as much as the peer has room for, the FIN last."""
         on_wire = self.peer.unread_size
         while self.unsent and on_wire < self.network.link.window:
             data = self.unsent.popleft()
@@ -204,54 +211,54 @@
                 self.unsent.appendleft(data[at:])
                 data = data[:at]
             on_wire += len(data)
-            self._arrive(data)
+            self._transmit(data)
         if self.paused and not self.get_write_buffer_size() and not self.lost:
             self.paused = False
             self.loop.call_soon(self._resume)
-        if self.ended and not self.unsent and not self.lost:
-            self._arrive(None)
+        if self.write_ended and not self.unsent and not self.lost:
+            self._transmit(None)
             if self.closing:
-                self._gone(None)
+                self._destroy(None)
 
     def _resume(self) -> None:
         if not self.detached:
             self.protocol.resume_writing()
 
-    def _arrive(self, data: bytes | None) -> None:
-        if not self.network.carries(self.local[0], self.remote[0]):
-            return  # lost for good: a connection that was cut off never catches up
-        self._free_at = max(self._free_at + 1e-9, self.network.loop.now + self._delay())
+    def _transmit(self, data: bytes | None) -> None:
+        if not self.network.can_reach(self.local[0], self.remote[0]):
+            return  # lost: a partitioned connection does not recover
+        self._next_arrival_at = max(self._next_arrival_at + 1e-9, self.network.loop.now + self._delay())
         self.peer.unread_size += len(data or b"")
-        self.peer.loop.call_at(self._free_at, self.peer.receive, data)
+        self.peer.loop.call_at(self._next_arrival_at, self.peer.receive, data)
 
     def _reset_peer(self) -> None:
-        """A reset goes out, behind what is on the wire already; what is unsent is dropped."""
+        """Send a reset after the bytes that are in transit; unsent bytes are dropped."""
         self.unsent.clear()
-        if self.network.carries(self.local[0], self.remote[0]):
-            at = max(self._free_at + 1e-9, self.network.loop.now + self._delay())
+        if self.network.can_reach(self.local[0], self.remote[0]):
+            at = max(self._next_arrival_at + 1e-9, self.network.loop.now + self._delay())
             self.peer.loop.call_at(at, self.peer.reset)
 
     def receive(self, data: bytes | None) -> None:
-        """Bytes have come from the wire."""
+        """Receive bytes, or the FIN (None), from the network."""
         if self.detached:
             if data and not self.peer.lost:
-                # Nobody is there any more, and says so.
+                # No process has the socket: the kernel responds with a reset.
                 self._reset_peer()
-                self._gone(None)
+                self._destroy(None)
             return
-        self.arrived = self.network.loop.now
-        self.finished = self.finished or data is None
-        self.came += len(data or b"")
-        while self.marks and self.marks[0][0] <= self.came:
-            self.marks.popleft()[1]()
+        self.last_received_at = self.network.loop.now
+        self.peer_finished = self.peer_finished or data is None
+        self.received_bytes += len(data or b"")
+        while self.receive_callbacks and self.receive_callbacks[0][0] <= self.received_bytes:
+            self.receive_callbacks.popleft()[1]()
         self.unread.append(data)
-        self._hand_over()
+        self._deliver()
 
-    def _hand_over(self) -> None:
+    def _deliver(self) -> None:
         while self.unread and self.reading and not self.detached and self._protocol is not None:
             data = self.unread.popleft()
             if isinstance(data, Exception):
-                self._gone(data)
+                self._destroy(data)
                 return
             if data is None:
                 keep = cast(asyncio.Protocol, self.protocol).eof_received()
@@ -259,17 +266,17 @@
                     self.close()
                 continue
             self.unread_size -= len(data)
-            self.taken += len(data)
-            self.handed_at = self.network.loop.now
+            self.delivered_bytes += len(data)
+            self.last_delivered_at = self.network.loop.now
             if isinstance(self.protocol, asyncio.BufferedProtocol):
-                self._buffered(self.protocol, data)
+                self._deliver_buffered(self.protocol, data)
             else:
                 cast(asyncio.Protocol, self.protocol).data_received(data)
             if not self.peer.lost:
                 self.peer._push()
 
     @staticmethod
-    def _buffered(protocol: asyncio.BufferedProtocol, data: bytes) -> None:
+    def _deliver_buffered(protocol: asyncio.BufferedProtocol, data: bytes) -> None:
         while data:
             buffer = memoryview(protocol.get_buffer(len(data)))
             size = min(len(buffer), len(data))
@@ -278,26 +285,26 @@
             data = data[size:]
 
     def reset(self) -> None:
-        """The other end has gone without a word of order."""
+        """Receive a reset."""
         if self.lost:
             return
         error = ConnectionResetError(104, "Connection reset by peer")
-        self.finished = True
+        self.peer_finished = True
         if self.unread:
             self.unread.append(error)
         else:
-            self._gone(error)
+            self._destroy(error)
 
     def _detach(self, error: Exception | None) -> None:
         if self.detached:
             return
         self.detached = True
-        if self.on_gone is not None:
-            self.on_gone()
+        if self.on_released is not None:
+            self.on_released()
         if self._protocol is not None:
             self.loop.call_soon(self._protocol.connection_lost, error)
 
-    def _gone(self, error: Exception | None) -> None:
+    def _destroy(self, error: Exception | None) -> None:
         if self.lost:
             return
         self.lost = self.closing = True
@@ -308,47 +315,49 @@
         self._detach(error)
 
 
-# Takes the far end of a new connection; False: there is no room, and the near end never hears of it.
+# Accepts the server's end of a new connection. False: the accept queue is full; the connect gets no reply.
 Acceptor = Callable[[SimTransport], bool]
 
 
 class Network:
-    """All machines, by host name, and the connections between them. It serves as the loop's own network."""
+    """All hosts, by name, and their connections. It serves the loop's own network calls, too."""
 
     def __init__(self, loop: SimLoop, link: Link | None = None) -> None:
         self.loop = loop
         self.link = link or Link()
         self.listening: dict[Address, Acceptor] = {}
-        # In the order in which they were made: what is reset together is reset in an order that repeats.
+        # In order of creation, so that transports that are reset together are reset in a reproducible order.
         self.transports: dict[SimTransport, None] = {}
-        self.cut: set[frozenset[str]] = set()  # pairs of hosts that do not hear each other
-        self.down: set[str] = set()  # machines that have vanished
-        self.processes: dict[str, AnyLoop] = {}  # by host, where it has a process of its own
+        self.partitions: set[frozenset[str]] = set()  # pairs of hosts that cannot reach each other
+        self.down: set[str] = set()  # hosts that have vanished
+        self.processes: dict[str, BaseSimLoop] = {}  # by host name, for hosts with a process of their own
         self._ports = 40_000
-        self.serve(loop)
+        self.attach_loop(loop)
 
-    def serve(self, loop: AnyLoop, host: str = "client") -> None:
-        """Let a process's calls for connections come here; host: where they come from."""
+    def attach_loop(self, loop: BaseSimLoop, host: str = "client") -> None:
+        """Route a loop's create_server and create_connection to this network; host: the local host name."""
         loop.create_server = self.create_server  # type: ignore[method-assign,assignment]
         loop.create_connection = partial(self.create_connection, local=host)  # type: ignore[method-assign,assignment]
 
-    def carries(self, one: str, other: str) -> bool:
-        """Whether two hosts hear each other."""
-        return one not in self.down and other not in self.down and frozenset((one, other)) not in self.cut
+    def can_reach(self, one: str, other: str) -> bool:
+        """Whether two hosts can reach each other."""
+        return (
+            one not in self.down and other not in self.down and frozenset((one, other)) not in self.partitions
+        )
 
     def port(self) -> int:
-        """A port that nobody has."""
+        """Return an unused port."""
         self._ports += 1
         return self._ports
 
     def listen(self, address: Address, accept: Acceptor) -> None:
-        """Take connections at an address; OSError where somebody does already."""
+        """Accept connections at an address; OSError if it is in use."""
         if address in self.listening:
             raise OSError(98, "Address already in use")
         self.listening[address] = accept
 
     async def create_server(self, factory: Factory, host: str, port: int, **_: Any) -> _Server:
-        """Listen with a protocol for each connection."""
+        """Listen at an address; the factory creates a protocol for each connection."""
         address = (host, port or self.port())
 
         def accept(end: SimTransport) -> bool:
@@ -359,13 +368,13 @@
         return _Server(self, address)
 
     async def connect(self, local: str, remote: Address) -> SimTransport:
-        """This side's end of a new connection, as the kernel holds it.
+        """Connect, and return this side's end, without a protocol.
 
-        Refused where nobody listens; it never comes up where the way is cut or the accept queue is full.
+        It is refused without a listener, and gets no reply across a partition or with a full accept queue.
         """
         await asyncio.sleep(self.link.delay + self.loop.random.random() * self.link.jitter)
-        if not self.carries(local, remote[0]):
-            await asyncio.get_running_loop().create_future()  # until the caller gives up
+        if not self.can_reach(local, remote[0]):
+            await asyncio.get_running_loop().create_future()  # until the connect is cancelled
         accept = self.listening.get(remote)
         if accept is not None:
             near = (local, self.port())
@@ -379,7 +388,7 @@
             await asyncio.sleep(self.link.delay + self.loop.random.random() * self.link.jitter)
         except asyncio.CancelledError:
             if accept is not None:
-                one.abort()  # the far side has it already, and learns that nobody is there
+                one.abort()  # the server's end exists already, and is closed
             raise
         if accept is None:
             raise ConnectionRefusedError(111, "Connection refused")
@@ -395,7 +404,7 @@
         local: str = "client",
         **_: Any,
     ) -> tuple[SimTransport, asyncio.BaseProtocol]:
-        """Connect and attach a protocol; sock: one that is connected already."""
+        """Connect and attach a protocol; sock: a connected socket to use instead."""
         end = sock.end if sock is not None else await self.connect(local, (str(host), int(port or 0)))
         if sock is not None:
             sock.attached()
@@ -404,13 +413,13 @@
         return end, protocol
 
     def heal(self, one: str, other: str) -> None:
-        """End a cut: what stood between the two was lost in part, and is reset."""
-        self.cut.discard(frozenset((one, other)))
+        """End a partition between two hosts; resets their connections, as they lost bytes."""
+        self.partitions.discard(frozenset((one, other)))
         for end in [t for t in self.transports if {t.local[0], t.remote[0]} == {one, other}]:
             end.reset()
 
     def crash(self, host: str) -> None:
-        """A process dies: its listeners close, its connections are reset."""
+        """Crash the process of a host: its listeners close, its connections are reset."""
         for address in [address for address in self.listening if address[0] == host]:
             del self.listening[address]
         for transport in [t for t in self.transports if t.local[0] == host]:
--- a/hollybay/simulation/plan.py
+++ b/hollybay/simulation/plan.py
@@ -1,8 +1,8 @@
-"""What one run plays, as plain data: drawn from a seed, written as JSON, cut down when a failure is shrunk.
+"""The plan of a run as plain data: drawn from a seed, written as JSON, reduced when a failure is shrunk.
 
-A plan holds everything that is decided before the run: settings, servers, requests with their manners, and
-faults. What is left to chance within the run (delays, segments, work) comes from the plan's seed too, by
-request and server, so that a plan with parts taken out plays the rest nearly as before.
+A plan has everything that is decided before the run: settings, servers, requests and faults. Random choices
+within the run (delays, segments, work) depend on the plan's seed, too, by request and server: when parts of a
+plan are removed, the rest of the run stays nearly the same.
 """
 
 from __future__ import annotations
@@ -15,13 +15,23 @@
 
 from hollybay.units import MS
 
-from .kinds import FAULTS, SPOILT, WRONG
+from .fault_kinds import FAULTS, MALFORMED_REQUESTS, RESPONSE_VARIANTS
 
-__all__ = ["Ask", "ClassPlan", "FaultPlan", "Plan", "ServerPlan", "draw", "events", "settings", "to_json"]
+__all__ = [
+    "ClassPlan",
+    "FaultPlan",
+    "Plan",
+    "RequestPlan",
+    "ServerPlan",
+    "draw",
+    "events",
+    "settings",
+    "to_json",
+]
 
 
 class ClassPlan(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A class of requests; times in ms. effect, group: as the settings word them; work: mean, at speed 1."""
+    """A request class; times in ms. effect, group: as in the settings; work: mean service time at speed 1."""
 
     name: str
     effect: str
@@ -35,7 +45,7 @@
 
 
 class ServerPlan(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A server: its kind, zone and cell by number, cores of one speed, slots beyond them, and its queue."""
+    """A server: kind, zone and cell by number, cores and their speed, and slots and queue beyond them."""
 
     name: str
     kind: int = 0
@@ -47,10 +57,11 @@
     queue: int = 8
 
 
-class Ask(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One request: when (s), its class, node and client by number, its manner, and body sizes in bytes.
+class RequestPlan(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """One request: its time (s), class, node and client by number, manner, and body sizes (bytes).
 
-    arg: of the manner, e.g. after how many seconds a client leaves, or the number of what is wrong.
+    size: of the request body; answer: of the response body; manner: the client's behavior, a key of _MANNERS;
+    arg: a parameter of the manner, e.g. the delay of a disconnect, or the index in MALFORMED_REQUESTS.
     """
 
     at: float
@@ -64,7 +75,10 @@
 
 
 class FaultPlan(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One fault: when (s), its kind, the server or node that it strikes, how long (s), and how strongly."""
+    """One fault: its time (s), kind, target (number of a server or node), duration (s) and intensity.
+
+    how: of kind "spoil", the key of RESPONSE_VARIANTS.
+    """
 
     at: float
     kind: str
@@ -75,12 +89,15 @@
 
 
 class Plan(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A whole run. Times: seconds of arrivals, ms for the rules; sockets: descriptors of a node."""
+    """The plan of a run. Arrivals and link delays in s, times of the settings in ms.
+
+    sockets: the file descriptors of a node; retries: the probability that a client repeats a rejected one.
+    """
 
     seed: int
     classes: tuple[ClassPlan, ...]
     servers: tuple[ServerPlan, ...]
-    asks: tuple[Ask, ...]
+    asks: tuple[RequestPlan, ...]
     faults: tuple[FaultPlan, ...] = ()
     seconds: float = 4.0
     nodes: int = 1
@@ -106,20 +123,20 @@
 
 
 def events(plan: Plan) -> int:
-    """How many things happen to the nodes: requests and faults."""
+    """Return the number of requests and faults of a plan."""
     return len(plan.asks) + len(plan.faults)
 
 
 def to_json(plan: Plan) -> bytes:
-    """The plan for people to read; msgspec.json.decode(text, type=Plan) is the way back."""
+    """Encode a plan as indented JSON; msgspec.json.decode(text, type=Plan) decodes it."""
     return msgspec.json.format(msgspec.json.encode(plan), indent=1)
 
 
 def settings(plan: Plan, node: int) -> dict[str, Any]:
-    """The settings object of a node's configuration."""
+    """Return the settings object of a node's configuration."""
     categories: list[dict[str, Any]] = []
     for cls in plan.classes:
-        words: dict[str, Any] = {
+        options: dict[str, Any] = {
             "name": cls.name,
             "effect": cls.effect,
             "slo": cls.aim * MS,
@@ -129,8 +146,8 @@
             "streamed": cls.streamed,
         }
         if cls.effect == "dedup":
-            words |= {"group": cls.group, "window": cls.window * MS}
-        categories.append(words)
+            options |= {"group": cls.group, "window": cls.window * MS}
+        categories.append(options)
     return {
         "balancers": plan.nodes,
         "me": node,
@@ -168,7 +185,7 @@
     ClassPlan("tag", "dedup", 600, 2000, 1.0, 30.0, "all", 700),
     ClassPlan("feed", "retryable", 900, 3000, 2.0, 60.0, streamed=True),
 )
-# Manners of clients, with their shares; keep: on a connection that is kept, fresh: on one of its own.
+# The manners of clients and their weights; keep: on a persistent connection, fresh: on a new one.
 _MANNERS = {
     "keep": 46,
     "fresh": 20,
@@ -187,71 +204,71 @@
 _ANSWERS = (0, 0, 0, 10, 400, 3_000, 20_000, 65_000, 90_000)
 
 
-def _servers(chance: random.Random, zones: int, kinds: int) -> tuple[ServerPlan, ...]:
+def _servers(rng: random.Random, zones: int, kinds: int) -> tuple[ServerPlan, ...]:
     speeds = [1.4, 1.0, 0.7]
-    count = chance.randint(4, 9)
+    count = rng.randint(4, 9)
     made = []
     for n in range(count):
-        kind = chance.randrange(kinds)
+        kind = rng.randrange(kinds)
         made.append(
             ServerPlan(
                 f"s{n}",
                 kind,
                 n % zones,
                 n // 2,
-                chance.choice((1, 1, 2)),
+                rng.choice((1, 1, 2)),
                 speeds[kind],
-                chance.choice((2, 4, 8)),
-                chance.choice((0, 4, 16)),
+                rng.choice((2, 4, 8)),
+                rng.choice((0, 4, 16)),
             )
         )
     return tuple(made)
 
 
-def _asks(chance: random.Random, plan: Plan, rate: float) -> tuple[Ask, ...]:
-    asks: list[Ask] = []
+def _asks(rng: random.Random, plan: Plan, rate: float) -> tuple[RequestPlan, ...]:
+    asks: list[RequestPlan] = []
     at = 0.0
-    surge = chance.random() < 0.3
+    surge = rng.random() < 0.3
     names, shares = list(_MANNERS), list(_MANNERS.values())
     while True:
-        now = rate * (3.0 if surge and 0.4 < at / plan.seconds < 0.6 else 1.0)
-        at += chance.expovariate(now)
+        current_rate = rate * (3.0 if surge and 0.4 < at / plan.seconds < 0.6 else 1.0)
+        at += rng.expovariate(current_rate)
         if at >= plan.seconds or len(asks) >= 900:
             return tuple(asks)
-        cls = chance.randrange(len(plan.classes))
-        safe = plan.classes[cls].effect == "retryable"
-        manner = chance.choices(names, shares)[0]
-        if safe and manner in ("chunked", "expect"):
+        cls = rng.randrange(len(plan.classes))
+        retryable = plan.classes[cls].effect == "retryable"
+        manner = rng.choices(names, shares)[0]
+        if retryable and manner in ("chunked", "expect"):
             manner = "keep"
-        answer = chance.choice(_ANSWERS)
+        answer = rng.choice(_ANSWERS)
         asks.append(
-            Ask(
+            RequestPlan(
                 round(at, 6),
                 cls,
-                chance.randrange(plan.nodes),
-                chance.randrange(40),
+                rng.randrange(plan.nodes),
+                rng.randrange(40),
                 manner,
-                0 if safe else chance.choice(_SIZES),
+                0 if retryable else rng.choice(_SIZES),
                 answer,
-                round(chance.random() * (len(WRONG) if manner == "wrong" else 1.0), 6),
+                round(rng.random() * (len(MALFORMED_REQUESTS) if manner == "wrong" else 1.0), 6),
             )
         )
 
 
-def _faults(chance: random.Random, plan: Plan, allowed: Sequence[str]) -> tuple[FaultPlan, ...]:
-    on = [kind for kind in allowed if chance.random() < 0.25] or [chance.choice(list(allowed))]
+def _faults(rng: random.Random, plan: Plan, allowed: Sequence[str]) -> tuple[FaultPlan, ...]:
+    chosen = [kind for kind in allowed if rng.random() < 0.25] or [rng.choice(list(allowed))]
     made = []
-    for kind in on:
-        for _ in range(chance.randint(1, 2)):
-            target = chance.randrange(plan.nodes if FAULTS[kind].strikes == "node" else len(plan.servers))
-            how = chance.choice(sorted(SPOILT)) if kind == "spoil" else ""
+    for kind in chosen:
+        for _ in range(rng.randint(1, 2)):
+            target = rng.randrange(plan.nodes if FAULTS[kind].target_type == "node" else len(plan.servers))
+            how = rng.choice(sorted(RESPONSE_VARIANTS)) if kind == "spoil" else ""
             made.append(
                 FaultPlan(
-                    round(chance.uniform(0.0, plan.seconds), 3),
+                    round(rng.uniform(0.0, plan.seconds), 3),
                     kind,
                     target,
-                    round(chance.uniform(0.1, 2.5), 3),
-                    round(chance.random(), 3),
+                    round(rng.uniform(0.1, 2.5), 3),
+                    round(rng.random(), 3),
                     how,
                 )
             )
@@ -259,48 +276,48 @@
 
 
 def draw(seed: int, allowed: Sequence[str] = tuple(FAULTS)) -> Plan:
-    """The plan of a seed; ValueError for a kind of fault that is none."""
+    """Draw the plan of a seed; ValueError for an unknown kind of fault."""
     unknown = [kind for kind in allowed if kind not in FAULTS]
     if unknown or not allowed:
         raise ValueError(
             f"no such fault: {', '.join(unknown) or 'none given'}; there are {', '.join(FAULTS)}"
         )
-    chance = random.Random(f"plan {seed}")
-    zones = chance.choice((1, 1, 2))
-    kinds = chance.randint(1, 3)
-    classes = chance.sample(_CLASSES, chance.randint(3, len(_CLASSES)))
+    rng = random.Random(f"plan {seed}")
+    zones = rng.choice((1, 1, 2))
+    kinds = rng.randint(1, 3)
+    classes = rng.sample(_CLASSES, rng.randint(3, len(_CLASSES)))
     plan = Plan(
         seed=seed,
         classes=tuple(classes),
-        servers=_servers(chance, zones, kinds),
+        servers=_servers(rng, zones, kinds),
         asks=(),
-        seconds=chance.choice((2.0, 3.0, 4.0)),
-        nodes=chance.choice((1, 1, 1, 2, 3)),
+        seconds=rng.choice((2.0, 3.0, 4.0)),
+        nodes=rng.choice((1, 1, 1, 2, 3)),
         zones=zones,
         kinds=kinds,
-        copies=chance.random() < 0.7,
-        cancel=chance.random() < 0.9,
-        attempts=chance.choice((1, 2, 3, 3, 4)),
-        retry_after=chance.choice((0, 300, 2000)),
-        retries=chance.choice((0.0, 0.5, 1.0)),
-        weights=chance.choice(("live", "live", "nominal", "rough", "silent")),
-        drain_grace=chance.choice((600, 1500, 2000)),
-        cold_share=chance.choice((0.15, 0.3, 0.6)),
-        warm_up=chance.choice((1500, 4000, 8000)),
-        idle=chance.choice((800, 3000)),
-        connect=chance.choice((100, 250)),
-        sockets=chance.choice((192, 256, 1024)),
-        delay=chance.choice((0.0001, 0.0005, 0.002)),
-        jitter=chance.choice((0.0, 0.0002, 0.001)),
-        split=chance.choice((0.0, 0.3, 0.8)),
-        window=chance.choice((4096, 65536)),
-        operator=chance.choice(("", "", "", "empty", "limits")),
+        copies=rng.random() < 0.7,
+        cancel=rng.random() < 0.9,
+        attempts=rng.choice((1, 2, 3, 3, 4)),
+        retry_after=rng.choice((0, 300, 2000)),
+        retries=rng.choice((0.0, 0.5, 1.0)),
+        weights=rng.choice(("live", "live", "nominal", "rough", "silent")),
+        drain_grace=rng.choice((600, 1500, 2000)),
+        cold_share=rng.choice((0.15, 0.3, 0.6)),
+        warm_up=rng.choice((1500, 4000, 8000)),
+        idle=rng.choice((800, 3000)),
+        connect=rng.choice((100, 250)),
+        sockets=rng.choice((192, 256, 1024)),
+        delay=rng.choice((0.0001, 0.0005, 0.002)),
+        jitter=rng.choice((0.0, 0.0002, 0.001)),
+        split=rng.choice((0.0, 0.3, 0.8)),
+        window=rng.choice((4096, 65536)),
+        operator=rng.choice(("", "", "", "empty", "limits")),
     )
     if plan.delay > 0.001:
-        # A long answer would take longer on the wire than its class has.
+        # With a small window, the transfer of a long response would exceed the deadline of its class.
         plan = msgspec.structs.replace(plan, window=65536)
     capacity = sum(s.cores * s.speed for s in plan.servers)
     mean = sum(c.work for c in classes) / len(classes) / 1000
-    rate = min(260.0, capacity / mean * chance.choice((0.2, 0.5, 0.8, 1.2, 2.0)))
-    plan = msgspec.structs.replace(plan, asks=_asks(chance, plan, rate))
-    return msgspec.structs.replace(plan, faults=_faults(chance, plan, allowed))
+    rate = min(260.0, capacity / mean * rng.choice((0.2, 0.5, 0.8, 1.2, 2.0)))
+    plan = msgspec.structs.replace(plan, asks=_asks(rng, plan, rate))
+    return msgspec.structs.replace(plan, faults=_faults(rng, plan, allowed))
