--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,7 +1,10 @@
-"""Tests run on the loop that the node runs on. Hypothesis without chance: the same verdict every time.
+"""Configuration of the test suite.
 
-What KNOWN-RED.txt at the root lists (test -- cause -- issue; three at most) is run, and does not fail the
-suite: it is printed at the end, red or, where it holds by now, as one to take off the list.
+Tests run on uvloop, as the node does. Hypothesis is derandomized, so that every run gives the same verdict.
+
+The tests listed in KNOWN-RED.txt at the root (test -- cause -- issue; at most three) are run, but their
+failures do not fail the suite. Each is printed at the end of the run: as red, or, if it passed, as one to
+remove from the list.
 """
 
 import asyncio
@@ -12,55 +15,55 @@
 from _pytest.terminal import TerminalReporter
 from hypothesis import settings
 
-from .groups import LONG, PURE, group_of, turn_of
+from .groups import LONG, PURE, group_of, start_order
 
 asyncio.set_event_loop_policy(uvloop.EventLoopPolicy())
 settings.register_profile("ci", derandomize=True, deadline=None, database=None)
 settings.load_profile("ci")
 
-LIST = Path(__file__).resolve().parent.parent / "KNOWN-RED.txt"
-RED = {
+KNOWN_RED_FILE = Path(__file__).resolve().parent.parent / "KNOWN-RED.txt"
+KNOWN_RED = {
     line.split(" -- ")[0].strip(): line
-    for line in (LIST.read_text().splitlines() if LIST.exists() else ())
+    for line in (KNOWN_RED_FILE.read_text().splitlines() if KNOWN_RED_FILE.exists() else ())
     if line.strip()
 }
-assert len(RED) <= 3, "KNOWN-RED.txt holds more than three tests"
+assert len(KNOWN_RED) <= 3, f"KNOWN-RED.txt lists {len(KNOWN_RED)} tests; at most three are allowed"
 
 
-def module_of(item: pytest.Item) -> str:
-    """The name of the module that a test is in."""
+def module_name(item: pytest.Item) -> str:
+    """Return the name of the module that contains a test."""
     return item.path.stem
 
 
-def name_of(report: pytest.TestReport) -> str:
-    """The test that a report is of: pytest-xdist adds the group to its name."""
+def test_name(report: pytest.TestReport) -> str:
+    """Return the test's node ID without the group that pytest-xdist appends to IDs of grouped tests."""
     name, _, _ = report.nodeid.rpartition("@")
-    return name if name in RED else report.nodeid
+    return name if name in KNOWN_RED else report.nodeid
 
 
 def pytest_configure(config: pytest.Config) -> None:
-    config.addinivalue_line("markers", "pure: no sockets, no processes, no waiting (tests/groups.py)")
-    config.addinivalue_line("markers", "long: a search of many seconds among these (tests/groups.py)")
+    config.addinivalue_line("markers", "pure: uses no sockets, processes or real time (tests/groups.py)")
+    config.addinivalue_line("markers", "long: a pure test that searches for many seconds (tests/groups.py)")
 
 
-@pytest.hookimpl(tryfirst=True)  # before pytest-xdist reads the groups
+@pytest.hookimpl(tryfirst=True)  # runs before pytest-xdist reads the groups
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
     for item in items:
-        module = module_of(item)
+        module = module_name(item)
         if (group := group_of(module)) is not None:
             item.add_marker(pytest.mark.xdist_group(group))
         if module in PURE:
             item.add_marker(pytest.mark.pure)
         if item.nodeid.split("::", 1)[-1].split("[")[0] in LONG:
             item.add_marker(pytest.mark.long)
-        if item.nodeid in RED:
-            item.add_marker(pytest.mark.xfail(reason=RED[item.nodeid], strict=False))
-    # A worker takes up the groups in this order.
-    items.sort(key=lambda item: turn_of(module_of(item)))
+        if item.nodeid in KNOWN_RED:
+            item.add_marker(pytest.mark.xfail(reason=KNOWN_RED[item.nodeid], strict=False))
+    # Workers are given the groups in this order.
+    items.sort(key=lambda item: start_order(module_name(item)))
 
 
 def pytest_terminal_summary(terminalreporter: TerminalReporter) -> None:
-    for name, word in (("xfailed", "red"), ("xpassed", "holds by now, take it off the list")):
+    for name, word in (("xfailed", "red"), ("xpassed", "passed; remove it from the list")):
         for report in terminalreporter.getreports(name):
-            if name_of(report) in RED:
-                terminalreporter.write_line(f"KNOWN-RED, {word}: {RED[name_of(report)]}")
+            if test_name(report) in KNOWN_RED:
+                terminalreporter.write_line(f"KNOWN-RED, {word}: {KNOWN_RED[test_name(report)]}")
--- a/tests/groups.py
+++ b/tests/groups.py
@@ -1,17 +1,18 @@
-"""Which modules of tests run where: one list, applied in conftest.py.
+"""Distribution of the test modules over the workers of pytest-xdist; conftest.py applies it.
 
-In the parallel suite a module runs in one worker, its tests in their order; only pure tests are dealt out one
-by one, as they share nothing.
+In the parallel suite the tests of a module run in order in one worker. Only pure tests are distributed one by
+one, as they share no state.
 """
 
 from __future__ import annotations
 
-__all__ = ["LONG", "PURE", "group_of", "turn_of"]
+__all__ = ["LONG", "PURE", "group_of", "start_order"]
 
-# Whole fleets of real processes, requests at a rate in real time, processor time and lateness: one after
-# another in one worker, as two at a time would measure one another. In this order, begun before all other
-# groups; those that a busy machine disturbs most come last, when the other workers have less to do.
-APART = (
+# Modules that start whole fleets of real processes, send requests at a rate in real time, or measure
+# processor time or lateness. They run one after another in one worker, as two at a time would disturb each
+# other's measurements. This group is started before all others, in this order; the modules most sensitive to
+# a busy machine come last, when the other workers have less to do.
+SERIAL = (
     "test_hollow",
     "test_demo",
     "test_change_stream",
@@ -24,9 +25,9 @@
     "test_tenants",
     "test_routes_node",
 )
-# The longest of the other modules, begun next.
-EARLY = ("test_simulation_node", "test_simulation_consensus", "test_planted", "test_soak")
-# No sockets, no processes, no waiting: `make quick` runs these.
+# The longest of the other modules, started next.
+STARTED_EARLY = ("test_simulation_node", "test_simulation_consensus", "test_planted", "test_soak")
+# Modules that use no sockets, no processes and no real time: `make quick` runs these.
 PURE = frozenset(
     {
         "test_consensus_core",
@@ -69,9 +70,9 @@
 )
 
 
-# Pure modules whose tests share a fixture.
-TOGETHER = frozenset({"test_import_direction"})
-# Searches among the pure tests that take many seconds each: the whole suite runs them, `make quick` does not.
+# Pure modules whose tests share a fixture and therefore run in one worker.
+SHARED_FIXTURE = frozenset({"test_import_direction"})
+# Pure tests that search for many seconds each: the whole suite runs them, `make quick` does not.
 LONG = frozenset(
     {
         "TestQueueMachine::runTest",
@@ -92,13 +93,13 @@
 
 
 def group_of(module: str) -> str | None:
-    """The group of a module's tests, that run one after another in one worker; None: each on its own."""
-    if module in APART:
+    """Return the group of a module's tests, which run in order in one worker; None: no group."""
+    if module in SERIAL:
         return "apart"
-    return None if module in PURE - TOGETHER else module
+    return None if module in PURE - SHARED_FIXTURE else module
 
 
-def turn_of(module: str) -> int:
-    """When a module's tests are begun: the lower, the earlier."""
-    first = APART + EARLY
+def start_order(module: str) -> int:
+    """Return the sort key of a module's start: lower values start earlier."""
+    first = SERIAL + STARTED_EARLY
     return first.index(module) if module in first else len(first)
--- a/tests/import_graph.py
+++ b/tests/import_graph.py
@@ -1,4 +1,4 @@
-"""Which module of a source tree imports which, read from the text: nothing is imported to find it out."""
+"""The import graph of a source tree, read from syntax trees without importing any module."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 
 __all__ = ["NAMESPACE", "Import", "ImportGraph", "find_cycle", "package_of"]
 
-NAMESPACE = "hollybay"  # the import package that holds all others
+NAMESPACE = "hollybay"  # the top-level package of the project
 
 
 @dataclass(frozen=True, slots=True, order=True)
 class Import:
-    """One import statement's edge. target: a module of the tree, or the full name of one from outside."""
+    """An edge of the import graph. target: a module of the tree, or the full name of an external one."""
 
     source: str
     target: str
@@ -27,9 +27,9 @@
 
 @dataclass(frozen=True, slots=True)
 class ImportGraph:
-    """The modules of all packages under a root, and every import in them.
+    """The modules of all packages under a root, and all of their imports.
 
-    Imports count wherever they stand: at the top, under TYPE_CHECKING, in a function or in a branch.
+    Imports count wherever they appear: at module level, under TYPE_CHECKING, in functions and branches.
     """
 
     modules: Mapping[str, Path]
@@ -37,18 +37,18 @@
 
     @classmethod
     def read(cls, root: Path) -> ImportGraph:
-        """Read the packages that stand in the folder `root`. SyntaxError where a file is no Python."""
+        """Read the packages in the folder `root`; raise SyntaxError for a file that is not valid Python."""
         modules = {_module_name(path, root): path for path in _source_files(root)}
         found = {edge for name, path in modules.items() for edge in _imports_of(name, path, modules)}
         return cls(modules, tuple(sorted(found)))
 
     @property
     def packages(self) -> frozenset[str]:
-        """The names of the packages: those at the top, and those in the namespace of the project."""
+        """The names of the top-level packages and of the subpackages of NAMESPACE."""
         return frozenset(package_of(module) for module in self.modules)
 
     def between_packages(self) -> list[Import]:
-        """The imports of a module of another package of the tree."""
+        """Return the imports from one package of the tree into another."""
         return [
             edge
             for edge in self.imports
@@ -56,28 +56,28 @@
         ]
 
     def from_outside(self) -> list[Import]:
-        """The imports of what is not in the tree: the standard library and installed packages."""
+        """Return the imports of modules outside of the tree: the standard library and installed packages."""
         return [edge for edge in self.imports if package_of(edge.target) not in self.packages]
 
     def module_cycle(self) -> list[str]:
-        """Modules each of which imports the next, the first one again at the end; empty where none do."""
+        """Return an import cycle of modules, with the first repeated at the end; empty if there is none."""
         return find_cycle((edge.source, edge.target) for edge in self.imports)
 
     def package_cycle(self) -> list[str]:
-        """The same for packages, through whichever of their modules."""
+        """Return an import cycle of packages, through any of their modules; empty if there is none."""
         edges = self.between_packages()
         return find_cycle((package_of(edge.source), package_of(edge.target)) for edge in edges)
 
 
 def find_cycle(edges: Iterable[tuple[str, str]]) -> list[str]:
-    """Nodes with an edge from each to the next, the first one again at the end; empty where none are."""
+    """Return the nodes of a cycle in edge order, the first one again at the end; empty if there is none."""
     graph: dict[str, set[str]] = {}
     for source, target in edges:
         graph.setdefault(source, set()).add(target)
     try:
         TopologicalSorter(graph).prepare()
     except CycleError as error:
-        # Sorted are targets before sources, so the cycle is told from target to source.
+        # TopologicalSorter takes the targets for predecessors, so it reports the cycle against the edges.
         cycle: list[str] = error.args[1]
         return cycle[::-1]
     return []
@@ -94,7 +94,7 @@
 
 
 def package_of(module: str) -> str:
-    """The package of a module. Within NAMESPACE each subpackage counts as one of its own."""
+    """Return the package of a module; each subpackage of NAMESPACE counts as a package."""
     parts = module.split(".")
     return ".".join(parts[:2]) if parts[0] == NAMESPACE else parts[0]
 
@@ -112,11 +112,11 @@
 
 
 def _base_of(node: ast.ImportFrom, name: str, path: Path) -> str:
-    """The module after `from`, in full."""
+    """Return the absolute name of the module after `from`."""
     if not node.level:
         assert node.module is not None
         return node.module
-    # One dot is the package that the module stands in; of a package's __init__, that package itself.
-    climbs = node.level - 1 if path.name == "__init__.py" else node.level
-    parents = name.split(".")[: len(name.split(".")) - climbs]
+    # One dot means the package that contains the module; in a package's __init__, the package itself.
+    levels_up = node.level - 1 if path.name == "__init__.py" else node.level
+    parents = name.split(".")[: len(name.split(".")) - levels_up]
     return ".".join([*parents, node.module] if node.module else parents)
--- a/tests/test_import_direction.py
+++ b/tests/test_import_direction.py
@@ -1,6 +1,6 @@
-"""Imports point one way: no circles between packages or modules, and each package imports what it may.
+"""Packages and modules have no import cycles, and each package imports only what MAY_IMPORT allows.
 
-The table is that of docs/ARCHITECTURE.md, section Packages, and the two must say the same.
+MAY_IMPORT must agree with the table in docs/ARCHITECTURE.md, section Packages.
 """
 
 from __future__ import annotations
@@ -15,8 +15,8 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 
-# What each package may import of the others, from the lowest to the highest: a package, or one module of it.
-# A package that is not in the tree yet may stand here; the page names it when it comes.
+# The packages, or single modules of them, that each package may import, from the lowest to the highest layer.
+# A planned package may be listed before it is in the tree; the page must list it once it is.
 MAY_IMPORT: dict[str, tuple[str, ...]] = {
     "hollybay": (),
     "hollybay.units": (),
@@ -88,8 +88,8 @@
         "hollybay.units",
     ),
 }
-TESTS = "tests"  # they may import everything, and nothing imports them
-# What the packages below the node's edge take from outside, beside the standard library.
+TESTS = "tests"  # may import every package, and no package may import them
+# Installed packages that the layers below the proxy may import, beside the standard library.
 MAY_INSTALL: dict[str, frozenset[str]] = {
     "hollybay": frozenset(),
     "hollybay.resources": frozenset({"immutables", "msgspec"}),
@@ -102,12 +102,12 @@
 
 
 def is_allowed(edge: Import, allowed: tuple[str, ...]) -> bool:
-    """Whether an import of another package is of one that is allowed, or of a module within it."""
+    """Return whether an import's target is an allowed package or module, or a module within one."""
     return any(edge.target == name or edge.target.startswith(f"{name}.") for name in allowed)
 
 
 def forbidden_imports(graph: ImportGraph, table: dict[str, tuple[str, ...]]) -> list[str]:
-    """The imports between packages that a table does not allow."""
+    """Return the imports between packages that a table does not allow."""
     return [
         str(edge)
         for edge in graph.between_packages()
@@ -116,7 +116,7 @@
 
 
 def foreign_imports(graph: ImportGraph, table: dict[str, frozenset[str]]) -> list[str]:
-    """The imports of installed packages that a table does not allow to the packages that it names."""
+    """Return the imports of installed packages that a table does not allow to the packages in it."""
     return [
         str(edge)
         for edge in graph.from_outside()
@@ -131,52 +131,54 @@
     return ImportGraph.read(ROOT)
 
 
-def test_no_packages_import_one_another_in_a_circle(graph: ImportGraph) -> None:
+def test_packages_have_no_import_cycle(graph: ImportGraph) -> None:
     assert graph.package_cycle() == []
 
 
-def test_no_modules_import_one_another_in_a_circle(graph: ImportGraph) -> None:
+def test_modules_have_no_import_cycle(graph: ImportGraph) -> None:
     assert graph.module_cycle() == []
 
 
-def test_each_package_imports_only_what_it_may(graph: ImportGraph) -> None:
+def test_each_package_imports_only_what_the_table_allows(graph: ImportGraph) -> None:
     table = MAY_IMPORT | {TESTS: tuple(MAY_IMPORT)}
-    assert graph.packages <= set(table), "a package without a row in the table"
+    assert graph.packages <= set(
+        table
+    ), f"packages without a row in MAY_IMPORT: {sorted(graph.packages - set(table))}"
     assert forbidden_imports(graph, table) == []
 
 
-def test_what_is_below_the_edge_takes_nothing_else_from_outside(graph: ImportGraph) -> None:
+def test_lower_layers_import_only_allowed_installed_packages(graph: ImportGraph) -> None:
     assert foreign_imports(graph, MAY_INSTALL) == []
 
 
-def test_the_table_itself_has_no_circle() -> None:
+def test_the_table_has_no_cycle() -> None:
     edges = [(package, package_of(name)) for package, names in MAY_IMPORT.items() for name in names]
     assert find_cycle(edges) == []
 
 
-def test_the_page_says_the_same_as_the_table(graph: ImportGraph) -> None:
+def test_the_page_agrees_with_the_table(graph: ImportGraph) -> None:
     page = (ROOT / "docs" / "ARCHITECTURE.md").read_text()
     rows = re.findall(r"^\| `([\w.]+)` \| .* \| (.*) \|$", page.split("\n## Packages\n")[1], re.MULTILINE)
-    said = {package: set(re.findall(r"`([\w.]+)`", imports)) for package, imports in rows}
-    here = graph.packages - {TESTS}
-    assert said == {
-        package: {name for name in names if package_of(name) in here}
+    on_page = {package: set(re.findall(r"`([\w.]+)`", imports)) for package, imports in rows}
+    in_tree = graph.packages - {TESTS}
+    assert on_page == {
+        package: {name for name in names if package_of(name) in in_tree}
         for package, names in MAY_IMPORT.items()
-        if package in here
+        if package in in_tree
     }
 
 
-# The checks themselves, on small graphs and on small trees in which something is wrong.
+# Tests of the checks themselves, on small graphs and on small trees that break the rules.
 
 
-def test_a_cycle_is_told_in_the_direction_of_its_edges() -> None:
+def test_a_cycle_is_reported_in_the_direction_of_its_edges() -> None:
     cycle = find_cycle([("a", "b"), ("b", "c"), ("c", "a"), ("c", "d"), ("e", "a")])
     assert cycle in (["a", "b", "c", "a"], ["b", "c", "a", "b"], ["c", "a", "b", "c"])
     assert find_cycle([("a", "b"), ("b", "c"), ("a", "c")]) == []
 
 
 def tree(root: Path, files: dict[str, str]) -> ImportGraph:
-    """The graph of files that are written for it; each folder becomes a package."""
+    """Write the files, making each folder a package, and return their import graph."""
     for name, text in files.items():
         path = root / name
         path.parent.mkdir(parents=True, exist_ok=True)
@@ -185,7 +187,7 @@
     return ImportGraph.read(root)
 
 
-HIDING_PLACES = {
+IMPORT_PLACES = {
     "at the top": "from {target} import name\n",
     "as a whole module": "import {target}\n",
     "under another name": "import {target} as other\n",
@@ -196,15 +198,15 @@
 }
 
 
-@pytest.mark.parametrize("text", HIDING_PLACES.values(), ids=HIDING_PLACES.keys())
-def test_a_circle_is_found_wherever_its_import_stands(tmp_path: Path, text: str) -> None:
+@pytest.mark.parametrize("text", IMPORT_PLACES.values(), ids=IMPORT_PLACES.keys())
+def test_a_cycle_is_found_wherever_the_import_appears(tmp_path: Path, text: str) -> None:
     files = {"low/a.py": text.format(target="high.b"), "high/b.py": "from low import a\n"}
     found = tree(tmp_path, files)
     assert found.package_cycle() in (["low", "high", "low"], ["high", "low", "high"])
     assert found.module_cycle() in (["low.a", "high.b", "low.a"], ["high.b", "low.a", "high.b"])
 
 
-def test_a_circle_of_packages_is_found_where_no_modules_make_one(tmp_path: Path) -> None:
+def test_a_package_cycle_is_found_without_a_module_cycle(tmp_path: Path) -> None:
     files = {"low/a.py": "", "low/c.py": "import high.b\n", "high/b.py": "import low.a\n"}
     found = tree(tmp_path, files)
     assert found.module_cycle() == []
@@ -212,7 +214,7 @@
 
 
 @pytest.mark.parametrize("text", ["from . import b\n", "from .b import name\n", "from ..one import b\n"])
-def test_a_circle_of_relative_imports_is_found(tmp_path: Path, text: str) -> None:
+def test_a_cycle_of_relative_imports_is_found(tmp_path: Path, text: str) -> None:
     found = tree(
         tmp_path, {"one/a.py": text, "one/b.py": "from one.c import d\n", "one/c.py": "import one.a\n"}
     )
@@ -220,7 +222,7 @@
     assert set(found.module_cycle()) == {"one.a", "one.b", "one.c"}
 
 
-def test_relative_imports_are_followed_from_inner_packages(tmp_path: Path) -> None:
+def test_relative_imports_are_resolved_in_subpackages(tmp_path: Path) -> None:
     (tmp_path / "one").mkdir()
     (tmp_path / "one" / "__init__.py").write_text("from .inner import leaf\n")
     found = tree(tmp_path, {"one/inner/leaf.py": "from .. import top\n", "one/top.py": ""})
@@ -230,7 +232,7 @@
     ]
 
 
-def test_a_tree_without_circles_has_none_found(tmp_path: Path) -> None:
+def test_no_cycle_is_found_in_a_tree_without_one(tmp_path: Path) -> None:
     files = {"low/a.py": "import os\n", "mid/b.py": "import low.a\n", "high/c.py": "import low.a, mid.b\n"}
     found = tree(tmp_path, files)
     assert found.package_cycle() == [] and found.module_cycle() == []
--- a/tests/test_shape.py
+++ b/tests/test_shape.py
@@ -1,4 +1,4 @@
-"""The module's size, and what it may import."""
+"""The balancing package: the list of its policy modules, its size, and what its modules may import."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 ROOT = Path(__file__).resolve().parent.parent
 BALANCING = ROOT / "hollybay" / "balancing"
 POLICY = [ROOT / name for name in tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["policy"]]
-# What the decisions may import beside each other: the interface and the state.
+# Modules that the policy modules may import beside each other: the interface and the state.
 TYPES = {"actions", "events", "interface", "settings", "state", "units"}
-MODULE = {path.stem for path in POLICY} | TYPES
-# The edge: the wire of the simulator, and the settings of a node as text. It decides nothing.
-EDGE = {"bench_adapter", "bench_codec", "bench_wire", "settings_parser"}
-# Parts that know nothing of the interface: numbers in, numbers out.
+IMPORTABLE = {path.stem for path in POLICY} | TYPES
+# Adapters that decide nothing: the wire protocol of the simulator, and the parser of a node's settings.
+ADAPTERS = {"bench_adapter", "bench_codec", "bench_wire", "settings_parser"}
+# Modules that do not use the interface: they compute numbers from numbers.
 ARITHMETIC = {
     "connection_capacity", "discovery_polling", "event_loop_delay", "outlier_shares", "priority_distribution",
     "queueing_delay", "rendezvous", "reported_failures", "retry_budgets", "traffic_share", "units", "wakeups",
@@ -24,20 +24,20 @@
 }  # fmt: skip
 
 
-def test_every_module_that_decides_is_named_under_policy() -> None:
+def test_every_policy_module_is_listed_under_policy() -> None:
     modules = {path.stem for path in BALANCING.glob("*.py")}
-    assert modules - {path.stem for path in POLICY} == {"__init__"} | TYPES | EDGE
+    assert modules - {path.stem for path in POLICY} == {"__init__"} | TYPES | ADAPTERS
     assert len(POLICY) == len(set(POLICY))
 
 
-def test_module_size_and_line_length() -> None:
+def test_package_size_and_line_length() -> None:
     lines = [line for path in POLICY for line in path.read_text().splitlines() if line.strip()]
     assert len(lines) >= 300
     for path in BALANCING.glob("*.py"):
         assert all(len(line) <= 110 for line in path.read_text().splitlines()), path
 
 
-def test_module_imports_only_the_standard_library_and_its_own_parts() -> None:
+def test_policy_modules_import_only_the_standard_library_and_each_other() -> None:
     for path in [*POLICY, BALANCING / "state.py"]:
         text = path.read_text()
         for node in ast.walk(ast.parse(text)):
@@ -45,21 +45,21 @@
                 assert all(name.name in sys.stdlib_module_names for name in node.names), path
             elif isinstance(node, ast.ImportFrom):
                 assert (
-                    node.module in MODULE
+                    node.module in IMPORTABLE
                     if node.level
                     else str(node.module).split(".")[0] in sys.stdlib_module_names | {"__future__"}
                 ), path
         assert not any(word in text for word in ("time.time", "monotonic", "open(", "threading", "global "))
 
 
-def test_records_decide_nothing() -> None:
-    """They are kept out of the count of lines: so they may hold no branch and no arithmetic on estimates."""
+def test_state_module_has_no_branches() -> None:
+    """state.py does not count as policy code, so it may have no branches, loops, comparisons or returns."""
     tree = ast.parse((BALANCING / "state.py").read_text())
     branches = (ast.If, ast.IfExp, ast.While, ast.For, ast.Compare, ast.BoolOp, ast.Return)
     assert not any(isinstance(node, branches) for node in ast.walk(tree))
 
 
-def test_the_arithmetic_imports_only_the_standard_library_and_its_own_parts() -> None:
+def test_arithmetic_modules_import_only_the_standard_library_and_each_other() -> None:
     for name in ARITHMETIC:
         path = BALANCING / f"{name}.py"
         for node in ast.walk(ast.parse(path.read_text())):
