--- a/tests/documentation_names.py
+++ b/tests/documentation_names.py
@@ -1,6 +1,6 @@
-"""The names of code on a page, and whether a tree has them: files, modules, definitions, keys, commands.
+"""Finds names on documentation pages that don't exist: files, modules, definitions, keys and commands.
 
-The names are the texts in backticks, and the commands in blocks of code.
+Names are the texts in backticks and the commands in indented code blocks.
 """
 
 from __future__ import annotations
@@ -22,15 +22,15 @@
 from hollybay.cli.main import main as command_line
 
 CODE_FOLDERS = ("hollybay", "benchmarks", "tests")
-# Tables in these are keys that operators write.
+# Folders whose TOML files contain keys that operators write.
 KEY_FOLDERS = ("deploy", "experiments")
-# Modules that define such keys, and hold them as texts or as fields.
+# Modules that define such keys, as strings or as fields.
 KEY_MODULES = ("hollybay.routing.schema", "hollybay.balancing.settings_parser", "hollybay.proxy.config")
-# What a node with all of its metrics prints.
+# The output of a node with all of its metrics.
 METRICS = "tests/golden/metrics.txt"
 SUFFIXES = {".py", ".md", ".toml", ".txt", ".json", ".png", ".http", ".yml"}
-# Not of the tree: environments, caches, what tools leave behind.
-PRUNED = re.compile(r"\.(?!ci$)|__pycache__$|.*\.egg-info$")
+# Folders that are not part of the tree: environments, caches and output of tools.
+EXCLUDED = re.compile(r"\.(?!ci$)|__pycache__$|.*\.egg-info$")
 
 _FENCED = re.compile(r"^( *)```.*?^\1```", re.DOTALL | re.MULTILINE)
 _SPAN = re.compile(r"`([^`]+)`")
@@ -42,7 +42,7 @@
 
 
 def names_on(page: str) -> Iterator[str]:
-    """The texts in backticks of a page, and the commands in its indented blocks."""
+    """Yield the texts in backticks of a page, and the commands in its indented blocks."""
     prose = _FENCED.sub("", page)
     for match in _COMMAND_LINE.finditer(prose):
         yield match[1].partition("#")[0].strip()
@@ -52,7 +52,7 @@
 
 @dataclass
 class Module:
-    """The names that one module defines: at its top, by class, and anywhere in it."""
+    """The names that a module defines: at module level, by class, and anywhere; and its string constants."""
 
     top: set[str] = field(default_factory=set)
     classes: dict[str, set[str]] = field(default_factory=dict)
@@ -62,7 +62,7 @@
 
 
 def _targets(node: ast.AST) -> Iterator[str]:
-    """The names that a node defines or binds."""
+    """Yield the names that a syntax node defines or binds."""
     match node:
         case ast.FunctionDef(name=name) | ast.AsyncFunctionDef(name=name) | ast.ClassDef(name=name):
             yield name
@@ -77,7 +77,7 @@
 
 
 def _base_name(node: ast.expr) -> str:
-    """The last part of a base class's name."""
+    """Return the last part of a base class's name."""
     while isinstance(node, ast.Subscript):
         node = node.value
     return node.attr if isinstance(node, ast.Attribute) else getattr(node, "id", "")
@@ -104,17 +104,17 @@
 
 
 class Tree:
-    """All that a page may name in a tree."""
+    """The names of a source tree that pages may use."""
 
     def __init__(self, root: Path) -> None:
         self.root = root
 
     @cached_property
     def paths(self) -> list[str]:
-        """Files and folders, relative to the root, each with a slash before it."""
+        """Files and folders as paths relative to the root, with a leading slash."""
         found = []
         for folder, folders, files in os.walk(self.root):
-            folders[:] = [name for name in folders if not PRUNED.match(name)]
+            folders[:] = [name for name in folders if not EXCLUDED.match(name)]
             base = Path(folder).relative_to(self.root)
             found += [f"/{base / name}" for name in (*folders, *files)]
         return found
@@ -132,13 +132,13 @@
 
     @cached_property
     def definitions(self) -> set[str]:
-        """Every name that some module defines, and the modules' own."""
+        """The names that modules define, and the parts of the modules' own names."""
         names = set().union(*(module.all for module in self.modules.values()))
         return names | {part for dotted in self.modules for part in dotted.split(".")}
 
     @cached_property
     def published(self) -> set[str]:
-        """Names that are texts in the code or keys in files: of settings, metrics, fields, environment."""
+        """String constants of hollybay, metrics and keys: settings, fields, environment variables."""
         names: set[str] = set()
         for dotted, module in self.modules.items():
             if dotted.startswith("hollybay"):
@@ -169,23 +169,23 @@
         texts = set().union(*(module.texts for module in self.modules.values()))
         return {option for text in texts for option in text.split("/") if _OPTION.fullmatch(option)}
 
-    # Looking up
+    # Look-ups
 
     def has_path(self, path: str) -> bool:
-        """Whether a file or folder has this path, or one that ends with it; `*` stands for any text."""
+        """Return whether some path equals this one or ends with it; `*` matches any text."""
         tail = f"*/{path.strip('/')}"
         return any(fnmatchcase(known, tail) for known in self.paths)
 
     def has_identifier(self, name: str) -> bool:
-        """Whether the code defines or publishes a name."""
+        """Return whether a name is defined, published, at the root of the tree, or in a library."""
         if name in self.definitions or name in self.published:
             return True
-        return (self.root / name).exists() or _is_of_a_library(name)
+        return (self.root / name).exists() or _is_in_library(name)
 
     def has_dotted(self, dotted: str) -> bool:
-        """Whether this is a module, a name in one, a member of a class, or a published key."""
+        """Return whether this is a module, a name in one, a member of a class, or a published key."""
         head, _, last = dotted.rpartition(".")
-        if self._modules_named(dotted) or dotted in self.published or _is_of_a_library(dotted):
+        if self._modules_named(dotted) or dotted in self.published or _is_in_library(dotted):
             return True
         if all(part in self.keys for part in dotted.split(".")):
             return True
@@ -197,12 +197,12 @@
         return False
 
     def _modules_named(self, dotted: str) -> list[Module]:
-        """The modules whose dotted name is this, or ends with it."""
+        """Return the modules whose dotted name equals this one or ends with it."""
         tail = f".{dotted}"
         return [module for name, module in self.modules.items() if f".{name}".endswith(tail)]
 
     def _members(self, class_name: str, seen: set[str]) -> set[str]:
-        """The members of a class and of its bases."""
+        """Return the members of a class and of its bases."""
         if class_name in seen:
             return set()
         seen.add(class_name)
@@ -214,9 +214,9 @@
         return members
 
     def command_fault(self, text: str) -> str | None:
-        """Why a command of a page cannot be called, or None; other texts are no commands."""
+        """Return why a command on a page is invalid; None if it is valid or the text is no command."""
         alternatives = text.split(" | ")
-        if len(alternatives) > 1:  # each in place of the last word of the first
+        if len(alternatives) > 1:  # each alternative replaces the last word of the first one
             first = alternatives[0].split()
             calls = [alternatives[0], *(" ".join([*first[:-1], other]) for other in alternatives[1:])]
             return next((fault for call in calls if (fault := self.command_fault(call))), None)
@@ -248,7 +248,7 @@
         return f"no option {wrong[0]}" if wrong else None
 
     def fault(self, text: str) -> str | None:
-        """Why a text in backticks names nothing of the tree; None: it does, or has no form of a name."""
+        """Return why a text in backticks is an unknown name; None: it is known, or has no form of a name."""
         if " " in text:
             return self.command_fault(text)
         name = re.sub(r"\(.*\)$|\{.*\}$", "", text)
@@ -263,7 +263,7 @@
         return None
 
     def _looks_like_path(self, name: str) -> bool:
-        """Whether a text ends like a file or a folder, or begins with a folder of the code."""
+        """Return whether a text ends like a file or folder, or begins with a folder at the root."""
         if not _PATH.fullmatch(name):
             return False
         if Path(name).suffix in SUFFIXES or name.endswith("/"):
@@ -272,8 +272,8 @@
         return bool(slash) and (self.root / first).is_dir()
 
 
-def _is_of_a_library(dotted: str) -> bool:
-    """Whether this is a module of the standard library or of an installed package, or a name in one."""
+def _is_in_library(dotted: str) -> bool:
+    """Return whether this is a module of the standard library or of a package, or a name in one."""
     root, *names = dotted.split(".")
     if root.startswith("_") or root in CODE_FOLDERS or importlib.util.find_spec(root) is None:
         return False
@@ -286,7 +286,7 @@
 
 
 def _keys(table: object) -> Iterator[str]:
-    """All keys of a TOML table, and of those in it."""
+    """Yield all keys of a TOML table and of the tables in it."""
     if isinstance(table, dict):
         for key, value in table.items():
             yield key
--- a/tests/groups.py
+++ b/tests/groups.py
@@ -78,7 +78,7 @@
         "TestQueueMachine::runTest",
         "test_servers_idle_index_and_attempts_agree_after_every_event",
         "test_any_tables_are_read_or_refused",
-        "test_a_plan_after_changes_is_that_of_a_whole_compile",
+        "test_an_updated_policy_equals_a_full_compile",
         "test_each_planted_defect_is_found",
         "test_it_agrees_with_looking_at_every_route",
         "test_it_allows_no_more_than_either_and_breaks_no_rule",
--- a/tests/test_documentation_names.py
+++ b/tests/test_documentation_names.py
@@ -1,4 +1,4 @@
-"""Every name of code on a page exists: files, modules, definitions, keys, metrics and commands."""
+"""Every code name on a documentation page exists: files, modules, definitions, keys, metrics and commands."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 TREE = Tree(ROOT)
 LINK = re.compile(r"\]\(([\w./-]+\.md)\)")
 
-# Names that are none of this tree, for all pages, with the reason.
-NOT_OF_THE_TREE = {
+# Names allowed on all pages although this tree does not define them, with the reason.
+EXTERNAL_NAMES = {
     **dict.fromkeys(
         ["num_retries", "max_pending_requests", "hedge_policy", "slow_start_config"], "settings of Envoy"
     ),
-    "http.Server.Shutdown": "of Go's standard library",
+    "http.Server.Shutdown": "a function of Go's standard library",
     "TCP_NODELAY": "an option of the kernel",
     "TYPE_CHECKING": "a constant of the standard library's typing",
     "NAME.torn": "stands for the names of quarantined files",
@@ -35,11 +35,12 @@
     ),
 }
 
-# Names of what is gone, on pages that tell of the past or are still to be mended. The list only shrinks.
-OF_EARLIER_TREES = {
+# Names that were removed from the tree, on pages that describe its past or are not yet updated. The list only
+# shrinks.
+REMOVED_NAMES = {
     "docs/ROADMAP.md": {
-        "deploy/sites/clinic-counter": "sites that were measured then",
-        "deploy/sites/tram-tickets": "sites that were measured then",
+        "deploy/sites/clinic-counter": "a site of earlier measurements",
+        "deploy/sites/tram-tickets": "a site of earlier measurements",
         "Admission.sheds": "the name at the time of the entry",
         "SHED_WAIT": "the name at the time of the entry",
         "make mutation": "the target at the time of the entry",
@@ -48,17 +49,17 @@
 
 INDEX = "docs/README.md"
 
-# Names of packages before they came under `hollybay`: no page but the glossary speaks of them.
+# Names that packages had before they moved into `hollybay`: only HISTORY_PAGES may contain them.
 WITHDRAWN = ("lynxrouter", "elderscale", "standins")
-PAGES_OF_THE_PAST = {"docs/GLOSSARY.md", "docs/ROADMAP.md"}
+HISTORY_PAGES = {"docs/GLOSSARY.md", "docs/ROADMAP.md"}
 
 
 def faults(page: str, text: str) -> dict[str, str]:
-    """The names on a page that the tree does not have, with the reason."""
+    """Return the names on a page that don't exist in the tree, with the reason for each."""
     found = {}
     for name in names_on(text):
-        reason = None if name in NOT_OF_THE_TREE else TREE.fault(name)
-        if reason is not None and name not in OF_EARLIER_TREES.get(page, {}):
+        reason = None if name in EXTERNAL_NAMES else TREE.fault(name)
+        if reason is not None and name not in REMOVED_NAMES.get(page, {}):
             found[name] = reason
     return found
 
@@ -109,25 +110,25 @@
         "`keepers` `a sentence with NoSuchClass` `/-/ready` `[accord]` `2.5`",
     ],
 )
-def test_right_names_and_other_texts_are_left(text: str) -> None:
+def test_valid_names_and_other_texts_are_accepted(text: str) -> None:
     assert faults("docs/ARCHITECTURE.md", text) == {}
 
 
-def test_no_exception_is_needless() -> None:
+def test_every_exception_is_needed() -> None:
     names = {name for page in PAGES for name in names_on((ROOT / page).read_text())}
-    assert [name for name in NOT_OF_THE_TREE if name not in names or TREE.fault(name) is None] == []
-    for page, listed in OF_EARLIER_TREES.items():
+    assert [name for name in EXTERNAL_NAMES if name not in names or TREE.fault(name) is None] == []
+    for page, listed in REMOVED_NAMES.items():
         on_page = set(names_on((ROOT / page).read_text()))
         assert [name for name in listed if name not in on_page or TREE.fault(name) is None] == []
 
 
-@pytest.mark.parametrize("page", [page for page in PAGES if page not in PAGES_OF_THE_PAST])
-def test_no_page_speaks_of_a_withdrawn_package(page: str) -> None:
+@pytest.mark.parametrize("page", [page for page in PAGES if page not in HISTORY_PAGES])
+def test_no_page_names_a_withdrawn_package(page: str) -> None:
     text = (ROOT / page).read_text()
     assert [name for name in WITHDRAWN if name in text] == []
 
 
-def test_the_index_names_every_page() -> None:
+def test_the_index_links_every_page() -> None:
     index = (ROOT / INDEX).read_text()
     linked = {str((ROOT / "docs" / name).resolve().relative_to(ROOT)) for name in LINK.findall(index)}
     assert linked == set(PAGES) - {INDEX, "README.md"}
--- a/tests/test_resource_plan.py
+++ b/tests/test_resource_plan.py
@@ -325,8 +325,8 @@
 
 
 @pytest.mark.parametrize("copied", [256, 2])
-def test_a_plan_after_changes_is_that_of_a_whole_compile(copied: int) -> None:
-    """copied: the largest number of entries that are held in a dict."""
+def test_an_updated_policy_equals_a_full_compile(copied: int) -> None:
+    """copied: the largest number of entries that a persistent map keeps in a plain dict."""
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(persistent_map, "MAX_COPIED", copied)
         _play_changes()
@@ -508,7 +508,7 @@
     return Key(Kind.ROUTE, name), RouteTable(name=name, **fields)  # type: ignore[arg-type]
 
 
-def test_a_bad_change_is_refused_alone_in_a_batch_by_what_its_tables_say() -> None:
+def test_invalid_changes_of_a_batch_are_rejected_individually() -> None:
     key, table = route("a", path=PathTable(prefix="/view/a"))
     state = state_of((key, table))
     validator = Validator(compile_state(state, SETTINGS), SETTINGS)
@@ -539,7 +539,7 @@
     assert validator.policy.scopes() == compile_state(found.state, SETTINGS).scopes()
 
 
-def test_a_change_that_is_wrong_all_over_is_refused_with_so_many_problems_and_no_more() -> None:
+def test_a_rejection_reports_a_bounded_number_of_problems() -> None:
     bad = [route(f"r{n}", path=PathTable(prefix="/view/a")) for n in range(3000)]
     bad += [route(f"s{n}", path=PathTable(prefix=f"/else/{n}")) for n in range(300)]
     with pytest.raises(ChangeRejectedError) as caught:
@@ -548,7 +548,7 @@
     assert "further problems" in caught.value.problems[-1].reason
 
 
-def test_routes_that_change_places_in_one_change_do_not_overlap() -> None:
+def test_routes_that_swap_paths_in_one_change_do_not_overlap() -> None:
     state = state_of(
         route("a", path=PathTable(prefix="/view/a")), route("b", path=PathTable(prefix="/view/b"))
     )
@@ -566,7 +566,7 @@
     assert [p.resolve(b"GET", b"/view/a", {}).scope for p in (plan, after)] == ["a", "b"]  # type: ignore[union-attr]
 
 
-def test_a_change_of_a_class_or_of_the_defaults_meets_the_routes_that_inherit_it() -> None:
+def test_a_change_of_a_class_or_of_the_defaults_applies_to_routes_that_inherit_it() -> None:
     own = LimitsTable(request_timeout=100 * MS)
     state = state_of(
         route("own", path=PathTable(prefix="/view/own"), limits=own),
@@ -590,8 +590,8 @@
 
 
 @pytest.mark.parametrize("count", [200, 2000])
-def test_one_changed_route_makes_few_new_nodes(count: int) -> None:
-    """The cost is measured by shared objects rather than by time: all routes but one are the same objects."""
+def test_a_change_of_one_route_creates_few_new_nodes(count: int) -> None:
+    """Compares object identities rather than times: all routes but the changed one stay the same objects."""
     state = state_of(*(route(f"r{n}", path=PathTable(exact=f"/view/x/{n}")) for n in range(count)))
     plan = compile_state(state, SETTINGS)
     key, table = route("r7", path=PathTable(exact="/view/x/7"), limits=LimitsTable(in_flight=2))
@@ -605,7 +605,7 @@
     assert list(after.scopes_removed_since(plan) or ()) == [] and plan.scopes_removed_since(after) is None
 
 
-def test_counts_of_a_route_that_went_end_with_its_last_request() -> None:
+def test_counters_of_a_deleted_route_are_dropped_with_its_last_request() -> None:
     limits = LimitsTable(in_flight=2, rate=RateTable(per_second=1.0, burst=4))
     state = state_of(route("r", path=PathTable(prefix="/view/r"), limits=limits))
     plan = compile_state(state, SETTINGS)
@@ -635,7 +635,7 @@
     assert not gate.counters and not gate.orphaned_scopes
 
 
-def test_a_plan_knows_what_went_away_since_the_last_ones() -> None:
+def test_a_policy_reports_scopes_removed_since_recent_policies() -> None:
     state = state_of(*(route(f"r{n}", path=PathTable(exact=f"/view/{n}")) for n in range(70)))
     plans = [compile_state(state, SETTINGS)]
     for n in range(70):
@@ -649,7 +649,7 @@
     assert plans[-1].scopes_removed_since(compile_tables(tables_of(state), SETTINGS)) is None
 
 
-def test_tables_are_msgspec_structs_all_the_way() -> None:
-    """Equal tables have equal bodies, also where a default is stated explicitly."""
+def test_equal_tables_encode_to_equal_bodies() -> None:
+    """Tables are equal, and encode equally, also if a default is stated explicitly."""
     one = RouteTable(name="a", limits=LimitsTable(), path=PathTable(prefix="/"))
     assert encode_table(one) == encode_table(RouteTable(name="a")) == msgspec.msgpack.encode({"name": "a"})
--- a/tests/test_tenants.py
+++ b/tests/test_tenants.py
@@ -1,4 +1,4 @@
-"""Servers that reject a single tenant: this is no sign of load, and its requests go to other servers."""
+"""Servers that reject only one tenant: this does not count as load, and other servers get its requests."""
 
 from __future__ import annotations
 
@@ -42,12 +42,12 @@
                 assert b" 200 " in await ask(b"b", f"b-{n}")
                 assert b" 200 " in await ask(b"a", f"a-{n}")
             assert asked(b"b") == rejected_before <= len(rejecting)
-            assert asked(b"a") >= 5  # other tenants still use these servers
+            assert asked(b"a") >= 5  # these servers still get requests of other tenants
 
     asyncio.run(play())
 
 
-def test_rejections_of_a_single_tenant_are_no_sign_of_load() -> None:
+def test_rejections_of_a_single_tenant_do_not_count_as_load() -> None:
     tenants = tuple(api.Tenant(name, 0.3) for name in "abc")
     balancer = Balancer(make_settings(tenants=tenants, max_retry_after=SECOND), 1, 0)
     balancer.handle(0, api.ServerList(api.ListKind.FULL, fleet(12), 1))
