--- a/hollybay/balancing/cross_zone.py
+++ b/hollybay/balancing/cross_zone.py
@@ -31,8 +31,9 @@
 # SPEED_CLASS_RATIO, and BASE_LOAD plus LOAD_PER_PRICE times the price of crossing.
 BASE_LOAD = 2.0
 LOAD_PER_PRICE = 10.0
-# A single request crosses zones if that saves at least this share of the price, in priority weight expected
-# to be late. It is below 1 because a request that stays also delays those queued behind it.
+# A single request crosses zones if that reduces the priority weight that it is expected to lose by a late
+# response by more than this share of the price. The share is below 1 because a request that stays also delays
+# those queued behind it.
 MIN_SAVING_PER_PRICE = 0.5
 # The share of a reported load that probably remains: reports are old, and servers work off their queues.
 REPORTED_LOAD_REMAINING = 0.25
@@ -87,7 +88,7 @@
         self.remote_share = 1.0 - self.local_share
 
     def update(self, now: int, stale: bool, any_remote: bool) -> None:
-        """Update the share of requests that crosses zones; called at each review and each list.
+        """Update the share of requests that crosses zones; called at each review and after each server list.
 
         Parameters
         ----------
@@ -139,9 +140,9 @@
     def prefer(self, class_index: int, local: TrackedServer, remote: TrackedServer | None) -> TrackedServer:
         """Return a remote server in place of a busy local one if that is worth the price of crossing.
 
-        The share that crosses follows responses, so it lags seconds behind a queue that this node causes
-        itself. The node knows its own attempts in flight at once, and thereby the probability of a late
-        response.
+        `remote_share` is derived from responses, so it lags seconds behind a queue that this node's own
+        attempts build up. Their number in flight is known at once, and gives an estimate of the probability
+        of a late response.
         """
         if remote is None:
             return local
@@ -154,7 +155,7 @@
         return remote if saved > price else local
 
     def _late_probability(self, class_index: int, server: TrackedServer) -> float:
-        """Return the probability that one more request there is late, if response times are exponential."""
+        """Return the probability that one more request is late, assuming exponential response times."""
         service_time = self.estimates.service_times.by_class[class_index]
         mean = service_time * (1.0 + expected_queue(server)) / (server.size * server.slow_start_factor)
         return exp(-self.settings.classes[class_index].latency_objective / mean) if mean > 0.0 else 0.0
--- a/hollybay/balancing/endpoints.py
+++ b/hollybay/balancing/endpoints.py
@@ -1,4 +1,4 @@
-"""The servers as discovery lists them, and the age of that list."""
+"""The servers of the lists that service discovery sends, and the age of the last list."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 
 __all__ = ["Endpoints"]
 
-# The weight of one interval between two lists in the moving mean; longer ones than MAX_INTERVAL_NS count as
-# that.
+# The weight of one interval between two lists in the moving mean; intervals longer than MAX_INTERVAL_NS
+# count as MAX_INTERVAL_NS.
 INTERVAL_WEIGHT = 0.2
 MAX_INTERVAL_NS = 2 * SECOND
 # A list is overdue after this many mean intervals; each further interval multiplies reported loads by
@@ -24,7 +24,7 @@
 
 
 class Endpoints:
-    """All servers that a list has named and that have not been removed since.
+    """All servers that a list has contained and that have not been removed since.
 
     Parameters
     ----------
@@ -125,7 +125,8 @@
     def update_freshness(self, now: int) -> float:
         """Update `stale`, and return the factor (0 to 1) by which reported loads are multiplied.
 
-        Loads fade once a list is overdue: while discovery is unreachable they would be wrong for a long time.
+        Reported loads are discounted once a list is overdue, as they stay outdated while discovery is
+        unreachable.
         """
         overdue = (
             max(0.0, now - self.last_list_at - OVERDUE_INTERVALS * self.list_interval) / self.list_interval
--- a/hollybay/balancing/estimates.py
+++ b/hollybay/balancing/estimates.py
@@ -19,19 +19,20 @@
 # with disturbances that last seconds, long enough to cost little CPU time.
 REVIEW_INTERVAL_NS = SECOND // 2
 # With fewer outcomes than MIN_REVIEW_OUTCOMES between two reviews, earlier losses say little about the
-# present and decay by LOSS_DECAY. Otherwise shedding that leaves no request to learn from would never end.
+# present and decay by LOSS_DECAY. Without the decay, shedding that rejects nearly all requests would never
+# end, as hardly any attempt would be left to lower the loss.
 MIN_REVIEW_OUTCOMES = 8
 LOSS_DECAY = 0.8
-# The weight of one response in the moving means of lateness: such that the means cover this many seconds,
-# within bounds because a single response is no evidence. With a mean over a fixed number of responses, a node
-# with few of them would detect congestion, and its end, seconds late.
+# The weight of one response in the moving means of lateness and loss: such that the means cover this many
+# seconds, within bounds because a single response is no evidence. With a mean over a fixed number of
+# responses, a node with few of them would detect congestion, and its end, seconds late.
 ANSWER_WINDOW_S = 0.5
 MIN_ANSWER_WEIGHT = 0.02
 MAX_ANSWER_WEIGHT = 0.1
 # The weight of a remote response relative to a local one; remote responses are fewer.
 REMOTE_ANSWER_FACTOR = 2.5
-# A response time counts as at most this many times its latency objective, so that no single straggler
-# decides.
+# A response time counts as at most this many times its latency objective, so that a single straggler
+# does not dominate the mean.
 MAX_LATENESS = 2.0
 # The mean load of all servers from which response times include queueing, where lists report no load.
 IDLE_MEAN_LOAD = 1.0
@@ -186,7 +187,7 @@
         elif result != Result.TIMEOUT:  # a timeout on an open connection says nothing about new connections
             self.zone_reachability.observe_connect(local, False, self.answer_weight)
             if server.consecutive_connect_failures >= RESTART_CONNECT_FAILURES:
-                # It was down and is up again: a new process that no list has announced yet.
+                # Reachable again after failed connects: a new process that no server list has reported yet.
                 server.up_since = max(server.up_since, now)
                 server.slow_start_send_at = -1
             server.consecutive_connect_failures = 0
@@ -231,8 +232,8 @@
         self.response_times[index] = mean + RESPONSE_TIME_WEIGHT * (sample - mean)
         slowdown = min(sample / mean, MAX_SLOWDOWN)
         server.slowdown += SLOWDOWN_WEIGHT * (slowdown - server.slowdown)
-        # A kind of machine has enough responses to correct its listed size, but not from response times that
-        # include queueing.
+        # The servers of one kind of machine together give enough responses to correct the size that is listed
+        # for the kind, but response times that include queueing would distort it.
         if not servers_busy:
             relative = slowdown / self.mean_slowdown
             self.slowdown_by_kind[server.kind] *= 1.0 + KIND_SLOWDOWN_WEIGHT * (relative - 1.0)
--- a/hollybay/balancing/further_attempts.py
+++ b/hollybay/balancing/further_attempts.py
@@ -18,7 +18,7 @@
 # next selection.
 SERVER_WAIT_TICKS = 4
 MIN_SERVER_WAIT_NS = 20 * MS
-# Its wait ends if no more time than this many such intervals is left before its deadline.
+# It does not wait any longer if at most this many such intervals are left before its deadline.
 MIN_WAITS_LEFT = 2
 # A retry needs more than this many ticks before the deadline.
 MIN_RETRY_TICKS = 2
--- a/hollybay/balancing/load_shedding.py
+++ b/hollybay/balancing/load_shedding.py
@@ -1,7 +1,8 @@
 """Load shedding: which requests are rejected on arrival, lowest priority first.
 
-There are three causes: attempts lose priority weight (a share of all work is shed), queues would delay
-classes of higher priority (queue limits), and the node itself is late or short of request slots.
+There are three causes: attempts lose priority weight by being late, rejected or failing (a share of all work
+is shed), queues would delay classes of higher priority (queue limits), or the node itself reads requests late
+or is short of request slots.
 """
 
 from __future__ import annotations
@@ -58,7 +59,7 @@
 FREE_SLOT_THRESHOLD = 0.25
 # A request that was read late is rejected if less than this share of its expected response time is left.
 MIN_TIME_LEFT_SHARE = 0.5
-# The priority weight of requests that limits reject.
+# The priority weight of requests that limits reject, when the node sheds because it reads requests late.
 LIMITED_WEIGHT = 0.0
 
 
@@ -141,7 +142,7 @@
     def update(self, now: int) -> None:
         """Update the share that is shed because of the servers' load; called at each review."""
         estimates = self.estimates
-        # While responses are late, servers always have work: what they finish is their capacity.
+        # While responses are late, servers are never idle: the work that they complete is their capacity.
         work = _products(estimates.offered, estimates.response_times)
         offered = sum(work)
         completed = sum(_products(estimates.completed, estimates.response_times))
@@ -151,7 +152,7 @@
             self.shed_share += SHED_WEIGHT * (target - self.shed_share)
         else:
             self.shed_share = SHED_DECAY * self.shed_share if self.shed_share > MIN_SHED_SHARE else 0.0
-        # Attempts in flight show the end of congestion sooner than responses do, and much sooner than lists.
+        # Attempts in flight show the end of congestion sooner than responses and much sooner than lists do.
         delay = self.queueing_delay.estimate(now) / self.shortest_objective
         bound = SHED_PER_OBJECTIVE * (delay - SHEDDING_DELAY_SHARE)
         self.shed_share = min(self.shed_share, max(SHED_RELEASE_FACTOR * self.shed_share, bound))
@@ -233,7 +234,7 @@
             return self._reject(RejectionCause.LOAD_SHED)
         if server is None or not server.in_flight:
             return False
-        # Queued there, it would delay requests of higher priority for too long.
+        # In this server's queue the request would delay requests of higher priority for too long.
         queued = self.estimates.service_times.mean * expected_queue(server)
         if queued / (server.size * server.slow_start_factor) > limit:
             return self._reject(RejectionCause.QUEUE_LIMIT)
--- a/hollybay/balancing/outlier_ejection.py
+++ b/hollybay/balancing/outlier_ejection.py
@@ -1,4 +1,4 @@
-"""Outlier ejection: no requests for a time to servers that fail far more than others or do not respond.
+"""Outlier ejection: for a time, no requests go to servers that fail more than others or do not respond.
 
 An ejected server is on probation until it responds. Ejection ends early if responses to attempts that were
 already in flight show that the server is healthy.
@@ -19,7 +19,7 @@
 FAILURE_WEIGHT = 0.2
 OVERALL_FAILURE_WEIGHT = 0.01
 # A server is an outlier if its failure rate is at least EJECTION_FAILURE_RATE and more than
-# EJECTION_FAILURE_RATIO times that of all servers: a cause that all share is no reason to eject one.
+# EJECTION_FAILURE_RATIO times that of all servers: if all fail alike, ejecting one does not help.
 EJECTION_FAILURE_RATE = 0.45
 EJECTION_FAILURE_RATIO = 2.0
 # Below this failure rate the ejection of a server that responds ends at once.
@@ -54,8 +54,8 @@
         self.failure_rate *= 1.0 - OVERALL_FAILURE_WEIGHT
         server.failure_rate *= 1.0 - FAILURE_WEIGHT
         if server.failure_rate < HEALTHY_FAILURE_RATE:
-            # These are responses to attempts that were in flight at the ejection: the server failed by
-            # chance.
+            # A server that is still ejected responded to attempts that were in flight at its ejection: its
+            # failures were random.
             server.ejected_until = min(server.ejected_until, now)
         if server.ejected_until <= now:
             server.next_ejection = FIRST_EJECTION_NS
--- a/hollybay/balancing/retries.py
+++ b/hollybay/balancing/retries.py
@@ -13,11 +13,11 @@
 
 __all__ = ["ANYWHERE", "RetryPolicy", "RetryScope", "allowed_scope", "is_client_retry_harmless"]
 
-# Hedges allowed per request, and the most that are saved up: enough for rare stragglers, too few to cause an
-# overload.
+# Hedge tokens credited per request, and the largest number saved up: enough for rare stragglers, too few to
+# cause an overload.
 HEDGES_PER_REQUEST = 0.1
 MAX_SAVED_HEDGES = 10.0
-# Retries allowed per request, the most that are saved up, and the number that a new node starts with.
+# Retry tokens credited per request, the largest number saved up, and the number that a new node starts with.
 RETRIES_PER_REQUEST = 0.5
 MAX_SAVED_RETRIES = 50.0
 INITIAL_RETRIES = 10.0
@@ -185,7 +185,10 @@
         return scope
 
     def write_deadline(self, request: TrackedRequest) -> int:
-        """Return the time (ns) by which the last byte of a further attempt must be written; 0: no limit."""
+        """Return the time (ns) by which the last byte of a further attempt must be written; 0: no limit.
+
+        Later, servers may no longer recognise the duplicate.
+        """
         if not request.attempts:
             return 0
         cls = self.settings.classes[request.class_index]
--- a/hollybay/balancing/server_selection.py
+++ b/hollybay/balancing/server_selection.py
@@ -1,9 +1,9 @@
 """Server selection by speed-aware join-idle-queue (SA-JIQ).
 
 An attempt goes to a uniformly random idle server of the fastest speed class that has one, else to a server
-drawn by capacity. A node sees only its own share of the traffic and may take a busy server for idle. For this
-reason each server is in the idle index of a few nodes only, which then know most of its attempts in flight
-(`pool_builder`).
+drawn by capacity. A node sees only its own share of the traffic and may take a busy server for an idle one.
+For this reason each server is in the idle index of a few nodes only, which then know most of its attempts in
+flight (`pool_builder`).
 """
 
 from __future__ import annotations
@@ -73,7 +73,7 @@
     # Updates
 
     def rebuild(self, now: int) -> None:
-        """Rebuild the pools; called at each review and each list."""
+        """Rebuild the pools; called at each review and after each server list."""
         self.local, self.remote, self.largest_size = self.builder.build(now, self.reporting_peers)
 
     def schedule_idle(self, server: TrackedServer, now: int) -> None:
@@ -81,7 +81,7 @@
         schedule_idle(server, now, next(self.tie_breaks))
 
     def apply_peer_load(self, event: PeerLoad, now: int) -> None:
-        """Apply the attempts in flight of other nodes, with which this node knows which servers are idle."""
+        """Update the attempts in flight that other nodes report, and with them which servers are idle."""
         self.reporting_peers = event.nodes
         for server_id, in_flight in event.in_flight.items():
             server = self.endpoints.servers.get(server_id)
--- a/hollybay/balancing/slow_start.py
+++ b/hollybay/balancing/slow_start.py
@@ -14,9 +14,9 @@
 
 __all__ = ["SLOW_START_BUDGET_SHARE", "SlowStart", "send_interval"]
 
-# The share (0 to 1) of that rate that all nodes together plan to use: with an overload_multiple of 4 it is
-# 1.6 times the server's present capacity, as servers often have more than the minimum capacity of their age.
-# The rest is a margin for chance, for uneven traffic, and for a service time that is estimated too low.
+# The share (0 to 1) of the permitted rate that all nodes together plan to use: with an overload_multiple of 4
+# it is 1.6 times the server's present capacity, as servers often have more than the minimum capacity of their
+# age. The rest is a margin for random variation, uneven traffic, and underestimated service times.
 SLOW_START_BUDGET_SHARE = 0.4
 
 
--- a/hollybay/balancing/traffic_share.py
+++ b/hollybay/balancing/traffic_share.py
@@ -39,7 +39,7 @@
 
     The shares of all nodes add up to 1, even if most nodes are down, the configured number is wrong, or one
     node gets several times the mean traffic. Without a rate in the reports, the configured number is used.
-    Servers that report a wrong rate cause an error of at most MAX_FACTOR.
+    Servers that report a wrong rate cause an error by at most the factor MAX_FACTOR.
 
     Parameters
     ----------
--- a/tests/documentation_names.py
+++ b/tests/documentation_names.py
@@ -248,7 +248,7 @@
         return f"no option {wrong[0]}" if wrong else None
 
     def fault(self, text: str) -> str | None:
-        """Return why a text in backticks is an unknown name; None: it is known, or has no form of a name."""
+        """Return why a text in backticks is an unknown name; None: it is known, or is not a name."""
         if " " in text:
             return self.command_fault(text)
         name = re.sub(r"\(.*\)$|\{.*\}$", "", text)
