--- a/hollybay/balancing/pool_builder.py
+++ b/hollybay/balancing/pool_builder.py
@@ -1,4 +1,4 @@
-"""Builds the pools from which servers are picked, from lists and estimates; at each review and each list."""
+"""Builds the pools from which servers are picked, at each review and after each server list."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 # The weight of one review in the mean load of a server.
 MEAN_LOAD_WEIGHT = 0.4
 # If the ejected servers have more than this share of the capacity, a common cause is more likely than bad
-# servers, and none is left out.
+# servers, and the ejected ones stay in the pools.
 MAX_EJECTED_SHARE = 0.5
 # Bounds of the factor by which a server's load relative to the mean changes its capacity.
 MIN_LOAD_FACTOR = 0.1
--- a/hollybay/balancing/server_pool.py
+++ b/hollybay/balancing/server_pool.py
@@ -1,8 +1,8 @@
 """A pool of the servers of the local or of the remote zones: idle servers are picked first, else by capacity.
 
 A pool contains the idle servers by speed class, the fastest class first, and a table for random draws in
-proportion to capacity. Pools are rebuilt at each review and each list; in between, servers are added to and
-removed from the idle lists.
+proportion to capacity. Pools are rebuilt at each review and after each server list; in between, servers are
+added to and removed from the idle lists.
 """
 
 from __future__ import annotations
--- a/hollybay/balancing/tenant_rejections.py
+++ b/hollybay/balancing/tenant_rejections.py
@@ -1,4 +1,4 @@
-"""Rejections that concern a single tenant: they are no sign of load, and exclude the server for that tenant.
+"""Rejections of a single tenant: they do not count as load, and exclude the server for that tenant.
 
 A server may reject a tenant quickly for reasons other than load: a quota, a lock, a release that does not
 know the tenant. If that counted as overload, requests of all tenants would be shed, and the request would not
--- a/hollybay/balancing/zone_reachability.py
+++ b/hollybay/balancing/zone_reachability.py
@@ -58,7 +58,7 @@
 
     @property
     def remote_unreachable(self) -> bool:
-        """Whether sending requests to other zones is useless."""
+        """Whether connects to remote zones fail often, and far more often than local ones."""
         rate = self.remote_failure_rate
         return rate > UNREACHABLE_FAILURE_RATE and rate > UNREACHABLE_RATIO * self.local_failure_rate
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -35,8 +35,8 @@
     return item.path.stem
 
 
-def test_name(report: pytest.TestReport) -> str:
-    """Return the test's node ID without the group that pytest-xdist appends to IDs of grouped tests."""
+def plain_node_id(report: pytest.TestReport) -> str:
+    """Return a test's node ID; of a known-red test, without the group that pytest-xdist appends."""
     name, _, _ = report.nodeid.rpartition("@")
     return name if name in KNOWN_RED else report.nodeid
 
@@ -65,5 +65,5 @@
 def pytest_terminal_summary(terminalreporter: TerminalReporter) -> None:
     for name, word in (("xfailed", "red"), ("xpassed", "passed; remove it from the list")):
         for report in terminalreporter.getreports(name):
-            if test_name(report) in KNOWN_RED:
-                terminalreporter.write_line(f"KNOWN-RED, {word}: {KNOWN_RED[test_name(report)]}")
+            if plain_node_id(report) in KNOWN_RED:
+                terminalreporter.write_line(f"KNOWN-RED, {word}: {KNOWN_RED[plain_node_id(report)]}")
