--- a/hollybay/balancing/attempt_tracking.py
+++ b/hollybay/balancing/attempt_tracking.py
@@ -42,7 +42,8 @@
             self._add_in_flight(attempt)
         if server.slow_start_factor < 1.0:
             SlowStart.record_send(server, now)
-            self.selector.schedule_idle(server, now)  # an attempt whose body is pending does not unlist it
+            # Unlists the server if the body is pending: such an attempt is not counted in flight yet.
+            self.selector.schedule_idle(server, now)
         limits = request.limits
         timeout = limits.attempt_timeout if limits is not None else 0
         self.context.actions.append(Send(request.id, server.id, timeout, write_deadline))
--- a/hollybay/balancing/server_pool.py
+++ b/hollybay/balancing/server_pool.py
@@ -34,8 +34,8 @@
 def schedule_idle(server: TrackedServer, now: int, tie_break: int) -> None:
     """List a server as idle from its `idle_from` time on, if it may be listed and has nothing in flight.
 
-    A server that is listed although `idle_from` is in the future is removed from the list: an attempt that
-    does not count as in flight has postponed that time.
+    A server that is listed although `idle_from` is in the future is removed from the list: that time was
+    postponed by an attempt that does not count as in flight, such as one whose request body is pending.
 
     Parameters
     ----------
--- a/tests/test_documentation_names.py
+++ b/tests/test_documentation_names.py
@@ -22,7 +22,7 @@
     **dict.fromkeys(
         ["num_retries", "max_pending_requests", "hedge_policy", "slow_start_config"], "settings of Envoy"
     ),
-    "http.Server.Shutdown": "a function of Go's standard library",
+    "http.Server.Shutdown": "a method of Go's standard library",
     "TCP_NODELAY": "an option of the kernel",
     "TYPE_CHECKING": "a constant of the standard library's typing",
     "NAME.torn": "stands for the names of quarantined files",
