--- a/hollybay/mutation/planted.py
+++ b/hollybay/mutation/planted.py
@@ -140,7 +140,7 @@
     Defect(
         "idle-again-too-soon",
         ATTEMPT_TRACKING,
-        "self.selector.schedule_idle(server, now)  # an attempt whose body is pending does not unlist it",
+        "self.selector.schedule_idle(server, now)",
         "pass",
     ),
     Defect(
