--- a/hollybay/balancing/server_pool.py
+++ b/hollybay/balancing/server_pool.py
@@ -1,8 +1,8 @@
 """A pool of the servers of the local or of the remote zones: idle servers are picked first, else by capacity.
 
 A pool contains the idle servers by speed class, the fastest class first, and a table for random draws in
-proportion to capacity. Pools are rebuilt at each review and each list; in between, servers are added to and
-removed from the idle lists.
+proportion to capacity. Pools are rebuilt at each review and after each server list; in between, servers are
+added to and removed from the idle lists.
 """
 
 from __future__ import annotations
@@ -34,8 +34,8 @@
 def schedule_idle(server: TrackedServer, now: int, tie_break: int) -> None:
     """List a server as idle from its `idle_from` time on, if it may be listed and has nothing in flight.
 
-    A server that is listed although `idle_from` is in the future is removed from the list: an attempt that
-    does not count as in flight has postponed that time.
+    A server that is listed although `idle_from` is in the future is removed from the list: that time was
+    postponed by an attempt that does not count as in flight, such as one whose request body is pending.
 
     Parameters
     ----------
