--- a/benchmarks/accord.py
+++ b/benchmarks/accord.py
@@ -16,9 +16,9 @@
 import timeit
 from pathlib import Path
 
+from hollybay.cluster.harness import HarnessError, run_plan
 from hollybay.cluster.plan import compile_plan
 from hollybay.cluster.report import Report, report_of
-from hollybay.cluster.rig import RigFailed, play
 from hollybay.consensus.core import EpochState, Stage
 from hollybay.consensus.interfaces import MemberSettings, OperatorFileChanges
 from hollybay.consensus.leaseholder import Leaseholder
@@ -57,8 +57,8 @@
 
 def _played(nodes: int, silent: float, changes: bool) -> Report | str:
     try:
-        return report_of(asyncio.run(play(compile_plan(_plan(nodes, silent, changes), "accord", 1))))
-    except RigFailed as error:
+        return report_of(asyncio.run(run_plan(compile_plan(_plan(nodes, silent, changes), "accord", 1))))
+    except HarnessError as error:
         return str(error)[:80]
 
 
--- a/benchmarks/change_stream.py
+++ b/benchmarks/change_stream.py
@@ -12,10 +12,10 @@
 import asyncio
 from dataclasses import dataclass
 
-from hollybay.cluster.change_stream import Burst, Stream, Told, check, play
+from hollybay.cluster.change_stream import Burst, Stream, StreamResult, find_violations, run_stream
+from hollybay.cluster.harness import HarnessError
 from hollybay.cluster.plan import compile_plan
 from hollybay.cluster.report import report_of
-from hollybay.cluster.rig import RigFailed
 
 __all__ = ["main"]
 
@@ -68,13 +68,15 @@
     return Stream(begin=WARM, end=WARM + seconds, rate=RATE, bursts=(burst,), limit=30.0)
 
 
-def _row(told: Told, stream: Stream) -> Row:
+def _row(told: StreamResult, stream: Stream) -> Row:
     report = report_of(told.outcome)
-    in_force = [one for one in told.tracked if all(verdict.code == 0 for verdict in one.told)]
+    in_force = [one for one in told.tracked if all(verdict.code == 0 for verdict in one.verdicts)]
     return Row(
         tuple(sorted(one.ended - one.began for one in in_force)),
         len(told.tracked),
-        len(check(told.tracked, told.states, stream)) + sum(report.rules.values()) + len(report.torn),
+        len(find_violations(told.tracked, told.states, stream))
+        + sum(report.rules.values())
+        + len(report.torn),
         told.largest_batch,
         100 * report.figures["refused"],
         100 * report.node_cpu,
@@ -86,11 +88,11 @@
     """The figures of one run, or why there are none."""
     stream = _stream(seconds)
     try:
-        told = asyncio.run(play(compile_plan(_plan(nodes, seconds, stopped), "changes", 1), stream))
-    except RigFailed as error:
+        told = asyncio.run(run_stream(compile_plan(_plan(nodes, seconds, stopped), "changes", 1), stream))
+    except HarnessError as error:
         return str(error)[:120]
-    if not told.outcome.trust:
-        return f"not carried: {', '.join(told.outcome.trust.reasons)}"
+    if not told.outcome.validity:
+        return f"not carried: {', '.join(told.outcome.validity.reasons)}"
     return _row(told, stream)
 
 
--- a/hollybay/cli/tier.py
+++ b/hollybay/cli/tier.py
@@ -11,9 +11,9 @@
 from rich.console import Console
 from rich.progress import BarColumn, Progress, TextColumn
 
-from hollybay.cluster.plan import Plan, compile_plan, refuse_too_large
+from hollybay.cluster.harness import HarnessError, Outcome, Tick, run_plan
+from hollybay.cluster.plan import Plan, compile_plan, machine_limit_exceeded
 from hollybay.cluster.report import Report, plot, report_of, tables
-from hollybay.cluster.rig import Outcome, RigFailed, Tick, play
 from hollybay.routing.problems import OperatorError
 from hollybay.units import SECOND
 
@@ -78,7 +78,7 @@
         return EXIT_INVALID_PLAN
     try:
         outcome = _play(plan, request, console)
-    except RigFailed:
+    except HarnessError:
         return EXIT_UNTRUSTED
     report = report_of(outcome)
     if request.json_path is not None:
@@ -98,7 +98,7 @@
         raise _InvalidPlanError([str(error)]) from None
     except OperatorError as error:
         raise _InvalidPlanError([f"{file}: {problem}" for problem in error.problems]) from None
-    reason = refuse_too_large(plan)
+    reason = machine_limit_exceeded(plan)
     if reason is not None:
         raise _InvalidPlanError([f"{file}: [run]: {reason}"])
     return plan
@@ -120,8 +120,8 @@
     with bar:
         job = bar.add_task("starting", total=plan.run.seconds / SECOND, up=0)
         try:
-            return asyncio.run(play(plan, show, request.defect, request.keep))
-        except RigFailed as error:
+            return asyncio.run(run_plan(plan, show, request.defect, request.keep))
+        except HarnessError as error:
             _write_lines(console, [f"not to be trusted: {error}"])
             raise
 
--- a/hollybay/cluster/change_stream.py
+++ b/hollybay/cluster/change_stream.py
@@ -39,19 +39,30 @@
 from hollybay.testbed.scratch import in_memory
 from hollybay.units import SECOND
 
+from .harness import Outcome, _Harness
 from .plan import Plan
 from .planted import FULL_DISK
 from .records import Said
-from .rig import Outcome, _Rig
 
-__all__ = ["Burst", "FullDisk", "Proposal", "Sort", "Stream", "Told", "Tracked", "check", "play", "proposals"]
+__all__ = [
+    "Burst",
+    "ChangeKind",
+    "FullDisk",
+    "Proposal",
+    "Stream",
+    "StreamResult",
+    "TrackedChange",
+    "find_violations",
+    "proposals",
+    "run_stream",
+]
 
 CALL_LIMIT = 2.0  # s for one call of an operator
 NO_SPACE = "No space left"
 ROUTE_NAME = r"'(n\d{3}-)?r\d{3}'"
 
 
-class Sort(Enum):
+class ChangeKind(Enum):
     """What is to come of a proposal."""
 
     SOUND = "sound"  # in force
@@ -71,7 +82,7 @@
 
     at: float
     count: int
-    keeper: int = 0
+    voter: int = 0
 
 
 @dataclass(frozen=True, slots=True)
@@ -108,20 +119,20 @@
     """
 
     at: float
-    sort: Sort
+    kind: ChangeKind
     change: Change
-    keepers: tuple[int, ...]
+    voters: tuple[int, ...]
 
 
 @dataclass(slots=True)
-class Tracked:
+class TrackedChange:
     """What became of a change. told: by each of its proposers; began, ended: s from the run's start."""
 
-    sort: Sort
+    kind: ChangeKind
     change: Change
     began: float
     ended: float = 0.0
-    told: list[Verdict] = field(default_factory=list)
+    verdicts: list[Verdict] = field(default_factory=list)
 
 
 def route(name: str, cls: str | None = None, part: str = "a") -> bytes:
@@ -131,46 +142,55 @@
     )
 
 
-def proposals(stream: Stream, keepers: int) -> list[Proposal]:
+def proposals(stream: Stream, voters: int) -> list[Proposal]:
     """All proposals of a stream, in order of time."""
-    chance = random.Random(stream.seed)
+    rng = random.Random(stream.seed)
     found: list[Proposal] = []
 
-    def add(at: float, sort: Sort, operation: Operation, keeper: int | None) -> None:
-        change_id = chance.randbytes(CHANGE_ID_BYTES)
-        change = Change(change_id, 0, f"{sort.value} change", "the rig", (operation,))
-        first = chance.randrange(keepers) if keeper is None else keeper
-        twice = chance.random() < 0.25
-        found.append(Proposal(at, sort, change, (first, (first + 1) % keepers) if twice else (first,)))
+    def add(at: float, kind: ChangeKind, operation: Operation, voter: int | None) -> None:
+        change_id = rng.randbytes(CHANGE_ID_BYTES)
+        change = Change(change_id, 0, f"{kind.value} change", "the rig", (operation,))
+        first = rng.randrange(voters) if voter is None else voter
+        twice = rng.random() < 0.25
+        found.append(Proposal(at, kind, change, (first, (first + 1) % voters) if twice else (first,)))
 
-    def add_one(at: float, sort: Sort, keeper: int | None = None) -> None:
+    def add_one(at: float, kind: ChangeKind, voter: int | None = None) -> None:
         name = f"r{len(found):03d}"
-        if sort is Sort.UNFIT:
+        if kind is ChangeKind.UNFIT:
             name = f"{stream.unfit}-{name}"
-        if sort is Sort.OUTDATED:
-            add(at, sort, Delete(Kind.ROUTE, name, 1), keeper)
-        elif sort is Sort.BAD:
-            add(at, sort, Upsert(Kind.ROUTE, name, 0, route(name, cls="nobody")), keeper)
+        if kind is ChangeKind.OUTDATED:
+            add(at, kind, Delete(Kind.ROUTE, name, 1), voter)
+        elif kind is ChangeKind.BAD:
+            add(at, kind, Upsert(Kind.ROUTE, name, 0, route(name, cls="nobody")), voter)
         else:
-            add(at, sort, Upsert(Kind.ROUTE, name, 0, route(name)), keeper)
-            if sort is Sort.RIVAL:
-                add(at, sort, Upsert(Kind.ROUTE, name, 0, route(name, part="b")), keeper)
-
-    sorts = (Sort.SOUND, Sort.UNFIT, Sort.CHAINED, Sort.RIVAL, Sort.OUTDATED, Sort.BAD)
+            add(at, kind, Upsert(Kind.ROUTE, name, 0, route(name)), voter)
+            if kind is ChangeKind.RIVAL:
+                add(at, kind, Upsert(Kind.ROUTE, name, 0, route(name, part="b")), voter)
+
+    sorts = (
+        ChangeKind.SOUND,
+        ChangeKind.UNFIT,
+        ChangeKind.CHAINED,
+        ChangeKind.RIVAL,
+        ChangeKind.OUTDATED,
+        ChangeKind.BAD,
+    )
     for number in range(int((stream.end - stream.begin) * stream.rate)):
         add_one(stream.begin + number / stream.rate, sorts[number % len(sorts)])
-    sound = (Sort.SOUND,) * 3
-    in_burst = (*sound, Sort.BAD, *sound, Sort.UNFIT)
+    sound = (ChangeKind.SOUND,) * 3
+    in_burst = (*sound, ChangeKind.BAD, *sound, ChangeKind.UNFIT)
     for burst in stream.bursts:
         for number in range(burst.count):
-            add_one(burst.at, in_burst[number % len(in_burst)], burst.keeper)
+            add_one(burst.at, in_burst[number % len(in_burst)], burst.voter)
     return sorted(found, key=lambda proposal: proposal.at)
 
 
 # What must hold
 
 
-def check(tracked: Iterable[Tracked], states: Mapping[str, ResourceState], stream: Stream) -> list[str]:
+def find_violations(
+    tracked: Iterable[TrackedChange], states: Mapping[str, ResourceState], stream: Stream
+) -> list[str]:
     """What does not hold, by the rules of the module; states: of each node at the end."""
     found: list[str] = []
     if len({state.digest for state in states.values()}) != 1:
@@ -178,51 +198,51 @@
         found.append(f"nodes hold different resources: {shown}")
     everything = list(tracked)
     for one in everything:
-        found += [f"{_shown(one)}: {text}" for text in _wrong(one, states, stream)]
-    return found + _rivals(everything)
+        found += [f"{_describe(one)}: {text}" for text in _change_violations(one, states, stream)]
+    return found + _duplicate_routes(everything)
 
 
-def _shown(one: Tracked) -> str:
-    return f"{one.sort.value} change {one.change.id.hex()[:6]} of {one.began:.1f} s"
+def _describe(one: TrackedChange) -> str:
+    return f"{one.kind.value} change {one.change.id.hex()[:6]} of {one.began:.1f} s"
 
 
-def _wrong(one: Tracked, states: Mapping[str, ResourceState], stream: Stream) -> list[str]:
+def _change_violations(one: TrackedChange, states: Mapping[str, ResourceState], stream: Stream) -> list[str]:
     """What does not hold of one change."""
-    codes = {verdict.code for verdict in one.told}
+    codes = {verdict.code for verdict in one.verdicts}
     if codes not in ({0}, {1}):
-        return [f"was told {[(verdict.code, verdict.text) for verdict in one.told]}"]
+        return [f"was told {[(verdict.code, verdict.text) for verdict in one.verdicts]}"]
     in_force = codes == {0}
-    found = [f"is told of another: {text}" for text in _of_others(one)]
+    found = [f"is told of another: {text}" for text in _foreign_reasons(one)]
     for name, state in states.items():
         times = sum(ids.count(one.change.id) for ids in state.change_ids_by_revision.values())
         if times != int(in_force):
             found.append(f"told to be {'in force' if in_force else 'refused'}, {name} has it {times} times")
-    if in_force and one.sort in (Sort.BAD, Sort.OUTDATED, Sort.UNFIT):
+    if in_force and one.kind in (ChangeKind.BAD, ChangeKind.OUTDATED, ChangeKind.UNFIT):
         found.append("is in force")
-    sound = one.sort in (Sort.SOUND, Sort.CHAINED)
-    if not in_force and sound and not _for_want_of_space(one, stream):
-        found.append(f"is refused: {one.told[0].reasons}")
+    sound = one.kind in (ChangeKind.SOUND, ChangeKind.CHAINED)
+    if not in_force and sound and not _refused_for_full_disk(one, stream):
+        found.append(f"is refused: {one.verdicts[0].reasons}")
     return found
 
 
-def _of_others(one: Tracked) -> list[str]:
+def _foreign_reasons(one: TrackedChange) -> list[str]:
     """Reasons that name another route than its own."""
     name = one.change.operations[0].name
-    texts = [text for verdict in one.told for reasons in verdict.reasons.values() for text in reasons]
+    texts = [text for verdict in one.verdicts for reasons in verdict.reasons.values() for text in reasons]
     return [text for text in texts if re.search(ROUTE_NAME, text) and f"'{name}'" not in text]
 
 
-def _for_want_of_space(one: Tracked, stream: Stream) -> bool:
+def _refused_for_full_disk(one: TrackedChange, stream: Stream) -> bool:
     """Whether it was refused as a disk was full, at such a time."""
     during = any(one.began < disk.end and one.ended > disk.begin for disk in stream.full_disks)
-    return during and all(NO_SPACE in str(verdict.reasons) for verdict in one.told)
+    return during and all(NO_SPACE in str(verdict.reasons) for verdict in one.verdicts)
 
 
-def _rivals(tracked: Iterable[Tracked]) -> list[str]:
+def _duplicate_routes(tracked: Iterable[TrackedChange]) -> list[str]:
     """Routes that two changes created."""
     created: dict[str, int] = {}
     for one in tracked:
-        if one.sort is Sort.RIVAL and all(verdict.code == 0 for verdict in one.told):
+        if one.kind is ChangeKind.RIVAL and all(verdict.code == 0 for verdict in one.verdicts):
             name = one.change.operations[0].name
             created[name] = created.get(name, 0) + 1
     return [f"route {name} was created {times} times" for name, times in created.items() if times > 1]
@@ -234,48 +254,48 @@
 class _Proposer(ChangeTracker):
     """An operator who calls one keeper before the others."""
 
-    def __init__(self, doors: list[str], first: int) -> None:
-        super().__init__(self._called, doors)
-        self.first = doors[first]
+    def __init__(self, addresses: list[str], first: int) -> None:
+        super().__init__(self._call, addresses)
+        self.first = addresses[first]
 
-    async def _called(self, door: str, path: str, body: bytes | None) -> bytes:
+    async def _call(self, door: str, path: str, body: bytes | None) -> bytes:
         return await call_policy(door, path, body, CALL_LIMIT)
 
     def voters_in_order(self, view: ClusterView) -> list[str]:
         return sorted(super().voters_in_order(view), key=lambda door: door != self.first)
 
 
-class _StreamRig(_Rig):
+class _StreamHarness(_Harness):
     """The rig, with operators who propose the changes of a stream."""
 
     def __init__(self, plan: Plan, folder: Path, defect: str, stream: Stream) -> None:
         super().__init__(plan, folder, lambda tick: None, defect)
         self.stream = stream
-        self.tracked: list[Tracked] = []
+        self.tracked: list[TrackedChange] = []
 
     def now(self) -> float:
         """Seconds since the run's start."""
-        return (time.monotonic_ns() - self.began) / SECOND
+        return (time.monotonic_ns() - self.started_at) / SECOND
 
-    async def _all(self, runs: list[Any], faults: list[Any], beside: list[Any]) -> None:
+    async def _wait_for_clients(self, runs: list[Any], faults: list[Any], beside: list[Any]) -> None:
         faults += [
             self.loop.create_task(self._propose(one)) for one in proposals(self.stream, self.run.keepers)
         ]
-        faults += [self.loop.create_task(self._fill(disk)) for disk in self.stream.full_disks]
-        await super()._all(runs, faults, beside)
+        faults += [self.loop.create_task(self._fill_disk(disk)) for disk in self.stream.full_disks]
+        await super()._wait_for_clients(runs, faults, beside)
 
-    async def _fill(self, disk: FullDisk) -> None:
+    async def _fill_disk(self, disk: FullDisk) -> None:
         mark = self.folder / "accord" / disk.node / FULL_DISK
-        await self._at(int(disk.begin * SECOND))
+        await self._sleep_until(int(disk.begin * SECOND))
         mark.touch()
-        await self._at(int(disk.end * SECOND))
+        await self._sleep_until(int(disk.end * SECOND))
         mark.unlink()
 
     async def _propose(self, proposal: Proposal) -> None:
-        await self._at(int(proposal.at * SECOND))
-        change, keepers = proposal.change, proposal.keepers
-        one = await self._followed(proposal.sort, change, keepers)
-        if proposal.sort is not Sort.CHAINED or one.told[0].code:
+        await self._sleep_until(int(proposal.at * SECOND))
+        change, voters = proposal.change, proposal.voters
+        one = await self._propose_and_track(proposal.kind, change, voters)
+        if proposal.kind is not ChangeKind.CHAINED or one.verdicts[0].code:
             return
         name = change.operations[0].name
         for version, operation in enumerate((Upsert, Delete)):
@@ -286,27 +306,31 @@
                 else Delete(Kind.ROUTE, name, base)
             )
             change_id = bytes([version + 1]) + change.id[1:]
-            one = await self._followed(
-                Sort.CHAINED, Change(change_id, base, "the next of a chain", "the rig", (then,)), keepers
+            one = await self._propose_and_track(
+                ChangeKind.CHAINED,
+                Change(change_id, base, "the next of a chain", "the rig", (then,)),
+                voters,
             )
-            if one.told[0].code:
+            if one.verdicts[0].code:
                 return
 
     @staticmethod
-    def _revision_of(one: Tracked) -> int:
+    def _revision_of(one: TrackedChange) -> int:
         """The revision of the policy that a change is in force with."""
-        return version_of(one.told[0].change)
+        return version_of(one.verdicts[0].change)
 
-    async def _followed(self, sort: Sort, change: Change, keepers: tuple[int, ...]) -> Tracked:
+    async def _propose_and_track(
+        self, kind: ChangeKind, change: Change, voters: tuple[int, ...]
+    ) -> TrackedChange:
         """Propose a change, by one operator or two at once, until they are told what became of it."""
-        one = Tracked(sort, change, self.now())
+        one = TrackedChange(kind, change, self.now())
         self.tracked.append(one)
         began = time.monotonic_ns()
-        doors = self.called[: self.run.keepers]
-        proposers = [_Proposer(doors, first) for first in keepers]
-        one.told = await asyncio.gather(*(each.submit(change, self.stream.limit) for each in proposers))
+        addresses = self.policy_addresses[: self.run.keepers]
+        proposers = [_Proposer(addresses, first) for first in voters]
+        one.verdicts = await asyncio.gather(*(each.submit(change, self.stream.limit) for each in proposers))
         one.ended = self.now()
-        for verdict in one.told:
+        for verdict in one.verdicts:
             # The oracle knows policies; a refused change never had one.
             name = verdict.change if verdict.code == 0 else ""
             self.events.append(Said(time.monotonic_ns(), name, verdict.code, verdict.text, began))
@@ -314,11 +338,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
+class StreamResult:
     """What came of a run: its outcome, each change, and the resources on each node's disk at the end."""
 
     outcome: Outcome
-    tracked: tuple[Tracked, ...]
+    tracked: tuple[TrackedChange, ...]
     states: dict[str, ResourceState]
 
     @property
@@ -329,7 +353,7 @@
         )
 
 
-def on_disk(folder: Path, serves: list[str]) -> ResourceState:
+def state_from_log(folder: Path, serves: list[str]) -> ResourceState:
     """The resources after the policy that a node serves under, from its log on disk."""
     log = PolicyLog(folder)
     log.open()
@@ -338,20 +362,20 @@
     return state
 
 
-async def play(plan: Plan, stream: Stream, defect: str = "") -> Told:
+async def run_stream(plan: Plan, stream: Stream, defect: str = "") -> StreamResult:
     """Play a plan with a stream of changes; as rig.play."""
     folder = Path(tempfile.mkdtemp(prefix="tier-", dir=in_memory()))
     planted = "+".join(part for part in ("disk-full-by-mark", "unfit-by-name", defect) if part)
-    rig = _StreamRig(plan, folder, planted, stream)
+    harness = _StreamHarness(plan, folder, planted, stream)
     try:
-        outcome = await rig.play()
+        outcome = await harness.execute()
         states = {
-            said["name"]: on_disk(folder / "accord" / said["name"] / "policies", said["serves"])
+            said["name"]: state_from_log(folder / "accord" / said["name"] / "policies", said["serves"])
             for said in outcome.status.values()
         }
-        return Told(outcome, tuple(rig.tracked), states)
+        return StreamResult(outcome, tuple(harness.tracked), states)
     except asyncio.CancelledError:
         raise
     finally:
-        await rig.close()
+        await harness.close()
         shutil.rmtree(folder, ignore_errors=True)
--- a/hollybay/cluster/control.py
+++ b/hollybay/cluster/control.py
@@ -10,87 +10,87 @@
 
 import msgspec
 
-__all__ = ["CallFailed", "Far", "Hub", "answer_calls", "happens"]
+__all__ = ["ControlCallError", "ControlServer", "RemoteProcess", "serve_calls", "wait_until"]
 
 LIMIT = 60.0  # seconds that a call may take
-MOST_LINE = 8 << 20
+MAX_LINE_BYTES = 8 << 20
 
 Handler = Callable[[dict[str, Any]], Awaitable[Any]]
 
 
-async def happens(changed: asyncio.Event, holds: Callable[[], bool], limit: float) -> None:
+async def wait_until(changed: asyncio.Event, condition: Callable[[], bool], limit: float) -> None:
     """Wait for a state of affairs, looked at with each event; TimeoutError after so many seconds."""
     async with asyncio.timeout(limit):
-        while not holds():
+        while not condition():
             changed.clear()
             await changed.wait()
 
 
-class CallFailed(Exception):
+class ControlCallError(Exception):
     """A process of the rig could not do what it was asked, or is gone."""
 
 
-class Far:
+class RemoteProcess:
     """A process at the other end: calls to it, and what it tells by itself."""
 
-    def __init__(self, hub: Hub, hello: dict[str, Any], writer: asyncio.StreamWriter) -> None:
-        self.hub = hub
+    def __init__(self, server: ControlServer, hello: dict[str, Any], writer: asyncio.StreamWriter) -> None:
+        self.server = server
         self.hello = hello
         self.name = str(hello["name"])
         self.writer = writer
-        self.open: dict[int, asyncio.Future[Any]] = {}
-        self.count = 0
-        self.gone = False
+        self.pending: dict[int, asyncio.Future[Any]] = {}
+        self.last_id = 0
+        self.closed = False
 
-    def tell(self, do: str, **words: Any) -> None:
+    def send(self, do: str, **fields: Any) -> None:
         """Say something that needs no answer."""
-        if not self.gone:
-            self.writer.write(msgspec.json.encode({"do": do, **words}) + b"\n")
+        if not self.closed:
+            self.writer.write(msgspec.json.encode({"do": do, **fields}) + b"\n")
 
-    async def call(self, do: str, limit: float = LIMIT, **words: Any) -> Any:
+    async def call(self, do: str, limit: float = LIMIT, **fields: Any) -> Any:
         """Ask, and wait for the answer. CallFailed: it could not, is gone, or took longer than limit (s)."""
-        if self.gone:
-            raise CallFailed(f"{self.name} is gone")
-        self.count += 1
-        number = self.count
-        answer = self.open[number] = asyncio.get_running_loop().create_future()
-        self.tell(do, id=number, **words)
+        if self.closed:
+            raise ControlCallError(f"{self.name} is gone")
+        self.last_id += 1
+        number = self.last_id
+        reply = self.pending[number] = asyncio.get_running_loop().create_future()
+        self.send(do, id=number, **fields)
         try:
             async with asyncio.timeout(limit):
-                return await answer
+                return await reply
         except TimeoutError:
-            raise CallFailed(f"{self.name} did not answer {do!r} within {limit:g} s") from None
+            raise ControlCallError(f"{self.name} did not answer {do!r} within {limit:g} s") from None
         finally:
-            self.open.pop(number, None)
+            self.pending.pop(number, None)
 
-    def heard(self, message: dict[str, Any]) -> None:
+    def handle_message(self, message: dict[str, Any]) -> None:
         """A line has come."""
         if "re" not in message:
-            self.hub.told(self, message)
+            self.server.on_message(self, message)
             return
-        answer = self.open.get(message["re"])
-        if answer is None or answer.done():
+        reply = self.pending.get(message["re"])
+        if reply is None or reply.done():
             return
         if "error" in message:
-            answer.set_exception(CallFailed(f"{self.name}: {message['error']}"))
+            reply.set_exception(ControlCallError(f"{self.name}: {message['error']}"))
         else:
-            answer.set_result(message.get("value"))
+            reply.set_result(message.get("value"))
 
-    def ended(self) -> None:
+    def on_disconnect(self) -> None:
         """Its connection has ended."""
-        self.gone = True
-        for answer in self.open.values():
-            if not answer.done():
-                answer.set_exception(CallFailed(f"{self.name} is gone"))
+        self.closed = True
+        for reply in self.pending.values():
+            if not reply.done():
+                reply.set_exception(ControlCallError(f"{self.name} is gone"))
 
 
-class Hub:
+class ControlServer:
     """The rig's end: processes say hello here, each with its name."""
 
-    def __init__(self, path: Path, told: Callable[[Far, dict[str, Any]], None]) -> None:
+    def __init__(self, path: Path, on_message: Callable[[RemoteProcess, dict[str, Any]], None]) -> None:
         self.path = path
-        self.told = told
-        self.known: dict[str, Far] = {}
+        self.on_message = on_message
+        self.processes: dict[str, RemoteProcess] = {}
         self.changed = asyncio.Event()
         self._server: asyncio.Server | None = None
         self._writers: set[asyncio.StreamWriter] = set()
@@ -98,41 +98,41 @@
     async def start(self) -> None:
         """Listen."""
         self._server = await asyncio.start_unix_server(
-            self._talk, str(self.path), limit=MOST_LINE, backlog=1024
+            self._handle_connection, str(self.path), limit=MAX_LINE_BYTES, backlog=1024
         )
 
-    async def _talk(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _handle_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self._writers.add(writer)
-        far: Far | None = None
+        process: RemoteProcess | None = None
         try:
             while line := await reader.readline():
                 message = msgspec.json.decode(line)
-                if far is None:
-                    far = self.known[str(message["name"])] = Far(self, message, writer)
-                    self.note()
+                if process is None:
+                    process = self.processes[str(message["name"])] = RemoteProcess(self, message, writer)
+                    self.notify()
                 else:
-                    far.heard(message)
+                    process.handle_message(message)
         except (OSError, ValueError):  # a process that was killed while it wrote
             pass
         finally:
             self._writers.discard(writer)
             writer.close()
-            if far is not None:
-                far.ended()
-                if self.known.get(far.name) is far:
-                    del self.known[far.name]
-                self.note()
+            if process is not None:
+                process.on_disconnect()
+                if self.processes.get(process.name) is process:
+                    del self.processes[process.name]
+                self.notify()
 
-    def note(self) -> None:
+    def notify(self) -> None:
         """Something has changed that until() may wait for."""
         self.changed.set()
 
-    async def until(self, holds: Callable[[], bool], limit: float, what: str) -> None:
+    async def wait(self, condition: Callable[[], bool], limit: float, what: str) -> None:
         """Wait for a state of affairs; CallFailed after so many seconds."""
         try:
-            await happens(self.changed, holds, limit)
+            await wait_until(self.changed, condition, limit)
         except TimeoutError:
-            raise CallFailed(f"waited {limit:g} s for {what}") from None
+            raise ControlCallError(f"waited {limit:g} s for {what}") from None
 
     async def stop(self) -> None:
         """End all connections."""
@@ -142,34 +142,34 @@
             writer.transport.abort()
 
 
-async def answer_calls(path: Path, hello: dict[str, Any], handle: Handler, teller: list[Any]) -> None:
+async def serve_calls(path: Path, hello: dict[str, Any], handle: Handler, senders: list[Any]) -> None:
     """A process's end: say hello, answer calls until the rig closes the connection.
 
     teller gets one function, by which the process tells something by itself.
     """
-    reader, writer = await asyncio.open_unix_connection(str(path), limit=MOST_LINE)
+    reader, writer = await asyncio.open_unix_connection(str(path), limit=MAX_LINE_BYTES)
 
-    def tell(message: dict[str, Any]) -> None:
+    def send(message: dict[str, Any]) -> None:
         if not writer.is_closing():
             writer.write(msgspec.json.encode(message) + b"\n")
 
-    teller.append(tell)
-    tell(hello)
+    senders.append(send)
+    send(hello)
     tasks: set[asyncio.Task[None]] = set()
 
-    async def one(message: dict[str, Any]) -> None:
+    async def handle_call(message: dict[str, Any]) -> None:
         try:
             value = await handle(message)
         except Exception as error:  # told to the rig, which ends the run
             if "id" in message:
-                tell({"re": message["id"], "error": f"{type(error).__name__}: {error}"})
+                send({"re": message["id"], "error": f"{type(error).__name__}: {error}"})
             return
         if "id" in message:
-            tell({"re": message["id"], "value": value})
+            send({"re": message["id"], "value": value})
 
     with contextlib.suppress(OSError):
         while line := await reader.readline():
-            task = asyncio.get_running_loop().create_task(one(msgspec.json.decode(line)))
+            task = asyncio.get_running_loop().create_task(handle_call(msgspec.json.decode(line)))
             tasks.add(task)
             task.add_done_callback(tasks.discard)
     for task in list(tasks):
--- a/hollybay/cluster/evenness.py
+++ b/hollybay/cluster/evenness.py
@@ -18,20 +18,20 @@
 __all__ = [
     "FIGURES",
     "Evenness",
-    "Life",
+    "ServerLifetime",
     "Spread",
     "Visit",
-    "chance_most",
     "evenness",
+    "expected_largest_count",
     "herd",
     "idle_series",
+    "longest_unused",
     "settle_time",
     "share_time",
     "spread",
-    "unused",
 ]
 
-STEP = 50_000_000
+SAMPLE_INTERVAL = 50_000_000
 
 # The figures that a plan may bound, and what they say; all are better when smaller.
 FIGURES = {
@@ -66,7 +66,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Life:
+class ServerLifetime:
     """A server, and when it was up and fit to work.
 
     capacity: seconds of work a second, over all its cores; fit: spans in which it was up and sound.
@@ -75,11 +75,11 @@
     name: str
     capacity: float
     cores: int
-    fit: tuple[tuple[int, int], ...]
+    healthy: tuple[tuple[int, int], ...]
 
-    def fit_at(self, at: int) -> bool:
+    def is_healthy_at(self, at: int) -> bool:
         """Whether it is fit at this moment."""
-        return any(begin <= at < end for begin, end in self.fit)
+        return any(begin <= at < end for begin, end in self.healthy)
 
 
 @dataclass(frozen=True, slots=True)
@@ -114,7 +114,7 @@
         }
 
 
-class _Counts:
+class _QueueCounts:
     """Requests at work and waiting, by server, as time goes on."""
 
     def __init__(self, visits: Iterable[Visit]) -> None:
@@ -142,26 +142,30 @@
 
 
 def idle_series(
-    visits: Sequence[Visit], lives: Sequence[Life], since: int, until: int, step: int = STEP
+    visits: Sequence[Visit],
+    lifetimes: Sequence[ServerLifetime],
+    since: int,
+    until: int,
+    step: int = SAMPLE_INTERVAL,
 ) -> list[tuple[int, float]]:
     """At each step the part of the fit servers without work for which a request waits elsewhere.
 
     The lesser of "servers with nothing" and "requests in waiting rooms beyond one a server", over all that
     are fit then: one waiting request a server is what lets it go on without a pause.
     """
-    counts = _Counts(visits)
+    counts = _QueueCounts(visits)
     series = []
     for at in range(since, until, step):
         counts.advance(at)
-        fit = [life.name for life in lives if life.fit_at(at)]
-        nothing = sum(counts.working[name] + counts.waiting[name] == 0 for name in fit)
-        beyond = sum(max(0, counts.waiting[life.name] - 1) for life in lives)
-        series.append((at, min(nothing, beyond) / len(fit) if fit else 0.0))
+        healthy = [lifetime.name for lifetime in lifetimes if lifetime.is_healthy_at(at)]
+        nothing = sum(counts.working[name] + counts.waiting[name] == 0 for name in healthy)
+        beyond = sum(max(0, counts.waiting[lifetime.name] - 1) for lifetime in lifetimes)
+        series.append((at, min(nothing, beyond) / len(healthy) if healthy else 0.0))
     return series
 
 
 def spread(
-    visits: Iterable[Visit], lives: Sequence[Life], since: int, until: int, span: int = SECOND
+    visits: Iterable[Visit], lifetimes: Sequence[ServerLifetime], since: int, until: int, span: int = SECOND
 ) -> Spread:
     """Work that came, over capacity, by fit server and span.
 
@@ -173,14 +177,14 @@
         if v.runs and since <= v.at < until:
             works[v.server, (v.at - since) // span].append(v.work)
     loads, noise = [], []
-    for life in lives:
+    for lifetime in lifetimes:
         for n in range((until - since) // span):
             begin = since + n * span
-            if not any(b <= begin and begin + span <= e for b, e in life.fit):
+            if not any(b <= begin and begin + span <= e for b, e in lifetime.healthy):
                 continue
-            came = works.get((life.name, n), ())
-            loads.append(sum(came) / (life.capacity * span))
-            noise.append(sum(work * work for work in came) / (life.capacity * span) ** 2)
+            came = works.get((lifetime.name, n), ())
+            loads.append(sum(came) / (lifetime.capacity * span))
+            noise.append(sum(work * work for work in came) / (lifetime.capacity * span) ** 2)
     mean = sum(loads) / len(loads) if loads else 0.0
     if mean <= 0.0:
         return Spread(0.0, 0.0, 0.0)
@@ -190,7 +194,7 @@
     return Spread(sqrt(max(0.0, variance - expected)) / mean, min(loads) / mean, max(loads) / mean)
 
 
-def chance_most(mean: float, windows: float) -> int:
+def expected_largest_count(mean: float, windows: float) -> int:
     """What the largest of so many Poisson counts of this mean reaches once on average; at least 1."""
     term = exp(-mean)
     below = term
@@ -203,7 +207,9 @@
     return max(1, count)
 
 
-def herd(visits: Iterable[Visit], lives: Sequence[Life], since: int, until: int) -> tuple[int, int]:
+def herd(
+    visits: Iterable[Visit], lifetimes: Sequence[ServerLifetime], since: int, until: int
+) -> tuple[int, int]:
     """Most nodes whose requests reached one server within one of its service times, and what chance gives.
 
     A node's second request within the time is no herd, but its own doing.
@@ -215,22 +221,22 @@
     most, chance = 0, 1
     every = [v for came in by_server.values() for v in came]
     offered = sum(
-        life.capacity * (min(e, until) - max(b, since))
-        for life in lives
-        for b, e in life.fit
+        lifetime.capacity * (min(e, until) - max(b, since))
+        for lifetime in lifetimes
+        for b, e in lifetime.healthy
         if min(e, until) > max(b, since)
     )
     if not every or offered <= 0:
         return most, chance
     work = sum(v.work for v in every) / len(every)
-    for life in lives:
-        came = sorted(by_server.get(life.name, ()), key=lambda v: v.at)
+    for lifetime in lifetimes:
+        came = sorted(by_server.get(lifetime.name, ()), key=lambda v: v.at)
         if not came:
             continue
-        service = work * life.cores / life.capacity
+        service = work * lifetime.cores / lifetime.capacity
         # A window begins at an arrival: one is there, the others are a Poisson count of this server's share.
         # What came to it would not do for that: a herd that never ends would be its own measure.
-        expected = chance_most(len(every) * life.capacity / offered * service, len(every)) + 1
+        expected = expected_largest_count(len(every) * lifetime.capacity / offered * service, len(every)) + 1
         inside: deque[Visit] = deque()
         nodes: Counter[str] = Counter()
         for v in came:
@@ -246,15 +252,17 @@
     return most, chance
 
 
-def unused(visits: Sequence[Visit], lives: Sequence[Life], since: int, until: int) -> tuple[float, float]:
+def longest_unused(
+    visits: Sequence[Visit], lifetimes: Sequence[ServerLifetime], since: int, until: int
+) -> tuple[float, float]:
     """The longest time (s) that a fit server got nothing while others queued, and what chance gives it.
 
     Only time counts in which a request beyond one a server waited elsewhere. By chance the longest gap of a
     Poisson stream of its share of requests is ln(n) mean gaps; a server's share is that of its capacity.
     """
-    counts = _Counts(visits)
+    counts = _QueueCounts(visits)
     queued: list[int] = []  # moments at which something waited
-    for at in range(since, until, STEP):
+    for at in range(since, until, SAMPLE_INTERVAL):
         counts.advance(at)
         if any(waits > 1 for waits in counts.waiting.values()):
             queued.append(at)
@@ -262,32 +270,34 @@
     arrivals: dict[str, list[int]] = defaultdict(list)
     for v in came:
         arrivals[v.server].append(v.at)
-    total = sum(life.capacity for life in lives)
+    total = sum(lifetime.capacity for lifetime in lifetimes)
     worst, chance = 0.0, 0.0
-    for life in lives:
-        rate = len(came) * life.capacity / total / ((until - since) / SECOND)
-        for begin, end in life.fit:
+    for lifetime in lifetimes:
+        rate = len(came) * lifetime.capacity / total / ((until - since) / SECOND)
+        for begin, end in lifetime.healthy:
             begin, end = max(begin, since), min(end, until)
             if end <= begin or not rate:
                 continue
-            marks = [begin, *(at for at in sorted(arrivals[life.name]) if begin < at < end), end]
-            usual = max(1.0, log(max(2.0, rate * (end - begin) / SECOND * len(lives)))) / rate
+            marks = [begin, *(at for at in sorted(arrivals[lifetime.name]) if begin < at < end), end]
+            usual = max(1.0, log(max(2.0, rate * (end - begin) / SECOND * len(lifetimes)))) / rate
             for one, other in pairwise(marks):
-                gap = (bisect_left(queued, other) - bisect_right(queued, one)) * STEP / SECOND
+                gap = (bisect_left(queued, other) - bisect_right(queued, one)) * SAMPLE_INTERVAL / SECOND
                 if chance == 0.0 or gap / usual > worst / chance:
                     worst, chance = gap, usual
     return worst, chance
 
 
-def evenness(visits: Sequence[Visit], lives: Sequence[Life], since: int, until: int) -> Evenness:
+def evenness(
+    visits: Sequence[Visit], lifetimes: Sequence[ServerLifetime], since: int, until: int
+) -> Evenness:
     """All figures between two moments."""
-    series = idle_series(visits, lives, since, until)
-    most, chance = herd(visits, lives, since, until)
-    gap, usual = unused(visits, lives, since, until)
+    series = idle_series(visits, lifetimes, since, until)
+    most, chance = herd(visits, lifetimes, since, until)
+    gap, usual = longest_unused(visits, lifetimes, since, until)
     return Evenness(
         sum(part for _, part in series) / len(series) if series else 0.0,
-        spread(visits, lives, since, until),
-        spread(visits, lives, since, until, until - since),
+        spread(visits, lifetimes, since, until),
+        spread(visits, lifetimes, since, until, until - since),
         most,
         chance,
         gap,
@@ -297,7 +307,7 @@
 
 def share_time(
     visits: Iterable[Visit],
-    life: Life,
+    lifetime: ServerLifetime,
     up: int,
     until: int,
     share: float,
@@ -309,8 +319,8 @@
     share: requests a second that its capacity stands for when warm; warmth: the part of it, by whole second
     of its age. A span counts as served with half of what is expected, less two deviations of the count.
     """
-    came = sorted(v.at for v in visits if v.server == life.name and v.runs and up <= v.at < until)
-    for begin in range(up, until - span + 1, STEP):
+    came = sorted(v.at for v in visits if v.server == lifetime.name and v.runs and up <= v.at < until)
+    for begin in range(up, until - span + 1, SAMPLE_INTERVAL):
         age = (begin - up) // SECOND
         part = 1.0 if warmth is None else warmth.get(age, 1.0)
         expected = share * part * span / SECOND
@@ -338,7 +348,7 @@
     limit = max(1.25 * before, before + margin)
     for n in range(bisect_left(times, since), len(times)):
         end = bisect_left(times, times[n] + span)
-        if end >= len(times) and times[-1] + STEP < times[n] + span:
+        if end >= len(times) and times[-1] + SAMPLE_INTERVAL < times[n] + span:
             return None
         if (sums[end] - sums[n]) / (end - n) <= limit:
             return (times[n] - since) / SECOND
--- a/hollybay/cluster/zygote.py
+++ b/hollybay/cluster/fork_server.py
@@ -25,7 +25,7 @@
 PR_SET_PDEATHSIG = 1
 
 
-class _Zygote:
+class _ForkServer:
     def __init__(self) -> None:
         self.pids: dict[int, str] = {}
         self.names: dict[str, int] = {}
@@ -119,9 +119,9 @@
         os.dup2(log, 1)
         os.dup2(log, 2)
         os.closerange(3, 64)  # of the zygote: its pipe, and what was opened here
-        from .roles import play
+        from .processes import run_process
 
-        status = play(words["role"], words["name"], folder, words.get("words", {}))
+        status = run_process(words["role"], words["name"], folder, words.get("words", {}))
     except BaseException:  # a fork must never return into the zygote's own loop
         import traceback
 
@@ -134,11 +134,11 @@
 
 def main() -> int:
     """Import what all need, then fork as told."""
-    from . import roles
+    from . import processes
 
     gc.collect()
     gc.freeze()  # or a collection in a child would copy the pages that all share
-    return _Zygote().run()
+    return _ForkServer().run()
 
 
 if __name__ == "__main__":
--- a/hollybay/cluster/rig.py
+++ b/hollybay/cluster/harness.py
@@ -25,31 +25,31 @@
 from hollybay.testbed.scratch import in_memory
 from hollybay.units import SECOND
 
-from .books import Books, Excuse, books_of
-from .control import CallFailed, Far, Hub, happens
-from .links import State
+from .control import ControlCallError, ControlServer, RemoteProcess, wait_until
+from .links import LinkState
+from .merged_run import Excuse, MergedRun, merge_events
 from .plan import Fault, Plan, pairs
-from .records import Event, NodeEnded, read
-from .roles import CONTROL, limits_of_tier, words_of
-from .trust import Trust, judge
+from .processes import CONTROL, node_settings, rule_limits
+from .records import Event, NodeEnded, read_events
+from .run_validity import RunValidity, assess_run_validity
 
-__all__ = ["Outcome", "RigFailed", "Tick", "play"]
+__all__ = ["HarnessError", "Outcome", "Tick", "run_plan"]
 
 # Limits in seconds: until all of a sort have started, and until a node that was told to end has ended.
 START_LIMIT, END_LIMIT = 60.0, 15.0
 # How long after a run nodes may take to serve under the same policy (s).
-AGREE_LIMIT = 8.0
+AGREEMENT_LIMIT = 8.0
 # Between two looks at what all nodes serve under (s): each is a call to every node.
-LOOK = 0.25
+STATUS_INTERVAL = 0.25
 # Between the last ready line and the first request; and how long after its end a run may take to be quiet.
-LEAD = 0.4
+START_DELAY = 0.4
 # Until the list tells of a server that crashed or came back.
-LIST_LATE = 0.6
+LIST_DELAY = 0.6
 # One turn of a starved process's duty cycle (s).
-DUTY = 0.05
+DUTY_CYCLE = 0.05
 
 
-class RigFailed(Exception):
+class HarnessError(Exception):
     """The rig could not carry the run: a process did not start, or died by itself."""
 
 
@@ -68,20 +68,22 @@
     """What came of a run. Times in ns on the monotonic clock."""
 
     plan: Plan
-    books: Books
-    trust: Trust
-    began: int
+    merged: MergedRun
+    validity: RunValidity
+    started_at: int
     ended: int
     up_seconds: float  # until all nodes were ready
     node_cpu: float  # s of a core for each second, mean of the nodes
     node_memory_mb: float  # that a node has for itself, mean
     rig_cpu: float  # s of a core for each second, all processes of the rig but the nodes
     keeper_cpu: float = 0.0  # s of a core for each second that a keeper takes beyond other nodes, mean
-    changed: list[list[Any]] = field(default_factory=list)  # of each change: code, name, text, reasons, s
+    change_results: list[list[Any]] = field(
+        default_factory=list
+    )  # of each change: code, name, text, reasons, s
     status: dict[str, Any] = field(default_factory=dict)  # of each node at the end, where there is an accord
 
 
-def _stat(pid: int) -> tuple[float, float, float]:
+def _process_usage(pid: int) -> tuple[float, float, float]:
     """CPU seconds, seconds ready without a core, and MiB of its own, of a process; zeros when it is gone."""
     try:
         spent, waited, _ = Path(f"/proc/{pid}/schedstat").read_text().split()
@@ -94,7 +96,7 @@
         return 0.0, 0.0, 0.0
 
 
-class _Zygote:
+class _ForkServer:
     """The rig's end of the zygote."""
 
     def __init__(self, folder: Path, ended: Callable[[str, int, int], None]) -> None:
@@ -111,7 +113,7 @@
             self.process = await asyncio.create_subprocess_exec(
                 sys.executable,
                 "-m",
-                "hollybay.cluster.zygote",
+                "hollybay.cluster.fork_server",
                 stdin=asyncio.subprocess.PIPE,
                 stdout=asyncio.subprocess.PIPE,
                 stderr=log,
@@ -135,21 +137,21 @@
                 self.ended(words["name"], words["pid"], words["status"])
             self.changed.set()
 
-    async def until(self, holds: Callable[[], bool], what: str, limit: float = START_LIMIT) -> None:
+    async def until(self, condition: Callable[[], bool], what: str, limit: float = START_LIMIT) -> None:
         try:
-            await happens(self.changed, holds, limit)
+            await wait_until(self.changed, condition, limit)
         except TimeoutError:
-            raise RigFailed(f"waited {limit:g} s for {what}") from None
+            raise HarnessError(f"waited {limit:g} s for {what}") from None
 
-    def _do(self, **words: Any) -> None:
+    def _send(self, **words: Any) -> None:
         assert self.process is not None and self.process.stdin is not None
         self.process.stdin.write(msgspec.json.encode(words) + b"\n")
 
     def fork(self, role: str, name: str, words: dict[str, Any]) -> None:
-        self._do(do="fork", role=role, name=name, folder=str(self.folder), words=words)
+        self._send(do="fork", role=role, name=name, folder=str(self.folder), words=words)
 
     def signal(self, name: str, number: int) -> None:
-        self._do(do="signal", name=name, number=number)
+        self._send(do="signal", name=name, number=number)
 
     async def stop(self) -> None:
         """End it, and with it all that it forked."""
@@ -162,40 +164,43 @@
             await self.reader
 
 
-class _Rig:
-    def __init__(self, plan: Plan, folder: Path, show: Callable[[Tick], None], defect: str) -> None:
+class _Harness:
+    def __init__(self, plan: Plan, folder: Path, on_progress: Callable[[Tick], None], defect: str) -> None:
         self.plan = plan
         self.run = plan.run
         self.folder = folder
-        self.show = show
+        self.on_progress = on_progress
         self.defect = defect
         self.loop = asyncio.get_running_loop()
-        self.hub = Hub(folder / CONTROL, self._told)
-        self.zygote = _Zygote(folder, self._process_ended)
-        self.heard: set[str] = set()
+        self.control = ControlServer(folder / CONTROL, self._on_message)
+        self.fork_server = _ForkServer(folder, self._process_ended)
+        self.nodes_with_list: set[str] = set()
         self.events: list[Event] = []
         self.excuses: list[Excuse] = []
         self.unfit: list[tuple[str, int, int]] = []
-        self.expected: set[str] = set()  # nodes that are to end
+        self.expected_exits: set[str] = set()  # nodes that are to end
         self.failed = ""
         self.phase = "starting"
-        self.began = 0
+        self.started_at = 0
         self.up_seconds = 0.0
-        self.touched: set[str] = set()  # nodes that a fault was on
-        self.rows: dict[str, dict[str, Any]] = {}
-        self.homes: dict[str, str] = {}
-        self.registry_port: dict[str, int] = {}
-        self.away: set[str] = set()
-        self.dying: dict[str, int] = {}  # nodes that will end themselves, and when they are back after it
-        self.later: list[asyncio.Task[None]] = []
-        self.peers: list[str] = []  # where each node hears the others
-        self.via: dict[tuple[str, str], str] = {}  # and by pair of nodes, where the switch carries them
-        self.numbers = [*plan.nodes, *(["-"] * max(0, (plan.run.configured or 0) - plan.run.nodes))]
-        self.doors: list[str] = []  # and where operators call at it
-        self.called: list[str] = []  # and where other nodes call it for a policy
+        self.faulted: set[str] = set()  # nodes that a fault was on
+        self.server_lines: dict[str, dict[str, Any]] = {}
+        self.process_of_server: dict[str, str] = {}
+        self.discovery_ports: dict[str, int] = {}
+        self.absent_servers: set[str] = set()
+        # Nodes that will kill themselves, and how long after it they start again (ns).
+        self.planned_crashes: dict[str, int] = {}
+        self.crash_tasks: list[asyncio.Task[None]] = []
+        # Where each node receives load reports; by pair of nodes, where the switch forwards them.
+        self.peer_addresses: list[str] = []
+        self.switch_addresses: dict[tuple[str, str], str] = {}
+        self.peer_names = [*plan.nodes, *(["-"] * max(0, (plan.run.configured or 0) - plan.run.nodes))]
+        self.admin_addresses: list[str] = []  # the admin endpoint of each node, in their order
+        # Where other nodes send consensus messages: the relay's listeners, else the admin endpoints.
+        self.policy_addresses: list[str] = []
         self.deaths = {plan.nodes[death.node]: death for death in plan.deaths}
-        self.changed: list[list[Any]] = []  # what came of each change of the plan
-        self.status: dict[str, Any] = {}  # what nodes said of themselves at the end
+        self.change_results: list[list[Any]] = []  # the result of each change of the plan
+        self.status: dict[str, Any] = {}  # each node's status at the end, by admin address
         self.workers = [
             "registry",
             *(f"servers{n}" for n in range(plan.rig.server_processes)),
@@ -209,40 +214,40 @@
 
     # What comes in
 
-    def _told(self, far: Far, message: dict[str, Any]) -> None:
+    def _on_message(self, worker: RemoteProcess, message: dict[str, Any]) -> None:
         if message.get("event") == "heard":
-            self.heard.add(message["node"])
-            self.hub.note()
+            self.nodes_with_list.add(message["node"])
+            self.control.notify()
 
     def _process_ended(self, name: str, pid: int, status: int) -> None:
-        if name in self.dying and self.phase != "over":
-            self.later.append(self.loop.create_task(self._died(name)))
+        if name in self.planned_crashes and self.phase != "over":
+            self.crash_tasks.append(self.loop.create_task(self._restart_crashed(name)))
             return
-        if name in self.expected or self.phase == "over":
+        if name in self.expected_exits or self.phase == "over":
             return
         log = self.folder / f"{name}.log"
         tail = log.read_text(errors="replace")[-1500:] if log.exists() else ""
         self.failed = f"{name} ended by itself with status {status}: {tail}"
-        self.hub.note()
+        self.control.notify()
 
-    def _sound(self) -> None:
+    def _raise_if_failed(self) -> None:
         if self.failed:
-            raise RigFailed(self.failed)
+            raise HarnessError(self.failed)
 
-    def far(self, name: str) -> Far:
+    def worker(self, name: str) -> RemoteProcess:
         try:
-            return self.hub.known[name]
+            return self.control.processes[name]
         except KeyError:
-            raise RigFailed(f"{name} is gone") from None
+            raise HarnessError(f"{name} is gone") from None
 
     # Start
 
     async def start(self) -> None:
         """All processes up, all nodes ready and with a list."""
         plan, run = self.plan, self.run
-        await self.hub.start()
-        await self.zygote.start()
-        common = {"limits": msgspec.to_builtins(limits_of_tier(run))}
+        await self.control.start()
+        await self.fork_server.start()
+        common = {"limits": msgspec.to_builtins(rule_limits(run))}
         rate = self.rate()
         heavy = run.uneven / (run.uneven + run.nodes - 1)
         shares = {
@@ -260,73 +265,82 @@
                     "seed": plan.seed * 1000 + int(name[7:]),
                     "retries": run.retries,
                 }
-            self.zygote.fork(name.rstrip("0123456789"), name, words)
-        await self._until(lambda: all(name in self.hub.known for name in self.workers), "the rig's processes")
+            self.fork_server.fork(name.rstrip("0123456789"), name, words)
+        await self._until(
+            lambda: all(name in self.control.processes for name in self.workers), "the rig's processes"
+        )
         await self._start_servers()
         sides = plan.sides
-        self.registry_port = await self.far("registry").call("open", nodes=sides)
-        await self._lists()
+        self.discovery_ports = await self.worker("registry").call("open", nodes=sides)
+        await self._publish_lines()
         if run.talk:
             (self.folder / "operator.toml").write_text("[peers]\n")
-            self.peers = _free_addresses(max(run.nodes, run.configured or 0), socket.SOCK_DGRAM)
-            await self._switch()
+            self.peer_addresses = _free_addresses(max(run.nodes, run.configured or 0), socket.SOCK_DGRAM)
+            await self._open_switch()
         if run.door:
-            self.doors = _free_addresses(run.nodes, socket.SOCK_STREAM)
+            self.admin_addresses = _free_addresses(run.nodes, socket.SOCK_STREAM)
         if run.keepers:
-            self.called = self.doors
+            self.policy_addresses = self.admin_addresses
             if "relay" in self.workers:
-                self.called = _free_addresses(run.nodes, socket.SOCK_STREAM)
-                doors = [list(one) for one in zip(plan.nodes, self.called, self.doors, strict=True)]
-                await self.far("relay").call("open", doors=doors)
-        began = time.monotonic()
+                self.policy_addresses = _free_addresses(run.nodes, socket.SOCK_STREAM)
+                entries = [
+                    list(one)
+                    for one in zip(plan.nodes, self.policy_addresses, self.admin_addresses, strict=True)
+                ]
+                await self.worker("relay").call("open", addresses=entries)
+        started_at = time.monotonic()
         for n, name in enumerate(plan.nodes):
             delay = run.start_late / SECOND * n / max(1, run.nodes - 1)
             if run.start_late:
-                await asyncio.sleep(max(0.0, began + delay - time.monotonic()))
+                await asyncio.sleep(max(0.0, started_at + delay - time.monotonic()))
             self._fork_node(name)
         if run.keepers:
-            keepers = self.called[: run.keepers]
-            await self._until(lambda: all(name in self.hub.known for name in plan.nodes), "the nodes")
-            await self.far("governors").call("found", doors=keepers, file="")
-        await self._nodes_ready(plan.nodes)
+            voters = self.policy_addresses[: run.keepers]
+            await self._until(lambda: all(name in self.control.processes for name in plan.nodes), "the nodes")
+            await self.worker("governors").call("found", addresses=voters, file="")
+        await self._wait_until_ready(plan.nodes)
         if run.keepers:
-            await self._all_serve()
-        self.up_seconds = time.monotonic() - began
+            await self._wait_until_serving()
+        self.up_seconds = time.monotonic() - started_at
         if run.door:
-            await self.far("operators").call("call", doors=dict(zip(plan.nodes, self.doors, strict=True)))
+            await self.worker("operators").call(
+                "call", addresses=dict(zip(plan.nodes, self.admin_addresses, strict=True))
+            )
 
-    async def _all_serve(self) -> None:
+    async def _wait_until_serving(self) -> None:
         """Wait until every node serves under something."""
-        await self._statuses(START_LIMIT, lambda under: () not in under)
+        await self._poll_statuses(START_LIMIT, lambda under: () not in under)
         idle = {door: one for door, one in self.status.items() if not one.get("serves")}
         if idle:
-            raise RigFailed(f"{len(idle)} nodes that serve under nothing: {str(idle)[:2000]}")
+            raise HarnessError(f"{len(idle)} nodes that serve under nothing: {str(idle)[:2000]}")
 
-    async def _statuses(self, limit: float, holds: Callable[[set[tuple[str, ...]]], bool]) -> None:
+    async def _poll_statuses(self, limit: float, condition: Callable[[set[tuple[str, ...]]], bool]) -> None:
         """Ask all nodes what they serve under until that holds, or so many seconds are over."""
         until = self.loop.time() + limit
         while True:
-            self.status = await self.far("governors").call("status", doors=self.doors)
+            self.status = await self.worker("governors").call("status", addresses=self.admin_addresses)
             under = {tuple(one.get("serves", ())) for one in self.status.values()}
-            if holds(under) or self.loop.time() > until:
+            if condition(under) or self.loop.time() > until:
                 return
-            await asyncio.sleep(LOOK)
+            await asyncio.sleep(STATUS_INTERVAL)
 
-    async def _all_agree(self) -> None:
+    async def _wait_for_agreement(self) -> None:
         """Wait a while until all nodes serve under the same; what they say then is the run's."""
-        await self._statuses(AGREE_LIMIT, lambda under: len(under) == 1 and under != {()})
+        await self._poll_statuses(AGREEMENT_LIMIT, lambda under: len(under) == 1 and under != {()})
 
-    async def _change(self, n: int) -> None:
+    async def _propose_change(self, n: int) -> None:
         """One change of the plan."""
         change = self.plan.changes[n]
-        await self._at(change.at)
+        await self._sleep_until(change.at)
         words = msgspec.to_builtins(change)
         if change.keepers is not None:
-            words["keepers"] = [self.called[number] for number in change.keepers]
-        doors = self.called[: self.run.keepers]
+            words["keepers"] = [self.policy_addresses[number] for number in change.keepers]
+        voters = self.policy_addresses[: self.run.keepers]
         limit = change.limit / SECOND + 60.0
-        found = await self.far("governors").call("change", limit, doors=doors, to=change.to, change=words)
-        self.changed[n] = found
+        found = await self.worker("governors").call(
+            "change", limit, addresses=voters, to=change.to, change=words
+        )
+        self.change_results[n] = found
 
     def rate(self) -> float:
         """Requests a second of the plan's load."""
@@ -346,7 +360,7 @@
             for n, (name, kind) in enumerate(zip(plan.servers, self._kinds(), strict=True)):
                 if n % processes != number:
                     continue
-                self.homes[name] = f"servers{number}"
+                self.process_of_server[name] = f"servers{number}"
                 words = asdict(kind) | {"connections": run.connections}
                 zone = n % run.zones
                 mine.append(
@@ -360,20 +374,22 @@
                     }
                 )
             sides = len(set(plan.sides.values()))
-            self.rows |= await self.far(f"servers{number}").call(
+            self.server_lines |= await self.worker(f"servers{number}").call(
                 "open", servers=mine, sides=sides, away=sorted(absent)
             )
-        self.away |= absent
+        self.absent_servers |= absent
 
-    async def _switch(self) -> None:
+    async def _open_switch(self) -> None:
         """Addresses at which pairs of nodes reach one another through the switch, where faults touch them."""
-        touched = pairs(self.plan)
-        if not touched:
+        faulted = pairs(self.plan)
+        if not faulted:
             return
-        self.via = dict(zip(touched, _free_addresses(len(touched), socket.SOCK_DGRAM), strict=True))
-        real = dict(zip(self.plan.nodes, self.peers, strict=False))
-        await self.far("switch").call(
-            "open", pairs=[[a, b, at] for (a, b), at in self.via.items()], real=real
+        self.switch_addresses = dict(
+            zip(faulted, _free_addresses(len(faulted), socket.SOCK_DGRAM), strict=True)
+        )
+        real = dict(zip(self.plan.nodes, self.peer_addresses, strict=False))
+        await self.worker("switch").call(
+            "open", pairs=[[a, b, at] for (a, b), at in self.switch_addresses.items()], real=real
         )
 
     def _fork_node(self, name: str) -> None:
@@ -381,162 +397,169 @@
         config = {
             "name": name,
             "listen": "127.0.0.1:9000",
-            "discovery": f"127.0.0.1:{self.registry_port[name]}",
+            "discovery": f"127.0.0.1:{self.discovery_ports[name]}",
             "seed": f"{(self.plan.seed << 16) + n:x}",
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": self.run.sockets},
-            "settings": words_of(self.run, n),
+            "settings": node_settings(self.run, n),
         }
         words: dict[str, Any] = {"defect": self.defect}
         if self.run.talk:
-            peers = [
-                self.via.get((name, other), at) for other, at in zip(self.numbers, self.peers, strict=True)
+            peer_addresses = [
+                self.switch_addresses.get((name, other), at)
+                for other, at in zip(self.peer_names, self.peer_addresses, strict=True)
             ]
-            config |= {"peers": peers, "peer_listen": self.peers[n]}
+            config |= {"peers": peer_addresses, "peer_listen": self.peer_addresses[n]}
             words["operator"] = str(self.folder / "operator.toml")
         if self.run.door:
-            config["admin"] = self.doors[n]
+            config["admin"] = self.admin_addresses[n]
         if self.run.keepers:
             path = self.folder / f"{name}.toml"
-            path.write_text(self._accord_of(n))
+            path.write_text(self._operator_file(n))
             words |= {"operator": str(path), "keepers": self.run.keepers}
             words |= {"unfit": n in self.run.unfit, "full": n in self.run.full}
             death = self.deaths.pop(name, None)
             if death is not None:
                 words["death"] = msgspec.to_builtins(death)
-                self.expected.add(name)
-                self.dying[name] = death.back
+                self.expected_exits.add(name)
+                self.planned_crashes[name] = death.back
         (self.folder / f"{name}.json").write_text(json.dumps(config))
         if "death" not in words:
-            self.expected.discard(name)
-        self.zygote.fork("node", name, words)
+            self.expected_exits.discard(name)
+        self.fork_server.fork("node", name, words)
 
-    def _accord_of(self, n: int) -> str:
+    def _operator_file(self, n: int) -> str:
         """The operator file that a node starts with."""
         run = self.run
         lines = [
             "[accord]",
-            f"keepers = {json.dumps(self.called[: run.keepers])}",
+            f"keepers = {json.dumps(self.policy_addresses[: run.keepers])}",
             f"folder = {json.dumps(str(self.folder / 'accord'))}",
-            f'door = "{self.called[n]}"',
+            f'door = "{self.policy_addresses[n]}"',
             f'lease = "{run.lease // 1_000_000}ms"',
         ]
         if run.narrow_for:
             lines += ['when_unsure = "narrow"', f'narrow_for = "{run.narrow_for // 1_000_000}ms"']
         return "\n".join([*lines, *(("[peers]",) if run.talk else ()), ""])
 
-    async def _died(self, name: str) -> None:
+    async def _restart_crashed(self, name: str) -> None:
         """A node has ended itself, as planned; its successor starts later."""
         now = time.monotonic_ns()
-        self.touched.add(name)
+        self.faulted.add(name)
         self.events.append(NodeEnded(now, name, True))
         self.excuses.append(Excuse(name, now - SECOND // 2, now, "killed"))
-        self.heard.discard(name)
-        await self.far("registry").call("anew", names=[name])
-        await asyncio.sleep(self.dying.pop(name) / SECOND)
+        self.nodes_with_list.discard(name)
+        await self.worker("registry").call("anew", names=[name])
+        await asyncio.sleep(self.planned_crashes.pop(name) / SECOND)
         self._fork_node(name)
-        await self._nodes_ready((name,))
+        await self._wait_until_ready((name,))
 
-    async def _nodes_ready(self, names: tuple[str, ...]) -> None:
+    async def _wait_until_ready(self, names: tuple[str, ...]) -> None:
         """Wait until these listen and have a list, and tell the clients where."""
-        known = self.hub.known
-        await self._until(lambda: all(name in known and name in self.heard for name in names), "the nodes")
-        ports = {name: known[name].hello["port"] for name in names}
+        processes = self.control.processes
+        await self._until(
+            lambda: all(name in processes and name in self.nodes_with_list for name in names), "the nodes"
+        )
+        ports = {name: processes[name].hello["port"] for name in names}
         for name in self.workers:
             if name.startswith("clients"):
-                await self.far(name).call("ports", ports=ports)
+                await self.worker(name).call("ports", ports=ports)
 
-    async def _until(self, holds: Callable[[], bool], what: str) -> None:
-        await self.hub.until(lambda: holds() or bool(self.failed), START_LIMIT, what)
-        self._sound()
+    async def _until(self, condition: Callable[[], bool], what: str) -> None:
+        await self.control.wait(lambda: condition() or bool(self.failed), START_LIMIT, what)
+        self._raise_if_failed()
 
     # Lists
 
-    async def _lists(self) -> None:
+    async def _publish_lines(self) -> None:
         """Ask the servers for their lines and publish them."""
         changed: dict[str, Any] = {}
         for number in range(self.plan.rig.server_processes):
-            changed |= await self.far(f"servers{number}").call("rows")
-        self.rows |= changed
-        lines = {name: row for name, row in changed.items() if name not in self.away}
+            changed |= await self.worker(f"servers{number}").call("rows")
+        self.server_lines |= changed
+        lines = {name: row for name, row in changed.items() if name not in self.absent_servers}
         if lines:
-            await self.far("registry").call("publish", lines=lines)
+            await self.worker("registry").call("publish", lines=lines)
 
-    async def _keep_listing(self) -> None:
+    async def _publish_periodically(self) -> None:
         every = self.run.list_every / SECOND
         due = self.loop.time()
         while True:
             due += every
             await asyncio.sleep(max(0.0, due - self.loop.time()))
-            await self._lists()
+            await self._publish_lines()
 
-    async def _gone(self, servers: tuple[str, ...]) -> None:
-        self.away |= set(servers)
-        lines = {name: {**self.rows[name], "state": "DELETED"} for name in servers}
-        await self.far("registry").call("publish", lines=lines)
+    async def _publish_deleted(self, servers: tuple[str, ...]) -> None:
+        self.absent_servers |= set(servers)
+        lines = {name: {**self.server_lines[name], "state": "DELETED"} for name in servers}
+        await self.worker("registry").call("publish", lines=lines)
 
     # Faults
 
-    async def _bring(self, fault: Fault) -> None:
+    async def _inject(self, fault: Fault) -> None:
         """One fault, from its beginning to its end."""
-        await self._at(fault.at)
+        await self._sleep_until(fault.at)
         now = time.monotonic_ns()
         self.phase = str(fault)
-        self.tell()
-        end = self.began + fault.until
-        begin = _FAULTS.get(fault.kind, _Rig._link)
+        self.report_progress()
+        end = self.started_at + fault.until
+        begin = _FAULT_HANDLERS.get(fault.kind, _Harness._link)
         await begin(self, fault, now, end)
         self.phase = "steady"
-        self.tell()
+        self.report_progress()
 
-    async def _at(self, moment: int) -> None:
-        await asyncio.sleep(max(0.0, (self.began + moment - time.monotonic_ns()) / SECOND))
+    async def _sleep_until(self, moment: int) -> None:
+        await asyncio.sleep(max(0.0, (self.started_at + moment - time.monotonic_ns()) / SECOND))
 
-    def _excuse(self, nodes: tuple[str, ...], since: int, why: str) -> None:
-        self.touched |= set(nodes)
+    def _add_excuses(self, nodes: tuple[str, ...], since: int, why: str) -> None:
+        self.faulted |= set(nodes)
         self.excuses += [Excuse(name, since, time.monotonic_ns(), why) for name in nodes]
 
     async def _kill(self, fault: Fault, now: int, end: int) -> None:
-        self.touched |= set(fault.nodes)
-        self.expected |= set(fault.nodes)
+        self.faulted |= set(fault.nodes)
+        self.expected_exits |= set(fault.nodes)
         for name in fault.nodes:
-            self.zygote.signal(name, signal.SIGKILL)
-        await self.zygote.until(
-            lambda: not any(name in self.zygote.pids for name in fault.nodes), "nodes that were killed"
+            self.fork_server.signal(name, signal.SIGKILL)
+        await self.fork_server.until(
+            lambda: not any(name in self.fork_server.pids for name in fault.nodes), "nodes that were killed"
         )
         over = time.monotonic_ns()
         self.events += [NodeEnded(over, name, True) for name in fault.nodes]
         self.excuses += [Excuse(name, now, over, "killed") for name in fault.nodes]
-        self.heard -= set(fault.nodes)
-        await self.far("registry").call("anew", names=fault.nodes)
+        self.nodes_with_list -= set(fault.nodes)
+        await self.worker("registry").call("anew", names=fault.nodes)
         if fault.until > fault.at:
-            await self._at(fault.until)
+            await self._sleep_until(fault.until)
             for name in fault.nodes:
                 self._fork_node(name)
-            await self._nodes_ready(fault.nodes)
+            await self._wait_until_ready(fault.nodes)
 
     async def _restart(self, fault: Fault, now: int, end: int) -> None:
         """SIGTERM, one after another over the fault's time, each back as soon as it has ended."""
-        self.touched |= set(fault.nodes)
+        self.faulted |= set(fault.nodes)
         for n, name in enumerate(fault.nodes):
-            await self._at(fault.at + (fault.until - fault.at) * n // max(1, len(fault.nodes)))
-            self.expected.add(name)
-            self.zygote.signal(name, signal.SIGTERM)
-            await self.zygote.until(lambda name=name: name not in self.zygote.pids, f"{name} to drain", 30.0)  # type: ignore[misc]
+            await self._sleep_until(fault.at + (fault.until - fault.at) * n // max(1, len(fault.nodes)))
+            self.expected_exits.add(name)
+            self.fork_server.signal(name, signal.SIGTERM)
+            await self.fork_server.until(
+                lambda name=name: name not in self.fork_server.pids,  # type: ignore[misc]
+                f"{name} to drain",
+                30.0,
+            )
             self.events.append(NodeEnded(time.monotonic_ns(), name, False))
-            self.heard.discard(name)
-            await self.far("registry").call("anew", names=[name])
+            self.nodes_with_list.discard(name)
+            await self.worker("registry").call("anew", names=[name])
             self._fork_node(name)
-            await self._nodes_ready((name,))
+            await self._wait_until_ready((name,))
 
     async def _stop(self, fault: Fault, now: int, end: int) -> None:
         for name in fault.nodes:
-            self.zygote.signal(name, signal.SIGSTOP)
-        await self._at(fault.until)
+            self.fork_server.signal(name, signal.SIGSTOP)
+        await self._sleep_until(fault.until)
         for name in fault.nodes:
-            self.zygote.signal(name, signal.SIGCONT)
+            self.fork_server.signal(name, signal.SIGCONT)
         # What waited in its sockets is read late, too: half a second is for that.
         await asyncio.sleep(0.5)
-        self._excuse(fault.nodes, now, "stopped")
+        self._add_excuses(fault.nodes, now, "stopped")
 
     async def _starve(self, fault: Fault, now: int, end: int) -> None:
         stopped = False
@@ -545,154 +568,160 @@
                 for part, number in ((fault.by, signal.SIGSTOP), (1.0 - fault.by, signal.SIGCONT)):
                     stopped = number == signal.SIGSTOP
                     for name in fault.nodes:
-                        self.zygote.signal(name, number)
-                    await asyncio.sleep(DUTY * part)
+                        self.fork_server.signal(name, number)
+                    await asyncio.sleep(DUTY_CYCLE * part)
         finally:
             if stopped:
                 for name in fault.nodes:
-                    self.zygote.signal(name, signal.SIGCONT)
-        self._excuse(fault.nodes, now, "starved")
+                    self.fork_server.signal(name, signal.SIGCONT)
+        self._add_excuses(fault.nodes, now, "starved")
 
     async def _few_files(self, fault: Fault, now: int, end: int) -> None:
         """Descriptors beyond the limit cannot be had any more; those that are open stay."""
         known = {}
         for name in fault.nodes:
-            pid = self.zygote.pids[name]
+            pid = self.fork_server.pids[name]
             known[name] = pid, resource.prlimit(pid, resource.RLIMIT_NOFILE)
             resource.prlimit(pid, resource.RLIMIT_NOFILE, (int(fault.by), known[name][1][1]))
-        await self._at(fault.until)
+        await self._sleep_until(fault.until)
         for name, (pid, limits) in known.items():
-            if self.zygote.pids.get(name) == pid:
+            if self.fork_server.pids.get(name) == pid:
                 resource.prlimit(pid, resource.RLIMIT_NOFILE, limits)
-        self.touched |= set(fault.nodes)
+        self.faulted |= set(fault.nodes)
 
-    def _by_home(self, servers: tuple[str, ...]) -> dict[str, list[str]]:
+    def _by_process(self, servers: tuple[str, ...]) -> dict[str, list[str]]:
         found: dict[str, list[str]] = {}
         for name in servers:
-            found.setdefault(self.homes[name], []).append(name)
+            found.setdefault(self.process_of_server[name], []).append(name)
         return found
 
-    async def _servers_do(self, servers: tuple[str, ...], do: str, **words: Any) -> None:
-        for home, names in self._by_home(servers).items():
-            await self.far(home).call(do, names=names, **words)
+    async def _call_servers(self, servers: tuple[str, ...], do: str, **words: Any) -> None:
+        for home, names in self._by_process(servers).items():
+            await self.worker(home).call(do, names=names, **words)
 
     async def _crash(self, fault: Fault, now: int, end: int) -> None:
-        await self._servers_do(fault.servers, "crash")
-        await asyncio.sleep(LIST_LATE)
-        await self._gone(fault.servers)
+        await self._call_servers(fault.servers, "crash")
+        await asyncio.sleep(LIST_DELAY)
+        await self._publish_deleted(fault.servers)
         if fault.until > fault.at:
-            await self._at(fault.until)
-            await self._back(fault.servers)
+            await self._sleep_until(fault.until)
+            await self._restore_servers(fault.servers)
 
     async def _absent(self, fault: Fault, now: int, end: int) -> None:
-        await self._at(fault.until)
-        await self._back(fault.servers)
+        await self._sleep_until(fault.until)
+        await self._restore_servers(fault.servers)
 
-    async def _back(self, servers: tuple[str, ...]) -> None:
-        await self._servers_do(servers, "back")
-        await asyncio.sleep(LIST_LATE)
-        self.away -= set(servers)
-        await self._lists()
+    async def _restore_servers(self, servers: tuple[str, ...]) -> None:
+        await self._call_servers(servers, "back")
+        await asyncio.sleep(LIST_DELAY)
+        self.absent_servers -= set(servers)
+        await self._publish_lines()
 
     async def _slow(self, fault: Fault, now: int, end: int) -> None:
         self.unfit += [(name, now, end) for name in fault.servers]
-        await self._servers_do(fault.servers, "slow", by=fault.by)
-        await self._at(fault.until)
-        await self._servers_do(fault.servers, "slow", by=1.0)
+        await self._call_servers(fault.servers, "slow", by=fault.by)
+        await self._sleep_until(fault.until)
+        await self._call_servers(fault.servers, "slow", by=1.0)
 
     async def _fail(self, fault: Fault, now: int, end: int) -> None:
         self.unfit += [(name, now, end) for name in fault.servers]
-        await self._servers_do(fault.servers, "fail", by=fault.by)
-        await self._at(fault.until)
-        await self._servers_do(fault.servers, "fail", by=0.0)
+        await self._call_servers(fault.servers, "fail", by=fault.by)
+        await self._sleep_until(fault.until)
+        await self._call_servers(fault.servers, "fail", by=0.0)
 
     async def _drain(self, fault: Fault, now: int, end: int) -> None:
         self.unfit += [(name, now, end + SECOND) for name in fault.servers]
-        await self._servers_do(fault.servers, "state", state="DRAINING")
-        await self._lists()
-        await self._at(fault.until)
-        await self._servers_do(fault.servers, "state", state="SERVING")
-        await self._lists()
+        await self._call_servers(fault.servers, "state", state="DRAINING")
+        await self._publish_lines()
+        await self._sleep_until(fault.until)
+        await self._call_servers(fault.servers, "state", state="SERVING")
+        await self._publish_lines()
 
     async def _lists_late(self, fault: Fault, now: int, end: int) -> None:
-        registry = self.far("registry")
+        registry = self.worker("registry")
         await registry.call("late", names=fault.nodes, by=fault.by)
-        await self._at(fault.until)
+        await self._sleep_until(fault.until)
         await registry.call("late", names=fault.nodes, by=0.0)
 
     async def _link(self, fault: Fault, now: int, end: int) -> None:
-        await self._put(fault, fault.state)
-        await self._at(fault.until)
-        await self._put(fault, State())
+        await self._set_link_state(fault, fault.state)
+        await self._sleep_until(fault.until)
+        await self._set_link_state(fault, LinkState())
         if fault.link == "clients-nodes":
             await asyncio.sleep(0.5)
-            self._excuse(fault.nodes, now, f"clients: {fault.kind}")
+            self._add_excuses(fault.nodes, now, f"clients: {fault.kind}")
 
-    async def _put(self, fault: Fault, state: State) -> None:
+    async def _set_link_state(self, fault: Fault, state: LinkState) -> None:
         words = msgspec.to_builtins(state)
         if fault.link == "nodes-servers":
             sides = self.plan.sides
             mine = sorted({sides[name] for name in fault.nodes})
-            await self._servers_do(fault.servers, "link", sides=mine, state=words)
+            await self._call_servers(fault.servers, "link", sides=mine, state=words)
         elif fault.link == "nodes-nodes":
             for name in ("switch", "relay"):
                 if name in self.workers:
-                    await self.far(name).call("link", names=fault.nodes, others=fault.others, state=words)
+                    await self.worker(name).call("link", names=fault.nodes, others=fault.others, state=words)
         elif fault.link in ("nodes-discovery", "operators-nodes"):
-            far = self.far("registry" if fault.link == "nodes-discovery" else "operators")
-            await far.call("link", names=fault.nodes, state=words)
+            worker = self.worker("registry" if fault.link == "nodes-discovery" else "operators")
+            await worker.call("link", names=fault.nodes, state=words)
         else:
             for name in self.workers:
                 if name.startswith("clients"):
-                    await self.far(name).call("link", names=fault.nodes, state=words)
+                    await self.worker(name).call("link", names=fault.nodes, state=words)
 
     # The run
 
-    def tell(self) -> None:
+    def report_progress(self) -> None:
         """Show how far it is."""
-        elapsed = (time.monotonic_ns() - self.began) / SECOND if self.began else 0.0
-        self.show(
-            Tick(elapsed, self.run.seconds / SECOND, self.phase, len(self.zygote.pids) - len(self.workers))
+        elapsed = (time.monotonic_ns() - self.started_at) / SECOND if self.started_at else 0.0
+        self.on_progress(
+            Tick(
+                elapsed, self.run.seconds / SECOND, self.phase, len(self.fork_server.pids) - len(self.workers)
+            )
         )
 
-    async def play(self) -> Outcome:
+    async def execute(self) -> Outcome:
         """Start, run, end, and put together what was seen."""
         run = self.run
-        self.tell()
+        self.report_progress()
         await self.start()
         self.phase = "steady"
-        self.began = time.monotonic_ns() + int(LEAD * SECOND)
+        self.started_at = time.monotonic_ns() + int(START_DELAY * SECOND)
         seconds = run.seconds / SECOND
-        clients = [self.far(name) for name in self.workers if name.startswith("clients")]
+        clients = [self.worker(name) for name in self.workers if name.startswith("clients")]
         runs = [
-            self.loop.create_task(far.call("run", limit=seconds + 60.0, at=self.began, seconds=seconds))
-            for far in clients
+            self.loop.create_task(
+                worker.call("run", limit=seconds + 60.0, at=self.started_at, seconds=seconds)
+            )
+            for worker in clients
         ]
-        beside = [self.loop.create_task(work) for work in (self._keep_listing(), self._watch())]
-        faults = [self.loop.create_task(self._bring(fault)) for fault in self.plan.faults]
-        self.changed = [[] for _ in self.plan.changes]
-        faults += [self.loop.create_task(self._change(n)) for n in range(len(self.plan.changes))]
-        await self._at(run.warm)
-        pids = dict(self.zygote.pids)
-        first = {name: _stat(pid) for name, pid in pids.items()}
+        beside = [self.loop.create_task(work) for work in (self._publish_periodically(), self._monitor())]
+        faults = [self.loop.create_task(self._inject(fault)) for fault in self.plan.faults]
+        self.change_results = [[] for _ in self.plan.changes]
+        faults += [self.loop.create_task(self._propose_change(n)) for n in range(len(self.plan.changes))]
+        await self._sleep_until(run.warm)
+        pids = dict(self.fork_server.pids)
+        first = {name: _process_usage(pid) for name, pid in pids.items()}
         since = time.monotonic_ns()
         try:
-            await self._all(runs, faults, beside)
-            await asyncio.gather(*faults, *self.later)
+            await self._wait_for_clients(runs, faults, beside)
+            await asyncio.gather(*faults, *self.crash_tasks)
             if run.keepers:
-                await self._all_agree()
+                await self._wait_for_agreement()
         finally:
-            for task in (*beside, *faults, *runs, *self.later):
+            for task in (*beside, *faults, *runs, *self.crash_tasks):
                 task.cancel()
-            await asyncio.gather(*beside, *faults, *runs, *self.later, return_exceptions=True)
+            await asyncio.gather(*beside, *faults, *runs, *self.crash_tasks, return_exceptions=True)
         ended = time.monotonic_ns()
-        last = {name: _stat(pid) for name, pid in pids.items() if self.zygote.pids.get(name) == pid}
+        last = {
+            name: _process_usage(pid) for name, pid in pids.items() if self.fork_server.pids.get(name) == pid
+        }
         self.phase = "over"
-        self.tell()
-        await self._end()
+        self.report_progress()
+        await self._stop_nodes()
         return self._outcome(first, last, since, ended)
 
-    async def _all(self, runs: list[Any], faults: list[Any], beside: list[Any]) -> None:
+    async def _wait_for_clients(self, runs: list[Any], faults: list[Any], beside: list[Any]) -> None:
         """Wait for the clients; whatever fails meanwhile ends the run."""
         waiting = {*runs, *faults, *beside}
         while any(not task.done() for task in runs):
@@ -700,33 +729,33 @@
             for task in done:
                 task.result()
 
-    async def _watch(self) -> None:
+    async def _monitor(self) -> None:
         while True:
             await asyncio.sleep(0.25)
-            self._sound()
-            self.tell()
+            self._raise_if_failed()
+            self.report_progress()
 
-    async def _end(self) -> None:
+    async def _stop_nodes(self) -> None:
         """End the nodes as operators do, then the rest."""
-        nodes = [name for name in self.plan.nodes if name in self.zygote.pids]
+        nodes = [name for name in self.plan.nodes if name in self.fork_server.pids]
         for name in nodes:
-            self.zygote.signal(name, signal.SIGTERM)
-        with contextlib.suppress(RigFailed):  # one that does not end is killed with the zygote
-            await self.zygote.until(
-                lambda: not any(name in self.zygote.pids for name in nodes), "nodes to end", END_LIMIT
+            self.fork_server.signal(name, signal.SIGTERM)
+        with contextlib.suppress(HarnessError):  # one that does not end is killed with the zygote
+            await self.fork_server.until(
+                lambda: not any(name in self.fork_server.pids for name in nodes), "nodes to end", END_LIMIT
             )
         await self.close()
 
     async def close(self) -> None:
         """End whatever is left."""
         self.phase = "over"
-        await self.hub.stop()
-        workers = [name for name in self.workers if name in self.zygote.pids]
-        with contextlib.suppress(RigFailed):  # they end by themselves when the rig's socket does
-            await self.zygote.until(
-                lambda: not any(name in self.zygote.pids for name in workers), "workers to end", 5.0
+        await self.control.stop()
+        workers = [name for name in self.workers if name in self.fork_server.pids]
+        with contextlib.suppress(HarnessError):  # they end by themselves when the rig's socket does
+            await self.fork_server.until(
+                lambda: not any(name in self.fork_server.pids for name in workers), "workers to end", 5.0
             )
-        await self.zygote.stop()
+        await self.fork_server.stop()
 
     def _outcome(
         self,
@@ -737,18 +766,18 @@
     ) -> Outcome:
         events = list(self.events)
         for path in sorted(self.folder.glob("*.journal")):
-            events += read(path)
-        limits = limits_of_tier(self.run)
-        books = books_of(events, limits, ended, self.excuses, self.unfit)
+            events += read_events(path)
+        limits = rule_limits(self.run)
+        merged = merge_events(events, limits, ended, self.excuses, self.unfit)
         span = (ended - since) / SECOND
         used = {name: [(b - a) / span for a, b in zip(first[name], last[name], strict=True)] for name in last}
-        nodes = [name for name in self.plan.nodes if name in used and name not in self.touched]
+        nodes = [name for name in self.plan.nodes if name in used and name not in self.faulted]
         rig = self.plan.rig
-        trust = judge(
-            books.beats,
+        validity = assess_run_validity(
+            merged.beats,
             self.workers,
-            self.began,
-            self.began + self.run.seconds,
+            self.started_at,
+            self.started_at + self.run.seconds,
             rig.late,
             rig.late_part,
             rig.starved_part,
@@ -760,16 +789,16 @@
         beyond = sum(keepers) / len(keepers) - sum(others) / len(others) if keepers and others else 0.0
         return Outcome(
             self.plan,
-            books,
-            trust,
-            self.began,
-            self.began + self.run.seconds,
+            merged,
+            validity,
+            self.started_at,
+            self.started_at + self.run.seconds,
             self.up_seconds,
             sum(used[name][0] for name in nodes) / count,
             sum(last[name][2] for name in nodes) / count,
             sum(used[name][0] for name in self.workers if name in used),
             beyond,
-            self.changed,
+            self.change_results,
             self.status,
         )
 
@@ -779,9 +808,9 @@
 
     Each node has an address of its own and all one port, so that one that starts again finds its own free.
     """
-    chance = random.Random()
+    rng = random.Random()
     for _ in range(20):
-        net, port = chance.randrange(1, 255), chance.randrange(20_000, 30_000)
+        net, port = rng.randrange(1, 255), rng.randrange(20_000, 30_000)
         found = [f"127.{net}.{n // 250}.{1 + n % 250}" for n in range(count)]
         with contextlib.ExitStack() as stack:
             try:
@@ -791,27 +820,27 @@
             except OSError:
                 continue
             return [f"{host}:{port}" for host in found]
-    raise RigFailed("no free addresses on loopback")
-
-
-_FAULTS: dict[str, Callable[[_Rig, Fault, int, int], Awaitable[None]]] = {
-    "kill": _Rig._kill,
-    "restart": _Rig._restart,
-    "stop": _Rig._stop,
-    "starve": _Rig._starve,
-    "few-files": _Rig._few_files,
-    "crash": _Rig._crash,
-    "absent": _Rig._absent,
-    "slow": _Rig._slow,
-    "fail": _Rig._fail,
-    "drain": _Rig._drain,
-    "lists-late": _Rig._lists_late,
+    raise HarnessError("no free addresses on loopback")
+
+
+_FAULT_HANDLERS: dict[str, Callable[[_Harness, Fault, int, int], Awaitable[None]]] = {
+    "kill": _Harness._kill,
+    "restart": _Harness._restart,
+    "stop": _Harness._stop,
+    "starve": _Harness._starve,
+    "few-files": _Harness._few_files,
+    "crash": _Harness._crash,
+    "absent": _Harness._absent,
+    "slow": _Harness._slow,
+    "fail": _Harness._fail,
+    "drain": _Harness._drain,
+    "lists-late": _Harness._lists_late,
 }
 
 
-async def play(
+async def run_plan(
     plan: Plan,
-    show: Callable[[Tick], None] = lambda tick: None,
+    on_progress: Callable[[Tick], None] = lambda tick: None,
     defect: str = "",
     keep: Path | None = None,
 ) -> Outcome:
@@ -820,13 +849,13 @@
     RigFailed or CallFailed: the rig could not carry it. Nothing is left running, whatever happens.
     """
     folder = Path(tempfile.mkdtemp(prefix="tier-", dir=in_memory()))
-    rig = _Rig(plan, folder, show, defect)
+    harness = _Harness(plan, folder, on_progress, defect)
     try:
-        return await rig.play()
-    except CallFailed as error:
-        raise RigFailed(rig.failed or str(error)) from None
+        return await harness.execute()
+    except ControlCallError as error:
+        raise HarnessError(harness.failed or str(error)) from None
     finally:
-        await rig.close()
+        await harness.close()
         if keep is not None:
             shutil.copytree(folder, keep, ignore=shutil.ignore_patterns("*.sock"))
         shutil.rmtree(folder, ignore_errors=True)
--- a/hollybay/cluster/links.py
+++ b/hollybay/cluster/links.py
@@ -17,10 +17,10 @@
 
 import msgspec
 
-__all__ = ["Door", "Link", "Linked", "State"]
+__all__ = ["Link", "LinkState", "LinkedListener", "LinkedProtocol"]
 
 
-class State(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class LinkState(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """The state of a link; the default is a sound one.
 
     cut: no new connection, no byte either way; what was on its way is delivered when the link is sound again,
@@ -44,75 +44,77 @@
     """All connections between two ends, and the state that they are in."""
 
     def __init__(self) -> None:
-        self.state = State()
-        self.lines: set[Linked] = set()
-        self.doors: list[Door] = []
+        self.state = LinkState()
+        self.connections: set[LinkedProtocol] = set()
+        self.listeners: list[LinkedListener] = []
 
-    def put(self, state: State) -> None:
+    def set_state(self, state: LinkState) -> None:
         """Take on a state, at once and for all connections."""
         self.state = state
-        for door in self.doors:
-            door.follow()
-        for line in list(self.lines):
+        for door in self.listeners:
+            door.apply_state()
+        for connection in list(self.connections):
             if state.reset:
-                line.abort()
+                connection.abort()
             else:
-                line.up.pump()
-                line.down.pump()
+                connection.up.pump()
+                connection.down.pump()
 
 
-class _Pipe:
+class _Direction:
     """One direction of one connection: bytes in order, each when its time has come."""
 
-    def __init__(self, link: Link, lost: Callable[[State], bool], deliver: Callable[[bytes], None]) -> None:
+    def __init__(
+        self, link: Link, is_lost: Callable[[LinkState], bool], deliver: Callable[[bytes], None]
+    ) -> None:
         self.link = link
-        self.lost = lost
+        self.is_lost = is_lost
         self.deliver = deliver
         self.loop = asyncio.get_running_loop()
         self.waiting: deque[tuple[float, bytes, Callable[[], None] | None]] = deque()
-        self.free_at = 0.0  # when the bytes before are through, where the rate is bounded
+        self.rate_free_at = 0.0  # when the bytes before are through, where the rate is bounded
         self.timer: asyncio.TimerHandle | None = None
-        self.dead = False
+        self.stopped = False
 
-    def put(self, data: bytes, then: Callable[[], None] | None = None) -> None:
+    def put(self, data: bytes, on_sent: Callable[[], None] | None = None) -> None:
         """Bytes come in; then: called when they have gone out."""
         state = self.link.state
         now = self.loop.time()
         due = now + state.lag
         if state.rate > 0.0:
-            self.free_at = max(self.free_at, now) + len(data) / state.rate
-            due = max(due, self.free_at)
-        if not self.waiting and due <= now and not self._held(state):
-            self._out(data, then)
+            self.rate_free_at = max(self.rate_free_at, now) + len(data) / state.rate
+            due = max(due, self.rate_free_at)
+        if not self.waiting and due <= now and not self._is_blocked(state):
+            self._deliver(data, on_sent)
             return
-        self.waiting.append((due, data, then))
+        self.waiting.append((due, data, on_sent))
         self.pump()
 
-    def _held(self, state: State) -> bool:
-        return state.cut or state.hold or self.lost(state)
+    def _is_blocked(self, state: LinkState) -> bool:
+        return state.cut or state.hold or self.is_lost(state)
 
-    def _out(self, data: bytes, then: Callable[[], None] | None) -> None:
+    def _deliver(self, data: bytes, on_sent: Callable[[], None] | None) -> None:
         if data:
             self.deliver(data)
-        if then is not None:
-            then()
+        if on_sent is not None:
+            on_sent()
 
     def pump(self) -> None:
         """Deliver what is due, and wake for the rest."""
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
-        while self.waiting and not self.dead and not self._held(self.link.state):
-            due, data, then = self.waiting[0]
+        while self.waiting and not self.stopped and not self._is_blocked(self.link.state):
+            due, data, on_sent = self.waiting[0]
             if due > self.loop.time():
                 self.timer = self.loop.call_at(due, self.pump)
                 return
             self.waiting.popleft()
-            self._out(data, then)
+            self._deliver(data, on_sent)
 
-    def kill(self) -> None:
+    def stop(self) -> None:
         """Deliver nothing any more."""
-        self.dead = True
+        self.stopped = True
         self.waiting.clear()
         if self.timer is not None:
             self.timer.cancel()
@@ -121,50 +123,50 @@
 class _Transport(asyncio.Transport):
     """The transport that the protocol behind a link sees."""
 
-    def __init__(self, line: Linked) -> None:
+    def __init__(self, connection: LinkedProtocol) -> None:
         super().__init__()
-        self.line = line
+        self.connection = connection
         self.closing = False
 
     def write(self, data: Any) -> None:
         if not self.closing:
-            self.line.down.put(bytes(data))
+            self.connection.down.put(bytes(data))
 
-    def send(self, data: bytes, then: Callable[[], None]) -> None:
+    def send(self, data: bytes, on_sent: Callable[[], None]) -> None:
         """Write, and be told when the bytes have passed the link."""
         if not self.closing:
-            self.line.down.put(data, then)
+            self.connection.down.put(data, on_sent)
 
     def is_closing(self) -> bool:
-        return self.closing or self.line.real.is_closing()
+        return self.closing or self.connection.transport.is_closing()
 
     def close(self) -> None:
         if not self.closing:
             self.closing = True
-            self.line.down.put(b"", self.line.real.close)
+            self.connection.down.put(b"", self.connection.transport.close)
 
     def abort(self) -> None:
         self.closing = True
-        self.line.abort()
+        self.connection.abort()
 
     def get_extra_info(self, name: str, default: Any = None) -> Any:
-        return self.line.real.get_extra_info(name, default)
+        return self.connection.transport.get_extra_info(name, default)
 
 
-class Linked(asyncio.Protocol):
+class LinkedProtocol(asyncio.Protocol):
     """A connection behind a link; down: toward the peer, up: from it."""
 
-    def __init__(self, link: Link, inner: asyncio.Protocol) -> None:
+    def __init__(self, link: Link, protocol: asyncio.Protocol) -> None:
         self.link = link
-        self.inner = inner
-        self.real: asyncio.Transport
-        self.up = _Pipe(link, lambda state: state.lost_up, inner.data_received)
-        self.down = _Pipe(link, lambda state: state.lost_down, lambda data: self.real.write(data))
+        self.protocol = protocol
+        self.transport: asyncio.Transport
+        self.up = _Direction(link, lambda state: state.lost_up, protocol.data_received)
+        self.down = _Direction(link, lambda state: state.lost_down, lambda data: self.transport.write(data))
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.real = cast(asyncio.Transport, transport)
-        self.link.lines.add(self)
-        self.inner.connection_made(_Transport(self))
+        self.transport = cast(asyncio.Transport, transport)
+        self.link.connections.add(self)
+        self.protocol.connection_made(_Transport(self))
         if self.link.state.reset:
             self.abort()
 
@@ -172,39 +174,39 @@
         self.up.put(data)
 
     def eof_received(self) -> bool:
-        self.up.put(b"", self.real.close)
+        self.up.put(b"", self.transport.close)
         return True
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.link.lines.discard(self)
-        self.up.kill()
-        self.down.kill()
-        self.inner.connection_lost(exc)
+        self.link.connections.discard(self)
+        self.up.stop()
+        self.down.stop()
+        self.protocol.connection_lost(exc)
 
     def abort(self) -> None:
         """Reset the connection."""
-        sock = self.real.get_extra_info("socket")
+        sock = self.transport.get_extra_info("socket")
         if sock is not None:  # with a reset, as abort() alone may say goodbye with a FIN
             with contextlib.suppress(OSError):
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\x01\0\0\0\0\0\0\0")
-        self.real.abort()
+        self.transport.abort()
 
 
-class Door:
+class LinkedListener:
     """A listening socket on loopback behind a link. make: the protocol of one connection."""
 
     BACKLOG = 512
 
-    def __init__(self, link: Link, make: Callable[[], asyncio.Protocol], port: int = 0) -> None:
+    def __init__(self, link: Link, protocol_factory: Callable[[], asyncio.Protocol], port: int = 0) -> None:
         self.link = link
-        self.make = make
+        self.protocol_factory = protocol_factory
         self.loop = asyncio.get_running_loop()
         self.port = port
         self.sock: socket.socket | None = None
-        self.shut = False  # connects are left unanswered
-        self._fill: list[socket.socket] = []
+        self.paused = False  # connects are left unanswered
+        self._fillers: list[socket.socket] = []
         self._tasks: set[asyncio.Task[Any]] = set()
-        link.doors.append(self)
+        link.listeners.append(self)
 
     def open(self) -> int:
         """Listen, at the port of an earlier life if there was one; the port. OSError: it is taken."""
@@ -219,17 +221,17 @@
             raise
         self.sock = sock
         self.port = sock.getsockname()[1]
-        self.shut = False
+        self.paused = False
         self.loop.add_reader(sock.fileno(), self._accept)
-        self.follow()
+        self.apply_state()
         return self.port
 
-    def follow(self) -> None:
+    def apply_state(self) -> None:
         """Do as the link's state says."""
-        if self.sock is None or self.link.state.cut == self.shut:
+        if self.sock is None or self.link.state.cut == self.paused:
             return
-        self.shut = self.link.state.cut
-        if self.shut:
+        self.paused = self.link.state.cut
+        if self.paused:
             # With its queue full and nobody accepting, the kernel drops the first packet of every connect.
             self.loop.remove_reader(self.sock.fileno())
             self.sock.listen(0)
@@ -238,17 +240,17 @@
                 filler.setblocking(False)
                 with contextlib.suppress(BlockingIOError):
                     filler.connect(("127.0.0.1", self.port))
-                self._fill.append(filler)
+                self._fillers.append(filler)
         else:
-            for filler in self._fill:
+            for filler in self._fillers:
                 filler.close()
-            self._fill.clear()
+            self._fillers.clear()
             self.sock.listen(self.BACKLOG)
             self.loop.add_reader(self.sock.fileno(), self._accept)
 
     def _accept(self) -> None:
         for _ in range(64):
-            if self.sock is None or self.shut:
+            if self.sock is None or self.paused:
                 return
             try:
                 conn, _ = self.sock.accept()
@@ -257,12 +259,14 @@
             conn.setblocking(False)
             conn.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             task = self.loop.create_task(
-                self.loop.connect_accepted_socket(lambda: Linked(self.link, self.make()), conn)
+                self.loop.connect_accepted_socket(
+                    lambda: LinkedProtocol(self.link, self.protocol_factory()), conn
+                )
             )
             self._tasks.add(task)
-            task.add_done_callback(self._taken)
+            task.add_done_callback(self._on_accepted)
 
-    def _taken(self, task: asyncio.Task[Any]) -> None:
+    def _on_accepted(self, task: asyncio.Task[Any]) -> None:
         self._tasks.discard(task)
         if not task.cancelled():
             task.exception()  # the peer went before its connection was taken
@@ -271,10 +275,10 @@
         """Listen no more: connects are refused from now on."""
         if self.sock is None:
             return
-        if not self.shut:
+        if not self.paused:
             self.loop.remove_reader(self.sock.fileno())
-        for filler in self._fill:
+        for filler in self._fillers:
             filler.close()
-        self._fill.clear()
+        self._fillers.clear()
         self.sock.close()
         self.sock = None
--- a/hollybay/cluster/books.py
+++ b/hollybay/cluster/merged_run.py
@@ -13,11 +13,11 @@
 from hollybay.testbed.ledger import FinalOutcome, Ledger, RequestEntry, RuleLimits, ServerStart, Verdict
 
 from . import records
-from .evenness import Life, Visit
+from .evenness import ServerLifetime, Visit
 from .models import Arrival
 from .records import Beat, Event
 
-__all__ = ["Books", "Excuse", "Posting", "books_of"]
+__all__ = ["Excuse", "MergedRun", "NodeHandover", "merge_events"]
 
 
 @dataclass(frozen=True, slots=True)
@@ -31,7 +31,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Posting:
+class NodeHandover:
     """A request's bytes went to a node."""
 
     at: int
@@ -40,44 +40,46 @@
 
 
 @dataclass
-class Books:
+class MergedRun:
     """All that was seen."""
 
     ledger: Ledger
     visits: list[Visit]
-    lives: list[Life]
+    lifetimes: list[ServerLifetime]
     arrivals: list[Arrival]
     beats: list[Beat]
-    posts: dict[str, list[Posting]]
+    handovers: dict[str, list[NodeHandover]]
     excused: Counter[str]
-    calls: list[records.Called]  # of operators
-    began: list[records.Under] = field(default_factory=list)  # requests, where nodes agree on a policy
-    said: list[records.Said] = field(default_factory=list)
+    admin_calls: list[records.Called]  # of operators
+    requests_begun: list[records.Under] = field(
+        default_factory=list
+    )  # requests, where nodes agree on a policy
+    change_reports: list[records.Said] = field(default_factory=list)
     verdict: Verdict = field(default_factory=lambda: Verdict(()))
 
 
-class _Replay:
+class _EventMerger:
     """Takes events in order of time."""
 
     def __init__(self, limits: RuleLimits) -> None:
         self.ledger = Ledger(limits)
-        self.posts: dict[str, list[Posting]] = defaultdict(list)
+        self.handovers: dict[str, list[NodeHandover]] = defaultdict(list)
         self.arrivals: list[Arrival] = []
         self.beats: list[Beat] = []
         self.open: dict[tuple[str, str], list[int]] = {}  # at, began, work
         self.visits: list[Visit] = []
-        self.ups: dict[str, list[tuple[int, records.ServerUp]]] = defaultdict(list)
-        self.downs: dict[str, list[int]] = defaultdict(list)
+        self.server_ups: dict[str, list[tuple[int, records.ServerUp]]] = defaultdict(list)
+        self.server_downs: dict[str, list[int]] = defaultdict(list)
         self.starts: dict[str, ServerStart] = {}
-        self.ended: list[Excuse] = []
-        self.calls: list[records.Called] = []
-        self.began: list[records.Under] = []
-        self.said: list[records.Said] = []
+        self.killed_nodes: list[Excuse] = []
+        self.admin_calls: list[records.Called] = []
+        self.requests_begun: list[records.Under] = []
+        self.change_reports: list[records.Said] = []
 
     def node_of(self, rid: str) -> str:
         """The node that a request was given to last."""
-        posts = self.posts.get(rid)
-        return posts[-1].node if posts else ""
+        handovers = self.handovers.get(rid)
+        return handovers[-1].node if handovers else ""
 
     def first_byte(self, event: records.Arrived) -> None:
         """The first byte of a request came to a server: the rule on drains counts from it."""
@@ -90,16 +92,16 @@
             ledger.asked(event.rid, event.cls, event.at, event.deadline, event.tenant)
             self.arrivals.append(Arrival(event.rid, event.at, event.work))
         elif isinstance(event, records.Posted):
-            self.posts[event.rid].append(Posting(event.at, event.node, event.fresh))
+            self.handovers[event.rid].append(NodeHandover(event.at, event.node, event.fresh))
         elif isinstance(event, records.Answered):
             ledger.answered(
                 event.rid, FinalOutcome(event.final), event.at - event.late, event.status, event.retry_after
             )
         elif isinstance(event, records.ServerUp):
-            self.ups[event.server].append((event.at, event))
+            self.server_ups[event.server].append((event.at, event))
             self.starts[event.server] = ledger.started(event.server, event.at, event.capacity, event.cold)
         elif isinstance(event, records.ServerDown):
-            self.downs[event.server].append(event.at)
+            self.server_downs[event.server].append(event.at)
         elif isinstance(event, records.Arrived):
             start = self.starts[event.server]
             ledger.arrived(event.rid, start, event.at, event.zone, event.cell, event.work, event.runs)
@@ -118,13 +120,13 @@
         elif isinstance(event, records.NodeEnded):
             ledger.forget(event.node)
             if event.killed:
-                self.ended.append(Excuse(event.node, event.at, event.at, "killed"))
+                self.killed_nodes.append(Excuse(event.node, event.at, event.at, "killed"))
         elif isinstance(event, records.Called):
-            self.calls.append(event)
+            self.admin_calls.append(event)
         elif isinstance(event, records.Under):
-            self.began.append(event)
+            self.requests_begun.append(event)
         elif isinstance(event, records.Said):
-            self.said.append(event)
+            self.change_reports.append(event)
         else:
             self.beats.append(event)
 
@@ -139,40 +141,44 @@
         self.visits.sort(key=lambda v: v.at)
 
 
-def _lives(replay: _Replay, warm_up: int, until: int, unfit: Iterable[tuple[str, int, int]]) -> list[Life]:
+def _server_lifetimes(
+    merger: _EventMerger, warm_up: int, until: int, fault_spans: Iterable[tuple[str, int, int]]
+) -> list[ServerLifetime]:
     """Each server's spans in which it was up, warm, and no fault was on it."""
-    troubles: dict[str, list[tuple[int, int]]] = defaultdict(list)
-    for server, begin, end in unfit:
-        troubles[server].append((begin, end))
-    lives = []
-    for server, ups in sorted(replay.ups.items()):
+    faults: dict[str, list[tuple[int, int]]] = defaultdict(list)
+    for server, begin, end in fault_spans:
+        faults[server].append((begin, end))
+    lifetimes = []
+    for server, server_ups in sorted(merger.server_ups.items()):
         spans = []
-        for at, up in ups:
-            end = min((down for down in replay.downs[server] if down > at), default=until)
+        for at, up in server_ups:
+            end = min((down for down in merger.server_downs[server] if down > at), default=until)
             begin = at + warm_up if up.cold else at
             if begin < end:
                 spans.append((begin, end))
-        for begin, end in troubles[server]:
+        for begin, end in faults[server]:
             spans = [
                 part for b, e in spans for part in ((b, min(e, begin)), (max(b, end), e)) if part[0] < part[1]
             ]
-        lives.append(Life(server, ups[0][1].capacity, ups[0][1].cores, tuple(spans)))
-    return lives
+        lifetimes.append(
+            ServerLifetime(server, server_ups[0][1].capacity, server_ups[0][1].cores, tuple(spans))
+        )
+    return lifetimes
 
 
-def books_of(
+def merge_events(
     events: Iterable[Event],
     limits: RuleLimits,
     until: int,
     excuses: Sequence[Excuse] = (),
-    unfit: Iterable[tuple[str, int, int]] = (),
-) -> Books:
+    fault_spans: Iterable[tuple[str, int, int]] = (),
+) -> MergedRun:
     """Merge what all processes saw.
 
     until: the end of the run (ns); excuses: what the rig did to nodes and to their clients' links; unfit:
     server and span in which a fault was on it. KeyError or ValueError: the events are of no one run.
     """
-    replay = _Replay(limits)
+    merger = _EventMerger(limits)
     keyed: list[tuple[int, int, Event]] = []
     for event in events:
         keyed.append((event.at, 1, event))
@@ -182,36 +188,36 @@
     for _, what, event in keyed:
         if what == 2:
             assert isinstance(event, records.Arrived)
-            replay.first_byte(event)
+            merger.first_byte(event)
         else:
-            replay.take(event)
-    replay.close(until)
-    excused = _excuse(replay, [*excuses, *replay.ended])
-    books = Books(
-        replay.ledger,
-        replay.visits,
-        _lives(replay, limits.warm_up, until, unfit),
-        replay.arrivals,
-        replay.beats,
-        dict(replay.posts),
+            merger.take(event)
+    merger.close(until)
+    excused = _excuse(merger, [*excuses, *merger.killed_nodes])
+    merged = MergedRun(
+        merger.ledger,
+        merger.visits,
+        _server_lifetimes(merger, limits.warm_up, until, fault_spans),
+        merger.arrivals,
+        merger.beats,
+        dict(merger.handovers),
         excused,
-        replay.calls,
-        replay.began,
-        replay.said,
+        merger.admin_calls,
+        merger.requests_begun,
+        merger.change_reports,
     )
-    books.verdict = replay.ledger.check()
-    return books
+    merged.verdict = merger.ledger.check()
+    return merged
 
 
-def _excuse(replay: _Replay, excuses: Sequence[Excuse]) -> Counter[str]:
+def _excuse(merger: _EventMerger, excuses: Sequence[Excuse]) -> Counter[str]:
     """Mark what the rig itself is to blame for; how many, by why."""
     by_node: dict[str, list[Excuse]] = defaultdict(list)
     for excuse in excuses:
         by_node[excuse.node].append(excuse)
     counts: Counter[str] = Counter()
-    limits = replay.ledger.limits
-    for entry in replay.ledger.requests.values():
-        why = _why(entry, replay.posts.get(entry.id, []), by_node, limits)
+    limits = merger.ledger.limits
+    for entry in merger.ledger.requests.values():
+        why = _why(entry, merger.handovers.get(entry.id, []), by_node, limits)
         if why is not None:
             counts[why] += 1
             entry.excused = True
@@ -219,19 +225,22 @@
 
 
 def _why(
-    entry: RequestEntry, posts: Sequence[Posting], by_node: dict[str, list[Excuse]], limits: RuleLimits
+    entry: RequestEntry,
+    handovers: Sequence[NodeHandover],
+    by_node: dict[str, list[Excuse]],
+    limits: RuleLimits,
 ) -> str | None:
-    whole = entry.final in (FinalOutcome.SERVED, FinalOutcome.REFUSED, FinalOutcome.FAILED)
-    if whole and entry.ended <= entry.deadline + limits.late:
+    completed = entry.final in (FinalOutcome.SERVED, FinalOutcome.REFUSED, FinalOutcome.FAILED)
+    if completed and entry.ended <= entry.deadline + limits.late:
         return None
-    if not posts:
+    if not handovers:
         return "unreached"
-    last = posts[-1]
+    last = handovers[-1]
     ended = entry.ended or entry.deadline + limits.patience
     # A connection that was opened before its node was killed may be used by a client that was late itself.
-    unheard = entry.final is FinalOutcome.BROKEN and last.fresh and not entry.arrived
+    connection_lost_before_server = entry.final is FinalOutcome.BROKEN and last.fresh and not entry.arrived
     for excuse in by_node.get(last.node, ()):
-        began = entry.at if unheard and excuse.why == "killed" else last.at
+        began = entry.at if connection_lost_before_server and excuse.why == "killed" else last.at
         if excuse.since <= ended and began <= excuse.until:
             return excuse.why
     if entry.final is FinalOutcome.BROKEN and not last.fresh and not entry.arrived:
--- a/hollybay/cluster/models.py
+++ b/hollybay/cluster/models.py
@@ -11,9 +11,9 @@
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass
 
-from .evenness import Life, Visit
+from .evenness import ServerLifetime, Visit
 
-__all__ = ["Arrival", "Played", "drawn", "one"]
+__all__ = ["Arrival", "ModelResult", "random_by_capacity", "single_dispatcher"]
 
 
 @dataclass(frozen=True, slots=True)
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Played:
+class ModelResult:
     """What became of them: the visits, and by request the time (ns) until its answer."""
 
     visits: tuple[Visit, ...]
@@ -36,10 +36,10 @@
 class _Server:
     """First come, first served, on each core; a request takes the core that is free first."""
 
-    def __init__(self, life: Life) -> None:
-        self.life = life
-        self.speed = life.capacity / life.cores
-        self.free = [0] * life.cores
+    def __init__(self, lifetime: ServerLifetime) -> None:
+        self.lifetime = lifetime
+        self.speed = lifetime.capacity / lifetime.cores
+        self.free = [0] * lifetime.cores
 
     def idle(self, at: int) -> bool:
         return max(self.free) <= at
@@ -51,38 +51,46 @@
         core = self.free.index(min(self.free))
         began = max(arrival.at, self.free[core])
         self.free[core] = began + int(arrival.work / self.speed)
-        return Visit(arrival.rid, self.life.name, "model", arrival.at, began, self.free[core], arrival.work)
+        return Visit(
+            arrival.rid, self.lifetime.name, "model", arrival.at, began, self.free[core], arrival.work
+        )
 
 
-def _play(arrivals: Iterable[Arrival], lives: Sequence[Life], central: bool, seed: int) -> Played:
-    chance = random.Random(seed)
-    servers = [_Server(life) for life in lives]
+def _play(
+    arrivals: Iterable[Arrival], lifetimes: Sequence[ServerLifetime], central: bool, seed: int
+) -> ModelResult:
+    rng = random.Random(seed)
+    servers = [_Server(lifetime) for lifetime in lifetimes]
     visits = []
     took = {}
     for arrival in sorted(arrivals, key=lambda a: a.at):
-        fit = [s for s in servers if s.life.fit_at(arrival.at)]
-        if not fit:
+        healthy = [s for s in servers if s.lifetime.is_healthy_at(arrival.at)]
+        if not healthy:
             continue
         if central:
-            idle = [s for s in fit if s.idle(arrival.at)]
+            idle = [s for s in healthy if s.idle(arrival.at)]
             if idle:
                 fastest = max(s.speed for s in idle)
-                server = chance.choice([s for s in idle if s.speed == fastest])
+                server = rng.choice([s for s in idle if s.speed == fastest])
             else:
-                server = min(fit, key=lambda s: s.ready(arrival.at) + arrival.work / s.speed)
+                server = min(healthy, key=lambda s: s.ready(arrival.at) + arrival.work / s.speed)
         else:
-            server = chance.choices(fit, [s.life.capacity for s in fit])[0]
+            server = rng.choices(healthy, [s.lifetime.capacity for s in healthy])[0]
         visit = server.take(arrival)
         visits.append(visit)
         took[arrival.rid] = visit.left - arrival.at
-    return Played(tuple(visits), took)
+    return ModelResult(tuple(visits), took)
 
 
-def one(arrivals: Iterable[Arrival], lives: Sequence[Life], seed: int = 1) -> Played:
+def single_dispatcher(
+    arrivals: Iterable[Arrival], lifetimes: Sequence[ServerLifetime], seed: int = 1
+) -> ModelResult:
     """All requests at one dispatcher that sees every server's present state."""
-    return _play(arrivals, lives, True, seed)
+    return _play(arrivals, lifetimes, True, seed)
 
 
-def drawn(arrivals: Iterable[Arrival], lives: Sequence[Life], seed: int = 1) -> Played:
+def random_by_capacity(
+    arrivals: Iterable[Arrival], lifetimes: Sequence[ServerLifetime], seed: int = 1
+) -> ModelResult:
     """Each request at a server drawn in proportion to capacity."""
-    return _play(arrivals, lives, False, seed)
+    return _play(arrivals, lifetimes, False, seed)
--- a/hollybay/cluster/plan.py
+++ b/hollybay/cluster/plan.py
@@ -23,9 +23,9 @@
 from hollybay.units import SECOND
 
 from .evenness import FIGURES
-from .links import State
+from .links import LinkState
 
-__all__ = ["Fault", "Plan", "compile_plan", "members", "pairs", "refuse_too_large"]
+__all__ = ["Fault", "Plan", "compile_plan", "group_members", "machine_limit_exceeded", "pairs"]
 
 Count = Annotated[int, msgspec.Meta(ge=1, le=2000)]
 Part = Annotated[float, msgspec.Meta(ge=0, le=1)]
@@ -36,7 +36,7 @@
 # that a machine with less is told before the start.
 NODE_MB, WORKER_MB, BASE_MB = 20, 60, 300
 # Groups that need no table, and the links between any two.
-WHO = ("nodes", "servers", "clients", "discovery", "operators")
+BUILT_IN_GROUPS = ("nodes", "servers", "clients", "discovery", "operators")
 LINKS = (
     ("nodes", "servers"),
     ("nodes", "discovery"),
@@ -51,7 +51,7 @@
 DATAGRAM_KINDS = ("cut", "lag", "lose")
 LIST_KINDS = ("lists-late",)
 # Steps of a change at which a process may end itself.
-DEATHS = ("proposed", "drives", "decided", "hears", "serves", "write", "flush", "rename", "flush folder")
+CRASH_STEPS = ("proposed", "drives", "decided", "hears", "serves", "write", "flush", "rename", "flush folder")
 
 
 class RunTable(Table, frozen=True):
@@ -165,7 +165,7 @@
     nodes: tuple[str, ...]
     servers: tuple[str, ...]
     link: str  # "", or one of nodes-servers, nodes-discovery, clients-nodes
-    state: State
+    state: LinkState
     by: float
     others: tuple[str, ...] = ()  # of a link between nodes: those at its other end
 
@@ -204,7 +204,7 @@
         }
 
 
-def members(names: tuple[str, ...], group: GroupTable, seed: int, label: str) -> tuple[str, ...]:
+def group_members(names: tuple[str, ...], group: GroupTable, seed: int, label: str) -> tuple[str, ...]:
     """The names of a group; at least one where its part is not empty."""
     order = list(names)
     if group.drawn:
@@ -215,23 +215,23 @@
     return tuple(sorted(order[begin:end]))
 
 
-def _near(word: str, known: Iterable[str]) -> str:
+def _suggestion(word: str, known: Iterable[str]) -> str:
     found = difflib.get_close_matches(word, list(known), n=1, cutoff=0.0)
     return f"; the nearest known one is {found[0]!r}" if found else ""
 
 
-_STATES: dict[str, Callable[[float], State]] = {
-    "cut": lambda by: State(cut=True),
-    "lose-up": lambda by: State(lost_up=True),
-    "lose-down": lambda by: State(lost_down=True),
-    "hold": lambda by: State(hold=True),
-    "lag": lambda by: State(lag=min(by, 60.0)),
-    "throttle": lambda by: State(rate=by),
-    "reset": lambda by: State(reset=True),
-    "lose": lambda by: State(lose=min(by, 1.0)),
+_LINK_STATES: dict[str, Callable[[float], LinkState]] = {
+    "cut": lambda by: LinkState(cut=True),
+    "lose-up": lambda by: LinkState(lost_up=True),
+    "lose-down": lambda by: LinkState(lost_down=True),
+    "hold": lambda by: LinkState(hold=True),
+    "lag": lambda by: LinkState(lag=min(by, 60.0)),
+    "throttle": lambda by: LinkState(rate=by),
+    "reset": lambda by: LinkState(reset=True),
+    "lose": lambda by: LinkState(lose=min(by, 1.0)),
 }
 # What `by` must be, for the kinds that need it.
-_BY = {
+_BY_RANGES = {
     "lag": (1e-4, 60.0, "seconds of delay"),
     "throttle": (1.0, 1e6, "bytes a second"),
     "lose": (0.01, 1.0, "the part of datagrams that are lost"),
@@ -261,26 +261,28 @@
         "servers": tuple(f"s-{n:03d}" for n in range(run.servers)),
     }
     groups: dict[str, tuple[str, tuple[str, ...]]] = {who: (who, names[who]) for who in names}
-    groups |= {who: (who, ()) for who in WHO if who not in names}
+    groups |= {who: (who, ()) for who in BUILT_IN_GROUPS if who not in names}
     for label, group in tables.group.items():
-        if label in WHO:
+        if label in BUILT_IN_GROUPS:
             problems.append(FileProblem("group", label, None, "is a name that stands for all of them"))
         elif group.end <= group.begin:
             problems.append(
                 FileProblem(f"group.{label}", "end", group.end, f"is not above begin ({group.begin})")
             )
         else:
-            groups[label] = (group.of, members(names[group.of], group, seed, label))
+            groups[label] = (group.of, group_members(names[group.of], group, seed, label))
     faults = []
     for number, table in enumerate(tables.faults, 1):
         fault = _fault(table, f"fault {number}", run, groups, problems)
         if fault is not None:
             faults.append(fault)
-    _clash(faults, problems)
+    _check_overlaps(faults, problems)
     for figure, value in tables.most.items():
         if figure not in FIGURES:
-            problems.append(FileProblem("most", figure, value, f"unknown figure{_near(figure, FIGURES)}"))
-    _accord(tables, run, problems)
+            problems.append(
+                FileProblem("most", figure, value, f"unknown figure{_suggestion(figure, FIGURES)}")
+            )
+    _check_consensus(tables, run, problems)
     if problems:
         raise OperatorError(file, problems)
     return Plan(
@@ -308,14 +310,14 @@
     kinds = (*PROCESS_KINDS, *SERVER_KINDS, *LINK_KINDS, *LIST_KINDS)
     kind = table.kind
     if kind not in kinds:
-        problems.append(FileProblem(at, "kind", kind, f"unknown kind{_near(kind, kinds)}"))
+        problems.append(FileProblem(at, "kind", kind, f"unknown kind{_suggestion(kind, kinds)}"))
         return None
     until = table.at + table.lasts
     if until > run.seconds or table.at >= run.seconds:
         reason = f"outlasts the run of {run.seconds / SECOND:g} s"
         problems.append(FileProblem(at, "lasts" if table.at < run.seconds else "at", until / SECOND, reason))
-    if kind in _BY:
-        least, largest, what = _BY[kind]
+    if kind in _BY_RANGES:
+        least, largest, what = _BY_RANGES[kind]
         if not least <= table.by <= largest:
             problems.append(FileProblem(at, "by", table.by, f"must be from {least:g} to {largest:g}: {what}"))
     elif table.by:
@@ -329,7 +331,7 @@
             return None
         strangers = [name for name in table.between if name not in groups]
         for name in strangers:
-            problems.append(FileProblem(at, "between", name, f"no such group{_near(name, groups)}"))
+            problems.append(FileProblem(at, "between", name, f"no such group{_suggestion(name, groups)}"))
         if strangers:
             return None
         ends = tuple(groups[name][0] for name in table.between)
@@ -361,7 +363,7 @@
         if table.between is not None:
             problems.append(FileProblem(at, "between", table.between, f"means nothing for {kind!r}: use on"))
         if table.on not in groups:
-            problems.append(FileProblem(at, "on", table.on, f"no such group{_near(table.on, groups)}"))
+            problems.append(FileProblem(at, "on", table.on, f"no such group{_suggestion(table.on, groups)}"))
             return None
         wanted = "servers" if kind in SERVER_KINDS else "nodes"
         who, names = groups[table.on]
@@ -372,13 +374,13 @@
             problems.append(FileProblem(at, "lasts", None, "missing: this fault has an end"))
     if len(problems) > known:
         return None
-    state = _STATES[kind](table.by) if kind in _STATES else State()
+    state = _LINK_STATES[kind](table.by) if kind in _LINK_STATES else LinkState()
     return Fault(
         kind, table.at, until, found.get("nodes", ()), found.get("servers", ()), link, state, table.by, others
     )
 
 
-def _accord(tables: PlanFile, run: RunTable, problems: list[FileProblem]) -> None:
+def _check_consensus(tables: PlanFile, run: RunTable, problems: list[FileProblem]) -> None:
     """What does not hold in what is said of an accord."""
     if run.keepers and (run.keepers % 2 == 0 or run.keepers > run.nodes):
         problems.append(FileProblem("run", "keepers", run.keepers, "an odd number of the nodes, 5 at most"))
@@ -401,12 +403,12 @@
     for n, death in enumerate(tables.deaths, 1):
         if death.node >= run.nodes:
             problems.append(FileProblem(f"death {n}", "node", death.node, f"is none of {run.nodes} nodes"))
-        if death.event not in DEATHS:
-            reason = f"unknown event{_near(death.event, DEATHS)}"
+        if death.event not in CRASH_STEPS:
+            reason = f"unknown event{_suggestion(death.event, CRASH_STEPS)}"
             problems.append(FileProblem(f"death {n}", "event", death.event, reason))
 
 
-def _clash(faults: list[Fault], problems: list[FileProblem]) -> None:
+def _check_overlaps(faults: list[Fault], problems: list[FileProblem]) -> None:
     """Two faults of one sort on one member at once would undo each other."""
     for n, one in enumerate(faults):
         for number, other in enumerate(faults[n + 1 :], n + 2):
@@ -437,7 +439,7 @@
     return sorted(found)
 
 
-def refuse_too_large(plan: Plan, memory_mb: int | None = None, files: int | None = None) -> str | None:
+def machine_limit_exceeded(plan: Plan, memory_mb: int | None = None, files: int | None = None) -> str | None:
     """Why this machine cannot carry the plan, with the figures; None: it can, as far as can be told.
 
     memory_mb: what is available, files: descriptors that one process may have; None: asked of the system.
--- a/hollybay/cluster/roles.py
+++ b/hollybay/cluster/processes.py
@@ -40,8 +40,8 @@
 from hollybay.units import SECOND
 
 from . import planted
-from .control import answer_calls
-from .links import Door, Link, Linked, State
+from .control import serve_calls
+from .links import Link, LinkedListener, LinkedProtocol, LinkState
 from .records import (
     Answered,
     Arrived,
@@ -49,7 +49,7 @@
     Began,
     Called,
     Event,
-    Journal,
+    EventLog,
     Left,
     Posted,
     Said,
@@ -59,16 +59,16 @@
     Under,
 )
 from .records import Asked as AskedEvent
-from .registry import Registry, Seat
+from .registry import NodeDiscovery, Registry
 
-__all__ = ["BEAT", "CONTROL", "limits_of_tier", "play", "words_of"]
+__all__ = ["BEAT_INTERVAL", "CONTROL", "node_settings", "rule_limits", "run_process"]
 
 CONTROL = "control.sock"
 # Seconds between two beats of a process.
-BEAT = 0.02
+BEAT_INTERVAL = 0.02
 
 
-def words_of(run: Any, node: int = 0) -> dict[str, Any]:
+def node_settings(run: Any, node: int = 0) -> dict[str, Any]:
     """The settings object of one node of a run (plan.RunTable)."""
     zones = [f"z{n}" for n in range(run.zones)]
     return settings(
@@ -81,20 +81,20 @@
 
 # An answer is lost that comes so much (ns) after its deadline, as the operators have it for many nodes on one
 # machine; sooner it is worth nothing, which the figures tell.
-LATE = 500_000_000
+LATE_LIMIT = 500_000_000
 
 
-def limits_of_tier(run: Any) -> RuleLimits:
+def rule_limits(run: Any) -> RuleLimits:
     """The rules' figures for a run."""
     from hollybay.proxy.config import settings_from_json
 
-    return replace(RuleLimits.of(settings_from_json(words_of(run))), late=LATE)
+    return replace(RuleLimits.of(settings_from_json(node_settings(run))), late=LATE_LIMIT)
 
 
-class _Recording(Ledger):
+class _RecordingLedger(Ledger):
     """A ledger that writes down what happens in this process, and keeps only what the writers need."""
 
-    def __init__(self, limits: RuleLimits, journal: Journal) -> None:
+    def __init__(self, limits: RuleLimits, journal: EventLog) -> None:
         super().__init__(limits)
         self.journal = journal
         self.loop = asyncio.get_running_loop()
@@ -143,40 +143,40 @@
         self.write(Left(at, rid, start.server, done))
 
 
-def play(role: str, name: str, folder: Path, words: dict[str, Any]) -> int:
+def run_process(role: str, name: str, folder: Path, words: dict[str, Any]) -> int:
     """Be a process of the run until it ends; its exit status."""
     logging.basicConfig(stream=sys.stderr, level=logging.WARNING, format="%(levelname)s %(message)s")
     logging.getLogger("hollybay.accord").setLevel(logging.INFO)
     if role == "node":
-        return _node(name, folder, words)
+        return _run_node(name, folder, words)
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        runner.run(_worker(role, name, folder, words))
+        runner.run(_run_worker(role, name, folder, words))
     return 0
 
 
-def _node(name: str, folder: Path, words: dict[str, Any]) -> int:
+def _run_node(name: str, folder: Path, words: dict[str, Any]) -> int:
     environ = {"BALANCER_CONFIG": str(folder / f"{name}.json"), "TMPDIR": str(folder)}
     if words.get("operator"):
         environ["HOLLYBAY_OPERATOR"] = words["operator"]
     if words.get("defect"):
         planted.plant(words["defect"])
-    line = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
+    control_socket = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
 
     def started(port: int) -> None:
         # The one line that says it is ready; its end, seen by the rig, that it is no more.
-        line.connect(str(folder / CONTROL))
-        line.sendall(msgspec.json.encode({"name": name, "port": port, "pid": os.getpid()}) + b"\n")
+        control_socket.connect(str(folder / CONTROL))
+        control_socket.sendall(msgspec.json.encode({"name": name, "port": port, "pid": os.getpid()}) + b"\n")
 
-    journals: list[Journal] = []
+    journals: list[EventLog] = []
     if words.get("keepers"):
-        journals.append(_accounted(name, folder, words))
+        journals.append(_record_policies(name, folder, words))
     uvloop.run(serve(load(environ), environ, started=started, port=0))
     for journal in journals:
         journal.close()
     return 0
 
 
-def _accounted(name: str, folder: Path, words: dict[str, Any]) -> Journal:
+def _record_policies(name: str, folder: Path, words: dict[str, Any]) -> EventLog:
     """Write down under which policies requests begin here; and end without a word at a step, if one is
     given."""
     from hollybay.consensus.store import Store
@@ -184,7 +184,7 @@
 
     # Of the clock that leases are counted on, in that of all other journals.
     ahead = time.clock_gettime_ns(time.CLOCK_BOOTTIME) - time.monotonic_ns()
-    journal = Journal(folder / f"{name}.{os.getpid()}.journal")
+    journal = EventLog(folder / f"{name}.{os.getpid()}.journal")
     due = False
 
     def flush() -> None:
@@ -199,38 +199,38 @@
             due = True
             asyncio.get_running_loop().call_soon(flush)
 
-    death = words.get("death")
+    crash = words.get("death")
 
-    def reached(event: str, **found: Any) -> None:
-        if death is not None and event == death["event"] and found.get("stage", "") in (death["stage"], ""):
+    def crash_at_step(event: str, **found: Any) -> None:
+        if crash is not None and event == crash["event"] and found.get("stage", "") in (crash["stage"], ""):
             journal.flush()
             os.kill(os.getpid(), signal.SIGKILL)
 
     log_event, start = ConsensusMember.log_event, ConsensusMember.start
 
-    def saying(self: ConsensusMember, event: LogEvent, **found: object) -> None:
+    def log_and_check_crash(self: ConsensusMember, event: LogEvent, **found: object) -> None:
         log_event(self, event, **found)
-        reached(event, **found)
+        crash_at_step(event, **found)
 
-    async def starting(self: ConsensusMember) -> None:
+    async def start_recording(self: ConsensusMember) -> None:
         self.on_request_begun = began
         await start(self)
 
-    ConsensusMember.log_event, ConsensusMember.start = saying, starting  # type: ignore[method-assign]
+    ConsensusMember.log_event, ConsensusMember.start = log_and_check_crash, start_recording  # type: ignore[method-assign]
     put = Store.put
 
-    def putting(self: Store, data: bytes) -> None:
+    def put_with_crash_step(self: Store, data: bytes) -> None:
         if self.paths[0].name == "keeper.0":
-            self.before_step = reached
+            self.before_step = crash_at_step
         put(self, data)
 
-    Store.put = putting  # type: ignore[method-assign]
+    Store.put = put_with_crash_step  # type: ignore[method-assign]
     if words.get("unfit") or words.get("full"):
-        _hampered(bool(words.get("full")))
+        _plant_policy_fault(bool(words.get("full")))
     return journal
 
 
-def _hampered(full: bool) -> None:
+def _plant_policy_fault(full: bool) -> None:
     """No policy after the first compiles here, or its disk is full from then on."""
     from hollybay.consensus.log import PolicyLog
     from hollybay.consensus.log_entry import Entry
@@ -247,55 +247,55 @@
 
         ConsensusMember.compile_policy = compile_policy  # type: ignore[method-assign]
         return
-    kept = PolicyLog.append
+    append = PolicyLog.append
 
-    def put(self: PolicyLog, policy: PolicyVersion) -> Entry:
+    def append_unless_full(self: PolicyLog, policy: PolicyVersion) -> Entry:
         if policy.version > 1 and self.policy(policy.name) is None:
             raise StoreError("[Errno 28] No space left on device")
-        return kept(self, policy)
+        return append(self, policy)
 
-    PolicyLog.append = put  # type: ignore[method-assign]
+    PolicyLog.append = append_unless_full  # type: ignore[method-assign]
 
 
-async def _worker(role: str, name: str, folder: Path, words: dict[str, Any]) -> None:
+async def _run_worker(role: str, name: str, folder: Path, words: dict[str, Any]) -> None:
     asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, lambda: None)
-    journal = Journal(folder / f"{name}.journal")
+    journal = EventLog(folder / f"{name}.journal")
     limits = msgspec.convert(words["limits"], RuleLimits)
-    books = _Recording(limits, journal)
-    teller: list[Callable[[dict[str, Any]], None]] = []
+    recorder = _RecordingLedger(limits, journal)
+    senders: list[Callable[[dict[str, Any]], None]] = []
 
-    def tell(**message: Any) -> None:
-        teller[0](message)
+    def send_event(**message: Any) -> None:
+        senders[0](message)
 
-    player = _ROLES[role](name, books, words, tell)
-    beating = asyncio.get_running_loop().create_task(_beat(name, books))
-    await answer_calls(folder / CONTROL, {"name": name, "pid": os.getpid()}, player, teller)
+    worker = _WORKER_TYPES[role](name, recorder, words, send_event)
+    beating = asyncio.get_running_loop().create_task(_record_heartbeats(name, recorder))
+    await serve_calls(folder / CONTROL, {"name": name, "pid": os.getpid()}, worker, senders)
     beating.cancel()
     journal.close()
 
 
-async def _beat(name: str, books: _Recording) -> None:
+async def _record_heartbeats(name: str, recorder: _RecordingLedger) -> None:
     loop = asyncio.get_running_loop()
     waited = cpu_wait_ns()
-    due = loop.time() + BEAT
+    due = loop.time() + BEAT_INTERVAL
     while True:
         await asyncio.sleep(due - loop.time())
         late = max(0.0, loop.time() - due)
         known, waited = waited, cpu_wait_ns()
-        books.write(Beat(time.monotonic_ns(), name, int(late * SECOND), max(0, waited - known)))
-        due = max(due + BEAT, loop.time() + BEAT / 2)
+        recorder.write(Beat(time.monotonic_ns(), name, int(late * SECOND), max(0, waited - known)))
+        due = max(due + BEAT_INTERVAL, loop.time() + BEAT_INTERVAL / 2)
 
 
-class _Player:
+class _WorkerProcess:
     """Answers the rig's calls by its methods named do_*."""
 
     def __init__(
-        self, name: str, books: _Recording, words: dict[str, Any], tell: Callable[..., None]
+        self, name: str, recorder: _RecordingLedger, words: dict[str, Any], send_event: Callable[..., None]
     ) -> None:
         self.name = name
-        self.books = books
+        self.recorder = recorder
         self.words = words
-        self.tell = tell
+        self.send_event = send_event
         self.loop = asyncio.get_running_loop()
 
     async def __call__(self, message: dict[str, Any]) -> Any:
@@ -307,7 +307,7 @@
 # Servers
 
 
-def _work_of(target: bytes, chance: random.Random) -> float:
+def _work_of(target: bytes, rng: random.Random) -> float:
     """Seconds of work that its client put into the target; the usual draw for others."""
     _, _, value = target.partition(b"?w=")
     return int(value) / 1e6 if value.isdigit() else 0.05
@@ -316,43 +316,43 @@
 class _Server(FakeServer):
     """A server with a door for each side of the tier, and faults by word."""
 
-    def __init__(self, sides: int, books: _Recording, **words: Any) -> None:
-        super().__init__(ledger=books, work_of=_work_of, **words)
+    def __init__(self, sides: int, recorder: _RecordingLedger, **words: Any) -> None:
+        super().__init__(ledger=recorder, work_of=_work_of, **words)
         self.nominal = self.kind
         self.links = [Link() for _ in range(sides)]
-        self.gates = [Door(link, self.connection) for link in self.links]
+        self.listeners = [LinkedListener(link, self.connection) for link in self.links]
         self.failing = 0.0
-        self.chance = random.Random(f"fail {self.name}")
+        self.rng = random.Random(f"fail {self.name}")
         self.script = self._script
 
     async def listen(self) -> None:
-        for gate in self.gates:
-            gate.open()
-        self.port = self.gates[0].port
+        for listener in self.listeners:
+            listener.open()
+        self.port = self.listeners[0].port
         self.address = f"127.0.0.1:{self.port}"
 
     def shut(self) -> None:
-        for gate in self.gates:
-            gate.close()
+        for listener in self.listeners:
+            listener.close()
 
-    def slowed(self, times: float) -> None:
+    def slow_down(self, times: float) -> None:
         """Work takes so many times as long, and no list tells of it."""
         self.kind = replace(self.nominal, speed=self.nominal.speed / times)
 
     def _script(self, rid: str, target: bytes) -> ScriptedAnswer:
-        failed = self.failing > 0.0 and self.chance.random() < self.failing
+        failed = self.failing > 0.0 and self.rng.random() < self.failing
         return ScriptedAnswer(500) if failed else ScriptedAnswer()
 
-    def row(self) -> dict[str, object]:
+    def list_line(self) -> dict[str, object]:
         """Its line of the list, with an address for each side."""
         line = self.line()
         held = len(self.running) + len(self.waiting)
         line["weight"] = round(self.nominal.capacity / (1 + held), 3)
-        line["addrs"] = [f"127.0.0.1:{gate.port}" for gate in self.gates]
+        line["addrs"] = [f"127.0.0.1:{listener.port}" for listener in self.listeners]
         return line
 
 
-class _Servers(_Player):
+class _ServersProcess(_WorkerProcess):
     """Some of the servers."""
 
     def __init__(self, *args: Any) -> None:
@@ -363,7 +363,7 @@
         """Make and start servers; those that are away have a port and are not up."""
         for words in servers:
             kind = ServerKind(**words.pop("kind"))
-            server = _Server(sides, self.books, kind=kind, **words)
+            server = _Server(sides, self.recorder, kind=kind, **words)
             self.servers[server.name] = server
             await server.start()
             if server.name in away:
@@ -372,13 +372,13 @@
 
     async def do_rows(self) -> Any:
         """The lines of those that are up."""
-        return {name: server.row() for name, server in self.servers.items() if server.up}
+        return {name: server.list_line() for name, server in self.servers.items() if server.up}
 
     async def do_crash(self, names: list[str]) -> None:
         for name in names:
             if self.servers[name].up:
                 self.servers[name].crash()
-                self.books.write(ServerDown(time.monotonic_ns(), name))
+                self.recorder.write(ServerDown(time.monotonic_ns(), name))
 
     async def do_back(self, names: list[str]) -> None:
         for name in names:
@@ -387,7 +387,7 @@
 
     async def do_slow(self, names: list[str], by: float) -> None:
         for name in names:
-            self.servers[name].slowed(by)
+            self.servers[name].slow_down(by)
 
     async def do_fail(self, names: list[str], by: float) -> None:
         for name in names:
@@ -401,31 +401,33 @@
         for name in names:
             if name in self.servers:
                 for side in sides:
-                    self.servers[name].links[side].put(msgspec.convert(state, State))
+                    self.servers[name].links[side].set_state(msgspec.convert(state, LinkState))
 
 
 # The registry
 
 
-class _Discovery(_Player):
+class _DiscoveryProcess(_WorkerProcess):
     """The registry of all nodes."""
 
     def __init__(self, *args: Any) -> None:
         super().__init__(*args)
-        self.heard: set[str] = set()
-        self.registry = Registry(self._told, self._heard)
+        self.nodes_with_list: set[str] = set()
+        self.registry = Registry(self._on_state_sent, self._on_list_sent)
 
-    def _told(self, node: str, server: str, ready: bool) -> None:
-        self.books.write(Told(time.monotonic_ns(), node, server, ready))
+    def _on_state_sent(self, node: str, server: str, ready: bool) -> None:
+        self.recorder.write(Told(time.monotonic_ns(), node, server, ready))
 
-    def _heard(self, node: str) -> None:
-        if node not in self.heard:
-            self.heard.add(node)
-            self.tell(event="heard", node=node)
+    def _on_list_sent(self, node: str) -> None:
+        if node not in self.nodes_with_list:
+            self.nodes_with_list.add(node)
+            self.send_event(event="heard", node=node)
 
     async def do_open(self, nodes: dict[str, int]) -> Any:
         """A port for each node, given its side."""
-        return {name: Seat(self.registry, name, side).door.open() for name, side in nodes.items()}
+        return {
+            name: NodeDiscovery(self.registry, name, side).listener.open() for name, side in nodes.items()
+        }
 
     async def do_publish(self, lines: dict[str, dict[str, Any]]) -> None:
         self.registry.publish(lines)
@@ -433,53 +435,53 @@
     async def do_anew(self, names: list[str]) -> None:
         """These nodes have ended: what they were told is gone."""
         for name in names:
-            self.heard.discard(name)
-            self.registry.seats[name].begins_anew()
+            self.nodes_with_list.discard(name)
+            self.registry.nodes[name].reset()
 
     async def do_late(self, names: list[str], by: float) -> None:
         for name in names:
-            self.registry.seats[name].lag = by
+            self.registry.nodes[name].lag = by
 
     async def do_link(self, names: list[str], state: dict[str, Any]) -> None:
         for name in names:
-            self.registry.seats[name].link.put(msgspec.convert(state, State))
+            self.registry.nodes[name].link.set_state(msgspec.convert(state, LinkState))
 
 
 # Clients
 
 
-class _Callers(LoadGenerator):
+class _TierClients(LoadGenerator):
     """Clients of a whole tier: each request to a node drawn by its share of the traffic.
 
     A node that refuses a connection is left for a while; a request whose bytes went nowhere yet goes on to
     another. What broke off on a connection that was used before goes on only where that is harmless.
     """
 
-    LEFT_FOR = 1.0  # s
-    ANEW = 6  # nodes that a request tries to reach
+    AVOID_TIME = 1.0  # s
+    MAX_CONNECTS = 6  # nodes that a request tries to reach
 
-    def __init__(self, books: _Recording, shares: dict[str, float], move: str, **words: Any) -> None:
-        super().__init__(ledger=books, ports=[0], **words)
-        self.books = books
+    def __init__(self, recorder: _RecordingLedger, shares: dict[str, float], move: str, **words: Any) -> None:
+        super().__init__(ledger=recorder, ports=[0], **words)
+        self.recorder = recorder
         self.shares = shares
         self.names = list(shares)
         self.neighbour = move == "neighbour"
         self.port_of: dict[str, int] = {}
         self.node_of: dict[int, str] = {}
         self.links = {name: Link() for name in shares}
-        self.left: dict[str, float] = {}
+        self.avoided_until: dict[str, float] = {}
         self.reached: dict[str, int] = {}
 
     def ask(self, mix: RequestMix, is_retry: bool = False) -> RequestEntry:
-        self.books.work = 1000 * int(mix.target.partition(b"?w=")[2])
+        self.recorder.work = 1000 * int(mix.target.partition(b"?w=")[2])
         return super().ask(mix, is_retry)
 
-    def ports_are(self, ports: dict[str, int]) -> None:
+    def set_ports(self, ports: dict[str, int]) -> None:
         """Where nodes listen now."""
         for name, port in ports.items():
             self.port_of[name] = port
             self.node_of[port] = name
-            self.left.pop(name, None)
+            self.avoided_until.pop(name, None)
 
     def _draw(self) -> RequestMix:
         mix = super()._draw()
@@ -487,27 +489,27 @@
         work = int(1e6 * mean * self.random.uniform(0.7, 1.3))
         return replace(mix, target=b"%s?w=%d" % (mix.target, work))
 
-    def node(self) -> str:
+    def choose_node(self) -> str:
         """The node of the next request."""
         name = self.random.choices(self.names, list(self.shares.values()))[0]
         now = self.loop.time()
-        if self.left.get(name, 0.0) <= now:
+        if self.avoided_until.get(name, 0.0) <= now:
             return name
         if self.neighbour:
             at = self.names.index(name)
             ring = self.names[at:] + self.names[:at]
         else:
             ring = self.random.sample(self.names, len(self.names))
-        return next((other for other in ring if self.left.get(other, 0.0) <= now), name)
+        return next((other for other in ring if self.avoided_until.get(other, 0.0) <= now), name)
 
     def _send(self, call: ClientRequest, port: int) -> None:
-        super()._send(call, self.port_of[self.node()])
+        super()._send(call, self.port_of[self.choose_node()])
 
     def _open_anew(self, call: ClientRequest, port: int) -> None:
-        super()._open_anew(call, port or self.port_of[self.node()])
+        super()._open_anew(call, port or self.port_of[self.choose_node()])
 
     async def _open(self, call: ClientRequest, port: int) -> None:
-        for _ in range(self.ANEW):
+        for _ in range(self.MAX_CONNECTS):
             name = self.node_of[port]
             link = self.links[name]
             if link.state.cut or link.state.lost_up or link.state.lost_down:
@@ -525,15 +527,15 @@
                     pass
             if call.timer is None:
                 return
-            self.left[name] = self.loop.time() + self.LEFT_FOR
-            port = self.port_of[self.node()]
+            self.avoided_until[name] = self.loop.time() + self.AVOID_TIME
+            port = self.port_of[self.choose_node()]
         self._end(call, FinalOutcome.BROKEN)
 
-    def _linked_connection(self, link: Link, call: ClientRequest, port: int) -> Linked:
-        return Linked(link, ClientConnection(self, call, port))
+    def _linked_connection(self, link: Link, call: ClientRequest, port: int) -> LinkedProtocol:
+        return LinkedProtocol(link, ClientConnection(self, call, port))
 
     def request_sent(self, call: ClientRequest, port: int) -> None:
-        self.books.write(
+        self.recorder.write(
             Posted(time.monotonic_ns(), call.entry.id, self.node_of[port], call.on_new_connection)
         )
 
@@ -545,20 +547,20 @@
         self._end(call, FinalOutcome.BROKEN)
 
 
-class _Clients(_Player):
+class _ClientsProcess(_WorkerProcess):
     """Some of the clients."""
 
     def __init__(self, *args: Any) -> None:
         super().__init__(*args)
         words = self.words
         for name in words["servers"]:
-            self.books.starts[name] = []
+            self.recorder.starts[name] = []
         mixes = [
             RequestMix(n, b"/%s/halls/1" % c["name"].encode(), SHARES[c["name"]], TENANTS)
             for n, c in enumerate(CLASSES)
         ]
-        self.callers = _Callers(
-            self.books,
+        self.load = _TierClients(
+            self.recorder,
             words["shares"],
             words["move"],
             mixes=mixes,
@@ -569,23 +571,23 @@
         )
 
     async def do_ports(self, ports: dict[str, int]) -> None:
-        self.callers.ports_are(ports)
+        self.load.set_ports(ports)
 
     async def do_run(self, at: int, seconds: float) -> Any:
         """Send from a moment (ns) on; answered when the last request has ended."""
         await asyncio.sleep(max(0.0, (at - time.monotonic_ns()) / SECOND))
-        await self.callers.run(seconds)
-        return self.callers.sent
+        await self.load.run(seconds)
+        return self.load.sent
 
     async def do_link(self, names: list[str], state: dict[str, Any]) -> None:
         for name in names:
-            self.callers.links[name].put(msgspec.convert(state, State))
+            self.load.links[name].set_state(msgspec.convert(state, LinkState))
 
 
 # Datagrams between nodes
 
 
-class _Switch(_Player):
+class _DatagramSwitch(_WorkerProcess):
     """Carries datagrams between pairs of nodes, each over a socket of the pair's own.
 
     What a sends to its address for b arrives at b from b's address for a, so that both know one another.
@@ -594,9 +596,9 @@
     def __init__(self, *args: Any) -> None:
         super().__init__(*args)
         self.sockets: dict[tuple[str, str], socket.socket] = {}
-        self.states: dict[tuple[str, str], State] = {}
+        self.states: dict[tuple[str, str], LinkState] = {}
         self.real: dict[str, tuple[str, int]] = {}
-        self.chance = random.Random(self.name)
+        self.rng = random.Random(self.name)
 
     async def do_open(self, pairs: list[list[str]], real: dict[str, str]) -> None:
         """pairs: sender, receiver, and the address at which the sender reaches it."""
@@ -609,37 +611,37 @@
             sock.setblocking(False)
             sock.bind((host, int(port)))
             self.sockets[sender, receiver] = sock
-            self.states[sender, receiver] = State()
-            self.loop.add_reader(sock.fileno(), self._carry, sender, receiver)
+            self.states[sender, receiver] = LinkState()
+            self.loop.add_reader(sock.fileno(), self._forward, sender, receiver)
 
-    def _carry(self, sender: str, receiver: str) -> None:
+    def _forward(self, sender: str, receiver: str) -> None:
         state = self.states[sender, receiver]
         back = self.sockets[receiver, sender]
         with contextlib.suppress(OSError):
             while True:
                 data, at = self.sockets[sender, receiver].recvfrom(2048)
-                lost = state.cut or (state.lose > 0.0 and self.chance.random() < state.lose)
+                lost = state.cut or (state.lose > 0.0 and self.rng.random() < state.lose)
                 if lost or at[:2] != self.real[sender]:
                     continue
                 if state.lag > 0.0:
-                    self.loop.call_later(state.lag, self._out, back, data, receiver)
+                    self.loop.call_later(state.lag, self._send_datagram, back, data, receiver)
                 else:
-                    self._out(back, data, receiver)
+                    self._send_datagram(back, data, receiver)
 
-    def _out(self, sock: socket.socket, data: bytes, receiver: str) -> None:
+    def _send_datagram(self, sock: socket.socket, data: bytes, receiver: str) -> None:
         with contextlib.suppress(OSError):  # the node is dead, or its socket full: datagrams are lost so
             sock.sendto(data, self.real[receiver])
 
     async def do_link(self, names: list[str], others: list[str], state: dict[str, Any]) -> None:
         for pair in self.states:
             if (pair[0] in names and pair[1] in others) or (pair[1] in names and pair[0] in others):
-                self.states[pair] = msgspec.convert(state, State)
+                self.states[pair] = msgspec.convert(state, LinkState)
 
 
 # Operators
 
 
-class _Operators(_Player):
+class _ReadinessPollers(_WorkerProcess):
     """They ask each node once a second whether it is ready, each in its own part of the second."""
 
     EVERY, LIMIT = 1.0, 1.5  # s
@@ -649,14 +651,14 @@
         self.links: dict[str, Link] = {}
         self.tasks: list[asyncio.Task[None]] = []
 
-    async def do_call(self, doors: dict[str, str]) -> None:
+    async def do_call(self, addresses: dict[str, str]) -> None:
         """Begin to call at these doors, by node."""
-        for n, (name, door) in enumerate(doors.items()):
+        for n, (name, address) in enumerate(addresses.items()):
             self.links[name] = Link()
-            first = self.EVERY * n / len(doors)
-            self.tasks.append(self.loop.create_task(self._keep_calling(name, door, first)))
+            first = self.EVERY * n / len(addresses)
+            self.tasks.append(self.loop.create_task(self._keep_calling(name, address, first)))
 
-    async def _keep_calling(self, name: str, door: str, first: float) -> None:
+    async def _keep_calling(self, name: str, address: str, first: float) -> None:
         due = self.loop.time() + first
         while True:
             await asyncio.sleep(max(0.0, due - self.loop.time()))
@@ -665,17 +667,17 @@
             status = 0
             with contextlib.suppress(OSError, TimeoutError, ValueError):
                 async with asyncio.timeout(self.LIMIT):
-                    status = await self._ready(name, door)
+                    status = await self._ready(name, address)
             now = time.monotonic_ns()
-            self.books.write(Called(now, name, status, now - began))
+            self.recorder.write(Called(now, name, status, now - began))
 
-    async def _ready(self, name: str, door: str) -> int:
+    async def _ready(self, name: str, address: str) -> int:
         link = self.links[name]
-        host, _, port = door.rpartition(":")
-        call = _DoorCall(self.loop)
+        host, _, port = address.rpartition(":")
+        call = _ReadinessCall(self.loop)
         while link.state.cut:
             await asyncio.sleep(0.05)
-        await self.loop.create_connection(lambda: Linked(link, call), host, int(port))
+        await self.loop.create_connection(lambda: LinkedProtocol(link, call), host, int(port))
         try:
             return await call.status
         finally:
@@ -683,10 +685,10 @@
 
     async def do_link(self, names: list[str], state: dict[str, Any]) -> None:
         for name in names:
-            self.links[name].put(msgspec.convert(state, State))
+            self.links[name].set_state(msgspec.convert(state, LinkState))
 
 
-class _DoorCall(asyncio.Protocol):
+class _ReadinessCall(asyncio.Protocol):
     """One call for /-/ready, and its status."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
@@ -711,31 +713,31 @@
 # The way to nodes' doors
 
 
-class _Relay(_Player):
+class _AdminRelay(_WorkerProcess):
     """Stands before the doors of all nodes, where other nodes call them, and knows who calls: each call goes
     over a link of the pair's own."""
 
     def __init__(self, *args: Any) -> None:
         super().__init__(*args)
-        self.states: dict[tuple[str, str], State] = {}
-        self.chance = random.Random(self.name)
+        self.states: dict[tuple[str, str], LinkState] = {}
+        self.rng = random.Random(self.name)
         self.servers: list[asyncio.Server] = []
         self.changed = asyncio.Event()
 
-    async def do_open(self, doors: list[list[str]]) -> None:
+    async def do_open(self, addresses: list[list[str]]) -> None:
         """doors: name, where it is called, where it listens."""
-        for name, at, real in doors:
+        for name, at, real in addresses:
             host, _, port = at.rpartition(":")
             self.servers.append(
                 await asyncio.start_server(
-                    functools.partial(self._carry, name, real),
+                    functools.partial(self._forward, name, real),
                     host,
                     int(port),
                     backlog=512,
                 )
             )
 
-    async def _carry(
+    async def _forward(
         self, name: str, real: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         host, _, port = real.rpartition(":")
@@ -744,22 +746,22 @@
             caller = head.partition(b"ser-Agent: hollybay ")[2].partition(b"\r\n")[0].decode("latin-1")
             length = int(head.lower().partition(b"content-length: ")[2].partition(b"\r\n")[0] or 0)
             body = await reader.readexactly(length)
-            await self._passes(caller, name, True)
-            there, on = await asyncio.open_connection(host, int(port))
+            await self._wait_for_link(caller, name, True)
+            upstream_reader, upstream_writer = await asyncio.open_connection(host, int(port))
             try:
-                on.write(head + body)
-                answer = await there.read(-1)
-                await self._passes(caller, name, False)
+                upstream_writer.write(head + body)
+                answer = await upstream_reader.read(-1)
+                await self._wait_for_link(caller, name, False)
                 writer.write(answer)
                 await writer.drain()
             finally:
-                on.close()
+                upstream_writer.close()
         writer.close()
 
-    async def _passes(self, caller: str, name: str, to: bool) -> None:
+    async def _wait_for_link(self, caller: str, name: str, to: bool) -> None:
         """Come back when bytes are through; for ever if they are lost. OSError: the connection is reset."""
         while True:
-            state = self.states.get((caller, name), State())
+            state = self.states.get((caller, name), LinkState())
             if state.reset:
                 raise ConnectionResetError
             lost = state.lost_up if to else state.lost_down
@@ -767,34 +769,34 @@
                 break
             self.changed.clear()
             await self.changed.wait()
-        if state.lose and self.chance.random() < state.lose:
+        if state.lose and self.rng.random() < state.lose:
             raise ConnectionResetError
         if state.lag:
             await asyncio.sleep(state.lag)
 
     async def do_link(self, names: list[str], others: list[str], state: dict[str, Any]) -> None:
         """Between these and those, either way: up is from the first to the second."""
-        found = msgspec.convert(state, State)
-        turned = msgspec.structs.replace(found, lost_up=found.lost_down, lost_down=found.lost_up)
+        found = msgspec.convert(state, LinkState)
+        reverse = msgspec.structs.replace(found, lost_up=found.lost_down, lost_down=found.lost_up)
         for one in names:
             for other in others:
                 self.states[one, other] = found
-                self.states[other, one] = turned
+                self.states[other, one] = reverse
         self.changed.set()
 
 
 # Those who change the policy
 
 
-class _Governors(_Player):
+class _PolicyOperators(_WorkerProcess):
     """They begin the accord and propose changes, by the same steps as `hollybay policy`."""
 
-    async def call(self, door: str, path: str, body: bytes | None) -> bytes:
+    async def call(self, address: str, path: str, body: bytes | None) -> bytes:
         from hollybay.proxy.admin_client import call_policy
 
-        return await call_policy(door, path, body, 2.0)
+        return await call_policy(address, path, body, 2.0)
 
-    async def do_found(self, doors: list[str], file: str) -> None:
+    async def do_found(self, addresses: list[str], file: str) -> None:
         """Begin."""
         from hollybay.consensus import messages
         from hollybay.consensus.requests import CallFailedError
@@ -802,69 +804,71 @@
         body = messages.encode(messages.BootstrapCall(file=base64.b64encode(file.encode()).decode()))
         for left in range(9, -1, -1):
             try:
-                await self.call(doors[0], "found", body)
+                await self.call(addresses[0], "found", body)
                 return
             except CallFailedError:  # hundreds of nodes that start at once are all at the keepers' doors
                 if not left:
                     raise
                 await asyncio.sleep(0.5)
 
-    async def do_change(self, doors: list[str], to: int, change: dict[str, Any]) -> Any:
+    async def do_change(self, addresses: list[str], to: int, change: dict[str, Any]) -> Any:
         """Propose and follow a change; what came of it."""
         from hollybay.consensus.change_tracker import ChangeTracker, PolicyProposal
         from hollybay.consensus.cluster_view import ClusterView
         from hollybay.consensus.verdict import Verdict
 
         began = time.monotonic_ns()
-        follow = ChangeTracker(self.call, doors)
+        tracker = ChangeTracker(self.call, addresses)
         if to:
             # Of several keepers that answer this one takes the proposal.
-            look = follow.refresh
+            refresh = tracker.refresh
 
-            async def looked() -> ClusterView:
-                known = await look()
-                known.statuses = dict(sorted(known.statuses.items(), key=lambda item: item[0] != doors[to]))
+            async def refresh_reordered() -> ClusterView:
+                known = await refresh()
+                known.statuses = dict(
+                    sorted(known.statuses.items(), key=lambda item: item[0] != addresses[to])
+                )
                 return known
 
-            follow.refresh = looked  # type: ignore[method-assign]
+            tracker.refresh = refresh_reordered  # type: ignore[method-assign]
         file = change["file"].encode() if change["file"] is not None else None
         proposal = PolicyProposal(
             "a change of the plan", "the rig", file, change["out"], change["keepers"], change["parent"]
         )
         if change["drop"] is None:
-            verdict = await follow.propose(proposal, limit=change["limit"] / SECOND)
+            verdict = await tracker.propose(proposal, limit=change["limit"] / SECOND)
         else:
-            verdict = await follow.propose(proposal, limit=0.0)
+            verdict = await tracker.propose(proposal, limit=0.0)
             if verdict.change:
                 await asyncio.sleep(change["drop"] / SECOND)
-                await follow.drop(verdict.change)
-                verdict = await follow.track(verdict.change, verdict.epoch, change["limit"] / SECOND)
+                await tracker.drop(verdict.change)
+                verdict = await tracker.track(verdict.change, verdict.epoch, change["limit"] / SECOND)
         assert isinstance(verdict, Verdict)
         now = time.monotonic_ns()
-        self.books.write(Said(now, verdict.change, verdict.code, verdict.text, began))
+        self.recorder.write(Said(now, verdict.change, verdict.code, verdict.text, began))
         return [verdict.code, verdict.change, verdict.text, verdict.reasons, (now - began) / SECOND]
 
-    async def do_status(self, doors: list[str]) -> Any:
+    async def do_status(self, addresses: list[str]) -> Any:
         """What all these processes say of themselves, by door."""
 
         few = asyncio.Semaphore(16)
 
-        async def one(door: str) -> Any:
+        async def one(address: str) -> Any:
             try:
                 async with few:
-                    return msgspec.json.decode(await self.call(door, "", None))
+                    return msgspec.json.decode(await self.call(address, "", None))
             except Exception as error:  # told as it is
                 return {"error": str(error)}
 
-        return dict(zip(doors, await asyncio.gather(*map(one, doors)), strict=True))
+        return dict(zip(addresses, await asyncio.gather(*map(one, addresses)), strict=True))
 
 
-_ROLES: dict[str, Callable[..., _Player]] = {
-    "servers": _Servers,
-    "registry": _Discovery,
-    "clients": _Clients,
-    "operators": _Operators,
-    "switch": _Switch,
-    "relay": _Relay,
-    "governors": _Governors,
+_WORKER_TYPES: dict[str, Callable[..., _WorkerProcess]] = {
+    "servers": _ServersProcess,
+    "registry": _DiscoveryProcess,
+    "clients": _ClientsProcess,
+    "operators": _ReadinessPollers,
+    "switch": _DatagramSwitch,
+    "relay": _AdminRelay,
+    "governors": _PolicyOperators,
 }
--- a/hollybay/cluster/records.py
+++ b/hollybay/cluster/records.py
@@ -22,7 +22,7 @@
     "Began",
     "Called",
     "Event",
-    "Journal",
+    "EventLog",
     "Left",
     "NodeEnded",
     "Posted",
@@ -31,7 +31,7 @@
     "ServerUp",
     "Told",
     "Under",
-    "read",
+    "read_events",
 ]
 
 _LENGTH = struct.Struct(">I")
@@ -179,7 +179,7 @@
 _decoder: msgspec.msgpack.Decoder[Event] = msgspec.msgpack.Decoder(Event)
 
 
-class Journal:
+class EventLog:
     """Writes events to a new file; flush() hands what was written since to the system in one write."""
 
     def __init__(self, path: Path) -> None:
@@ -205,7 +205,7 @@
         self._file.close()
 
 
-def read(path: Path) -> Iterator[Event]:
+def read_events(path: Path) -> Iterator[Event]:
     """The events of one file, up to its end or to what a kill left of the last one.
 
     ValueError: what stands there is no event, and not for being cut off.
--- a/hollybay/cluster/report.py
+++ b/hollybay/cluster/report.py
@@ -13,10 +13,10 @@
 from hollybay.testbed.ledger import FinalOutcome
 from hollybay.units import SECOND
 
-from .books import Books
 from .evenness import FIGURES, evenness, idle_series, settle_time, share_time
-from .models import Played, drawn, one
-from .rig import Outcome
+from .harness import Outcome
+from .merged_run import MergedRun
+from .models import ModelResult, random_by_capacity, single_dispatcher
 
 __all__ = ["ClassFigures", "Report", "plot", "report_of", "tables"]
 
@@ -95,8 +95,10 @@
         return float(self.histogram.get_value_at_percentile(percentile)) / 1000
 
 
-def _model_figures(played: Played, aim_class: set[str], outcome: Outcome, since: int) -> dict[str, float]:
-    even = evenness(played.visits, outcome.books.lives, since, outcome.ended)
+def _model_figures(
+    played: ModelResult, aim_class: set[str], outcome: Outcome, since: int
+) -> dict[str, float]:
+    even = evenness(played.visits, outcome.merged.lifetimes, since, outcome.ended)
     times = _Times()
     for rid in aim_class:
         if rid in played.took:
@@ -106,18 +108,18 @@
 
 def report_of(outcome: Outcome) -> Report:
     """Work out all figures of a run, between the end of its warm-up and its end."""
-    plan, books = outcome.plan, outcome.books
-    since = outcome.began + plan.run.warm
+    plan, merged = outcome.plan, outcome.merged
+    since = outcome.started_at + plan.run.warm
     until = outcome.ended
-    counted = {rid: e for rid, e in books.ledger.requests.items() if since <= e.at < until}
+    counted = {rid: e for rid, e in merged.ledger.requests.items() if since <= e.at < until}
     rows, lost_worth = _classes(outcome, counted)
-    even = evenness(books.visits, books.lives, since, until)
-    classes = books.ledger.limits.classes
+    even = evenness(merged.visits, merged.lifetimes, since, until)
+    classes = merged.ledger.limits.classes
     quick = min(range(len(classes)), key=lambda n: classes[n].latency_objective)
     aimed = {rid for rid, entry in counted.items() if entry.cls == quick}
     beside = {
-        name: _model_figures(model(books.arrivals, books.lives, plan.seed), aimed, outcome, since)
-        for name, model in (("one", one), ("drawn", drawn))
+        name: _model_figures(model(merged.arrivals, merged.lifetimes, plan.seed), aimed, outcome, since)
+        for name, model in (("one", single_dispatcher), ("drawn", random_by_capacity))
     }
     figures = even.figures()
     p99 = rows[quick].p99_ms
@@ -130,8 +132,8 @@
         "p99_ms": p99,
         "p99_over_floor": p99 / beside["one"]["p99_ms"] if beside["one"]["p99_ms"] else 0.0,
     }
-    series = idle_series(books.visits, books.lives, outcome.began, until)
-    figures |= _after_faults(outcome, series, len(books.arrivals))
+    series = idle_series(merged.visits, merged.lifetimes, outcome.started_at, until)
+    figures |= _after_faults(outcome, series, len(merged.arrivals))
     broken = tuple(
         f"{name}: {figures.get(name, float('inf')):.4g}, at most {most:g}"
         for name, most in sorted(plan.most.items())
@@ -146,30 +148,30 @@
         figures,
         beside,
         rows,
-        books.verdict.counts,
-        tuple(f"{f.rule}: {f.subject}: {f.reason}" for f in books.verdict.violations[:50]),
-        dict(books.excused),
-        dict(sorted(Counter(str(call.status) for call in books.calls).items())),
-        bool(outcome.trust),
-        outcome.trust.reasons,
+        merged.verdict.counts,
+        tuple(f"{f.rule}: {f.subject}: {f.reason}" for f in merged.verdict.violations[:50]),
+        dict(merged.excused),
+        dict(sorted(Counter(str(call.status) for call in merged.admin_calls).items())),
+        bool(outcome.validity),
+        outcome.validity.reasons,
         broken,
         outcome.up_seconds,
         outcome.node_cpu,
         outcome.node_memory_mb,
         outcome.rig_cpu,
-        tuple(_halves(series, outcome.began)),
+        tuple(_half_second_means(series, outcome.started_at)),
         outcome.keeper_cpu,
-        tuple((one[0], one[1], one[2], one[4]) for one in outcome.changed if one),
-        dict(Counter(" and ".join(one.names) for one in books.began)),
-        _torn(books),
+        tuple((one[0], one[1], one[2], one[4]) for one in outcome.change_results if one),
+        dict(Counter(" and ".join(one.names) for one in merged.requests_begun)),
+        _atomicity_violations(merged),
         outcome.status,
-        tuple(one[3] for one in outcome.changed if one),
+        tuple(one[3] for one in outcome.change_results if one),
     )
 
 
-def _torn(books: Books) -> tuple[str, ...]:
+def _atomicity_violations(merged: MergedRun) -> tuple[str, ...]:
     """Where a change of policy was not everywhere or nowhere (hollybay.consensus.invariants)."""
-    if not books.began and not books.said:
+    if not merged.requests_begun and not merged.change_reports:
         return ()
     from hollybay.consensus.invariants import (
         OutcomeReported,
@@ -180,17 +182,17 @@
 
     outcomes = {0: ReportedOutcome.IN_FORCE, 1: ReportedOutcome.NOT_IN_FORCE}
     events: list[RequestBegun | OutcomeReported] = [
-        RequestBegun(one.at, one.node, one.names) for one in books.began
+        RequestBegun(one.at, one.node, one.names) for one in merged.requests_begun
     ]
     events += [
         OutcomeReported(one.at, one.change, outcomes[one.code])
-        for one in books.said
+        for one in merged.change_reports
         if one.change and one.code in outcomes
     ]
     return tuple(f"{violation.node}: {violation.reason}" for violation in find_violations(events)[:50])
 
 
-def _halves(series: list[tuple[int, float]], began: int) -> list[tuple[float, float]]:
+def _half_second_means(series: list[tuple[int, float]], began: int) -> list[tuple[float, float]]:
     of: dict[int, list[float]] = {}
     for at, part in series:
         of.setdefault((at - began) * 2 // SECOND, []).append(part)
@@ -200,7 +202,7 @@
 def _classes(outcome: Outcome, counted: dict[str, Any]) -> tuple[tuple[ClassFigures, ...], float]:
     rows = []
     earned = asked = 0.0
-    for number, cls in enumerate(outcome.books.ledger.limits.classes):
+    for number, cls in enumerate(outcome.merged.ledger.limits.classes):
         mine = [entry for entry in counted.values() if entry.cls == number]
         times = _Times()
         ends: Counter[FinalOutcome | None] = Counter()
@@ -230,25 +232,27 @@
 
 def _after_faults(outcome: Outcome, series: list[tuple[int, float]], arrivals: int) -> dict[str, float]:
     """How long until things were as before: after the first fault, and at servers that are new or back."""
-    plan, books = outcome.plan, outcome.books
+    plan, merged = outcome.plan, outcome.merged
     found: dict[str, float] = {}
     faults = [f for f in plan.faults if f.at > plan.run.warm]
     if faults:
         first = min(faults, key=lambda f: f.at)
-        before = [p for at, p in series if outcome.began + plan.run.warm <= at < outcome.began + first.at]
+        before = [
+            p for at, p in series if outcome.started_at + plan.run.warm <= at < outcome.started_at + first.at
+        ]
         if before:
-            took = settle_time(series, sum(before) / len(before), outcome.began + first.at)
+            took = settle_time(series, sum(before) / len(before), outcome.started_at + first.at)
             found["settle_s"] = took if took is not None else plan.run.seconds / SECOND
     rate = arrivals / (plan.run.seconds / SECOND)
-    total = sum(life.capacity for life in books.lives)
+    total = sum(lifetime.capacity for lifetime in merged.lifetimes)
     times = []
-    limits = books.ledger.limits
-    for life in books.lives:
-        for start in books.ledger.starts.get(life.name, ()):
+    limits = merged.ledger.limits
+    for lifetime in merged.lifetimes:
+        for start in merged.ledger.starts.get(lifetime.name, ()):
             if start.cold and start.at < outcome.ended:
                 warmth = {s: start.slow_start_factor(start.at + s * SECOND, limits) for s in range(60)}
                 took = share_time(
-                    books.visits, life, start.at, outcome.ended, rate * life.capacity / total, warmth
+                    merged.visits, lifetime, start.at, outcome.ended, rate * lifetime.capacity / total, warmth
                 )
                 times.append(took if took is not None else (outcome.ended - start.at) / SECOND)
     if times:
--- a/hollybay/cluster/trust.py
+++ b/hollybay/cluster/run_validity.py
@@ -10,11 +10,11 @@
 
 from .records import Beat
 
-__all__ = ["Carried", "Trust", "judge"]
+__all__ = ["ProcessTiming", "RunValidity", "assess_run_validity"]
 
 
 @dataclass(frozen=True, slots=True)
-class Carried:
+class ProcessTiming:
     """One process of the rig: its latest beat (ns), the part of its beats that were too late, and the part of
     its time that it was ready and had no core."""
 
@@ -25,10 +25,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Trust:
+class RunValidity:
     """The verdict; reasons: why the run is not to be trusted, none if it is."""
 
-    processes: tuple[Carried, ...]
+    processes: tuple[ProcessTiming, ...]
     nodes_starved: float  # mean part of the nodes' time that they were ready without a core
     reasons: tuple[str, ...]
 
@@ -36,7 +36,7 @@
         return not self.reasons
 
 
-def judge(
+def assess_run_validity(
     beats: Iterable[Beat],
     expected: Iterable[str],
     since: int,
@@ -45,7 +45,7 @@
     late_part: float,
     starved_part: float,
     nodes_starved: Mapping[str, float],
-) -> Trust:
+) -> RunValidity:
     """Judge the beats between two moments (ns).
 
     expected: the processes that must have beaten; nodes_starved: by node, the part of its time without a
@@ -64,7 +64,7 @@
         if span < (until - since) / 2:
             reasons.append(f"{name}: beats of {span / SECOND:.1f} s of {(until - since) / SECOND:.1f} s")
             continue
-        carried = Carried(
+        carried = ProcessTiming(
             name,
             max(beat.late for beat in mine),
             sum(beat.late > late for beat in mine) / len(mine),
@@ -81,4 +81,4 @@
     mean = sum(nodes_starved.values()) / len(nodes_starved) if nodes_starved else 0.0
     if mean > starved_part:
         reasons.append(f"nodes: {100 * mean:.1f} % of their time without a core")
-    return Trust(tuple(processes), mean, tuple(reasons))
+    return RunValidity(tuple(processes), mean, tuple(reasons))
--- a/tests/test_change_stream.py
+++ b/tests/test_change_stream.py
@@ -8,10 +8,19 @@
 
 import asyncio
 
-from hollybay.cluster.change_stream import Burst, FullDisk, Sort, Stream, Told, check, play, proposals
+from hollybay.cluster.change_stream import (
+    Burst,
+    ChangeKind,
+    FullDisk,
+    Stream,
+    StreamResult,
+    find_violations,
+    proposals,
+    run_stream,
+)
+from hollybay.cluster.harness import HarnessError
 from hollybay.cluster.plan import compile_plan
 from hollybay.cluster.report import report_of
-from hollybay.cluster.rig import RigFailed
 
 from .test_cluster_consensus import run_of
 from .test_cluster_faults import fault, group
@@ -41,23 +50,23 @@
 SHORT = Stream(begin=1.5, end=4.0, rate=1.0, bursts=(Burst(2.2, 8), Burst(3.2, 8, 1)))
 
 
-async def _played(text: str, stream: Stream, defect: str = "") -> Told:
+async def _played(text: str, stream: Stream, defect: str = "") -> StreamResult:
     """One run that the rig could carry; it is repeated once."""
     why: object = None
     for _ in range(2):
         try:
-            told = await play(compile_plan(text, "stream", 1), stream, defect)
-        except RigFailed as error:
+            told = await run_stream(compile_plan(text, "stream", 1), stream, defect)
+        except HarnessError as error:
             why = error
             continue
-        if told.outcome.trust:
+        if told.outcome.validity:
             return told
-        why = told.outcome.trust.reasons
+        why = told.outcome.validity.reasons
     raise AssertionError(f"not to be trusted, twice: {why}")
 
 
 def test_a_stream_of_changes_through_faults_and_a_defect_that_it_shows() -> None:
-    async def all_three() -> tuple[Told, Told, Told]:
+    async def all_three() -> tuple[StreamResult, StreamResult, StreamResult]:
         return await asyncio.gather(
             _played(run_of(NODES, 22.0, servers=12, load=0.5) + FAULTS, STREAM),
             _played(run_of(5, 7.0), SHORT, "bad-change-drops-batch"),
@@ -65,37 +74,37 @@
         )
 
     told, defective, full = asyncio.run(all_three())
-    wrong = check(told.tracked, told.states, STREAM)
+    wrong = find_violations(told.tracked, told.states, STREAM)
     assert not wrong, wrong
     report = report_of(told.outcome)
     assert not report.torn, report.torn
     assert not any(report.rules.values()), (report.rules, report.faults)
     assert sum(report.under.values()) > 500, report.under
-    in_force = [one for one in told.tracked if one.told[0].code == 0]
+    in_force = [one for one in told.tracked if one.verdicts[0].code == 0]
     assert len(in_force) >= 25 and told.largest_batch > 1
-    assert {one.sort for one in in_force} == {Sort.SOUND, Sort.CHAINED, Sort.RIVAL}
+    assert {one.kind for one in in_force} == {ChangeKind.SOUND, ChangeKind.CHAINED, ChangeKind.RIVAL}
     # One bad change that takes its batch with it is seen.
-    assert any("sound change" in text and "is refused" in text for text in check(
+    assert any("sound change" in text and "is refused" in text for text in find_violations(
         defective.tracked, defective.states, SHORT
     ))  # fmt: skip
 
     _refused_for_want_of_space(full)
 
 
-def _refused_for_want_of_space(told: Told) -> None:
+def _refused_for_want_of_space(told: StreamResult) -> None:
     """While a disk stays full each sound change is refused with its reason."""
-    wrong = check(told.tracked, told.states, NO_ROOM)
+    wrong = find_violations(told.tracked, told.states, NO_ROOM)
     assert not wrong, wrong
-    sound = [one for one in told.tracked if one.sort is Sort.SOUND]
+    sound = [one for one in told.tracked if one.kind is ChangeKind.SOUND]
     assert sound
     for one in sound:
-        assert [verdict.code for verdict in one.told] == [1] * len(one.told), one
-        assert all("No space left" in str(verdict.reasons) for verdict in one.told), one
+        assert [verdict.code for verdict in one.verdicts] == [1] * len(one.verdicts), one
+        assert all("No space left" in str(verdict.reasons) for verdict in one.verdicts), one
 
 
 def test_a_stream_is_drawn_from_its_seed() -> None:
     drawn = proposals(STREAM, 3)
     assert drawn == proposals(STREAM, 3)
-    assert {one.sort for one in drawn} == set(Sort)
-    assert any(len(one.keepers) == 2 for one in drawn)
+    assert {one.kind for one in drawn} == set(ChangeKind)
+    assert any(len(one.voters) == 2 for one in drawn)
     assert len({one.change.id for one in drawn}) == len(drawn)
--- a/tests/test_cluster_evenness.py
+++ b/tests/test_cluster_evenness.py
@@ -10,24 +10,24 @@
 from hypothesis import strategies as st
 
 from hollybay.cluster.evenness import (
-    Life,
+    ServerLifetime,
     Visit,
-    chance_most,
     evenness,
+    expected_largest_count,
     herd,
     idle_series,
+    longest_unused,
     settle_time,
     share_time,
     spread,
-    unused,
 )
-from hollybay.cluster.models import Arrival, drawn, one
+from hollybay.cluster.models import Arrival, random_by_capacity, single_dispatcher
 from hollybay.cluster.records import Beat
-from hollybay.cluster.trust import judge
+from hollybay.cluster.run_validity import assess_run_validity
 from hollybay.testbed.world import MS, SECOND
 
 SPAN = 30 * SECOND
-LIVES = [Life(f"s{n}", 1.0 + 0.3 * (n % 2), 1, ((0, SPAN),)) for n in range(8)]
+LIFETIMES = [ServerLifetime(f"s{n}", 1.0 + 0.3 * (n % 2), 1, ((0, SPAN),)) for n in range(8)]
 
 
 def stream(seed: int, rate: float = 60.0, mean: int = 100 * MS) -> list[Arrival]:
@@ -47,7 +47,9 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_a_draw_by_capacity_is_even_but_for_chance(seed: int) -> None:
-    even = evenness(by_nodes(drawn(stream(seed), LIVES, seed).visits, 50), LIVES, 0, SPAN)
+    even = evenness(
+        by_nodes(random_by_capacity(stream(seed), LIFETIMES, seed).visits, 50), LIFETIMES, 0, SPAN
+    )
     assert even.by_second.cv < 0.15 and even.by_server.cv < 0.08
     assert 0.5 <= even.herd / even.herd_chance <= 1.4
     assert even.unused_s <= 2.0 * even.unused_chance_s
@@ -56,19 +58,25 @@
 @pytest.mark.parametrize("seed", range(4))
 def test_one_node_that_sees_everything_leaves_nothing_idle_while_others_queue(seed: int) -> None:
     arrivals = stream(seed)
-    best = evenness(one(arrivals, LIVES, seed).visits, LIVES, 0, SPAN)
-    chance = evenness(drawn(arrivals, LIVES, seed).visits, LIVES, 0, SPAN)
+    best = evenness(single_dispatcher(arrivals, LIFETIMES, seed).visits, LIFETIMES, 0, SPAN)
+    chance = evenness(random_by_capacity(arrivals, LIFETIMES, seed).visits, LIFETIMES, 0, SPAN)
     assert best.idle_while_queued == 0.0 < 0.1 < chance.idle_while_queued
-    took = [sum(played.took.values()) for played in (one(arrivals, LIVES), drawn(arrivals, LIVES))]
+    took = [
+        sum(played.took.values())
+        for played in (single_dispatcher(arrivals, LIFETIMES), random_by_capacity(arrivals, LIFETIMES))
+    ]
     assert took[0] < 0.7 * took[1]
 
 
 def test_unequal_work_shows_and_its_size_is_told() -> None:
-    tilted = [Life(x.name, x.capacity * (2.0 if n < 4 else 1.0), 1, x.fit) for n, x in enumerate(LIVES)]
-    visits = drawn(stream(1, rate=300.0), tilted, 1).visits
-    assert spread(visits, LIVES, 0, SPAN, SPAN).cv == pytest.approx(1 / 3, abs=0.05)
-    assert spread(visits, LIVES, 0, SPAN).cv == pytest.approx(1 / 3, abs=0.07)
-    assert spread([], LIVES, 0, SPAN).cv == 0.0
+    tilted = [
+        ServerLifetime(x.name, x.capacity * (2.0 if n < 4 else 1.0), 1, x.healthy)
+        for n, x in enumerate(LIFETIMES)
+    ]
+    visits = random_by_capacity(stream(1, rate=300.0), tilted, 1).visits
+    assert spread(visits, LIFETIMES, 0, SPAN, SPAN).cv == pytest.approx(1 / 3, abs=0.05)
+    assert spread(visits, LIFETIMES, 0, SPAN).cv == pytest.approx(1 / 3, abs=0.07)
+    assert spread([], LIFETIMES, 0, SPAN).cv == 0.0
 
 
 @given(st.floats(0.01, 30.0), st.floats(1.0, 1e6))
@@ -76,45 +84,47 @@
     def above(count: int) -> float:
         return windows * max(0.0, 1.0 - sum(exp(-mean) * mean**k / factorial(k) for k in range(count + 1)))
 
-    most = chance_most(mean, windows)
+    most = expected_largest_count(mean, windows)
     assert above(most) <= 1.0 + 1e-6
     assert most == 1 or above(most - 1) > 1.0 - 1e-6
 
 
 def test_a_herd_is_many_nodes_at_one_server_within_a_service_time() -> None:
-    visits = by_nodes(drawn(stream(2), LIVES, 2).visits, 50)
-    sound, chance = herd(visits, LIVES, 0, SPAN)
+    visits = by_nodes(random_by_capacity(stream(2), LIFETIMES, 2).visits, 50)
+    sound, chance = herd(visits, LIFETIMES, 0, SPAN)
     crowd = [Visit(f"x{n}", "s3", f"n{n}", SECOND + n * MS, 0, 2 * SECOND, 100 * MS) for n in range(20)]
-    most, expected = herd([*visits, *crowd], LIVES, 0, SPAN)
+    most, expected = herd([*visits, *crowd], LIFETIMES, 0, SPAN)
     assert most >= 20 and most / expected > 2.0 > 1.4 > sound / chance
     # The same from one node is its own doing, and no herd.
     alone = [Visit(v.rid, v.server, "n1", v.at, v.began, v.left, v.work) for v in crowd]
-    most, expected = herd([*visits, *alone], LIVES, 0, SPAN)
+    most, expected = herd([*visits, *alone], LIFETIMES, 0, SPAN)
     assert most / expected <= 1.4
 
 
 def test_a_server_that_gets_nothing_while_others_queue_is_seen() -> None:
-    visits = drawn(stream(3), LIVES, 3).visits
+    visits = random_by_capacity(stream(3), LIFETIMES, 3).visits
     starved = [v for v in visits if v.server != "s5" or v.at < 10 * SECOND]
-    gap, chance = unused(starved, LIVES, 0, SPAN)
+    gap, chance = longest_unused(starved, LIFETIMES, 0, SPAN)
     assert gap > 10.0 > 4.0 * chance
     # Where it is not fit, or nothing queues anywhere, that is right.
-    lives = [Life(x.name, x.capacity, 1, ((0, 10 * SECOND),)) if x.name == "s5" else x for x in LIVES]
-    gap, chance = unused(starved, lives, 0, SPAN)
+    lifetimes = [
+        ServerLifetime(x.name, x.capacity, 1, ((0, 10 * SECOND),)) if x.name == "s5" else x for x in LIFETIMES
+    ]
+    gap, chance = longest_unused(starved, lifetimes, 0, SPAN)
     assert gap <= 2.0 * chance
     quiet = [Visit(v.rid, v.server, v.node, v.at, v.at, v.at + 1, v.work) for v in starved]
-    assert unused(quiet, LIVES, 0, SPAN)[0] == 0.0
+    assert longest_unused(quiet, LIFETIMES, 0, SPAN)[0] == 0.0
 
 
 def test_idle_while_queued_counts_the_lesser_of_both() -> None:
     waiting = [Visit(f"r{n}", "s0", "n0", 0, 0 if n else 1, SECOND, 100 * MS) for n in range(4)]
-    series = idle_series(waiting, LIVES[:4], 50 * MS, 100 * MS)
+    series = idle_series(waiting, LIFETIMES[:4], 50 * MS, 100 * MS)
     assert series == [(50 * MS, 2 / 4)]  # three wait, one of them may; three servers have nothing
-    assert idle_series(waiting, LIVES[:4], 2 * SECOND, 2 * SECOND + 1)[0][1] == 0.0
+    assert idle_series(waiting, LIFETIMES[:4], 2 * SECOND, 2 * SECOND + 1)[0][1] == 0.0
 
 
 def test_the_time_until_a_new_server_has_its_share() -> None:
-    life = Life("s0", 1.0, 1, ((0, SPAN),))
+    life = ServerLifetime("s0", 1.0, 1, ((0, SPAN),))
     visits = [Visit(f"r{n}", "s0", "n0", 5 * SECOND + n * 100 * MS, 0, 0, MS) for n in range(200)]
     took = share_time(visits, life, 0, SPAN, 10.0)
     assert took is not None and 3.0 <= took <= 5.0
@@ -147,6 +157,6 @@
 def test_a_rig_that_was_late_or_starved_is_not_trusted(
     found: list[Beat], nodes: dict[str, float], why: str
 ) -> None:
-    assert judge([*beats("a"), *beats("b")], "ab", 0, SPAN, 40 * MS, 0.02, 0.15, {"n0": 0.1})
-    trust = judge(found, "ab", 0, SPAN, 40 * MS, 0.02, 0.15, nodes)
-    assert not trust and any(reason.startswith(why) for reason in trust.reasons)
+    assert assess_run_validity([*beats("a"), *beats("b")], "ab", 0, SPAN, 40 * MS, 0.02, 0.15, {"n0": 0.1})
+    validity = assess_run_validity(found, "ab", 0, SPAN, 40 * MS, 0.02, 0.15, nodes)
+    assert not validity and any(reason.startswith(why) for reason in validity.reasons)
--- a/tests/test_cluster_faults.py
+++ b/tests/test_cluster_faults.py
@@ -17,9 +17,9 @@
 
 import pytest
 
+from hollybay.cluster.harness import HarnessError, run_plan
 from hollybay.cluster.plan import compile_plan
 from hollybay.cluster.report import Report, report_of
-from hollybay.cluster.rig import RigFailed, play
 
 ROOT = Path(__file__).resolve().parent.parent
 
@@ -51,8 +51,8 @@
     why: object = None
     for _ in range(2):
         try:
-            report = report_of(await play(compile_plan(text, "scene", seed), defect=defect))
-        except RigFailed as error:
+            report = report_of(await run_plan(compile_plan(text, "scene", seed), defect=defect))
+        except HarnessError as error:
             why = error
             continue
         if report.trusted:
