--- a/tests/test_cluster_links.py
+++ b/tests/test_cluster_links.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from hollybay.cluster.links import Door, Link, Linked, State
+from hollybay.cluster.links import Link, LinkedListener, LinkedProtocol, LinkState
 
 LIMIT = 10.0
 
@@ -23,22 +23,22 @@
         self.transport.write(data)
 
 
-def played(scene: Callable[[Link, Door], Awaitable[None]]) -> None:
+def run_scenario(scenario: Callable[[Link, LinkedListener], Awaitable[None]]) -> None:
     async def run() -> None:
         link = Link()
-        door = Door(link, Echo)
-        door.open()
+        listener = LinkedListener(link, Echo)
+        listener.open()
         try:
             async with asyncio.timeout(LIMIT):
-                await scene(link, door)
+                await scenario(link, listener)
         finally:
-            door.close()
+            listener.close()
 
     asyncio.run(run())
 
 
-async def connect(door: Door) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-    return await asyncio.open_connection("127.0.0.1", door.port)
+async def connect(listener: LinkedListener) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
+    return await asyncio.open_connection("127.0.0.1", listener.port)
 
 
 async def echoed(streams: Any, data: bytes) -> bytes:
@@ -57,78 +57,78 @@
 
 
 @pytest.mark.parametrize(
-    "state", [State(cut=True), State(hold=True), State(lost_up=True), State(lost_down=True)]
+    "state", [LinkState(cut=True), LinkState(hold=True), LinkState(lost_up=True), LinkState(lost_down=True)]
 )
-def test_bytes_wait_while_they_cannot_pass_and_come_in_order_afterwards(state: State) -> None:
-    async def scene(link: Link, door: Door) -> None:
-        streams = await connect(door)
+def test_bytes_wait_while_they_cannot_pass_and_come_in_order_afterwards(state: LinkState) -> None:
+    async def scenario(link: Link, listener: LinkedListener) -> None:
+        streams = await connect(listener)
         assert await echoed(streams, b"one") == b"one"
-        link.put(state)
+        link.set_state(state)
         streams[1].write(b"two")
         await asyncio.sleep(0)
         streams[1].write(b"three")
         assert await silent(streams)
-        link.put(State())
+        link.set_state(LinkState())
         assert await streams[0].readexactly(8) == b"twothree"
 
-    played(scene)
+    run_scenario(scenario)
 
 
 def test_a_cut_link_leaves_new_connections_unanswered_until_it_is_sound() -> None:
-    async def scene(link: Link, door: Door) -> None:
-        link.put(State(cut=True))
+    async def scenario(link: Link, listener: LinkedListener) -> None:
+        link.set_state(LinkState(cut=True))
         with pytest.raises(TimeoutError):
             async with asyncio.timeout(0.3):
-                await connect(door)
-        link.put(State())
-        assert await echoed(await connect(door), b"x") == b"x"
+                await connect(listener)
+        link.set_state(LinkState())
+        assert await echoed(await connect(listener), b"x") == b"x"
 
-    played(scene)
+    run_scenario(scenario)
 
 
 def test_a_reset_ends_what_is_open_and_what_comes() -> None:
-    async def scene(link: Link, door: Door) -> None:
-        streams = await connect(door)
+    async def scenario(link: Link, listener: LinkedListener) -> None:
+        streams = await connect(listener)
         assert await echoed(streams, b"x") == b"x"
-        link.put(State(reset=True))
+        link.set_state(LinkState(reset=True))
         with pytest.raises(ConnectionResetError):
             await streams[0].readexactly(1)
-        again = await connect(door)
+        again = await connect(listener)
         with pytest.raises((ConnectionResetError, asyncio.IncompleteReadError)):
             await again[0].readexactly(1)
-        link.put(State())
-        assert await echoed(await connect(door), b"y") == b"y"
-        assert len(link.lines) == 1
+        link.set_state(LinkState())
+        assert await echoed(await connect(listener), b"y") == b"y"
+        assert len(link.connections) == 1
 
-    played(scene)
+    run_scenario(scenario)
 
 
 def test_bytes_lag_and_are_throttled() -> None:
-    async def scene(link: Link, door: Door) -> None:
+    async def scenario(link: Link, listener: LinkedListener) -> None:
         loop = asyncio.get_running_loop()
-        streams = await connect(door)
-        link.put(State(lag=0.1))
+        streams = await connect(listener)
+        link.set_state(LinkState(lag=0.1))
         began = loop.time()
         assert await echoed(streams, b"x") == b"x"
         assert loop.time() - began >= 0.19  # once each way, on a clock of whole ms
-        link.put(State(rate=1000.0))
+        link.set_state(LinkState(rate=1000.0))
         began = loop.time()
         assert await echoed(streams, bytes(200)) == bytes(200)
         assert loop.time() - began >= 0.39
 
-    played(scene)
+    run_scenario(scenario)
 
 
 def test_a_door_that_closes_refuses_and_opens_at_its_old_port() -> None:
-    async def scene(link: Link, door: Door) -> None:
-        port = door.port
-        door.close()
+    async def scenario(link: Link, listener: LinkedListener) -> None:
+        port = listener.port
+        listener.close()
         with pytest.raises(ConnectionRefusedError):
-            await connect(door)
-        assert door.open() == port
-        assert await echoed(await connect(door), b"x") == b"x"
+            await connect(listener)
+        assert listener.open() == port
+        assert await echoed(await connect(listener), b"x") == b"x"
 
-    played(scene)
+    run_scenario(scenario)
 
 
 def test_a_goodbye_comes_after_the_bytes_before_it() -> None:
@@ -140,20 +140,20 @@
 
     async def run() -> None:
         link = Link()
-        door = Door(link, Parting)
-        door.open()
-        link.put(State(lag=0.05))
+        listener = LinkedListener(link, Parting)
+        listener.open()
+        link.set_state(LinkState(lag=0.05))
         async with asyncio.timeout(LIMIT):
-            streams = await connect(door)
+            streams = await connect(listener)
             streams[1].write(b"bye")
             assert await streams[0].read() == b"bye"
-        door.close()
+        listener.close()
 
     asyncio.run(run())
 
 
 def test_a_client_behind_a_link() -> None:
-    async def scene(link: Link, door: Door) -> None:
+    async def scenario(link: Link, listener: LinkedListener) -> None:
         heard = asyncio.Event()
 
         class Client(asyncio.Protocol):
@@ -161,15 +161,15 @@
                 heard.set()
 
         mine = Link()
-        transport, line = await asyncio.get_running_loop().create_connection(
-            lambda: Linked(mine, Client()), "127.0.0.1", door.port
+        transport, connection = await asyncio.get_running_loop().create_connection(
+            lambda: LinkedProtocol(mine, Client()), "127.0.0.1", listener.port
         )
-        mine.put(State(lost_up=True))
-        line.down.put(b"x")
+        mine.set_state(LinkState(lost_up=True))
+        connection.down.put(b"x")
         await asyncio.sleep(0.1)
         assert not heard.is_set()
-        mine.put(State())
+        mine.set_state(LinkState())
         await heard.wait()
         transport.close()
 
-    played(scene)
+    run_scenario(scenario)
--- a/tests/test_cluster_plan.py
+++ b/tests/test_cluster_plan.py
@@ -10,8 +10,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from hollybay.cluster.links import State
-from hollybay.cluster.plan import compile_plan, pairs, refuse_too_large
+from hollybay.cluster.links import LinkState
+from hollybay.cluster.plan import compile_plan, machine_limit_exceeded, pairs
 from hollybay.routing.problems import OperatorError
 
 ROOT = Path(__file__).resolve().parent.parent
@@ -54,14 +54,14 @@
     assert len(GALLERY) >= 10
     for path in GALLERY:
         plan = compile_plan(path.read_bytes(), str(path))
-        assert refuse_too_large(plan) is None, path
+        assert machine_limit_exceeded(plan) is None, path
 
 
 def test_groups_and_sides() -> None:
     plan = compile_plan(SPLIT, "split.toml")
     cut, lag = plan.faults
     assert cut.nodes == ("n000", "n001", "n002") and cut.servers == ("s-000", "s-001")
-    assert cut.state == State(cut=True) and lag.state == State(lag=0.05)
+    assert cut.state == LinkState(cut=True) and lag.state == LinkState(lag=0.05)
     assert lag.link == "nodes-servers" and lag.nodes == ("n006", "n007", "n008")
     sides = plan.sides
     assert len(set(sides.values())) == 3 and sides["n000"] != sides["n008"] != sides["n004"]
@@ -162,7 +162,7 @@
     by = 0.5
     """
     plan = compile_plan(text, "p")
-    assert plan.faults[0].state == State(lose=0.5)
+    assert plan.faults[0].state == LinkState(lose=0.5)
     assert len(pairs(plan)) == 10 and ("n000", "n001") in pairs(plan) and ("n002", "n003") not in pairs(plan)
     (problem,) = problems(text.replace("talk = true", ""))
     assert "nodes say nothing" in problem
@@ -174,11 +174,11 @@
 
 def test_a_plan_beyond_the_machine_is_refused_with_the_figure() -> None:
     plan = compile_plan("[run]\nnodes = 200\n", "p")
-    assert refuse_too_large(plan, memory_mb=16000, files=20000) is None
-    assert refuse_too_large(plan, memory_mb=1000, files=20000) == (
+    assert machine_limit_exceeded(plan, memory_mb=16000, files=20000) is None
+    assert machine_limit_exceeded(plan, memory_mb=1000, files=20000) == (
         "200 nodes and the rig take 4660 MiB of memory, 1000 MiB are available"
     )
-    reason = refuse_too_large(plan, memory_mb=16000, files=512)
+    reason = machine_limit_exceeded(plan, memory_mb=16000, files=512)
     assert reason is not None and reason.endswith("descriptors, 512 are allowed")
 
 
--- a/tests/test_cluster_records.py
+++ b/tests/test_cluster_records.py
@@ -8,21 +8,21 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from hollybay.cluster.books import Excuse, books_of
+from hollybay.cluster.merged_run import Excuse, merge_events
 from hollybay.cluster.records import (
     Answered,
     Arrived,
     Asked,
     Began,
     Event,
-    Journal,
+    EventLog,
     Left,
     NodeEnded,
     Posted,
     ServerDown,
     ServerUp,
     Told,
-    read,
+    read_events,
 )
 from hollybay.testbed.ledger import RuleLimits
 from hollybay.testbed.world import CLASSES, MS, SECOND
@@ -44,26 +44,26 @@
 
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "a.journal"
-        journal = Journal(path)
+        journal = EventLog(path)
         for event in EVENTS:
             journal.write(event)
         journal.close()
         data = path.read_bytes()
         path.write_bytes(data[:cut])
-        found = list(read(path))
+        found = list(read_events(path))
         assert found == EVENTS[: len(found)]
         assert cut < len(data) or found == EVENTS
 
 
 def test_what_is_not_flushed_is_not_there_and_a_journal_is_never_written_over(tmp_path: Path) -> None:
     path = tmp_path / "a.journal"
-    journal = Journal(path)
+    journal = EventLog(path)
     journal.write(EVENTS[0])
-    assert list(read(path)) == []
+    assert list(read_events(path)) == []
     journal.flush()
-    assert list(read(path)) == EVENTS[:1]
+    assert list(read_events(path)) == EVENTS[:1]
     with pytest.raises(FileExistsError):
-        Journal(path)
+        EventLog(path)
 
 
 @pytest.mark.parametrize(
@@ -73,7 +73,7 @@
     path = tmp_path / "x.journal"
     path.write_bytes(data)
     with pytest.raises(ValueError, match=r"x\.journal: no event at byte 0"):
-        list(read(path))
+        list(read_events(path))
 
 
 def request(rid: str, at: int, cls: int = SAFE, node: str = "n0", fresh: bool = True) -> list[Event]:
@@ -96,52 +96,52 @@
 
 def test_books_of_a_sound_run_hold_and_tell_who_sent_what() -> None:
     clients = [*request("a", 100), Answered(30 * MS, "a", "served", 200, None, 0)]
-    books = books_of([*UP, *visit("a", 200), *clients], LIMITS, SECOND)
-    assert books.verdict and not books.excused
-    (came,) = books.visits
+    merged = merge_events([*UP, *visit("a", 200), *clients], LIMITS, SECOND)
+    assert merged.verdict and not merged.excused
+    (came,) = merged.visits
     assert (came.server, came.node, came.at, came.began, came.left) == ("s0", "n0", 200, 200, 200 + 20 * MS)
-    assert books.lives[0].fit == ((0, SECOND),)
-    assert [a.work for a in books.arrivals] == [20 * MS]
+    assert merged.lifetimes[0].healthy == ((0, SECOND),)
+    assert [a.work for a in merged.arrivals] == [20 * MS]
 
 
 def test_rules_are_decided_over_what_different_processes_saw() -> None:
     twice = [*UP, *request("a", 100, UNSAFE), *visit("a", 200), *visit("a", 5 * MS, "s1")]
     twice.append(Answered(30 * MS, "a", "served", 200, None, 0))
-    assert books_of(twice, LIMITS, SECOND).verdict.counts["dup"] == 1
+    assert merge_events(twice, LIMITS, SECOND).verdict.counts["dup"] == 1
     lost = [*UP, *request("a", 100), Answered(30 * MS, "a", "broken", 0, None, 0)]
-    assert books_of(lost, LIMITS, SECOND).verdict.counts["lost"] == 1
+    assert merge_events(lost, LIMITS, SECOND).verdict.counts["lost"] == 1
     drained = [*UP, Told(50, "n1", "s0", False), *request("a", 2 * SECOND, SAFE, "n1")]
     drained += [*visit("a", 2 * SECOND + 5), Answered(2 * SECOND + 30 * MS, "a", "served", 200, None, 0)]
-    assert books_of(drained, LIMITS, 3 * SECOND).verdict.counts["drain"] == 1
+    assert merge_events(drained, LIMITS, 3 * SECOND).verdict.counts["drain"] == 1
     # Another node that was not told may send there, and so may a new process of the one that was.
     other = [Told(50, "n0", "s0", False) if event == drained[2] else event for event in drained]
-    assert books_of(other, LIMITS, 3 * SECOND).verdict
-    assert books_of([*drained, NodeEnded(SECOND, "n1", False)], LIMITS, 3 * SECOND).verdict
+    assert merge_events(other, LIMITS, 3 * SECOND).verdict
+    assert merge_events([*drained, NodeEnded(SECOND, "n1", False)], LIMITS, 3 * SECOND).verdict
 
 
 def test_only_what_the_rig_did_is_excused() -> None:
     held = [*UP, *request("a", 100), Answered(30 * MS, "a", "broken", 0, None, 0)]
-    killed = books_of([*held, NodeEnded(20 * MS, "n0", True)], LIMITS, SECOND)
+    killed = merge_events([*held, NodeEnded(20 * MS, "n0", True)], LIMITS, SECOND)
     assert killed.verdict and killed.excused == {"killed": 1}
-    assert not books_of([*held, NodeEnded(20 * MS, "n1", True)], LIMITS, SECOND).verdict
-    assert not books_of([*held, NodeEnded(40 * MS, "n0", True)], LIMITS, SECOND).verdict
-    assert not books_of([*held, NodeEnded(20 * MS, "n0", False)], LIMITS, SECOND).verdict
+    assert not merge_events([*held, NodeEnded(20 * MS, "n1", True)], LIMITS, SECOND).verdict
+    assert not merge_events([*held, NodeEnded(40 * MS, "n0", True)], LIMITS, SECOND).verdict
+    assert not merge_events([*held, NodeEnded(20 * MS, "n0", False)], LIMITS, SECOND).verdict
     # On a connection opened before the kill, and used after it: where it reached no server.
     after = [*UP, request("a", 100)[0], Posted(25 * MS, "a", "n0", True), held[-1]]
-    assert books_of([*after, NodeEnded(20 * MS, "n0", True)], LIMITS, SECOND).excused == {"killed": 1}
-    assert not books_of(
+    assert merge_events([*after, NodeEnded(20 * MS, "n0", True)], LIMITS, SECOND).excused == {"killed": 1}
+    assert not merge_events(
         [*after, *visit("a", 26 * MS), NodeEnded(20 * MS, "n0", True)], LIMITS, SECOND
     ).verdict
-    stopped = books_of(held, LIMITS, SECOND, [Excuse("n0", 10 * MS, 25 * MS, "stopped")])
+    stopped = merge_events(held, LIMITS, SECOND, [Excuse("n0", 10 * MS, 25 * MS, "stopped")])
     assert stopped.verdict and stopped.excused == {"stopped": 1}
-    assert not books_of(held, LIMITS, SECOND, [Excuse("n0", 40 * MS, 50 * MS, "stopped")]).verdict
+    assert not merge_events(held, LIMITS, SECOND, [Excuse("n0", 40 * MS, 50 * MS, "stopped")]).verdict
     never = [*UP, request("a", 100)[0], Answered(30 * MS, "a", "broken", 0, None, 0)]
-    assert books_of(never, LIMITS, SECOND).excused == {"unreached": 1}
+    assert merge_events(never, LIMITS, SECOND).excused == {"unreached": 1}
     crossed = [*UP, *request("a", 100, fresh=False), Answered(30 * MS, "a", "broken", 0, None, 0)]
-    assert books_of(crossed, LIMITS, SECOND).excused == {"crossed": 1}
+    assert merge_events(crossed, LIMITS, SECOND).excused == {"crossed": 1}
     # What ran is never excused for the sake of its connection.
     ran = [*crossed, *visit("a", 5 * MS)]
-    assert not books_of(ran, LIMITS, SECOND).verdict
+    assert not merge_events(ran, LIMITS, SECOND).verdict
 
 
 def test_a_server_is_fit_while_it_is_up_warm_and_sound() -> None:
@@ -150,6 +150,10 @@
         ServerDown(10 * SECOND, "s0"),
         ServerUp(20 * SECOND, "s0", 1.0, 1, True),
     ]
-    (life,) = books_of(events, LIMITS, 40 * SECOND, (), [("s0", 2 * SECOND, 4 * SECOND)]).lives
-    assert life.fit == ((0, 2 * SECOND), (4 * SECOND, 10 * SECOND), (28 * SECOND, 40 * SECOND))
-    assert life.fit_at(SECOND) and not life.fit_at(3 * SECOND) and not life.fit_at(25 * SECOND)
+    (lifetime,) = merge_events(events, LIMITS, 40 * SECOND, (), [("s0", 2 * SECOND, 4 * SECOND)]).lifetimes
+    assert lifetime.healthy == ((0, 2 * SECOND), (4 * SECOND, 10 * SECOND), (28 * SECOND, 40 * SECOND))
+    assert (
+        lifetime.is_healthy_at(SECOND)
+        and not lifetime.is_healthy_at(3 * SECOND)
+        and not lifetime.is_healthy_at(25 * SECOND)
+    )
