--- a/hollybay/cluster/__init__.py
+++ b/hollybay/cluster/__init__.py
@@ -1,15 +1,17 @@
-"""A tier of real processes on one machine: nodes, servers, clients and discovery, with faults between them.
+"""Cluster runs: nodes, servers, clients and discovery as real processes on one machine, with faults.
 
-plan       the TOML plan of a run: sizes, groups, faults, thresholds; checked as strictly as an operator file
-records    what each process saw, in a file of its own that can be read after a kill at any byte
-books      those files as one ledger, put to the four rules
-evenness   how evenly the load was spread, with the counting noise of a Poisson stream taken out
-models     the same arrivals at one node that sees everything, and drawn by capacity
-trust      whether the rig itself was late or starved; then a run has no figure
-links      what may happen to the bytes between two processes
-zygote     the process that forks all others, imports paid once
-roles      what those processes are: node, servers, registry, clients
-control    the calls between the rig and its processes
-rig        plays a plan
-report     figures as tables, JSON and a plot
+plan           the TOML plan of a run: sizes, groups, faults, thresholds; checked as strictly as an operator file
+records        events of one process, in its own log file, readable after a kill at any byte
+merged_run     the event logs merged into one ledger and checked against the four rules
+evenness       how evenly load was spread, with the counting noise of a Poisson stream subtracted
+models         baselines on the same arrivals: one dispatcher with full knowledge, and random by capacity
+run_validity   whether the harness was late or starved of CPU, which makes the figures of a run invalid
+links          simulated faults on the connections between two processes
+fork_server    forks all other processes, so that imports are paid for once
+processes      entry points of those processes: node, servers, registry, clients and others
+control        calls between the harness and its processes
+harness        runs a plan
+report         figures as tables, JSON and a plot
+change_stream  a run with a stream of resource changes, and the checks on its results
+planted        defects and faults planted in node processes
 """
--- a/hollybay/cluster/control.py
+++ b/hollybay/cluster/control.py
@@ -1,4 +1,4 @@
-"""Calls between the rig and its processes: lines of JSON over a Unix socket in the run's own folder."""
+"""Calls between the harness and its processes: lines of JSON over a Unix socket in the folder of the run."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 __all__ = ["ControlCallError", "ControlServer", "RemoteProcess", "serve_calls", "wait_until"]
 
-LIMIT = 60.0  # seconds that a call may take
+LIMIT = 60.0  # time-out of a call, seconds
 MAX_LINE_BYTES = 8 << 20
 
 Handler = Callable[[dict[str, Any]], Awaitable[Any]]
 
 
 async def wait_until(changed: asyncio.Event, condition: Callable[[], bool], limit: float) -> None:
-    """Wait for a state of affairs, looked at with each event; TimeoutError after so many seconds."""
+    """Wait until a condition holds, evaluating it after each event; TimeoutError after limit seconds."""
     async with asyncio.timeout(limit):
         while not condition():
             changed.clear()
@@ -27,11 +27,11 @@
 
 
 class ControlCallError(Exception):
-    """A process of the rig could not do what it was asked, or is gone."""
+    """A call to a process of the run failed, or the process has exited."""
 
 
 class RemoteProcess:
-    """A process at the other end: calls to it, and what it tells by itself."""
+    """A connected process: calls to it, and the messages that it sends unprompted."""
 
     def __init__(self, server: ControlServer, hello: dict[str, Any], writer: asyncio.StreamWriter) -> None:
         self.server = server
@@ -43,14 +43,14 @@
         self.closed = False
 
     def send(self, do: str, **fields: Any) -> None:
-        """Say something that needs no answer."""
+        """Send a message that needs no reply."""
         if not self.closed:
             self.writer.write(msgspec.json.encode({"do": do, **fields}) + b"\n")
 
     async def call(self, do: str, limit: float = LIMIT, **fields: Any) -> Any:
-        """Ask, and wait for the answer. CallFailed: it could not, is gone, or took longer than limit (s)."""
+        """Call and wait for the reply. ControlCallError: it failed, exited, or took longer than limit (s)."""
         if self.closed:
-            raise ControlCallError(f"{self.name} is gone")
+            raise ControlCallError(f"{self.name} has exited")
         self.last_id += 1
         number = self.last_id
         reply = self.pending[number] = asyncio.get_running_loop().create_future()
@@ -59,12 +59,12 @@
             async with asyncio.timeout(limit):
                 return await reply
         except TimeoutError:
-            raise ControlCallError(f"{self.name} did not answer {do!r} within {limit:g} s") from None
+            raise ControlCallError(f"{self.name} did not reply to {do!r} within {limit:g} s") from None
         finally:
             self.pending.pop(number, None)
 
     def handle_message(self, message: dict[str, Any]) -> None:
-        """A line has come."""
+        """Handle one message from the process."""
         if "re" not in message:
             self.server.on_message(self, message)
             return
@@ -77,15 +77,15 @@
             reply.set_result(message.get("value"))
 
     def on_disconnect(self) -> None:
-        """Its connection has ended."""
+        """Fail all pending calls: the connection has closed."""
         self.closed = True
         for reply in self.pending.values():
             if not reply.done():
-                reply.set_exception(ControlCallError(f"{self.name} is gone"))
+                reply.set_exception(ControlCallError(f"{self.name} has exited"))
 
 
 class ControlServer:
-    """The rig's end: processes say hello here, each with its name."""
+    """The harness's end: processes connect here and register by name."""
 
     def __init__(self, path: Path, on_message: Callable[[RemoteProcess, dict[str, Any]], None]) -> None:
         self.path = path
@@ -96,7 +96,7 @@
         self._writers: set[asyncio.StreamWriter] = set()
 
     async def start(self) -> None:
-        """Listen."""
+        """Start listening."""
         self._server = await asyncio.start_unix_server(
             self._handle_connection, str(self.path), limit=MAX_LINE_BYTES, backlog=1024
         )
@@ -112,7 +112,7 @@
                     self.notify()
                 else:
                     process.handle_message(message)
-        except (OSError, ValueError):  # a process that was killed while it wrote
+        except (OSError, ValueError):  # the process was killed while writing
             pass
         finally:
             self._writers.discard(writer)
@@ -124,18 +124,18 @@
                 self.notify()
 
     def notify(self) -> None:
-        """Something has changed that until() may wait for."""
+        """Wake wait(), whose condition may have changed."""
         self.changed.set()
 
     async def wait(self, condition: Callable[[], bool], limit: float, what: str) -> None:
-        """Wait for a state of affairs; CallFailed after so many seconds."""
+        """Wait until a condition holds; ControlCallError after limit seconds."""
         try:
             await wait_until(self.changed, condition, limit)
         except TimeoutError:
-            raise ControlCallError(f"waited {limit:g} s for {what}") from None
+            raise ControlCallError(f"timed out after {limit:g} s waiting for {what}") from None
 
     async def stop(self) -> None:
-        """End all connections."""
+        """Stop listening and abort all connections."""
         if self._server is not None:
             self._server.close()
         for writer in list(self._writers):
@@ -143,9 +143,9 @@
 
 
 async def serve_calls(path: Path, hello: dict[str, Any], handle: Handler, senders: list[Any]) -> None:
-    """A process's end: say hello, answer calls until the rig closes the connection.
+    """The process's end: register, then serve calls until the harness closes the connection.
 
-    teller gets one function, by which the process tells something by itself.
+    senders receives one function, with which the process sends messages unprompted.
     """
     reader, writer = await asyncio.open_unix_connection(str(path), limit=MAX_LINE_BYTES)
 
@@ -160,7 +160,7 @@
     async def handle_call(message: dict[str, Any]) -> None:
         try:
             value = await handle(message)
-        except Exception as error:  # told to the rig, which ends the run
+        except Exception as error:  # reported to the harness, which ends the run
             if "id" in message:
                 send({"re": message["id"], "error": f"{type(error).__name__}: {error}"})
             return
--- a/hollybay/cluster/evenness.py
+++ b/hollybay/cluster/evenness.py
@@ -1,7 +1,7 @@
-"""How evenly a tier spread its load, from what its servers saw. Pure; times in ns, work in ns at speed 1.
+"""How evenly nodes spread load, from the visits at their servers. Pure; times in ns, work in ns at speed 1.
 
-What chance alone does is taken out: the counts of a Poisson stream vary, and the largest of many counts lies
-far above their mean. Figures that are named `over` chance are 1 where the spread is that of a Poisson stream.
+Random variation is subtracted: the counts of a Poisson stream vary, and the largest of many counts lies far
+above their mean. Figures named "over chance" are 1 where the spread is that of a Poisson stream.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
 
 SAMPLE_INTERVAL = 50_000_000
 
-# The figures that a plan may bound, and what they say; all are better when smaller.
+# The figures that a plan may bound, with their meaning; smaller is better for all.
 FIGURES = {
     "idle_while_queued": "part of server time without work while requests wait elsewhere (0 to 1)",
     "idle_over_floor": "the same, less that of one node that sees everything on the same arrivals",
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Visit:
-    """A request at a server. began and left: 0 where it did not come to that."""
+    """A request at a server. began and left: 0 if it never began or never left."""
 
     rid: str
     server: str
@@ -67,9 +67,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerLifetime:
-    """A server, and when it was up and fit to work.
+    """A server, and when it was healthy.
 
-    capacity: seconds of work a second, over all its cores; fit: spans in which it was up and sound.
+    capacity: seconds of work a second, over all its cores; healthy: spans in which it was up, warm and
+    without faults.
     """
 
     name: str
@@ -78,13 +79,13 @@
     healthy: tuple[tuple[int, int], ...]
 
     def is_healthy_at(self, at: int) -> bool:
-        """Whether it is fit at this moment."""
+        """Whether the server is healthy at this time."""
         return any(begin <= at < end for begin, end in self.healthy)
 
 
 @dataclass(frozen=True, slots=True)
 class Spread:
-    """Work over capacity: cv with the counting noise taken out, the least and the largest."""
+    """Work over capacity: coefficient of variation without counting noise, the least and the largest."""
 
     cv: float
     least: float
@@ -93,7 +94,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Evenness:
-    """All figures of one span; see FIGURES."""
+    """All figures of one time span; see FIGURES."""
 
     idle_while_queued: float
     by_second: Spread
@@ -104,7 +105,7 @@
     unused_chance_s: float
 
     def figures(self) -> dict[str, float]:
-        """Those that a plan may bound."""
+        """Return the figures that a plan may bound."""
         return {
             "idle_while_queued": self.idle_while_queued,
             "work_cv": self.by_second.cv,
@@ -115,7 +116,7 @@
 
 
 class _QueueCounts:
-    """Requests at work and waiting, by server, as time goes on."""
+    """Running and waiting requests by server, advanced through time."""
 
     def __init__(self, visits: Iterable[Visit]) -> None:
         events: list[tuple[int, int, str, int, int]] = []
@@ -133,7 +134,7 @@
         self.working: Counter[str] = Counter()
 
     def advance(self, to: int) -> None:
-        """Take in all that happened up to a moment."""
+        """Apply all events up to a time."""
         events = self.events
         while events and events[0][0] <= to:
             _, _, server, waits, works = events.popleft()
@@ -148,10 +149,10 @@
     until: int,
     step: int = SAMPLE_INTERVAL,
 ) -> list[tuple[int, float]]:
-    """At each step the part of the fit servers without work for which a request waits elsewhere.
+    """For each step, the share of healthy servers that are idle while a request waits at another server.
 
-    The lesser of "servers with nothing" and "requests in waiting rooms beyond one a server", over all that
-    are fit then: one waiting request a server is what lets it go on without a pause.
+    The lesser of "idle servers" and "waiting requests beyond one for each server", over the number of healthy
+    servers: one waiting request lets a server continue without a pause, so it is not counted.
     """
     counts = _QueueCounts(visits)
     series = []
@@ -167,10 +168,10 @@
 def spread(
     visits: Iterable[Visit], lifetimes: Sequence[ServerLifetime], since: int, until: int, span: int = SECOND
 ) -> Spread:
-    """Work that came, over capacity, by fit server and span.
+    """Work that arrived, over capacity, by healthy server and span.
 
-    The variance of a compound Poisson stream is the sum of the squares of its works: that much is expected
-    of chance, and taken out. 0 where nothing came.
+    The variance of a compound Poisson stream is the sum of the squares of its work amounts: it is expected by
+    chance and subtracted. 0 if no work arrived.
     """
     works: dict[tuple[str, int], list[int]] = defaultdict(list)
     for v in visits:
@@ -189,17 +190,17 @@
     if mean <= 0.0:
         return Spread(0.0, 0.0, 0.0)
     variance = sum((load - mean) ** 2 for load in loads) / max(1, len(loads) - 1)
-    # As much of the noise as one count has of all: the mean itself was drawn from the same stream.
+    # Corrected for the sample mean, which comes from the same stream and shares 1/n of its noise.
     expected = sum(noise) / len(noise) * (1.0 - 1.0 / len(loads))
     return Spread(sqrt(max(0.0, variance - expected)) / mean, min(loads) / mean, max(loads) / mean)
 
 
 def expected_largest_count(mean: float, windows: float) -> int:
-    """What the largest of so many Poisson counts of this mean reaches once on average; at least 1."""
+    """The value that the largest of so many Poisson counts reaches once on average; at least 1."""
     term = exp(-mean)
     below = term
     count = 0
-    # Above the mean the terms fall, and a count beyond 700 deviations is never met.
+    # Above the mean the terms fall; a count 700 standard deviations above it does not occur.
     while windows * max(0.0, 1.0 - below) > 1.0 and count < mean + 40.0 * sqrt(mean) + 40.0:
         count += 1
         term *= mean / count
@@ -210,9 +211,9 @@
 def herd(
     visits: Iterable[Visit], lifetimes: Sequence[ServerLifetime], since: int, until: int
 ) -> tuple[int, int]:
-    """Most nodes whose requests reached one server within one of its service times, and what chance gives.
+    """The most nodes whose requests reached one server within one service time, and the most by chance.
 
-    A node's second request within the time is no herd, but its own doing.
+    Counts nodes, not requests: several requests of one node are not a herd.
     """
     by_server: dict[str, list[Visit]] = defaultdict(list)
     for v in visits:
@@ -234,8 +235,8 @@
         if not came:
             continue
         service = work * lifetime.cores / lifetime.capacity
-        # A window begins at an arrival: one is there, the others are a Poisson count of this server's share.
-        # What came to it would not do for that: a herd that never ends would be its own measure.
+        # A window begins at an arrival: that is one, the others are a Poisson count of this server's share.
+        # The share follows from capacity, not arrivals: a permanent herd would raise its own expectation.
         expected = expected_largest_count(len(every) * lifetime.capacity / offered * service, len(every)) + 1
         inside: deque[Visit] = deque()
         nodes: Counter[str] = Counter()
@@ -255,13 +256,13 @@
 def longest_unused(
     visits: Sequence[Visit], lifetimes: Sequence[ServerLifetime], since: int, until: int
 ) -> tuple[float, float]:
-    """The longest time (s) that a fit server got nothing while others queued, and what chance gives it.
+    """The longest time (s) that a healthy server got nothing while others queued, and the longest by chance.
 
-    Only time counts in which a request beyond one a server waited elsewhere. By chance the longest gap of a
-    Poisson stream of its share of requests is ln(n) mean gaps; a server's share is that of its capacity.
+    Counts only time in which more than one request waited at some server. By chance, the longest gap of a
+    Poisson stream is ln(n) mean gaps; a server's share of the requests is its share of the capacity.
     """
     counts = _QueueCounts(visits)
-    queued: list[int] = []  # moments at which something waited
+    queued: list[int] = []  # sample times at which more than one request waited at a server
     for at in range(since, until, SAMPLE_INTERVAL):
         counts.advance(at)
         if any(waits > 1 for waits in counts.waiting.values()):
@@ -290,7 +291,7 @@
 def evenness(
     visits: Sequence[Visit], lifetimes: Sequence[ServerLifetime], since: int, until: int
 ) -> Evenness:
-    """All figures between two moments."""
+    """Return all figures between two times."""
     series = idle_series(visits, lifetimes, since, until)
     most, chance = herd(visits, lifetimes, since, until)
     gap, usual = longest_unused(visits, lifetimes, since, until)
@@ -314,10 +315,10 @@
     warmth: Mapping[int, float] | None = None,
     span: int = 2 * SECOND,
 ) -> float | None:
-    """Seconds from a server's start until it gets half of its share; None: never before `until`.
+    """Seconds from a server's start until it gets half of its share; None: not before `until`.
 
-    share: requests a second that its capacity stands for when warm; warmth: the part of it, by whole second
-    of its age. A span counts as served with half of what is expected, less two deviations of the count.
+    share: requests a second expected by its capacity when warm; warmth: the fraction of it that is expected,
+    by age in whole seconds. A span needs half of the expected count, less two standard deviations.
     """
     came = sorted(v.at for v in visits if v.server == lifetime.name and v.runs and up <= v.at < until)
     for begin in range(up, until - span + 1, SAMPLE_INTERVAL):
@@ -337,9 +338,9 @@
     span: int = 2 * SECOND,
     margin: float = 0.03,
 ) -> float | None:
-    """Seconds from a moment until a span begins in which the mean is as before, within a margin; None: never.
+    """Seconds from `since` until a span begins whose mean is as before, within a margin; None: never.
 
-    series: as idle_series gives it; before: its mean in sound times.
+    series: from idle_series; before: its mean without faults.
     """
     times = [at for at, _ in series]
     sums = [0.0]
--- a/hollybay/cluster/fork_server.py
+++ b/hollybay/cluster/fork_server.py
@@ -1,9 +1,9 @@
-"""The process that forks all others of a run: what they import is imported once, and shared.
+"""The fork server: forks all other processes of a run, so that modules are imported once and shared.
 
-It reads lines of JSON from its standard input and answers on its standard output. When its input ends, as it
-does when the rig dies in whatever way, it kills all that it forked and ends; should it be killed itself, the
-kernel kills them (PR_SET_PDEATHSIG). A process is signalled through it alone: it knows whether a number is
-still that process.
+It reads lines of JSON from its standard input and replies on its standard output. When its input ends, as it
+does whenever the harness dies, it kills all processes that it forked and exits; if it is killed itself, the
+kernel kills them (PR_SET_PDEATHSIG). Processes are signalled only through it: as their parent it knows whether
+a process ID still belongs to the same process.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
         os.set_blocking(wake, False)
         signal.set_wakeup_fd(wake, warn_on_full_buffer=False)
         signal.signal(signal.SIGCHLD, lambda number, frame: None)
-        signal.signal(signal.SIGINT, signal.SIG_IGN)  # of the terminal: the rig ends us
+        signal.signal(signal.SIGINT, signal.SIG_IGN)  # sent by the terminal; the harness stops this process
         self.buffer = b""
 
     def say(self, **words: Any) -> None:
@@ -43,7 +43,7 @@
             data = data[os.write(1, data) :]
 
     def run(self) -> int:
-        """Work until the input ends."""
+        """Serve commands until the input ends."""
         self.say(event="ready", pid=os.getpid())
         try:
             while True:
@@ -97,18 +97,18 @@
 
     def end_all(self) -> None:
         for pid in self.pids:
-            os.kill(pid, signal.SIGKILL)  # our own children, not yet waited for
+            os.kill(pid, signal.SIGKILL)  # children that were not yet waited for, so the IDs are still theirs
         for pid in self.pids:
             os.waitpid(pid, 0)
 
 
 def _child(words: dict[str, Any], parent: int) -> None:
-    """Become a process of the run."""
+    """Set up a forked process and run its entry point; does not return."""
     status = 70
     try:
         ctypes.CDLL(None).prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
         if os.getppid() != parent:
-            os._exit(71)  # it died before the call above
+            os._exit(71)  # the parent died before prctl took effect
         signal.set_wakeup_fd(-1)
         for number in (signal.SIGCHLD, signal.SIGINT, signal.SIGTERM):
             signal.signal(number, signal.SIG_DFL)
@@ -118,11 +118,11 @@
         os.dup2(null, 0)
         os.dup2(log, 1)
         os.dup2(log, 2)
-        os.closerange(3, 64)  # of the zygote: its pipe, and what was opened here
+        os.closerange(3, 64)  # inherited from the fork server: its pipe and other descriptors
         from .processes import run_process
 
         status = run_process(words["role"], words["name"], folder, words.get("words", {}))
-    except BaseException:  # a fork must never return into the zygote's own loop
+    except BaseException:  # a child must never return into the fork server's loop
         import traceback
 
         traceback.print_exc()
@@ -133,11 +133,11 @@
 
 
 def main() -> int:
-    """Import what all need, then fork as told."""
+    """Import the modules that all processes need, then serve fork commands."""
     from . import processes
 
     gc.collect()
-    gc.freeze()  # or a collection in a child would copy the pages that all share
+    gc.freeze()  # a collection in a child would otherwise copy the shared pages
     return _ForkServer().run()
 
 
--- a/hollybay/cluster/links.py
+++ b/hollybay/cluster/links.py
@@ -1,9 +1,9 @@
-"""What may happen to the bytes between two processes, at the end of the connection that is the rig's own.
+"""Simulated faults on the connections between two processes, applied at the harness's end of the connection.
 
-A Link stands for all connections between two ends. Its state says what becomes of bytes toward the node
-(`down`) and from it (`up`), and of new connections. A Linked protocol puts an ordinary one behind a link; a
-Door is a listening socket whose link can be cut: while it is, the kernel leaves connects unanswered, as a
-network does that loses them.
+A Link stands for all connections between two ends. Its state determines what happens to bytes toward the
+node (`down`) and from it (`up`), and to new connections. A LinkedProtocol puts an ordinary protocol behind a
+link; a LinkedListener is a listening socket whose link can be cut: the kernel then leaves connects unanswered,
+as on a network that loses their packets.
 """
 
 from __future__ import annotations
@@ -21,13 +21,13 @@
 
 
 class LinkState(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The state of a link; the default is a sound one.
+    """The state of a link; the default has no fault.
 
-    cut: no new connection, no byte either way; what was on its way is delivered when the link is sound again,
-    as TCP does. lost_up, lost_down: one direction only. hold: bytes wait both ways, new connections come
-    through. lag: each byte this much later (s). rate: bytes a second in each direction of each connection,
-    0: any. lose: part of datagrams that never arrive (connections lose nothing, TCP sends again). reset:
-    connections are reset, new ones as soon as they are there.
+    cut: no new connections and no bytes in either direction; bytes in transit are delivered when the link
+    recovers, as with TCP. lost_up, lost_down: no bytes in that direction only. hold: bytes wait in both
+    directions, new connections are accepted. lag: delay of each byte (s). rate: bytes a second in each
+    direction of each connection, 0 for no limit. lose: share of datagrams that are lost (connections lose
+    nothing, since TCP retransmits). reset: connections are reset, new ones as soon as they are open.
     """
 
     cut: bool = False
@@ -41,7 +41,7 @@
 
 
 class Link:
-    """All connections between two ends, and the state that they are in."""
+    """All connections between two ends, and their common state."""
 
     def __init__(self) -> None:
         self.state = LinkState()
@@ -49,7 +49,7 @@
         self.listeners: list[LinkedListener] = []
 
     def set_state(self, state: LinkState) -> None:
-        """Take on a state, at once and for all connections."""
+        """Apply a state to all connections at once."""
         self.state = state
         for door in self.listeners:
             door.apply_state()
@@ -62,7 +62,7 @@
 
 
 class _Direction:
-    """One direction of one connection: bytes in order, each when its time has come."""
+    """One direction of one connection: delivers bytes in order, each when it is due."""
 
     def __init__(
         self, link: Link, is_lost: Callable[[LinkState], bool], deliver: Callable[[bytes], None]
@@ -72,12 +72,12 @@
         self.deliver = deliver
         self.loop = asyncio.get_running_loop()
         self.waiting: deque[tuple[float, bytes, Callable[[], None] | None]] = deque()
-        self.rate_free_at = 0.0  # when the bytes before are through, where the rate is bounded
+        self.rate_free_at = 0.0  # when the preceding bytes have passed, under a rate limit
         self.timer: asyncio.TimerHandle | None = None
         self.stopped = False
 
     def put(self, data: bytes, on_sent: Callable[[], None] | None = None) -> None:
-        """Bytes come in; then: called when they have gone out."""
+        """Accept bytes; on_sent: called when they were delivered."""
         state = self.link.state
         now = self.loop.time()
         due = now + state.lag
@@ -100,7 +100,7 @@
             on_sent()
 
     def pump(self) -> None:
-        """Deliver what is due, and wake for the rest."""
+        """Deliver the bytes that are due, and schedule the rest."""
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
@@ -113,7 +113,7 @@
             self._deliver(data, on_sent)
 
     def stop(self) -> None:
-        """Deliver nothing any more."""
+        """Drop pending bytes and deliver nothing from now on."""
         self.stopped = True
         self.waiting.clear()
         if self.timer is not None:
@@ -133,7 +133,7 @@
             self.connection.down.put(bytes(data))
 
     def send(self, data: bytes, on_sent: Callable[[], None]) -> None:
-        """Write, and be told when the bytes have passed the link."""
+        """Write; on_sent is called when the bytes have passed the link."""
         if not self.closing:
             self.connection.down.put(data, on_sent)
 
@@ -154,7 +154,7 @@
 
 
 class LinkedProtocol(asyncio.Protocol):
-    """A connection behind a link; down: toward the peer, up: from it."""
+    """Puts a protocol behind a link; down: toward the peer, up: from it."""
 
     def __init__(self, link: Link, protocol: asyncio.Protocol) -> None:
         self.link = link
@@ -186,14 +186,14 @@
     def abort(self) -> None:
         """Reset the connection."""
         sock = self.transport.get_extra_info("socket")
-        if sock is not None:  # with a reset, as abort() alone may say goodbye with a FIN
+        if sock is not None:  # linger 0 forces a reset, where abort() alone may send a FIN
             with contextlib.suppress(OSError):
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\x01\0\0\0\0\0\0\0")
         self.transport.abort()
 
 
 class LinkedListener:
-    """A listening socket on loopback behind a link. make: the protocol of one connection."""
+    """A listening socket on loopback behind a link. protocol_factory: makes the protocol of a connection."""
 
     BACKLOG = 512
 
@@ -209,7 +209,7 @@
         link.listeners.append(self)
 
     def open(self) -> int:
-        """Listen, at the port of an earlier life if there was one; the port. OSError: it is taken."""
+        """Listen on the same port as before, if any; return the port. OSError: the port is in use."""
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         sock.setblocking(False)
@@ -227,12 +227,12 @@
         return self.port
 
     def apply_state(self) -> None:
-        """Do as the link's state says."""
+        """Pause or resume accepting, as the state of the link requires."""
         if self.sock is None or self.link.state.cut == self.paused:
             return
         self.paused = self.link.state.cut
         if self.paused:
-            # With its queue full and nobody accepting, the kernel drops the first packet of every connect.
+            # While the accept queue is full, the kernel drops the SYN of every further connect.
             self.loop.remove_reader(self.sock.fileno())
             self.sock.listen(0)
             for _ in range(4):
@@ -269,10 +269,10 @@
     def _on_accepted(self, task: asyncio.Task[Any]) -> None:
         self._tasks.discard(task)
         if not task.cancelled():
-            task.exception()  # the peer went before its connection was taken
+            task.exception()  # retrieve it: the peer closed before its connection was set up
 
     def close(self) -> None:
-        """Listen no more: connects are refused from now on."""
+        """Stop listening: the kernel refuses connects from now on."""
         if self.sock is None:
             return
         if not self.paused:
--- a/hollybay/cluster/merged_run.py
+++ b/hollybay/cluster/merged_run.py
@@ -1,7 +1,9 @@
-"""The journals of a run as one ledger, put to the four rules, and as what the figures of evenness need. Pure.
+"""Merges the event logs of a run into one ledger and checks the four rules. Pure.
 
-What the rig did itself is excused, and counted: a request that a node held when the rig killed or stopped it
-or kept its client from it, and one that never reached any node.
+It also collects the visits and server lifetimes from which the figures of evenness are computed.
+
+Requests that failed because of the harness are excused and counted: those that a node held when the harness
+killed or stopped it or cut it off from its clients, and those that never reached any node.
 """
 
 from __future__ import annotations
@@ -22,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Excuse:
-    """What a node held between two moments (ns) is not its fault; and why."""
+    """Requests that a node held between two times (ns) are excused, with the reason."""
 
     node: str
     since: int
@@ -32,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeHandover:
-    """A request's bytes went to a node."""
+    """A client wrote a request to a node; fresh: on a connection opened for it."""
 
     at: int
     node: str
@@ -41,7 +43,7 @@
 
 @dataclass
 class MergedRun:
-    """All that was seen."""
+    """The merged events of all processes of a run."""
 
     ledger: Ledger
     visits: list[Visit]
@@ -59,7 +61,7 @@
 
 
 class _EventMerger:
-    """Takes events in order of time."""
+    """Applies events in order of time."""
 
     def __init__(self, limits: RuleLimits) -> None:
         self.ledger = Ledger(limits)
@@ -77,16 +79,16 @@
         self.change_reports: list[records.Said] = []
 
     def node_of(self, rid: str) -> str:
-        """The node that a request was given to last."""
+        """Return the node to which a request was sent last, or ""."""
         handovers = self.handovers.get(rid)
         return handovers[-1].node if handovers else ""
 
     def first_byte(self, event: records.Arrived) -> None:
-        """The first byte of a request came to a server: the rule on drains counts from it."""
+        """Record the first byte of a request at a server; the drain rule counts from it."""
         self.ledger.first_byte(event.server, event.first, self.node_of(event.rid))
 
     def take(self, event: Event) -> None:
-        """Take one event."""
+        """Apply one event."""
         ledger = self.ledger
         if isinstance(event, records.Asked):
             ledger.asked(event.rid, event.cls, event.at, event.deadline, event.tenant)
@@ -135,7 +137,7 @@
         self.visits.append(Visit(rid, server, self.node_of(rid), at, began, left, work))
 
     def close(self, until: int) -> None:
-        """What is still at a server counts up to the end."""
+        """Close the visits of requests that are still at a server, at the end of the run."""
         for (rid, server), visit in self.open.items():
             self._visited(rid, server, visit, until)
         self.visits.sort(key=lambda v: v.at)
@@ -144,7 +146,7 @@
 def _server_lifetimes(
     merger: _EventMerger, warm_up: int, until: int, fault_spans: Iterable[tuple[str, int, int]]
 ) -> list[ServerLifetime]:
-    """Each server's spans in which it was up, warm, and no fault was on it."""
+    """For each server the spans in which it was up and warm and no fault applied to it."""
     faults: dict[str, list[tuple[int, int]]] = defaultdict(list)
     for server, begin, end in fault_spans:
         faults[server].append((begin, end))
@@ -173,17 +175,17 @@
     excuses: Sequence[Excuse] = (),
     fault_spans: Iterable[tuple[str, int, int]] = (),
 ) -> MergedRun:
-    """Merge what all processes saw.
+    """Merge the events of all processes.
 
-    until: the end of the run (ns); excuses: what the rig did to nodes and to their clients' links; unfit:
-    server and span in which a fault was on it. KeyError or ValueError: the events are of no one run.
+    until: the end of the run (ns); excuses: what the harness did to nodes and to their clients' links;
+    fault_spans: server, begin and end of each fault. KeyError or ValueError: the events are not of one run.
     """
     merger = _EventMerger(limits)
     keyed: list[tuple[int, int, Event]] = []
     for event in events:
         keyed.append((event.at, 1, event))
         if isinstance(event, records.Arrived):
-            keyed.append((event.first, 2, event))  # after the list that left in the same moment
+            keyed.append((event.first, 2, event))  # after a discovery list sent at the same time
     keyed.sort(key=lambda item: item[:2])
     for _, what, event in keyed:
         if what == 2:
@@ -210,7 +212,7 @@
 
 
 def _excuse(merger: _EventMerger, excuses: Sequence[Excuse]) -> Counter[str]:
-    """Mark what the rig itself is to blame for; how many, by why."""
+    """Excuse the requests that failed because of the harness; return their number by reason."""
     by_node: dict[str, list[Excuse]] = defaultdict(list)
     for excuse in excuses:
         by_node[excuse.node].append(excuse)
@@ -237,12 +239,12 @@
         return "unreached"
     last = handovers[-1]
     ended = entry.ended or entry.deadline + limits.patience
-    # A connection that was opened before its node was killed may be used by a client that was late itself.
+    # A client process that runs late may still send on a connection opened before its node was killed.
     connection_lost_before_server = entry.final is FinalOutcome.BROKEN and last.fresh and not entry.arrived
     for excuse in by_node.get(last.node, ()):
         began = entry.at if connection_lost_before_server and excuse.why == "killed" else last.at
         if excuse.since <= ended and began <= excuse.until:
             return excuse.why
     if entry.final is FinalOutcome.BROKEN and not last.fresh and not entry.arrived:
-        return "crossed"  # its node closed the connection as idle in the moment that it was sent
+        return "crossed"  # its node closed the idle connection just as the request was sent
     return None
--- a/hollybay/cluster/models.py
+++ b/hollybay/cluster/models.py
@@ -1,8 +1,9 @@
-"""The same arrivals at the same servers, under two other policies: the floor, and plain chance.
+"""Two baselines for the same arrivals at the same servers: a lower bound, and random choice.
 
-`one` is one dispatcher that sees everything at once: a uniformly random idle server of the fastest speed
-having one, else the server with the least work in hand for its speed. `drawn` draws by capacity and looks at
-nothing. Both are computed, with no processes: what a tier can reach lies between them. Pure; ns.
+`single_dispatcher` has full knowledge: it takes a uniformly random idle server of the fastest speed that has
+one, else the server that would finish the request first. `random_by_capacity` draws a server in proportion
+to capacity and considers no state. Both are computed, without processes; a cluster lies
+between them. Pure; ns.
 """
 
 from __future__ import annotations
@@ -18,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """A request as the clients made it: when, and its work (ns at speed 1)."""
+    """A request of the clients: start time and work (ns at speed 1)."""
 
     rid: str
     at: int
@@ -27,14 +28,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ModelResult:
-    """What became of them: the visits, and by request the time (ns) until its answer."""
+    """The result of a model: the visits, and by request the time (ns) until its response."""
 
     visits: tuple[Visit, ...]
     took: dict[str, int]
 
 
 class _Server:
-    """First come, first served, on each core; a request takes the core that is free first."""
+    """Serves requests first come, first served; each takes the core that is free first."""
 
     def __init__(self, lifetime: ServerLifetime) -> None:
         self.lifetime = lifetime
@@ -85,12 +86,12 @@
 def single_dispatcher(
     arrivals: Iterable[Arrival], lifetimes: Sequence[ServerLifetime], seed: int = 1
 ) -> ModelResult:
-    """All requests at one dispatcher that sees every server's present state."""
+    """All requests at one dispatcher that knows the current state of every server."""
     return _play(arrivals, lifetimes, True, seed)
 
 
 def random_by_capacity(
     arrivals: Iterable[Arrival], lifetimes: Sequence[ServerLifetime], seed: int = 1
 ) -> ModelResult:
-    """Each request at a server drawn in proportion to capacity."""
+    """Each request at a random server, drawn in proportion to capacity."""
     return _play(arrivals, lifetimes, False, seed)
--- a/hollybay/cluster/records.py
+++ b/hollybay/cluster/records.py
@@ -1,8 +1,8 @@
-"""What a process of the tier saw: events on the machine's monotonic clock (ns), in a file of its own.
+"""Event logs: the events of one process, with times of the machine's monotonic clock (ns), in its own file.
 
-An event is a four-byte length (big endian) and a MessagePack array; what a kill left of the last one is
-passed over. Events that are written within one turn of the loop may reach the file in one write; nothing is
-held back across turns, so that a killed process loses at most what it did in its last turn.
+An event is a four-byte length (big endian) and a MessagePack array; an event truncated by a kill is ignored.
+Events of one event loop iteration may reach the file in one write; none is held back beyond the iteration, so
+a killed process loses at most the events of its last iteration.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
 ]
 
 _LENGTH = struct.Struct(">I")
-# A longer event is none: the file was torn or is another's.
+# A longer length means that the file is corrupt or not an event log.
 MAX_EVENT = 1 << 20
 
 
@@ -44,7 +44,7 @@
 
 
 class Asked(_Event, frozen=True):
-    """A client has a request to make; its last byte is written as soon as a node takes the connection."""
+    """A client starts a request; its last byte is written as soon as a node accepts the connection."""
 
     rid: str
     cls: int
@@ -54,7 +54,7 @@
 
 
 class Posted(_Event, frozen=True):
-    """Its bytes went to this node; fresh: on a connection opened for it."""
+    """A request was written to this node; fresh: on a connection opened for it."""
 
     rid: str
     node: str
@@ -62,17 +62,17 @@
 
 
 class Answered(_Event, frozen=True):
-    """What its client saw in the end: a value of testbed.ledger.FinalOutcome."""
+    """The outcome at the client: a value of testbed.ledger.FinalOutcome."""
 
     rid: str
     final: str
     status: int
     retry_after: float | None
-    late: int  # ns that the answer lay unread in the client's process
+    late: int  # ns that the response lay unread in the client's process
 
 
 class ServerUp(_Event, frozen=True):
-    """A server listens: capacity in seconds of work a second when warm, by so many cores."""
+    """A server has started: capacity in seconds of work a second when warm, over its cores."""
 
     server: str
     capacity: float
@@ -87,7 +87,7 @@
 
 
 class Arrived(_Event, frozen=True):
-    """A request is whole at a server; first: when its first byte came; work in ns at speed 1."""
+    """A server received a request completely; first: time of its first byte; work in ns at speed 1."""
 
     rid: str
     server: str
@@ -95,18 +95,18 @@
     work: int
     zone: int
     cell: int
-    runs: bool  # not turned away
+    runs: bool  # not rejected
 
 
 class Began(_Event, frozen=True):
-    """A core of the server has begun with it."""
+    """A core of the server has begun the request."""
 
     rid: str
     server: str
 
 
 class Left(_Event, frozen=True):
-    """It is no more at the server: done, given up by its node, or lost in a crash."""
+    """A request has left the server: done, abandoned by its node, or lost in a crash."""
 
     rid: str
     server: str
@@ -114,7 +114,7 @@
 
 
 class Told(_Event, frozen=True):
-    """A list has left for a node that tells this of a server."""
+    """A list with this state of a server was sent to a node."""
 
     node: str
     server: str
@@ -122,14 +122,14 @@
 
 
 class NodeEnded(_Event, frozen=True):
-    """A node's process has ended (killed: by the rig, without a drain)."""
+    """A node's process has ended (killed: by the harness, without a drain)."""
 
     node: str
     killed: bool
 
 
 class Called(_Event, frozen=True):
-    """An operator's call to a node's door has ended: its status, 0 for none, and how long (ns) it took."""
+    """An operator's call to an admin endpoint has ended: status, 0 for no response, and duration (ns)."""
 
     node: str
     status: int
@@ -137,7 +137,7 @@
 
 
 class Beat(_Event, frozen=True):
-    """A process's own clockwork: late so many ns; starved: ns without a core while ready, since the last."""
+    """A process's periodic timer: its delay (ns); starved: ns runnable without a core since the last."""
 
     process: str
     late: int
@@ -145,14 +145,14 @@
 
 
 class Under(_Event, frozen=True):
-    """A request has begun at a node, under the narrower of these policies."""
+    """A request has begun at a node, under the intersection of these policies."""
 
     node: str
     names: tuple[str, ...]
 
 
 class Said(_Event, frozen=True):
-    """An operator was told what became of a change: an exit status of `hollybay policy`; began: ns."""
+    """The outcome of a change reported to an operator: an exit status of `hollybay policy`; began: ns."""
 
     change: str
     code: int
@@ -180,7 +180,7 @@
 
 
 class EventLog:
-    """Writes events to a new file; flush() hands what was written since to the system in one write."""
+    """Writes events to a new file; flush() passes all pending events to the kernel in one write."""
 
     def __init__(self, path: Path) -> None:
         self._file = path.open("xb", buffering=0)
@@ -188,13 +188,13 @@
         self._pending = bytearray()
 
     def write(self, event: Event) -> None:
-        """Add an event; it is in the file after the next flush."""
+        """Append an event to the pending ones; the next flush writes it."""
         data = self._encoder.encode(event)
         self._pending += _LENGTH.pack(len(data))
         self._pending += data
 
     def flush(self) -> None:
-        """Hand over what is pending. OSError: the disk is full."""
+        """Write the pending events. OSError: the disk is full."""
         if self._pending:
             pending, self._pending = self._pending, bytearray()
             self._file.write(pending)
@@ -206,9 +206,9 @@
 
 
 def read_events(path: Path) -> Iterator[Event]:
-    """The events of one file, up to its end or to what a kill left of the last one.
+    """Yield the events of one file, up to its end or to a truncated last event.
 
-    ValueError: what stands there is no event, and not for being cut off.
+    ValueError: invalid data that truncation does not explain.
     """
     data = path.read_bytes()
     at = 0
--- a/hollybay/cluster/registry.py
+++ b/hollybay/cluster/registry.py
@@ -1,4 +1,4 @@
-"""Discovery for a whole tier: a port for each node, the same lists for all, each as late as it is told."""
+"""Discovery for all nodes: one port for each node, the same lists for all, with a configurable delay each."""
 
 from __future__ import annotations
 
@@ -15,40 +15,40 @@
 
 _INDEX = re.compile(rb"[?&]index=(\d+)")
 _WAIT = re.compile(rb"[?&]wait=(\d+)")
-# Versions that are kept; a node that knows an older one gets the whole list.
+# Number of versions kept; a node whose version is older receives the whole list.
 KEPT_VERSIONS = 200
 
 
 class Registry:
-    """The lists. publish() takes what changed; every node that waits is answered at once, unless its lists
-    come later."""
+    """The server list and its versions. publish() records changes and responds to every waiting node at once,
+    or after the delay set for that node."""
 
     def __init__(
         self, on_state_sent: Callable[[str, str, bool], None], on_list_sent: Callable[[str], None]
     ) -> None:
         self.on_state_sent = (
-            on_state_sent  # node, server, ready: an answer that says so has left for the node
+            on_state_sent  # node, server, ready: a response with this state was sent to the node
         )
-        self.on_list_sent = on_list_sent  # node: it has a whole list
+        self.on_list_sent = on_list_sent  # node: it was sent a list with servers
         self.version = 0
         self.changes: deque[tuple[float, int, dict[str, dict[str, Any]]]] = deque(maxlen=KEPT_VERSIONS)
         self.nodes: dict[str, NodeDiscovery] = {}
         self.loop = asyncio.get_running_loop()
 
     def publish(self, lines: dict[str, dict[str, Any]]) -> None:
-        """These lines are new, by server; each with `addr` by side, as "addrs"."""
+        """Publish changed lines, by server; "addrs" holds the address of the server for each side."""
         self.version += 1
         self.changes.append((self.loop.time(), self.version, lines))
         for discovery in self.nodes.values():
             discovery.notify()
 
     def visible_version(self, lag: float) -> int:
-        """The version that a node sees whose lists come so many seconds late."""
+        """Return the version visible to a node whose lists are delayed by lag seconds."""
         latest = self.loop.time() - lag
         return max((version for at, version, _ in self.changes if at <= latest), default=0)
 
     def listing(self, since: int, upto: int, side: int) -> dict[str, Any]:
-        """What changed after one version up to another, or the whole list."""
+        """Return the changes after one version up to another, or the whole list."""
         oldest = self.changes[0][1] if self.changes else 1
         full = since < max(0, oldest - 1) or since > upto or since <= 0
         lines: dict[str, dict[str, Any]] = {}
@@ -66,7 +66,7 @@
 
 
 class NodeDiscovery:
-    """One node's port, behind a link of its own."""
+    """The discovery port of one node, behind its own link."""
 
     def __init__(self, registry: Registry, node: str, side: int) -> None:
         self.registry = registry
@@ -80,7 +80,7 @@
         registry.nodes[node] = self
 
     def notify(self) -> None:
-        """There is a new version; those who wait are answered once this node sees it."""
+        """Respond to waiting requests once the new version is visible to this node."""
         if self.lag > 0.0:
             self.registry.loop.call_later(self.lag, self._wake)
         else:
@@ -91,11 +91,11 @@
             connection.respond_if_new()
 
     def reset(self) -> None:
-        """The node's process is a new one, which has been told nothing."""
+        """Forget the states that were sent: the node has a new process."""
         self.states.clear()
 
     def record_sent(self, listing: dict[str, Any]) -> None:
-        """This has left for the node."""
+        """Record the states in a list that was sent to the node."""
         named = set()
         for line in listing["servers"]:
             ready = line["state"] == "SERVING"
@@ -112,7 +112,7 @@
 
 
 class _DiscoveryConnection(asyncio.Protocol):
-    """One connection of a node: one call after another."""
+    """One connection of a node, which sends one request after another."""
 
     def __init__(self, discovery: NodeDiscovery) -> None:
         self.discovery = discovery
@@ -122,7 +122,7 @@
         self.transport: Any = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport = cast(Any, transport)  # of a Linked, which can tell when bytes have passed
+        self.transport = cast(Any, transport)  # the transport of a LinkedProtocol, which reports when bytes have passed
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.discovery.waiting.discard(self)
@@ -151,12 +151,12 @@
         return self.discovery.registry
 
     def respond_if_new(self) -> None:
-        """Answer, if this node sees something new."""
+        """Respond if a newer version is visible to this node."""
         if self.registry.visible_version(self.discovery.lag) > max(0, self.since):
             self.respond()
 
     def respond(self) -> None:
-        """What this node sees now."""
+        """Respond with the list that is visible to this node now."""
         self.discovery.waiting.discard(self)
         if self.timer is not None:
             self.timer.cancel()
--- a/hollybay/cluster/run_validity.py
+++ b/hollybay/cluster/run_validity.py
@@ -1,4 +1,4 @@
-"""Whether the rig itself was late or starved of CPU: then a run says nothing of what it was to measure."""
+"""Whether the harness was late or starved of CPU, which makes the measurements of a run invalid."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 
 @dataclass(frozen=True, slots=True)
 class ProcessTiming:
-    """One process of the rig: its latest beat (ns), the part of its beats that were too late, and the part of
-    its time that it was ready and had no core."""
+    """Timing of one harness process: the delay of its latest beat (ns), the share of its beats that were too
+    late, and the share of its time in which it was runnable without a core."""
 
     process: str
     worst: int
@@ -26,10 +26,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RunValidity:
-    """The verdict; reasons: why the run is not to be trusted, none if it is."""
+    """The assessment; reasons: why the run is invalid, empty if it is valid."""
 
     processes: tuple[ProcessTiming, ...]
-    nodes_starved: float  # mean part of the nodes' time that they were ready without a core
+    nodes_starved: float  # mean share of the nodes' time in which they were runnable without a core
     reasons: tuple[str, ...]
 
     def __bool__(self) -> bool:
@@ -46,10 +46,11 @@
     starved_part: float,
     nodes_starved: Mapping[str, float],
 ) -> RunValidity:
-    """Judge the beats between two moments (ns).
+    """Assess the beats between two times (ns).
 
-    expected: the processes that must have beaten; nodes_starved: by node, the part of its time without a
-    core, of nodes that no fault touched. A process that beat for less than half of the time is not trusted.
+    expected: the processes that must have recorded beats; nodes_starved: by node, the share of its time
+    without a core, for nodes to which no fault applied. A run is invalid if the beats of a process span less
+    than half of the time.
     """
     of: dict[str, list[Beat]] = defaultdict(list)
     for beat in beats:
@@ -59,7 +60,7 @@
     processes = []
     for name in sorted(expected):
         mine = of.get(name, [])
-        # The time that its beats tell of: the gap before each is its own lateness and the pause between.
+        # The time that its beats cover: the gap before each beat is the interval plus the beat's delay.
         span = mine[-1].at - mine[0].at if len(mine) > 1 else 0
         if span < (until - since) / 2:
             reasons.append(f"{name}: beats of {span / SECOND:.1f} s of {(until - since) / SECOND:.1f} s")
