--- a/hollybay/cluster/change_stream.py
+++ b/hollybay/cluster/change_stream.py
@@ -260,11 +260,11 @@
         super().__init__(self._call, addresses)
         self.first = addresses[first]
 
-    async def _call(self, door: str, path: str, body: bytes | None) -> bytes:
-        return await call_policy(door, path, body, CALL_LIMIT)
+    async def _call(self, address: str, path: str, body: bytes | None) -> bytes:
+        return await call_policy(address, path, body, CALL_LIMIT)
 
     def voters_in_order(self, view: ClusterView) -> list[str]:
-        return sorted(super().voters_in_order(view), key=lambda door: door != self.first)
+        return sorted(super().voters_in_order(view), key=lambda address: address != self.first)
 
 
 class _StreamHarness(_Harness):
--- a/hollybay/cluster/evenness.py
+++ b/hollybay/cluster/evenness.py
@@ -44,7 +44,7 @@
     "settle_s": "seconds after a fault until idle while queued is as before",
     "share_s": "seconds until a server that is new or back has half of its share",
     "lost_worth": "part of the worth asked for that was not answered within its aim",
-    "refused": "part of the requests that were refused",
+    "refused": "part of the requests that were rejected",
     "failed": "part of the requests that failed or broke off, none of them excused",
     "p99_ms": "99th percentile of the class with the shortest aim, in ms",
     "p99_over_floor": "the same, over that of one node that sees everything on the same arrivals",
--- a/hollybay/cluster/harness.py
+++ b/hollybay/cluster/harness.py
@@ -310,7 +310,7 @@
     async def _wait_until_serving(self) -> None:
         """Wait until every node serves under some policy."""
         await self._poll_statuses(START_LIMIT, lambda under: () not in under)
-        idle = {door: one for door, one in self.status.items() if not one.get("serves")}
+        idle = {address: one for address, one in self.status.items() if not one.get("serves")}
         if idle:
             raise HarnessError(f"{len(idle)} nodes serve under no policy: {str(idle)[:2000]}")
 
@@ -520,7 +520,7 @@
         for name in fault.nodes:
             self.fork_server.signal(name, signal.SIGKILL)
         await self.fork_server.until(
-            lambda: not any(name in self.fork_server.pids for name in fault.nodes), "nodes that were killed"
+            lambda: not any(name in self.fork_server.pids for name in fault.nodes), "killed nodes to exit"
         )
         over = time.monotonic_ns()
         self.events += [NodeEnded(over, name, True) for name in fault.nodes]
--- a/hollybay/cluster/links.py
+++ b/hollybay/cluster/links.py
@@ -51,8 +51,8 @@
     def set_state(self, state: LinkState) -> None:
         """Apply a state to all connections at once."""
         self.state = state
-        for door in self.listeners:
-            door.apply_state()
+        for listener in self.listeners:
+            listener.apply_state()
         for connection in list(self.connections):
             if state.reset:
                 connection.abort()
--- a/hollybay/cluster/plan.py
+++ b/hollybay/cluster/plan.py
@@ -66,18 +66,16 @@
     load: Annotated[float, msgspec.Meta(gt=0, le=5)] = 0.7  # share of the capacity of all servers when warm
     list_every: Duration = SECOND
     retries: Part = 0.0
-    uneven: Annotated[float, msgspec.Meta(ge=1, le=100)] = (
-        1.0  # traffic of the first node, in multiples of the mean
-    )
+    # Traffic of the first node, in multiples of the mean.
+    uneven: Annotated[float, msgspec.Meta(ge=1, le=100)] = 1.0
     connections: Annotated[int, msgspec.Meta(ge=4, le=4000)] = 400  # maximum of one server
     sockets: Annotated[int, msgspec.Meta(ge=192, le=65536)] = 512  # maximum of one node
     # Where the clients of a node that refuses connections go: to any other node, or all to the next one.
     move: Literal["any", "neighbour"] = "any"
     talk: bool = False  # nodes exchange load reports (docs/OPERATORS-fleet.md)
     door: bool = False  # nodes have an admin endpoint, which operators call once a second
-    keepers: Annotated[int, msgspec.Meta(ge=0, le=5)] = (
-        0  # number of voters, the first nodes; 0: no consensus
-    )
+    # Number of voters, which are the first nodes; 0: no consensus.
+    keepers: Annotated[int, msgspec.Meta(ge=0, le=5)] = 0
     lease: Duration = 2 * SECOND
     narrow_for: Moment = 0  # 0: a node without a valid lease stops serving
     # Numbers of the nodes at which no new policy compiles, and of those whose disk is full after the start.
@@ -141,9 +139,7 @@
     all_or_nothing = True
 
     node: Annotated[int, msgspec.Meta(ge=0, le=1999)]
-    event: (
-        str  # a log event of consensus ("drives", "decided", "serves", "hears") or a step of a write to disk
-    )
+    event: str  # one of CRASH_STEPS: a log event of consensus or a step of a write to disk
     stage: str = ""  # stage of the epoch, if the event has one
     back: Moment = SECOND  # delay until a new process of the node starts
 
--- a/tests/test_change_stream.py
+++ b/tests/test_change_stream.py
@@ -52,38 +52,38 @@
 SHORT = Stream(begin=1.5, end=4.0, rate=1.0, bursts=(Burst(2.2, 8), Burst(3.2, 8, 1)))
 
 
-async def _played(text: str, stream: Stream, defect: str = "") -> StreamResult:
+async def _run_valid(text: str, stream: Stream, defect: str = "") -> StreamResult:
     """Run the stream; an incomplete or invalid run is repeated once."""
     why: object = None
     for _ in range(2):
         try:
-            told = await run_stream(compile_plan(text, "stream", 1), stream, defect)
+            result = await run_stream(compile_plan(text, "stream", 1), stream, defect)
         except HarnessError as error:
             why = error
             continue
-        if told.outcome.validity:
-            return told
-        why = told.outcome.validity.reasons
+        if result.outcome.validity:
+            return result
+        why = result.outcome.validity.reasons
     raise AssertionError(f"invalid run, twice: {why}")
 
 
 def test_a_stream_of_changes_through_faults_and_a_defect_that_the_check_detects() -> None:
     async def all_three() -> tuple[StreamResult, StreamResult, StreamResult]:
         return await asyncio.gather(
-            _played(run_of(NODES, 22.0, servers=12, load=0.5) + FAULTS, STREAM),
-            _played(run_of(5, 7.0), SHORT, "bad-change-drops-batch"),
-            _played(run_of(5, 7.0), FULL_DISK_STREAM),
+            _run_valid(run_of(NODES, 22.0, servers=12, load=0.5) + FAULTS, STREAM),
+            _run_valid(run_of(5, 7.0), SHORT, "bad-change-drops-batch"),
+            _run_valid(run_of(5, 7.0), FULL_DISK_STREAM),
         )
 
-    told, defective, full = asyncio.run(all_three())
-    wrong = find_violations(told.tracked, told.states, STREAM)
+    result, defective, full = asyncio.run(all_three())
+    wrong = find_violations(result.tracked, result.states, STREAM)
     assert not wrong, wrong
-    report = report_of(told.outcome)
+    report = report_of(result.outcome)
     assert not report.torn, report.torn
     assert not any(report.rules.values()), (report.rules, report.faults)
     assert sum(report.under.values()) > 500, report.under
-    in_force = [one for one in told.tracked if one.verdicts[0].code == 0]
-    assert len(in_force) >= 25 and told.largest_batch > 1
+    in_force = [one for one in result.tracked if one.verdicts[0].code == 0]
+    assert len(in_force) >= 25 and result.largest_batch > 1
     assert {one.kind for one in in_force} == {ChangeKind.SOUND, ChangeKind.CHAINED, ChangeKind.RIVAL}
     # The check detects the planted defect: a bad change that rejects its whole batch.
     assert any("sound change" in text and "is rejected" in text for text in find_violations(
@@ -93,11 +93,11 @@
     _check_rejected_for_full_disk(full)
 
 
-def _check_rejected_for_full_disk(told: StreamResult) -> None:
+def _check_rejected_for_full_disk(result: StreamResult) -> None:
     """While a disk stays full, each valid change is rejected with that reason."""
-    wrong = find_violations(told.tracked, told.states, FULL_DISK_STREAM)
+    wrong = find_violations(result.tracked, result.states, FULL_DISK_STREAM)
     assert not wrong, wrong
-    sound = [one for one in told.tracked if one.kind is ChangeKind.SOUND]
+    sound = [one for one in result.tracked if one.kind is ChangeKind.SOUND]
     assert sound
     for one in sound:
         assert [verdict.code for verdict in one.verdicts] == [1] * len(one.verdicts), one
--- a/tests/test_cluster_consensus.py
+++ b/tests/test_cluster_consensus.py
@@ -13,7 +13,7 @@
 
 from hollybay.cluster.report import Report
 
-from .test_cluster_faults import _played, fault, group
+from .test_cluster_faults import _run_valid, fault, group
 from .test_cluster_faults import run_of as tier_run_of
 
 SIDE_BY_SIDE = 10
@@ -34,25 +34,25 @@
     return f'[[death]]\nnode = {node}\nevent = "{event}"\nstage = "{stage}"\nback = "{back}"\n'
 
 
-async def _gated(text: str, gate: asyncio.Semaphore, defect: str) -> Report:
+async def _run_limited(text: str, gate: asyncio.Semaphore, defect: str) -> Report:
     async with gate:
-        return await _played(text, defect=defect)
+        return await _run_valid(text, defect=defect)
 
 
-def played(defects: dict[str, str] | None = None, /, **texts: str) -> dict[str, Report]:
+def run_all(defects: dict[str, str] | None = None, /, **texts: str) -> dict[str, Report]:
     """Run these plans concurrently; defects: the defect to plant, by name of the run."""
     planted = defects or {}
 
     async def all_of() -> list[Report]:
         gate = asyncio.Semaphore(SIDE_BY_SIDE)
         return await asyncio.gather(
-            *(_gated(text, gate, planted.get(label, "")) for label, text in texts.items())
+            *(_run_limited(text, gate, planted.get(label, "")) for label, text in texts.items())
         )
 
     return dict(zip(texts, asyncio.run(all_of()), strict=True))
 
 
-def held(label: str, report: Report) -> None:
+def check_rules(label: str, report: Report) -> None:
     """Check atomicity, the four rules, and that requests began at all."""
     assert not report.torn, (label, report.torn, report.changes)
     assert not any(report.rules.values()), (label, report.rules, report.faults)
@@ -68,9 +68,9 @@
     return {tuple(one.get("serves", ("?",))) for one in report.status.values()}
 
 
-def everywhere(label: str, report: Report, n: int = 0) -> None:
+def check_in_force_everywhere(label: str, report: Report, n: int = 0) -> None:
     """Check that the change is in force at every node."""
-    held(label, report)
+    check_rules(label, report)
     assert report.changes[n][0] == 0, (label, report.changes)
     assert at_the_end(report) == {(report.changes[n][1],)}, (label, report.changes, report.status)
 
@@ -90,9 +90,9 @@
 
 def test_the_proposer_is_killed_at_each_step_and_the_voters_complete_the_change() -> None:
     """Also a voter killed between its write to disk and its reply."""
-    found = played(**{label: run_of() + change("1500ms") + words for label, words in STEPS.items()})
+    found = run_all(**{label: run_of() + change("1500ms") + words for label, words in STEPS.items()})
     for label, report in found.items():
-        everywhere(label, report)
+        check_in_force_everywhere(label, report)
         assert report.excused.get("killed", 0) < 40
 
 
@@ -101,7 +101,7 @@
     halves = group("one", "nodes", 0.0, 0.4) + group("other", "nodes", 0.4, 1.0)
     second = group("second", "nodes", 0.17, 0.34)
     cut = {"between": ["last", "rest"]}
-    found = played(
+    found = run_all(
         stopped=run_of(6) + last + fault("stop", "1s", "4s", on="last") + change("1500ms"),
         killed=run_of(6) + last + fault("kill", "1s", "2s", on="last") + change("1500ms"),
         cut=run_of(6) + last + fault("cut", "1s", "4s", **cut) + change("1500ms"),
@@ -118,7 +118,7 @@
         late=run_of(6) + fault("lag", "1s", "6s", between=["nodes", "nodes"], by=0.1) + change("1500ms"),
     )
     for label, report in found.items():
-        everywhere(label, report, len(report.changes) - 1)
+        check_in_force_everywhere(label, report, len(report.changes) - 1)
         assert not any(codes(report)), (label, report.changes)
     # A silent node delays a change until its lease has expired, and no longer.
     for label in ("stopped", "cut"):
@@ -130,7 +130,7 @@
     keepers = group("keepers", "nodes", 0.0, 0.5)
     odd = change("1500ms", None, out=["s-001"])
     narrow = run_of(6, 10.0, narrow_for="5s") + group("keepers", "nodes", 0.0, 0.5)
-    found = played(
+    found = run_all(
         most=run_of(10, 10.0) + most + fault("kill", "1600ms", "3s", on="most") + change("1500ms"),
         keepers=run_of(6, 10.0)
         + keepers
@@ -142,12 +142,12 @@
         dropped=run_of() + change("1500ms", drop="10ms") + change("4s", None, out=["s-001"]),
         old=run_of() + change("1500ms", parent="7-0123456789ab"),
     )
-    everywhere("most", found["most"])
+    check_in_force_everywhere("most", found["most"])
     # With all voters down a change is impossible, and the operator is told so.
     assert found["keepers"].changes[0][0] == 3, found["keepers"].changes
-    everywhere("keepers", found["keepers"], 1)
+    check_in_force_everywhere("keepers", found["keepers"], 1)
     for label in ("narrow", "both", "dropped", "old"):
-        held(label, found[label])
+        check_rules(label, found[label])
     # Without voters a node stops serving when its lease expires, until they return, unless narrow_for is set.
     assert found["keepers"].door.get("503", 0) > found["narrow"].door.get("503", 0)
     assert found["narrow"].figures["refused"] < 0.05 < found["keepers"].figures["refused"]
@@ -159,7 +159,7 @@
 def test_a_policy_that_one_node_or_no_node_can_serve_applies_nowhere() -> None:
     last = group("last", "nodes", 0.8, 1.0) + group("rest", "nodes", 0.0, 0.8)
     bad = change("1500ms", '[[route]]\\nname = \\"x\\"\\nclass = \\"nobody\\"\\n')
-    found = played(
+    found = run_all(
         {"blind": "lease-never-over", "abrupt": "narrow-skipped"},
         bad=run_of(5, 5.0) + bad,
         unfit=run_of(5, 5.5, unfit=[4]) + change("1500ms"),
@@ -180,7 +180,7 @@
     for label in ("blind", "abrupt"):
         assert any("after one at" in text for text in found.pop(label).torn), label
     for label, report in found.items():
-        held(label, report)
+        check_rules(label, report)
     assert codes(found["bad"]) == [1] and "does not hold here" in found["bad"].changes[0][2]
     assert any("nobody" in text for one in found["bad"].reasons_by_node for r in one.values() for text in r)
     # One node rejects the change, so it applies nowhere; the operator is told which node, and why.
@@ -204,5 +204,5 @@
     text = run_of(nodes, 10.0, servers=12) + down
     text += fault("kill", "1s", "5s", on="down") + fault("stop", "1s", "5s", on="held")
     text += fault("cut", "1s", "5s", between=["away", "there"]) + change("1500ms")
-    found = played(hundred=text)
-    everywhere("hundred", found["hundred"])
+    found = run_all(hundred=text)
+    check_in_force_everywhere("hundred", found["hundred"])
--- a/tests/test_cluster_faults.py
+++ b/tests/test_cluster_faults.py
@@ -47,7 +47,7 @@
     return f'[[fault]]\nkind = "{kind}"\nat = "{at}"\nlasts = "{lasts}"\n{rest}'
 
 
-async def _played(text: str, seed: int = 1, defect: str = "") -> Report:
+async def _run_valid(text: str, seed: int = 1, defect: str = "") -> Report:
     why: object = None
     for _ in range(2):
         try:
@@ -61,25 +61,25 @@
     raise AssertionError(f"invalid run, twice: {why}")
 
 
-def played(*texts: str, defects: tuple[str, ...] = ()) -> list[Report]:
+def run_all(*texts: str, defects: tuple[str, ...] = ()) -> list[Report]:
     """Run these plans concurrently."""
 
     async def all_of() -> list[Report]:
         names = defects or ("",) * len(texts)
-        return await asyncio.gather(*(_played(t, defect=d) for t, d in zip(texts, names, strict=True)))
+        return await asyncio.gather(*(_run_valid(t, defect=d) for t, d in zip(texts, names, strict=True)))
 
     return asyncio.run(all_of())
 
 
-def held(report: Report) -> None:
+def check_rules(report: Report) -> None:
     assert not any(report.rules.values()), (report.rules, report.faults)
     assert report.figures["failed"] <= 0.01, report.classes
 
 
 def test_200_nodes_of_which_seven_in_ten_die_at_once_and_come_back() -> None:
     text = run_of(200, 13.0, 24) + group("doomed", "nodes", 0.3, 1.0)
-    (report,) = played(text + fault("kill", "4s", "4s", on="doomed"))
-    held(report)
+    (report,) = run_all(text + fault("kill", "4s", "4s", on="doomed"))
+    check_rules(report)
     assert report.nodes == 200 and report.up_seconds < 10.0
     figures = report.figures
     assert figures["settle_s"] <= 5.0
@@ -94,13 +94,13 @@
         group(f"{who}-{n}", who, n / 3, (n + 1) / 3) for n in range(3) for who in ("nodes", "servers")
     )
     cuts = "".join(fault("cut", "3500ms", "2500ms", between=[f"nodes-{n}", f"servers-{n}"]) for n in range(3))
-    stopped, split, heavy = played(
+    stopped, split, heavy = run_all(
         run_of(20) + group("tenth", "nodes", 0.0, 0.1) + fault("stop", "3s", "3s", on="tenth"),
         run_of(12) + thirds + cuts,
         run_of(20, uneven=8.0),
     )
     for report in (stopped, split, heavy):
-        held(report)
+        check_rules(report)
         assert report.figures["unused_over_chance"] < 4.0
     assert stopped.excused["stopped"] > 0
     assert heavy.figures["refused"] < 0.1 and heavy.figures["work_by_server_cv"] < 0.6
@@ -112,9 +112,9 @@
     late = fault("lists-late", "2500ms", "6s", on="behind", by=3.0) + fault("crash", "3s", "2s", on="lost")
     slow_ = group("slow", "servers", 0.0, 0.1) + fault("slow", "2s", "6500ms", on="slow", by=4.0)
     new_ = group("new", "servers", 0.0, 0.2) + fault("absent", "0ms", "3s", on="new")
-    lists, slow, new = played(run_of(16) + behind + late, run_of(16) + slow_, run_of(40) + new_)
+    lists, slow, new = run_all(run_of(16) + behind + late, run_of(16) + slow_, run_of(40) + new_)
     for report in (lists, slow, new):
-        held(report)
+        check_rules(report)
     assert lists.figures["share_s"] < 3.0 and new.figures["share_s"] < 3.0
     assert slow.figures["refused"] < 0.15
 
@@ -128,7 +128,7 @@
     links += fault("cut", "3s", "3s", between=["nodes", "discovery"])
     links += fault("lose-down", "5s", "2500ms", between=["operators", "west"])
     wrong = run_of(30, 14.0, configured=10)
-    bad, moved, few, told = played(
+    bad, moved, few, told = run_all(
         run_of(12, door=True) + links,
         run_of(15, move="neighbour") + dying,
         wrong,
@@ -136,7 +136,7 @@
         defects=("", "", "", "configured-only"),
     )
     for report in (moved, few, bad):
-        held(report)
+        check_rules(report)
     # Operators get a response from every node that they are not cut off from, and from the others later.
     # (503: not ready, because discovery does not respond or the node drains at the end.)
     assert bad.door["200"] >= 12 * 5 and 4 <= bad.door["0"] <= 20 and set(bad.door) <= {"0", "200", "503"}
@@ -151,7 +151,7 @@
     lost_ = run_of(16, 10.0, talk=True) + group("west", "nodes", 0.0, 0.5) + group("east", "nodes", 0.5, 1.0)
     lost_ += fault("lose", "2s", "3s", between=["west", "east"], by=0.7)
     lost_ += fault("cut", "5s", "3s", between=["west", "east"])
-    alone, told, killed, kept, lost, few = played(
+    alone, told, killed, kept, lost, few = run_all(
         run_of(40),
         run_of(40, talk=True),
         killed_,
@@ -161,7 +161,7 @@
         defects=("", "", "", "keeps-shares", "", ""),
     )
     for report in (alone, told, killed, lost):
-        held(report)
+        check_rules(report)
     # More nodes than connections of a server: 0.25 were rejected when all nodes used the fastest server.
     assert not any(few.rules.values()) and few.figures["refused"] < 0.16, (few.faults, few.figures)
     # With most load reports lost, or those of half of the nodes, it is no worse than without load reports.
@@ -179,8 +179,8 @@
     back = group("lost", "servers", 0.0, 0.2) + fault("crash", "2500ms", "1s", on="lost")
     plain = run_of(40) + back
     names = ("", "same-numbers", "least-loaded", "few-for-all", "avoids-returned")
-    sound, same, least, few, avoided = played(*(plain,) * 5, defects=names)
-    held(sound)
+    sound, same, least, few, avoided = run_all(*(plain,) * 5, defects=names)
+    check_rules(sound)
     bounds = {
         "herd_over_chance": 2.0,
         "unused_over_chance": 4.0,
