--- a/hollybay/cluster/change_stream.py
+++ b/hollybay/cluster/change_stream.py
@@ -1,13 +1,13 @@
-"""A stream of changes of resources that goes through a run: who proposes what when, and what must come of it.
+"""A run with a stream of resource changes: generates the proposals, tracks each, and checks the results.
 
-Operators propose changes one by one and in bursts, at every keeper, some of them twice under one id, while
-the plan's faults go on; each is followed to its end. Afterwards the logs on the nodes' disks are read:
+Operators propose changes one by one and in bursts, at every voter, some of them twice under one ID, during
+the faults of the plan; each change is tracked to its outcome. Then the logs on the nodes' disks are checked:
 
-1. Each proposal was told one end, in force or refused, and no reasons but its own; whoever proposed the same
-   change was told the same.
-2. What was told to be in force was decided, once, and is in the resources of every node; what was told to be
-   refused is in none.
-3. A sound change was refused only while a disk was full; a bad or outdated one was refused; of two changes
+1. Each proposal has one reported outcome, in force or rejected, with no reasons of other changes; all
+   proposers of one change receive the same outcome.
+2. A change reported in force was decided exactly once and is in the resources of every node; a change
+   reported rejected is in none.
+3. A valid change was rejected only while a disk was full; a bad or outdated one was rejected; of two changes
    that create the same route at most one is in force.
 4. All nodes hold the same resources.
 """
@@ -39,44 +39,55 @@
 from hollybay.testbed.scratch import in_memory
 from hollybay.units import SECOND
 
+from .harness import Outcome, _Harness
 from .plan import Plan
 from .planted import FULL_DISK
 from .records import Said
-from .rig import Outcome, _Rig
 
-__all__ = ["Burst", "FullDisk", "Proposal", "Sort", "Stream", "Told", "Tracked", "check", "play", "proposals"]
-
-CALL_LIMIT = 2.0  # s for one call of an operator
+__all__ = [
+    "Burst",
+    "ChangeKind",
+    "FullDisk",
+    "Proposal",
+    "Stream",
+    "StreamResult",
+    "TrackedChange",
+    "find_violations",
+    "proposals",
+    "run_stream",
+]
+
+CALL_LIMIT = 2.0  # time-out of an operator's call, s
 NO_SPACE = "No space left"
 ROUTE_NAME = r"'(n\d{3}-)?r\d{3}'"
 
 
-class Sort(Enum):
-    """What is to come of a proposal."""
+class ChangeKind(Enum):
+    """Kinds of proposals, with their expected outcome."""
 
     SOUND = "sound"  # in force
-    CHAINED = "chained"  # in force, and then replaced and deleted by two more
+    CHAINED = "chained"  # in force, then replaced and deleted by two more changes
     RIVAL = "rival"  # one of two that create the same route
-    OUTDATED = "outdated"  # refused: made on a version that is not there
-    BAD = "bad"  # refused: no node can serve it
-    UNFIT = "unfit"  # refused: one node cannot serve it
+    OUTDATED = "outdated"  # rejected: based on a version that does not exist
+    BAD = "bad"  # rejected: no node can serve it
+    UNFIT = "unfit"  # rejected: one node cannot serve it
 
 
 @dataclass(frozen=True, slots=True)
 class Burst:
-    """So many changes at once, one of four bad or unfit. at: seconds from the run's start.
+    """A number of simultaneous changes, one of four bad or unfit. at: seconds from the start of the run.
 
-    keeper: the number of the one that is called.
+    voter: the number of the voter that is called first.
     """
 
     at: float
     count: int
-    keeper: int = 0
+    voter: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class FullDisk:
-    """A node's disk is full from one moment to another, in seconds from the run's start."""
+    """A span in which the disk of a node is full, in seconds from the start of the run."""
 
     node: str
     begin: float
@@ -85,10 +96,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Stream:
-    """Changes from one moment to another (s) at a steady rate (1/s), and bursts beside them.
+    """Changes at a steady rate (1/s) from begin to end (s), with additional bursts.
 
-    limit: s for which each is followed. unfit: the node that cannot serve the unfit changes; it must not be
-    cut off or stopped, as the others go on without it then.
+    limit: s for which each change is tracked. unfit: the node that cannot serve the unfit changes; it must
+    not be cut off or stopped, since the others then continue without it.
     """
 
     begin: float
@@ -103,179 +114,190 @@
 
 @dataclass(frozen=True, slots=True)
 class Proposal:
-    """One change. at: seconds from the run's start; keepers: the number of the keeper that each of its
-    proposers calls first.
+    """One change. at: seconds from the start of the run; voters: for each of its proposers, the number of the
+    voter that it calls first.
     """
 
     at: float
-    sort: Sort
+    kind: ChangeKind
     change: Change
-    keepers: tuple[int, ...]
+    voters: tuple[int, ...]
 
 
 @dataclass(slots=True)
-class Tracked:
-    """What became of a change. told: by each of its proposers; began, ended: s from the run's start."""
+class TrackedChange:
+    """The outcome of a change. verdicts: one for each proposer; began, ended: s from the start of the run."""
 
-    sort: Sort
+    kind: ChangeKind
     change: Change
     began: float
     ended: float = 0.0
-    told: list[Verdict] = field(default_factory=list)
+    verdicts: list[Verdict] = field(default_factory=list)
 
 
 def route(name: str, cls: str | None = None, part: str = "a") -> bytes:
-    """The body of a route for paths that no client asks for."""
+    """Return the encoded body of a route for paths that no client requests."""
     return encode_table(
         RouteTable(name=name, cls=cls, path=PathTable(prefix=f"/view-schedule/{name}/{part}"))
     )
 
 
-def proposals(stream: Stream, keepers: int) -> list[Proposal]:
-    """All proposals of a stream, in order of time."""
-    chance = random.Random(stream.seed)
+def proposals(stream: Stream, voters: int) -> list[Proposal]:
+    """Return all proposals of a stream, in order of time."""
+    rng = random.Random(stream.seed)
     found: list[Proposal] = []
 
-    def add(at: float, sort: Sort, operation: Operation, keeper: int | None) -> None:
-        change_id = chance.randbytes(CHANGE_ID_BYTES)
-        change = Change(change_id, 0, f"{sort.value} change", "the rig", (operation,))
-        first = chance.randrange(keepers) if keeper is None else keeper
-        twice = chance.random() < 0.25
-        found.append(Proposal(at, sort, change, (first, (first + 1) % keepers) if twice else (first,)))
+    def add(at: float, kind: ChangeKind, operation: Operation, voter: int | None) -> None:
+        change_id = rng.randbytes(CHANGE_ID_BYTES)
+        change = Change(change_id, 0, f"{kind.value} change", "the rig", (operation,))
+        first = rng.randrange(voters) if voter is None else voter
+        twice = rng.random() < 0.25
+        found.append(Proposal(at, kind, change, (first, (first + 1) % voters) if twice else (first,)))
 
-    def add_one(at: float, sort: Sort, keeper: int | None = None) -> None:
+    def add_one(at: float, kind: ChangeKind, voter: int | None = None) -> None:
         name = f"r{len(found):03d}"
-        if sort is Sort.UNFIT:
+        if kind is ChangeKind.UNFIT:
             name = f"{stream.unfit}-{name}"
-        if sort is Sort.OUTDATED:
-            add(at, sort, Delete(Kind.ROUTE, name, 1), keeper)
-        elif sort is Sort.BAD:
-            add(at, sort, Upsert(Kind.ROUTE, name, 0, route(name, cls="nobody")), keeper)
+        if kind is ChangeKind.OUTDATED:
+            add(at, kind, Delete(Kind.ROUTE, name, 1), voter)
+        elif kind is ChangeKind.BAD:
+            add(at, kind, Upsert(Kind.ROUTE, name, 0, route(name, cls="nobody")), voter)
         else:
-            add(at, sort, Upsert(Kind.ROUTE, name, 0, route(name)), keeper)
-            if sort is Sort.RIVAL:
-                add(at, sort, Upsert(Kind.ROUTE, name, 0, route(name, part="b")), keeper)
-
-    sorts = (Sort.SOUND, Sort.UNFIT, Sort.CHAINED, Sort.RIVAL, Sort.OUTDATED, Sort.BAD)
+            add(at, kind, Upsert(Kind.ROUTE, name, 0, route(name)), voter)
+            if kind is ChangeKind.RIVAL:
+                add(at, kind, Upsert(Kind.ROUTE, name, 0, route(name, part="b")), voter)
+
+    sorts = (
+        ChangeKind.SOUND,
+        ChangeKind.UNFIT,
+        ChangeKind.CHAINED,
+        ChangeKind.RIVAL,
+        ChangeKind.OUTDATED,
+        ChangeKind.BAD,
+    )
     for number in range(int((stream.end - stream.begin) * stream.rate)):
         add_one(stream.begin + number / stream.rate, sorts[number % len(sorts)])
-    sound = (Sort.SOUND,) * 3
-    in_burst = (*sound, Sort.BAD, *sound, Sort.UNFIT)
+    sound = (ChangeKind.SOUND,) * 3
+    in_burst = (*sound, ChangeKind.BAD, *sound, ChangeKind.UNFIT)
     for burst in stream.bursts:
         for number in range(burst.count):
-            add_one(burst.at, in_burst[number % len(in_burst)], burst.keeper)
+            add_one(burst.at, in_burst[number % len(in_burst)], burst.voter)
     return sorted(found, key=lambda proposal: proposal.at)
 
 
-# What must hold
+# Checks
 
 
-def check(tracked: Iterable[Tracked], states: Mapping[str, ResourceState], stream: Stream) -> list[str]:
-    """What does not hold, by the rules of the module; states: of each node at the end."""
+def find_violations(
+    tracked: Iterable[TrackedChange], states: Mapping[str, ResourceState], stream: Stream
+) -> list[str]:
+    """Return violations of the rules above; states: the resources of each node at the end."""
     found: list[str] = []
     if len({state.digest for state in states.values()}) != 1:
         shown = {name: f"{state.revision}-{state.digest.hex()[:8]}" for name, state in states.items()}
         found.append(f"nodes hold different resources: {shown}")
     everything = list(tracked)
     for one in everything:
-        found += [f"{_shown(one)}: {text}" for text in _wrong(one, states, stream)]
-    return found + _rivals(everything)
+        found += [f"{_describe(one)}: {text}" for text in _change_violations(one, states, stream)]
+    return found + _duplicate_routes(everything)
 
 
-def _shown(one: Tracked) -> str:
-    return f"{one.sort.value} change {one.change.id.hex()[:6]} of {one.began:.1f} s"
+def _describe(one: TrackedChange) -> str:
+    return f"{one.kind.value} change {one.change.id.hex()[:6]} of {one.began:.1f} s"
 
 
-def _wrong(one: Tracked, states: Mapping[str, ResourceState], stream: Stream) -> list[str]:
-    """What does not hold of one change."""
-    codes = {verdict.code for verdict in one.told}
+def _change_violations(one: TrackedChange, states: Mapping[str, ResourceState], stream: Stream) -> list[str]:
+    """Return the violations of one change."""
+    codes = {verdict.code for verdict in one.verdicts}
     if codes not in ({0}, {1}):
-        return [f"was told {[(verdict.code, verdict.text) for verdict in one.told]}"]
+        return [f"proposers received {[(verdict.code, verdict.text) for verdict in one.verdicts]}"]
     in_force = codes == {0}
-    found = [f"is told of another: {text}" for text in _of_others(one)]
+    found = [f"reported with a reason of another change: {text}" for text in _foreign_reasons(one)]
     for name, state in states.items():
         times = sum(ids.count(one.change.id) for ids in state.change_ids_by_revision.values())
         if times != int(in_force):
-            found.append(f"told to be {'in force' if in_force else 'refused'}, {name} has it {times} times")
-    if in_force and one.sort in (Sort.BAD, Sort.OUTDATED, Sort.UNFIT):
-        found.append("is in force")
-    sound = one.sort in (Sort.SOUND, Sort.CHAINED)
-    if not in_force and sound and not _for_want_of_space(one, stream):
-        found.append(f"is refused: {one.told[0].reasons}")
+            found.append(
+                f"reported {'in force' if in_force else 'rejected'}, but {name} applied it {times} times"
+            )
+    if in_force and one.kind in (ChangeKind.BAD, ChangeKind.OUTDATED, ChangeKind.UNFIT):
+        found.append("is in force, expected to be rejected")
+    sound = one.kind in (ChangeKind.SOUND, ChangeKind.CHAINED)
+    if not in_force and sound and not _refused_for_full_disk(one, stream):
+        found.append(f"is rejected: {one.verdicts[0].reasons}")
     return found
 
 
-def _of_others(one: Tracked) -> list[str]:
-    """Reasons that name another route than its own."""
+def _foreign_reasons(one: TrackedChange) -> list[str]:
+    """Return the reasons that name a route of another change."""
     name = one.change.operations[0].name
-    texts = [text for verdict in one.told for reasons in verdict.reasons.values() for text in reasons]
+    texts = [text for verdict in one.verdicts for reasons in verdict.reasons.values() for text in reasons]
     return [text for text in texts if re.search(ROUTE_NAME, text) and f"'{name}'" not in text]
 
 
-def _for_want_of_space(one: Tracked, stream: Stream) -> bool:
-    """Whether it was refused as a disk was full, at such a time."""
+def _refused_for_full_disk(one: TrackedChange, stream: Stream) -> bool:
+    """Whether the change was rejected for a full disk while a disk was full."""
     during = any(one.began < disk.end and one.ended > disk.begin for disk in stream.full_disks)
-    return during and all(NO_SPACE in str(verdict.reasons) for verdict in one.told)
+    return during and all(NO_SPACE in str(verdict.reasons) for verdict in one.verdicts)
 
 
-def _rivals(tracked: Iterable[Tracked]) -> list[str]:
-    """Routes that two changes created."""
+def _duplicate_routes(tracked: Iterable[TrackedChange]) -> list[str]:
+    """Return the routes that more than one change created."""
     created: dict[str, int] = {}
     for one in tracked:
-        if one.sort is Sort.RIVAL and all(verdict.code == 0 for verdict in one.told):
+        if one.kind is ChangeKind.RIVAL and all(verdict.code == 0 for verdict in one.verdicts):
             name = one.change.operations[0].name
             created[name] = created.get(name, 0) + 1
     return [f"route {name} was created {times} times" for name, times in created.items() if times > 1]
 
 
-# A run with a stream
+# Running a plan with a stream
 
 
 class _Proposer(ChangeTracker):
-    """An operator who calls one keeper before the others."""
+    """An operator who calls one voter before the others."""
 
-    def __init__(self, doors: list[str], first: int) -> None:
-        super().__init__(self._called, doors)
-        self.first = doors[first]
+    def __init__(self, addresses: list[str], first: int) -> None:
+        super().__init__(self._call, addresses)
+        self.first = addresses[first]
 
-    async def _called(self, door: str, path: str, body: bytes | None) -> bytes:
-        return await call_policy(door, path, body, CALL_LIMIT)
+    async def _call(self, address: str, path: str, body: bytes | None) -> bytes:
+        return await call_policy(address, path, body, CALL_LIMIT)
 
     def voters_in_order(self, view: ClusterView) -> list[str]:
-        return sorted(super().voters_in_order(view), key=lambda door: door != self.first)
+        return sorted(super().voters_in_order(view), key=lambda address: address != self.first)
 
 
-class _StreamRig(_Rig):
-    """The rig, with operators who propose the changes of a stream."""
+class _StreamHarness(_Harness):
+    """A harness with operators who propose the changes of a stream."""
 
     def __init__(self, plan: Plan, folder: Path, defect: str, stream: Stream) -> None:
         super().__init__(plan, folder, lambda tick: None, defect)
         self.stream = stream
-        self.tracked: list[Tracked] = []
+        self.tracked: list[TrackedChange] = []
 
     def now(self) -> float:
-        """Seconds since the run's start."""
-        return (time.monotonic_ns() - self.began) / SECOND
+        """Return the seconds since the start of the run."""
+        return (time.monotonic_ns() - self.started_at) / SECOND
 
-    async def _all(self, runs: list[Any], faults: list[Any], beside: list[Any]) -> None:
+    async def _wait_for_clients(self, runs: list[Any], faults: list[Any], beside: list[Any]) -> None:
         faults += [
             self.loop.create_task(self._propose(one)) for one in proposals(self.stream, self.run.keepers)
         ]
-        faults += [self.loop.create_task(self._fill(disk)) for disk in self.stream.full_disks]
-        await super()._all(runs, faults, beside)
+        faults += [self.loop.create_task(self._fill_disk(disk)) for disk in self.stream.full_disks]
+        await super()._wait_for_clients(runs, faults, beside)
 
-    async def _fill(self, disk: FullDisk) -> None:
+    async def _fill_disk(self, disk: FullDisk) -> None:
         mark = self.folder / "accord" / disk.node / FULL_DISK
-        await self._at(int(disk.begin * SECOND))
+        await self._sleep_until(int(disk.begin * SECOND))
         mark.touch()
-        await self._at(int(disk.end * SECOND))
+        await self._sleep_until(int(disk.end * SECOND))
         mark.unlink()
 
     async def _propose(self, proposal: Proposal) -> None:
-        await self._at(int(proposal.at * SECOND))
-        change, keepers = proposal.change, proposal.keepers
-        one = await self._followed(proposal.sort, change, keepers)
-        if proposal.sort is not Sort.CHAINED or one.told[0].code:
+        await self._sleep_until(int(proposal.at * SECOND))
+        change, voters = proposal.change, proposal.voters
+        one = await self._propose_and_track(proposal.kind, change, voters)
+        if proposal.kind is not ChangeKind.CHAINED or one.verdicts[0].code:
             return
         name = change.operations[0].name
         for version, operation in enumerate((Upsert, Delete)):
@@ -286,51 +308,55 @@
                 else Delete(Kind.ROUTE, name, base)
             )
             change_id = bytes([version + 1]) + change.id[1:]
-            one = await self._followed(
-                Sort.CHAINED, Change(change_id, base, "the next of a chain", "the rig", (then,)), keepers
+            one = await self._propose_and_track(
+                ChangeKind.CHAINED,
+                Change(change_id, base, "the next of a chain", "the rig", (then,)),
+                voters,
             )
-            if one.told[0].code:
+            if one.verdicts[0].code:
                 return
 
     @staticmethod
-    def _revision_of(one: Tracked) -> int:
-        """The revision of the policy that a change is in force with."""
-        return version_of(one.told[0].change)
-
-    async def _followed(self, sort: Sort, change: Change, keepers: tuple[int, ...]) -> Tracked:
-        """Propose a change, by one operator or two at once, until they are told what became of it."""
-        one = Tracked(sort, change, self.now())
+    def _revision_of(one: TrackedChange) -> int:
+        """Return the revision of the policy with which a change came into force."""
+        return version_of(one.verdicts[0].change)
+
+    async def _propose_and_track(
+        self, kind: ChangeKind, change: Change, voters: tuple[int, ...]
+    ) -> TrackedChange:
+        """Propose a change, by one operator or two at once, and wait for the verdict of each."""
+        one = TrackedChange(kind, change, self.now())
         self.tracked.append(one)
         began = time.monotonic_ns()
-        doors = self.called[: self.run.keepers]
-        proposers = [_Proposer(doors, first) for first in keepers]
-        one.told = await asyncio.gather(*(each.submit(change, self.stream.limit) for each in proposers))
+        addresses = self.policy_addresses[: self.run.keepers]
+        proposers = [_Proposer(addresses, first) for first in voters]
+        one.verdicts = await asyncio.gather(*(each.submit(change, self.stream.limit) for each in proposers))
         one.ended = self.now()
-        for verdict in one.told:
-            # The oracle knows policies; a refused change never had one.
+        for verdict in one.verdicts:
+            # The atomicity check works on policies; a rejected change never had one.
             name = verdict.change if verdict.code == 0 else ""
             self.events.append(Said(time.monotonic_ns(), name, verdict.code, verdict.text, began))
         return one
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
-    """What came of a run: its outcome, each change, and the resources on each node's disk at the end."""
+class StreamResult:
+    """The result of a run: its outcome, each change, and the resources on each node's disk at the end."""
 
     outcome: Outcome
-    tracked: tuple[Tracked, ...]
+    tracked: tuple[TrackedChange, ...]
     states: dict[str, ResourceState]
 
     @property
     def largest_batch(self) -> int:
-        """How many changes were decided together at the most."""
+        """Return the largest number of changes that were decided together."""
         return max(
             len(ids) for state in self.states.values() for ids in state.change_ids_by_revision.values()
         )
 
 
-def on_disk(folder: Path, serves: list[str]) -> ResourceState:
-    """The resources after the policy that a node serves under, from its log on disk."""
+def state_from_log(folder: Path, serves: list[str]) -> ResourceState:
+    """Return the resources of the policy under which a node serves, from its log on disk."""
     log = PolicyLog(folder)
     log.open()
     state = log.state(serves[-1])
@@ -338,20 +364,20 @@
     return state
 
 
-async def play(plan: Plan, stream: Stream, defect: str = "") -> Told:
-    """Play a plan with a stream of changes; as rig.play."""
+async def run_stream(plan: Plan, stream: Stream, defect: str = "") -> StreamResult:
+    """Run a plan with a stream of changes, like harness.run_plan."""
     folder = Path(tempfile.mkdtemp(prefix="tier-", dir=in_memory()))
     planted = "+".join(part for part in ("disk-full-by-mark", "unfit-by-name", defect) if part)
-    rig = _StreamRig(plan, folder, planted, stream)
+    harness = _StreamHarness(plan, folder, planted, stream)
     try:
-        outcome = await rig.play()
+        outcome = await harness.execute()
         states = {
-            said["name"]: on_disk(folder / "accord" / said["name"] / "policies", said["serves"])
+            said["name"]: state_from_log(folder / "accord" / said["name"] / "policies", said["serves"])
             for said in outcome.status.values()
         }
-        return Told(outcome, tuple(rig.tracked), states)
+        return StreamResult(outcome, tuple(harness.tracked), states)
     except asyncio.CancelledError:
         raise
     finally:
-        await rig.close()
+        await harness.close()
         shutil.rmtree(folder, ignore_errors=True)
--- a/hollybay/cluster/control.py
+++ b/hollybay/cluster/control.py
@@ -1,4 +1,4 @@
-"""Calls between the rig and its processes: lines of JSON over a Unix socket in the run's own folder."""
+"""Calls between the harness and its processes: lines of JSON over a Unix socket in the folder of the run."""
 
 from __future__ import annotations
 
@@ -10,166 +10,166 @@
 
 import msgspec
 
-__all__ = ["CallFailed", "Far", "Hub", "answer_calls", "happens"]
+__all__ = ["ControlCallError", "ControlServer", "RemoteProcess", "serve_calls", "wait_until"]
 
-LIMIT = 60.0  # seconds that a call may take
-MOST_LINE = 8 << 20
+LIMIT = 60.0  # time-out of a call, seconds
+MAX_LINE_BYTES = 8 << 20
 
 Handler = Callable[[dict[str, Any]], Awaitable[Any]]
 
 
-async def happens(changed: asyncio.Event, holds: Callable[[], bool], limit: float) -> None:
-    """Wait for a state of affairs, looked at with each event; TimeoutError after so many seconds."""
+async def wait_until(changed: asyncio.Event, condition: Callable[[], bool], limit: float) -> None:
+    """Wait until a condition holds, evaluating it after each event; TimeoutError after limit seconds."""
     async with asyncio.timeout(limit):
-        while not holds():
+        while not condition():
             changed.clear()
             await changed.wait()
 
 
-class CallFailed(Exception):
-    """A process of the rig could not do what it was asked, or is gone."""
+class ControlCallError(Exception):
+    """A call to a process of the run failed, or the process has exited."""
 
 
-class Far:
-    """A process at the other end: calls to it, and what it tells by itself."""
+class RemoteProcess:
+    """A connected process: calls to it, and the messages that it sends unprompted."""
 
-    def __init__(self, hub: Hub, hello: dict[str, Any], writer: asyncio.StreamWriter) -> None:
-        self.hub = hub
+    def __init__(self, server: ControlServer, hello: dict[str, Any], writer: asyncio.StreamWriter) -> None:
+        self.server = server
         self.hello = hello
         self.name = str(hello["name"])
         self.writer = writer
-        self.open: dict[int, asyncio.Future[Any]] = {}
-        self.count = 0
-        self.gone = False
-
-    def tell(self, do: str, **words: Any) -> None:
-        """Say something that needs no answer."""
-        if not self.gone:
-            self.writer.write(msgspec.json.encode({"do": do, **words}) + b"\n")
-
-    async def call(self, do: str, limit: float = LIMIT, **words: Any) -> Any:
-        """Ask, and wait for the answer. CallFailed: it could not, is gone, or took longer than limit (s)."""
-        if self.gone:
-            raise CallFailed(f"{self.name} is gone")
-        self.count += 1
-        number = self.count
-        answer = self.open[number] = asyncio.get_running_loop().create_future()
-        self.tell(do, id=number, **words)
+        self.pending: dict[int, asyncio.Future[Any]] = {}
+        self.last_id = 0
+        self.closed = False
+
+    def send(self, do: str, **fields: Any) -> None:
+        """Send a message that needs no reply."""
+        if not self.closed:
+            self.writer.write(msgspec.json.encode({"do": do, **fields}) + b"\n")
+
+    async def call(self, do: str, limit: float = LIMIT, **fields: Any) -> Any:
+        """Call and wait for the reply. ControlCallError: it failed, exited, or took longer than limit (s)."""
+        if self.closed:
+            raise ControlCallError(f"{self.name} has exited")
+        self.last_id += 1
+        number = self.last_id
+        reply = self.pending[number] = asyncio.get_running_loop().create_future()
+        self.send(do, id=number, **fields)
         try:
             async with asyncio.timeout(limit):
-                return await answer
+                return await reply
         except TimeoutError:
-            raise CallFailed(f"{self.name} did not answer {do!r} within {limit:g} s") from None
+            raise ControlCallError(f"{self.name} did not reply to {do!r} within {limit:g} s") from None
         finally:
-            self.open.pop(number, None)
+            self.pending.pop(number, None)
 
-    def heard(self, message: dict[str, Any]) -> None:
-        """A line has come."""
+    def handle_message(self, message: dict[str, Any]) -> None:
+        """Handle one message from the process."""
         if "re" not in message:
-            self.hub.told(self, message)
+            self.server.on_message(self, message)
             return
-        answer = self.open.get(message["re"])
-        if answer is None or answer.done():
+        reply = self.pending.get(message["re"])
+        if reply is None or reply.done():
             return
         if "error" in message:
-            answer.set_exception(CallFailed(f"{self.name}: {message['error']}"))
+            reply.set_exception(ControlCallError(f"{self.name}: {message['error']}"))
         else:
-            answer.set_result(message.get("value"))
+            reply.set_result(message.get("value"))
 
-    def ended(self) -> None:
-        """Its connection has ended."""
-        self.gone = True
-        for answer in self.open.values():
-            if not answer.done():
-                answer.set_exception(CallFailed(f"{self.name} is gone"))
+    def on_disconnect(self) -> None:
+        """Fail all pending calls: the connection has closed."""
+        self.closed = True
+        for reply in self.pending.values():
+            if not reply.done():
+                reply.set_exception(ControlCallError(f"{self.name} has exited"))
 
 
-class Hub:
-    """The rig's end: processes say hello here, each with its name."""
+class ControlServer:
+    """The harness's end: processes connect here and register by name."""
 
-    def __init__(self, path: Path, told: Callable[[Far, dict[str, Any]], None]) -> None:
+    def __init__(self, path: Path, on_message: Callable[[RemoteProcess, dict[str, Any]], None]) -> None:
         self.path = path
-        self.told = told
-        self.known: dict[str, Far] = {}
+        self.on_message = on_message
+        self.processes: dict[str, RemoteProcess] = {}
         self.changed = asyncio.Event()
         self._server: asyncio.Server | None = None
         self._writers: set[asyncio.StreamWriter] = set()
 
     async def start(self) -> None:
-        """Listen."""
+        """Start listening."""
         self._server = await asyncio.start_unix_server(
-            self._talk, str(self.path), limit=MOST_LINE, backlog=1024
+            self._handle_connection, str(self.path), limit=MAX_LINE_BYTES, backlog=1024
         )
 
-    async def _talk(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _handle_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self._writers.add(writer)
-        far: Far | None = None
+        process: RemoteProcess | None = None
         try:
             while line := await reader.readline():
                 message = msgspec.json.decode(line)
-                if far is None:
-                    far = self.known[str(message["name"])] = Far(self, message, writer)
-                    self.note()
+                if process is None:
+                    process = self.processes[str(message["name"])] = RemoteProcess(self, message, writer)
+                    self.notify()
                 else:
-                    far.heard(message)
-        except (OSError, ValueError):  # a process that was killed while it wrote
+                    process.handle_message(message)
+        except (OSError, ValueError):  # the process was killed while writing
             pass
         finally:
             self._writers.discard(writer)
             writer.close()
-            if far is not None:
-                far.ended()
-                if self.known.get(far.name) is far:
-                    del self.known[far.name]
-                self.note()
-
-    def note(self) -> None:
-        """Something has changed that until() may wait for."""
+            if process is not None:
+                process.on_disconnect()
+                if self.processes.get(process.name) is process:
+                    del self.processes[process.name]
+                self.notify()
+
+    def notify(self) -> None:
+        """Wake wait_for(), whose condition may have changed."""
         self.changed.set()
 
-    async def until(self, holds: Callable[[], bool], limit: float, what: str) -> None:
-        """Wait for a state of affairs; CallFailed after so many seconds."""
+    async def wait_for(self, condition: Callable[[], bool], limit: float, what: str) -> None:
+        """Wait until a condition holds; ControlCallError after limit seconds."""
         try:
-            await happens(self.changed, holds, limit)
+            await wait_until(self.changed, condition, limit)
         except TimeoutError:
-            raise CallFailed(f"waited {limit:g} s for {what}") from None
+            raise ControlCallError(f"timed out after {limit:g} s waiting for {what}") from None
 
     async def stop(self) -> None:
-        """End all connections."""
+        """Stop listening and abort all connections."""
         if self._server is not None:
             self._server.close()
         for writer in list(self._writers):
             writer.transport.abort()
 
 
-async def answer_calls(path: Path, hello: dict[str, Any], handle: Handler, teller: list[Any]) -> None:
-    """A process's end: say hello, answer calls until the rig closes the connection.
+async def serve_calls(path: Path, hello: dict[str, Any], handle: Handler, senders: list[Any]) -> None:
+    """The process's end: register, then serve calls until the harness closes the connection.
 
-    teller gets one function, by which the process tells something by itself.
+    senders receives one function, with which the process sends messages unprompted.
     """
-    reader, writer = await asyncio.open_unix_connection(str(path), limit=MOST_LINE)
+    reader, writer = await asyncio.open_unix_connection(str(path), limit=MAX_LINE_BYTES)
 
-    def tell(message: dict[str, Any]) -> None:
+    def send(message: dict[str, Any]) -> None:
         if not writer.is_closing():
             writer.write(msgspec.json.encode(message) + b"\n")
 
-    teller.append(tell)
-    tell(hello)
+    senders.append(send)
+    send(hello)
     tasks: set[asyncio.Task[None]] = set()
 
-    async def one(message: dict[str, Any]) -> None:
+    async def handle_call(message: dict[str, Any]) -> None:
         try:
             value = await handle(message)
-        except Exception as error:  # told to the rig, which ends the run
+        except Exception as error:  # reported to the harness, which ends the run
             if "id" in message:
-                tell({"re": message["id"], "error": f"{type(error).__name__}: {error}"})
+                send({"re": message["id"], "error": f"{type(error).__name__}: {error}"})
             return
         if "id" in message:
-            tell({"re": message["id"], "value": value})
+            send({"re": message["id"], "value": value})
 
     with contextlib.suppress(OSError):
         while line := await reader.readline():
-            task = asyncio.get_running_loop().create_task(one(msgspec.json.decode(line)))
+            task = asyncio.get_running_loop().create_task(handle_call(msgspec.json.decode(line)))
             tasks.add(task)
             task.add_done_callback(tasks.discard)
     for task in list(tasks):
--- a/hollybay/cluster/evenness.py
+++ b/hollybay/cluster/evenness.py
@@ -1,7 +1,7 @@
-"""How evenly a tier spread its load, from what its servers saw. Pure; times in ns, work in ns at speed 1.
+"""How evenly nodes spread load, from the visits at their servers. Pure; times in ns, work in ns at speed 1.
 
-What chance alone does is taken out: the counts of a Poisson stream vary, and the largest of many counts lies
-far above their mean. Figures that are named `over` chance are 1 where the spread is that of a Poisson stream.
+Random variation is subtracted: the counts of a Poisson stream vary, and the largest of many counts lies far
+above their mean. Figures named "over chance" are 1 where the spread is that of a Poisson stream.
 """
 
 from __future__ import annotations
@@ -18,22 +18,22 @@
 __all__ = [
     "FIGURES",
     "Evenness",
-    "Life",
+    "ServerLifetime",
     "Spread",
     "Visit",
-    "chance_most",
     "evenness",
+    "expected_largest_count",
     "herd",
     "idle_series",
+    "longest_unused",
     "settle_time",
     "share_time",
     "spread",
-    "unused",
 ]
 
-STEP = 50_000_000
+SAMPLE_INTERVAL = 50_000_000
 
-# The figures that a plan may bound, and what they say; all are better when smaller.
+# The figures that a plan may bound, with their meaning; smaller is better for all.
 FIGURES = {
     "idle_while_queued": "part of server time without work while requests wait elsewhere (0 to 1)",
     "idle_over_floor": "the same, less that of one node that sees everything on the same arrivals",
@@ -44,7 +44,7 @@
     "settle_s": "seconds after a fault until idle while queued is as before",
     "share_s": "seconds until a server that is new or back has half of its share",
     "lost_worth": "part of the worth asked for that was not answered within its aim",
-    "refused": "part of the requests that were refused",
+    "refused": "part of the requests that were rejected",
     "failed": "part of the requests that failed or broke off, none of them excused",
     "p99_ms": "99th percentile of the class with the shortest aim, in ms",
     "p99_over_floor": "the same, over that of one node that sees everything on the same arrivals",
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Visit:
-    """A request at a server. began and left: 0 where it did not come to that."""
+    """A request at a server. began and left: 0 if it never began or never left."""
 
     rid: str
     server: str
@@ -66,25 +66,26 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Life:
-    """A server, and when it was up and fit to work.
+class ServerLifetime:
+    """A server, and when it was healthy.
 
-    capacity: seconds of work a second, over all its cores; fit: spans in which it was up and sound.
+    capacity: seconds of work a second, over all its cores; healthy: spans in which it was up, warm and
+    without faults.
     """
 
     name: str
     capacity: float
     cores: int
-    fit: tuple[tuple[int, int], ...]
+    healthy: tuple[tuple[int, int], ...]
 
-    def fit_at(self, at: int) -> bool:
-        """Whether it is fit at this moment."""
-        return any(begin <= at < end for begin, end in self.fit)
+    def is_healthy_at(self, at: int) -> bool:
+        """Whether the server is healthy at this time."""
+        return any(begin <= at < end for begin, end in self.healthy)
 
 
 @dataclass(frozen=True, slots=True)
 class Spread:
-    """Work over capacity: cv with the counting noise taken out, the least and the largest."""
+    """Work over capacity: coefficient of variation without counting noise, the least and the largest."""
 
     cv: float
     least: float
@@ -93,7 +94,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Evenness:
-    """All figures of one span; see FIGURES."""
+    """All figures of one time span; see FIGURES."""
 
     idle_while_queued: float
     by_second: Spread
@@ -104,7 +105,7 @@
     unused_chance_s: float
 
     def figures(self) -> dict[str, float]:
-        """Those that a plan may bound."""
+        """Return the figures that a plan may bound."""
         return {
             "idle_while_queued": self.idle_while_queued,
             "work_cv": self.by_second.cv,
@@ -114,8 +115,8 @@
         }
 
 
-class _Counts:
-    """Requests at work and waiting, by server, as time goes on."""
+class _QueueCounts:
+    """Running and waiting requests by server, advanced through time."""
 
     def __init__(self, visits: Iterable[Visit]) -> None:
         events: list[tuple[int, int, str, int, int]] = []
@@ -133,7 +134,7 @@
         self.working: Counter[str] = Counter()
 
     def advance(self, to: int) -> None:
-        """Take in all that happened up to a moment."""
+        """Apply all events up to a time."""
         events = self.events
         while events and events[0][0] <= to:
             _, _, server, waits, works = events.popleft()
@@ -142,60 +143,64 @@
 
 
 def idle_series(
-    visits: Sequence[Visit], lives: Sequence[Life], since: int, until: int, step: int = STEP
+    visits: Sequence[Visit],
+    lifetimes: Sequence[ServerLifetime],
+    since: int,
+    until: int,
+    step: int = SAMPLE_INTERVAL,
 ) -> list[tuple[int, float]]:
-    """At each step the part of the fit servers without work for which a request waits elsewhere.
+    """For each step, the share of healthy servers that are idle while a request waits at another server.
 
-    The lesser of "servers with nothing" and "requests in waiting rooms beyond one a server", over all that
-    are fit then: one waiting request a server is what lets it go on without a pause.
+    The lesser of "idle servers" and "waiting requests beyond one for each server", over the number of healthy
+    servers: one waiting request lets a server continue without a pause, so it is not counted.
     """
-    counts = _Counts(visits)
+    counts = _QueueCounts(visits)
     series = []
     for at in range(since, until, step):
         counts.advance(at)
-        fit = [life.name for life in lives if life.fit_at(at)]
-        nothing = sum(counts.working[name] + counts.waiting[name] == 0 for name in fit)
-        beyond = sum(max(0, counts.waiting[life.name] - 1) for life in lives)
-        series.append((at, min(nothing, beyond) / len(fit) if fit else 0.0))
+        healthy = [lifetime.name for lifetime in lifetimes if lifetime.is_healthy_at(at)]
+        nothing = sum(counts.working[name] + counts.waiting[name] == 0 for name in healthy)
+        beyond = sum(max(0, counts.waiting[lifetime.name] - 1) for lifetime in lifetimes)
+        series.append((at, min(nothing, beyond) / len(healthy) if healthy else 0.0))
     return series
 
 
 def spread(
-    visits: Iterable[Visit], lives: Sequence[Life], since: int, until: int, span: int = SECOND
+    visits: Iterable[Visit], lifetimes: Sequence[ServerLifetime], since: int, until: int, span: int = SECOND
 ) -> Spread:
-    """Work that came, over capacity, by fit server and span.
+    """Work that arrived, over capacity, by healthy server and span.
 
-    The variance of a compound Poisson stream is the sum of the squares of its works: that much is expected
-    of chance, and taken out. 0 where nothing came.
+    The variance of a compound Poisson stream is the sum of the squares of its work amounts: it is expected by
+    chance and subtracted. 0 if no work arrived.
     """
     works: dict[tuple[str, int], list[int]] = defaultdict(list)
     for v in visits:
         if v.runs and since <= v.at < until:
             works[v.server, (v.at - since) // span].append(v.work)
     loads, noise = [], []
-    for life in lives:
+    for lifetime in lifetimes:
         for n in range((until - since) // span):
             begin = since + n * span
-            if not any(b <= begin and begin + span <= e for b, e in life.fit):
+            if not any(b <= begin and begin + span <= e for b, e in lifetime.healthy):
                 continue
-            came = works.get((life.name, n), ())
-            loads.append(sum(came) / (life.capacity * span))
-            noise.append(sum(work * work for work in came) / (life.capacity * span) ** 2)
+            came = works.get((lifetime.name, n), ())
+            loads.append(sum(came) / (lifetime.capacity * span))
+            noise.append(sum(work * work for work in came) / (lifetime.capacity * span) ** 2)
     mean = sum(loads) / len(loads) if loads else 0.0
     if mean <= 0.0:
         return Spread(0.0, 0.0, 0.0)
     variance = sum((load - mean) ** 2 for load in loads) / max(1, len(loads) - 1)
-    # As much of the noise as one count has of all: the mean itself was drawn from the same stream.
+    # Corrected for the sample mean, which comes from the same stream and shares 1/n of its noise.
     expected = sum(noise) / len(noise) * (1.0 - 1.0 / len(loads))
     return Spread(sqrt(max(0.0, variance - expected)) / mean, min(loads) / mean, max(loads) / mean)
 
 
-def chance_most(mean: float, windows: float) -> int:
-    """What the largest of so many Poisson counts of this mean reaches once on average; at least 1."""
+def expected_largest_count(mean: float, windows: float) -> int:
+    """The value that the largest of so many Poisson counts reaches once on average; at least 1."""
     term = exp(-mean)
     below = term
     count = 0
-    # Above the mean the terms fall, and a count beyond 700 deviations is never met.
+    # Above the mean the terms fall; a count 700 standard deviations above it does not occur.
     while windows * max(0.0, 1.0 - below) > 1.0 and count < mean + 40.0 * sqrt(mean) + 40.0:
         count += 1
         term *= mean / count
@@ -203,10 +208,12 @@
     return max(1, count)
 
 
-def herd(visits: Iterable[Visit], lives: Sequence[Life], since: int, until: int) -> tuple[int, int]:
-    """Most nodes whose requests reached one server within one of its service times, and what chance gives.
+def herd(
+    visits: Iterable[Visit], lifetimes: Sequence[ServerLifetime], since: int, until: int
+) -> tuple[int, int]:
+    """The most nodes whose requests reached one server within one service time, and the most by chance.
 
-    A node's second request within the time is no herd, but its own doing.
+    Counts nodes, not requests: several requests of one node are not a herd.
     """
     by_server: dict[str, list[Visit]] = defaultdict(list)
     for v in visits:
@@ -215,22 +222,22 @@
     most, chance = 0, 1
     every = [v for came in by_server.values() for v in came]
     offered = sum(
-        life.capacity * (min(e, until) - max(b, since))
-        for life in lives
-        for b, e in life.fit
+        lifetime.capacity * (min(e, until) - max(b, since))
+        for lifetime in lifetimes
+        for b, e in lifetime.healthy
         if min(e, until) > max(b, since)
     )
     if not every or offered <= 0:
         return most, chance
     work = sum(v.work for v in every) / len(every)
-    for life in lives:
-        came = sorted(by_server.get(life.name, ()), key=lambda v: v.at)
+    for lifetime in lifetimes:
+        came = sorted(by_server.get(lifetime.name, ()), key=lambda v: v.at)
         if not came:
             continue
-        service = work * life.cores / life.capacity
-        # A window begins at an arrival: one is there, the others are a Poisson count of this server's share.
-        # What came to it would not do for that: a herd that never ends would be its own measure.
-        expected = chance_most(len(every) * life.capacity / offered * service, len(every)) + 1
+        service = work * lifetime.cores / lifetime.capacity
+        # A window begins at an arrival: that is one, the others are a Poisson count of this server's share.
+        # The share follows from capacity, not arrivals: a permanent herd would raise its own expectation.
+        expected = expected_largest_count(len(every) * lifetime.capacity / offered * service, len(every)) + 1
         inside: deque[Visit] = deque()
         nodes: Counter[str] = Counter()
         for v in came:
@@ -246,15 +253,17 @@
     return most, chance
 
 
-def unused(visits: Sequence[Visit], lives: Sequence[Life], since: int, until: int) -> tuple[float, float]:
-    """The longest time (s) that a fit server got nothing while others queued, and what chance gives it.
+def longest_unused(
+    visits: Sequence[Visit], lifetimes: Sequence[ServerLifetime], since: int, until: int
+) -> tuple[float, float]:
+    """The longest time (s) that a healthy server got nothing while others queued, and the longest by chance.
 
-    Only time counts in which a request beyond one a server waited elsewhere. By chance the longest gap of a
-    Poisson stream of its share of requests is ln(n) mean gaps; a server's share is that of its capacity.
+    Counts only time in which more than one request waited at some server. By chance, the longest gap of a
+    Poisson stream is ln(n) mean gaps; a server's share of the requests is its share of the capacity.
     """
-    counts = _Counts(visits)
-    queued: list[int] = []  # moments at which something waited
-    for at in range(since, until, STEP):
+    counts = _QueueCounts(visits)
+    queued: list[int] = []  # sample times at which more than one request waited at a server
+    for at in range(since, until, SAMPLE_INTERVAL):
         counts.advance(at)
         if any(waits > 1 for waits in counts.waiting.values()):
             queued.append(at)
@@ -262,32 +271,34 @@
     arrivals: dict[str, list[int]] = defaultdict(list)
     for v in came:
         arrivals[v.server].append(v.at)
-    total = sum(life.capacity for life in lives)
+    total = sum(lifetime.capacity for lifetime in lifetimes)
     worst, chance = 0.0, 0.0
-    for life in lives:
-        rate = len(came) * life.capacity / total / ((until - since) / SECOND)
-        for begin, end in life.fit:
+    for lifetime in lifetimes:
+        rate = len(came) * lifetime.capacity / total / ((until - since) / SECOND)
+        for begin, end in lifetime.healthy:
             begin, end = max(begin, since), min(end, until)
             if end <= begin or not rate:
                 continue
-            marks = [begin, *(at for at in sorted(arrivals[life.name]) if begin < at < end), end]
-            usual = max(1.0, log(max(2.0, rate * (end - begin) / SECOND * len(lives)))) / rate
+            marks = [begin, *(at for at in sorted(arrivals[lifetime.name]) if begin < at < end), end]
+            usual = max(1.0, log(max(2.0, rate * (end - begin) / SECOND * len(lifetimes)))) / rate
             for one, other in pairwise(marks):
-                gap = (bisect_left(queued, other) - bisect_right(queued, one)) * STEP / SECOND
+                gap = (bisect_left(queued, other) - bisect_right(queued, one)) * SAMPLE_INTERVAL / SECOND
                 if chance == 0.0 or gap / usual > worst / chance:
                     worst, chance = gap, usual
     return worst, chance
 
 
-def evenness(visits: Sequence[Visit], lives: Sequence[Life], since: int, until: int) -> Evenness:
-    """All figures between two moments."""
-    series = idle_series(visits, lives, since, until)
-    most, chance = herd(visits, lives, since, until)
-    gap, usual = unused(visits, lives, since, until)
+def evenness(
+    visits: Sequence[Visit], lifetimes: Sequence[ServerLifetime], since: int, until: int
+) -> Evenness:
+    """Return all figures between two times."""
+    series = idle_series(visits, lifetimes, since, until)
+    most, chance = herd(visits, lifetimes, since, until)
+    gap, usual = longest_unused(visits, lifetimes, since, until)
     return Evenness(
         sum(part for _, part in series) / len(series) if series else 0.0,
-        spread(visits, lives, since, until),
-        spread(visits, lives, since, until, until - since),
+        spread(visits, lifetimes, since, until),
+        spread(visits, lifetimes, since, until, until - since),
         most,
         chance,
         gap,
@@ -297,20 +308,20 @@
 
 def share_time(
     visits: Iterable[Visit],
-    life: Life,
+    lifetime: ServerLifetime,
     up: int,
     until: int,
     share: float,
     warmth: Mapping[int, float] | None = None,
     span: int = 2 * SECOND,
 ) -> float | None:
-    """Seconds from a server's start until it gets half of its share; None: never before `until`.
+    """Seconds from a server's start until it gets half of its share; None: not before `until`.
 
-    share: requests a second that its capacity stands for when warm; warmth: the part of it, by whole second
-    of its age. A span counts as served with half of what is expected, less two deviations of the count.
+    share: requests a second expected by its capacity when warm; warmth: the fraction of it that is expected,
+    by age in whole seconds. A span needs half of the expected count, less two standard deviations.
     """
-    came = sorted(v.at for v in visits if v.server == life.name and v.runs and up <= v.at < until)
-    for begin in range(up, until - span + 1, STEP):
+    came = sorted(v.at for v in visits if v.server == lifetime.name and v.runs and up <= v.at < until)
+    for begin in range(up, until - span + 1, SAMPLE_INTERVAL):
         age = (begin - up) // SECOND
         part = 1.0 if warmth is None else warmth.get(age, 1.0)
         expected = share * part * span / SECOND
@@ -327,9 +338,9 @@
     span: int = 2 * SECOND,
     margin: float = 0.03,
 ) -> float | None:
-    """Seconds from a moment until a span begins in which the mean is as before, within a margin; None: never.
+    """Seconds from `since` until a span begins whose mean is as before, within a margin; None: never.
 
-    series: as idle_series gives it; before: its mean in sound times.
+    series: from idle_series; before: its mean without faults.
     """
     times = [at for at, _ in series]
     sums = [0.0]
@@ -338,7 +349,7 @@
     limit = max(1.25 * before, before + margin)
     for n in range(bisect_left(times, since), len(times)):
         end = bisect_left(times, times[n] + span)
-        if end >= len(times) and times[-1] + STEP < times[n] + span:
+        if end >= len(times) and times[-1] + SAMPLE_INTERVAL < times[n] + span:
             return None
         if (sums[end] - sums[n]) / (end - n) <= limit:
             return (times[n] - since) / SECOND
--- a/hollybay/cluster/report.py
+++ b/hollybay/cluster/report.py
@@ -1,4 +1,4 @@
-"""What a run says: its figures, whether they hold, and as tables, JSON and a plot."""
+"""The report of a run: its figures, the bounds they exceed, and their output as tables, JSON and a plot."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 from hollybay.testbed.ledger import FinalOutcome
 from hollybay.units import SECOND
 
-from .books import Books
 from .evenness import FIGURES, evenness, idle_series, settle_time, share_time
-from .models import Played, drawn, one
-from .rig import Outcome
+from .harness import Outcome
+from .merged_run import MergedRun
+from .models import ModelResult, random_by_capacity, single_dispatcher
 
 __all__ = ["ClassFigures", "Report", "plot", "report_of", "tables"]
 
@@ -33,12 +33,12 @@
     excused: int
     p50_ms: float
     p99_ms: float
-    in_time: float  # worth that came in time, over worth asked for
+    in_time: float  # share of the requests served within the latency objective
 
 
 @dataclass(frozen=True, slots=True)
 class Report:
-    """All figures. beside: the same of the two models on the same arrivals; broken: bounds not held."""
+    """All figures. beside: the figures of both models on the same arrivals; broken: bounds exceeded."""
 
     name: str
     seed: int
@@ -51,7 +51,7 @@
     rules: dict[str, int]
     faults: tuple[str, ...]
     excused: dict[str, int]
-    door: dict[str, int]  # operators' calls by status, 0 for none
+    door: dict[str, int]  # operators' calls by status, 0 for no response
     trusted: bool
     reasons: tuple[str, ...]
     broken: tuple[str, ...]
@@ -59,22 +59,24 @@
     node_cpu: float
     node_memory_mb: float
     rig_cpu: float
-    series: tuple[tuple[float, float], ...]  # seconds, idle while queued, mean of half a second
+    series: tuple[tuple[float, float], ...]  # seconds, and idle while queued as mean over half a second
     keeper_cpu: float = 0.0
-    changes: tuple[tuple[int, str, str, float], ...] = ()  # of policy: code, name, what was said, seconds
-    under: dict[str, int] = field(default_factory=dict)  # requests that began, by the policies
-    torn: tuple[str, ...] = ()  # where a policy was not everywhere or nowhere
-    status: dict[str, Any] = field(default_factory=dict)  # what nodes said of themselves at the end
-    reasons_by_node: tuple[dict[str, list[str]], ...] = ()  # of each change, why nodes could not serve it
+    changes: tuple[
+        tuple[int, str, str, float], ...
+    ] = ()  # policy changes: code, name, reported text, seconds
+    under: dict[str, int] = field(default_factory=dict)  # requests begun, by policies in force
+    torn: tuple[str, ...] = ()  # violations of atomic policy changes
+    status: dict[str, Any] = field(default_factory=dict)  # status of each node at the end
+    reasons_by_node: tuple[dict[str, list[str]], ...] = ()  # for each change, why nodes could not serve it
 
     @property
     def exit_status(self) -> int:
-        """0 held, 1 a rule or a bound broken, 3 not to be trusted."""
+        """0 all rules and bounds hold, 1 a rule or bound is violated, 3 the run is invalid."""
         wrong = self.broken or self.torn or any(self.rules.values())
         return 3 if not self.trusted else 1 if wrong else 0
 
     def as_json(self) -> dict[str, Any]:
-        """Everything, for a file; without figures where the run is not to be trusted."""
+        """Return all fields for a JSON file; the figures are null if the run is invalid."""
         data = asdict(self)
         if not self.trusted:
             for key in ("figures", "beside", "classes", "series", "broken"):
@@ -83,7 +85,7 @@
 
 
 class _Times:
-    """Response times, to three figures."""
+    """Histogram of response times, to three significant figures."""
 
     def __init__(self) -> None:
         self.histogram = HdrHistogram(1, 120_000_000, 3)  # microseconds
@@ -95,8 +97,10 @@
         return float(self.histogram.get_value_at_percentile(percentile)) / 1000
 
 
-def _model_figures(played: Played, aim_class: set[str], outcome: Outcome, since: int) -> dict[str, float]:
-    even = evenness(played.visits, outcome.books.lives, since, outcome.ended)
+def _model_figures(
+    played: ModelResult, aim_class: set[str], outcome: Outcome, since: int
+) -> dict[str, float]:
+    even = evenness(played.visits, outcome.merged.lifetimes, since, outcome.ended)
     times = _Times()
     for rid in aim_class:
         if rid in played.took:
@@ -105,19 +109,19 @@
 
 
 def report_of(outcome: Outcome) -> Report:
-    """Work out all figures of a run, between the end of its warm-up and its end."""
-    plan, books = outcome.plan, outcome.books
-    since = outcome.began + plan.run.warm
+    """Compute all figures of a run, from the end of its warm-up to its end."""
+    plan, merged = outcome.plan, outcome.merged
+    since = outcome.started_at + plan.run.warm
     until = outcome.ended
-    counted = {rid: e for rid, e in books.ledger.requests.items() if since <= e.at < until}
+    counted = {rid: e for rid, e in merged.ledger.requests.items() if since <= e.at < until}
     rows, lost_worth = _classes(outcome, counted)
-    even = evenness(books.visits, books.lives, since, until)
-    classes = books.ledger.limits.classes
+    even = evenness(merged.visits, merged.lifetimes, since, until)
+    classes = merged.ledger.limits.classes
     quick = min(range(len(classes)), key=lambda n: classes[n].latency_objective)
     aimed = {rid for rid, entry in counted.items() if entry.cls == quick}
     beside = {
-        name: _model_figures(model(books.arrivals, books.lives, plan.seed), aimed, outcome, since)
-        for name, model in (("one", one), ("drawn", drawn))
+        name: _model_figures(model(merged.arrivals, merged.lifetimes, plan.seed), aimed, outcome, since)
+        for name, model in (("one", single_dispatcher), ("drawn", random_by_capacity))
     }
     figures = even.figures()
     p99 = rows[quick].p99_ms
@@ -130,8 +134,8 @@
         "p99_ms": p99,
         "p99_over_floor": p99 / beside["one"]["p99_ms"] if beside["one"]["p99_ms"] else 0.0,
     }
-    series = idle_series(books.visits, books.lives, outcome.began, until)
-    figures |= _after_faults(outcome, series, len(books.arrivals))
+    series = idle_series(merged.visits, merged.lifetimes, outcome.started_at, until)
+    figures |= _after_faults(outcome, series, len(merged.arrivals))
     broken = tuple(
         f"{name}: {figures.get(name, float('inf')):.4g}, at most {most:g}"
         for name, most in sorted(plan.most.items())
@@ -146,30 +150,30 @@
         figures,
         beside,
         rows,
-        books.verdict.counts,
-        tuple(f"{f.rule}: {f.subject}: {f.reason}" for f in books.verdict.violations[:50]),
-        dict(books.excused),
-        dict(sorted(Counter(str(call.status) for call in books.calls).items())),
-        bool(outcome.trust),
-        outcome.trust.reasons,
+        merged.verdict.counts,
+        tuple(f"{f.rule}: {f.subject}: {f.reason}" for f in merged.verdict.violations[:50]),
+        dict(merged.excused),
+        dict(sorted(Counter(str(call.status) for call in merged.admin_calls).items())),
+        bool(outcome.validity),
+        outcome.validity.reasons,
         broken,
         outcome.up_seconds,
         outcome.node_cpu,
         outcome.node_memory_mb,
         outcome.rig_cpu,
-        tuple(_halves(series, outcome.began)),
+        tuple(_half_second_means(series, outcome.started_at)),
         outcome.keeper_cpu,
-        tuple((one[0], one[1], one[2], one[4]) for one in outcome.changed if one),
-        dict(Counter(" and ".join(one.names) for one in books.began)),
-        _torn(books),
+        tuple((one[0], one[1], one[2], one[4]) for one in outcome.change_results if one),
+        dict(Counter(" and ".join(one.names) for one in merged.requests_begun)),
+        _atomicity_violations(merged),
         outcome.status,
-        tuple(one[3] for one in outcome.changed if one),
+        tuple(one[3] for one in outcome.change_results if one),
     )
 
 
-def _torn(books: Books) -> tuple[str, ...]:
-    """Where a change of policy was not everywhere or nowhere (hollybay.consensus.invariants)."""
-    if not books.began and not books.said:
+def _atomicity_violations(merged: MergedRun) -> tuple[str, ...]:
+    """Return where a policy change was not atomic over all nodes (hollybay.consensus.invariants)."""
+    if not merged.requests_begun and not merged.change_reports:
         return ()
     from hollybay.consensus.invariants import (
         OutcomeReported,
@@ -180,17 +184,17 @@
 
     outcomes = {0: ReportedOutcome.IN_FORCE, 1: ReportedOutcome.NOT_IN_FORCE}
     events: list[RequestBegun | OutcomeReported] = [
-        RequestBegun(one.at, one.node, one.names) for one in books.began
+        RequestBegun(one.at, one.node, one.names) for one in merged.requests_begun
     ]
     events += [
         OutcomeReported(one.at, one.change, outcomes[one.code])
-        for one in books.said
+        for one in merged.change_reports
         if one.change and one.code in outcomes
     ]
     return tuple(f"{violation.node}: {violation.reason}" for violation in find_violations(events)[:50])
 
 
-def _halves(series: list[tuple[int, float]], began: int) -> list[tuple[float, float]]:
+def _half_second_means(series: list[tuple[int, float]], began: int) -> list[tuple[float, float]]:
     of: dict[int, list[float]] = {}
     for at, part in series:
         of.setdefault((at - began) * 2 // SECOND, []).append(part)
@@ -200,7 +204,7 @@
 def _classes(outcome: Outcome, counted: dict[str, Any]) -> tuple[tuple[ClassFigures, ...], float]:
     rows = []
     earned = asked = 0.0
-    for number, cls in enumerate(outcome.books.ledger.limits.classes):
+    for number, cls in enumerate(outcome.merged.ledger.limits.classes):
         mine = [entry for entry in counted.values() if entry.cls == number]
         times = _Times()
         ends: Counter[FinalOutcome | None] = Counter()
@@ -229,26 +233,28 @@
 
 
 def _after_faults(outcome: Outcome, series: list[tuple[int, float]], arrivals: int) -> dict[str, float]:
-    """How long until things were as before: after the first fault, and at servers that are new or back."""
-    plan, books = outcome.plan, outcome.books
+    """Compute the recovery times: after the first fault, and of servers that are new or restarted."""
+    plan, merged = outcome.plan, outcome.merged
     found: dict[str, float] = {}
     faults = [f for f in plan.faults if f.at > plan.run.warm]
     if faults:
         first = min(faults, key=lambda f: f.at)
-        before = [p for at, p in series if outcome.began + plan.run.warm <= at < outcome.began + first.at]
+        before = [
+            p for at, p in series if outcome.started_at + plan.run.warm <= at < outcome.started_at + first.at
+        ]
         if before:
-            took = settle_time(series, sum(before) / len(before), outcome.began + first.at)
+            took = settle_time(series, sum(before) / len(before), outcome.started_at + first.at)
             found["settle_s"] = took if took is not None else plan.run.seconds / SECOND
     rate = arrivals / (plan.run.seconds / SECOND)
-    total = sum(life.capacity for life in books.lives)
+    total = sum(lifetime.capacity for lifetime in merged.lifetimes)
     times = []
-    limits = books.ledger.limits
-    for life in books.lives:
-        for start in books.ledger.starts.get(life.name, ()):
+    limits = merged.ledger.limits
+    for lifetime in merged.lifetimes:
+        for start in merged.ledger.starts.get(lifetime.name, ()):
             if start.cold and start.at < outcome.ended:
                 warmth = {s: start.slow_start_factor(start.at + s * SECOND, limits) for s in range(60)}
                 took = share_time(
-                    books.visits, life, start.at, outcome.ended, rate * life.capacity / total, warmth
+                    merged.visits, lifetime, start.at, outcome.ended, rate * lifetime.capacity / total, warmth
                 )
                 times.append(took if took is not None else (outcome.ended - start.at) / SECOND)
     if times:
@@ -257,7 +263,7 @@
 
 
 def tables(report: Report) -> list[Table]:
-    """Figures and classes, for a terminal."""
+    """Return the tables of figures and request classes for a terminal."""
     figures = Table(
         title=f"{report.name}, seed {report.seed}: {report.nodes} nodes, {report.servers} servers"
     )
@@ -284,7 +290,7 @@
 
 
 def plot(report: Report, path: Path) -> None:
-    """Idle while queued over the run, as a PNG."""
+    """Plot idle while queued over the run as a PNG."""
     import matplotlib
 
     matplotlib.use("Agg")
--- a/tests/test_change_stream.py
+++ b/tests/test_change_stream.py
@@ -1,17 +1,26 @@
-"""Real processes under load and faults while a stream of changes goes through: each ends once and alike.
+"""A stream of changes through real processes under load and faults: each has one outcome, the same for all.
 
-12 nodes, 3 of them keepers, that agree by group commit. Beside the oracle over the merged ledger and the four
-rules the logs on the nodes' disks are read when all processes have ended.
+12 nodes, 3 of them voters, agree by group commit. Besides the atomicity check and the four rules on the
+merged ledger, the logs on the disks of the nodes are checked after all processes have exited.
 """
 
 from __future__ import annotations
 
 import asyncio
 
-from hollybay.cluster.change_stream import Burst, FullDisk, Sort, Stream, Told, check, play, proposals
+from hollybay.cluster.change_stream import (
+    Burst,
+    ChangeKind,
+    FullDisk,
+    Stream,
+    StreamResult,
+    find_violations,
+    proposals,
+    run_stream,
+)
+from hollybay.cluster.harness import HarnessError
 from hollybay.cluster.plan import compile_plan
 from hollybay.cluster.report import report_of
-from hollybay.cluster.rig import RigFailed
 
 from .test_cluster_consensus import run_of
 from .test_cluster_faults import fault, group
@@ -32,70 +41,72 @@
     begin=1.5,
     end=18.0,
     rate=1.0,
-    # One is in a keeper's queue when that is killed.
+    # The first burst is in the queue of a voter when that voter is killed.
     bursts=(Burst(2.98, 8), Burst(7.0, 16, 1), Burst(10.0, 8, 2), Burst(16.0, 8)),
     full_disks=(FullDisk("n010", 12.2, 13.8),),
 )
 # A disk that stays full.
-NO_ROOM = Stream(begin=1.5, end=4.0, rate=2.0, full_disks=(FullDisk("n004", 0.5, 6.5),), unfit="n003")
+FULL_DISK_STREAM = Stream(
+    begin=1.5, end=4.0, rate=2.0, full_disks=(FullDisk("n004", 0.5, 6.5),), unfit="n003"
+)
 SHORT = Stream(begin=1.5, end=4.0, rate=1.0, bursts=(Burst(2.2, 8), Burst(3.2, 8, 1)))
 
 
-async def _played(text: str, stream: Stream, defect: str = "") -> Told:
-    """One run that the rig could carry; it is repeated once."""
+async def _run_valid(text: str, stream: Stream, defect: str = "") -> StreamResult:
+    """Run the stream; an incomplete or invalid run is repeated once."""
     why: object = None
     for _ in range(2):
         try:
-            told = await play(compile_plan(text, "stream", 1), stream, defect)
-        except RigFailed as error:
+            result = await run_stream(compile_plan(text, "stream", 1), stream, defect)
+        except HarnessError as error:
             why = error
             continue
-        if told.outcome.trust:
-            return told
-        why = told.outcome.trust.reasons
-    raise AssertionError(f"not to be trusted, twice: {why}")
+        if result.outcome.validity:
+            return result
+        why = result.outcome.validity.reasons
+    raise AssertionError(f"invalid run, twice: {why}")
 
 
-def test_a_stream_of_changes_through_faults_and_a_defect_that_it_shows() -> None:
-    async def all_three() -> tuple[Told, Told, Told]:
+def test_a_stream_of_changes_through_faults_and_a_defect_that_the_check_detects() -> None:
+    async def all_three() -> tuple[StreamResult, StreamResult, StreamResult]:
         return await asyncio.gather(
-            _played(run_of(NODES, 22.0, servers=12, load=0.5) + FAULTS, STREAM),
-            _played(run_of(5, 7.0), SHORT, "bad-change-drops-batch"),
-            _played(run_of(5, 7.0), NO_ROOM),
+            _run_valid(run_of(NODES, 22.0, servers=12, load=0.5) + FAULTS, STREAM),
+            _run_valid(run_of(5, 7.0), SHORT, "bad-change-drops-batch"),
+            _run_valid(run_of(5, 7.0), FULL_DISK_STREAM),
         )
 
-    told, defective, full = asyncio.run(all_three())
-    wrong = check(told.tracked, told.states, STREAM)
+    result, defective, full = asyncio.run(all_three())
+    wrong = find_violations(result.tracked, result.states, STREAM)
     assert not wrong, wrong
-    report = report_of(told.outcome)
+    report = report_of(result.outcome)
     assert not report.torn, report.torn
     assert not any(report.rules.values()), (report.rules, report.faults)
     assert sum(report.under.values()) > 500, report.under
-    in_force = [one for one in told.tracked if one.told[0].code == 0]
-    assert len(in_force) >= 25 and told.largest_batch > 1
-    assert {one.sort for one in in_force} == {Sort.SOUND, Sort.CHAINED, Sort.RIVAL}
-    # One bad change that takes its batch with it is seen.
-    assert any("sound change" in text and "is refused" in text for text in check(
+    in_force = [one for one in result.tracked if one.verdicts[0].code == 0]
+    assert len(in_force) >= 25 and result.largest_batch > 1
+    assert {one.kind for one in in_force} == {ChangeKind.SOUND, ChangeKind.CHAINED, ChangeKind.RIVAL}
+    # The check detects the planted defect: a bad change that rejects its whole batch.
+    assert any("sound change" in text and "is rejected" in text for text in find_violations(
         defective.tracked, defective.states, SHORT
     ))  # fmt: skip
 
-    _refused_for_want_of_space(full)
+    _check_rejected_for_full_disk(full)
 
 
-def _refused_for_want_of_space(told: Told) -> None:
-    """While a disk stays full each sound change is refused with its reason."""
-    wrong = check(told.tracked, told.states, NO_ROOM)
+def _check_rejected_for_full_disk(result: StreamResult) -> None:
+    """While a disk stays full, each valid change is rejected with that reason."""
+    wrong = find_violations(result.tracked, result.states, FULL_DISK_STREAM)
     assert not wrong, wrong
-    sound = [one for one in told.tracked if one.sort is Sort.SOUND]
+    sound = [one for one in result.tracked if one.kind is ChangeKind.SOUND]
     assert sound
     for one in sound:
-        assert [verdict.code for verdict in one.told] == [1] * len(one.told), one
-        assert all("No space left" in str(verdict.reasons) for verdict in one.told), one
+        assert [verdict.code for verdict in one.verdicts] == [1] * len(one.verdicts), one
+        assert all("No space left" in str(verdict.reasons) for verdict in one.verdicts), one
 
 
 def test_a_stream_is_drawn_from_its_seed() -> None:
     drawn = proposals(STREAM, 3)
     assert drawn == proposals(STREAM, 3)
-    assert {one.sort for one in drawn} == set(Sort)
-    assert any(len(one.keepers) == 2 for one in drawn)
+    assert {one.kind for one in drawn} == set(ChangeKind)
+    assert any(len(one.voters) == 2 for one in drawn)
     assert len({one.change.id for one in drawn}) == len(drawn)
