--- a/hollybay/balancing/__init__.py
+++ b/hollybay/balancing/__init__.py
@@ -1,4 +1,4 @@
-"""Decisions of a reverse proxy that spreads requests over HTTP servers of several speeds.
+"""Decisions of a reverse proxy that balances requests over HTTP servers of different speeds.
 
 Settings, events and actions are in `hollybay.balancing.interface`.
 """
--- a/hollybay/balancing/actions.py
+++ b/hollybay/balancing/actions.py
@@ -1,4 +1,4 @@
-"""The actions by which the decision module answers an event; verbs, carried out by the caller in order.
+"""The actions that the decision module returns for an event; the caller carries them out in order.
 
 Times and durations are integer nanoseconds on the caller's monotonic clock.
 """
@@ -19,10 +19,10 @@
     id, server
         The request and the server.
     timeout
-        After which time (ns) the attempt is given up, 0: at the request's deadline.
+        The time (ns) after which the attempt times out, 0: at the request's deadline.
     write_deadline
-        When (ns) the request's last byte must have been written, 0 for no such time. Later the server might
-        not recognise a duplicate.
+        The time (ns) by which the request's last byte must have been written, 0: no limit. After that time
+        the server might not recognise a duplicate.
     """
 
     id: int
@@ -33,14 +33,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """Final answer: not done, and trying again is harmless.
+    """Final response: the request had no effect, or a client may safely retry it.
 
     Attributes
     ----------
     id
         The request.
     retry_after
-        The time (ns) after which its client may come back, 0: not said.
+        The time (ns) after which its client may retry, 0: not stated.
     """
 
     id: int
@@ -49,14 +49,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Final answer to a request (its id): failed, and it may have had an effect."""
+    """Final response to a request (its id): it failed, and may have had an effect."""
 
     id: int
 
 
 @dataclass(frozen=True, slots=True)
 class Cancel:
-    """Cancel an attempt of a request, both by number."""
+    """Cancel an attempt (its number) of a request (its id)."""
 
     id: int
     attempt: int
@@ -64,7 +64,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Probe:
-    """Ask a server for its load report."""
+    """Request a server's load report."""
 
     server: ServerId
 
@@ -78,7 +78,7 @@
 
 @dataclass(slots=True)
 class SetTimer:
-    """Ask for a TimerFired event with a token after a delay (ns)."""
+    """Set a timer: a TimerFired event with the token is due after the delay (ns)."""
 
     delay: int
     token: int
@@ -86,19 +86,19 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchServers:
-    """Poll or watch the server list, or stop doing so."""
+    """Start polling or watching the server list, or stop."""
 
     active: bool = True
 
 
 @dataclass(frozen=True, slots=True)
 class FetchServers:
-    """Ask for the whole server list, once."""
+    """Fetch the whole server list once."""
 
 
 @dataclass(frozen=True, slots=True)
 class Log:
-    """A line for the log."""
+    """Write a line to the log."""
 
     text: str
 
--- a/hollybay/balancing/attempt_tracking.py
+++ b/hollybay/balancing/attempt_tracking.py
@@ -1,4 +1,4 @@
-"""The attempts of requests: each is sent, counted at its server while it runs, and learned from."""
+"""Sends attempts, counts those in flight at each server, and passes their results to the estimates."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 
 class AttemptTracker:
-    """Sends attempts, and keeps count of those in flight.
+    """Sends attempts and counts those in flight.
 
     Parameters
     ----------
     context
-        The node's state and parts, and the event that is being handled.
+        The node's state and components, and the event being handled.
     """
 
     def __init__(self, context: DecisionContext) -> None:
@@ -42,13 +42,13 @@
             self._count(attempt)
         if server.slow_start_factor < 1.0:
             SlowStart.record_send(server, now)
-            self.selector.schedule_idle(server, now)  # one whose body is pending has left it listed
+            self.selector.schedule_idle(server, now)  # an attempt whose body is pending does not unlist it
         limits = request.limits
         timeout = limits.attempt_timeout if limits is not None else 0
         self.context.actions.append(Send(request.id, server.id, timeout, write_deadline))
 
     def on_request_completed(self, event: RequestCompleted) -> None:
-        """A server begins its work with the last byte of a request's body."""
+        """Count attempts whose body is complete: a server starts work with the last byte of the request."""
         request = self.requests.get(event.id)
         if request is None or not request.body_pending:
             return
@@ -58,7 +58,7 @@
                 self._count(attempt)
 
     def on_response_started(self, event: ResponseStarted) -> None:
-        """The server of a streamed response has done its work; the rest comes at the client's pace."""
+        """Stop counting a streamed attempt as in flight: what remains is sent at the pace of the client."""
         request = self.requests.get(event.id)
         if request is None or event.attempt >= len(request.attempts):
             return
@@ -68,7 +68,7 @@
         self.selector.schedule_idle(attempt.server, self.context.now)
 
     def finish(self, request: TrackedRequest, attempt: TrackedAttempt, event: AttemptFinished) -> None:
-        """Record a result, learn from it, and take its server for idle again, eject it or forget it."""
+        """Record an attempt's result, update estimates, and list its server as idle, eject or remove it."""
         attempt.result = event.result
         request.in_flight_attempts -= 1
         server = attempt.server
@@ -80,14 +80,14 @@
         self.selector.schedule_idle(server, self.context.now)
 
     def _count(self, attempt: TrackedAttempt) -> None:
-        """Count an attempt among those in flight at its server."""
+        """Count an attempt as in flight at its server."""
         attempt.is_counted = True
         self.queueing_delay.attempt_started(self.context.now)
         attempt.server.in_flight += 1
         remove_from_idle(attempt.server)
 
     def _discount(self, attempt: TrackedAttempt) -> None:
-        """Take an attempt out of those in flight at its server."""
+        """Stop counting an attempt as in flight at its server."""
         if attempt.is_counted:
             attempt.is_counted = False
             self.queueing_delay.attempt_ended(self.context.now)
--- a/hollybay/balancing/balancer.py
+++ b/hollybay/balancing/balancer.py
@@ -1,12 +1,12 @@
-"""The decisions of one node: events in, actions out, no I/O. Both are defined in `interface`.
+"""The decisions of one node: events in, actions out, no I/O. Events and actions are defined in `interface`.
 
-This module finds the part that handles an event: `request_acceptance` (a request that arrives),
-`further_attempts` (retries, hedges, waits), `attempt_tracking` (what is in flight), `final_answers` (how a
-request ends), `server_updates` (lists and reviews), `wakeup_dispatch` (timers).
+This module dispatches each event to the component that handles it: `request_acceptance` (new requests),
+`further_attempts` (retries, hedges, waiting for a server), `attempt_tracking` (attempts in flight),
+`final_answers` (final responses), `server_updates` (server lists and reviews), `wakeup_dispatch` (timers).
 
-What is decided on the way has modules of its own: `server_selection` (which server), `cross_zone` (which
-zone), `load_shedding` (what is rejected), `retries` and `hedging` (further attempts), `estimates` (what
-answers tell), `endpoints` (the server list), `discovery_polling` (when it is asked for).
+These components rely on one module per decision: `server_selection` (which server), `cross_zone` (which
+zone), `load_shedding` (which requests are rejected), `retries` and `hedging` (further attempts), `estimates`
+(what is learned from responses), `endpoints` (the server list), `discovery_polling` (when it is polled).
 """
 
 from __future__ import annotations
@@ -40,12 +40,12 @@
 
 __all__ = ["Balancer"]
 
-# The token of the one timer that a balancer sets.
+# The token of a balancer's only timer.
 TIMER_TOKEN = 1
 
 
 class Balancer:
-    """Decides for one node.
+    """Makes the decisions of one node.
 
     Parameters
     ----------
@@ -59,9 +59,9 @@
     Attributes
     ----------
     requests
-        Requests by id that have no final answer, or have attempts in flight.
+        Requests by id that have no final response yet, or have attempts in flight.
     servers
-        All servers that a list has named and that are not gone, by id.
+        All listed servers that are not gone, by id.
     """
 
     def __init__(self, settings: Settings, seed: int, now: int) -> None:
@@ -78,7 +78,7 @@
         self._handlers = _event_handlers(context)
 
     def handle(self, now: int, event: Event) -> list[Action]:
-        """Take one event at a time (ns), and return the actions that answer it, in order."""
+        """Handle an event that occurs at a time (ns), and return the resulting actions in order."""
         context = self._context
         context.now = now
         actions = context.actions = []
@@ -91,15 +91,15 @@
         return actions
 
     def avoids(self, server_id: ServerId) -> bool:
-        """Whether nothing new goes to a server that lists offer."""
+        """Whether a listed server gets no new attempts at present."""
         server = self.servers.get(server_id)
         return server is not None and server.speed_class is None
 
 
 def _event_handlers(context: DecisionContext) -> dict[type, Callable[[Any], None]]:
-    """Return what handles each event, by its type.
+    """Return the handlers of events by event type.
 
-    No part refers back to the balancer: one that is dropped leaves no reference cycle behind.
+    No component refers back to the balancer, so that a discarded balancer leaves no reference cycle behind.
     """
     attempts = AttemptTracker(context)
     answers = FinalAnswers(context)
--- a/hollybay/balancing/bench_wire.py
+++ b/hollybay/balancing/bench_wire.py
@@ -1,7 +1,7 @@
-"""Frames of the simulator's wire: binary, little-endian, fixed-size records and one shared tail.
+"""Frames of the simulator's wire protocol: binary, little-endian, fixed-size records and one shared tail.
 
 A batch is a header, event records and a tail; a reply is a header, action records and a tail. Records refer
-to text and lists by offset and length in the tail. Records have the names of the wire's specification.
+to text and lists by offset and length in the tail. Records are named as in the protocol's specification.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 E_RETIRE = struct.Struct("<xI")
 E_DIRECTORY = struct.Struct("<xHII")
 
-# Action codes, and the layout of each record, padded to the size of all.
+# Action codes, and the layout of each record, padded to ACTION_SIZE.
 (
     CLOSE,
     TURN_AWAY,
@@ -57,12 +57,12 @@
 A_KEEP_INFORMED = struct.Struct("<BIB26x")
 A_SUBMIT_TO = struct.Struct("<BIQ6sQ5x")
 
-# The largest size (bytes) of a batch; a larger one is garbage.
+# The largest valid size (bytes) of a batch; a larger one means that the header is corrupt.
 MAX_FRAME = 1 << 30
 
 
 class WireError(Exception):
-    """The input is not a frame of this wire."""
+    """The input is not a valid frame."""
 
 
 class Batch(NamedTuple):
@@ -71,13 +71,13 @@
     Attributes
     ----------
     number
-        Its number, which the reply repeats.
+        The number of the batch, which the reply repeats.
     now
         The time (ns).
     size
         The number of records.
     records, tail
-        The records, one after another, and the bytes that they refer to.
+        The concatenated records, and the bytes that they refer to.
     """
 
     number: int
@@ -101,7 +101,7 @@
     if len(head) < BATCH_HEAD.size:
         raise WireError(f"truncated header: {len(head)} of {BATCH_HEAD.size} bytes")
     number, count, size, now = BATCH_HEAD.unpack(head)
-    size -= 8  # the clock belongs to what the size counts
+    size -= 8  # the size in the header includes the 8 bytes of the time
     if size < count * EVENT_SIZE or size > MAX_FRAME:
         raise WireError(f"malformed header: {count} records cannot take {size} bytes")
     body = stream.read(size) if size else b""
@@ -112,12 +112,12 @@
 
 
 def tail_bytes(tail: bytes, offset: int, length: int) -> bytes:
-    """Return a part of the tail.
+    """Return a slice of the tail.
 
     Raises
     ------
     WireError
-        If it is not within the tail.
+        If the slice exceeds the tail.
     """
     if offset + length > len(tail):
         raise WireError(f"field outside the tail: {offset}+{length} of {len(tail)} bytes")
--- a/hollybay/balancing/connection_capacity.py
+++ b/hollybay/balancing/connection_capacity.py
@@ -1,33 +1,35 @@
-"""How many nodes may keep connections to one server, where a server accepts fewer than there are nodes."""
+"""The share of nodes that may keep connections to a server that accepts fewer than there are nodes."""
 
 from __future__ import annotations
 
 __all__ = ["DOUBLING_TIME_NS", "REFUSAL_FACTOR", "ConnectionCapacity"]
 
-# What one refused connect leaves of the share of nodes that may list a server as idle.
+# The factor by which a refused connection reduces the share of nodes that may list a server as idle.
 REFUSAL_FACTOR = 0.8
-# The time (ns) in which that share doubles again: long against the seconds for which connections are kept.
+# The time (ns) in which that share doubles again: long compared with the seconds for which idle connections
+# are kept.
 DOUBLING_TIME_NS = 30_000_000_000
-# The share never falls below this, so that it can recover.
+# The lower bound of the share; a share of 0 could not recover.
 MIN_SHARE = 1e-4
-# Load reports of peers are ignored where there are this many times as many nodes as configured.
+# Load reports of peers are ignored if the estimated number of nodes is this many times the configured one.
 MAX_UNCONFIGURED_RATIO = 1.5
 
 
 class ConnectionCapacity:
     """The share of all nodes that may have a server in their idle index, as estimated by this node.
 
-    Where nodes tell each other their load, an idle server is in the index of all of them, and soon all of
-    them hold a connection to the fastest: more than it accepts, and a newcomer is refused while the server
-    has time. Each refusal that this node meets reduces the share for all servers, as a node with one request
-    a second would need minutes to learn it for each. Which nodes belong to the share follows from a hash that
-    all nodes compute alike, so those that stay are those that hold connections. A server that is down also
-    refuses; the share is lower for a while then, which is harmless while it still covers many nodes.
+    Where nodes report their load to each other, an idle server is in the index of all nodes, and soon all of
+    them hold a connection to the fastest servers. A server that accepts fewer connections refuses further
+    nodes even while it is idle. Each refused connection of this node reduces the share for all servers,
+    because a node with one request a second would need minutes to learn a share for each server. The nodes
+    within the share are selected by a hash that all nodes compute alike, so the nodes that remain are nodes
+    that hold connections already. A server that is down refuses connections, too; the share is then lower for
+    a while, which is harmless as long as it still covers many nodes.
 
     Parameters
     ----------
     configured_nodes
-        The number of nodes in the settings: so many have a known address.
+        The number of nodes in the settings; only these have a known address.
     """
 
     __slots__ = ("configured_nodes", "share", "updated_at")
@@ -45,12 +47,12 @@
         now
             The time (ns).
         owners
-            The least number of nodes that list a server, used where nodes do not report to each other.
+            The minimum number of nodes that list a server, used where nodes do not report to each other.
         nodes
             The estimated number of nodes.
         reporting_peers
-            The number of peers whose load is known. Where there are far more nodes than configured, most have
-            no known address and report to nobody: a server that looks idle may not be.
+            The number of peers whose load is known. If there are far more nodes than configured, most nodes
+            have no known address and do not report to each other: a server that looks idle may be busy.
         """
         least = owners / nodes
         if reporting_peers and nodes < MAX_UNCONFIGURED_RATIO * self.configured_nodes:
@@ -58,7 +60,7 @@
         return least
 
     def record_refusal(self, now: int) -> None:
-        """Record a refused connect at a time (ns)."""
+        """Record a connection that was refused at a time (ns)."""
         self.share = max(MIN_SHARE, self._recovered_share(now) * REFUSAL_FACTOR)
 
     def _recovered_share(self, now: int) -> float:
--- a/hollybay/balancing/cross_zone.py
+++ b/hollybay/balancing/cross_zone.py
@@ -1,4 +1,4 @@
-"""Which requests go to another zone: a share that follows loads and answers, and single requests at once."""
+"""Which requests go to other zones: a controlled share of all, and single ones that avoid a local queue."""
 
 from __future__ import annotations
 
@@ -10,34 +10,36 @@
 
 __all__ = ["SPEED_CLASS_RATIO", "CrossZoneRouter", "expected_queue"]
 
-# Speeds within this ratio form one class, and loads within it are equal: less is noise of the estimates.
+# Speeds within this ratio form one class, and loads within it count as equal: smaller differences are noise
+# of the estimates.
 SPEED_CLASS_RATIO = 1.25
-# Traffic crosses zones where local lateness (response time / latency objective) exceeds both the least value
-# and the remote lateness by a margin.
+# Traffic crosses zones where local lateness (response time / latency objective) exceeds both this minimum and
+# the remote lateness plus a margin.
 MIN_LATENESS = 0.35
 LATENESS_MARGIN = 0.1
-# Gains of the controller of the share: integral (per review) and proportional.
+# Gains of the controller that sets the share: integral (per review) and proportional.
 INTEGRAL_GAIN = 0.1
 PROPORTIONAL_GAIN = 0.7
-# The least share of requests that stay local by the integral part alone.
+# The lower bound of the share of requests that the integral part keeps local.
 MIN_LOCAL_SHARE = 0.1
-# Lateness below this counts as this.
+# Lower values of lateness count as this value.
 MIN_MEASURED_LATENESS = 0.01
-# Remote lateness that is not observed approaches this share of the local one, by this weight per review.
+# Without observations, remote lateness approaches this share of local lateness, by this weight per review.
 REMOTE_LATENESS_PRIOR = 0.5
 REMOTE_LATENESS_WEIGHT = 0.1
-# A load (requests per core) of remote zones beyond which the price of crossing does not matter.
+# Load favours crossing only if 1 + the local load (requests per core) exceeds SPEED_CLASS_RATIO times that of
+# the remote zones, and BASE_LOAD plus LOAD_PER_PRICE times the price of crossing.
 BASE_LOAD = 2.0
 LOAD_PER_PRICE = 10.0
-# A single request crosses where that saves this part of the price in priority weight that would be late.
-# Below one, as a request that stays also delays those behind it.
+# A single request crosses zones if that saves at least this share of the price, in priority weight expected
+# to be late. It is below 1 because a request that stays also delays those queued behind it.
 MIN_SAVING_PER_PRICE = 0.5
-# The part of a load that a list reported which is likely still there: it is old, and queues are worked off.
+# The share of a reported load that probably remains: reports are old, and servers work off their queues.
 REPORTED_LOAD_REMAINING = 0.25
 
 
 def expected_queue(server: TrackedServer) -> float:
-    """Return the requests likely at a server: those known in flight, or what is left of the reported load."""
+    """Return the expected requests at a server: those in flight, or what remains of the reported load."""
     return max(float(server.in_flight), REPORTED_LOAD_REMAINING * server.reported_load)
 
 
@@ -47,18 +49,19 @@
     Parameters
     ----------
     settings
-        The node's settings; prices.cross_zone is the cost of a crossing in priority weight.
+        The node's settings; prices.cross_zone is the cost of crossing zones, in priority weight.
     estimates
-        What the node has learned from answers.
+        What the node has learned from responses.
     now
         The time (ns).
 
     Attributes
     ----------
     local_share
-        The share (0 to 1) of requests that need not cross, negative: not known yet.
+        The integral part of the controller: the share (0 to 1) of requests that stay in this zone, negative
+        while unknown.
     remote_share
-        The share (0 to 1) of requests that try remote zones first.
+        The share (0 to 1) of requests that are sent to remote zones first.
     local_load, remote_load
         Mean reported load (requests per core) of the servers.
     """
@@ -73,18 +76,18 @@
         self.remote_load = 0.0
 
     def initialize(self, local_size: float, total_size: float) -> None:
-        """Set the shares as if each zone had the same traffic, until loads are known.
+        """Set the initial shares, which assume that all zones have the same traffic.
 
         Parameters
         ----------
         local_size, total_size
-            The size of the servers in this node's zone, and of all.
+            The total size of the servers in this node's zone, and of all servers.
         """
         self.local_share = min(1.0, self.settings.zones * local_size / total_size)
         self.remote_share = 1.0 - self.local_share
 
     def update(self, now: int, stale: bool, any_remote: bool) -> None:
-        """Renew the share that crosses: at each review and each list.
+        """Update the share of requests that crosses zones; called at each review and each list.
 
         Parameters
         ----------
@@ -101,8 +104,8 @@
         error = self._error(stale)
         span = min(REVIEW_INTERVAL_NS, now - self.updated_at) / REVIEW_INTERVAL_NS
         self.updated_at = now
-        # Proportional and integral: the first responds to a queue that grows, the second holds what has to
-        # cross for long.
+        # A PI controller: the proportional part responds to a growing queue, the integral part holds a share
+        # that has to cross for long.
         integral = self.local_share * exp(-INTEGRAL_GAIN * span * error)
         self.local_share = min(1.0, max(MIN_LOCAL_SHARE, integral))
         prior = REMOTE_LATENESS_PRIOR * estimates.local_lateness
@@ -113,7 +116,7 @@
             self.remote_share = 0.0
 
     def _error(self, stale: bool) -> float:
-        """Return the control error, -1 to 1: above 0 where more should cross."""
+        """Return the control error (-1 to 1); it is positive if more requests should cross."""
         estimates = self.estimates
         price = self.settings.prices.cross_zone
         threshold = max(estimates.remote_lateness + LATENESS_MARGIN + price, MIN_LATENESS)
@@ -126,7 +129,7 @@
         return max(-1.0, min(1.0, error))
 
     def remote_first_share(self, attempts: list[TrackedAttempt]) -> float:
-        """Return the share (0 to 1) of requests that go remote first, by a request's attempts so far."""
+        """Return the share (0 to 1) of requests with these attempts that are sent to remote zones first."""
         if attempts:
             last = attempts[-1]
             if last.result == Result.NOT_DELIVERED and last.zone == self.settings.zone:
@@ -134,10 +137,11 @@
         return self.estimates.zone_reachability.remote_first_share(self.remote_share)
 
     def prefer(self, class_index: int, local: TrackedServer, remote: TrackedServer | None) -> TrackedServer:
-        """Return a remote server in place of a busy local one where that is worth the price of crossing.
+        """Return a remote server in place of a busy local one if that is worth the price of crossing.
 
-        The share that crosses follows answers, and lags seconds behind a queue of this node's own. What the
-        node itself has in flight it knows at once, and with it the probability of a late answer.
+        The share that crosses follows responses, so it lags seconds behind a queue that this node causes
+        itself. The node knows its own attempts in flight at once, and thereby the probability of a late
+        response.
         """
         if remote is None:
             return local
@@ -150,7 +154,7 @@
         return remote if saved > price else local
 
     def _late_probability(self, class_index: int, server: TrackedServer) -> float:
-        """Return how likely one more request there is late, were response times exponential."""
+        """Return the probability that one more request there is late, if response times are exponential."""
         service_time = self.estimates.service_times.by_class[class_index]
         mean = service_time * (1.0 + expected_queue(server)) / (server.size * server.slow_start_factor)
         return exp(-self.settings.classes[class_index].latency_objective / mean) if mean > 0.0 else 0.0
--- a/hollybay/balancing/decision_context.py
+++ b/hollybay/balancing/decision_context.py
@@ -1,4 +1,4 @@
-"""What one node knows and decides with, as its event handlers share it."""
+"""The state and the components of one node's decisions, which its event handlers share."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class DecisionContext:
-    """The parts of one node's decisions, and the event that is being handled.
+    """The components of one node's decisions, and the event being handled.
 
     Parameters
     ----------
@@ -35,11 +35,11 @@
     now
         The time (ns) of the event.
     actions
-        The actions that answer it so far, in order.
+        The actions that have resulted from the event so far, in order.
     requests
-        Requests by id that have no final answer, or have attempts in flight.
+        Requests by id that have no final response yet, or have attempts in flight.
     wakeups
-        What is due later.
+        Scheduled work: reviews, polls, hedges and waits for a server.
     """
 
     __slots__ = (
--- a/hollybay/balancing/discovery_polling.py
+++ b/hollybay/balancing/discovery_polling.py
@@ -1,4 +1,4 @@
-"""When a node polls discovery for the server list, where one service handles all nodes' polls in turn."""
+"""When a node polls discovery for the server list; one service handles the polls of all nodes in turn."""
 
 from __future__ import annotations
 
@@ -12,35 +12,38 @@
     "first_poll_delay",
 ]
 
-# The time (ns) that discovery is assumed to need for one poll. If too short, nodes that start at once queue
-# more polls than are answered in time; polls that time out are handled all the same, and each round of
-# repeats meets the work of the last one. If too long, nodes wait for news longer than they must.
+# The time (ns) that discovery is assumed to need for one poll. If this is too short, nodes that start at once
+# queue more polls than discovery answers in time; it handles polls that have timed out all the same, and each
+# round of retries is queued behind the previous one. If it is too long, nodes get changes later than
+# necessary.
 POLL_SERVICE_TIME_NS = 150_000_000
-# The first poll waits for at most this share of the longest allowed time without a poll.
+# The first poll is delayed by at most this share of the longest allowed time without a poll.
 MAX_FIRST_DELAY_SHARE = 0.7
-# A change must be known this long (ns) after discovery had it and was reachable, whatever polls failed.
+# A change must reach a node within this time (ns) after discovery has it and is reachable, whichever polls
+# have failed before.
 MAX_STALENESS_NS = 6_000_000_000
-# The time (ns) that a poll may wait for its answer.
+# The timeout (ns) of a poll.
 MAX_POLL_WAIT_NS = 2_200_000_000
-# The first backoff (ns) after a failure, before it grows to the node's turn among all.
+# The first value (ns) of the exponential backoff after failures. If one poll of every node takes longer, that
+# time is used instead.
 FIRST_BACKOFF_NS = 250_000_000
-# A poll that failed only after this time (ns) was probably queued, and is handled all the same.
+# A poll that fails after more than this time (ns) was probably queued, and discovery still handles it.
 QUEUED_FAILURE_NS = 1_500_000_000
-# The longest backoff (ns) after such polls: several in a row show that the queue is too long for all.
+# The longest backoff (ns) after such polls: several in a row show that the queue is too long for all nodes.
 MAX_BACKOFF_NS = 8_000_000_000
-# A backoff is drawn from this share of its span to the whole.
+# The lower bound of the random factor (up to 1) by which a backoff is multiplied.
 MIN_JITTER_SHARE = 0.75
 
 
 def first_poll_delay(rank: float, nodes: int, max_interval: int) -> int:
-    """Return how long (ns) a node that holds a cached list waits for its first poll: its turn among all.
+    """Return the delay (ns) of a node's first poll if it has a cached list: its turn among all nodes.
 
-    When all nodes start at once, as after a mass restart, none waits behind another.
+    If all nodes start at once, as after a mass restart, no poll is queued behind another.
 
     Parameters
     ----------
     rank
-        The node's rank among all, between 0 and 1 (`rendezvous_rank`).
+        The node's rank among all nodes, between 0 and 1 (`rendezvous_rank`).
     nodes
         The number of nodes.
     max_interval
@@ -53,25 +56,25 @@
 
 
 def doubled(span: int, times: int, longest: int) -> int:
-    """Return a span (ns, at least 1) doubled so many times, and at most the longest one (ns)."""
+    """Return a span (ns, at least 1) after a number of doublings, but at most the longest span (ns)."""
     if times >= longest.bit_length():
         return longest
     return min(span << times, longest)
 
 
 class PollSchedule:
-    """The polls of one node, and the delay of the next one after a failure.
+    """The polls of one node, and the delay of the next poll after a failure.
 
-    While discovery is away all nodes poll in vain, each in its own turn, and once it is back the next turn of
-    each brings the list. Turns are spaced by what discovery needs for one poll where that fits, and never
-    take longer than MAX_STALENESS_NS less the time that a poll may wait. Only where polls are queued until
-    they fail does the backoff grow beyond it: discovery cannot answer all nodes in that time then, and polls
-    that their nodes have given up would keep it from answering any.
+    While discovery is unreachable, the nodes keep polling, each in its own turn, so that each gets the list
+    at its first turn after discovery has recovered. Turns are spaced by the time that discovery needs for one
+    poll if that fits, and a round never takes longer than MAX_STALENESS_NS less the timeout of a poll. The
+    backoff exceeds this bound only where polls are queued until they time out: discovery cannot answer all
+    nodes in that time, and polls that have timed out would keep it from answering any node.
 
     Parameters
     ----------
     rank
-        The node's rank among all, between 0 and 1.
+        The node's rank among all nodes, between 0 and 1.
     nodes
         The number of nodes.
     max_interval
@@ -84,20 +87,20 @@
         self.rank = rank
         self.nodes = nodes
         self.max_interval = max_interval
-        self.poll_started_at = -1  # -1: answered, and a watch is open
-        self.failures = 0  # in a row
-        self.queued_failures = 0  # the last of them that failed only after a wait
+        self.poll_started_at = -1  # -1: no poll is running, a watch is open
+        self.failures = 0  # consecutive ones
+        self.queued_failures = 0  # the most recent consecutive ones that took QUEUED_FAILURE_NS or longer
 
     def first_delay(self) -> int:
-        """Return how long (ns) the first poll waits where a cached list is held."""
+        """Return the delay (ns) of the first poll if the node has a cached list."""
         return first_poll_delay(self.rank, self.nodes, self.max_interval)
 
     def poll_started(self, now: int) -> None:
-        """Record that a poll began at a time (ns)."""
+        """Record that a poll was started at a time (ns)."""
         self.poll_started_at = now
 
     def list_received(self) -> None:
-        """Record that a list has come."""
+        """Record that a list was received."""
         self.poll_started_at = -1
         self.failures = 0
         self.queued_failures = 0
@@ -119,7 +122,7 @@
         longest = max(FIRST_BACKOFF_NS, MAX_STALENESS_NS - MAX_POLL_WAIT_NS - elapsed)
         span = min(self.nodes * POLL_SERVICE_TIME_NS, longest)
         if watch_broke:
-            return int(self.rank * span)  # what broke one watch may have broken all of them
+            return int(self.rank * span)  # the watches of all nodes may have broken at once
         span = max(span, doubled(FIRST_BACKOFF_NS, self.failures - 1, longest))
         if self.queued_failures > 1:
             span = doubled(span, self.queued_failures - 1, MAX_BACKOFF_NS)
--- a/hollybay/balancing/endpoints.py
+++ b/hollybay/balancing/endpoints.py
@@ -1,4 +1,4 @@
-"""The servers as discovery lists them, and how old that news is."""
+"""The servers as discovery lists them, and the age of that list."""
 
 from __future__ import annotations
 
@@ -13,16 +13,18 @@
 
 __all__ = ["Endpoints"]
 
-# The weight of one gap between two lists in the usual one, and the longest gap (ns) that is counted.
+# The weight of one interval between two lists in the moving mean; longer ones than MAX_INTERVAL_NS count as
+# that.
 INTERVAL_WEIGHT = 0.2
 MAX_INTERVAL_NS = 2 * SECOND
-# A list is overdue after this many usual intervals; each further one leaves this share of reported loads.
+# A list is overdue after this many mean intervals; each further interval multiplies reported loads by
+# OVERDUE_DECAY.
 OVERDUE_INTERVALS = 2.0
 OVERDUE_DECAY = 0.5
 
 
 class Endpoints:
-    """All servers that a list has named and that are not gone.
+    """All servers that a list has named and that have not been removed since.
 
     Parameters
     ----------
@@ -34,13 +36,13 @@
     Attributes
     ----------
     servers
-        The servers by id. One that is gone stays until all attempts there have ended.
-    returned
-        Ids of servers that have come back from draining and have not been used since.
+        The servers by id. A server that is gone is kept until all attempts there have ended.
+    ready_after_drain
+        Ids of servers that have become ready after draining and have not been used since.
     list_interval
-        The usual time (ns) between two lists.
+        The mean time (ns) between two lists.
     stale
-        Whether the list is overdue by more than one usual interval.
+        Whether the list is overdue by more than one mean interval.
     size_of_kind
         The largest weight seen, by kind of machine, where weights follow load (WeightMode.LIVE).
     """
@@ -55,7 +57,7 @@
         self.size_of_kind = [0.0] * settings.kinds
 
     def apply(self, event: ServerList, now: int) -> None:
-        """Take in a list that came at a time (ns)."""
+        """Apply a list that was received at a time (ns)."""
         gap = min(now - self.listed_at, MAX_INTERVAL_NS)
         self.list_interval += INTERVAL_WEIGHT * (gap - self.list_interval)
         self.listed_at = now
@@ -80,7 +82,7 @@
         return server
 
     def _update(self, server: TrackedServer, entry: ServerEntry, now: int) -> None:
-        """Take over what a list says of a server."""
+        """Update a server from its list entry."""
         if entry.up_since and entry.up_since > server.up_since:
             self._restarted(server, entry.up_since, now)
         server.zone = entry.zone
@@ -100,7 +102,7 @@
             server.nominal_size = entry.weight
 
     def _restarted(self, server: TrackedServer, up_since: int, now: int) -> None:
-        """Forget what was known of a server's old process."""
+        """Reset what was learned about a server's previous process."""
         server.slowdown = 1.0
         server.failure_rate = 0.0
         server.ejected_until = 0
@@ -112,7 +114,7 @@
             server.slow_start_send_at = -1
 
     def remove_if_gone(self, server: TrackedServer) -> None:
-        """Forget a server that is gone, once no attempt refers to it any more."""
+        """Remove a server that is gone, unless attempts still refer to it."""
         if server.state == ServerState.GONE and not server.open_attempts and not server.in_flight:
             del self.servers[server.id]
 
@@ -121,9 +123,9 @@
             self.remove_if_gone(server)
 
     def update_freshness(self, now: int) -> float:
-        """Renew `stale`, and return the share (0 to 1) of reported loads that still counts.
+        """Update `stale`, and return the factor (0 to 1) by which reported loads are multiplied.
 
-        Loads fade once a list is overdue: while discovery is unreachable they would mislead for long.
+        Loads fade once a list is overdue: while discovery is unreachable they would be wrong for a long time.
         """
         overdue = max(0.0, now - self.listed_at - OVERDUE_INTERVALS * self.list_interval) / self.list_interval
         self.stale = overdue > 1.0
--- a/hollybay/balancing/estimates.py
+++ b/hollybay/balancing/estimates.py
@@ -1,4 +1,4 @@
-"""What one node learns from its own answers: lateness, lost work, service times and the speed of servers."""
+"""What one node learns from its own responses: lateness, lost work, service times and servers' speeds."""
 
 from __future__ import annotations
 
@@ -15,51 +15,52 @@
 
 __all__ = ["IDLE_MEAN_LOAD", "REVIEW_INTERVAL_NS", "Estimates", "answer_weight"]
 
-# The time (ns) between reviews, which renew estimates, send intervals and the selection tables: short against
-# troubles of seconds, long for the CPU.
+# The time (ns) between reviews, which update estimates, send intervals and the server pools: short compared
+# with disturbances that last seconds, long enough to cost little CPU time.
 REVIEW_INTERVAL_NS = SECOND // 2
-# With fewer outcomes than MIN_REVIEW_OUTCOMES between two reviews, earlier losses are no evidence of the
-# present and decay: else a share that leaves no request to learn from would be shed for ever.
+# With fewer outcomes than MIN_REVIEW_OUTCOMES between two reviews, earlier losses say little about the
+# present and decay by LOSS_DECAY. Otherwise shedding that leaves no request to learn from would never end.
 MIN_REVIEW_OUTCOMES = 8
 LOSS_DECAY = 0.8
-# The weight of one answer in the moving means of lateness: answers of this many seconds decide, within
-# bounds, as one answer is no evidence. Over a fixed number of answers, a node with few of them would learn of
-# congestion, and of its end, seconds late.
+# The weight of one response in the moving means of lateness: such that the means cover this many seconds,
+# within bounds because a single response is no evidence. With a mean over a fixed number of responses, a node
+# with few of them would detect congestion, and its end, seconds late.
 ANSWER_WINDOW_S = 0.5
 MIN_ANSWER_WEIGHT = 0.02
 MAX_ANSWER_WEIGHT = 0.1
-# The weight of one remote answer, as a multiple of that of a local one: there are fewer.
+# The weight of a remote response relative to a local one; remote responses are fewer.
 REMOTE_ANSWER_FACTOR = 2.5
-# A response time counts as at most this many times its latency objective: one straggler does not decide.
+# A response time counts as at most this many times its latency objective, so that no single straggler
+# decides.
 MAX_LATENESS = 2.0
-# The mean load of all servers from which answers hold a queue, where lists tell no load.
+# The mean load of all servers from which response times include queueing, where lists report no load.
 IDLE_MEAN_LOAD = 1.0
-# The weight of one answer in the mean response time of its class, in its server's slowdown, and in that of
-# the server's kind of machine.
+# The weight of one response in the mean response time of its class, in its server's slowdown, and in the
+# slowdown of the server's kind of machine.
 RESPONSE_TIME_WEIGHT = 0.01
 SLOWDOWN_WEIGHT = 0.15
 KIND_SLOWDOWN_WEIGHT = 0.005
 # The largest slowdown of a server, and the factor by which a rejection raises it.
 MAX_SLOWDOWN = 8.0
 REJECTION_SLOWDOWN = 1.3
-# The weight of one review in the request rate.
+# The weight of one review in the moving request rate.
 REQUEST_RATE_WEIGHT = 0.5
-# Failed connects in a row after which a server that answers is taken for restarted.
+# After this many consecutive failed connects, a server that responds again counts as restarted.
 RESTART_CONNECT_FAILURES = 2
-# Results that tell nothing of the server.
+# Results without information about the server.
 UNINFORMATIVE_RESULTS = frozenset({Result.CANCELLED, Result.NOT_SENT})
-# Results that tell nothing of load: a connection that broke would not be mended by shedding.
+# Results without information about load: shedding does not help against broken connections.
 CONNECTION_RESULTS = frozenset({Result.RESET, Result.NOT_DELIVERED})
 
 
 def answer_weight(request_rate: float) -> float:
-    """Return the weight (0 to 1) of one answer in moving means, for a node with so many requests a second."""
+    """Return the weight (0 to 1) of one response in moving means, for a node's request rate (per second)."""
     weight = 1.0 / (ANSWER_WINDOW_S * max(request_rate, 1.0))
     return max(MIN_ANSWER_WEIGHT, min(MAX_ANSWER_WEIGHT, weight))
 
 
 class Estimates:
-    """Moving means over a node's own requests and answers, read by the modules that decide.
+    """Moving means over a node's own requests and responses, for the modules that make decisions.
 
     Parameters
     ----------
@@ -85,30 +86,30 @@
         self.reviewed_at = now
         self.arrivals = 0  # since the last review
         self.request_rate = 0.0  # per second, smoothed
-        self.answer_weight = answer_weight(0.0)  # of one answer in lateness and loss
-        self.offered = [0.0] * classes  # requests that came lately, by class, decaying
-        self.completed = [0.0] * classes  # those that were answered
+        self.answer_weight = answer_weight(0.0)  # of one response in lateness and loss
+        self.offered = [0.0] * classes  # decaying count of requests, by class
+        self.completed = [0.0] * classes  # decaying count of successful responses, by class
 
         # Lateness (response time / latency objective), and priority weight lost to load
         self.local_lateness = 0.0
         self.remote_lateness = 0.0
         self.lost_weight = 0.0  # mean priority weight per attempt that was late or failed
         self.offered_weight = 0.0  # mean priority weight per attempt
-        self.loss_share = 0.0  # the first as a share of the second
-        self.load_outcomes = 0  # since the last review, those that tell of load
+        self.loss_share = 0.0  # lost_weight / offered_weight
+        self.load_outcomes = 0  # results with information about load since the last review
 
-        # Response times (ns) x size / cost hint by class, and how servers compare
+        # Mean response times (ns, times server size / cost hint) by class, and slowdowns relative to them
         self.response_times = [0.0] * classes
-        self.mean_slowdown = 1.0  # mean of response times relative to their class's mean
-        self.slowdown_by_kind = [1.0] * settings.kinds  # of machine, relative to the listed size
+        self.mean_slowdown = 1.0  # mean of response times relative to the mean of their class
+        self.slowdown_by_kind = [1.0] * settings.kinds  # by kind of machine, relative to the listed size
 
         self.service_times = ServiceTimes(classes, self.longest_objective)
-        self.mean_server_load = 0.0  # by this node's attempts in flight, where lists tell no load
+        self.mean_server_load = 0.0  # from this node's attempts in flight, where lists report no load
 
     # Periodic updates
 
     def review(self, now: int) -> bool:
-        """Renew the request rate, and decay losses where outcomes are few; False if no time has passed."""
+        """Update the request rate, and decay losses if outcomes are few; False if no time has passed."""
         span = now - self.reviewed_at
         if span <= 0:
             return False
@@ -134,7 +135,7 @@
     def observe(
         self, server: TrackedServer, request: TrackedRequest, event: AttemptFinished, now: int, stale: bool
     ) -> bool:
-        """Take in how an attempt ended.
+        """Update the estimates from an attempt that has ended.
 
         Parameters
         ----------
@@ -152,7 +153,7 @@
         Returns
         -------
         bool
-            Whether the server is ejected now.
+            Whether the server has to be ejected.
         """
         result = event.result
         if result in UNINFORMATIVE_RESULTS:
@@ -182,16 +183,16 @@
             self.zone_reachability.observe_connect(local, True, self.answer_weight)
             server.consecutive_connect_failures += 1
             self.connection_capacity.record_refusal(now)
-        elif result != Result.TIMEOUT:  # which on an old connection tells nothing of new ones
+        elif result != Result.TIMEOUT:  # a timeout on an open connection says nothing about new connections
             self.zone_reachability.observe_connect(local, False, self.answer_weight)
             if server.consecutive_connect_failures >= RESTART_CONNECT_FAILURES:
-                # It was away and is back: a new process, which no list has named yet.
+                # It was down and is up again: a new process that no list has announced yet.
                 server.up_since = max(server.up_since, now)
                 server.slow_start_send_at = -1
             server.consecutive_connect_failures = 0
 
     def _observe_load(self, class_index: int, event: AttemptFinished, local: bool) -> None:
-        """Record the priority weight lost to load, and how late answers are."""
+        """Record the priority weight lost to load, and the lateness of responses."""
         result = event.result
         cls = self.settings.classes[class_index]
         lateness = event.rtt / cls.latency_objective
@@ -215,7 +216,7 @@
     def _observe_success(
         self, server: TrackedServer, request: TrackedRequest, event: AttemptFinished, now: int, stale: bool
     ) -> None:
-        """Learn from a full answer: the server is healthy, and has this speed."""
+        """Update health, service time and speed from a complete response."""
         index = request.class_index
         self.outlier_ejector.observe_success(server, now)
         self.completed[index] += 1.0
@@ -230,7 +231,8 @@
         self.response_times[index] = mean + RESPONSE_TIME_WEIGHT * (sample - mean)
         slowdown = min(sample / mean, MAX_SLOWDOWN)
         server.slowdown += SLOWDOWN_WEIGHT * (slowdown - server.slowdown)
-        # A kind of machine has answers enough to correct the listed size; those that queued say nothing.
+        # A kind of machine has enough responses to correct its listed size, but not from response times that
+        # include queueing.
         if not servers_busy:
             relative = slowdown / self.mean_slowdown
             self.slowdown_by_kind[server.kind] *= 1.0 + KIND_SLOWDOWN_WEIGHT * (relative - 1.0)
@@ -239,11 +241,11 @@
     def _observe_failure(
         self, server: TrackedServer, request: TrackedRequest, event: AttemptFinished, now: int
     ) -> bool:
-        """Learn from an attempt that failed; True where its server is ejected now."""
+        """Update the estimates from a failed attempt; True if its server has to be ejected."""
         result = event.result
         if result != Result.TIMEOUT and result != Result.NOT_DELIVERED:
             server.last_answer_at = now
-        # A failing server has few attempts in flight, and must not look idle for it.
+        # A server that fails fast has few attempts in flight, and must not look idle because of that.
         server.idle_from = max(server.idle_from, now + REVIEW_INTERVAL_NS)
         if result == Result.REJECTED:
             server.slowdown = min(MAX_SLOWDOWN, REJECTION_SLOWDOWN * server.slowdown)
@@ -253,7 +255,7 @@
         return self.outlier_ejector.observe_failure(server, request.attempts[event.attempt], result, now)
 
     def _observe_timeout(self, server: TrackedServer, request: TrackedRequest, rtt: int) -> None:
-        """Learn a server's slowdown from an attempt that was given up after a time (ns)."""
+        """Update a server's slowdown from an attempt that timed out after a time (ns)."""
         mean = self.response_times[request.class_index]
         if mean > 0.0:
             relative = rtt * server.size / (request.cost or 1) / mean
--- a/hollybay/balancing/event_loop_delay.py
+++ b/hollybay/balancing/event_loop_delay.py
@@ -1,27 +1,29 @@
-"""How late this node itself reads requests, and the share of requests that it rejects for that.
+"""The delay with which this node reads requests, and the share of requests that it rejects because of it.
 
-It guards against whatever makes the node late: more requests than its CPU can serve, clients that keep
-opening connections, a shared or slow machine, a paused process. Only early rejection is cheap: what is served
-late is lost all the same, and its client asks again. It misleads if requests are read late for another reason
-(one held behind another on its connection must not count as queued), or if rejecting costs as much.
+This guards against anything that delays the node: more requests than its CPU can serve, clients that keep
+opening connections, a shared or slow machine, a paused process. Rejections are cheap only if they are early:
+a request served too late is lost all the same, and its client retries. The measure is wrong if requests are
+read late for another reason (a request queued behind another one on its connection must not count), and it
+does not help if a rejection costs as much as a response.
 """
 
 from __future__ import annotations
 
 __all__ = ["WINDOW_NS", "EventLoopDelay"]
 
-# A node is short of time where it reads requests later than this share of the shortest latency objective.
+# A node is late if it reads requests with a delay above this share of the shortest latency objective.
 LIMIT_SHARE = 0.1
-# The window (ns) over which that is judged, and the weight of one window: a single pause rejects little.
+# The window (ns) over which the delay is averaged, and the weight of one window in the share that is
+# rejected: a single pause causes few rejections.
 WINDOW_NS = 100_000_000
 WINDOW_WEIGHT = 0.4
-# The share that is rejected per unit of lateness (delay / limit - 1), and the largest share. It follows the
-# present delay: a share that had to be wound down would reject on after the cause has gone.
+# The share that is rejected per unit of lateness (delay / limit - 1), and the largest share. The share is
+# proportional to the present delay: an integrated share would go on rejecting after the cause has gone.
 SHED_PER_LATENESS = 0.25
 MAX_SHED_SHARE = 0.9
-# A smaller share is taken for 0.
+# A smaller share counts as 0.
 MIN_SHED_SHARE = 0.01
-# The most windows without a request for which a share decays.
+# The largest number of windows without a request for which the share decays.
 MAX_IDLE_WINDOWS = 50.0
 
 
@@ -53,7 +55,7 @@
         self.window_requests = 0
 
     def observe(self, delay: int, now: int) -> bool:
-        """Record a request that was read late by a delay (ns); True where `shed_share` has been renewed."""
+        """Record the delay (ns) with which a request was read; True if `shed_share` was updated."""
         self.window_delay += delay
         self.window_requests += 1
         span = now - self.window_start
@@ -61,7 +63,7 @@
             return False
         lateness = self.window_delay / self.window_requests / self.limit - 1.0
         share = max(0.0, min(MAX_SHED_SHARE, SHED_PER_LATENESS * lateness))
-        # Windows without requests saw no delay: what was seen before them is as old as they are long.
+        # Windows without requests count as windows without a delay: the share decays for each of them.
         self.shed_share *= (1.0 - WINDOW_WEIGHT) ** min(MAX_IDLE_WINDOWS, span / WINDOW_NS - 1.0)
         self.shed_share += WINDOW_WEIGHT * (share - self.shed_share)
         if self.shed_share < MIN_SHED_SHARE:
--- a/hollybay/balancing/events.py
+++ b/hollybay/balancing/events.py
@@ -1,4 +1,4 @@
-"""The events that the decision module takes in.
+"""The events that the decision module handles.
 
 Times and durations are integer nanoseconds on the caller's monotonic clock.
 """
@@ -10,7 +10,7 @@
 
 from .settings import DeduplicationScope, ListKind, Report, Result, Server, ServerId
 
-# Those of each request are not frozen, as that doubles the cost of making one.
+# Events that occur for each request are not frozen: frozen dataclasses cost twice as much to create.
 
 
 @dataclass(frozen=True, slots=True)
@@ -20,11 +20,11 @@
     Attributes
     ----------
     kind
-        What the list holds.
+        What the list contains.
     servers
-        Its entries; none where it failed.
+        Its entries; none for a failed poll.
     version
-        The list's number at discovery, 0: none. Not used in decisions.
+        The version of the list at discovery, 0: none. Not used in decisions.
     """
 
     kind: ListKind
@@ -39,17 +39,18 @@
     Attributes
     ----------
     attempts, attempt_timeout
-        The most attempts, and the timeout of each; 0: not set.
+        The largest number of attempts, and the timeout of each; 0: not set.
     hedges
-        The number of hedges, -1: not set. A request is hedged if this or the delay is set.
+        The number of hedges, -1: not set. A request is hedged if this or `hedge_delay` is set.
     hedge_delay
         The time after which a request is hedged, 0: not set.
     retry_window, retry_scope
         How long after the first attempt, and where, a keyed request may be retried; 0 and None: not set.
     retry_share, budget
-        Retries and hedges as a share of the requests with the same budget; negative: no limit.
+        Retries and hedges as a share of the requests with the same budget, and the name of that budget; a
+        negative share: no limit.
     retry_after
-        Bounds between which the Retry-After of a rejection is drawn; (0, 0): as the settings say.
+        Bounds between which the Retry-After of a rejection is drawn; (0, 0): as in the settings.
     """
 
     attempts: int = 0
@@ -65,30 +66,30 @@
 
 @dataclass(slots=True)
 class Request:
-    """A client's request, which must get one final answer.
+    """A client's request, which must get exactly one final response.
 
     Attributes
     ----------
     id, class_index, tenant
         Its number, class and tenant.
     time_left
-        The time (ns) in which it must be answered.
+        The time (ns) until its deadline.
     key
         A hash of its session key, 0: none. Not used in decisions.
     cost
         Its work relative to others of its class, 0: not known.
     is_retry
-        Whether its client asks again. Not used in decisions.
+        Whether it is a retry by its client. Not used in decisions.
     queued_time
-        How long (ns) it was queued before the node read it: how late the node itself is.
+        How long (ns) it was queued before the node read it: the delay of the node itself.
     limits
         What its route allows; None: what its class and the settings allow.
     free_slot_share
         The free share (0 to 1) of the node's slots for pending requests.
     body_pending
-        Whether its body is still on its way; a server begins with the last byte (RequestCompleted).
+        Whether its body is still being received; a server starts work with the last byte (RequestCompleted).
     limited_before
-        Requests that limits have turned away since the one before, which the balancer has not seen.
+        The number of requests rejected by limits since the previous request; the balancer has not seen them.
     """
 
     id: int
@@ -107,21 +108,21 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestCompleted:
-    """The last byte of a request (its id) has come whose body was pending."""
+    """The last byte of a request (its id) whose body was pending has been received."""
 
     id: int
 
 
 @dataclass(frozen=True, slots=True)
 class ResponseStarted:
-    """A streamed response has begun on this attempt; its deadline no longer applies.
+    """The streamed response to an attempt has started; its deadline no longer applies.
 
     Attributes
     ----------
     id, attempt, server
         The request, the attempt's number, and its server.
     rtt
-        Time (ns) since it was sent.
+        Time (ns) since the attempt was sent.
     """
 
     id: int
@@ -141,11 +142,11 @@
     result
         How it ended.
     rtt
-        Time (ns) since it was sent.
+        Time (ns) since the attempt was sent.
     final
-        Whether the request has its answer.
+        Whether the request has its final response.
     report
-        The server's load report, as Settings.report_fields names its values.
+        The server's load report; Settings.report_fields names its values.
     """
 
     id: int
@@ -159,14 +160,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientDisconnected:
-    """The client of a request (its id) has left; the request needs no answer."""
+    """The client of a request (its id) has disconnected; no response is needed."""
 
     id: int
 
 
 @dataclass(slots=True)
 class TimerFired:
-    """A timer set earlier is due; the token is that of its SetTimer."""
+    """A timer has fired; the token is that of its SetTimer action."""
 
     token: int
 
@@ -180,9 +181,9 @@
     server, result
         The server, and how the probe ended.
     rtt
-        Time (ns) since it was sent.
+        Time (ns) since the probe was sent.
     report
-        The server's load report, as Settings.report_fields names its values.
+        The server's load report; Settings.report_fields names its values.
     """
 
     server: ServerId
@@ -201,14 +202,14 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerLoad:
-    """Attempts of all other nodes in flight at servers, where nodes report to each other.
+    """Attempts of all other nodes in flight, where nodes report their load to each other.
 
     Attributes
     ----------
     in_flight
-        By server; those not named are as they were.
+        The attempts in flight by server; servers that are not named are unchanged.
     nodes
-        The number of other nodes that report now, 0: none.
+        The number of other nodes that report at present, 0: none.
     """
 
     in_flight: Mapping[ServerId, int]
--- a/hollybay/balancing/final_answers.py
+++ b/hollybay/balancing/final_answers.py
@@ -1,4 +1,4 @@
-"""How a request ends: its final answer, and the cancelling of its attempts that are still in flight."""
+"""The end of a request: its final response, and the cancellation of attempts that are still in flight."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 
 
 class FinalAnswers:
-    """Ends requests, each once.
+    """Ends requests, each exactly once.
 
     Parameters
     ----------
     context
-        The node's state and parts, and the event that is being handled.
+        The node's state and components, and the event being handled.
     """
 
     def __init__(self, context: DecisionContext) -> None:
@@ -26,11 +26,11 @@
         self.load_shedder = context.load_shedder
 
     def reject(self, request: TrackedRequest) -> None:
-        """Reject a request for overload."""
+        """Reject a request because of overload."""
         self.finish(request, Reject(request.id, self.load_shedder.retry_after(request)))
 
     def give_up(self, request: TrackedRequest) -> None:
-        """Give the final answer of a request that gets no further attempt."""
+        """End a request that gets no further attempt: reject it if a client may retry it, else fail it."""
         if not is_client_retry_harmless(self.settings.classes[request.class_index], request.attempts):
             self.finish(request, Fail(request.id))
         elif self.load_shedder.is_overloaded:
@@ -39,7 +39,7 @@
             self.finish(request, Reject(request.id, 0))
 
     def finish(self, request: TrackedRequest, action: Action | None) -> None:
-        """End a request with an action, or with None where the client has its answer or has left."""
+        """End a request with an action; None if its client has the response or has disconnected."""
         request.phase = FINISHED
         actions = self.context.actions
         if action is not None:
@@ -52,7 +52,7 @@
                     actions.append(Cancel(request.id, number))
 
     def on_client_disconnected(self, event: ClientDisconnected) -> None:
-        """End a request that has no client any more."""
+        """End a request whose client has disconnected."""
         request = self.requests.get(event.id)
         if request is not None and request.phase is not FINISHED:
             self.finish(request, None)
--- a/hollybay/balancing/further_attempts.py
+++ b/hollybay/balancing/further_attempts.py
@@ -1,4 +1,4 @@
-"""What follows an attempt that has ended, is slow or found no server: another one, a wait, or the end."""
+"""Retries, hedges and waits: what follows an attempt that has failed or is slow, or finding no server."""
 
 from __future__ import annotations
 
@@ -14,22 +14,23 @@
 
 __all__ = ["FurtherAttempts"]
 
-# A request without a server is tried again after this many ticks of the clock, and at least this time (ns).
+# A request without a server waits for this many ticks of the clock, and at least this time (ns), before the
+# next selection.
 SERVER_WAIT_TICKS = 4
 MIN_SERVER_WAIT_NS = 20 * MS
-# It is given up where less than this many such waits are left.
+# Its wait ends if no more time than this many such intervals is left before its deadline.
 MIN_WAITS_LEFT = 2
 # A retry needs more than this many ticks before the deadline.
 MIN_RETRY_TICKS = 2
 
 
 class FurtherAttempts:
-    """Decides whether a request gets a retry, a hedge or a wait for a server.
+    """Decides whether a request gets a retry or a hedge, waits for a server, or ends.
 
     Parameters
     ----------
     context
-        The node's state and parts, and the event that is being handled.
+        The node's state and components, and the event being handled.
     attempts
         Sends attempts.
     answers
@@ -50,7 +51,7 @@
         self.server_wait = max(SERVER_WAIT_TICKS * context.settings.tick, MIN_SERVER_WAIT_NS)  # ns
 
     def on_attempt_finished(self, event: AttemptFinished) -> None:
-        """Record a result, and end the request, retry it or leave it to its other attempts."""
+        """Record an attempt's result, and end the request, retry it or wait for its other attempts."""
         request = self.requests.get(event.id)
         if request is None or event.attempt >= len(request.attempts):
             return
@@ -67,7 +68,7 @@
             self._retry(request)
 
     def on_wakeup(self, kind: WakeupKind, request_id: int) -> None:
-        """Hedge a request, or try again to find a server for it."""
+        """Hedge a request, or select a server again for a request that waits for one."""
         request = self.requests.get(request_id)
         if request is None or request.phase is FINISHED:
             return
@@ -80,7 +81,7 @@
             self._retry(request)
 
     def wait(self, request: TrackedRequest) -> None:
-        """Hold a request for which no server may be used, while there is time, or give it up."""
+        """Let a request wait for a usable server, or end it if too little time is left."""
         request.phase = RequestPhase.WAITING
         now = self.context.now
         if request.deadline - now <= MIN_WAITS_LEFT * self.server_wait:
@@ -89,7 +90,7 @@
         self.wakeups.schedule(now + self.server_wait, WakeupKind.SERVER_WAIT, request.id)
 
     def _retry(self, request: TrackedRequest) -> None:
-        """Send a request with no attempt in flight again where that is safe and allowed, or give it up."""
+        """Start another attempt of a request with none in flight if that is safe and allowed, or end it."""
         scope = self.retry_policy.scope_of(request, self.context.now, self.settings.hedging_allowed)
         if scope is None or not self._may_retry(request):
             self.answers.give_up(request)
@@ -109,14 +110,14 @@
         self.attempts.send(request, server)
 
     def _may_retry(self, request: TrackedRequest) -> bool:
-        """Whether there is time for a further attempt, and a retry left where it is one."""
+        """Whether there is time for another attempt and, if it is a retry, whether retries are left."""
         if request.deadline - self.context.now <= MIN_RETRY_TICKS * self.settings.tick:
             return False
         if not request.attempts:
             return True
         if self.retry_policy.retry_tokens < 1.0:
             return False
-        # While load is shed all servers are full: retries would only feed the congestion.
+        # While load is shed all servers are busy: retries would only add to the congestion.
         if self.load_shedder.shed_share <= SHEDDING_LOSS_SHARE:
             return True
         return not is_client_retry_harmless(self.settings.classes[request.class_index], request.attempts)
--- a/hollybay/balancing/hedging.py
+++ b/hollybay/balancing/hedging.py
@@ -1,6 +1,6 @@
-"""Hedging: a second attempt of a request whose first one takes long, where its route asks for it.
+"""Hedging: a second attempt of a request whose first one takes long, if its route asks for hedges.
 
-Hedges are not sent unasked: docs/DESIGN-decisions.md.
+Without such a route no hedge is sent; the reasons are in docs/DESIGN-decisions.md.
 """
 
 from __future__ import annotations
@@ -13,10 +13,10 @@
 
 __all__ = ["Hedging"]
 
-# No hedges while attempts lose more than this share of their priority weight: where answers are slow
-# everywhere there is overload, which hedges would feed.
+# No hedges are sent while attempts lose more than this share of their priority weight: if responses are slow
+# everywhere there is an overload, to which hedges would add.
 MAX_LOSS_SHARE = 0.1
-# Without a delay of the route a request is hedged after its latency objective divided by this.
+# If the route sets no delay, a request is hedged after its latency objective divided by this.
 OBJECTIVE_DIVISOR = 2
 
 
@@ -28,9 +28,9 @@
     settings
         The node's settings; hedging_allowed must be set for any hedge.
     estimates
-        What the node has learned from answers.
+        What the node has learned from responses.
     retry_policy
-        The guard and the budgets of further attempts.
+        Decides which further attempts are safe, and keeps their budgets.
     selector
         Picks servers.
     """
@@ -44,7 +44,7 @@
         self.selector = selector
 
     def delay(self, limits: Limits | None, cls: RequestClass) -> int | None:
-        """Return the time (ns) after which a request of a class is to be hedged; None for never."""
+        """Return the time (ns) after which a request of a class is hedged; None if it is not hedged."""
         if limits is None or limits.hedges == 0:
             return None
         if limits.hedges < 0 and not limits.hedge_delay:
@@ -64,7 +64,7 @@
             return None
         last = request.attempts[-1]
         if last.server.last_answer_at > last.sent_at:
-            # The server has answered another attempt since: it responds, and only this one takes long.
+            # The server has responded to another attempt since: only this attempt takes long.
             return None
         scope = policy.scope_of(request, now, hedging_allowed=True)
         if scope is None:
--- a/hollybay/balancing/interface.py
+++ b/hollybay/balancing/interface.py
@@ -1,7 +1,7 @@
 """The interface of the decision module: settings, events (in) and actions (out).
 
 Times and durations are integer nanoseconds on the caller's monotonic clock. Server ids are any hashable
-values and are handed back unaltered. Request classes, tenants, zones and machine kinds are numbers from 0.
+values and are returned unchanged. Request classes, tenants, zones and machine kinds are numbered from 0.
 """
 
 from __future__ import annotations
--- a/hollybay/balancing/load_shedding.py
+++ b/hollybay/balancing/load_shedding.py
@@ -1,7 +1,7 @@
-"""Which requests are rejected at once, lowest priority first: for the servers' load, and for the node's own.
+"""Load shedding: which requests are rejected on arrival, lowest priority first.
 
-Three causes: attempts lose priority weight (a share of all work is shed), queues keep better classes waiting
-(queue limits), and the node itself is short of time or of request slots.
+There are three causes: attempts lose priority weight (a share of all work is shed), queues would delay
+classes of higher priority (queue limits), and the node itself is late or short of request slots.
 """
 
 from __future__ import annotations
@@ -20,71 +20,77 @@
 
 __all__ = ["SHEDDING_LOSS_SHARE", "LoadShedder", "RejectionCause"]
 
-# Shedding starts when attempts lose this share of their priority weight, being late or rejected.
+# Shedding starts when attempts lose more than this share of their priority weight by being late, rejected or
+# failing.
 SHEDDING_LOSS_SHARE = 0.15
 MAX_SHED_SHARE = 0.98
-# The weight of one review in the share that is shed, and what a review without losses leaves of it.
+# The weight of one review in the share that is shed, and the factor applied by a review without losses.
 SHED_WEIGHT = 0.7
 SHED_DECAY = 0.7
-# A smaller share is taken for 0.
+# A smaller share counts as 0.
 MIN_SHED_SHARE = 0.01
-# Admitted work is below what servers finish by this much per unit of loss share, so that queues shrink; the
-# unit is bounded by the second value.
+# Admitted work is kept below the work that servers finish, so that queues shrink: by DRAIN_PER_LOSS per unit
+# of loss share above SHEDDING_LOSS_SHARE, which counts as at most MAX_DRAIN.
 DRAIN_PER_LOSS = 1.0
 MAX_DRAIN = 0.5
-# The share is bounded by the queueing delay: this much for each shortest objective that an attempt takes
-# beyond SHEDDING_DELAY_SHARE of it. A larger share falls by SHED_RELEASE_FACTOR at each review.
+# The upper bound of the share follows the queueing delay, in units of the shortest latency objective:
+# SHED_PER_OBJECTIVE per unit beyond SHEDDING_DELAY_SHARE. A share above the bound falls to it, but not below
+# SHED_RELEASE_FACTOR times its value in one review.
 SHED_PER_OBJECTIVE = 0.5
 SHEDDING_DELAY_SHARE = 0.5
 SHED_RELEASE_FACTOR = 0.6
-# What a review leaves of the request counts by class.
+# The factor by which each review reduces the request counts by class.
 COUNT_DECAY = 0.7
-# The queue limit of the lowest class, as a share of the shortest objective of those above it, and the factor
-# from one class to the next; the highest has none.
+# The queue limit of the class with the lowest priority, as a share of the shortest latency objective of the
+# classes above it, and the factor from one class to the next; the class with the highest priority has no
+# limit.
 #
-# It guards against congestion while it builds up: losses tell of it a second later, when each server has a
-# queue that makes the shortest objective late for all. Servers lost, drained or starting count as the missing
-# capacity that they are. It misleads where queues are worked off much faster than idle servers showed.
+# Queue limits guard against congestion while it builds up. Losses show it only a second later, when every
+# server has a queue that makes requests with the shortest objective late. Because the limits apply to the
+# queue of the selected server, the capacity of servers that are lost, drained or starting is accounted for.
+# The limits are too strict where queues are worked off much faster than the service times of idle servers
+# suggest.
 QUEUE_LIMIT_SHARE = 1.0
 QUEUE_LIMIT_STEP = 4.0
-# Below this free share of the node's request slots the lowest class is rejected, the others the later the
-# higher their priority weight. A slot is a client's connection: where all are taken nobody is heard any more,
-# and while a new version takes over the two processes share them. It misleads where long waits are usual.
+# Below this free share of the node's request slots the class with the lowest priority weight is rejected; the
+# threshold decreases with the priority weight. A slot is a client's connection: if all are taken, no request
+# can be read any more, and during a handover to a new version both processes share them. The threshold is too
+# strict where requests usually wait long.
 FREE_SLOT_THRESHOLD = 0.25
-# A request that was read late is rejected where it has less than this share of the time that an answer takes.
+# A request that was read late is rejected if less than this share of its expected response time is left.
 MIN_TIME_LEFT_SHARE = 0.5
-# The priority weight of requests beyond a limit.
+# The priority weight of requests that limits reject.
 LIMITED_WEIGHT = 0.0
 
 
 class RejectionCause(Enum):
-    """Why a request is rejected at once."""
+    """Why a request is rejected on arrival."""
 
     NODE_LATE = "node_late"
-    """The node reads requests late, and sheds a share of them."""
+    """The node reads requests late and sheds a share of them."""
 
     LITTLE_TIME = "little_time"
-    """It was read late, with too little time left for an answer."""
+    """The request was read late, with too little time left for a response."""
 
     FEW_SLOTS = "few_slots"
     """The node has few slots for pending requests left."""
 
     LOAD_SHED = "load_shed"
-    """Attempts lose priority weight, or take long: a share of all work is shed."""
+    """Attempts lose priority weight or take long: a share of all work is shed."""
 
     QUEUE_LIMIT = "queue_limit"
-    """It would keep requests of higher priority waiting."""
+    """The request would delay requests of higher priority."""
 
 
 class LoadShedder:
-    """The shares of requests that are rejected, by class.
+    """Decides which requests are rejected, by shares and limits for each class.
 
     Parameters
     ----------
     settings
         The node's settings.
     estimates
-        What the node has learned from answers.
+        What the node has learned from responses.
     random
         The node's source of random numbers.
     now
@@ -93,13 +99,14 @@
     Attributes
     ----------
     shed_share, shed_by_class
-        The share (0 to 1) of all work, and of each class's requests, that is rejected for the servers' load.
+        The share (0 to 1) of all work, and of each class's requests, that is rejected because of the servers'
+        load.
     queue_limits
-        How much work (ns) may be queued ahead of a request, by class.
+        The largest queue (ns of work) ahead of a request, by class.
     min_free_slots
         The free share (0 to 1) of request slots below which a class is rejected.
     limited
-        A decaying count of requests that limits have turned away, as those of each class are counted.
+        Decaying count of requests that limits have rejected, comparable with `Estimates.offered`.
     rejections
         Requests rejected since the start, by cause.
     """
@@ -127,15 +134,15 @@
 
     @property
     def is_overloaded(self) -> bool:
-        """Whether a client that comes back at once would be rejected for the same cause."""
+        """Whether load is being shed, so that a client that retries at once would be rejected, too."""
         return self.shed_share > 0.0 or self.event_loop_delay.shed_share > 0.0
 
     # Periodic updates
 
     def update(self, now: int) -> None:
-        """Renew the share that is shed for the servers' load; once per review."""
+        """Update the share that is shed because of the servers' load; called at each review."""
         estimates = self.estimates
-        # While answers are late servers always have work: what they finish is what they can do.
+        # While responses are late, servers always have work: what they finish is their capacity.
         work = _products(estimates.offered, estimates.response_times)
         offered = sum(work)
         completed = sum(_products(estimates.completed, estimates.response_times))
@@ -145,7 +152,7 @@
             self.shed_share += SHED_WEIGHT * (target - self.shed_share)
         else:
             self.shed_share = SHED_DECAY * self.shed_share if self.shed_share > MIN_SHED_SHARE else 0.0
-        # Attempts in flight show the end of congestion sooner than answers do, and much sooner than lists.
+        # Attempts in flight show the end of congestion sooner than responses do, and much sooner than lists.
         delay = self.queueing_delay.estimate(now) / self.shortest_objective
         bound = SHED_PER_OBJECTIVE * (delay - SHEDDING_DELAY_SHARE)
         self.shed_share = min(self.shed_share, max(SHED_RELEASE_FACTOR * self.shed_share, bound))
@@ -158,7 +165,7 @@
         self.limited *= COUNT_DECAY
 
     def update_queue_limits(self) -> None:
-        """Renew how much may be queued ahead of each class."""
+        """Update the queue limits of all classes."""
         classes = self.settings.classes
         self.queue_limits = [inf] * len(classes)
         if not any(self.estimates.service_times.samples):
@@ -171,7 +178,7 @@
     # Decisions
 
     def rejects_for_node(self, event: Request, largest_size: float, now: int) -> bool:
-        """Record a request's delay, and tell whether it is rejected: this node is short of time or of slots.
+        """Record a request's delay; True if it is rejected because this node is late or short of slots.
 
         Parameters
         ----------
@@ -188,7 +195,7 @@
         share = self.event_loop_shed_by_class[event.class_index]
         if share > 0.0 and self.random.random() < share:
             return self._reject(RejectionCause.NODE_LATE)
-        if event.queued_time:  # read late: there may be too little time left for any server to answer it
+        if event.queued_time:  # read late: there may be too little time left for any server to respond
             takes = self.estimates.response_times[event.class_index] * (event.cost or 1) / largest_size
             if event.time_left < MIN_TIME_LEFT_SHARE * takes:
                 return self._reject(RejectionCause.LITTLE_TIME)
@@ -197,10 +204,10 @@
         return False
 
     def _distribute_event_loop_shedding(self) -> None:
-        """Turn the share of all requests that this node cannot serve in time into one of each class.
+        """Distribute the share of all requests that this node cannot serve in time over the classes.
 
-        What limits turn away comes first: a tenant over its limit takes no service from the others. Here
-        each request costs about the same, whatever its work at a server.
+        Requests that limits reject are counted first, so that a tenant over its limit does not reduce the
+        service of others. Each request costs the node about the same, whatever its work at a server.
         """
         amounts = [self.limited, *self.estimates.offered]
         weights = [LIMITED_WEIGHT, *self.priority_weights]
@@ -210,14 +217,14 @@
         )
 
     def rejects_for_load(self, class_index: int, server: TrackedServer | None, now: int) -> bool:
-        """Whether a request is rejected for the servers' load.
+        """Whether a request is rejected because of the servers' load.
 
         Parameters
         ----------
         class_index
             The request's class.
         server
-            The server it would be sent to, None where there is none.
+            The server that was selected for it, None if there is none.
         now
             The time (ns).
         """
@@ -227,23 +234,23 @@
             return self._reject(RejectionCause.LOAD_SHED)
         if server is None or not server.in_flight:
             return False
-        # It would keep requests of higher priority waiting for too long.
+        # Queued there, it would delay requests of higher priority for too long.
         queued = self.estimates.service_times.mean * expected_queue(server)
         if queued / (server.size * server.slow_start_factor) > limit:
             return self._reject(RejectionCause.QUEUE_LIMIT)
         return False
 
     def _reject(self, cause: RejectionCause) -> bool:
-        """Count a rejection; True."""
+        """Count a rejection, and return True."""
         self.rejections[cause] += 1
         return True
 
     def servers_are_full(self, now: int) -> bool:
-        """Whether attempts take the shortest latency objective or longer at present."""
+        """Whether attempts take at least as long as the shortest latency objective at present."""
         return self.queueing_delay.estimate(now) >= self.shortest_objective
 
     def retry_after(self, request: TrackedRequest) -> int:
-        """Return the time (ns) after which a client rejected for overload may come back."""
+        """Return the Retry-After (ns) of a rejection because of overload."""
         if request.limits is None or not request.limits.retry_after[1]:
             return self.settings.max_retry_after
         least, most = request.limits.retry_after
--- a/hollybay/balancing/outlier_ejection.py
+++ b/hollybay/balancing/outlier_ejection.py
@@ -1,7 +1,7 @@
-"""Outlier ejection: servers that fail far more than the others, or do not answer, are left out for a time.
+"""Outlier ejection: no requests for a time to servers that fail far more than others or do not respond.
 
-An ejected server is on probation until it answers. Ejection ends early where answers to attempts that were in
-flight show that it is healthy.
+An ejected server is on probation until it responds. Ejection ends early if responses to attempts that were
+already in flight show that the server is healthy.
 """
 
 from __future__ import annotations
@@ -12,29 +12,30 @@
 
 __all__ = ["FIRST_EJECTION_NS", "OutlierEjector"]
 
-# The duration (ns) of a server's first ejection; it doubles up to the longest.
+# The duration (ns) of a server's first ejection; it doubles with each further one, up to the longest.
 FIRST_EJECTION_NS = SECOND
 MAX_EJECTION_NS = 8 * SECOND
 # The weight of one result in a server's failure rate, and in that of all servers.
 FAILURE_WEIGHT = 0.2
 OVERALL_FAILURE_WEIGHT = 0.01
-# A server is an outlier from this failure rate on, if it also fails this many times as often as all servers:
-# a cause that they share is not the server's fault.
+# A server is an outlier if its failure rate is at least EJECTION_FAILURE_RATE and more than
+# EJECTION_FAILURE_RATIO times that of all servers: a cause that all share is no reason to eject one.
 EJECTION_FAILURE_RATE = 0.45
 EJECTION_FAILURE_RATIO = 2.0
-# Below this failure rate an ejected server that answers is taken back at once.
+# Below this failure rate the ejection of a server that responds ends at once.
 HEALTHY_FAILURE_RATE = 0.3
-# Timeouts in a row, with no answer between, after which a server does not answer at all.
+# The number of consecutive timeouts, without a response in between, after which a server counts as
+# unresponsive.
 MAX_CONSECUTIVE_TIMEOUTS = 3
 
 
 class OutlierEjector:
-    """Keeps the servers' failure rates, and says which server to eject.
+    """Maintains the servers' failure rates, and decides which server to eject.
 
     Parameters
     ----------
     unresponsive_after
-        The least time (ns) since a server's last answer before timeouts count as failures.
+        The minimum time (ns) since a server's last response from which timeouts count as failures.
 
     Attributes
     ----------
@@ -49,11 +50,12 @@
         self.failure_rate = 0.0
 
     def observe_success(self, server: TrackedServer, now: int) -> None:
-        """Record a full answer that came at a time (ns)."""
+        """Record a complete response that was received at a time (ns)."""
         self.failure_rate *= 1.0 - OVERALL_FAILURE_WEIGHT
         server.failure_rate *= 1.0 - FAILURE_WEIGHT
         if server.failure_rate < HEALTHY_FAILURE_RATE:
-            # Answers to what was in flight when it was ejected: it failed by chance.
+            # These are responses to attempts that were in flight at the ejection: the server failed by
+            # chance.
             server.ejected_until = min(server.ejected_until, now)
         if server.ejected_until <= now:
             server.next_ejection = FIRST_EJECTION_NS
@@ -80,7 +82,7 @@
         Returns
         -------
         bool
-            Whether the server is ejected now.
+            Whether the server has to be ejected.
         """
         if result == Result.TIMEOUT:
             server.consecutive_timeouts += 1
@@ -96,7 +98,7 @@
         return True
 
     def _is_unresponsive(self, server: TrackedServer, now: int) -> bool:
-        """Whether timeouts are failures: an overloaded server still answers some, a dead one none."""
+        """Whether timeouts count as failures: an overloaded server responds to some, a dead one to none."""
         return (
             server.consecutive_timeouts >= MAX_CONSECUTIVE_TIMEOUTS
             and now - server.last_answer_at >= self.unresponsive_after
@@ -106,10 +108,10 @@
         if server.consecutive_timeouts >= MAX_CONSECUTIVE_TIMEOUTS:
             return True
         if server.on_probation:
-            # Only what was sent since it was ejected tells anything new.
+            # Only attempts sent since the end of its ejection provide new evidence.
             return attempt.sent_at >= server.ejected_until
         rate = server.failure_rate
         if rate < EJECTION_FAILURE_RATE or rate <= EJECTION_FAILURE_RATIO * self.failure_rate:
             return False
-        # A report of the server is better evidence than this node's few answers.
+        # The server's own report is better evidence than the few responses that this node gets.
         return server.reported_failure_rate >= EJECTION_FAILURE_RATE or server.reported_failure_until <= now
--- a/hollybay/balancing/outlier_shares.py
+++ b/hollybay/balancing/outlier_shares.py
@@ -1,14 +1,14 @@
-"""Moving shares by member of a large group, and how one member compares with the others.
+"""Moving shares by member of a large group, and a comparison of one member with the others.
 
-Only shares above 0 are stored, so a comparison costs time by the number of members that have one, not by the
-size of the group: a node may know hundreds of thousands of tenants of which a few are being rejected.
+Only shares above 0 are stored, so the time of a comparison depends on the number of members with such a share
+and not on the size of the group: a node may know hundreds of thousands of tenants, few of which are rejected.
 """
 
 from __future__ import annotations
 
 __all__ = ["MIN_SHARE", "OutlierShares"]
 
-# A share that has decayed below this is taken for 0 and dropped.
+# A share that has decayed below this counts as 0 and is removed.
 MIN_SHARE = 1e-6
 
 
@@ -48,7 +48,7 @@
         return 0.0
 
     def median_of_others(self, member: int) -> float:
-        """Return the upper median of the shares of all members but one; 0 where there is no other."""
+        """Return the upper median of the shares of all members except one; 0 if there is no other."""
         others = self.count - 1
         nonzero = len(self._nonzero) - (member in self._nonzero)
         rank = others // 2 - (others - nonzero)  # of the median among the shares above 0
--- a/hollybay/balancing/pool_builder.py
+++ b/hollybay/balancing/pool_builder.py
@@ -1,4 +1,4 @@
-"""Builds the pools that servers are picked from, by what lists and answers tell; at each review and list."""
+"""Builds the pools from which servers are picked, from lists and estimates; at each review and each list."""
 
 from __future__ import annotations
 
@@ -20,14 +20,16 @@
 
 __all__ = ["PoolBuilder", "Pools"]
 
-# Nodes of a zone that have a server in their idle index, on average: with one, chance leaves a third of the
-# servers without an owner, with three a twentieth; with many, none knows what the others have in flight.
+# The mean number of nodes per zone that have a server in their idle index. With 1, a third of the servers
+# would have no owner by chance; with 3 it is a twentieth. With many owners, each one misses the attempts that
+# the others have in flight.
 OWNERS_PER_ZONE = 3.0
-# The share of its capacity that is offered to a server on probation.
+# The factor applied to the capacity of a server on probation.
 PROBATION_CAPACITY_SHARE = 0.1
 # The weight of one review in the mean load of a server.
 MEAN_LOAD_WEIGHT = 0.4
-# Above this share of ejected capacity a common cause is likelier than bad servers: none is ejected any more.
+# If the ejected servers have more than this share of the capacity, a common cause is more likely than bad
+# servers, and none is left out.
 MAX_EJECTED_SHARE = 0.5
 # Bounds of the factor by which a server's load relative to the mean changes its capacity.
 MIN_LOAD_FACTOR = 0.1
@@ -37,7 +39,7 @@
 
 
 class Pools(NamedTuple):
-    """The pools of the local and the remote zones, and the size of the largest server."""
+    """The pools of the local and of the remote zones, and the size of the largest server."""
 
     local: ServerPool
     remote: ServerPool
@@ -45,7 +47,7 @@
 
 
 class PoolBuilder:
-    """Renews the servers' sizes and capacities, and builds pools from them.
+    """Updates the servers' sizes and capacities, and builds pools from them.
 
     Parameters
     ----------
@@ -56,11 +58,11 @@
     cross_zone
         Receives the mean loads of the local and the remote zones.
     load_shedder
-        Its queue limits are renewed.
+        Its queue limits are updated.
     random
         The node's source of random numbers.
     tie_breaks
-        Gives larger numbers each time, which order servers that become idle at the same time.
+        Increasing numbers that order servers which become idle at the same time.
     """
 
     def __init__(
@@ -90,7 +92,7 @@
         return ServerPool([], [], [], self.random)
 
     def build(self, now: int, reporting_peers: int) -> Pools:
-        """Renew all estimates that lists and reviews change, and return new pools.
+        """Update all estimates that depend on lists and reviews, and return new pools.
 
         Parameters
         ----------
@@ -117,7 +119,7 @@
     # Sizes and loads
 
     def _update_sizes(self, now: int) -> list[TrackedServer]:
-        """Take all servers out of their speed classes, and renew size and load of those that are ready."""
+        """Remove all servers from their speed classes, and update size and load of those that are ready."""
         endpoints = self.endpoints
         freshness = endpoints.update_freshness(now)
         ready: list[TrackedServer] = []
@@ -149,7 +151,7 @@
         return local, remote
 
     def _reported_loads(self, ready: list[TrackedServer]) -> tuple[float, float]:
-        """Return the requests at the servers of the local and of the remote zones, relative to cores."""
+        """Return the reported loads times sizes, summed over the local and over the remote zones."""
         local = remote = 0.0
         for server in ready:
             if server.zone == self.settings.zone:
@@ -163,7 +165,7 @@
         estimates.service_times.update_mean(estimates.offered)
         estimates.effective_nodes = estimates.traffic_share.effective_nodes(now, total_size)
         if not self.live_weights and ready:
-            # Attempts in flight per server, were all nodes like this one.
+            # Attempts in flight per server, assuming that all nodes are like this one.
             load = estimates.effective_nodes * self.load_shedder.queueing_delay.in_flight / ready
             estimates.mean_server_load += MEAN_LOAD_WEIGHT * (load - estimates.mean_server_load)
 
@@ -172,7 +174,7 @@
     def _build_pool(
         self, servers: list[TrackedServer], requests: float, now: int, reporting_peers: int
     ) -> tuple[ServerPool, float]:
-        """Return the pool of some servers, and their mean load, where `requests` are at them."""
+        """Return the pool of some servers, and their mean load, given their total load."""
         if not servers:
             return self._empty_pool(), 0.0
         self._update_capacities(servers, now)
@@ -191,14 +193,14 @@
         return pool, requests / sum(server.size * server.slow_start_factor for server in servers)
 
     def _update_capacities(self, servers: list[TrackedServer], now: int) -> None:
-        """Renew each server's effective capacity: by its age, load, speed and failures."""
+        """Update each server's effective capacity from its age, load, speed and failures."""
         endpoints, estimates = self.endpoints, self.estimates
         size = sum(server.size for server in servers)
         mean_load = sum(server.reported_load * server.size for server in servers) / size
         mean_slowdown = sum(server.slowdown * server.size for server in servers) / size
         by_speed = endpoints.stale or not self.live_weights
-        # Requests that a server gets while a list is on its way, were all nodes like this one. What it holds
-        # above the mean is worked off over that time; a stronger response would oscillate.
+        # The requests that a server gets until the next list takes effect, assuming that all nodes are like
+        # this one. Load above the mean is corrected over that time; a stronger correction would oscillate.
         rate = estimates.effective_nodes * estimates.request_rate / len(endpoints.servers)
         turnover = max(1.0, rate * (SECOND + endpoints.list_interval) / SECOND)
         for server in servers:
@@ -216,9 +218,10 @@
     def _build_speed_classes(
         self, servers: list[TrackedServer], now: int, reporting_peers: int
     ) -> list[SpeedClass]:
-        """Sort servers into speed classes, the fastest first, and list the idle ones."""
+        """Group servers by speed class, the fastest first, and list the idle ones."""
         estimates = self.estimates
-        # Which nodes list a server as idle: few, or where nodes report their load all whose connections fit.
+        # The share of nodes that list a server as idle: few nodes or, where nodes report their load to each
+        # other, as many as its connection capacity allows.
         index_share = estimates.connection_capacity.idle_index_share(
             now, OWNERS_PER_ZONE * self.settings.zones, estimates.effective_nodes, reporting_peers
         )
@@ -258,16 +261,16 @@
 
 
 def _failure_rate(server: TrackedServer, now: int) -> float:
-    """Return the failure rate that the server reports, or else that of this node's attempts there."""
+    """Return the failure rate that the server reports or, if none is valid, that of this node's attempts."""
     if server.reported_failure_until > now:
         return server.reported_failure_rate
-    # An expired report fades: else a server that is avoided could not show that it has recovered.
+    # An expired report decays; otherwise a server that gets no requests could not show that it has recovered.
     server.reported_failure_rate *= EXPIRED_REPORT_DECAY
     return server.failure_rate
 
 
 def _in_idle_index(server: TrackedServer, index_share: float) -> bool:
-    """Whether this node may list a server as idle: as one of its owners, or on probation, or starting."""
+    """Whether this node may list a server as idle: as one of its owners, or on probation or slow start."""
     if server.on_probation:
         return True
     if server.reported_failure_rate >= EXCLUSION_FAILURE_RATE:
--- a/hollybay/balancing/priority_distribution.py
+++ b/hollybay/balancing/priority_distribution.py
@@ -1,4 +1,4 @@
-"""Distribution of a rejected share over request classes, lowest priority first."""
+"""Distribution of a share of work to reject over request classes, lowest priority first."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 
 
 def ascending_priority(priority_weights: Sequence[float], costs: Sequence[float]) -> list[int]:
-    """Return the class indexes in the order of priority weight per cost, the lowest first.
+    """Return the class indexes in ascending order of priority weight per cost.
 
     Parameters
     ----------
     priority_weights
-        The value of an answer, by class.
+        The value of a response, by class.
     costs
         The work of a request (ns at a server of size 1, or 1 where all cost the same), by class.
     """
@@ -25,12 +25,12 @@
 def distribute_by_priority(
     share: float, amounts: Sequence[float], priority_weights: Sequence[float], costs: Sequence[float]
 ) -> list[float]:
-    """Turn one share of all work into a share of each class's work, lowest priority first.
+    """Distribute a share of all work over the classes, lowest priority first.
 
     Parameters
     ----------
     share
-        The part (0 to 1) of the sum of all amounts that is to be given up.
+        The share (0 to 1) of the sum of all amounts that is to be rejected.
     amounts
         The work offered, by class, in any one unit.
     priority_weights, costs
@@ -39,7 +39,7 @@
     Returns
     -------
     list of float
-        The part (0 to 1) of each class's work that is given up.
+        The share (0 to 1) of each class's work that is to be rejected.
     """
     shares = [0.0] * len(amounts)
     remaining = share * sum(amounts)
--- a/hollybay/balancing/queueing_delay.py
+++ b/hollybay/balancing/queueing_delay.py
@@ -1,7 +1,7 @@
-"""How long an attempt takes at present, from the number of a node's own attempts in flight.
+"""An estimate of how long attempts take at present, from the number of a node's own attempts in flight.
 
-Answers tell of a queue only once they have passed it, and server lists later still. The number in flight
-grows with the queue.
+Responses show a queue only after they have passed through it, and server lists later still. The number of
+attempts in flight grows along with the queue.
 """
 
 from __future__ import annotations
@@ -15,10 +15,11 @@
 WINDOW_WEIGHT = 0.3
 # The rejected share grows linearly with the delay beyond its limit, and is 1 at this many times the limit.
 FULL_REJECTION_RATIO = 3.0
-# Attempts added to those in flight where usually none is: at one request a second, one attempt in flight is
-# no queue. They count for less the more are usually in flight, and for nothing from one on.
+# The weight of the prior, in attempts in flight: at one request a second, a single attempt in flight is no
+# queue. The prior decreases with the usual number of attempts in flight, and is 0 if that is 1 or more.
 PRIOR_IN_FLIGHT = 1.0
-# What a window leaves of the baseline counts, and the attempts that must be counted before it is used.
+# The factor by which each window reduces the baseline sums, and the number of attempts from which they are
+# used.
 BASELINE_DECAY = 0.98
 MIN_BASELINE_ATTEMPTS = 4.0
 # Below this send rate (attempts a second) no delay is estimated.
@@ -26,9 +27,9 @@
 
 
 class QueueingDelay:
-    """Little's law over a node's own attempts: time in flight = number in flight / send rate.
+    """Little's law applied to a node's own attempts: time in flight = number in flight / send rate.
 
-    It holds for any number of nodes, as each samples all servers. Where that sample is small, the usual
+    It holds for any number of nodes, as each node samples all servers. If that sample is small, the usual
     (baseline) time of an attempt is added as a prior.
 
     Parameters
@@ -43,7 +44,8 @@
     rate
         The moving send rate, attempts a second.
     baseline_time, baseline_attempts
-        Decaying sums: ns that attempts were in flight, and their number. Their ratio is the usual time.
+        Decaying sums of the time (ns) that attempts were in flight, and of their number. Their ratio is the
+        usual time of an attempt.
     """
 
     __slots__ = (
@@ -73,7 +75,7 @@
         self.baseline_attempts += 1.0
 
     def attempt_ended(self, now: int) -> None:
-        """Record that an attempt ended, with whatever result, at a time (ns)."""
+        """Record that an attempt ended, with any result, at a time (ns)."""
         self._advance(now)
         self.in_flight = max(0, self.in_flight - 1)
 
@@ -82,7 +84,7 @@
         self.updated_at = max(self.updated_at, now)
 
     def estimate(self, now: int) -> float:
-        """Return the mean time (ns) that an attempt takes now; 0 where too few were sent to tell."""
+        """Return the mean time (ns) that an attempt takes at present; 0 if too few attempts were sent."""
         if now - self.window_start >= WINDOW_NS:
             self._close_window(now)
         if self.rate <= MIN_RATE:
@@ -97,7 +99,7 @@
         return (self.in_flight + prior) * SECOND / (self.rate + prior_rate)
 
     def _close_window(self, now: int) -> None:
-        """Take the window that ends now into the moving rate, and decay the baseline."""
+        """Update the moving rate from the window that ends now, and decay the baseline."""
         span = now - self.window_start
         weight = 1.0 - (1.0 - WINDOW_WEIGHT) ** (span / WINDOW_NS)
         self.rate += weight * (self.window_attempts * SECOND / span - self.rate)
@@ -108,5 +110,5 @@
         self.baseline_attempts *= keep
 
     def rejection_share(self, now: int, limit: float) -> float:
-        """Return the share (0 to 1) of a class to reject that may keep others waiting for `limit` (ns)."""
+        """Return the share (0 to 1) to reject of a class that may delay other classes by `limit` (ns)."""
         return max(0.0, min(1.0, (self.estimate(now) / limit - 1.0) / (FULL_REJECTION_RATIO - 1.0)))
--- a/hollybay/balancing/rendezvous.py
+++ b/hollybay/balancing/rendezvous.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing: which nodes own a server, computed alike by all nodes without communication."""
+"""Rendezvous hashing: all nodes compute alike, without communication, which nodes own a server."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 __all__ = ["rendezvous_rank"]
 
-# Odd multipliers that spread node numbers over 32 bits, and the part of the product that is compared.
+# Odd multipliers that spread node numbers over 32 bits, and the bits of the product that are compared.
 NODE_MULTIPLIER = 0x9E3779B1
 HASH_MULTIPLIER = 0x85EBCA6B
 HASH_SHIFT_BITS = 7
@@ -14,11 +14,12 @@
 
 
 def rendezvous_rank(key: object, node: int, nodes: int) -> float:
-    """Return a node's rank among all nodes in the order that a key's hash gives them.
+    """Return a node's rank in the order of all nodes that is given by a hash of the key and the node.
 
-    Any interval of ranks holds the same number of nodes for each key, give or take one. Were ranks drawn at
-    random by each node, some servers would be owned by most nodes and some by none. Adding or removing a
-    server changes no rank for the others; one node more shifts a rank by one position at most.
+    For every key, an interval of ranks contains the same number of nodes, plus or minus one. If each node
+    drew its ranks at random, some servers would be owned by most nodes and some by none. Adding or removing a
+    server does not change the ranks of other servers; an additional node shifts a rank by at most one
+    position.
 
     Parameters
     ----------
--- a/hollybay/balancing/request_acceptance.py
+++ b/hollybay/balancing/request_acceptance.py
@@ -1,4 +1,4 @@
-"""What happens to a request that arrives: it is rejected, sent to a server, or waits for one."""
+"""Handling of new requests: a request is rejected, sent to a server, or waits for one."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
     Parameters
     ----------
     context
-        The node's state and parts, and the event that is being handled.
+        The node's state and components, and the event being handled.
     attempts
         Sends attempts.
     further_attempts
-        Has requests wait for a server.
+        Lets requests wait for a server.
     answers
         Ends requests.
     """
@@ -49,7 +49,7 @@
         self.answers = answers
 
     def on_request(self, event: Request) -> None:
-        """Take in a request."""
+        """Handle a new request."""
         now = self.context.now
         self.estimates.arrivals += 1
         self.retry_policy.record_request()
@@ -63,7 +63,7 @@
             return
         self.retry_policy.deposit(event.limits)
         server = self.selector.pick(request, now)
-        # A starting server's budget was set apart for it, and keeps nobody waiting.
+        # A request within the budget of a starting server delays no other requests.
         starting = server is not None and server.slow_start_factor < 1.0
         if not starting and self.load_shedder.rejects_for_load(event.class_index, server, now):
             self.answers.reject(request)
--- a/hollybay/balancing/retries.py
+++ b/hollybay/balancing/retries.py
@@ -1,7 +1,8 @@
-"""Which further attempts and which rejections are safe, and the node's budgets of retries and hedges.
+"""Which further attempts and which rejections are safe, and the node's budgets for retries and hedges.
 
-A request may run twice only where its class allows it: SAFE ones anywhere, KEYED ones where servers drop the
-duplicate (deduplication scope and window), UNSAFE ones only if no earlier attempt can have had an effect.
+A request may run twice only if its class allows it: SAFE ones anywhere, KEYED ones where servers drop the
+duplicate (deduplication scope and window). UNSAFE ones are sent again only if no earlier attempt can have had
+an effect.
 """
 
 from __future__ import annotations
@@ -12,10 +13,11 @@
 
 __all__ = ["ANYWHERE", "RetryPolicy", "RetryScope", "allowed_scope", "is_client_retry_harmless"]
 
-# Hedges allowed per request, and the most that are saved up: enough for rare stragglers, too few for a storm.
+# Hedges allowed per request, and the most that are saved up: enough for rare stragglers, too few to cause an
+# overload.
 HEDGES_PER_REQUEST = 0.1
 MAX_SAVED_HEDGES = 10.0
-# Retries allowed per request, the most that are saved up, and those that a new node has.
+# Retries allowed per request, the most that are saved up, and the number that a new node starts with.
 RETRIES_PER_REQUEST = 0.5
 MAX_SAVED_RETRIES = 50.0
 INITIAL_RETRIES = 10.0
@@ -44,7 +46,7 @@
 
 
 def deduplication_deadline(first: TrackedAttempt, cls: RequestClass, route_window: int, slack: int) -> int:
-    """Return the time (ns) after which servers may not recognise a duplicate any more.
+    """Return the time (ns) from which servers may no longer recognise a duplicate.
 
     Parameters
     ----------
@@ -55,7 +57,7 @@
     route_window
         The window (ns) that the route allows, 0 for no limit; it only shortens that of the class.
     slack
-        Time (ns) kept back for the resolution of the clock.
+        Time (ns) subtracted because of the resolution of the clock.
     """
     return first.sent_at + cls.retry_window(route_window) - slack
 
@@ -68,7 +70,7 @@
     max_attempts: int,
     slack: int = 0,
 ) -> RetryScope | None:
-    """Return where a further attempt may go; None refuses it, as it could have an effect twice.
+    """Return where a further attempt may go, such that the request has no effect twice.
 
     Parameters
     ----------
@@ -81,14 +83,14 @@
     hedging_allowed
         Whether there may be two attempts in flight.
     max_attempts
-        The most attempts that a request may have.
+        The largest number of attempts of a request.
     slack
-        Time (ns) kept back from the deduplication window.
+        Time (ns) subtracted from the deduplication window.
 
     Returns
     -------
     RetryScope or None
-        None where there may be no further attempt.
+        None if no further attempt is allowed.
     """
     if len(attempts) >= max_attempts:
         return None
@@ -117,7 +119,7 @@
     limits: Limits,
     slack: int,
 ) -> RetryScope | None:
-    """Return what a route's limits leave of an allowed scope; they can only narrow it.
+    """Return an allowed scope as restricted by a route's limits, which can only narrow it.
 
     Parameters are those of `allowed_scope`; `scope` is its result.
     """
@@ -136,7 +138,7 @@
 
 
 def is_client_retry_harmless(cls: RequestClass, attempts: list[TrackedAttempt]) -> bool:
-    """Whether a client may be told that trying again is harmless."""
+    """Whether a retry by the client is harmless, so that the request may be rejected."""
     if cls.effect == Effect.SAFE:
         return True
     if cls.effect == Effect.KEYED and cls.deduplication_scope == DeduplicationScope.ALL:
@@ -145,7 +147,7 @@
 
 
 class RetryPolicy:
-    """What further attempts are safe under the settings, and what the budgets have left.
+    """Decides which further attempts are safe, and keeps the budgets for them.
 
     Parameters
     ----------
@@ -155,9 +157,9 @@
     Attributes
     ----------
     hedge_tokens, retry_tokens
-        Hedges and retries that the node has left.
+        Tokens left in the node's budgets of hedges and of retries.
     route_budgets
-        Retries and hedges that routes with a budget have left.
+        The retry budgets of routes that have one.
     """
 
     def __init__(self, settings: Settings) -> None:
@@ -167,7 +169,7 @@
         self.route_budgets = RetryBudgets()
 
     def record_request(self) -> None:
-        """Credit the node's budgets for a request that has come."""
+        """Credit the node's budgets for a new request."""
         self.hedge_tokens = min(self.hedge_tokens + HEDGES_PER_REQUEST, MAX_SAVED_HEDGES)
         self.retry_tokens = min(self.retry_tokens + RETRIES_PER_REQUEST, MAX_SAVED_RETRIES)
 
@@ -183,7 +185,7 @@
         return scope
 
     def write_deadline(self, request: TrackedRequest) -> int:
-        """Return when (ns) the last byte of a further attempt must be sent; 0 for no such time."""
+        """Return the time (ns) by which the last byte of a further attempt must be written; 0: no limit."""
         if not request.attempts:
             return 0
         cls = self.settings.classes[request.class_index]
@@ -197,12 +199,12 @@
         return deduplication_deadline(first, cls, route_window, self.settings.tick)
 
     def deposit(self, limits: Limits | None) -> None:
-        """Credit the request's route budget, where it has one."""
+        """Credit the request's route budget, if it has one."""
         if limits is not None and limits.retry_share >= 0.0:
             self.route_budgets.deposit(limits.budget, limits.retry_share)
 
     def withdraw(self, limits: Limits | None) -> bool:
-        """Charge a retry or hedge to the request's route budget, where it has one; False: none is left."""
+        """Charge a retry or hedge to the request's route budget, if it has one; False if none is left."""
         if limits is None or limits.retry_share < 0.0:
             return True
         return self.route_budgets.withdraw(limits.budget)
--- a/hollybay/balancing/retry_budgets.py
+++ b/hollybay/balancing/retry_budgets.py
@@ -4,11 +4,12 @@
 
 __all__ = ["MAX_BUDGETS", "MAX_TOKENS", "RetryBudgets"]
 
-# The tokens (retries) that one budget holds at most.
+# The largest number of tokens (retries) in one budget.
 MAX_TOKENS = 10.0
-# A budget that is seen for the first time starts with this many tokens.
+# The number of tokens of a new budget.
 INITIAL_TOKENS = 1.0
-# The number of budgets kept; beyond it the least recently credited one is dropped, as its name is out of use.
+# The largest number of budgets; beyond it the least recently credited one is removed, whose name is probably
+# no longer in use.
 MAX_BUDGETS = 4096
 
 
@@ -42,7 +43,7 @@
             del self.tokens[next(iter(self.tokens))]
 
     def withdraw(self, name: str) -> bool:
-        """Take one token for a retry; False, and nothing is taken, where less than one is left."""
+        """Take one token for a retry; False, without taking any, if less than one is left."""
         tokens = self.tokens.get(name, 0.0)
         if tokens < 1.0:
             return False
--- a/hollybay/balancing/server_pool.py
+++ b/hollybay/balancing/server_pool.py
@@ -1,7 +1,8 @@
-"""The servers of the local or of the remote zones, as they are picked: idle ones first, else by capacity.
+"""A pool of the servers of the local or of the remote zones: idle servers are picked first, else by capacity.
 
-A pool has the idle servers by speed class, the fastest class first, and a table for draws in proportion to
-capacity. Pools are built anew at each review and each list; between, servers enter and leave the idle lists.
+A pool contains the idle servers by speed class, the fastest class first, and a table for random draws in
+proportion to capacity. Pools are rebuilt at each review and each list; in between, servers are added to and
+removed from the idle lists.
 """
 
 from __future__ import annotations
@@ -14,12 +15,12 @@
 
 __all__ = ["ServerPool", "remove_from_idle", "schedule_idle"]
 
-# Draws by capacity in search of a server to which this node has an idle connection.
+# The number of draws by capacity in search of a server to which this node has an idle connection.
 WEIGHTED_DRAWS = 4
 
 
 def remove_from_idle(server: TrackedServer) -> None:
-    """Take a server that has an attempt in flight off the list of idle ones."""
+    """Remove a server that has an attempt in flight from the list of idle servers."""
     if server.idle_position < 0 or server.speed_class is None:
         return
     idle = server.speed_class.idle
@@ -31,10 +32,10 @@
 
 
 def schedule_idle(server: TrackedServer, now: int, tie_break: int) -> None:
-    """Have a server taken for idle from its time on, if it may be and nothing is in flight there.
+    """List a server as idle from its `idle_from` time on, if it may be listed and has nothing in flight.
 
-    One that is listed before its time leaves the list: its time was put off, by an attempt that is not
-    counted as in flight.
+    A server that is listed although `idle_from` is in the future is removed from the list: an attempt that
+    does not count as in flight has postponed that time.
 
     Parameters
     ----------
@@ -43,7 +44,7 @@
     now
         The time (ns).
     tie_break
-        A number that is larger each time.
+        A number that increases with each call.
     """
     speed_class = server.speed_class
     if server.in_flight or speed_class is None or not server.in_idle_index:
@@ -61,11 +62,11 @@
     Parameters
     ----------
     speed_classes
-        Speed classes, the fastest first; empty where there is no server.
+        Speed classes, the fastest first; empty if there is no server.
     cumulative_capacity
         Running sums of the effective capacities of `servers`.
     servers
-        Those that may be drawn by capacity.
+        The servers that may be drawn by capacity.
     random
         The node's source of random numbers.
     """
@@ -104,10 +105,11 @@
         return None
 
     def draw(self, now: int, keepalive: int) -> TrackedServer | None:
-        """Return a server drawn by capacity: of a few draws the first that needs no new connection.
+        """Return a server drawn by capacity: of a few draws, the first one that needs no new connection.
 
-        A connection costs the server work, the first request time, and all nodes together a price. Drawn from
-        all servers, each comes up again only after its connection was closed as idle.
+        A new connection costs the server work, delays the first request, and has a price for all nodes
+        together. With a single draw from all servers, a server would be drawn again only after its connection
+        had been closed as idle.
 
         Parameters
         ----------
--- a/hollybay/balancing/server_selection.py
+++ b/hollybay/balancing/server_selection.py
@@ -1,8 +1,9 @@
-"""Which server gets an attempt: speed-aware join-idle-queue (SA-JIQ).
+"""Server selection by speed-aware join-idle-queue (SA-JIQ).
 
-A uniformly random idle server of the fastest speed class that has one, else a draw by capacity. A node sees
-only its own part of the traffic, so "idle" is corrected: each server is in the idle index of few nodes only,
-which then know what it has in flight (`pool_builder`).
+An attempt goes to a uniformly random idle server of the fastest speed class that has one, else to a server
+drawn by capacity. A node sees only its own share of the traffic and may take a busy server for idle. For this
+reason each server is in the idle index of a few nodes only, which then know most of its attempts in flight
+(`pool_builder`).
 """
 
 from __future__ import annotations
@@ -22,7 +23,8 @@
 
 __all__ = ["ServerSelector"]
 
-# Picks until one is neither excluded for the request nor has been tried.
+# The largest number of picks in search of a server that is not excluded for the request and has not been
+# tried.
 MAX_PICKS = 4
 
 
@@ -38,7 +40,7 @@
     cross_zone
         Decides which requests go to remote zones.
     load_shedder
-        Knows the queueing delay.
+        Provides the queueing delay.
     random
         The node's source of random numbers.
     """
@@ -68,18 +70,18 @@
         """Whether there are servers in remote zones."""
         return bool(self.remote.speed_classes)
 
-    # Changes
+    # Updates
 
     def rebuild(self, now: int) -> None:
-        """Build the pools anew: at each review and each list."""
+        """Rebuild the pools; called at each review and each list."""
         self.local, self.remote, self.largest_size = self.builder.build(now, self.reporting_peers)
 
     def schedule_idle(self, server: TrackedServer, now: int) -> None:
-        """Have a server taken for idle again, once its time has come."""
+        """List a server as idle again from its `idle_from` time on."""
         schedule_idle(server, now, next(self.tie_breaks))
 
     def apply_peer_load(self, event: PeerLoad, now: int) -> None:
-        """Take in what other nodes have in flight: each node knows then which servers are idle."""
+        """Apply the attempts in flight of other nodes, with which this node knows which servers are idle."""
         self.reporting_peers = event.nodes
         for server_id, in_flight in event.in_flight.items():
             server = self.endpoints.servers.get(server_id)
@@ -93,18 +95,18 @@
                 self.schedule_idle(server, now)
 
     def eject(self, server: TrackedServer) -> None:
-        """Stop sending to a server, until a review finds its ejection over."""
+        """Stop sending to a server until a review finds that its ejection is over."""
         remove_from_idle(server)
         server.speed_class = None
 
-    # Picks
+    # Selection
 
     def pick_idle_local(self, now: int) -> TrackedServer | None:
         """Return an idle server of the fastest local speed class that has one."""
         return self.local.pick_idle(now)
 
     def pick(self, request: TrackedRequest, now: int) -> TrackedServer | None:
-        """Return the server of a request's next attempt, wherever it may go; None where none may be used."""
+        """Return a server for an attempt that may go anywhere; None if no server may be used."""
         attempts = request.attempts
         if self.endpoints.returned and not attempts:
             returned = self._pick_returned(request, now)
@@ -124,7 +126,7 @@
         return server
 
     def _pick_any(self, request: TrackedRequest, remote_share: float, now: int) -> TrackedServer | None:
-        """Return a server, remote first for a share of requests."""
+        """Return a server; for a share of requests, remote zones are tried first."""
         server: TrackedServer | None = None
         if remote_share > 0.0 and self.random.random() < remote_share:
             server = self._pick_remote(now)
@@ -133,7 +135,7 @@
         return server or self._pick_remote(now)
 
     def _draw_local(self, request: TrackedRequest, now: int) -> TrackedServer | None:
-        """Return a local server by capacity, or a remote one where it is busy and that is worth the price."""
+        """Return a local server drawn by capacity; if it is busy, a remote one where that is worth it."""
         server = self.local.draw(now, self.keepalive)
         if server is None or not server.in_flight or not self.remote.speed_classes:
             return server
@@ -145,9 +147,10 @@
         return self.remote.pick_idle(now) or self.remote.draw(now, self.keepalive)
 
     def _pick_returned(self, request: TrackedRequest, now: int) -> TrackedServer | None:
-        """Return a server that came back from draining, once.
+        """Return a server that has become ready after draining; each one is returned only once.
 
-        How it does is not known yet, and if it is slow or remote the other picks may not reach it for long.
+        Its present state is unknown, and the other picks may not reach a slow or remote server for a long
+        time.
         """
         returned = self.endpoints.returned
         while returned:
@@ -166,7 +169,7 @@
         return None
 
     def pick_within(self, request: TrackedRequest, scope: RetryScope, now: int) -> TrackedServer | None:
-        """Return a server within a scope that has not been tried; keyed retries are rare, so it scans all."""
+        """Return an untried server within a scope; keyed retries are rare, so all servers are scanned."""
         tried = [attempt.server for attempt in request.attempts]
         candidates = [
             server
@@ -189,10 +192,10 @@
         )
 
     def _excludes(self, server: TrackedServer, request: TrackedRequest, now: int) -> bool:
-        """Whether a server lately rejected the request's tenant, or may fail what must not be retried."""
+        """Whether a server recently rejected the tenant, or may fail a request that must not be retried."""
         if server.reported_failure_rate > UNSAFE_FAILURE_RATE:
             unsafe = self.settings.classes[request.class_index].effect == Effect.UNSAFE
-            # Where all others are full, the risk that it fails is better than a rejection.
+            # While all servers are saturated, the risk of a failure is better than a rejection.
             if unsafe and not self.load_shedder.servers_are_full(now):
                 return True
         return bool(server.rejected_tenants) and server.rejected_tenants.get(request.tenant, 0) > now
--- a/hollybay/balancing/server_updates.py
+++ b/hollybay/balancing/server_updates.py
@@ -1,4 +1,4 @@
-"""What renews the servers and the pools: server lists, polls for them, and periodic reviews."""
+"""Updates of the servers and the pools: server lists, polls for them, and periodic reviews."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 
 class ServerUpdates:
-    """Takes in server lists, and renews what is decided by them.
+    """Applies server lists, polls discovery, and runs the periodic reviews.
 
     Parameters
     ----------
     context
-        The node's state and parts, and the event that is being handled.
+        The node's state and components, and the event being handled.
     """
 
     def __init__(self, context: DecisionContext) -> None:
@@ -36,7 +36,7 @@
         self.list_received = False
 
     def on_server_list(self, event: ServerList) -> None:
-        """Take in a list, or a poll for one that failed."""
+        """Handle a server list or a failed poll."""
         if not self.list_received:
             self.list_received = True
             self._first_list(event.kind)
@@ -51,7 +51,7 @@
         self._update_cross_zone()
 
     def _first_list(self, kind: ListKind) -> None:
-        """Begin reviews, and polls where the list may be out of date."""
+        """Schedule the first review, and the first poll if the list may be outdated."""
         now = self.context.now
         self.wakeups.schedule(now + REVIEW_INTERVAL_NS, WakeupKind.REVIEW)
         if self.settings.poll_required and kind == ListKind.CACHED:
@@ -63,12 +63,12 @@
         self.wakeups.schedule(now + delay, WakeupKind.POLL)
 
     def poll(self) -> None:
-        """Ask discovery for the list."""
+        """Poll discovery for the list."""
         self.poll_schedule.poll_started(self.context.now)
         self.context.actions.append(WatchServers(True))
 
     def review(self) -> None:
-        """Renew estimates, shares and pools, and schedule the next review."""
+        """Update estimates, shares and pools, and schedule the next review."""
         now = self.context.now
         if self.estimates.review(now):
             self._update_cross_zone()
--- a/hollybay/balancing/service_times.py
+++ b/hollybay/balancing/service_times.py
@@ -1,4 +1,4 @@
-"""How long a server of size 1 works for one request of each class, learned from answers without a queue."""
+"""Service times: how long a server of size 1 works on a request of each class, learned from idle servers."""
 
 from __future__ import annotations
 
@@ -10,36 +10,38 @@
 
 # The load (requests per core) below which a server counts as idle.
 IDLE_SERVER_LOAD = 2.0
-# The least weight of one answer, and the number of answers taken however busy servers are on average.
+# The minimum weight of one response, and the number of responses that are used even if servers are busy on
+# average.
 MIN_WEIGHT = 0.02
 MIN_SAMPLES = 8
-# The weight of one answer while none has found an idle server.
+# The weight of one response while none has come from an idle server.
 QUEUED_WEIGHT = 0.1
 
 
 class ServiceTimes:
     """Moving means of service times, by class and over all classes.
 
-    Answers that waited hold a queue of unknown length: under overload the service time would seem to grow,
-    and starting servers would get ever less when they are needed most. So only answers count that found their
-    server idle, as far as this node can tell. Until there is one the others are used, which gives too much
-    rather than too little.
+    The response time of a busy server includes a queue of unknown length. Under overload the service time
+    would seem to grow, and starting servers would get less and less when they are needed most. Therefore only
+    responses of servers count that were idle when the attempt was sent, as far as this node can tell. Until
+    there is one, other responses are used, which overestimates the service time rather than underestimating
+    it.
 
     Parameters
     ----------
     classes
         The number of classes.
     longest_objective
-        The longest latency objective (ns): the mean while no class has an answer.
+        The longest latency objective (ns): the mean while no class has a response.
 
     Attributes
     ----------
     by_class
-        The service time (ns) of each class, 0 while it has no answer.
+        The service time (ns) of each class, 0 while it has no response.
     samples
-        The number of answers, by class, that found their server idle.
+        The number of responses from idle servers, by class.
     mean
-        The mean service time (ns) over the classes, by their requests.
+        The mean service time (ns) over the classes, weighted by their requests.
     """
 
     __slots__ = ("_load_means", "_longest_objective", "_time_means", "by_class", "mean", "samples")
@@ -53,17 +55,19 @@
         self.mean = 0.0
 
     def update_mean(self, offered: Sequence[float]) -> None:
-        """Renew the mean over the classes that have an answer.
+        """Update the mean over the classes that have a response.
 
-        Response times would not do: under overload they are mostly queue, and a fleet that has just been
-        replaced would be kept from its starting servers by the queues of the few warm ones.
+        Response times cannot be used instead: under overload they are mostly queueing delay. After a
+        replacement of most servers, the queues of the few warm ones would then keep requests from the
+        starting ones.
 
         Parameters
         ----------
         offered
-            The requests that came lately, by class.
+            Decaying count of requests, by class.
         """
-        # A class without an answer yet is left out: as free work it would void the budget of slow start.
+        # A class without a response is left out: counted as work of 0, it would make the slow-start budget
+        # too large.
         seen = [(requests, time) for requests, time in zip(offered, self.by_class, strict=True) if time > 0.0]
         total = sum(requests for requests, _ in seen)
         if total > 0.0:
@@ -80,7 +84,7 @@
         stale: bool,
         servers_busy: bool,
     ) -> None:
-        """Take in an answer.
+        """Update the service time from a response.
 
         Parameters
         ----------
@@ -91,11 +95,11 @@
         rtt
             The response time (ns).
         in_flight
-            Attempts that were in flight there when it was sent.
+            Other attempts in flight at the server when the attempt was sent.
         stale
             Whether the loads that lists reported are outdated.
         servers_busy
-            Whether servers hold a queue on average, where lists tell no load.
+            Whether servers have queues on average, where lists report no load.
         """
         sample = rtt * server.size * server.slow_start_factor
         samples = self.samples[class_index]
--- a/hollybay/balancing/settings.py
+++ b/hollybay/balancing/settings.py
@@ -1,4 +1,4 @@
-"""What a node is told at its start, and the values that events and actions share with it.
+"""The settings of a node, and the types that they share with events and actions.
 
 Times and durations are integer nanoseconds on the caller's monotonic clock.
 """
@@ -9,8 +9,8 @@
 from dataclasses import dataclass, field
 from enum import IntEnum
 
-# The share of the idle timeout after which a node closes an idle connection itself; the rest is for clocks
-# and the network. Until then the balancer takes the connection for open.
+# The share of the idle timeout after which a node closes an idle connection itself; the rest is a margin for
+# clocks and the network. Until then the balancer assumes that the connection is open.
 IDLE_CLOSE_SHARE = 0.8
 
 ServerId = Hashable
@@ -18,7 +18,7 @@
 
 
 class Effect(IntEnum):
-    """Whether a request of a class may run more than once: always, with a deduplication key, never."""
+    """Whether a request of a class may run more than once: always, with a deduplication key, or never."""
 
     SAFE = 0
     KEYED = 1
@@ -26,19 +26,19 @@
 
 
 class DeduplicationScope(IntEnum):
-    """Which servers recognise the duplicate of a keyed request: all, those of one zone, those of one cell."""
+    """Which servers recognise the duplicate of a keyed request: all, those of one zone, or of one cell."""
 
     ALL = 0
     ZONE = 1
     CELL = 2
 
 
-# The word for each in the operator file and on the simulator's wire.
+# The names of the scopes in the operator file and on the simulator's wire.
 DEDUPLICATION_SCOPES = {scope.name.lower(): scope for scope in DeduplicationScope}
 
 
 class WeightMode(IntEnum):
-    """What a listed weight means: nothing, the size, roughly the size, or size / (1 + requests per core)."""
+    """The meaning of a listed weight: none, the size, roughly the size, or size / (1 + requests per core)."""
 
     NONE = 0
     NOMINAL = 1
@@ -47,7 +47,7 @@
 
 
 class ReportMode(IntEnum):
-    """Where load reports come from: nowhere, responses, or probes."""
+    """The source of load reports: none, responses, or probes."""
 
     NONE = 0
     ANSWERS = 1
@@ -63,7 +63,7 @@
 
 
 class ListKind(IntEnum):
-    """What a list is: changed entries, all entries, all entries from a cache, or a failed poll."""
+    """The content of a list: changed entries, all entries, all entries from a cache, or a failed poll."""
 
     CHANGES = 0
     FULL = 1
@@ -75,16 +75,16 @@
     """How an attempt ended."""
 
     OK = 0
-    ERROR = 1  # a response that says that the request failed
-    REJECTED = 2  # the server says that it has not run the request
+    ERROR = 1  # a response with an error: the request failed
+    REJECTED = 2  # a response by which the server has not run the request
     TIMEOUT = 3  # no response in time, after the last byte was sent
-    NOT_DELIVERED = 4  # it ended before the last byte was sent: no connection, a break, or no time left
+    NOT_DELIVERED = 4  # ended before the last byte was sent: no connection, a broken one, or no time left
     RESET = 5  # the connection broke after the last byte was sent
     CANCELLED = 6  # by the balancer
-    NOT_SENT = 7  # the node has sent nothing
+    NOT_SENT = 7  # the node has not sent any byte
 
 
-# Results that prove that an attempt had no effect; after any other it may have run.
+# Results that prove that an attempt had no effect; after any other result the request may have run.
 NEVER_RAN = frozenset({Result.REJECTED, Result.NOT_DELIVERED, Result.NOT_SENT})
 
 
@@ -99,13 +99,13 @@
     effect
         Whether it may run more than once.
     priority_weight
-        The value of an answer, relative to other classes.
+        The value of a response, relative to other classes.
     latency_objective
-        The response time (ns) up to which an answer has its full value.
+        The response time (ns) up to which a response has its full value.
     deadline
-        The time (ns) after which clients give up.
+        The time (ns) after which clients stop waiting.
     late_weight
-        The share (0 to 1) of its value that a late answer has.
+        The share (0 to 1) of its value that a late response has.
     deduplication_scope, deduplication_window
         Which servers recognise a duplicate of a keyed request, and for how long (ns) after the first attempt.
     streamed
@@ -187,12 +187,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """What a node is configured with at its start; durations in ns.
+    """The configuration of a node at its start; durations in ns.
 
-    Some settings are only carried here, as they come with the others from the operators. No decision reads
-    `connect_timeout`, `drain_grace` and `report_mode`, which the proxy uses, nor `answer_grace` and
-    `overload_window`, by which the testbed checks what nodes did. Those that nothing reads are marked as
-    accepted and ignored: their published keys stay valid, and their values are checked when they are parsed.
+    Some settings do not affect decisions, and are part of this class because operators supply them with the
+    others: the proxy uses `connect_timeout`, `drain_grace` and `report_mode`, the checks of the testbed use
+    `answer_grace` and `overload_window`. Settings that are not used at all are marked as accepted and
+    ignored: their published keys stay valid, and their values are checked when they are parsed.
 
     Attributes
     ----------
@@ -205,37 +205,39 @@
     tick
         The resolution of the clock.
     weight_mode
-        What listed weights mean.
+        The meaning of listed weights.
     report_mode, report_fields
-        Where load reports come from, and the names of their values in order.
+        The source of load reports, and the names of their values in order.
     poll_required
-        Whether discovery has to be asked for the server list.
+        Whether discovery has to be polled for the server list.
     max_attempts
-        The most attempts of a request.
+        The largest number of attempts of a request.
     hedging_allowed, cancel_allowed
         Whether two attempts of a request may be in flight, and attempts may be cancelled.
     probes_allowed
         Whether servers may be probed. Accepted and ignored.
     over_share_weight, weight_by_work
-        How requests of a tenant beyond its share count, and whether by their work. Accepted and ignored.
+        The weight of a tenant's requests beyond its share, and whether its share is measured by work instead
+        of requests. Accepted and ignored.
     connect_timeout, idle_timeout
         For connections to servers.
     streams
-        Requests that a connection carries at once. Accepted and ignored.
+        The number of concurrent requests of a connection. Accepted and ignored.
     max_retry_after
         The longest Retry-After of a rejection.
     answer_grace, drain_grace
-        How long after its deadline a request may still be answered, and how long after its drain a server may
-        still get requests.
+        How long after its deadline a request may still get its response, and how long after the start of its
+        drain a server may still get requests.
     cold_share, warm_up
-        The share (0 to 1) of its capacity that a server has at its start, and how long it takes to reach all.
+        The share (0 to 1) of its capacity that a server has at its start, and the time until it has all of
+        it.
     overload_multiple, overload_window
-        The multiple of its capacity up to which a starting server may get requests, and the window over which
-        the checks of the testbed sum them up.
+        The multiple of its present capacity up to which a starting server may get requests, and the window
+        over which the checks of the testbed sum them up.
     poll_within
         The longest allowed time without a poll, 0 for no limit.
     prices
-        Costs that decisions weigh.
+        Costs that decisions take into account.
     """
 
     classes: tuple[RequestClass, ...]
@@ -306,11 +308,11 @@
     id
         The server's id.
     zone, kind, cell
-        Where it is, and its kind of machine.
+        Its zone, its kind of machine, and its cell.
     state
-        Whether it takes requests.
+        Whether it accepts requests.
     weight
-        As Settings.weight_mode says.
+        Its weight; Settings.weight_mode gives the meaning.
     up_since
         When (ns) its process started, 0: long ago.
     """
--- a/hollybay/balancing/settings_parser.py
+++ b/hollybay/balancing/settings_parser.py
@@ -1,4 +1,4 @@
-"""Reads the settings of a node from path=value lines: of its settings file, or of the simulator."""
+"""Parses the settings of a node from path=value lines, from its settings file or from the simulator."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 class _Reader:
-    """Reads typed values from path=value lines; each method raises ValueError, naming the path."""
+    """Reads typed values from path=value lines; each method raises a ValueError that names the path."""
 
     def __init__(self, text: str) -> None:
         self.values: dict[str, str] = {}
@@ -47,7 +47,7 @@
                 self.values[path.strip()] = value.strip()
 
     def text(self, path: str, default: str | None = None) -> str:
-        """Return a value as it stands; the default where it is absent or empty."""
+        """Return a value as text; the default if it is absent or empty."""
         value = self.values.get(path)
         if value is None or value == "":
             if default is None:
@@ -56,7 +56,7 @@
         return value
 
     def number(self, path: str, default: float | None = None, least: float = 0.0) -> float:
-        """Return a finite number that is not below the least."""
+        """Return a finite number that is not below the minimum."""
         raw = self.text(path, None if default is None else str(default))
         try:
             value = float(raw)
@@ -67,7 +67,7 @@
         return value
 
     def integer(self, path: str, default: int | None = None, least: int = 0) -> int:
-        """Return an integer that is not below the least; a number with a fraction is cut."""
+        """Return an integer that is not below the minimum; a fractional number is truncated."""
         raw = self.text(path, None if default is None else str(default))
         try:
             value = int(raw)
@@ -85,7 +85,7 @@
         return raw == "true"
 
     def choice(self, path: str, choices: dict[str, T], default: str | None = None) -> T:
-        """Return what one of several words stands for."""
+        """Return the value that one of several words denotes."""
         raw = self.text(path, default)
         if raw not in choices:
             raise ValueError(f"{path}: {raw!r} is none of {', '.join(choices)}")
@@ -149,7 +149,7 @@
 
 
 def parse_settings(text: str) -> Settings:
-    """Read settings from path=value lines; unknown paths are ignored.
+    """Parse settings from path=value lines; unknown paths are ignored.
 
     Raises
     ------
--- a/hollybay/balancing/slow_start.py
+++ b/hollybay/balancing/slow_start.py
@@ -1,9 +1,8 @@
-"""Slow start: how much a server that has just started can do, and the send rate that each node allows itself.
+"""Slow start: the capacity of a server that has just started, and the rate at which each node may send to it.
 
 All nodes together may send work to a starting server at a rate of overload_multiple (a ratio, see `Settings`)
-times its present capacity. Each node divides that rate by the number of nodes, as it estimates it
-(`traffic_share`), and keeps an interval (ns) between its own sends, so that the sum holds without
-communication.
+times its present capacity. Each node divides that rate by the estimated number of nodes (`traffic_share`),
+and keeps an interval (ns) between its own sends. The total rate stays within the limit without communication.
 """
 
 from __future__ import annotations
@@ -15,16 +14,17 @@
 
 __all__ = ["SLOW_START_BUDGET_SHARE", "SlowStart", "send_interval"]
 
-# The share (0 to 1) of that rate that all nodes together plan to use: with an overload_multiple of 4, 1.6
-# times the server's present capacity. Servers often do more at their age than the least; the rest is slack
-# for chance, for uneven traffic, and for a service time that is estimated too low.
+# The share (0 to 1) of that rate that all nodes together plan to use: with an overload_multiple of 4 it is
+# 1.6 times the server's present capacity, as servers often have more than the minimum capacity of their age.
+# The rest is a margin for chance, for uneven traffic, and for a service time that is estimated too low.
 SLOW_START_BUDGET_SHARE = 0.4
 
 
 def send_interval(service_time: float, size: float, factor: float, multiple: float, nodes: float) -> int:
     """Return the time (ns) between two sends of one node to a starting server.
 
-    A node's part of less than one request becomes a longer interval, never one request from every node.
+    If a node's share is less than one request, its interval becomes longer; rounding up to one request of
+    every node would exceed the budget.
 
     Parameters
     ----------
@@ -33,7 +33,7 @@
     size
         The server's size when warm.
     factor
-        The share (0 to 1) of its size that it has now, at the least.
+        The minimum share (0 to 1) of its size that it has at present.
     multiple
         Settings.overload_multiple.
     nodes
@@ -43,12 +43,12 @@
 
 
 class SlowStart:
-    """Keeps each server's slow-start state up to date.
+    """Updates the slow-start state of servers.
 
     Parameters
     ----------
     settings
-        warm_up (ns), cold_share (0 to 1) and overload_multiple are used.
+        The node's settings, of which warm_up (ns), cold_share (0 to 1) and overload_multiple are used.
     random
         The node's source of random numbers.
     """
@@ -60,9 +60,9 @@
         self.random = random
 
     def factor(self, server: TrackedServer, now: int) -> float:
-        """Return the least share (0 to 1) of its size that a server can do at its age.
+        """Return the minimum share (0 to 1) of its size that a server has at its age.
 
-        It grows linearly from cold_share to 1 over the warm-up time.
+        The share grows linearly from cold_share to 1 over the warm-up time.
         """
         warm_up = self.settings.warm_up
         age = now - server.up_since
@@ -72,7 +72,7 @@
         return cold_share + (1.0 - cold_share) * max(0, age) / warm_up
 
     def update_interval(self, server: TrackedServer, service_time: float, nodes: float, now: int) -> None:
-        """Renew the send interval of a starting server.
+        """Update the send interval of a starting server.
 
         Parameters
         ----------
@@ -89,7 +89,8 @@
             service_time, server.size, server.slow_start_factor, self.settings.overload_multiple, nodes
         )
         server.slow_start_interval = interval
-        # It is new, or the interval has shrunk since: a random start keeps nodes from sending all at once.
+        # The server is new, or the interval has become shorter: a random start keeps nodes from sending at
+        # the same time.
         if server.slow_start_send_at < 0 or server.slow_start_send_at > now + interval:
             server.slow_start_send_at = now + int(self.random.random() * interval)
 
--- a/hollybay/balancing/tenant_rejections.py
+++ b/hollybay/balancing/tenant_rejections.py
@@ -1,8 +1,9 @@
-"""Which rejections meet one tenant alone: they say nothing of load, and exclude the server for the tenant.
+"""Rejections that concern a single tenant: they are no sign of load, and exclude the server for that tenant.
 
-Servers may reject a tenant for what it is, and fast: a quota, a lock, a release that does not know it. Were
-that taken for overload, everybody's work would be shed, and the request would not be tried where it is
-accepted. It misleads where one tenant's requests are too much for a server that has capacity for the others.
+A server may reject a tenant quickly for reasons other than load: a quota, a lock, a release that does not
+know the tenant. If that counted as overload, requests of all tenants would be shed, and the request would not
+be sent to servers that accept it. The distinction is wrong if one tenant's requests are too much for a server
+that has capacity for those of the others.
 """
 
 from __future__ import annotations
@@ -12,18 +13,18 @@
 
 __all__ = ["TENANT_EXCLUSION_NS", "TenantRejections"]
 
-# The weight of one answer in a tenant's moving share of rejections.
+# The weight of one response in a tenant's moving share of rejections.
 REJECTION_WEIGHT = 0.05
-# A tenant is rejected for itself where that share is above this value, and this many times the median of the
-# other tenants.
+# Rejections concern a tenant alone if its share is above MIN_REJECTION_RATE and above MIN_REJECTION_RATIO
+# times the median of the other tenants.
 MIN_REJECTION_RATE = 0.2
 MIN_REJECTION_RATIO = 3.0
-# How long (ns) a server that rejects a tenant is left out for it.
+# How long (ns) a server that rejects a tenant is excluded for that tenant.
 TENANT_EXCLUSION_NS = 4 * SECOND
 
 
 class TenantRejections:
-    """The share of answers that are rejections, by tenant.
+    """The share of responses that are rejections, by tenant.
 
     Parameters
     ----------
@@ -37,7 +38,7 @@
         self.shares = OutlierShares(tenants)
 
     def observe(self, tenant: int, rejected: bool) -> bool:
-        """Record an answer; True where it is a rejection that meets this tenant alone."""
+        """Record a response; True if it is a rejection that concerns this tenant alone."""
         shares = self.shares
         if tenant >= shares.count:
             return False
--- a/hollybay/balancing/traffic_share.py
+++ b/hollybay/balancing/traffic_share.py
@@ -8,38 +8,40 @@
 
 __all__ = ["TrafficShare"]
 
-# The time (ns) over which own attempts and reports are counted: long against chance at a few requests a
-# second, short against the loss of most nodes.
+# The time (ns) over which this node's attempts and the reports are counted: long enough to average out chance
+# at a few requests a second, short enough to follow the loss of most nodes.
 HORIZON_NS = 6 * SECOND
-# The configured share (one of all nodes) counts as this many attempts, as a prior.
+# The prior: the share by the configured number of nodes has the weight of this many attempts.
 PRIOR_ATTEMPTS = 4.0
-# Before this many reports the configured number of nodes is used, and a report is not limited.
+# With fewer reports than this, the configured number of nodes is used, and outliers among reports are not
+# limited.
 MIN_REPORTS = 6
-# The configured number of nodes is replaced once the estimate is off by more than DEVIATION_FACTOR for
-# DEVIATION_HOLD_NS, and used again as soon as the estimate is off by less than RETURN_FACTOR. By chance, or
-# while reports begin, the estimate is off for less time.
+# The estimate replaces the configured number of nodes once it differs by more than DEVIATION_FACTOR for
+# DEVIATION_HOLD_NS, until it differs by no more than RETURN_FACTOR. Deviations by chance, or because reports
+# have only just begun, are shorter.
 DEVIATION_FACTOR = 2.0
 RETURN_FACTOR = 1.4
 DEVIATION_HOLD_NS = 3 * SECOND
-# The estimate is at most this many times the configured number of nodes, and at least that part of it.
+# The estimate is at most the configured number of nodes times this factor, and at least that number divided
+# by it.
 MAX_FACTOR = 30.0
-# One report counts as at most this many times the mean of those before, or of the least mean (requests a
-# second per unit of size).
+# A report counts as at most MAX_REPORT_RATIO times the mean of earlier ones, which counts as at least
+# MIN_MEAN_RATE (requests a second per unit of size).
 MAX_REPORT_RATIO = 4.0
 MIN_MEAN_RATE = 0.1
-# The number of reports over which the mean rate moves.
+# The number of reports that the moving mean of the rate covers.
 MEAN_REPORTS = 24
-# For slow start the number of nodes is at least the configured one divided by this: all nodes may estimate
-# too few at once.
+# For slow start, the number of nodes is at least the configured one divided by this, because all nodes may
+# underestimate it at the same time.
 SLOW_START_NODES_DIVISOR = 3.0
 
 
 class TrafficShare:
-    """Own attempts, relative to the requests that servers report from all nodes.
+    """The attempts of this node, relative to the requests from all nodes that servers report.
 
-    The shares of all nodes add up to one, also when most nodes are dead, the configured number is wrong, or
-    one node gets a multiple of the mean. Where reports have no rate, the configured number is used. Servers
-    that report a wrong rate mislead it within MAX_FACTOR.
+    The shares of all nodes add up to 1, even if most nodes are down, the configured number is wrong, or one
+    node gets several times the mean traffic. Without a rate in the reports, the configured number is used.
+    Servers that report a wrong rate cause an error of at most MAX_FACTOR.
 
     Parameters
     ----------
@@ -65,19 +67,19 @@
     def __init__(self, nodes: int, fields: Sequence[str], now: int) -> None:
         self.configured_nodes = nodes
         self.rate_field = fields.index("rate") if "rate" in fields else -1
-        self.deviating_for = 0  # ns for which the estimate has been off
+        self.deviating_for = 0  # ns for which the estimate has deviated
         self.updated_at = now
-        self.attempts = 0.0  # own, decaying
-        self.observed_seconds = 0.0  # over which they were counted, decaying
+        self.attempts = 0.0  # decaying count of this node's attempts
+        self.observed_seconds = 0.0  # decaying time over which they were counted
         self.reports = 0
         self.rate_per_size = 0.0  # moving mean of reported requests a second per unit of size
 
     def record_attempt(self) -> None:
-        """Count an attempt that this node has sent."""
+        """Count an attempt of this node."""
         self.attempts += 1.0
 
     def observe_report(self, report: Sequence[float], size: float) -> None:
-        """Take in a load report.
+        """Update the mean rate from a load report.
 
         Parameters
         ----------
@@ -95,14 +97,14 @@
         self.rate_per_size += (reported - self.rate_per_size) / min(self.reports, MEAN_REPORTS)
 
     def effective_nodes(self, now: int, size: float) -> float:
-        """Return 1 / this node's share of all traffic: how many nodes there are, were all like this one.
+        """Return 1 / this node's share of all traffic: the number of nodes if all were like this one.
 
         Parameters
         ----------
         now
             The time (ns).
         size
-            The size of all servers together.
+            The total size of all servers.
 
         Returns
         -------
@@ -125,11 +127,11 @@
         return max(1.0, configured / MAX_FACTOR, min(estimate, configured * MAX_FACTOR))
 
     def _update_deviation(self, factor: float, span: int) -> None:
-        """Count the time (ns) for which the estimate has been off by a factor."""
+        """Update the time (ns) for which the estimate has deviated, given the present factor of deviation."""
         replaced = self.deviating_for >= DEVIATION_HOLD_NS
         limit = RETURN_FACTOR if replaced else DEVIATION_FACTOR
         self.deviating_for = self.deviating_for + span if factor > limit else 0
 
     def slow_start_nodes(self, nodes: float) -> float:
-        """Return the number of nodes among which a starting server's budget is divided."""
+        """Return the number of nodes that share a starting server's budget."""
         return max(nodes, self.configured_nodes / SLOW_START_NODES_DIVISOR)
--- a/hollybay/balancing/units.py
+++ b/hollybay/balancing/units.py
@@ -1,6 +1,6 @@
-"""Units of time of the decisions.
+"""Units of time.
 
-They stand here beside `hollybay.units`, as this package imports nothing but the standard library.
+They duplicate those of `hollybay.units` because this package imports only the standard library.
 """
 
 from __future__ import annotations
--- a/hollybay/balancing/wakeup_dispatch.py
+++ b/hollybay/balancing/wakeup_dispatch.py
@@ -1,4 +1,4 @@
-"""What is done when the timer of a node fires: each wakeup that is due goes to the part that asked for it."""
+"""Dispatch of due wakeups, when the node's timer fires, to the components that scheduled them."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 
 
 class WakeupDispatch:
-    """Hands out the wakeups that are due.
+    """Dispatches the wakeups that are due.
 
     Parameters
     ----------
     context
-        The node's state and parts, and the event that is being handled.
+        The node's state and components, and the event being handled.
     server_updates
-        Takes reviews and polls.
+        Handles reviews and polls.
     further_attempts
-        Takes hedges and waits for a server.
+        Handles hedges and waits for a server.
     """
 
     def __init__(
@@ -33,7 +33,7 @@
         self.further_attempts = further_attempts
 
     def on_timer_fired(self, _: TimerFired) -> None:
-        """Take all wakeups that are due, in the order of their time."""
+        """Handle all wakeups that are due, in the order of their time."""
         now = self.context.now
         self.wakeups.timer_fired(now)
         while (wakeup := self.wakeups.pop_due(now)) is not None:
--- a/hollybay/balancing/wakeups.py
+++ b/hollybay/balancing/wakeups.py
@@ -1,4 +1,4 @@
-"""What a balancer has to do at a later time, behind one timer of its caller."""
+"""The queue of a balancer's scheduled work, for which its caller needs a single timer."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 
 
 class WakeupKind(IntEnum):
-    """What is due."""
+    """The kinds of scheduled work."""
 
     REVIEW = 0
     HEDGE = 1
-    SERVER_WAIT = 2  # a request that waits for a server is tried again
+    SERVER_WAIT = 2  # the next selection for a request that waits for a server
     POLL = 3
 
 
 class Wakeup(NamedTuple):
-    """One entry of the queue, in the order of its time.
+    """One entry of the queue; entries are ordered by time.
 
     Attributes
     ----------
@@ -28,9 +28,9 @@
     sequence
         The order of entries that are due at the same time.
     kind
-        What is due.
+        The kind of work that is due.
     request_id
-        The request concerned, 0 where there is none.
+        The request concerned, 0 if there is none.
     """
 
     due: int
@@ -47,7 +47,7 @@
     def __init__(self) -> None:
         self._heap: list[Wakeup] = []
         self._sequence = 0
-        self._armed_for = 0  # the earliest time that the timer is set for, 0: none
+        self._armed_for = 0  # the earliest time for which a timer is set, 0: none
 
     def schedule(self, due: int, kind: WakeupKind, request_id: int = 0) -> None:
         """Add a wakeup at a time (ns)."""
@@ -60,13 +60,13 @@
             self._armed_for = 0
 
     def pop_due(self, now: int) -> Wakeup | None:
-        """Remove and return the first wakeup that is due; None where there is none."""
+        """Remove and return the first wakeup that is due; None if there is none."""
         if self._heap and self._heap[0].due <= now:
             return heappop(self._heap)
         return None
 
     def arm(self, now: int) -> int:
-        """Return the delay (ns) of a timer that must be set now; 0 where an earlier one is set already."""
+        """Return the delay (ns) of a timer to set now; 0 if an earlier one is set or nothing is scheduled."""
         if not self._heap:
             return 0
         due = self._heap[0].due
--- a/hollybay/balancing/zone_reachability.py
+++ b/hollybay/balancing/zone_reachability.py
@@ -1,25 +1,26 @@
-"""Which zones are reachable, judged by how connects end: sooner than discovery reports a lost zone."""
+"""Reachability of zones, judged by failed connects: this is faster than discovery's report of a lost zone."""
 
 from __future__ import annotations
 
 __all__ = ["ZoneReachability"]
 
-# The share of failed connects above which a zone is taken for unreachable.
+# The share of failed connects above which a zone counts as unreachable.
 UNREACHABLE_FAILURE_RATE = 0.25
-# The largest share of traffic diverted from an unreachable zone; the rest finds out when it is back.
+# The largest share of traffic that is diverted from an unreachable zone; the rest detects its recovery.
 MAX_DIVERTED_SHARE = 0.95
-# What one successful connect leaves of the share of failed ones.
+# The factor by which a successful connect reduces the share of failed ones.
 SUCCESS_DECAY = 0.8
-# A zone is unreachable only if its share of failed connects is this many times that of the other zones.
+# A zone is unreachable only if its share of failed connects is above this many times that of the other zones.
 UNREACHABLE_RATIO = 2.0
 
 
 class ZoneReachability:
     """The share of connects that fail, for the node's own zone (local) and for all others (remote).
 
-    A single server that is down shows in its own failure rate. When a whole zone goes, a node with few
-    requests meets each of the zone's servers only once in seconds, and would try one after another.
-    Where many servers of a zone fail at once and its others could carry the load, traffic crosses in vain.
+    A single server that is down shows in its own failure rate. If a whole zone is lost, a node with few
+    requests sends to each of its servers only once in several seconds, and would try one after another
+    without this class. If many servers of a zone fail at once but the others could carry the load, traffic
+    leaves it needlessly.
 
     Attributes
     ----------
@@ -34,17 +35,17 @@
         self.remote_failure_rate = 0.0
 
     def observe_connect(self, local: bool, failed: bool, weight: float) -> None:
-        """Record how a connect ended.
+        """Record the result of a connect.
 
-        A success weighs more than a failure, so that a zone with some servers down is not taken for
-        unreachable, and one that comes back is seen at once.
+        A success has more weight than a failure, so that a zone with some servers down does not count as
+        unreachable, and the recovery of a zone is detected at once.
 
         Parameters
         ----------
         local
-            Whether it went to the node's own zone.
+            Whether the server is in the node's own zone.
         failed
-            Whether it failed.
+            Whether the connect failed.
         weight
             The weight of one failure in the moving share, 0 to 1.
         """
@@ -62,12 +63,12 @@
         return rate > UNREACHABLE_FAILURE_RATE and rate > UNREACHABLE_RATIO * self.local_failure_rate
 
     def remote_first_share(self, load_share: float) -> float:
-        """Return the share (0 to 1) of requests that try remote zones first.
+        """Return the share (0 to 1) of requests that are sent to remote zones first.
 
         Parameters
         ----------
         load_share
-            The share that would go there by load alone.
+            The share that load alone would send there.
         """
         if self.remote_unreachable:
             return (1.0 - MAX_DIVERTED_SHARE) * load_share
--- a/hollybay/mutation/planted.py
+++ b/hollybay/mutation/planted.py
@@ -140,7 +140,7 @@
     Defect(
         "idle-again-too-soon",
         ATTEMPT_TRACKING,
-        "self.selector.schedule_idle(server, now)  # one whose body is pending has left it listed",
+        "self.selector.schedule_idle(server, now)  # an attempt whose body is pending does not unlist it",
         "pass",
     ),
     Defect(
