--- a/benchmarks/simulation.py
+++ b/benchmarks/simulation.py
@@ -14,7 +14,7 @@
 
 def _played(seed: int) -> tuple[int, float, int]:
     plan, outcome = play_seed(seed)
-    return outcome.steps, outcome.seconds * plan.nodes, len(outcome.wrong)
+    return outcome.steps, outcome.seconds * plan.nodes, len(outcome.violations)
 
 
 def main() -> None:
--- a/hollybay/cli/simulate.py
+++ b/hollybay/cli/simulate.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from hollybay.simulation.kinds import FAULTS
+from hollybay.simulation.fault_kinds import FAULTS
 from hollybay.simulation.plan import Plan, draw, events, to_json
 from hollybay.simulation.shrink import shrink
 from hollybay.simulation.world import Outcome, play
@@ -142,7 +142,7 @@
 
 
 def _fault_lines(outcome: Outcome) -> tuple[str, ...]:
-    return tuple(f"{fault.rule}: {fault.subject}: {fault.reason}" for fault in outcome.wrong)
+    return tuple(f"{fault.rule}: {fault.subject}: {fault.reason}" for fault in outcome.violations)
 
 
 def play_one(selection: RunSelection, seed: int) -> RunResult:
@@ -255,10 +255,10 @@
     """
     plan = selection.plan_of(selection.seeds[0])
     outcome = play(plan)
-    if not outcome.wrong:
+    if not outcome.violations:
         write_line("nothing is wrong here, so there is nothing to shrink")
         return EXIT_CLEAN
-    rule = outcome.wrong[0].rule
+    rule = outcome.violations[0].rule
     write_line(f"{events(plan)} events: {_fault_lines(outcome)[0]}")
     least = shrink(plan, lambda smaller: rule in play(smaller).rules)
     target.write_bytes(to_json(least) + b"\n")
@@ -280,4 +280,4 @@
     for line in _fault_lines(outcome)[:MAX_FAULTS_SHOWN]:
         write_line(line)
     write_line(f"{outcome.steps} steps in {target}, trace {outcome.trace}")
-    return EXIT_FAULT_FOUND if outcome.wrong else EXIT_CLEAN
+    return EXIT_FAULT_FOUND if outcome.violations else EXIT_CLEAN
--- a/hollybay/consensus/service.py
+++ b/hollybay/consensus/service.py
@@ -2,7 +2,7 @@
 
 The parts reach other processes through the `Transport` and their node through the `DataPlane` that they are
 given, so that the same code runs over sockets (`hollybay.proxy.consensus_member`) and on a virtual clock
-(`hollybay.simulation.accord_rehearsal`).
+(`hollybay.simulation.consensus_simulation`).
 
 See Also
 --------
--- a/hollybay/mutation/planted.py
+++ b/hollybay/mutation/planted.py
@@ -385,7 +385,7 @@
 from hollybay.simulation.world import play
 plan = draw(int(sys.argv[1]))
 rule = sys.argv[2]
-least = shrink(plan, lambda smaller: rule in play(smaller).rules, most_tries=int(sys.argv[4]))
+least = shrink(plan, lambda smaller: rule in play(smaller).rules, max_runs=int(sys.argv[4]))
 Path(sys.argv[3]).write_bytes(to_json(least) + b"\\n")
 print("EVENTS", events(least))
 """
--- a/hollybay/mutation/tree.py
+++ b/hollybay/mutation/tree.py
@@ -128,8 +128,8 @@
 from hollybay.simulation.world import play_seed
 for seed in json.loads(sys.argv[1]):
     plan, outcome = play_seed(seed)
-    if outcome.wrong:
-        fault = outcome.wrong[0]
+    if outcome.violations:
+        fault = outcome.violations[0]
         print("FOUND " + json.dumps([seed, fault.rule, fault.subject, fault.reason]))
         break
 """
--- a/hollybay/simulation/agent.py
+++ b/hollybay/simulation/agent.py
@@ -8,9 +8,9 @@
 from collections.abc import Callable
 from typing import Any, cast
 
-from .http import Malformed, Reader
+from .http import MalformedMessageError, MessageReader
 from .network import SimTransport
-from .stage import Stage
+from .run_context import RunContext
 
 __all__ = ["Agent"]
 
@@ -31,7 +31,7 @@
 class Agent:
     """One for each node. Every change of the fleet's list bumps its version."""
 
-    def __init__(self, world: Stage, node: str) -> None:
+    def __init__(self, world: RunContext, node: str) -> None:
         self.world = world
         self.node = node
         self.host = f"agent-{node}"
@@ -45,7 +45,7 @@
     async def begin(self) -> None:
         """Listen."""
         if (self.host, 8500) not in self.world.net.listening:
-            await self.world.net.create_server(lambda: _Line(self), self.host, 8500)
+            await self.world.net.create_server(lambda: _AgentConnection(self), self.host, 8500)
 
     def stop(self) -> None:
         """Die: connections are reset, new ones refused."""
@@ -56,9 +56,9 @@
         self.version += 1
         self.lines[str(line["id"])] = line
         self.versions[str(line["id"])] = self.version
-        self.note()
+        self.notify_waiters()
 
-    def note(self) -> None:
+    def notify_waiters(self) -> None:
         """Something has changed that calls may wait for."""
         self._changed.set()
         self._changed = asyncio.Event()
@@ -102,15 +102,15 @@
         listing = self.listing(-1 if self.again else since)
         body = json.dumps(listing).encode()
         transport.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
-        self.world.was_told(self.node, listing)
+        self.world.on_list_delivered(self.node, listing)
 
 
-class _Line(asyncio.Protocol):
+class _AgentConnection(asyncio.Protocol):
     """One connection of the node."""
 
     def __init__(self, agent: Agent) -> None:
         self.agent = agent
-        self.reader = Reader(answers=False)
+        self.reader = MessageReader(answers=False)
         self.transport: SimTransport
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -120,7 +120,7 @@
         self.reader.feed(data)
         try:
             message = self.reader.next()
-        except Malformed as error:
+        except MalformedMessageError as error:
             self.agent.world.ledger.report("bytes", self.agent.host, str(error))
             self.transport.abort()
             return
--- a/hollybay/simulation/kinds.py
+++ b/hollybay/simulation/fault_kinds.py
@@ -4,15 +4,15 @@
 
 from dataclasses import dataclass
 
-__all__ = ["FAULTS", "SPOILT", "WRONG", "FaultKind", "Wrong"]
+__all__ = ["FAULTS", "MALFORMED_REQUESTS", "RESPONSE_VARIANTS", "FaultKind", "MalformedRequest"]
 
 
 @dataclass(frozen=True, slots=True)
 class FaultKind:
     """What a fault strikes (server, node, fleet or discovery) and what it does."""
 
-    strikes: str
-    what: str
+    target_type: str
+    description: str
 
 
 FAULTS = {
@@ -54,7 +54,7 @@
 }
 
 # Answers that are no sound answer, but for the last five, which are unusual and sound.
-SPOILT = {
+RESPONSE_VARIANTS = {
     "early": "before the request's last byte has come",
     "twice": "the whole answer once more, right behind",
     "two_lengths": "two lengths that differ",
@@ -78,7 +78,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Wrong:
+class MalformedRequest:
     """A request that is none. edit: from the sound head's lines to wrong ones; status: what is right."""
 
     name: str
@@ -86,23 +86,23 @@
 
 
 # In the order in which a plan's arg counts them; how each is worded stands in clients.py.
-WRONG = (
-    Wrong("version", (505,)),
-    Wrong("two_lengths", (400,)),
-    Wrong("both_framings", (400,)),
-    Wrong("two_ids", (400,)),
-    Wrong("no_id", (400,)),
-    Wrong("bad_id", (400,)),
-    Wrong("no_class", (404,)),
-    Wrong("method", (405,)),
-    Wrong("get_body", (400,)),
-    Wrong("no_key", (400,)),
-    Wrong("deadline", (400,)),
-    Wrong("control", (400,)),
-    Wrong("too_long", (413,)),
-    Wrong("chunk_size", (400,)),
-    Wrong("big_head", (431,)),
-    Wrong("two_hosts", (400,)),
-    Wrong("old_chunked", (400,)),
-    Wrong("noise", (400,)),
+MALFORMED_REQUESTS = (
+    MalformedRequest("version", (505,)),
+    MalformedRequest("two_lengths", (400,)),
+    MalformedRequest("both_framings", (400,)),
+    MalformedRequest("two_ids", (400,)),
+    MalformedRequest("no_id", (400,)),
+    MalformedRequest("bad_id", (400,)),
+    MalformedRequest("no_class", (404,)),
+    MalformedRequest("method", (405,)),
+    MalformedRequest("get_body", (400,)),
+    MalformedRequest("no_key", (400,)),
+    MalformedRequest("deadline", (400,)),
+    MalformedRequest("control", (400,)),
+    MalformedRequest("too_long", (413,)),
+    MalformedRequest("chunk_size", (400,)),
+    MalformedRequest("big_head", (431,)),
+    MalformedRequest("two_hosts", (400,)),
+    MalformedRequest("old_chunked", (400,)),
+    MalformedRequest("noise", (400,)),
 )
--- a/hollybay/simulation/http.py
+++ b/hollybay/simulation/http.py
@@ -4,14 +4,14 @@
 
 from hashlib import blake2b
 
-__all__ = ["Malformed", "Message", "Reader", "filler"]
+__all__ = ["MalformedMessageError", "Message", "MessageReader", "filler"]
 
 MOST_HEAD = 64 << 10
 MOST_BODY = 4 << 20
 _TOKEN = frozenset(b"!#$%&'*+-.^_`|~0123456789abcdefghijklmnopqrstuvwxyz")
 
 
-class Malformed(Exception):
+class MalformedMessageError(Exception):
     """Bytes that are no sound message; the text says why."""
 
 
@@ -46,7 +46,7 @@
         return b"".join(self.body)
 
 
-class Reader:
+class MessageReader:
     """Takes bytes as they come. `head` is the message that is being read, None before its head is whole.
 
     answers: whether it reads answers, whose bodies may end with the connection, and informational ones.
@@ -61,7 +61,7 @@
         self._last = False
 
     @property
-    def begun(self) -> bool:
+    def in_progress(self) -> bool:
         """Whether a message has begun to come and is not whole."""
         return bool(self.buffer) or self.head is not None
 
@@ -90,8 +90,8 @@
         head = self.head
         if head is not None and head.length is None and not head.chunked and self.answers:
             return self._whole(head)
-        if self.begun:
-            raise Malformed("the connection ended in mid-message")
+        if self.in_progress:
+            raise MalformedMessageError("the connection ended in mid-message")
         return None
 
     def _whole(self, head: Message) -> Message:
@@ -105,13 +105,13 @@
             head.size += size
             self.buffer = self.buffer[size:]
             if head.size > MOST_BODY:
-                raise Malformed("a body without end")
+                raise MalformedMessageError("a body without end")
 
     def _head(self) -> bool:
         at = self.buffer.find(b"\r\n\r\n")
         if at < 0:
             if len(self.buffer) > MOST_HEAD:
-                raise Malformed("a head without end")
+                raise MalformedMessageError("a head without end")
             return False
         lines = self.buffer[:at].split(b"\r\n")
         self.buffer = self.buffer[at + 4 :]
@@ -122,29 +122,29 @@
             name, sep, value = line.partition(b":")
             name = name.lower()
             if not sep or not name or not _TOKEN.issuperset(name):
-                raise Malformed(f"no header: {line[:40]!r}")
+                raise MalformedMessageError(f"no header: {line[:40]!r}")
             value = value.strip(b" \t")
             headers.append((name, value))
             if name == b"content-length":
                 if length is not None or not value.isdigit():
-                    raise Malformed(f"content-length: {value[:20]!r}")
+                    raise MalformedMessageError(f"content-length: {value[:20]!r}")
                 length = int(value)
             elif name == b"transfer-encoding":
                 if chunked or value.lower() != b"chunked":
-                    raise Malformed(f"transfer-encoding: {value[:20]!r}")
+                    raise MalformedMessageError(f"transfer-encoding: {value[:20]!r}")
                 chunked = True
         if chunked and length is not None:
-            raise Malformed("a length and chunks")
+            raise MalformedMessageError("a length and chunks")
         message = Message(lines[0], headers, length, chunked)
         if self.answers:
             parts = lines[0].split(b" ", 2)
             if parts[0] != b"HTTP/1.1" or len(parts) < 2 or not (parts[1].isdigit() and len(parts[1]) == 3):
-                raise Malformed(f"no status line: {lines[0][:40]!r}")
+                raise MalformedMessageError(f"no status line: {lines[0][:40]!r}")
             if parts[1][:1] == b"1":
                 self.informational.append(int(parts[1]))
                 return True
         elif len(lines[0].split(b" ")) != 3 or not lines[0].endswith(b" HTTP/1.1"):
-            raise Malformed(f"no request line: {lines[0][:40]!r}")
+            raise MalformedMessageError(f"no request line: {lines[0][:40]!r}")
         self.head = message
         return True
 
@@ -163,7 +163,7 @@
                 if len(self.buffer) < 2:
                     return False
                 if self.buffer[:2] != b"\r\n":
-                    raise Malformed("a chunk longer than it says")
+                    raise MalformedMessageError("a chunk longer than it says")
                 self.buffer = self.buffer[2:]
                 self._chunk = -1
                 if self._last:
@@ -175,6 +175,6 @@
                 try:
                     size = int(line.split(b";")[0], 16)
                 except ValueError:
-                    raise Malformed(f"no chunk: {line[:20]!r}") from None
+                    raise MalformedMessageError(f"no chunk: {line[:20]!r}") from None
                 self.buffer = rest
                 self._chunk, self._last = size, size == 0
