--- a/hollybay/mutation/__init__.py
+++ b/hollybay/mutation/__init__.py
@@ -1,5 +1,6 @@
-"""Defects planted in copies of the code on purpose, to measure what simulation and tests see of them.
+"""Mutation testing: defects planted in copies of the code, to measure what simulation and tests detect.
 
-tree       copies of the packages with one text changed (mutants), and what is run in them to kill them
-planted    defects of the project's own choosing, each with the seed that finds it
+tree          copies of the packages with one changed text (mutants), and the runs that may kill them
+planted       manually chosen defects, each with a seed of the simulation that finds it
+soak_defects  the same for the soak
 """
--- a/hollybay/mutation/tree.py
+++ b/hollybay/mutation/tree.py
@@ -1,6 +1,6 @@
-"""Copies of the code with one place changed (mutants), and runs that may kill them: whole processes each.
+"""Copies of the code with one changed text (mutants), and runs in processes of their own that may kill them.
 
-A run kills a mutant where it finds a fault that the code as it is does not have.
+A run kills a mutant if it finds a fault that the unchanged code doesn't have.
 """
 
 from __future__ import annotations
@@ -30,14 +30,14 @@
 
 ROOT = Path(__file__).resolve().parents[2]
 PACKAGES = ("hollybay",)
-# The rule of a run that does not end as it should.
+# The rule that is reported for a run that crashes or times out.
 PROCESS_RULE = "process"
 PLAN_TIMEOUT_S = 60.0
 SEEDS_TIMEOUT_S = 120.0
 
 
 class SourceTextError(ValueError):
-    """The text that was to be changed is not in its file, or more than once."""
+    """The text to change is not in its file exactly once."""
 
 
 class Kill(NamedTuple):
@@ -48,9 +48,9 @@
     seed
         The seed that was played.
     rule
-        The name of the rule that was broken; `process` where the run did not end as it should.
+        The name of the violated rule; `process` if the run crashed or timed out.
     reason
-        What was found, for people.
+        A description of the violation.
     """
 
     seed: int
@@ -60,23 +60,23 @@
 
 @contextmanager
 def mutated_copy(path: str, old: str, new: str) -> Iterator[Path]:
-    """Copy the packages, with one text in one file changed; yields the copy's root.
+    """Copy the packages with one text in one file changed; yields the root of the copy.
 
     Parameters
     ----------
     path
-        The file, from the root.
+        The path of the file, relative to the root.
     old, new
-        The text, which must be in the file exactly once, and what it is changed to.
+        The text, which must be in the file exactly once, and its replacement.
 
     Raises
     ------
     SourceTextError
-        The text is not there, or more than once.
+        The text is not in the file exactly once.
     """
     text = (ROOT / path).read_text()
     if text.count(old) != 1:
-        raise SourceTextError(f"{path}: {old!r} stands there {text.count(old)} times")
+        raise SourceTextError(f"{path}: {old!r} occurs {text.count(old)} times, expected once")
     with TemporaryDirectory(prefix="changed-") as folder:
         tree = Path(folder)
         for name in PACKAGES:
@@ -86,21 +86,21 @@
 
 
 def run_in(tree: Path, arguments: Sequence[str], timeout: float) -> tuple[int | None, str]:
-    """Run Python in a copy.
+    """Run the Python interpreter in a copy.
 
     Parameters
     ----------
     tree
-        The copy's root.
+        The root of the copy.
     arguments
-        Those of the interpreter.
+        The arguments of the interpreter.
     timeout
-        Seconds, after which it is killed with all that it has started.
+        The duration (s) after which it is killed together with its child processes.
 
     Returns
     -------
     tuple
-        Its exit status (None: it was killed), and its output and errors.
+        Its exit status, None if it was killed, and its combined output.
     """
     environ = {**os.environ, "PYTHONPATH": str(tree), "PYTHONDONTWRITEBYTECODE": "1"}
     process = subprocess.Popen(
@@ -122,7 +122,7 @@
     return process.returncode, output
 
 
-# Plays seeds until one finds something; a program of its own, so that it runs the changed code.
+# Plays seeds until one finds a violation, in a separate process, which imports the changed code.
 _SEEDS_PROGRAM = """
 import json, sys
 from hollybay.simulation.world import play_seed
@@ -136,9 +136,9 @@
 
 
 def _first_killing_seed(tree: Path, seeds: Sequence[int], timeout: float) -> Kill | None:
-    """Return what the first seed that finds something in a copy has found; None: none does.
+    """Return the first violation that the seeds find in a copy, None if there is none.
 
-    A run that ends otherwise than it should (it does not start, or goes on for ever) has found that.
+    A run that crashes or times out counts as a violation of the rule `process`.
     """
     status, output = run_in(tree, ["-c", _SEEDS_PROGRAM, json.dumps(list(seeds))], timeout)
     for line in output.splitlines():
@@ -147,11 +147,11 @@
             return Kill(int(seed), str(rule), f"{subject}: {reason}")
     if status == 0:
         return None
-    last_lines = output.strip().splitlines()[-1:] or ["it said nothing"]
-    return Kill(seeds[0], PROCESS_RULE, "it goes on for ever" if status is None else last_lines[0])
+    last_lines = output.strip().splitlines()[-1:] or ["no output"]
+    return Kill(seeds[0], PROCESS_RULE, f"timed out after {timeout} s" if status is None else last_lines[0])
 
 
-# Plays one plan; prints the names of the rules that were broken.
+# Plays one plan; prints the names of the violated rules.
 _PLAN_PROGRAM = """
 import sys
 from pathlib import Path
@@ -163,7 +163,7 @@
 
 
 def killed_by_plan(path: str, old: str, new: str, plan: Path, timeout: float = PLAN_TIMEOUT_S) -> set[str]:
-    """Return the rules that one plan finds broken in a mutant; parameters as in `mutated_copy`."""
+    """Return the rules that one plan finds violated in a mutant; parameters as in `mutated_copy`."""
     with mutated_copy(path, old, new) as tree:
         _, output = run_in(tree, ["-c", _PLAN_PROGRAM, str(plan)], timeout)
     lines = [line for line in output.splitlines() if line.startswith("RULES")]
@@ -173,6 +173,6 @@
 def killed_by_seeds(
     path: str, old: str, new: str, seeds: Sequence[int], timeout: float = SEEDS_TIMEOUT_S
 ) -> Kill | None:
-    """Return what seeds find in a mutant, None: nothing; parameters as in `mutated_copy`."""
+    """Return the first violation that seeds find in a mutant, or None; parameters as in `mutated_copy`."""
     with mutated_copy(path, old, new) as tree:
         return _first_killing_seed(tree, seeds, timeout)
