--- a/hollybay/cluster/__init__.py
+++ b/hollybay/cluster/__init__.py
@@ -1,6 +1,6 @@
-"""Cluster runs: nodes, servers, clients and discovery as real processes on one machine, with faults.
+"""Cluster runs: nodes, servers, clients and discovery as real processes, with faults.
 
-plan           the TOML plan of a run: sizes, groups, faults, thresholds; checked as strictly as an operator file
+plan           the TOML plan of a run: sizes, groups, faults, bounds; checked as strictly as an operator file
 records        events of one process, in its own log file, readable after a kill at any byte
 merged_run     the event logs merged into one ledger and checked against the four rules
 evenness       how evenly load was spread, with the counting noise of a Poisson stream subtracted
--- a/hollybay/cluster/change_stream.py
+++ b/hollybay/cluster/change_stream.py
@@ -1,13 +1,13 @@
-"""A stream of changes of resources that goes through a run: who proposes what when, and what must come of it.
+"""A run with a stream of resource changes: generates the proposals, tracks each, and checks the results.
 
-Operators propose changes one by one and in bursts, at every keeper, some of them twice under one id, while
-the plan's faults go on; each is followed to its end. Afterwards the logs on the nodes' disks are read:
+Operators propose changes one by one and in bursts, at every voter, some of them twice under one ID, during
+the faults of the plan; each change is tracked to its outcome. Then the logs on the nodes' disks are checked:
 
-1. Each proposal was told one end, in force or refused, and no reasons but its own; whoever proposed the same
-   change was told the same.
-2. What was told to be in force was decided, once, and is in the resources of every node; what was told to be
-   refused is in none.
-3. A sound change was refused only while a disk was full; a bad or outdated one was refused; of two changes
+1. Each proposal has one reported outcome, in force or rejected, with no reasons of other changes; all
+   proposers of one change receive the same outcome.
+2. A change reported in force was decided exactly once and is in the resources of every node; a change
+   reported rejected is in none.
+3. A valid change was rejected only while a disk was full; a bad or outdated one was rejected; of two changes
    that create the same route at most one is in force.
 4. All nodes hold the same resources.
 """
@@ -57,27 +57,27 @@
     "run_stream",
 ]
 
-CALL_LIMIT = 2.0  # s for one call of an operator
+CALL_LIMIT = 2.0  # time-out of an operator's call, s
 NO_SPACE = "No space left"
 ROUTE_NAME = r"'(n\d{3}-)?r\d{3}'"
 
 
 class ChangeKind(Enum):
-    """What is to come of a proposal."""
+    """Kinds of proposals, with their expected outcome."""
 
     SOUND = "sound"  # in force
-    CHAINED = "chained"  # in force, and then replaced and deleted by two more
+    CHAINED = "chained"  # in force, then replaced and deleted by two more changes
     RIVAL = "rival"  # one of two that create the same route
-    OUTDATED = "outdated"  # refused: made on a version that is not there
-    BAD = "bad"  # refused: no node can serve it
-    UNFIT = "unfit"  # refused: one node cannot serve it
+    OUTDATED = "outdated"  # rejected: based on a version that does not exist
+    BAD = "bad"  # rejected: no node can serve it
+    UNFIT = "unfit"  # rejected: one node cannot serve it
 
 
 @dataclass(frozen=True, slots=True)
 class Burst:
-    """So many changes at once, one of four bad or unfit. at: seconds from the run's start.
+    """A number of simultaneous changes, one of four bad or unfit. at: seconds from the start of the run.
 
-    keeper: the number of the one that is called.
+    voter: the number of the voter that is called first.
     """
 
     at: float
@@ -87,7 +87,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FullDisk:
-    """A node's disk is full from one moment to another, in seconds from the run's start."""
+    """A span in which the disk of a node is full, in seconds from the start of the run."""
 
     node: str
     begin: float
@@ -96,10 +96,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Stream:
-    """Changes from one moment to another (s) at a steady rate (1/s), and bursts beside them.
+    """Changes at a steady rate (1/s) from begin to end (s), with additional bursts.
 
-    limit: s for which each is followed. unfit: the node that cannot serve the unfit changes; it must not be
-    cut off or stopped, as the others go on without it then.
+    limit: s for which each change is tracked. unfit: the node that cannot serve the unfit changes; it must
+    not be cut off or stopped, since the others then continue without it.
     """
 
     begin: float
@@ -114,8 +114,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Proposal:
-    """One change. at: seconds from the run's start; keepers: the number of the keeper that each of its
-    proposers calls first.
+    """One change. at: seconds from the start of the run; voters: for each of its proposers, the number of the
+    voter that it calls first.
     """
 
     at: float
@@ -126,7 +126,7 @@
 
 @dataclass(slots=True)
 class TrackedChange:
-    """What became of a change. told: by each of its proposers; began, ended: s from the run's start."""
+    """The outcome of a change. verdicts: one for each proposer; began, ended: s from the start of the run."""
 
     kind: ChangeKind
     change: Change
@@ -136,14 +136,14 @@
 
 
 def route(name: str, cls: str | None = None, part: str = "a") -> bytes:
-    """The body of a route for paths that no client asks for."""
+    """Return the encoded body of a route for paths that no client requests."""
     return encode_table(
         RouteTable(name=name, cls=cls, path=PathTable(prefix=f"/view-schedule/{name}/{part}"))
     )
 
 
 def proposals(stream: Stream, voters: int) -> list[Proposal]:
-    """All proposals of a stream, in order of time."""
+    """Return all proposals of a stream, in order of time."""
     rng = random.Random(stream.seed)
     found: list[Proposal] = []
 
@@ -185,13 +185,13 @@
     return sorted(found, key=lambda proposal: proposal.at)
 
 
-# What must hold
+# Checks
 
 
 def find_violations(
     tracked: Iterable[TrackedChange], states: Mapping[str, ResourceState], stream: Stream
 ) -> list[str]:
-    """What does not hold, by the rules of the module; states: of each node at the end."""
+    """Return violations of the rules above; states: the resources of each node at the end."""
     found: list[str] = []
     if len({state.digest for state in states.values()}) != 1:
         shown = {name: f"{state.revision}-{state.digest.hex()[:8]}" for name, state in states.items()}
@@ -207,39 +207,41 @@
 
 
 def _change_violations(one: TrackedChange, states: Mapping[str, ResourceState], stream: Stream) -> list[str]:
-    """What does not hold of one change."""
+    """Return the violations of one change."""
     codes = {verdict.code for verdict in one.verdicts}
     if codes not in ({0}, {1}):
-        return [f"was told {[(verdict.code, verdict.text) for verdict in one.verdicts]}"]
+        return [f"proposers received {[(verdict.code, verdict.text) for verdict in one.verdicts]}"]
     in_force = codes == {0}
-    found = [f"is told of another: {text}" for text in _foreign_reasons(one)]
+    found = [f"reported with a reason of another change: {text}" for text in _foreign_reasons(one)]
     for name, state in states.items():
         times = sum(ids.count(one.change.id) for ids in state.change_ids_by_revision.values())
         if times != int(in_force):
-            found.append(f"told to be {'in force' if in_force else 'refused'}, {name} has it {times} times")
+            found.append(
+                f"reported {'in force' if in_force else 'rejected'}, but {name} applied it {times} times"
+            )
     if in_force and one.kind in (ChangeKind.BAD, ChangeKind.OUTDATED, ChangeKind.UNFIT):
-        found.append("is in force")
+        found.append("is in force, expected to be rejected")
     sound = one.kind in (ChangeKind.SOUND, ChangeKind.CHAINED)
     if not in_force and sound and not _refused_for_full_disk(one, stream):
-        found.append(f"is refused: {one.verdicts[0].reasons}")
+        found.append(f"is rejected: {one.verdicts[0].reasons}")
     return found
 
 
 def _foreign_reasons(one: TrackedChange) -> list[str]:
-    """Reasons that name another route than its own."""
+    """Return the reasons that name a route of another change."""
     name = one.change.operations[0].name
     texts = [text for verdict in one.verdicts for reasons in verdict.reasons.values() for text in reasons]
     return [text for text in texts if re.search(ROUTE_NAME, text) and f"'{name}'" not in text]
 
 
 def _refused_for_full_disk(one: TrackedChange, stream: Stream) -> bool:
-    """Whether it was refused as a disk was full, at such a time."""
+    """Whether the change was rejected for a full disk while a disk was full."""
     during = any(one.began < disk.end and one.ended > disk.begin for disk in stream.full_disks)
     return during and all(NO_SPACE in str(verdict.reasons) for verdict in one.verdicts)
 
 
 def _duplicate_routes(tracked: Iterable[TrackedChange]) -> list[str]:
-    """Routes that two changes created."""
+    """Return the routes that more than one change created."""
     created: dict[str, int] = {}
     for one in tracked:
         if one.kind is ChangeKind.RIVAL and all(verdict.code == 0 for verdict in one.verdicts):
@@ -248,11 +250,11 @@
     return [f"route {name} was created {times} times" for name, times in created.items() if times > 1]
 
 
-# A run with a stream
+# Running a plan with a stream
 
 
 class _Proposer(ChangeTracker):
-    """An operator who calls one keeper before the others."""
+    """An operator who calls one voter before the others."""
 
     def __init__(self, addresses: list[str], first: int) -> None:
         super().__init__(self._call, addresses)
@@ -266,7 +268,7 @@
 
 
 class _StreamHarness(_Harness):
-    """The rig, with operators who propose the changes of a stream."""
+    """A harness with operators who propose the changes of a stream."""
 
     def __init__(self, plan: Plan, folder: Path, defect: str, stream: Stream) -> None:
         super().__init__(plan, folder, lambda tick: None, defect)
@@ -274,7 +276,7 @@
         self.tracked: list[TrackedChange] = []
 
     def now(self) -> float:
-        """Seconds since the run's start."""
+        """Return the seconds since the start of the run."""
         return (time.monotonic_ns() - self.started_at) / SECOND
 
     async def _wait_for_clients(self, runs: list[Any], faults: list[Any], beside: list[Any]) -> None:
@@ -316,13 +318,13 @@
 
     @staticmethod
     def _revision_of(one: TrackedChange) -> int:
-        """The revision of the policy that a change is in force with."""
+        """Return the revision of the policy with which a change came into force."""
         return version_of(one.verdicts[0].change)
 
     async def _propose_and_track(
         self, kind: ChangeKind, change: Change, voters: tuple[int, ...]
     ) -> TrackedChange:
-        """Propose a change, by one operator or two at once, until they are told what became of it."""
+        """Propose a change, by one operator or two at once, and wait for the verdict of each."""
         one = TrackedChange(kind, change, self.now())
         self.tracked.append(one)
         began = time.monotonic_ns()
@@ -331,7 +333,7 @@
         one.verdicts = await asyncio.gather(*(each.submit(change, self.stream.limit) for each in proposers))
         one.ended = self.now()
         for verdict in one.verdicts:
-            # The oracle knows policies; a refused change never had one.
+            # The atomicity check works on policies; a rejected change never had one.
             name = verdict.change if verdict.code == 0 else ""
             self.events.append(Said(time.monotonic_ns(), name, verdict.code, verdict.text, began))
         return one
@@ -339,7 +341,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamResult:
-    """What came of a run: its outcome, each change, and the resources on each node's disk at the end."""
+    """The result of a run: its outcome, each change, and the resources on each node's disk at the end."""
 
     outcome: Outcome
     tracked: tuple[TrackedChange, ...]
@@ -347,14 +349,14 @@
 
     @property
     def largest_batch(self) -> int:
-        """How many changes were decided together at the most."""
+        """Return the largest number of changes that were decided together."""
         return max(
             len(ids) for state in self.states.values() for ids in state.change_ids_by_revision.values()
         )
 
 
 def state_from_log(folder: Path, serves: list[str]) -> ResourceState:
-    """The resources after the policy that a node serves under, from its log on disk."""
+    """Return the resources of the policy under which a node serves, from its log on disk."""
     log = PolicyLog(folder)
     log.open()
     state = log.state(serves[-1])
@@ -363,7 +365,7 @@
 
 
 async def run_stream(plan: Plan, stream: Stream, defect: str = "") -> StreamResult:
-    """Play a plan with a stream of changes; as rig.play."""
+    """Run a plan with a stream of changes, like harness.run_plan."""
     folder = Path(tempfile.mkdtemp(prefix="tier-", dir=in_memory()))
     planted = "+".join(part for part in ("disk-full-by-mark", "unfit-by-name", defect) if part)
     harness = _StreamHarness(plan, folder, planted, stream)
--- a/hollybay/cluster/control.py
+++ b/hollybay/cluster/control.py
@@ -124,10 +124,10 @@
                 self.notify()
 
     def notify(self) -> None:
-        """Wake wait(), whose condition may have changed."""
+        """Wake wait_for(), whose condition may have changed."""
         self.changed.set()
 
-    async def wait(self, condition: Callable[[], bool], limit: float, what: str) -> None:
+    async def wait_for(self, condition: Callable[[], bool], limit: float, what: str) -> None:
         """Wait until a condition holds; ControlCallError after limit seconds."""
         try:
             await wait_until(self.changed, condition, limit)
--- a/hollybay/cluster/fork_server.py
+++ b/hollybay/cluster/fork_server.py
@@ -2,8 +2,8 @@
 
 It reads lines of JSON from its standard input and replies on its standard output. When its input ends, as it
 does whenever the harness dies, it kills all processes that it forked and exits; if it is killed itself, the
-kernel kills them (PR_SET_PDEATHSIG). Processes are signalled only through it: as their parent it knows whether
-a process ID still belongs to the same process.
+kernel kills them (PR_SET_PDEATHSIG). Processes are signalled only through it: as their parent it knows
+whether a process ID still belongs to the same process.
 """
 
 from __future__ import annotations
--- a/hollybay/cluster/links.py
+++ b/hollybay/cluster/links.py
@@ -2,8 +2,8 @@
 
 A Link stands for all connections between two ends. Its state determines what happens to bytes toward the
 node (`down`) and from it (`up`), and to new connections. A LinkedProtocol puts an ordinary protocol behind a
-link; a LinkedListener is a listening socket whose link can be cut: the kernel then leaves connects unanswered,
-as on a network that loses their packets.
+link; a LinkedListener is a listening socket whose link can be cut: the kernel then leaves connects
+unanswered, as on a network that loses their packets.
 """
 
 from __future__ import annotations
--- a/hollybay/cluster/plan.py
+++ b/hollybay/cluster/plan.py
@@ -1,8 +1,8 @@
-"""A plan of a run: who is there, what load comes, which faults happen when, and what must hold.
+"""The plan of a run: its processes, load, faults, and bounds on the figures.
 
-Typed by msgspec, read with all problems at once (hollybay.routing.typed_tables), then checked here for its
-meaning: groups that exist, faults that end within the run, links that the rig has, as many processes as the
-machine bears.
+Typed by msgspec and read with all problems at once (hollybay.routing.typed_tables), then validated here:
+groups exist, faults end within the run, links are supported by the harness, and the machine can carry the
+number of processes.
 Durations are nanoseconds. Source of the form: docs/MAINTAINERS-tier.md.
 """
 
@@ -32,10 +32,10 @@
 Moment = Annotated[int, msgspec.Meta(ge=0, le=3600 * SECOND, extra={"parse": "duration"})]
 Name = Annotated[str, msgspec.Meta(pattern=r"^[a-z][a-z0-9-]{0,31}$")]
 
-# What one process of each sort takes: MiB of memory of its own, measured on a node after 20 s, and so much
-# that a machine with less is told before the start.
+# Private memory in MiB of a node (measured after 20 s), of a worker process, and of everything else; too
+# little available memory is reported before the start.
 NODE_MB, WORKER_MB, BASE_MB = 20, 60, 300
-# Groups that need no table, and the links between any two.
+# Groups that need no table, and the pairs of them between which link faults are supported.
 BUILT_IN_GROUPS = ("nodes", "servers", "clients", "discovery", "operators")
 LINKS = (
     ("nodes", "servers"),
@@ -47,66 +47,68 @@
 PROCESS_KINDS = ("kill", "stop", "restart", "starve", "few-files")
 SERVER_KINDS = ("crash", "slow", "fail", "drain", "absent")
 LINK_KINDS = ("cut", "lose-up", "lose-down", "hold", "lag", "throttle", "reset", "lose")
-# What may happen to datagrams between nodes; and what only to them.
+# Faults of datagrams between nodes, if these exchange load reports.
 DATAGRAM_KINDS = ("cut", "lag", "lose")
 LIST_KINDS = ("lists-late",)
-# Steps of a change at which a process may end itself.
+# Steps of a policy change at which a node process may kill itself.
 CRASH_STEPS = ("proposed", "drives", "decided", "hears", "serves", "write", "flush", "rename", "flush folder")
 
 
 class RunTable(Table, frozen=True):
-    """How long, how large, how much."""
+    """Duration, size and load of a run."""
 
     seconds: Duration = 20 * SECOND
-    warm: Duration = 4 * SECOND  # before this nothing is counted
+    warm: Duration = 4 * SECOND  # requests and samples before this are not counted
     nodes: Count = 40
-    configured: Count | None = None  # the number of nodes that their settings tell; None: the true one
+    configured: Count | None = None  # number of nodes in their settings; None: the actual one
     servers: Count = 24
     zones: Annotated[int, msgspec.Meta(ge=1, le=8)] = 1
-    load: Annotated[float, msgspec.Meta(gt=0, le=5)] = 0.7  # of what all servers can do when warm
+    load: Annotated[float, msgspec.Meta(gt=0, le=5)] = 0.7  # share of the capacity of all servers when warm
     list_every: Duration = SECOND
     retries: Part = 0.0
     uneven: Annotated[float, msgspec.Meta(ge=1, le=100)] = (
-        1.0  # so many times the mean goes to the first node
+        1.0  # traffic of the first node, in multiples of the mean
     )
-    connections: Annotated[int, msgspec.Meta(ge=4, le=4000)] = 400  # that one server holds
-    sockets: Annotated[int, msgspec.Meta(ge=192, le=65536)] = 512  # of one node
-    # Where the clients of a node that refuses connections go: to any other, or all to its neighbour.
+    connections: Annotated[int, msgspec.Meta(ge=4, le=4000)] = 400  # maximum of one server
+    sockets: Annotated[int, msgspec.Meta(ge=192, le=65536)] = 512  # maximum of one node
+    # Where the clients of a node that refuses connections go: to any other node, or all to the next one.
     move: Literal["any", "neighbour"] = "any"
-    talk: bool = False  # nodes tell one another what they have at servers (docs/OPERATORS-fleet.md)
-    door: bool = False  # nodes have a door for operators, who call at each once a second
-    keepers: Annotated[int, msgspec.Meta(ge=0, le=5)] = 0  # the first of the nodes; 0: there is no accord
+    talk: bool = False  # nodes exchange load reports (docs/OPERATORS-fleet.md)
+    door: bool = False  # nodes have an admin endpoint, which operators call once a second
+    keepers: Annotated[int, msgspec.Meta(ge=0, le=5)] = (
+        0  # number of voters, the first nodes; 0: no consensus
+    )
     lease: Duration = 2 * SECOND
-    narrow_for: Moment = 0  # 0: a node that is unsure leaves
-    # Nodes, by number, at which no new policy compiles, and those whose disk is full once they have started.
+    narrow_for: Moment = 0  # 0: a node without a valid lease stops serving
+    # Numbers of the nodes at which no new policy compiles, and of those whose disk is full after the start.
     unfit: Annotated[list[int], msgspec.Meta(max_length=100)] = msgspec.field(default_factory=list)
     full: Annotated[list[int], msgspec.Meta(max_length=100)] = msgspec.field(default_factory=list)
-    start_late: Moment = 0  # the last node to start begins so much later than the first
+    start_late: Moment = 0  # delay between the start of the first node and of the last
 
 
 class RigTable(Table, frozen=True):
-    """Processes beside the nodes, and when the rig is not to be trusted."""
+    """Processes other than nodes, and the bounds beyond which a run is invalid."""
 
     server_processes: Annotated[int, msgspec.Meta(ge=1, le=16)] = 2
     client_processes: Annotated[int, msgspec.Meta(ge=1, le=16)] = 2
-    late: Duration = 40_000_000  # a beat later than this counts
-    late_part: Part = 0.02  # of all beats of one process that may
-    starved_part: Part = 0.15  # of a process's time that it may be ready without a core
+    late: Duration = 40_000_000  # a beat delayed more than this is late
+    late_part: Part = 0.02  # largest share of late beats of one process
+    starved_part: Part = 0.15  # largest share of its time that a process may be runnable without a core
 
 
 class GroupTable(Table, frozen=True):
-    """Some nodes or servers: those from one part of their order to another."""
+    """Some nodes or servers: those between two fractions of their order."""
 
     all_or_nothing = True
 
     of: Literal["nodes", "servers"]
     begin: Part = 0.0
     end: Part = 1.0
-    drawn: bool = False  # drawn by the run's seed, not in order
+    drawn: bool = False  # from an order shuffled by the seed of the run
 
 
 class FaultTable(Table, frozen=True):
-    """One fault: what, on whom or between whom, from when, for how long."""
+    """One fault: its kind, its target group or pair of groups, start and duration."""
 
     all_or_nothing = True
 
@@ -119,29 +121,31 @@
 
 
 class ChangeTable(Table, frozen=True):
-    """A change of policy that operators propose: an operator file's text, servers out, other keepers."""
+    """A policy change that operators propose: text of an operator file, drained servers, or other voters."""
 
     all_or_nothing = True
 
     at: Moment
     file: Annotated[str, msgspec.Meta(max_length=100_000)] | None = None
     out: list[str] | None = None
-    keepers: list[int] | None = None  # by their numbers among the nodes
-    to: Annotated[int, msgspec.Meta(ge=0, le=4)] = 0  # the keeper that is called first
-    drop: Moment | None = None  # given up so much later
-    parent: str = ""  # the policy that it says it was made on; "": the present one
-    limit: Duration = 20 * SECOND  # followed so long
+    keepers: list[int] | None = None  # the voters, by node number
+    to: Annotated[int, msgspec.Meta(ge=0, le=4)] = 0  # number of the voter that is called first
+    drop: Moment | None = None  # the change is dropped this long after its proposal
+    parent: str = ""  # the policy on which it is based; "": the current one
+    limit: Duration = 20 * SECOND  # how long the change is tracked
 
 
 class DeathTable(Table, frozen=True):
-    """A process that ends itself, without a word, when it comes to a step of a change."""
+    """A node process that kills itself when it reaches a step of a policy change."""
 
     all_or_nothing = True
 
     node: Annotated[int, msgspec.Meta(ge=0, le=1999)]
-    event: str  # of accord: "drives", "decided", "serves", "hears", or a step of its disk
-    stage: str = ""  # of the epoch, where the event has one
-    back: Moment = SECOND  # a new process of it starts so much later
+    event: (
+        str  # a log event of consensus ("drives", "decided", "serves", "hears") or a step of a write to disk
+    )
+    stage: str = ""  # stage of the epoch, if the event has one
+    back: Moment = SECOND  # delay until a new process of the node starts
 
 
 class PlanFile(Table, frozen=True):
@@ -157,17 +161,17 @@
 
 
 class Fault(msgspec.Struct, frozen=True):
-    """A fault with its members by name. Times in ns from the run's start; state: of the links, if any."""
+    """A fault with the names of its targets. Times in ns from the start of the run; state: of its links."""
 
     kind: str
     at: int
     until: int
     nodes: tuple[str, ...]
     servers: tuple[str, ...]
-    link: str  # "", or one of nodes-servers, nodes-discovery, clients-nodes
+    link: str  # "", or the names of a pair in LINKS, joined by "-"
     state: LinkState
     by: float
-    others: tuple[str, ...] = ()  # of a link between nodes: those at its other end
+    others: tuple[str, ...] = ()  # of a link between nodes: the nodes at its other end
 
     def __str__(self) -> str:
         whom = f"{len(self.nodes)} nodes" if self.nodes else ""
@@ -177,7 +181,7 @@
 
 
 class Plan(msgspec.Struct, frozen=True):
-    """A plan that holds, for one seed."""
+    """A valid plan, for one seed."""
 
     name: str
     seed: int
@@ -192,9 +196,9 @@
 
     @property
     def sides(self) -> dict[str, int]:
-        """For each node the number of its side: nodes that the faults between nodes and servers treat alike.
+        """The side of each node, a number: nodes on one side have the same faults on their links to servers.
 
-        A server listens once for each side, so that what happens to one does not happen to another.
+        A server has one listener for each side, so that a fault can apply to one side alone.
         """
         touched = [set(f.nodes) for f in self.faults if f.link == "nodes-servers"]
         known: dict[tuple[bool, ...], int] = {}
@@ -205,7 +209,7 @@
 
 
 def group_members(names: tuple[str, ...], group: GroupTable, seed: int, label: str) -> tuple[str, ...]:
-    """The names of a group; at least one where its part is not empty."""
+    """Return the names in a group; at least one if its range is not empty."""
     order = list(names)
     if group.drawn:
         random.Random(f"{seed} {label}").shuffle(order)
@@ -230,7 +234,7 @@
     "reset": lambda by: LinkState(reset=True),
     "lose": lambda by: LinkState(lose=min(by, 1.0)),
 }
-# What `by` must be, for the kinds that need it.
+# The range and meaning of `by`, for the kinds that need it.
 _BY_RANGES = {
     "lag": (1e-4, 60.0, "seconds of delay"),
     "throttle": (1.0, 1e6, "bytes a second"),
@@ -244,9 +248,9 @@
 
 
 def compile_plan(text: str | bytes, file: str, seed: int = 1, nodes: int = 0, load: float = 0.0) -> Plan:
-    """The plan of a file for one seed; nodes and load: in place of the file's own.
+    """Compile the plan in a file for one seed; nodes and load override those of the file.
 
-    OperatorError: all that does not hold, each with table, key, value and reason.
+    OperatorError: all problems of the plan, each with table, key, value and reason.
     """
     tables, problems = read_tables(PlanFile, text, file)
     run = tables.run
@@ -264,7 +268,7 @@
     groups |= {who: (who, ()) for who in BUILT_IN_GROUPS if who not in names}
     for label, group in tables.group.items():
         if label in BUILT_IN_GROUPS:
-            problems.append(FileProblem("group", label, None, "is a name that stands for all of them"))
+            problems.append(FileProblem("group", label, None, "is the built-in group of all of them"))
         elif group.end <= group.begin:
             problems.append(
                 FileProblem(f"group.{label}", "end", group.end, f"is not above begin ({group.begin})")
@@ -321,13 +325,15 @@
         if not least <= table.by <= largest:
             problems.append(FileProblem(at, "by", table.by, f"must be from {least:g} to {largest:g}: {what}"))
     elif table.by:
-        problems.append(FileProblem(at, "by", table.by, f"means nothing for {kind!r}"))
+        problems.append(FileProblem(at, "by", table.by, f"does not apply to {kind!r}"))
     found: dict[str, tuple[str, ...]] = {}
     link = ""
     others: tuple[str, ...] = ()
     if kind in LINK_KINDS:
         if table.on or table.between is None:
-            problems.append(FileProblem(at, "between", table.between, "a fault of a link names its two ends"))
+            problems.append(
+                FileProblem(at, "between", table.between, "a link fault needs the groups at both ends")
+            )
             return None
         strangers = [name for name in table.between if name not in groups]
         for name in strangers:
@@ -338,30 +344,39 @@
         if ends not in LINKS:
             pairs = ", ".join("-".join(pair) for pair in LINKS)
             problems.append(
-                FileProblem(at, "between", table.between, f"no link of the rig: these are {pairs}")
+                FileProblem(at, "between", table.between, f"unknown link, expected one of {pairs}")
             )
             return None
         link = "-".join(ends)
         if link == "operators-nodes" and not run.door:
             problems.append(
-                FileProblem(at, "between", table.between, "nodes have no door: [run] door = true")
+                FileProblem(
+                    at, "between", table.between, "nodes have no admin endpoint: set [run] door = true"
+                )
             )
         if link == "nodes-nodes" and not run.talk and not run.keepers:
             problems.append(
-                FileProblem(at, "between", table.between, "nodes say nothing: [run] talk or keepers")
+                FileProblem(
+                    at, "between", table.between, "nodes exchange no messages: set [run] talk or keepers"
+                )
             )
         datagrams = link == "nodes-nodes" and run.talk
         if (kind not in DATAGRAM_KINDS) if datagrams else kind == "lose" and link != "nodes-nodes":
             problems.append(
-                FileProblem(at, "kind", kind, f"is none for {link}: datagrams have {DATAGRAM_KINDS}")
+                FileProblem(
+                    at,
+                    "kind",
+                    kind,
+                    f"is not supported for {link}: kinds of datagram faults are {DATAGRAM_KINDS}",
+                )
             )
         found = dict(groups[name] for name in reversed(table.between))
         others = groups[table.between[1]][1] if link == "nodes-nodes" else ()
         if not table.lasts:
-            problems.append(FileProblem(at, "lasts", None, "missing: a fault of a link has an end"))
+            problems.append(FileProblem(at, "lasts", None, "missing: a link fault needs a duration"))
     else:
         if table.between is not None:
-            problems.append(FileProblem(at, "between", table.between, f"means nothing for {kind!r}: use on"))
+            problems.append(FileProblem(at, "between", table.between, f"does not apply to {kind!r}: use on"))
         if table.on not in groups:
             problems.append(FileProblem(at, "on", table.on, f"no such group{_suggestion(table.on, groups)}"))
             return None
@@ -371,7 +386,7 @@
             problems.append(FileProblem(at, "on", table.on, f"holds {who}, and {kind!r} is for {wanted}"))
         found = {who: names}
         if not table.lasts and kind not in ("kill", "restart", "crash"):
-            problems.append(FileProblem(at, "lasts", None, "missing: this fault has an end"))
+            problems.append(FileProblem(at, "lasts", None, "missing: this fault needs a duration"))
     if len(problems) > known:
         return None
     state = _LINK_STATES[kind](table.by) if kind in _LINK_STATES else LinkState()
@@ -381,25 +396,49 @@
 
 
 def _check_consensus(tables: PlanFile, run: RunTable, problems: list[FileProblem]) -> None:
-    """What does not hold in what is said of an accord."""
+    """Check the settings of the consensus group, the policy changes and the crashes."""
     if run.keepers and (run.keepers % 2 == 0 or run.keepers > run.nodes):
-        problems.append(FileProblem("run", "keepers", run.keepers, "an odd number of the nodes, 5 at most"))
+        problems.append(
+            FileProblem(
+                "run",
+                "keepers",
+                run.keepers,
+                "expected an odd number of voters, at most 5 and no more than nodes",
+            )
+        )
     if run.keepers and not run.door:
-        problems.append(FileProblem("run", "keepers", run.keepers, "nodes have no door: [run] door = true"))
+        problems.append(
+            FileProblem("run", "keepers", run.keepers, "nodes have no admin endpoint: set [run] door = true")
+        )
     if not run.keepers and (tables.changes or tables.deaths):
-        problems.append(FileProblem("run", "keepers", 0, "there is no accord to change a policy by"))
+        problems.append(
+            FileProblem(
+                "run", "keepers", 0, "changes and deaths need a consensus group: set an odd number of voters"
+            )
+        )
     for key, numbers in (("unfit", run.unfit), ("full", run.full)):
         if any(not 0 <= number < run.nodes for number in numbers):
             problems.append(FileProblem("run", key, numbers, f"is none of {run.nodes} nodes"))
     for n, change in enumerate(tables.changes, 1):
         if change.at >= run.seconds:
-            problems.append(FileProblem(f"change {n}", "at", change.at / SECOND, "is after the run's end"))
+            problems.append(
+                FileProblem(
+                    f"change {n}",
+                    "at",
+                    change.at / SECOND,
+                    f"is after the end of the run ({run.seconds / SECOND:g} s)",
+                )
+            )
         if change.file is None and change.out is None and change.keepers is None:
             problems.append(
-                FileProblem(f"change {n}", "file", None, "nothing changes: no file, out or keepers")
+                FileProblem(f"change {n}", "file", None, "changes nothing: expected file, out or keepers")
             )
         if any(number >= run.nodes for number in change.keepers or ()):
-            problems.append(FileProblem(f"change {n}", "keepers", change.keepers, "is no node"))
+            problems.append(
+                FileProblem(
+                    f"change {n}", "keepers", change.keepers, f"expected node numbers below {run.nodes}"
+                )
+            )
     for n, death in enumerate(tables.deaths, 1):
         if death.node >= run.nodes:
             problems.append(FileProblem(f"death {n}", "node", death.node, f"is none of {run.nodes} nodes"))
@@ -409,7 +448,7 @@
 
 
 def _check_overlaps(faults: list[Fault], problems: list[FileProblem]) -> None:
-    """Two faults of one sort on one member at once would undo each other."""
+    """Reject simultaneous faults of one type on one target: the end of one would undo the other."""
     for n, one in enumerate(faults):
         for number, other in enumerate(faults[n + 1 :], n + 2):
             if max(one.at, other.at) >= min(one.until, other.until) or one.link != other.link:
@@ -426,7 +465,7 @@
 
 
 def pairs(plan: Plan) -> list[tuple[str, str]]:
-    """The ordered pairs of nodes between which a fault of the plan touches datagrams."""
+    """Return the ordered pairs of nodes between which the plan has a link fault."""
     found = {
         pair
         for fault in plan.faults
@@ -440,9 +479,9 @@
 
 
 def machine_limit_exceeded(plan: Plan, memory_mb: int | None = None, files: int | None = None) -> str | None:
-    """Why this machine cannot carry the plan, with the figures; None: it can, as far as can be told.
+    """Return why this machine cannot run the plan, with the figures, or None if its limits suffice.
 
-    memory_mb: what is available, files: descriptors that one process may have; None: asked of the system.
+    memory_mb: available memory; files: limit on descriptors of one process; None: read from the system.
     """
     if memory_mb is None:
         memory_mb = _available_mb()
@@ -451,14 +490,14 @@
     run, rig = plan.run, plan.rig
     need = BASE_MB + NODE_MB * run.nodes + WORKER_MB * (rig.server_processes + rig.client_processes + 2)
     if need > memory_mb:
-        return f"{run.nodes} nodes and the rig take {need} MiB of memory, {memory_mb} MiB are available"
+        return f"{run.nodes} nodes and the harness need {need} MiB of memory, {memory_mb} MiB are available"
     sides = len(set(plan.sides.values()))
-    # A server process holds its servers' connections, up to what each takes, and one listener a side.
+    # A server process holds the connections of its servers, up to their limits, and a listener for each side.
     each = -(-run.servers // rig.server_processes)
     connections = min(run.connections * each, run.nodes * each * 4)
     need = max(connections + each * sides, 3 * run.nodes, run.sockets, len(pairs(plan))) + 64
     if need > files:
-        return f"one process of the rig needs {need} descriptors, {files} are allowed"
+        return f"one process of the harness needs {need} descriptors, {files} are allowed"
     return None
 
 
--- a/hollybay/cluster/processes.py
+++ b/hollybay/cluster/processes.py
@@ -1,7 +1,7 @@
-"""What the processes of a run are: a node, some servers, the registry, some clients.
+"""Entry points of the processes of a run: nodes, servers, registry, clients, operators and network faults.
 
-A node is the real serve() with a port of the kernel's choice. The others do as the rig tells them
-(control.py), write what they see into their journals, and beat, so that the rig knows how late they were.
+A node is the real serve() on a port chosen by the kernel. The others serve calls of the harness (control.py),
+write events to their event logs, and record periodic beats, by which the harness knows how late they were.
 """
 
 from __future__ import annotations
@@ -64,12 +64,12 @@
 __all__ = ["BEAT_INTERVAL", "CONTROL", "node_settings", "rule_limits", "run_process"]
 
 CONTROL = "control.sock"
-# Seconds between two beats of a process.
+# Interval between beats of a process (s).
 BEAT_INTERVAL = 0.02
 
 
 def node_settings(run: Any, node: int = 0) -> dict[str, Any]:
-    """The settings object of one node of a run (plan.RunTable)."""
+    """Return the settings object of one node of a run (plan.RunTable)."""
     zones = [f"z{n}" for n in range(run.zones)]
     return settings(
         run.configured or run.nodes,
@@ -79,20 +79,20 @@
     )
 
 
-# An answer is lost that comes so much (ns) after its deadline, as the operators have it for many nodes on one
-# machine; sooner it is worth nothing, which the figures tell.
+# A response counts as lost if it comes more than this (ns) after its deadline, as operators specified for
+# many nodes on one machine; a response between the deadline and this limit is worth nothing in the figures.
 LATE_LIMIT = 500_000_000
 
 
 def rule_limits(run: Any) -> RuleLimits:
-    """The rules' figures for a run."""
+    """Return the limits of the rules for a run."""
     from hollybay.proxy.config import settings_from_json
 
     return replace(RuleLimits.of(settings_from_json(node_settings(run))), late=LATE_LIMIT)
 
 
 class _RecordingLedger(Ledger):
-    """A ledger that writes down what happens in this process, and keeps only what the writers need."""
+    """A ledger that writes events to this process's event log, and keeps only the state needed for that."""
 
     def __init__(self, limits: RuleLimits, journal: EventLog) -> None:
         super().__init__(limits)
@@ -100,10 +100,10 @@
         self.loop = asyncio.get_running_loop()
         self.due = False
         self.firsts: dict[str, int] = {}
-        self.work = 0  # ns, of the request that is asked next
+        self.work = 0  # ns, of the next request
 
     def write(self, event: Event) -> None:
-        """Write an event down within this turn of the loop."""
+        """Write an event; it is flushed in this iteration of the event loop."""
         self.journal.write(event)
         if not self.due:
             self.due = True
@@ -144,7 +144,7 @@
 
 
 def run_process(role: str, name: str, folder: Path, words: dict[str, Any]) -> int:
-    """Be a process of the run until it ends; its exit status."""
+    """Run a process of the given role until it ends; return its exit status."""
     logging.basicConfig(stream=sys.stderr, level=logging.WARNING, format="%(levelname)s %(message)s")
     logging.getLogger("hollybay.accord").setLevel(logging.INFO)
     if role == "node":
@@ -163,7 +163,7 @@
     control_socket = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
 
     def started(port: int) -> None:
-        # The one line that says it is ready; its end, seen by the rig, that it is no more.
+        # This line reports readiness; the harness takes the end of the connection as the end of the process.
         control_socket.connect(str(folder / CONTROL))
         control_socket.sendall(msgspec.json.encode({"name": name, "port": port, "pid": os.getpid()}) + b"\n")
 
@@ -177,12 +177,12 @@
 
 
 def _record_policies(name: str, folder: Path, words: dict[str, Any]) -> EventLog:
-    """Write down under which policies requests begin here; and end without a word at a step, if one is
-    given."""
+    """Record under which policies requests begin in this node; if a crash step is given, kill the process at
+    it."""
     from hollybay.consensus.store import Store
     from hollybay.proxy.consensus_member import ConsensusMember
 
-    # Of the clock that leases are counted on, in that of all other journals.
+    # Offset of the clock of the leases from the clock of all event logs.
     ahead = time.clock_gettime_ns(time.CLOCK_BOOTTIME) - time.monotonic_ns()
     journal = EventLog(folder / f"{name}.{os.getpid()}.journal")
     due = False
@@ -231,7 +231,7 @@
 
 
 def _plant_policy_fault(full: bool) -> None:
-    """No policy after the first compiles here, or its disk is full from then on."""
+    """Make every policy after the first fail in this node: it does not compile, or the disk is full."""
     from hollybay.consensus.log import PolicyLog
     from hollybay.consensus.log_entry import Entry
     from hollybay.consensus.policy import PolicyVersion
@@ -287,7 +287,7 @@
 
 
 class _WorkerProcess:
-    """Answers the rig's calls by its methods named do_*."""
+    """Serves calls of the harness with its methods named do_*."""
 
     def __init__(
         self, name: str, recorder: _RecordingLedger, words: dict[str, Any], send_event: Callable[..., None]
@@ -308,13 +308,13 @@
 
 
 def _work_of(target: bytes, rng: random.Random) -> float:
-    """Seconds of work that its client put into the target; the usual draw for others."""
+    """Return the seconds of work that the client put into the target; 0.05 if there are none."""
     _, _, value = target.partition(b"?w=")
     return int(value) / 1e6 if value.isdigit() else 0.05
 
 
 class _Server(FakeServer):
-    """A server with a door for each side of the tier, and faults by word."""
+    """A server with a listener for each side (Plan.sides), and faults on command."""
 
     def __init__(self, sides: int, recorder: _RecordingLedger, **words: Any) -> None:
         super().__init__(ledger=recorder, work_of=_work_of, **words)
@@ -336,7 +336,7 @@
             listener.close()
 
     def slow_down(self, times: float) -> None:
-        """Work takes so many times as long, and no list tells of it."""
+        """Make work take this many times as long, without a change in the list."""
         self.kind = replace(self.nominal, speed=self.nominal.speed / times)
 
     def _script(self, rid: str, target: bytes) -> ScriptedAnswer:
@@ -344,7 +344,7 @@
         return ScriptedAnswer(500) if failed else ScriptedAnswer()
 
     def list_line(self) -> dict[str, object]:
-        """Its line of the list, with an address for each side."""
+        """Return the line of this server in the list, with an address for each side."""
         line = self.line()
         held = len(self.running) + len(self.waiting)
         line["weight"] = round(self.nominal.capacity / (1 + held), 3)
@@ -353,14 +353,14 @@
 
 
 class _ServersProcess(_WorkerProcess):
-    """Some of the servers."""
+    """The process of some of the servers."""
 
     def __init__(self, *args: Any) -> None:
         super().__init__(*args)
         self.servers: dict[str, _Server] = {}
 
     async def do_open(self, servers: list[dict[str, Any]], sides: int, away: list[str]) -> Any:
-        """Make and start servers; those that are away have a port and are not up."""
+        """Create and start servers; those in `away` get a port and are not up."""
         for words in servers:
             kind = ServerKind(**words.pop("kind"))
             server = _Server(sides, self.recorder, kind=kind, **words)
@@ -371,7 +371,7 @@
         return await self.do_rows()
 
     async def do_rows(self) -> Any:
-        """The lines of those that are up."""
+        """Return the list lines of the servers that are up."""
         return {name: server.list_line() for name, server in self.servers.items() if server.up}
 
     async def do_crash(self, names: list[str]) -> None:
@@ -408,7 +408,7 @@
 
 
 class _DiscoveryProcess(_WorkerProcess):
-    """The registry of all nodes."""
+    """The process of the discovery registry."""
 
     def __init__(self, *args: Any) -> None:
         super().__init__(*args)
@@ -424,7 +424,7 @@
             self.send_event(event="heard", node=node)
 
     async def do_open(self, nodes: dict[str, int]) -> Any:
-        """A port for each node, given its side."""
+        """Open a port for each node, given its side."""
         return {
             name: NodeDiscovery(self.registry, name, side).listener.open() for name, side in nodes.items()
         }
@@ -433,32 +433,32 @@
         self.registry.publish(lines)
 
     async def do_anew(self, names: list[str]) -> None:
-        """These nodes have ended: what they were told is gone."""
+        """Forget the state sent to nodes that have exited."""
         for name in names:
             self.nodes_with_list.discard(name)
-            self.registry.nodes[name].reset()
+            self.registry.by_node[name].reset_states()
 
     async def do_late(self, names: list[str], by: float) -> None:
         for name in names:
-            self.registry.nodes[name].lag = by
+            self.registry.by_node[name].lag = by
 
     async def do_link(self, names: list[str], state: dict[str, Any]) -> None:
         for name in names:
-            self.registry.nodes[name].link.set_state(msgspec.convert(state, LinkState))
+            self.registry.by_node[name].link.set_state(msgspec.convert(state, LinkState))
 
 
 # Clients
 
 
 class _TierClients(LoadGenerator):
-    """Clients of a whole tier: each request to a node drawn by its share of the traffic.
+    """Clients of all nodes: sends each request to a node drawn by its share of the traffic.
 
-    A node that refuses a connection is left for a while; a request whose bytes went nowhere yet goes on to
-    another. What broke off on a connection that was used before goes on only where that is harmless.
+    A node that refuses a connection is avoided for a while, and a request that was not yet sent goes to
+    another. A request that failed on a reused connection is sent again only if it is safe.
     """
 
     AVOID_TIME = 1.0  # s
-    MAX_CONNECTS = 6  # nodes that a request tries to reach
+    MAX_CONNECTS = 6  # nodes that a request tries to connect to
 
     def __init__(self, recorder: _RecordingLedger, shares: dict[str, float], move: str, **words: Any) -> None:
         super().__init__(ledger=recorder, ports=[0], **words)
@@ -477,7 +477,7 @@
         return super().ask(mix, is_retry)
 
     def set_ports(self, ports: dict[str, int]) -> None:
-        """Where nodes listen now."""
+        """Set the ports on which nodes listen now."""
         for name, port in ports.items():
             self.port_of[name] = port
             self.node_of[port] = name
@@ -490,7 +490,7 @@
         return replace(mix, target=b"%s?w=%d" % (mix.target, work))
 
     def choose_node(self) -> str:
-        """The node of the next request."""
+        """Choose the node of the next request."""
         name = self.random.choices(self.names, list(self.shares.values()))[0]
         now = self.loop.time()
         if self.avoided_until.get(name, 0.0) <= now:
@@ -513,7 +513,7 @@
             name = self.node_of[port]
             link = self.links[name]
             if link.state.cut or link.state.lost_up or link.state.lost_down:
-                # A connect into a cut link gets no answer; clients here wait a second for one.
+                # A connect over a cut link gets no reply; clients time out after a second.
                 await asyncio.sleep(1.0)
             else:
                 try:
@@ -548,7 +548,7 @@
 
 
 class _ClientsProcess(_WorkerProcess):
-    """Some of the clients."""
+    """The process of some of the clients."""
 
     def __init__(self, *args: Any) -> None:
         super().__init__(*args)
@@ -574,7 +574,7 @@
         self.load.set_ports(ports)
 
     async def do_run(self, at: int, seconds: float) -> Any:
-        """Send from a moment (ns) on; answered when the last request has ended."""
+        """Send requests from a time (ns) on; returns when the last request has ended."""
         await asyncio.sleep(max(0.0, (at - time.monotonic_ns()) / SECOND))
         await self.load.run(seconds)
         return self.load.sent
@@ -588,9 +588,10 @@
 
 
 class _DatagramSwitch(_WorkerProcess):
-    """Carries datagrams between pairs of nodes, each over a socket of the pair's own.
+    """Forwards datagrams between pairs of nodes, with a socket for each ordered pair.
 
-    What a sends to its address for b arrives at b from b's address for a, so that both know one another.
+    A datagram that a sends to its address for b arrives at b from b's address for a, so that both
+    recognise the sender.
     """
 
     def __init__(self, *args: Any) -> None:
@@ -629,7 +630,7 @@
                     self._send_datagram(back, data, receiver)
 
     def _send_datagram(self, sock: socket.socket, data: bytes, receiver: str) -> None:
-        with contextlib.suppress(OSError):  # the node is dead, or its socket full: datagrams are lost so
+        with contextlib.suppress(OSError):  # the node has exited or its socket is full: the datagram is lost
             sock.sendto(data, self.real[receiver])
 
     async def do_link(self, names: list[str], others: list[str], state: dict[str, Any]) -> None:
@@ -642,7 +643,7 @@
 
 
 class _ReadinessPollers(_WorkerProcess):
-    """They ask each node once a second whether it is ready, each in its own part of the second."""
+    """Operators that ask each node once a second whether it is ready, spread evenly over the second."""
 
     EVERY, LIMIT = 1.0, 1.5  # s
 
@@ -652,7 +653,7 @@
         self.tasks: list[asyncio.Task[None]] = []
 
     async def do_call(self, addresses: dict[str, str]) -> None:
-        """Begin to call at these doors, by node."""
+        """Start calling these admin endpoints, by node."""
         for n, (name, address) in enumerate(addresses.items()):
             self.links[name] = Link()
             first = self.EVERY * n / len(addresses)
@@ -689,7 +690,7 @@
 
 
 class _ReadinessCall(asyncio.Protocol):
-    """One call for /-/ready, and its status."""
+    """One GET of /-/ready, and the status of its response."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.status: asyncio.Future[int] = loop.create_future()
@@ -710,12 +711,12 @@
             self.status.set_result(0)
 
 
-# The way to nodes' doors
+# Consensus messages between nodes
 
 
 class _AdminRelay(_WorkerProcess):
-    """Stands before the doors of all nodes, where other nodes call them, and knows who calls: each call goes
-    over a link of the pair's own."""
+    """Relays calls between nodes to their admin endpoints. It identifies the caller by its User-Agent header
+    and applies the link state of that pair."""
 
     def __init__(self, *args: Any) -> None:
         super().__init__(*args)
@@ -725,7 +726,7 @@
         self.changed = asyncio.Event()
 
     async def do_open(self, addresses: list[list[str]]) -> None:
-        """doors: name, where it is called, where it listens."""
+        """addresses: node, address at which it is called, address on which it listens."""
         for name, at, real in addresses:
             host, _, port = at.rpartition(":")
             self.servers.append(
@@ -759,7 +760,7 @@
         writer.close()
 
     async def _wait_for_link(self, caller: str, name: str, to: bool) -> None:
-        """Come back when bytes are through; for ever if they are lost. OSError: the connection is reset."""
+        """Wait until the link passes bytes. OSError: the connection is reset."""
         while True:
             state = self.states.get((caller, name), LinkState())
             if state.reset:
@@ -775,7 +776,7 @@
             await asyncio.sleep(state.lag)
 
     async def do_link(self, names: list[str], others: list[str], state: dict[str, Any]) -> None:
-        """Between these and those, either way: up is from the first to the second."""
+        """Set the links between two groups in both directions; up is from `names` to `others`."""
         found = msgspec.convert(state, LinkState)
         reverse = msgspec.structs.replace(found, lost_up=found.lost_down, lost_down=found.lost_up)
         for one in names:
@@ -785,11 +786,11 @@
         self.changed.set()
 
 
-# Those who change the policy
+# Operators who change the policy
 
 
 class _PolicyOperators(_WorkerProcess):
-    """They begin the accord and propose changes, by the same steps as `hollybay policy`."""
+    """Operators that bootstrap the consensus group and propose changes as `hollybay policy` does."""
 
     async def call(self, address: str, path: str, body: bytes | None) -> bytes:
         from hollybay.proxy.admin_client import call_policy
@@ -797,7 +798,7 @@
         return await call_policy(address, path, body, 2.0)
 
     async def do_found(self, addresses: list[str], file: str) -> None:
-        """Begin."""
+        """Bootstrap the consensus group."""
         from hollybay.consensus import messages
         from hollybay.consensus.requests import CallFailedError
 
@@ -806,13 +807,13 @@
             try:
                 await self.call(addresses[0], "found", body)
                 return
-            except CallFailedError:  # hundreds of nodes that start at once are all at the keepers' doors
+            except CallFailedError:  # hundreds of starting nodes call the voters at once
                 if not left:
                     raise
                 await asyncio.sleep(0.5)
 
     async def do_change(self, addresses: list[str], to: int, change: dict[str, Any]) -> Any:
-        """Propose and follow a change; what came of it."""
+        """Propose and track a change; return its result."""
         from hollybay.consensus.change_tracker import ChangeTracker, PolicyProposal
         from hollybay.consensus.cluster_view import ClusterView
         from hollybay.consensus.verdict import Verdict
@@ -820,7 +821,7 @@
         began = time.monotonic_ns()
         tracker = ChangeTracker(self.call, addresses)
         if to:
-            # Of several keepers that answer this one takes the proposal.
+            # Prefer this voter, of those that reply, for the proposal.
             refresh = tracker.refresh
 
             async def refresh_reordered() -> ClusterView:
@@ -849,7 +850,7 @@
         return [verdict.code, verdict.change, verdict.text, verdict.reasons, (now - began) / SECOND]
 
     async def do_status(self, addresses: list[str]) -> Any:
-        """What all these processes say of themselves, by door."""
+        """Return the status of all these nodes, by admin address."""
 
         few = asyncio.Semaphore(16)
 
@@ -857,7 +858,7 @@
             try:
                 async with few:
                     return msgspec.json.decode(await self.call(address, "", None))
-            except Exception as error:  # told as it is
+            except Exception as error:  # reported as the status of this node
                 return {"error": str(error)}
 
         return dict(zip(addresses, await asyncio.gather(*map(one, addresses)), strict=True))
--- a/hollybay/cluster/records.py
+++ b/hollybay/cluster/records.py
@@ -215,11 +215,11 @@
     while at + 4 <= len(data):
         (length,) = _LENGTH.unpack_from(data, at)
         if length > MAX_EVENT:
-            raise ValueError(f"{path.name}: no event at byte {at}")
+            raise ValueError(f"{path.name}: invalid event at byte {at}")
         if at + 4 + length > len(data):
             return
         try:
             yield _decoder.decode(memoryview(data)[at + 4 : at + 4 + length])
         except msgspec.DecodeError as error:
-            raise ValueError(f"{path.name}: no event at byte {at}: {error}") from None
+            raise ValueError(f"{path.name}: invalid event at byte {at}: {error}") from None
         at += 4 + length
--- a/hollybay/cluster/registry.py
+++ b/hollybay/cluster/registry.py
@@ -32,14 +32,14 @@
         self.on_list_sent = on_list_sent  # node: it was sent a list with servers
         self.version = 0
         self.changes: deque[tuple[float, int, dict[str, dict[str, Any]]]] = deque(maxlen=KEPT_VERSIONS)
-        self.nodes: dict[str, NodeDiscovery] = {}
+        self.by_node: dict[str, NodeDiscovery] = {}
         self.loop = asyncio.get_running_loop()
 
     def publish(self, lines: dict[str, dict[str, Any]]) -> None:
         """Publish changed lines, by server; "addrs" holds the address of the server for each side."""
         self.version += 1
         self.changes.append((self.loop.time(), self.version, lines))
-        for discovery in self.nodes.values():
+        for discovery in self.by_node.values():
             discovery.notify()
 
     def visible_version(self, lag: float) -> int:
@@ -77,7 +77,7 @@
         self.listener = LinkedListener(self.link, lambda: _DiscoveryConnection(self))
         self.waiting: set[_DiscoveryConnection] = set()
         self.states: dict[str, bool] = {}
-        registry.nodes[node] = self
+        registry.by_node[node] = self
 
     def notify(self) -> None:
         """Respond to waiting requests once the new version is visible to this node."""
@@ -90,7 +90,7 @@
         for connection in list(self.waiting):
             connection.respond_if_new()
 
-    def reset(self) -> None:
+    def reset_states(self) -> None:
         """Forget the states that were sent: the node has a new process."""
         self.states.clear()
 
@@ -122,7 +122,8 @@
         self.transport: Any = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport = cast(Any, transport)  # the transport of a LinkedProtocol, which reports when bytes have passed
+        # The transport of a LinkedProtocol, which reports when bytes have passed.
+        self.transport = cast(Any, transport)
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.discovery.waiting.discard(self)
--- a/hollybay/cluster/report.py
+++ b/hollybay/cluster/report.py
@@ -1,4 +1,4 @@
-"""What a run says: its figures, whether they hold, and as tables, JSON and a plot."""
+"""The report of a run: its figures, the bounds they exceed, and their output as tables, JSON and a plot."""
 
 from __future__ import annotations
 
@@ -33,12 +33,12 @@
     excused: int
     p50_ms: float
     p99_ms: float
-    in_time: float  # worth that came in time, over worth asked for
+    in_time: float  # share of the requests served within the latency objective
 
 
 @dataclass(frozen=True, slots=True)
 class Report:
-    """All figures. beside: the same of the two models on the same arrivals; broken: bounds not held."""
+    """All figures. beside: the figures of both models on the same arrivals; broken: bounds exceeded."""
 
     name: str
     seed: int
@@ -51,7 +51,7 @@
     rules: dict[str, int]
     faults: tuple[str, ...]
     excused: dict[str, int]
-    door: dict[str, int]  # operators' calls by status, 0 for none
+    door: dict[str, int]  # operators' calls by status, 0 for no response
     trusted: bool
     reasons: tuple[str, ...]
     broken: tuple[str, ...]
@@ -59,22 +59,24 @@
     node_cpu: float
     node_memory_mb: float
     rig_cpu: float
-    series: tuple[tuple[float, float], ...]  # seconds, idle while queued, mean of half a second
+    series: tuple[tuple[float, float], ...]  # seconds, and idle while queued as mean over half a second
     keeper_cpu: float = 0.0
-    changes: tuple[tuple[int, str, str, float], ...] = ()  # of policy: code, name, what was said, seconds
-    under: dict[str, int] = field(default_factory=dict)  # requests that began, by the policies
-    torn: tuple[str, ...] = ()  # where a policy was not everywhere or nowhere
-    status: dict[str, Any] = field(default_factory=dict)  # what nodes said of themselves at the end
-    reasons_by_node: tuple[dict[str, list[str]], ...] = ()  # of each change, why nodes could not serve it
+    changes: tuple[
+        tuple[int, str, str, float], ...
+    ] = ()  # policy changes: code, name, reported text, seconds
+    under: dict[str, int] = field(default_factory=dict)  # requests begun, by policies in force
+    torn: tuple[str, ...] = ()  # violations of atomic policy changes
+    status: dict[str, Any] = field(default_factory=dict)  # status of each node at the end
+    reasons_by_node: tuple[dict[str, list[str]], ...] = ()  # for each change, why nodes could not serve it
 
     @property
     def exit_status(self) -> int:
-        """0 held, 1 a rule or a bound broken, 3 not to be trusted."""
+        """0 all rules and bounds hold, 1 a rule or bound is violated, 3 the run is invalid."""
         wrong = self.broken or self.torn or any(self.rules.values())
         return 3 if not self.trusted else 1 if wrong else 0
 
     def as_json(self) -> dict[str, Any]:
-        """Everything, for a file; without figures where the run is not to be trusted."""
+        """Return all fields for a JSON file; the figures are null if the run is invalid."""
         data = asdict(self)
         if not self.trusted:
             for key in ("figures", "beside", "classes", "series", "broken"):
@@ -83,7 +85,7 @@
 
 
 class _Times:
-    """Response times, to three figures."""
+    """Histogram of response times, to three significant figures."""
 
     def __init__(self) -> None:
         self.histogram = HdrHistogram(1, 120_000_000, 3)  # microseconds
@@ -107,7 +109,7 @@
 
 
 def report_of(outcome: Outcome) -> Report:
-    """Work out all figures of a run, between the end of its warm-up and its end."""
+    """Compute all figures of a run, from the end of its warm-up to its end."""
     plan, merged = outcome.plan, outcome.merged
     since = outcome.started_at + plan.run.warm
     until = outcome.ended
@@ -170,7 +172,7 @@
 
 
 def _atomicity_violations(merged: MergedRun) -> tuple[str, ...]:
-    """Where a change of policy was not everywhere or nowhere (hollybay.consensus.invariants)."""
+    """Return where a policy change was not atomic over all nodes (hollybay.consensus.invariants)."""
     if not merged.requests_begun and not merged.change_reports:
         return ()
     from hollybay.consensus.invariants import (
@@ -231,7 +233,7 @@
 
 
 def _after_faults(outcome: Outcome, series: list[tuple[int, float]], arrivals: int) -> dict[str, float]:
-    """How long until things were as before: after the first fault, and at servers that are new or back."""
+    """Compute the recovery times: after the first fault, and of servers that are new or restarted."""
     plan, merged = outcome.plan, outcome.merged
     found: dict[str, float] = {}
     faults = [f for f in plan.faults if f.at > plan.run.warm]
@@ -261,7 +263,7 @@
 
 
 def tables(report: Report) -> list[Table]:
-    """Figures and classes, for a terminal."""
+    """Return the tables of figures and request classes for a terminal."""
     figures = Table(
         title=f"{report.name}, seed {report.seed}: {report.nodes} nodes, {report.servers} servers"
     )
@@ -288,7 +290,7 @@
 
 
 def plot(report: Report, path: Path) -> None:
-    """Idle while queued over the run, as a PNG."""
+    """Plot idle while queued over the run as a PNG."""
     import matplotlib
 
     matplotlib.use("Agg")
